--- a/app/shunt-agent.cpp
+++ b/app/shunttrail-agent.cpp
@@ -6,7 +6,7 @@
 #include <cstdlib>
 
 #include "agent/agent.h"
-#include "agent/shepherd.h"
+#include "agent/task_supervisor.h"
 #include "log/log.h"
 
 namespace {
@@ -63,7 +63,7 @@
   if (check) return 0;
   ::signal(SIGPIPE, SIG_IGN);
   ::signal(SIGXFSZ, SIG_IGN);  // as a full disk: an error of write
-  log::open("shunt-agent");
+  log::open("shunttrail-agent");
   try {
     actor::Loop loop;
     agent::Agent a(loop, settings, dir, kill_point());
@@ -82,8 +82,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"shunt-agent: runs a machine's tasks for shunttrail"};
-  app.set_version_flag("--version", std::string("shunt-agent 0.1.0"));
+  CLI::App app{"shunttrail-agent: runs a machine's tasks for shunttrail"};
+  app.set_version_flag("--version", std::string("shunttrail-agent 0.1.0"));
   std::string settings, dir, task_dir, page;
   bool check = false;
   app.add_option("--settings", settings, "the agent's settings (XML)");
--- a/app/shunt-trial.cpp
+++ b/app/shunttrail-chaos.cpp
@@ -4,13 +4,13 @@
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
-#include "checker/trial.h"
+#include "chaos/chaos_run.h"
 
 int main(int argc, char** argv) {
   using namespace shunt;
   CLI::App app{
-      "shunt-trial: kill parts of a set on one machine and check what became of its tasks"};
-  app.set_version_flag("--version", std::string("shunt-trial 0.1.0"));
+      "shunttrail-chaos: kill parts of a set on one machine and check what became of its tasks"};
+  app.set_version_flag("--version", std::string("shunttrail-chaos 0.1.0"));
   checker::Plan p;
   std::string dir;
   app.add_option("--dir", dir, "an empty directory")->required();
@@ -32,7 +32,7 @@
     std::printf("%s\n", checker::to_json(o).c_str());
     return o.faults.empty() ? 0 : 1;
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "shunt-trial: %s\n", e.what());
+    std::fprintf(stderr, "shunttrail-chaos: %s\n", e.what());
     return 1;
   }
 }
--- a/app/main.cpp
+++ b/app/shunttrail-controller.cpp
@@ -5,10 +5,10 @@
 #include <csignal>
 #include <cstdlib>
 
-#include "front/controller.h"
+#include "controller/controller.h"
 
 int main(int argc, char** argv) {
-  CLI::App app{"shunttrail: a cluster scheduler"};
+  CLI::App app{"shunttrail-controller: a controller of the cluster scheduler"};
   std::string config_path, tuning_path;
   bool check = false;
   app.add_option("--config", config_path, "settings of this node (JSON)")->required();
@@ -16,7 +16,7 @@
   app.add_flag("--check", check, "check the settings and tuning, then exit");
   const auto build = shunt::levels::here();
   app.set_version_flag(
-      "--version", "shunttrail 0.1.0, state levels " + std::to_string(build.lowest) + " to " +
+      "--version", "shunttrail-controller 0.1.0, state levels " + std::to_string(build.lowest) + " to " +
                        std::to_string(build.highest) + ", writes " + std::to_string(build.writes));
   CLI11_PARSE(app, argc, argv);
 
--- a/app/shunt-local.cpp
+++ b/app/shunttrail-local.cpp
@@ -5,10 +5,10 @@
 #include <cstdio>
 
 #include "config/xml.h"
-#include "depot/server.h"
-#include "local/set.h"
+#include "artifacts/server.h"
+#include "local_cluster/local_cluster.h"
 #include "log/log.h"
-#include "standins/state.h"
+#include "emulators/state.h"
 
 namespace {
 
@@ -16,7 +16,7 @@
 namespace fs = std::filesystem;
 
 int serve_state(const std::string& at, const std::string& file) {
-  log::open("shunt-state-standin");
+  log::open("shunttrail-state-emulator");
   actor::Loop loop;
   standins::State state(loop, config::parse_endpoint(at, "--listen"), file);
   loop.run();
@@ -24,7 +24,7 @@
 }
 
 int serve_depot(const std::string& at, const std::string& dir) {
-  log::open("shunt-depot");
+  log::open("shunttrail-artifacts");
   actor::Loop loop;
   depot::Server server(loop, config::parse_endpoint(at, "--listen"), dir);
   loop.run();
@@ -32,7 +32,7 @@
 }
 
 int run(const local::Settings& settings, const std::string& dir, std::uint16_t port) {
-  log::open("shunt-local");
+  log::open("shunttrail-local");
   fs::path self = fs::read_symlink("/proc/self/exe");
   actor::Loop loop;
   local::LocalSet set(loop, settings, dir, self.parent_path(), self, port, [](std::string url) {
@@ -61,8 +61,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"shunt-local: the whole service on one machine, in the foreground"};
-  app.set_version_flag("--version", std::string("shunt-local 0.1.0"));
+  CLI::App app{"shunttrail-local: the whole service on one machine, in the foreground"};
+  app.set_version_flag("--version", std::string("shunttrail-local 0.1.0"));
   std::string dir, settings_path, listen, file;
   int controllers = 0, port = 0;
   bool check = false;
@@ -105,7 +105,7 @@
     std::fprintf(stderr, "%s\n", e.what());
     return 2;
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "shunt-local: %s\n", e.what());
+    std::fprintf(stderr, "shunttrail-local: %s\n", e.what());
     return 1;
   }
 }
--- a/app/shunt-pbs.cpp
+++ b/app/shunttrail-pbs.cpp
@@ -12,7 +12,7 @@
 #include <sstream>
 
 #include "config/xml.h"
-#include "ctl/service.h"
+#include "cli/service_client.h"
 #include "pbs/job.h"
 
 extern char** environ;
@@ -127,12 +127,12 @@
   std::string name = fs::path(argv[0]).filename();
   if (name != "qsub") {
     if (!words.empty() && words[0] == "--version") {
-      std::printf("shunt-pbs 0.1.0\n");
+      std::printf("shunttrail-pbs 0.1.0\n");
       return 0;
     }
     if (words.empty() || words[0] != "qsub") {
       std::fprintf(words.empty() || words[0] != "--help" ? stderr : stdout,
-                   "usage: shunt-pbs qsub --check [--tables FILE] [qsub's options] [SCRIPT|-]\n");
+                   "usage: shunttrail-pbs qsub --check [--tables FILE] [qsub's options] [SCRIPT|-]\n");
       return !words.empty() && words[0] == "--help" ? 0 : 2;
     }
     words.erase(words.begin());
--- a/app/shuntctl.cpp
+++ b/app/shunttrailctl.cpp
@@ -10,9 +10,9 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "ctl/service.h"
-#include "depot/archive.h"
-#include "levels/levels.h"
+#include "cli/service_client.h"
+#include "artifacts/archive.h"
+#include "schema/schema.h"
 
 namespace {
 
@@ -104,7 +104,7 @@
     if (!wire::valid_job_id(s.id)) usage("--id: " + s.id + " is no job id (run-DIGITS)");
   }
   if (!o.command.empty()) d.command = o.command;
-  if (d.command.empty()) usage("no command: shuntctl submit [flags] -- COMMAND ARGS");
+  if (d.command.empty()) usage("no command: shunttrailctl submit [flags] -- COMMAND ARGS");
   for (const auto& e : o.env) {
     auto eq = e.find('=');
     if (eq == 0 || eq == std::string::npos) usage("--env: " + e + " is not NAME=VALUE");
@@ -204,7 +204,7 @@
   if (!r->reason.empty()) std::fprintf(stderr, "%s\n", r->reason.c_str());
   const std::string& hash = o.err ? r->err : r->out;
   if (hash.empty()) return 0;
-  fs::path file = fs::temp_directory_path() / ("shuntctl-" + std::to_string(::getpid()));
+  fs::path file = fs::temp_directory_path() / ("shunttrailctl-" + std::to_string(::getpid()));
   if (!service.fetch(hash, file)) throw ctl::Failed("the output is lost or damaged");
   std::ifstream in(file, std::ios::binary);
   std::cout << in.rdbuf() << std::flush;
@@ -289,12 +289,12 @@
 int main(int argc, char** argv) {
   ::signal(SIGPIPE, SIG_IGN);
   CLI::App app{
-      "shuntctl: submit jobs to shunttrail and look after them\n\n"
+      "shunttrailctl: submit jobs to shunttrail and look after them\n\n"
       "Exit status: 0, 1 if the service refuses or does not answer, 2 for a wrong command line; "
       "of\n"
       "wait and submit --wait that of the job (of its first task that failed), 1 if it was "
       "cancelled."};
-  app.set_version_flag("--version", std::string("shuntctl 0.1.0"));
+  app.set_version_flag("--version", std::string("shunttrailctl 0.1.0"));
   Options o;
   app.add_option("--server", o.server, "where the service is, http://HOST:PORT")
       ->envname("SHUNT_SERVER")
@@ -409,7 +409,7 @@
     int r = app.exit(e);
     return r == 0 ? 0 : 2;
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "shuntctl: %s\n", e.what());
+    std::fprintf(stderr, "shunttrailctl: %s\n", e.what());
     return 1;
   }
 }
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -12,17 +12,17 @@
 #include <string>
 
 #include "actor/loop.h"
-#include "agent/book.h"
-#include "agent/images.h"
-#include "agent/lease_page.h"
-#include "agent/procs.h"
-#include "agent/record.h"
+#include "agent/attempt_table.h"
+#include "agent/image_cache.h"
+#include "agent/lease_file.h"
+#include "agent/processes.h"
+#include "agent/agent_journal.h"
 #include "agent/settings.h"
-#include "agent/shepherd.h"
-#include "depot/archive.h"
-#include "depot/client.h"
-#include "far/description.h"
-#include "far/far.h"
+#include "agent/task_supervisor.h"
+#include "artifacts/archive.h"
+#include "artifacts/client.h"
+#include "client_protocol/job_description.h"
+#include "client_protocol/client_protocol.h"
 #include "net/http.h"
 
 namespace shunt::agent {
--- a/src/agent/record.cpp
+++ b/src/agent/agent_journal.cpp
@@ -1,4 +1,4 @@
-#include "agent/record.h"
+#include "agent/agent_journal.h"
 
 #include <sqlite3.h>
 
--- a/src/agent/record.h
+++ b/src/agent/agent_journal.h
@@ -9,7 +9,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "agent/book.h"
+#include "agent/attempt_table.h"
 
 struct sqlite3;
 
--- a/src/agent/tasks.cpp
+++ b/src/agent/agent_tasks.cpp
@@ -11,7 +11,7 @@
 #include <sstream>
 
 #include "agent/agent.h"
-#include "depot/store.h"
+#include "artifacts/store.h"
 #include "log/log.h"
 
 extern char** environ;
@@ -44,7 +44,7 @@
   posix_spawnattr_t attr;
   posix_spawnattr_init(&attr);
   posix_spawnattr_setflags(&attr, POSIX_SPAWN_SETSID);
-  std::string words[] = {"shunt-agent", "shepherd", dir.string(), page.string()};
+  std::string words[] = {"shunttrail-agent", "shepherd", dir.string(), page.string()};
   char* argv[] = {words[0].data(), words[1].data(), words[2].data(), words[3].data(), nullptr};
   // Known by its task's directory, as all that it starts.
   std::vector<std::string> env;
--- a/src/agent/book.cpp
+++ b/src/agent/attempt_table.cpp
@@ -1,4 +1,4 @@
-#include "agent/book.h"
+#include "agent/attempt_table.h"
 
 #include <algorithm>
 
--- a/src/agent/images.cpp
+++ b/src/agent/image_cache.cpp
@@ -1,4 +1,4 @@
-#include "agent/images.h"
+#include "agent/image_cache.h"
 
 #include "log/log.h"
 
--- a/src/agent/images.h
+++ b/src/agent/image_cache.h
@@ -9,8 +9,8 @@
 #include <string>
 
 #include "actor/loop.h"
-#include "depot/archive.h"
-#include "depot/client.h"
+#include "artifacts/archive.h"
+#include "artifacts/client.h"
 
 namespace shunt::agent {
 
--- a/src/agent/lease_page.cpp
+++ b/src/agent/lease_file.cpp
@@ -1,4 +1,4 @@
-#include "agent/lease_page.h"
+#include "agent/lease_file.h"
 
 #include <fcntl.h>
 #include <sys/mman.h>
@@ -8,7 +8,7 @@
 #include <cmath>
 #include <system_error>
 
-#include "agent/procs.h"
+#include "agent/processes.h"
 
 namespace shunt::agent {
 
--- a/src/agent/procs.cpp
+++ b/src/agent/processes.cpp
@@ -1,4 +1,4 @@
-#include "agent/procs.h"
+#include "agent/processes.h"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -13,7 +13,7 @@
 #include <system_error>
 #include <utility>
 
-#include "depot/store.h"
+#include "artifacts/store.h"
 
 namespace shunt::agent {
 namespace fs = std::filesystem;
--- a/src/agent/settings.h
+++ b/src/agent/settings.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "agent/book.h"
+#include "agent/attempt_table.h"
 #include "config/settings.h"
 
 namespace shunt::agent {
--- a/src/agent/shepherd.cpp
+++ b/src/agent/task_supervisor.cpp
@@ -1,4 +1,4 @@
-#include "agent/shepherd.h"
+#include "agent/task_supervisor.h"
 
 #include <fcntl.h>
 #include <poll.h>
@@ -17,9 +17,9 @@
 #include <optional>
 #include <sstream>
 
-#include "agent/lease_page.h"
-#include "agent/procs.h"
-#include "depot/store.h"
+#include "agent/lease_file.h"
+#include "agent/processes.h"
+#include "artifacts/store.h"
 #include "wire/fields.h"
 
 namespace shunt::agent {
--- a/src/depot/archive.cpp
+++ b/src/artifacts/archive.cpp
@@ -1,4 +1,4 @@
-#include "depot/archive.h"
+#include "artifacts/archive.h"
 
 #include <archive.h>
 #include <archive_entry.h>
--- a/src/depot/client.cpp
+++ b/src/artifacts/client.cpp
@@ -1,11 +1,11 @@
-#include "depot/client.h"
+#include "artifacts/client.h"
 
 #include <sodium.h>
 
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "depot/server.h"
+#include "artifacts/server.h"
 
 namespace shunt::depot {
 namespace fs = std::filesystem;
--- a/src/depot/client.h
+++ b/src/artifacts/client.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "depot/store.h"
+#include "artifacts/store.h"
 #include "net/http.h"
 
 namespace shunt::depot {
--- a/src/depot/server.cpp
+++ b/src/artifacts/server.cpp
@@ -1,4 +1,4 @@
-#include "depot/server.h"
+#include "artifacts/server.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/depot/server.h
+++ b/src/artifacts/server.h
@@ -10,7 +10,7 @@
 //
 // 400: malformed; 507: the disk is full or fails, nothing was changed.
 #pragma once
-#include "depot/store.h"
+#include "artifacts/store.h"
 #include "net/http.h"
 
 namespace shunt::depot {
--- a/src/depot/store.cpp
+++ b/src/artifacts/store.cpp
@@ -1,4 +1,4 @@
-#include "depot/store.h"
+#include "artifacts/store.h"
 
 #include <fcntl.h>
 #include <sodium.h>
--- a/src/checker/attempts.cpp
+++ b/src/chaos/attempts.cpp
@@ -1,4 +1,4 @@
-#include "checker/attempts.h"
+#include "chaos/attempts.h"
 
 #include <algorithm>
 #include <sstream>
--- a/src/checker/trial.cpp
+++ b/src/chaos/chaos_run.cpp
@@ -1,4 +1,4 @@
-#include "checker/trial.h"
+#include "chaos/chaos_run.h"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -12,10 +12,10 @@
 #include <random>
 #include <sstream>
 
-#include "agent/procs.h"
-#include "checker/attempts.h"
-#include "ctl/service.h"
-#include "depot/store.h"
+#include "agent/processes.h"
+#include "chaos/attempts.h"
+#include "cli/service_client.h"
+#include "artifacts/store.h"
 
 namespace shunt::checker {
 namespace fs = std::filesystem;
@@ -60,14 +60,14 @@
     int out[2];
     if (::pipe2(out, O_CLOEXEC) != 0) throw std::runtime_error("pipe");
     agent::Fd read_end(out[0]), write_end(out[1]);
-    const std::string program = p.programs / "shunt-local", settings = p.dir / "set.xml",
+    const std::string program = p.programs / "shunttrail-local", settings = p.dir / "set.xml",
                       home = p.dir / "set", log = p.dir / "set.log";
     pid_ = ::fork();
     if (pid_ == 0) {
       int err = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
       ::dup2(out[1], 1);
       ::dup2(err, 2);
-      ::execl(program.c_str(), "shunt-local", "--dir", home.c_str(), "--settings", settings.c_str(),
+      ::execl(program.c_str(), "shunttrail-local", "--dir", home.c_str(), "--settings", settings.c_str(),
               nullptr);
       ::_exit(127);
     }
@@ -157,9 +157,9 @@
     if (p.kill_every_s > 0 && now >= next_kill) {
       next_kill = now + p.kill_every_s * draw(0.5, 1.5);
       double kind = draw(0, 1);
-      auto [from, count] = kind < 0.5   ? std::pair(set.of("shunt-agent"), &out.agents_killed)
+      auto [from, count] = kind < 0.5   ? std::pair(set.of("shunttrail-agent"), &out.agents_killed)
                            : kind < 0.8 ? std::pair(set.shepherds(), &out.shepherds_killed)
-                                        : std::pair(set.of("shunttrail"), &out.controllers_killed);
+                                        : std::pair(set.of("shunttrail-controller"), &out.controllers_killed);
       if (!from.empty()) {
         ::kill(from[rng() % from.size()], SIGKILL);
         ++*count;
@@ -167,7 +167,7 @@
     }
     if (now >= next_look) {
       next_look = now + 0.5;
-      for (pid_t a : set.of("shunt-agent")) {
+      for (pid_t a : set.of("shunttrail-agent")) {
         double c = cpu_s(a);
         out.agent_cpu_s += std::max(0.0, c - used[a]);
         used[a] = c;
--- a/src/ctl/service.cpp
+++ b/src/cli/service_client.cpp
@@ -1,4 +1,4 @@
-#include "ctl/service.h"
+#include "cli/service_client.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/ctl/service.h
+++ b/src/cli/service_client.h
@@ -7,9 +7,9 @@
 #include <string>
 
 #include "actor/loop.h"
-#include "depot/client.h"
-#include "far/description.h"
-#include "far/far.h"
+#include "artifacts/client.h"
+#include "client_protocol/job_description.h"
+#include "client_protocol/client_protocol.h"
 #include "net/http.h"
 
 namespace shunt::ctl {
--- a/src/far/far.cpp
+++ b/src/client_protocol/client_protocol.cpp
@@ -1,4 +1,4 @@
-#include "far/far.h"
+#include "client_protocol/client_protocol.h"
 
 #include "wire/fields.h"
 
--- a/src/far/description.cpp
+++ b/src/client_protocol/job_description.cpp
@@ -1,4 +1,4 @@
-#include "far/description.h"
+#include "client_protocol/job_description.h"
 
 #include "wire/fields.h"
 
--- a/src/front/cloud.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -1,7 +1,7 @@
-#include "front/cloud.h"
+#include "controller/cloud_manager.h"
 
-#include "front/membership.h"
-#include "front/roster.h"
+#include "controller/membership.h"
+#include "controller/inventory.h"
 
 namespace shunt::front {
 namespace {
--- a/src/front/cloud.h
+++ b/src/controller/cloud_manager.h
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "cloud/cloud.h"
-#include "fleet/desk.h"
-#include "front/parts.h"
-#include "front/runner.h"
+#include "scheduler/shard_scheduler.h"
+#include "controller/components.h"
+#include "controller/shard_controller.h"
 
 namespace shunt::front {
 
--- a/src/front/controller.cpp
+++ b/src/controller/controller.cpp
@@ -1,4 +1,4 @@
-#include "front/controller.h"
+#include "controller/controller.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/front/relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -1,4 +1,4 @@
-#include "front/relay.h"
+#include "controller/heartbeat_relay.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/front/relay.h
+++ b/src/controller/heartbeat_relay.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "front/parts.h"
-#include "front/store.h"
-#include "links/detours.h"
+#include "controller/components.h"
+#include "controller/state_store.h"
+#include "relay/relay_routes.h"
 #include "net/http.h"
 
 namespace shunt::front {
--- a/src/front/roster.cpp
+++ b/src/controller/inventory.cpp
@@ -1,14 +1,14 @@
-#include "front/roster.h"
+#include "controller/inventory.h"
 
 #include <algorithm>
 #include <cstdlib>
 #include <functional>
 #include <set>
 
-#include "front/cloud.h"
-#include "front/levels.h"
-#include "front/membership.h"
-#include "front/runner.h"
+#include "controller/cloud_manager.h"
+#include "controller/schema_manager.h"
+#include "controller/membership.h"
+#include "controller/shard_controller.h"
 
 namespace shunt::front {
 namespace {
--- a/src/front/roster.h
+++ b/src/controller/inventory.h
@@ -4,10 +4,10 @@
 #include <map>
 #include <string>
 
-#include "fleet/desk.h"
-#include "front/parts.h"
-#include "front/store.h"
-#include "shard/roster.h"
+#include "scheduler/shard_scheduler.h"
+#include "controller/components.h"
+#include "controller/state_store.h"
+#include "shard/inventory_page.h"
 
 namespace shunt::front {
 
--- a/src/front/outcomes.cpp
+++ b/src/controller/job_results.cpp
@@ -1,10 +1,10 @@
-#include "front/outcomes.h"
+#include "controller/job_results.h"
 
 #include <spdlog/spdlog.h>
 
-#include "front/levels.h"
-#include "front/membership.h"
-#include "front/runner.h"
+#include "controller/schema_manager.h"
+#include "controller/membership.h"
+#include "controller/shard_controller.h"
 
 namespace shunt::front {
 namespace {
--- a/src/front/outcomes.h
+++ b/src/controller/job_results.h
@@ -9,10 +9,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "front/parts.h"
-#include "front/store.h"
-#include "jobs/final_reads.h"
-#include "jobs/pipelines.h"
+#include "controller/components.h"
+#include "controller/state_store.h"
+#include "jobs/result_reader.h"
+#include "jobs/dependency_graph.h"
 
 namespace shunt::front {
 
--- a/src/front/membership.cpp
+++ b/src/controller/membership.cpp
@@ -1,9 +1,9 @@
-#include "front/membership.h"
+#include "controller/membership.h"
 
 #include <algorithm>
 
-#include "front/levels.h"
-#include "front/runner.h"
+#include "controller/schema_manager.h"
+#include "controller/shard_controller.h"
 
 namespace shunt::front {
 namespace {
--- a/src/front/membership.h
+++ b/src/controller/membership.h
@@ -5,9 +5,9 @@
 #include <string>
 
 #include "actor/loop.h"
-#include "front/parts.h"
-#include "front/store.h"
-#include "shard/ownership.h"
+#include "controller/components.h"
+#include "controller/state_store.h"
+#include "shard/leader_election.h"
 
 namespace shunt::front {
 
--- a/src/front/peers.cpp
+++ b/src/controller/peer_gossip.cpp
@@ -1,11 +1,11 @@
-#include "front/peers.h"
+#include "controller/peer_gossip.h"
 
 #include <algorithm>
 
-#include "front/cloud.h"
-#include "front/levels.h"
-#include "front/membership.h"
-#include "front/runner.h"
+#include "controller/cloud_manager.h"
+#include "controller/schema_manager.h"
+#include "controller/membership.h"
+#include "controller/shard_controller.h"
 
 namespace shunt::front {
 namespace {
--- a/src/front/peers.h
+++ b/src/controller/peer_gossip.h
@@ -4,8 +4,8 @@
 #include <memory>
 #include <vector>
 
-#include "front/parts.h"
-#include "front/store.h"
+#include "controller/components.h"
+#include "controller/state_store.h"
 #include "net/http.h"
 #include "peer/peer.h"
 #include "shard/balance.h"
--- a/src/front/levels.cpp
+++ b/src/controller/schema_manager.cpp
@@ -1,11 +1,11 @@
-#include "front/levels.h"
+#include "controller/schema_manager.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "front/membership.h"
+#include "controller/membership.h"
 
 namespace shunt::front {
 namespace {
--- a/src/front/levels.h
+++ b/src/controller/schema_manager.h
@@ -5,9 +5,9 @@
 #include <map>
 #include <string>
 
-#include "front/parts.h"
-#include "front/store.h"
-#include "levels/levels.h"
+#include "controller/components.h"
+#include "controller/state_store.h"
+#include "schema/schema.h"
 #include "net/http.h"
 
 namespace shunt::front {
--- a/src/front/runner.cpp
+++ b/src/controller/shard_controller.cpp
@@ -1,12 +1,12 @@
 // One shard at this node: ownership, and what changes in the cache mean to its desk.
-#include "front/runner.h"
+#include "controller/shard_controller.h"
 
 #include <spdlog/spdlog.h>
 
-#include "front/cloud.h"
-#include "front/levels.h"
-#include "front/membership.h"
-#include "front/outcomes.h"
+#include "controller/cloud_manager.h"
+#include "controller/schema_manager.h"
+#include "controller/membership.h"
+#include "controller/job_results.h"
 
 namespace shunt::front {
 namespace {
--- a/src/front/runner.h
+++ b/src/controller/shard_controller.h
@@ -7,9 +7,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "fleet/desk.h"
-#include "front/parts.h"
-#include "front/store.h"
+#include "scheduler/shard_scheduler.h"
+#include "controller/components.h"
+#include "controller/state_store.h"
 #include "net/pool.h"
 
 namespace shunt::front {
--- a/src/front/committing.cpp
+++ b/src/controller/shard_controller_commits.cpp
@@ -3,9 +3,9 @@
 
 #include <cstdlib>
 
-#include "front/membership.h"
-#include "front/outcomes.h"
-#include "front/runner.h"
+#include "controller/membership.h"
+#include "controller/job_results.h"
+#include "controller/shard_controller.h"
 
 namespace shunt::front {
 namespace {
--- a/src/front/store.cpp
+++ b/src/controller/state_store.cpp
@@ -1,4 +1,4 @@
-#include "front/store.h"
+#include "controller/state_store.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/front/store.h
+++ b/src/controller/state_store.h
@@ -9,7 +9,7 @@
 
 #include "actor/loop.h"
 #include "state/client.h"
-#include "state/world.h"
+#include "state/state_cache.h"
 
 namespace shunt::front {
 
--- a/src/front/users.cpp
+++ b/src/controller/user_api.cpp
@@ -1,14 +1,14 @@
-#include "front/users.h"
+#include "controller/user_api.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "front/cloud.h"
-#include "front/levels.h"
-#include "front/membership.h"
-#include "front/outcomes.h"
-#include "front/peers.h"
+#include "controller/cloud_manager.h"
+#include "controller/schema_manager.h"
+#include "controller/membership.h"
+#include "controller/job_results.h"
+#include "controller/peer_gossip.h"
 
 namespace shunt::front {
 namespace {
--- a/src/front/users.h
+++ b/src/controller/user_api.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "front/outcomes.h"
-#include "front/parts.h"
-#include "front/store.h"
+#include "controller/job_results.h"
+#include "controller/components.h"
+#include "controller/state_store.h"
 #include "net/http.h"
 #include "wire/types.h"
 
--- a/src/front/workers.cpp
+++ b/src/controller/worker_api.cpp
@@ -1,12 +1,12 @@
-#include "front/workers.h"
+#include "controller/worker_api.h"
 
 #include <spdlog/spdlog.h>
 
-#include "front/cloud.h"
-#include "front/levels.h"
-#include "front/relay.h"
-#include "front/roster.h"
-#include "front/runner.h"
+#include "controller/cloud_manager.h"
+#include "controller/schema_manager.h"
+#include "controller/heartbeat_relay.h"
+#include "controller/inventory.h"
+#include "controller/shard_controller.h"
 #include "wire/codec.h"
 
 namespace shunt::front {
--- a/src/front/workers.h
+++ b/src/controller/worker_api.h
@@ -1,7 +1,7 @@
 // What workers report: each report goes to the runner of its machine's shard.
 #pragma once
-#include "front/parts.h"
-#include "front/store.h"
+#include "controller/components.h"
+#include "controller/state_store.h"
 #include "net/http.h"
 #include "wire/types.h"
 
--- a/src/standins/cloud.cpp
+++ b/src/emulators/cloud.cpp
@@ -1,11 +1,11 @@
-#include "standins/cloud.h"
+#include "emulators/cloud.h"
 
 #include <algorithm>
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "depot/store.h"
-#include "far/far.h"
+#include "artifacts/store.h"
+#include "client_protocol/client_protocol.h"
 
 namespace shunt::standins {
 using nlohmann::json;
--- a/src/standins/state.cpp
+++ b/src/emulators/state.cpp
@@ -1,4 +1,4 @@
-#include "standins/state.h"
+#include "emulators/state.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -9,7 +9,7 @@
 #include <sstream>
 #include <system_error>
 
-#include "far/far.h"
+#include "client_protocol/client_protocol.h"
 #include "log/log.h"
 
 namespace shunt::standins {
--- a/src/standins/worker.cpp
+++ b/src/emulators/worker.cpp
@@ -1,4 +1,4 @@
-#include "standins/worker.h"
+#include "emulators/worker.h"
 
 #include <algorithm>
 
--- a/src/standins/worker.h
+++ b/src/emulators/worker.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "actor/loop.h"
-#include "far/far.h"
+#include "client_protocol/client_protocol.h"
 #include "net/http.h"
 #include "wire/types.h"
 
--- a/src/jobs/pipelines.cpp
+++ b/src/jobs/dependency_graph.cpp
@@ -1,4 +1,4 @@
-#include "jobs/pipelines.h"
+#include "jobs/dependency_graph.h"
 
 #include <algorithm>
 #include <unordered_set>
--- a/src/jobs/pipelines.h
+++ b/src/jobs/dependency_graph.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "state/limits.h"
-#include "state/world.h"
+#include "state/state_cache.h"
 
 namespace shunt::jobs {
 
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "state/world.h"
+#include "state/state_cache.h"
 #include "wire/types.h"
 
 namespace shunt::jobs {
--- a/src/jobs/final_reads.cpp
+++ b/src/jobs/result_reader.cpp
@@ -1,4 +1,4 @@
-#include "jobs/final_reads.h"
+#include "jobs/result_reader.h"
 
 #include <algorithm>
 
--- a/src/local/children.cpp
+++ b/src/local_cluster/children.cpp
@@ -1,4 +1,4 @@
-#include "local/children.h"
+#include "local_cluster/children.h"
 
 #include <fcntl.h>
 #include <signal.h>
--- a/src/local/door.cpp
+++ b/src/local_cluster/load_balancer.cpp
@@ -1,4 +1,4 @@
-#include "local/door.h"
+#include "local_cluster/load_balancer.h"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
--- a/src/local/set.cpp
+++ b/src/local_cluster/local_cluster.cpp
@@ -1,4 +1,4 @@
-#include "local/set.h"
+#include "local_cluster/local_cluster.h"
 
 #include <arpa/inet.h>
 #include <signal.h>
@@ -7,7 +7,7 @@
 
 #include <utility>
 
-#include "depot/store.h"
+#include "artifacts/store.h"
 #include "log/log.h"
 
 namespace shunt::local {
@@ -70,7 +70,7 @@
     fs::path file = dir_ / "controllers" / (places_[i].name + ".json");
     depot::write_whole(file, controller_settings(settings_, places_, i, state_at_, cloud_at_));
     children_.keep(places_[i].name,
-                   {(programs_ / "shunttrail").string(), "--config", file.string()});
+                   {(programs_ / "shunttrail-controller").string(), "--config", file.string()});
   }
   cloud_ = std::make_unique<standins::Cloud>(
       loop, cloud_at_, settings_.types, settings_.cloud_rps, dir_ / "cloud.json",
@@ -103,7 +103,7 @@
   fs::create_directories(dir);
   fs::path file = dir / "agent.xml";
   depot::write_whole(file, agent_settings(settings_, places_, m, depot_at_));
-  children_.keep(m.name, {(programs_ / "shunt-agent").string(), "--settings", file.string(),
+  children_.keep(m.name, {(programs_ / "shunttrail-agent").string(), "--settings", file.string(),
                           "--dir", dir.string()});
 }
 
@@ -122,7 +122,7 @@
       if (!fs::exists(machine_dir(name))) return over(0);
       children_.once(
           "end-" + name,
-          {(programs_ / "shunt-agent").string(), "end", "--dir", machine_dir(name).string()}, over);
+          {(programs_ / "shunttrail-agent").string(), "end", "--dir", machine_dir(name).string()}, over);
     });
   }
 }
--- a/src/local/set.h
+++ b/src/local_cluster/local_cluster.h
@@ -9,11 +9,11 @@
 #include <string>
 
 #include "actor/loop.h"
-#include "agent/procs.h"
-#include "local/children.h"
-#include "local/door.h"
-#include "local/settings.h"
-#include "standins/cloud.h"
+#include "agent/processes.h"
+#include "local_cluster/children.h"
+#include "local_cluster/load_balancer.h"
+#include "local_cluster/settings.h"
+#include "emulators/cloud.h"
 
 namespace shunt::local {
 
--- a/src/local/settings.cpp
+++ b/src/local_cluster/settings.cpp
@@ -1,4 +1,4 @@
-#include "local/settings.h"
+#include "local_cluster/settings.h"
 
 #include <nlohmann/json.hpp>
 #include <sstream>
--- a/src/local/settings.h
+++ b/src/local_cluster/settings.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "standins/cloud.h"
+#include "emulators/cloud.h"
 
 namespace shunt::local {
 
--- a/src/pbs/job.h
+++ b/src/pbs/job.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "far/description.h"
+#include "client_protocol/job_description.h"
 #include "pbs/script.h"
 #include "pbs/tables.h"
 #include "pbs/values.h"
--- a/src/links/detours.cpp
+++ b/src/relay/relay_routes.cpp
@@ -1,4 +1,4 @@
-#include "links/detours.h"
+#include "relay/relay_routes.h"
 
 namespace shunt::links {
 namespace {
--- a/src/fleet/doubts.cpp
+++ b/src/scheduler/failure_detector.cpp
@@ -1,4 +1,4 @@
-#include "fleet/doubts.h"
+#include "scheduler/failure_detector.h"
 
 #include <algorithm>
 
--- a/src/fleet/doubts.h
+++ b/src/scheduler/failure_detector.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "fleet/common.h"
-#include "fleet/machines.h"
+#include "scheduler/shard_context.h"
+#include "scheduler/machines.h"
 
 namespace shunt::fleet {
 
--- a/src/fleet/catalogue.cpp
+++ b/src/scheduler/machine_catalogue.cpp
@@ -1,4 +1,4 @@
-#include "fleet/catalogue.h"
+#include "scheduler/machine_catalogue.h"
 
 #include <algorithm>
 
--- a/src/fleet/queue.h
+++ b/src/scheduler/machine_queue.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <vector>
 
-#include "fleet/item.h"
+#include "scheduler/queued_task.h"
 
 namespace shunt::fleet {
 
--- a/src/fleet/machines.cpp
+++ b/src/scheduler/machines.cpp
@@ -1,4 +1,4 @@
-#include "fleet/machines.h"
+#include "scheduler/machines.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/fleet/machines.h
+++ b/src/scheduler/machines.h
@@ -9,9 +9,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "fleet/common.h"
-#include "fleet/placed.h"
-#include "fleet/queue.h"
+#include "scheduler/shard_context.h"
+#include "scheduler/placement.h"
+#include "scheduler/machine_queue.h"
 #include "shard/balance.h"
 #include "wire/types.h"
 
--- a/src/fleet/placed.h
+++ b/src/scheduler/placement.h
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "fleet/item.h"
+#include "scheduler/queued_task.h"
 #include "wire/types.h"
 
 namespace shunt::fleet {
--- a/src/fleet/orders.cpp
+++ b/src/scheduler/placement_commands.cpp
@@ -1,7 +1,7 @@
 // Commands: in the answers to reports, and straight to workers.
 #include <algorithm>
 
-#include "fleet/placements.h"
+#include "scheduler/placements.h"
 
 namespace shunt::fleet {
 
--- a/src/fleet/sheets.cpp
+++ b/src/scheduler/placement_store.cpp
@@ -1,4 +1,4 @@
-#include "fleet/sheets.h"
+#include "scheduler/placement_store.h"
 
 #include <algorithm>
 #include <map>
--- a/src/fleet/sheets.h
+++ b/src/scheduler/placement_store.h
@@ -8,10 +8,10 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/common.h"
-#include "fleet/placements.h"
+#include "scheduler/shard_context.h"
+#include "scheduler/placements.h"
 #include "state/limits.h"
-#include "state/world.h"
+#include "state/state_cache.h"
 
 namespace shunt::fleet {
 
--- a/src/fleet/placements.cpp
+++ b/src/scheduler/placements.cpp
@@ -1,5 +1,5 @@
 // Placements and their proofs: reports, and what follows from what they show or do not show.
-#include "fleet/placements.h"
+#include "scheduler/placements.h"
 
 #include <algorithm>
 
--- a/src/fleet/placements.h
+++ b/src/scheduler/placements.h
@@ -7,9 +7,9 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/common.h"
-#include "fleet/machines.h"
-#include "state/world.h"
+#include "scheduler/shard_context.h"
+#include "scheduler/machines.h"
+#include "state/state_cache.h"
 #include "wire/types.h"
 
 namespace shunt::fleet {
--- a/src/fleet/packing.cpp
+++ b/src/scheduler/replica_consolidation.cpp
@@ -1,4 +1,4 @@
-#include "fleet/packing.h"
+#include "scheduler/replica_consolidation.h"
 
 #include <algorithm>
 
--- a/src/fleet/common.h
+++ b/src/scheduler/shard_context.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "fleet/catalogue.h"
+#include "scheduler/machine_catalogue.h"
 #include "jobs/job.h"
 
 namespace shunt::fleet {
--- a/src/fleet/desk.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "fleet/desk.h"
+#include "scheduler/shard_scheduler.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/src/fleet/desk.h
+++ b/src/scheduler/shard_scheduler.h
@@ -10,17 +10,17 @@
 #include <unordered_map>
 #include <vector>
 
-#include "fleet/common.h"
-#include "fleet/doubts.h"
-#include "fleet/machines.h"
-#include "fleet/packing.h"
-#include "fleet/placements.h"
-#include "fleet/reserve.h"
-#include "fleet/sheets.h"
-#include "fleet/waiting.h"
+#include "scheduler/shard_context.h"
+#include "scheduler/failure_detector.h"
+#include "scheduler/machines.h"
+#include "scheduler/replica_consolidation.h"
+#include "scheduler/placements.h"
+#include "scheduler/urgent_headroom.h"
+#include "scheduler/placement_store.h"
+#include "scheduler/task_queues.h"
 #include "shard/balance.h"
 #include "state/limits.h"
-#include "state/world.h"
+#include "state/state_cache.h"
 #include "wire/types.h"
 
 namespace shunt::fleet {
--- a/src/fleet/waiting.cpp
+++ b/src/scheduler/task_queues.cpp
@@ -1,4 +1,4 @@
-#include "fleet/waiting.h"
+#include "scheduler/task_queues.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/fleet/waiting.h
+++ b/src/scheduler/task_queues.h
@@ -6,9 +6,9 @@
 #include <tuple>
 #include <vector>
 
-#include "fleet/common.h"
-#include "fleet/machines.h"
-#include "fleet/placements.h"
+#include "scheduler/shard_context.h"
+#include "scheduler/machines.h"
+#include "scheduler/placements.h"
 
 namespace shunt::fleet {
 
--- a/src/fleet/reservations.cpp
+++ b/src/scheduler/task_queues_reservations.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <tuple>
 
-#include "fleet/waiting.h"
+#include "scheduler/task_queues.h"
 
 namespace shunt::fleet {
 
--- a/src/fleet/reserve.cpp
+++ b/src/scheduler/urgent_headroom.cpp
@@ -1,4 +1,4 @@
-#include "fleet/reserve.h"
+#include "scheduler/urgent_headroom.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/fleet/reserve.h
+++ b/src/scheduler/urgent_headroom.h
@@ -1,8 +1,8 @@
 // Room kept free for urgent work: a little of the shard, on machines that urgent jobs may use, so
 // that one can start at once while everything else is full. Pure.
 #pragma once
-#include "fleet/common.h"
-#include "fleet/machines.h"
+#include "scheduler/shard_context.h"
+#include "scheduler/machines.h"
 
 namespace shunt::fleet {
 
--- a/src/levels/codec.cpp
+++ b/src/schema/codec.cpp
@@ -1,7 +1,7 @@
 // The records of the state levels, and the operators' orders, as JSON.
 #include <algorithm>
 
-#include "levels/levels.h"
+#include "schema/schema.h"
 #include "wire/fields.h"
 
 namespace shunt::levels {
--- a/src/levels/levels.cpp
+++ b/src/schema/schema.cpp
@@ -1,4 +1,4 @@
-#include "levels/levels.h"
+#include "schema/schema.h"
 
 #include <algorithm>
 
--- a/src/shard/roster.cpp
+++ b/src/shard/inventory_page.cpp
@@ -1,4 +1,4 @@
-#include "shard/roster.h"
+#include "shard/inventory_page.h"
 
 #include <algorithm>
 
--- a/src/shard/roster.h
+++ b/src/shard/inventory_page.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "levels/levels.h"
-#include "state/world.h"
+#include "schema/schema.h"
+#include "state/state_cache.h"
 #include "wire/types.h"
 
 namespace shunt::shard {
--- a/src/shard/ownership.cpp
+++ b/src/shard/leader_election.cpp
@@ -1,4 +1,4 @@
-#include "shard/ownership.h"
+#include "shard/leader_election.h"
 
 namespace shunt::shard {
 namespace {
--- a/src/shard/ownership.h
+++ b/src/shard/leader_election.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "state/world.h"
+#include "state/state_cache.h"
 
 namespace shunt::shard {
 
--- a/src/rehearsal/set.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/set.h"
+#include "simulation/simulated_cluster.h"
 
 #include <algorithm>
 #include <array>
--- a/src/rehearsal/set.h
+++ b/src/simulation/simulated_cluster.h
@@ -11,11 +11,11 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "front/controller.h"
-#include "rehearsal/simulation.h"
-#include "standins/cloud.h"
-#include "standins/state.h"
-#include "standins/worker.h"
+#include "controller/controller.h"
+#include "simulation/simulation.h"
+#include "emulators/cloud.h"
+#include "emulators/state.h"
+#include "emulators/worker.h"
 
 namespace shunt::rehearsal {
 
--- a/src/rehearsal/set_network.cpp
+++ b/src/simulation/simulated_cluster_network.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "rehearsal/set.h"
+#include "simulation/simulated_cluster.h"
 
 namespace shunt::rehearsal {
 
--- a/src/rehearsal/set_rules.cpp
+++ b/src/simulation/simulated_cluster_rules.cpp
@@ -1,7 +1,7 @@
 // The rules, as they show on the machines.
 #include <algorithm>
 
-#include "rehearsal/set.h"
+#include "simulation/simulated_cluster.h"
 
 namespace shunt::rehearsal {
 
--- a/src/rehearsal/set_users.cpp
+++ b/src/simulation/simulated_cluster_users.cpp
@@ -1,8 +1,8 @@
 // The users of a set: they submit, ask and cancel; what they are told is checked by the rules.
 #include <algorithm>
 
-#include "far/far.h"
-#include "rehearsal/set.h"
+#include "client_protocol/client_protocol.h"
+#include "simulation/simulated_cluster.h"
 #include "wire/codec.h"
 
 namespace shunt::rehearsal {
--- a/src/rehearsal/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/simulation.h"
+#include "simulation/simulation.h"
 
 #include <cmath>
 #include <utility>
--- a/src/state/world.cpp
+++ b/src/state/state_cache.cpp
@@ -1,4 +1,4 @@
-#include "state/world.h"
+#include "state/state_cache.h"
 
 #include <algorithm>
 #include <cstdlib>
--- a/src/state/world.h
+++ b/src/state/state_cache.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "levels/levels.h"
+#include "schema/schema.h"
 #include "wire/codec.h"
 
 namespace shunt::state {
--- a/tests/agent_book_test.cpp
+++ b/tests/agent_attempt_table_test.cpp
@@ -13,16 +13,16 @@
 #include <set>
 #include <thread>
 
-#include "agent/book.h"
-#include "agent/lease_page.h"
-#include "agent/procs.h"
-#include "agent/record.h"
+#include "agent/attempt_table.h"
+#include "agent/lease_file.h"
+#include "agent/processes.h"
+#include "agent/agent_journal.h"
 #include "agent/settings.h"
-#include "agent/shepherd.h"
-#include "depot/archive.h"
-#include "depot/store.h"
-#include "far/description.h"
-#include "far/far.h"
+#include "agent/task_supervisor.h"
+#include "artifacts/archive.h"
+#include "artifacts/store.h"
+#include "client_protocol/job_description.h"
+#include "client_protocol/client_protocol.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -3,7 +3,7 @@
 #include <sys/resource.h>
 
 #include "agent_rig.h"
-#include "depot/archive.h"
+#include "artifacts/archive.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/agent_rig.h
+++ b/tests/agent_rig.h
@@ -16,10 +16,10 @@
 #include <sstream>
 
 #include "agent/agent.h"
-#include "depot/server.h"
-#include "depot/store.h"
-#include "far/description.h"
-#include "far/far.h"
+#include "artifacts/server.h"
+#include "artifacts/store.h"
+#include "client_protocol/job_description.h"
+#include "client_protocol/client_protocol.h"
 #include "net/http.h"
 
 namespace shunt::test {
@@ -81,7 +81,7 @@
       if (!kill_at.empty()) ::setenv("SHUNT_KILL_AT", kill_at.c_str(), 1);
       int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
       ::dup2(out, 2);
-      ::execl(SHUNT_AGENT, "shunt-agent", "--settings", settings.c_str(), "--dir", home.c_str(),
+      ::execl(SHUNTTRAIL_AGENT, "shunttrail-agent", "--settings", settings.c_str(), "--dir", home.c_str(),
               nullptr);
       ::_exit(127);
     }
--- a/tests/pipelines_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -1,10 +1,10 @@
 // Jobs that await others, against a model that is worked out anew each time by walking everything.
-#include "jobs/pipelines.h"
+#include "jobs/dependency_graph.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "standins.h"
+#include "emulators.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/standins.h
+++ b/tests/emulators.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "fleet/desk.h"
-#include "state/world.h"
+#include "scheduler/shard_scheduler.h"
+#include "state/state_cache.h"
 
 namespace shunt::test {
 
--- a/tests/meetings.h
+++ b/tests/fault_combinations.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "rehearsal/set.h"
+#include "simulation/simulated_cluster.h"
 
 namespace shunt::test {
 
--- a/tests/meetings_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -9,9 +9,9 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "far/far.h"
-#include "levels/levels.h"
-#include "meetings.h"
+#include "client_protocol/client_protocol.h"
+#include "schema/schema.h"
+#include "fault_combinations.h"
 
 namespace shunt::test {
 namespace {
@@ -123,8 +123,8 @@
 Users expect_users(unsigned first, unsigned last, const Tweak& tweak,
                    const std::vector<std::string>& named = {}) {
   Users all;
-  // SHUNT_MEETINGS=FIRST-LAST plays these histories instead.
-  if (const char* more = std::getenv("SHUNT_MEETINGS"))
+  // SHUNTTRAIL_HISTORIES=FIRST-LAST plays these histories instead.
+  if (const char* more = std::getenv("SHUNTTRAIL_HISTORIES"))
     if (std::sscanf(more, "%u-%u", &first, &last) != 2) ADD_FAILURE() << more;
   for (unsigned seed = first; seed <= last; ++seed) {
     Users u = play_users(seed, tweak, named);
--- a/tests/meetings_cancel_test.cpp
+++ b/tests/fault_combinations_cancel_test.cpp
@@ -3,7 +3,7 @@
 
 #include <map>
 
-#include "meetings.h"
+#include "fault_combinations.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/meetings_standins_test.cpp
+++ b/tests/fault_combinations_emulators_test.cpp
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "far/far.h"
-#include "rehearsal/simulation.h"
-#include "standins/state.h"
-#include "standins/worker.h"
+#include "client_protocol/client_protocol.h"
+#include "simulation/simulation.h"
+#include "emulators/state.h"
+#include "emulators/worker.h"
 #include "wire/codec.h"
 
 namespace shunt::test {
--- a/tests/meetings_held_test.cpp
+++ b/tests/fault_combinations_held_test.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <string>
 
-#include "meetings.h"
+#include "fault_combinations.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/meetings_limits_test.cpp
+++ b/tests/fault_combinations_limits_test.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "meetings.h"
+#include "fault_combinations.h"
 
 namespace shunt::test {
 namespace {
@@ -17,10 +17,10 @@
 
 using Strings = std::vector<std::string>;
 
-// SHUNT_MEETINGS=FIRST-LAST plays these seeds of each meeting instead.
+// SHUNTTRAIL_HISTORIES=FIRST-LAST plays these seeds of each meeting instead.
 void each_seed(const std::function<void(unsigned)>& play) {
   unsigned first = 1, last = 25;
-  if (const char* more = std::getenv("SHUNT_MEETINGS")) std::sscanf(more, "%u-%u", &first, &last);
+  if (const char* more = std::getenv("SHUNTTRAIL_HISTORIES")) std::sscanf(more, "%u-%u", &first, &last);
   for (unsigned seed = first; seed <= last; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     play(seed);
--- a/tests/meetings_store_test.cpp
+++ b/tests/fault_combinations_state_test.cpp
@@ -1,9 +1,9 @@
 // What counts as the beginning of a read of the state service, in simulated time.
 #include <gtest/gtest.h>
 
-#include "far/far.h"
-#include "front/store.h"
-#include "rehearsal/simulation.h"
+#include "client_protocol/client_protocol.h"
+#include "controller/state_store.h"
+#include "simulation/simulation.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/meetings_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -1,6 +1,6 @@
 // Troubles that meet: the library's own controllers in simulated time, with the rules of the
 // protocol checked on the machines and in what users are told.
-#include "meetings.h"
+#include "fault_combinations.h"
 
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -162,9 +162,9 @@
   std::vector<std::string> troubles;
 };
 void PrintTo(const Named& n, std::ostream* out) { *out << n.name; }
-// SHUNT_MEETINGS=FIRST-LAST plays these histories instead. False: it does not say so.
+// SHUNTTRAIL_HISTORIES=FIRST-LAST plays these histories instead. False: it does not say so.
 bool seeds(unsigned& first, unsigned& last) {
-  const char* more = std::getenv("SHUNT_MEETINGS");
+  const char* more = std::getenv("SHUNTTRAIL_HISTORIES");
   if (!more) return false;
   if (std::sscanf(more, "%u-%u", &first, &last) != 2) ADD_FAILURE() << more;
   return true;
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -6,8 +6,8 @@
 
 #include <functional>
 
-#include "jobs/pipelines.h"
-#include "standins.h"
+#include "jobs/dependency_graph.h"
+#include "emulators.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/local_test.cpp
+++ b/tests/local_cluster_test.cpp
@@ -12,10 +12,10 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "checker/attempts.h"
-#include "checker/trial.h"
-#include "ctl/service.h"
-#include "local/settings.h"
+#include "chaos/attempts.h"
+#include "chaos/chaos_run.h"
+#include "cli/service_client.h"
+#include "local_cluster/settings.h"
 
 namespace shunt::test {
 namespace {
@@ -35,7 +35,7 @@
   }
   void start() {
     const std::string home = dir / "set",
-                      settings = std::string(SHUNT_SOURCE) + "/deploy/local.xml", log = dir / "log";
+                      settings = std::string(SHUNTTRAIL_SOURCE) + "/deploy/local.xml", log = dir / "log";
     int out[2];
     ASSERT_EQ(::pipe(out), 0);
     pid = ::fork();
@@ -45,7 +45,7 @@
       ::dup2(err, 2);
       ::close(out[0]);
       ::close(out[1]);
-      ::execl(SHUNT_LOCAL, "shunt-local", "--dir", home.c_str(), "--settings", settings.c_str(),
+      ::execl(SHUNTTRAIL_LOCAL, "shunttrail-local", "--dir", home.c_str(), "--settings", settings.c_str(),
               nullptr);
       ::_exit(127);
     }
@@ -66,7 +66,7 @@
   }
   // shuntctl with these words: its exit status and what it printed.
   std::pair<int, std::string> ctl(const std::string& words) const {
-    const std::string command = std::string(SHUNT_CTL) + " --server " + url + " " + words + " 2>>" +
+    const std::string command = std::string(SHUNTTRAIL_CTL) + " --server " + url + " " + words + " 2>>" +
                                 (dir / "ctl.err").string();
     FILE* f = ::popen(command.c_str(), "r");
     std::string out;
@@ -201,7 +201,7 @@
   std::string name = fs::temp_directory_path() / "shunt-trial-XXXXXX";
   checker::Plan p;
   p.dir = ::mkdtemp(name.data());
-  p.programs = fs::path(SHUNT_LOCAL).parent_path();
+  p.programs = fs::path(SHUNTTRAIL_LOCAL).parent_path();
   p.tasks = 80;
   p.machines = 4;
   p.limit_s = 300;
@@ -237,12 +237,12 @@
 // deploy/service.toml starts every controller with this file.
 TEST(LocalSettings, WhatIsOnInDeployIsGood) {
   auto t = config::parse_tuning(
-      config::read_file(std::string(SHUNT_SOURCE) + "/deploy/run.xml", "deploy/run.xml"));
+      config::read_file(std::string(SHUNTTRAIL_SOURCE) + "/deploy/run.xml", "deploy/run.xml"));
   EXPECT_TRUE(t.relay);
 }
 
 TEST(LocalSettings, TheShippedFileIsGoodAndABadOneNamesThePlace) {
-  std::ifstream in(std::string(SHUNT_SOURCE) + "/deploy/local.xml");
+  std::ifstream in(std::string(SHUNTTRAIL_SOURCE) + "/deploy/local.xml");
   std::ostringstream text;
   text << in.rdbuf();
   auto s = local::parse_settings(text.str());
--- a/tests/pbs_test.cpp
+++ b/tests/pbs_test.cpp
@@ -16,7 +16,7 @@
 
 const Tables& tables() {
   static const Tables t = [] {
-    std::ifstream in(std::string(SHUNT_SOURCE) + "/deploy/pbs.xml");
+    std::ifstream in(std::string(SHUNTTRAIL_SOURCE) + "/deploy/pbs.xml");
     std::ostringstream text;
     text << in.rdbuf();
     return parse_tables(text.str());
--- a/tests/links_test.cpp
+++ b/tests/relay_test.cpp
@@ -6,12 +6,12 @@
 
 #include <random>
 
-#include "front/relay.h"
-#include "front/runner.h"
-#include "links/detours.h"
+#include "controller/heartbeat_relay.h"
+#include "controller/shard_controller.h"
+#include "relay/relay_routes.h"
 #include "loopback.h"
 #include "peer/peer.h"
-#include "standins.h"
+#include "emulators.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -1,7 +1,7 @@
 // Large tasks of jobs that wait for long (docs/design.md, X14).
 #include <gtest/gtest.h>
 
-#include "site.h"
+#include "scheduler_fixture.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -7,8 +7,8 @@
 #include <functional>
 #include <random>
 
-#include "shard/ownership.h"
-#include "standins.h"
+#include "shard/leader_election.h"
+#include "emulators.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/site.h
+++ b/tests/scheduler_fixture.h
@@ -1,6 +1,6 @@
 // One desk with its state service and its workers, on small cases: services beside arrays.
 #pragma once
-#include "standins.h"
+#include "emulators.h"
 
 namespace shunt::test {
 
--- a/tests/fleet_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -3,7 +3,7 @@
 // and that commits and changes stay in proportion to what happened.
 #include <gtest/gtest.h>
 
-#include "standins.h"
+#include "emulators.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/levels_test.cpp
+++ b/tests/schema_test.cpp
@@ -1,14 +1,14 @@
 // State levels: the records, what holds a level back, and generated rollouts in which builds of
 // several levels run side by side, die, come back older, and commit late.
-#include "levels/levels.h"
+#include "schema/schema.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
 #include <random>
 
-#include "shard/roster.h"
-#include "standins.h"
+#include "shard/inventory_page.h"
+#include "emulators.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -3,8 +3,8 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "jobs/final_reads.h"
-#include "site.h"
+#include "jobs/result_reader.h"
+#include "scheduler_fixture.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/desk_test.cpp
+++ b/tests/shard_scheduler_test.cpp
@@ -1,7 +1,7 @@
 // The desk on small cases: each guards against a failure that was seen.
 #include <gtest/gtest.h>
 
-#include "standins.h"
+#include "emulators.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -2,8 +2,8 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "shard/ownership.h"
-#include "standins.h"
+#include "shard/leader_election.h"
+#include "emulators.h"
 
 namespace shunt::test {
 namespace {
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -5,8 +5,8 @@
 #include <rapidcheck/gtest.h>
 
 #include "peer/peer.h"
-#include "shard/roster.h"
-#include "standins.h"
+#include "shard/inventory_page.h"
+#include "emulators.h"
 
 namespace shunt::test {
 namespace {
