--- a/app/shunttrail-agent.cpp
+++ b/app/shunttrail-agent.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-using namespace shunt;
+using namespace shunttrail;
 
 // Tests end the process at a step of their choice: "launched.after:2" at its second time. Unset in
 // any other use.
-agent::Record::Step kill_point() {
+agent::AgentJournal::Step kill_point() {
   const char* at = std::getenv("SHUNT_KILL_AT");
   if (!at) return [](const std::string&) {};
   std::string text = at;
@@ -56,7 +56,7 @@
   agent::Settings settings;
   try {
     settings = agent::parse_settings(config::read_file(settings_path, "settings"));
-  } catch (const config::BadSettings& e) {
+  } catch (const config::SettingsError& e) {
     std::fprintf(stderr, "%s\n", e.what());
     return 2;
   }
@@ -102,15 +102,15 @@
     int r = app.exit(e);
     return r == 0 ? 0 : 2;
   }
-  if (shepherd->parsed()) return agent::shepherd(task_dir, page);
+  if (shepherd->parsed()) return agent::run_task_supervisor(task_dir, page);
   if (end->parsed()) {
     try {
-      auto lock = agent::try_lock(agent::Places{dir}.lock());
+      auto lock = agent::try_lock(agent::AgentPaths{dir}.lock());
       if (!lock) {
         std::fprintf(stderr, "%s: an agent still runs there\n", dir.c_str());
         return 1;
       }
-      return agent::end_all(agent::Places{std::filesystem::absolute(dir)}) ? 0 : 1;
+      return agent::end_all(agent::AgentPaths{std::filesystem::absolute(dir)}) ? 0 : 1;
     } catch (const std::exception& e) {
       std::fprintf(stderr, "%s\n", e.what());
       return 1;
--- a/app/shunttrail-chaos.cpp
+++ b/app/shunttrail-chaos.cpp
@@ -7,11 +7,11 @@
 #include "chaos/chaos_run.h"
 
 int main(int argc, char** argv) {
-  using namespace shunt;
+  using namespace shunttrail;
   CLI::App app{
       "shunttrail-chaos: kill parts of a set on one machine and check what became of its tasks"};
   app.set_version_flag("--version", std::string("shunttrail-chaos 0.1.0"));
-  checker::Plan p;
+  chaos::ChaosPlan p;
   std::string dir;
   app.add_option("--dir", dir, "an empty directory")->required();
   app.add_option("--tasks", p.tasks)->check(CLI::Range(1, 100000))->capture_default_str();
@@ -28,8 +28,8 @@
   p.dir = std::filesystem::absolute(dir);
   p.programs = std::filesystem::read_symlink("/proc/self/exe").parent_path();
   try {
-    checker::Outcome o = checker::run(p);
-    std::printf("%s\n", checker::to_json(o).c_str());
+    chaos::ChaosResult o = chaos::run(p);
+    std::printf("%s\n", chaos::to_json(o).c_str());
     return o.faults.empty() ? 0 : 1;
   } catch (const std::exception& e) {
     std::fprintf(stderr, "shunttrail-chaos: %s\n", e.what());
--- a/app/shunttrail-controller.cpp
+++ b/app/shunttrail-controller.cpp
@@ -14,7 +14,7 @@
   app.add_option("--config", config_path, "settings of this node (JSON)")->required();
   app.add_option("--tuning", tuning_path, "operators' tuning (XML)");
   app.add_flag("--check", check, "check the settings and tuning, then exit");
-  const auto build = shunt::levels::here();
+  const auto build = shunttrail::schema::current_build();
   app.set_version_flag(
       "--version", "shunttrail-controller 0.1.0, state levels " + std::to_string(build.lowest) + " to " +
                        std::to_string(build.highest) + ", writes " + std::to_string(build.writes));
@@ -29,21 +29,21 @@
                                    : spdlog::level::err);
   std::signal(SIGPIPE, SIG_IGN);
 
-  using namespace shunt;
+  using namespace shunttrail;
   config::Settings settings;
   config::Tuning tuning;
   try {
     settings = config::parse_settings(config::read_file(config_path, "settings"));
     if (!tuning_path.empty())
       tuning = config::parse_tuning(config::read_file(tuning_path, "tuning"));
-  } catch (const config::BadSettings& e) {
+  } catch (const config::SettingsError& e) {
     std::fprintf(stderr, "%s\n", e.what());
     return 2;
   }
   if (check) return 0;
   try {
     actor::Loop loop;
-    front::Controller controller(loop, settings, tuning, build);
+    controller::Controller controller(loop, settings, tuning, build);
     loop.run();
   } catch (const std::exception& e) {
     spdlog::error("{}", e.what());
--- a/app/shunttrail-local.cpp
+++ b/app/shunttrail-local.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-using namespace shunt;
+using namespace shunttrail;
 namespace fs = std::filesystem;
 
 int serve_state(const std::string& at, const std::string& file) {
   log::open("shunttrail-state-emulator");
   actor::Loop loop;
-  standins::State state(loop, config::parse_endpoint(at, "--listen"), file);
+  emulators::StateServiceEmulator state(loop, config::parse_endpoint(at, "--listen"), file);
   loop.run();
   return 0;
 }
@@ -26,21 +26,21 @@
 int serve_depot(const std::string& at, const std::string& dir) {
   log::open("shunttrail-artifacts");
   actor::Loop loop;
-  depot::Server server(loop, config::parse_endpoint(at, "--listen"), dir);
+  artifacts::Server server(loop, config::parse_endpoint(at, "--listen"), dir);
   loop.run();
   return 0;
 }
 
-int run(const local::Settings& settings, const std::string& dir, std::uint16_t port) {
+int run(const local_cluster::Settings& settings, const std::string& dir, std::uint16_t port) {
   log::open("shunttrail-local");
   fs::path self = fs::read_symlink("/proc/self/exe");
   actor::Loop loop;
-  local::LocalSet set(loop, settings, dir, self.parent_path(), self, port, [](std::string url) {
+  local_cluster::LocalCluster set(loop, settings, dir, self.parent_path(), self, port, [](std::string url) {
     std::printf("ready %s\n", url.c_str());
     std::fflush(stdout);
   });
   struct Context {
-    local::LocalSet& set;
+    local_cluster::LocalCluster& set;
     actor::Loop& loop;
   } context{set, loop};
   std::vector<actor::EventPtr> events;
@@ -93,7 +93,7 @@
     if (settings_path.empty())
       settings_path =
           fs::read_symlink("/proc/self/exe").parent_path().parent_path() / "deploy" / "local.xml";
-    auto settings = local::parse_settings(config::read_file(settings_path, "settings"));
+    auto settings = local_cluster::parse_settings(config::read_file(settings_path, "settings"));
     if (controllers) settings.controllers = controllers;
     if (check) return 0;
     if (dir.empty()) {
@@ -101,7 +101,7 @@
       return 2;
     }
     return run(settings, dir, static_cast<std::uint16_t>(port));
-  } catch (const config::BadSettings& e) {
+  } catch (const config::SettingsError& e) {
     std::fprintf(stderr, "%s\n", e.what());
     return 2;
   } catch (const std::exception& e) {
--- a/app/shunttrail-pbs.cpp
+++ b/app/shunttrail-pbs.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-using namespace shunt;
+using namespace shunttrail;
 using nlohmann::json;
 namespace fs = std::filesystem;
 
@@ -36,7 +36,7 @@
   std::ifstream in;
   if (file != "-") {
     in.open(file, std::ios::binary);
-    if (!in) throw config::BadSettings("qsub: " + file + ": cannot be read");
+    if (!in) throw config::SettingsError("qsub: " + file + ": cannot be read");
   }
   std::istream& from = file == "-" ? std::cin : in;
   from.read(text.data(), static_cast<std::streamsize>(text.size()));
@@ -105,7 +105,7 @@
       out["faults"].push_back(std::move(j));
     }
   } else {
-    job.description.job.id = ctl::fresh_id();
+    job.description.job.id = cli::fresh_id();
     out = {{"accepted", true},
            {"job", json::parse(wire::encode_job(job.description.job))},
            {"ignored", json::array()}};
@@ -139,7 +139,7 @@
   }
   try {
     return qsub(std::move(words));
-  } catch (const config::BadSettings& e) {
+  } catch (const config::SettingsError& e) {
     std::fprintf(stderr, "%s\n", e.what());
     return 2;
   } catch (const std::exception& e) {
--- a/app/shunttrailctl.cpp
+++ b/app/shunttrailctl.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-using namespace shunt;
+using namespace shunttrail;
 using nlohmann::json;
 namespace fs = std::filesystem;
 
@@ -63,17 +63,17 @@
 }
 
 // A description from flags, or from a file: a description, or a native submission with flags.
-far::Description description(const Options& o, ctl::Service& service) {
-  far::Description d;
+client_protocol::JobDescription description(const Options& o, cli::ServiceClient& service) {
+  client_protocol::JobDescription d;
   if (!o.file.empty()) {
     json j = json::parse(read_input(o.file), nullptr, false);
     if (!j.is_object()) usage(o.file + ": is not a JSON object");
     try {
       if (j.contains("job")) {
-        if (!j["job"].contains("uid")) j["job"]["uid"] = ctl::fresh_id();
-        d = far::decode_description(j.dump());
+        if (!j["job"].contains("uid")) j["job"]["uid"] = cli::fresh_id();
+        d = client_protocol::decode_description(j.dump());
       } else {
-        if (!j.contains("uid")) j["uid"] = ctl::fresh_id();
+        if (!j.contains("uid")) j["uid"] = cli::fresh_id();
         d.job = wire::decode_job(j.dump());
       }
     } catch (const wire::Malformed& e) {
@@ -81,8 +81,8 @@
     }
   } else {
     auto& s = d.job;
-    s.id = o.id.empty() ? ctl::fresh_id() : o.id;
-    s.cls = o.name;
+    s.id = o.id.empty() ? cli::fresh_id() : o.id;
+    s.job_class = o.name;
     s.team = o.team;
     s.priority = priority(o.priority);
     s.tasks = o.tasks;
@@ -92,14 +92,14 @@
     s.image = "none";
     if (!o.types.empty()) s.types = o.types;
     if (!o.zone.empty()) s.zone = o.zone;
-    s.one_zone = o.one_zone;
-    s.spread = o.spread;
+    s.same_zone = o.one_zone;
+    s.anti_affinity = o.spread;
     s.spot = !o.no_spot;
     s.estimate_s = o.run_s;
     s.checkpoint_s = o.save_every_s;
     s.save_s = o.save_every_s > 0 ? o.save_s : 0;
     if (o.due_s > 0) s.deadline_s = o.due_s;
-    s.awaits = o.awaits;
+    s.dependencies = o.awaits;
     d.limit_s = o.limit_s;
     if (!wire::valid_job_id(s.id)) usage("--id: " + s.id + " is no job id (run-DIGITS)");
   }
@@ -112,7 +112,7 @@
   }
   if (!o.image_dir.empty()) {
     fs::path tar = fs::temp_directory_path() / (d.job.id + ".tar");
-    depot::Packer packer(o.image_dir, tar);
+    artifacts::Packer packer(o.image_dir, tar);
     while (!packer.step()) {
     }
     d.image = service.upload(tar);
@@ -126,11 +126,11 @@
   return d;
 }
 
-json as_json(const far::JobAnswer& a) {
+json as_json(const client_protocol::JobAnswer& a) {
   return {
       {"id", a.id}, {"state", wire::state_name(a.state)}, {"done", a.done}, {"running", a.running}};
 }
-void show(const far::JobAnswer& a, const Options& o) {
+void show(const client_protocol::JobAnswer& a, const Options& o) {
   if (o.as_json)
     std::printf("%s\n", as_json(a).dump().c_str());
   else
@@ -140,7 +140,7 @@
 }
 
 // The exit status of a job: that of its first task, by number, that did not end with 0.
-int exit_of(ctl::Service& service, const std::string& id) {
+int exit_of(cli::ServiceClient& service, const std::string& id) {
   auto d = service.description(id);
   if (!d) return 0;
   for (std::uint32_t i = 0; i < d->job.tasks; ++i)
@@ -148,13 +148,13 @@
   return 0;
 }
 
-int wait_for(ctl::Service& service, const Options& o) {
+int wait_for(cli::ServiceClient& service, const Options& o) {
   double until = o.timeout_s > 0 ? actor::steady_now() + o.timeout_s : 1e18;
   bool tty = ::isatty(2) && !o.as_json;
   std::string shown;
   while (true) {
     auto a = service.status(o.id);
-    if (!a) throw ctl::Failed(o.id + ": no such job");
+    if (!a) throw cli::RequestFailed(o.id + ": no such job");
     bool over = a->state == wire::JobState::done || a->state == wire::JobState::cancelled;
     std::string line = std::string(wire::state_name(a->state)) + ", " + std::to_string(a->done) +
                        " done, " + std::to_string(a->running) + " running";
@@ -172,14 +172,14 @@
         std::fprintf(stderr, "%s was cancelled\n", o.id.c_str());
       return exit;
     }
-    if (actor::steady_now() > until) throw ctl::Failed(o.id + ": still " + shown);
+    if (actor::steady_now() > until) throw cli::RequestFailed(o.id + ": still " + shown);
     service.sleep(0.5);
   }
 }
 
-int submit(ctl::Service& service, Options& o) {
-  far::Description d = description(o, service);
-  far::JobAnswer a = service.submit(d);
+int submit(cli::ServiceClient& service, Options& o) {
+  client_protocol::JobDescription d = description(o, service);
+  client_protocol::JobAnswer a = service.submit(d);
   if (o.as_json && !o.wait)
     std::printf("%s\n", as_json(a).dump().c_str());
   else if (!o.as_json)
@@ -190,22 +190,22 @@
   return wait_for(service, o);
 }
 
-int output(ctl::Service& service, const Options& o) {
+int output(cli::ServiceClient& service, const Options& o) {
   auto d = service.description(o.id);
-  if (!d) throw ctl::Failed(o.id + ": no such job");
+  if (!d) throw cli::RequestFailed(o.id + ": no such job");
   if (o.task >= d->job.tasks)
-    throw ctl::Failed(o.id + ": has " + std::to_string(d->job.tasks) + " tasks, numbered from 0");
+    throw cli::RequestFailed(o.id + ": has " + std::to_string(d->job.tasks) + " tasks, numbered from 0");
   auto r = service.result({o.id, o.task});
-  if (!r) throw ctl::Failed(o.id + "/" + std::to_string(o.task) + ": has not ended");
+  if (!r) throw cli::RequestFailed(o.id + "/" + std::to_string(o.task) + ": has not ended");
   if (o.as_json) {
-    std::printf("%s\n", far::encode_result(*r).c_str());
+    std::printf("%s\n", client_protocol::encode_result(*r).c_str());
     return 0;
   }
   if (!r->reason.empty()) std::fprintf(stderr, "%s\n", r->reason.c_str());
   const std::string& hash = o.err ? r->err : r->out;
   if (hash.empty()) return 0;
   fs::path file = fs::temp_directory_path() / ("shunttrailctl-" + std::to_string(::getpid()));
-  if (!service.fetch(hash, file)) throw ctl::Failed("the output is lost or damaged");
+  if (!service.fetch(hash, file)) throw cli::RequestFailed("the output is lost or damaged");
   std::ifstream in(file, std::ios::binary);
   std::cout << in.rdbuf() << std::flush;
   fs::remove(file);
@@ -237,18 +237,18 @@
                 j["serves_nothing"].get<std::string>().c_str());
 }
 
-int levels_command(ctl::Service& service, const Options& o, const CLI::App& c) {
-  std::vector<levels::Order> orders;
-  if (c.count("--hold")) orders.push_back({levels::Order::hold, o.hold, {}});
-  if (o.release) orders.push_back({levels::Order::release, 0, {}});
-  if (!o.gone.empty()) orders.push_back({levels::Order::gone, 0, o.gone});
-  if (!o.here.empty()) orders.push_back({levels::Order::here, 0, o.here});
+int levels_command(cli::ServiceClient& service, const Options& o, const CLI::App& c) {
+  std::vector<schema::Order> orders;
+  if (c.count("--hold")) orders.push_back({schema::Order::hold, o.hold, {}});
+  if (o.release) orders.push_back({schema::Order::release, 0, {}});
+  if (!o.gone.empty()) orders.push_back({schema::Order::gone, 0, o.gone});
+  if (!o.here.empty()) orders.push_back({schema::Order::here, 0, o.here});
   if (orders.size() > 1) usage("levels: give one of --hold, --release, --gone, --here");
   net::Result r = orders.empty() ? service.get("/levels")
-                                 : service.order("/levels", levels::encode(orders.front()));
+                                 : service.order("/levels", schema::encode(orders.front()));
   auto j = json::parse(r.body, nullptr, false);
   if (r.status == 404 || !j.is_object() || !j.contains("active"))
-    throw ctl::Failed("this controller knows no state levels");
+    throw cli::RequestFailed("this controller knows no state levels");
   if (o.as_json)
     std::printf("%s\n", j.dump().c_str());
   else
@@ -257,11 +257,11 @@
 }
 
 // Which links a controller finds cut, and what it passes on for its siblings.
-int links_command(ctl::Service& service, const Options& o) {
+int links_command(cli::ServiceClient& service, const Options& o) {
   net::Result r = service.get("/links");
   auto j = json::parse(r.body, nullptr, false);
   if (r.status == 404 || !j.is_object() || !j.contains("links"))
-    throw ctl::Failed("this controller knows nothing of links");
+    throw cli::RequestFailed("this controller knows nothing of links");
   if (o.as_json) {
     std::printf("%s\n", j.dump().c_str());
     return 0;
@@ -372,13 +372,13 @@
 
   try {
     app.parse(argc, argv);
-    ctl::Service service(o.server);
+    cli::ServiceClient service(o.server);
     for (auto* c : {status, wait, withdraw, out})
       if (c->parsed() && !wire::valid_job_id(o.id)) usage(o.id + " is no job id (run-DIGITS)");
     if (sub->parsed()) return submit(service, o);
     if (status->parsed()) {
       auto a = service.status(o.id);
-      if (!a) throw ctl::Failed(o.id + ": no such job");
+      if (!a) throw cli::RequestFailed(o.id + ": no such job");
       show(*a, o);
       return 0;
     }
@@ -400,7 +400,7 @@
     if (team->parsed() || metrics->parsed()) {
       net::Result r = service.get(team->parsed() ? "/v2/teams/" + o.team : "/metrics");
       if (r.status == 404)
-        throw ctl::Failed(team->parsed() ? o.team + ": no such team" : "no figures");
+        throw cli::RequestFailed(team->parsed() ? o.team + ": no such team" : "no figures");
       auto j = json::parse(r.body, nullptr, false);
       std::printf("%s\n", j.is_discarded() ? r.body.c_str() : j.dump(o.as_json ? -1 : 2).c_str());
     }
--- a/src/actor/loop.cpp
+++ b/src/actor/loop.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <stdexcept>
 
-namespace shunt::actor {
+namespace shunttrail::actor {
 namespace {
 struct ConfigFree {
   void operator()(event_config* c) const { event_config_free(c); }
@@ -56,23 +56,23 @@
       [](evutil_socket_t, short, void* self) { static_cast<Actor*>(self)->drain(); }, this));
 }
 void Actor::post(Message m) {
-  box_.push_back(std::move(m));
-  if (box_.size() == 1) wake();
+  mailbox_.push_back(std::move(m));
+  if (mailbox_.size() == 1) wake();
 }
 void Actor::wake() {
   if (auto* c = loop_.simulated())
-    woken_ = c->schedule(0, [this] { drain(); });
+    wake_pending_ = c->schedule(0, [this] { drain(); });
   else
     event_active(wake_.get(), EV_TIMEOUT, 0);
 }
 void Actor::drain() {
   // Only what is here now: what these messages post runs in the next turn.
-  for (std::size_t n = box_.size(); n > 0; --n) {
-    Message m = std::move(box_.front());
+  for (std::size_t n = mailbox_.size(); n > 0; --n) {
+    Message m = std::move(mailbox_.front());
     m();
-    box_.pop_front();
+    mailbox_.pop_front();
   }
-  if (!box_.empty()) wake();
+  if (!mailbox_.empty()) wake();
 }
 
-}  // namespace shunt::actor
+}  // namespace shunttrail::actor
--- a/src/actor/loop.h
+++ b/src/actor/loop.h
@@ -6,7 +6,7 @@
 #include <functional>
 #include <memory>
 
-namespace shunt::actor {
+namespace shunttrail::actor {
 
 struct EventFree {
   void operator()(event* e) const { event_free(e); }
@@ -19,10 +19,10 @@
 
 // What drives a loop instead of this machine's clocks and events: a simulated host
 // (src/rehearsal).
-class Clockwork {
+class EventSource {
  public:
   using Handle = std::shared_ptr<void>;  // released: it does not run any more
-  virtual ~Clockwork() = default;
+  virtual ~EventSource() = default;
   virtual double now() const = 0;
   virtual double wall_now() const = 0;
   // Runs `fn` once, in a turn of its own, so many seconds from now.
@@ -32,9 +32,9 @@
 class Loop {
  public:
   Loop();
-  explicit Loop(Clockwork& simulated) : simulated_(&simulated) {}
+  explicit Loop(EventSource& simulated) : simulated_(&simulated) {}
   event_base* base() const { return base_.get(); }
-  Clockwork* simulated() const { return simulated_; }  // none: this machine's clocks
+  EventSource* simulated() const { return simulated_; }  // none: this machine's clocks
   double now() const { return simulated_ ? simulated_->now() : steady_now(); }
   double wall_now() const { return simulated_ ? simulated_->wall_now() : actor::wall_now(); }
   // Of this machine's events alone.
@@ -42,7 +42,7 @@
   void stop() { event_base_loopbreak(base_.get()); }
 
  private:
-  Clockwork* simulated_ = nullptr;
+  EventSource* simulated_ = nullptr;
   std::unique_ptr<event_base, EventFree> base_;
 };
 
@@ -56,8 +56,8 @@
 
  private:
   std::function<void()> fn_;
-  Clockwork* simulated_;
-  Clockwork::Handle handle_;
+  EventSource* simulated_;
+  EventSource::Handle handle_;
   EventPtr event_;
 };
 
@@ -71,7 +71,7 @@
   Actor(const Actor&) = delete;
   Actor& operator=(const Actor&) = delete;
   void post(Message m);
-  std::size_t waiting() const { return box_.size(); }
+  std::size_t waiting() const { return mailbox_.size(); }
 
   // A reply address: calling it leaves a message here that runs `fn` with the values.
   template <class... A, class F>
@@ -87,9 +87,9 @@
  private:
   void wake();
   void drain();
-  std::deque<Message> box_;
+  std::deque<Message> mailbox_;
   EventPtr wake_;
-  Clockwork::Handle woken_;
+  EventSource::Handle wake_pending_;
 };
 
-}  // namespace shunt::actor
+}  // namespace shunttrail::actor
--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -4,14 +4,14 @@
 
 #include "log/log.h"
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 namespace fs = std::filesystem;
 namespace {
 constexpr double kTick = 0.1;
 constexpr std::uint64_t kSeqBlock = 10000;
 constexpr std::size_t kMaxOrders = 64 * 1024;  // PROTOCOL: a request body
 
-Fd own(const Places& p) {
+Fd own(const AgentPaths& p) {
   fs::create_directories(p.tasks());
   auto lock = try_lock(p.lock());
   if (!lock)
@@ -21,27 +21,27 @@
 }
 }  // namespace
 
-fs::path Places::task(const Key& k) const {
+fs::path AgentPaths::task(const Key& k) const {
   return tasks() / (k.job + "." + std::to_string(k.index) + "." + std::to_string(k.attempt));
 }
 
-bool end_all(const Places& p) {
+bool end_all(const AgentPaths& p) {
   if (!fs::exists(p.tasks())) return true;
   // Every shepherd that is still to start reads this first, and starts nothing.
-  LeasePage(p.lease(), LeasePage::Open::write).set(0, 0);
+  LeaseFile(p.lease(), LeaseFile::Open::write).set(0, 0);
   return sweep(p.tasks());
 }
 
-Agent::Agent(actor::Loop& loop, Settings settings, const fs::path& dir, Record::Step step)
+Agent::Agent(actor::Loop& loop, Settings settings, const fs::path& dir, AgentJournal::Step step)
     : Actor(loop),
       settings_(std::move(settings)),
       places_{fs::absolute(dir)},
       lock_(own(places_)),
-      record_(places_.record(), std::move(step)),
-      page_(places_.lease(), LeasePage::Open::write),
+      journal_(places_.journal(), std::move(step)),
+      lease_file_(places_.lease(), LeaseFile::Open::write),
       lease_(settings_.lease_s, boot_now()),
-      depot_(loop, settings_.depot),
-      images_(loop, depot_, places_.images(), settings_.cache_gb,
+      artifacts_(loop, settings_.artifacts),
+      images_(loop, artifacts_, places_.images(), settings_.cache_gb,
               [this] {
                 post([this] {
                   for (auto& [k, l] : live_)
@@ -55,44 +55,44 @@
                tick();
                timer_.after(kTick);
              }),
-      report_timer_(loop, [this] { send_report(); }),
+      heartbeat_timer_(loop, [this] { send_heartbeat(); }),
       server_(loop, settings_.address, kMaxOrders, [this](net::ExchangePtr ex) { serve(ex); }) {
   for (const auto& c : settings_.controllers)
     links_.push_back(std::make_unique<net::Client>(loop, c.address, 1, 1));
   to_ = rng_() % links_.size();
   recover();
   timer_.after(0);
-  report_timer_.after(0);
+  heartbeat_timer_.after(0);
 }
 
 void Agent::recover() {
-  auto was = record_.load(settings_.machine);
+  auto was = journal_.load(settings_.machine);
   const std::string boot = boot_id();
   double now = boot_now();
   if (!was) {
     end_all(places_);  // of a record that somebody has removed
     // The page first: a record without it would be of a session that is over.
-    page_.set(book_.session, lease_.until());
-    record_.begin(settings_.machine, boot, book_);
+    lease_file_.set(attempts_.incarnation, lease_.until());
+    journal_.begin(settings_.machine, boot, attempts_);
   } else {
-    book_ = *was;
-    bool same_boot = record_.boot() == boot;
-    if (same_boot && page_.session() == book_.session && now <= page_.until()) {
-      lease_ = Lease::resumed(settings_.lease_s, page_.until());
+    attempts_ = *was;
+    bool same_boot = journal_.boot() == boot;
+    if (same_boot && lease_file_.session() == attempts_.incarnation && now <= lease_file_.until()) {
+      lease_ = Lease::resumed(settings_.lease_s, lease_file_.until());
       log::info("session goes on",
-                {{"session", book_.session}, {"attempts", book_.attempts.size()}});
+                {{"session", attempts_.incarnation}, {"attempts", attempts_.attempts.size()}});
     } else {
       log::info("session is over",
-                {{"session", book_.session}, {"why", same_boot ? "lease" : "reboot"}});
+                {{"session", attempts_.incarnation}, {"why", same_boot ? "lease" : "reboot"}});
       if (!end_all(places_)) throw std::system_error(EBUSY, std::generic_category(), "tasks stay");
-      if (!end_session()) throw RecordError("record: cannot begin the next session");
-      if (!same_boot) record_.begin(settings_.machine, boot, book_);
+      if (!end_incarnation()) throw JournalError("record: cannot begin the next session");
+      if (!same_boot) journal_.begin(settings_.machine, boot, attempts_);
     }
   }
   // Numbers that the last process may have used are never used again.
-  seq_ = book_.reserved;
+  seq_ = attempts_.reserved;
   std::set<fs::path> known;
-  for (const auto& [k, a] : book_.attempts) {
+  for (const auto& [k, a] : attempts_.attempts) {
     known.insert(places_.task(k));
     live(k);
   }
@@ -101,16 +101,16 @@
 }
 
 // Every task is gone: the book may forget them.
-bool Agent::end_session() {
-  Book next = book_;
-  next.next_session();
+bool Agent::end_incarnation() {
+  AttemptTable next = attempts_;
+  next.next_incarnation();
   if (!commit(next, "session")) return false;
   live_.clear();
   std::error_code ignored;
   for (const auto& e : fs::directory_iterator(places_.tasks(), ignored))
     fs::remove_all(e.path(), ignored);
   lease_ = Lease(settings_.lease_s, boot_now());
-  page_.set(book_.session, lease_.until());
+  lease_file_.set(attempts_.incarnation, lease_.until());
   changed();
   return true;
 }
@@ -118,26 +118,26 @@
 // False: the lease is over and something of its session is still there; nothing may be said.
 bool Agent::check_lease() {
   if (!lease_.over(boot_now())) return true;
-  log::info("lease ran out", {{"session", book_.session}, {"attempts", book_.attempts.size()}});
+  log::info("lease ran out", {{"session", attempts_.incarnation}, {"attempts", attempts_.attempts.size()}});
   if (!end_all(places_)) {
-    log::error("tasks do not go", {{"session", book_.session}});
+    log::error("tasks do not go", {{"session", attempts_.incarnation}});
     return false;
   }
-  return end_session();
+  return end_incarnation();
 }
 
-bool Agent::commit(Book next, const std::string& step) {
+bool Agent::commit(AttemptTable next, const std::string& step) {
   try {
-    record_.save(book_, next, step);
-  } catch (const RecordError& e) {
+    journal_.save(attempts_, next, step);
+  } catch (const JournalError& e) {
     if (!disk_trouble_) log::error("record cannot be written", {{"why", e.what()}});
     disk_trouble_ = true;
     return false;
   }
   if (disk_trouble_) log::info("record can be written again");
   disk_trouble_ = false;
-  bool seen = book_.attempts != next.attempts || book_.session != next.session;
-  book_ = std::move(next);
+  bool seen = attempts_.attempts != next.attempts || attempts_.incarnation != next.incarnation;
+  attempts_ = std::move(next);
   if (seen) changed();
   return true;
 }
@@ -168,61 +168,61 @@
 
 std::uint64_t Agent::next_seq() {
   // Never used before it is reserved: with a record that can't be written there is no message.
-  if (seq_ >= book_.reserved) {
-    Book next = book_;
-    next.reserved = std::max(seq_, book_.reserved) + kSeqBlock;
+  if (seq_ >= attempts_.reserved) {
+    AttemptTable next = attempts_;
+    next.reserved = std::max(seq_, attempts_.reserved) + kSeqBlock;
     if (!commit(next, "seq")) return 0;
   }
   return ++seq_;
 }
 
-wire::Report Agent::report() {
-  wire::Report r;
+wire::Heartbeat Agent::heartbeat() {
+  wire::Heartbeat r;
   r.machine = settings_.machine;
   r.addr = settings_.address.host + ":" + std::to_string(settings_.address.port);
   r.type = settings_.type;
   r.zone = settings_.zone;
   r.spot = settings_.spot;
-  r.session = book_.session;
-  r.seq = next_seq();
-  r.token = book_.token;
-  if (recall_at_) r.notice_s = std::max(0.0, *recall_at_ - boot_now());
-  r.tasks = book_.tasks();
+  r.incarnation = attempts_.incarnation;
+  r.sequence = next_seq();
+  r.token = attempts_.token;
+  if (spot_notice_at_) r.notice_s = std::max(0.0, *spot_notice_at_ - boot_now());
+  r.tasks = attempts_.tasks();
   return r;
 }
 
 void Agent::changed() {
   dirty_ = true;
-  report_timer_.after(0);
+  heartbeat_timer_.after(0);
 }
 
 void Agent::notice() {
-  if (recall_at_) return;
-  recall_at_ = boot_now() + settings_.recall_s;
+  if (spot_notice_at_) return;
+  spot_notice_at_ = boot_now() + settings_.recall_s;
   log::info("machine is called back", {{"in_s", settings_.recall_s}});
   changed();
 }
 
 // Whoever knows that the machine goes writes the seconds into the file; it may be taken away again.
-void Agent::look_for_notice() {
-  if (!fs::exists(places_.recall())) return;
+void Agent::check_spot_notice() {
+  if (!fs::exists(places_.spot_notice())) return;
   double seconds = settings_.recall_s;
-  std::ifstream in(places_.recall());
+  std::ifstream in(places_.spot_notice());
   if (!(in >> seconds) || seconds < 0) seconds = settings_.recall_s;
   in.close();
   std::error_code ignored;
-  fs::remove(places_.recall(), ignored);
-  recall_at_ = boot_now() + seconds;
+  fs::remove(places_.spot_notice(), ignored);
+  spot_notice_at_ = boot_now() + seconds;
   log::info("machine is called back", {{"in_s", seconds}});
   changed();
 }
 
 void Agent::tick() {
   if (!check_lease()) return;
-  look_for_notice();
+  check_spot_notice();
   std::vector<Key> keys;
   std::set<std::string> images;
-  for (const auto& [k, a] : book_.attempts) {
+  for (const auto& [k, a] : attempts_.attempts) {
     if (a.phase == Phase::exited) continue;
     keys.push_back(k);
     if (auto it = live_.find(k); it != live_.end() && !it->second.description.image.empty())
@@ -232,4 +232,4 @@
   for (const Key& k : keys) advance(k);
 }
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -25,29 +25,29 @@
 #include "client_protocol/client_protocol.h"
 #include "net/http.h"
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 
 // Where things are below the agent's directory.
-struct Places {
+struct AgentPaths {
   std::filesystem::path dir;
-  std::filesystem::path record() const { return dir / "record.db"; }
+  std::filesystem::path journal() const { return dir / "record.db"; }
   std::filesystem::path lease() const { return dir / "lease"; }
   std::filesystem::path lock() const { return dir / "lock"; }
   std::filesystem::path tasks() const { return dir / "tasks"; }
   std::filesystem::path images() const { return dir / "images"; }
-  std::filesystem::path recall() const { return dir / "recall"; }  // a spot notice, in seconds
+  std::filesystem::path spot_notice() const { return dir / "recall"; }  // a spot notice, in seconds
   std::filesystem::path task(const Key& k) const;
 };
 
 // Ends every task of the agent in this directory, shepherds first, and its session with them: what
 // a machine's end does. The agent itself must not run. False: some process did not go.
-bool end_all(const Places& p);
+bool end_all(const AgentPaths& p);
 
 class Agent : public actor::Actor {
  public:
   // Takes the directory for itself and recovers what the last process left. Throws RecordError or
   // std::system_error, with nothing changed that the next start would miss.
-  Agent(actor::Loop& loop, Settings settings, const std::filesystem::path& dir, Record::Step step);
+  Agent(actor::Loop& loop, Settings settings, const std::filesystem::path& dir, AgentJournal::Step step);
   void notice();  // the spot notice of the settings
 
  private:
@@ -57,7 +57,7 @@
     enum class Step { describe, image, result, restore, unpack, launch } step = Step::describe;
     bool busy = false;    // an answer is awaited
     double retry_at = 0;  // no sooner than this
-    far::Description description;
+    client_protocol::JobDescription description;
     Fd process;  // its shepherd
     struct Ended {
       Agent* agent;
@@ -66,8 +66,8 @@
     };
     std::unique_ptr<Ended> ended_arg;
     actor::EventPtr ended;
-    std::unique_ptr<depot::Unpacker> unpacker;
-    std::unique_ptr<depot::Packer> packer;
+    std::unique_ptr<artifacts::Unpacker> unpacker;
+    std::unique_ptr<artifacts::Packer> packer;
     std::uint64_t packing = 0;   // the kept-N that the packer has
     std::uint64_t uploaded = 0;  // the highest kept-N that is in the depot
     std::optional<End> end;
@@ -79,22 +79,22 @@
 
   // agent.cpp: the whole
   void recover();
-  bool end_session();
+  bool end_incarnation();
   bool check_lease();
   void tick();
-  void look_for_notice();
+  void check_spot_notice();
   // Makes `next` the book, on record first. False: the record can't be written; nothing changed.
-  bool commit(Book next, const std::string& step);
+  bool commit(AttemptTable next, const std::string& step);
   void apply(const std::vector<Effect>& effects);
   std::uint64_t next_seq();
-  wire::Report report();
+  wire::Heartbeat heartbeat();
   void changed();
 
   // reporting.cpp: controllers
-  void send_report();
+  void send_heartbeat();
   void answered(std::uint64_t session, double sent, std::size_t controller, net::Result r);
   void next_controller(double after_s);
-  bool obey(const far::Orders& o);
+  bool execute(const client_protocol::HeartbeatResponse& o);
   void serve(net::ExchangePtr ex);
 
   // tasks.cpp: one attempt at a time
@@ -115,32 +115,32 @@
   void upload_save(const Key& k, Live& l);
   void stop(const Key& k, const Stop& s);
   void drop(const Key& k);
-  void fail(const Key& k, wire::Why why, const std::string& reason);
+  void fail(const Key& k, wire::ExitReason why, const std::string& reason);
   void later(Live& l, double seconds = 1);
 
   Settings settings_;
-  Places places_;
+  AgentPaths places_;
   Fd lock_;
-  Record record_;
-  LeasePage page_;
-  Book book_;
+  AgentJournal journal_;
+  LeaseFile lease_file_;
+  AttemptTable attempts_;
   Lease lease_;
   std::uint64_t seq_ = 0;
   std::map<Key, Live> live_;
   std::uint64_t serials_ = 0;
-  depot::Client depot_;
-  Images images_;
+  artifacts::Client artifacts_;
+  ImageCache images_;
 
   // Reporting
   std::vector<std::unique_ptr<net::Client>> links_;
   std::size_t to_ = 0;
   bool in_flight_ = false, dirty_ = true;
   double last_sent_ = -1e9, due_at_ = 0, not_before_ = 0, token_told_ = -1e9;
-  std::optional<double> recall_at_;
+  std::optional<double> spot_notice_at_;
   std::mt19937 rng_;
   bool disk_trouble_ = false;
-  actor::Timer timer_, report_timer_;
+  actor::Timer timer_, heartbeat_timer_;
   net::Server server_;
 };
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/agent_heartbeat.cpp
+++ b/src/agent/agent_heartbeat.cpp
@@ -4,45 +4,45 @@
 #include "agent/agent.h"
 #include "log/log.h"
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 namespace {
 constexpr double kAnswerWithin = 4;  // PROTOCOL: no response within 4 s
 constexpr double kLeastGap = 0.5;    // never more often than every half second
 constexpr double kNextAfter = 1;     // the next node after a second
 }  // namespace
 
-void Agent::send_report() {
+void Agent::send_heartbeat() {
   if (in_flight_ || !check_lease()) return;
   double now = boot_now();
   double at =
       dirty_ ? std::max(last_sent_ + kLeastGap, not_before_) : std::max(due_at_, not_before_);
-  if (now < at) return report_timer_.after(at - now);
-  wire::Report r = report();
-  if (r.seq == 0) return report_timer_.after(kNextAfter);
+  if (now < at) return heartbeat_timer_.after(at - now);
+  wire::Heartbeat r = heartbeat();
+  if (r.sequence == 0) return heartbeat_timer_.after(kNextAfter);
   dirty_ = false;
   in_flight_ = true;
   last_sent_ = now;
   due_at_ = now + settings_.report_s * std::uniform_real_distribution<>(0.75, 1.25)(rng_);
   links_[to_]->request(
-      "POST", "/agent/beat", far::encode_report(r), kAnswerWithin,
-      reply<net::Result>([this, session = r.session, now, to = to_](net::Result res) {
+      "POST", "/agent/beat", client_protocol::encode_heartbeat(r), kAnswerWithin,
+      reply<net::Result>([this, session = r.incarnation, now, to = to_](net::Result res) {
         answered(session, now, to, std::move(res));
       }));
 }
 
 void Agent::answered(std::uint64_t session, double sent, std::size_t controller, net::Result r) {
   in_flight_ = false;
-  report_timer_.after(0);
+  heartbeat_timer_.after(0);
   // The lease comes first: an answer that is late by more than it has no session left to renew.
   if (!check_lease()) return;
   if (r.status == 200) {
-    if (boot_now() - sent > kAnswerWithin || session != book_.session) return;
+    if (boot_now() - sent > kAnswerWithin || session != attempts_.incarnation) return;
     try {
-      far::Orders o = far::decode_orders(r.body);
-      if (!book_.obeys(o.token)) return log::debug("answer with a lower token dropped");
-      if (!obey(o)) return;
+      client_protocol::HeartbeatResponse o = client_protocol::decode_heartbeat_response(r.body);
+      if (!attempts_.accepts(o.token)) return log::debug("answer with a lower token dropped");
+      if (!execute(o)) return;
       lease_.answered(sent);
-      page_.set(book_.session, lease_.until());
+      lease_file_.set(attempts_.incarnation, lease_.until());
     } catch (const wire::Malformed& e) {
       log::error("garbage from a controller",
                  {{"node", settings_.controllers[controller].name}, {"why", e.what()}});
@@ -51,7 +51,7 @@
     return;
   }
   if (r.status == 421) {
-    const std::string name = far::redirect_of(r.body);
+    const std::string name = client_protocol::redirect_of(r.body);
     for (std::size_t i = 0; i < settings_.controllers.size(); ++i) {
       if (settings_.controllers[i].name != name || i == controller) continue;
       links_[to_] = std::make_unique<net::Client>(loop_, settings_.controllers[to_].address, 1, 1);
@@ -72,12 +72,12 @@
 }
 
 // The commands of an answer whose token counts. False: nothing may count, the answer neither.
-bool Agent::obey(const far::Orders& o) {
-  Book next = book_;
+bool Agent::execute(const client_protocol::HeartbeatResponse& o) {
+  AttemptTable next = attempts_;
   std::vector<std::string> refused = o.refused;
   bool higher = *o.token > next.token;
   next.token = std::max(next.token, *o.token);
-  std::vector<Effect> effects = next.obey(o.commands, &refused);
+  std::vector<Effect> effects = next.execute(o.commands, &refused);
   for (const auto& line : refused) log::info("command refused", {{"why", line}});
   // A higher token is told at most once per half of the lease.
   double now = boot_now();
@@ -100,13 +100,13 @@
 void Agent::serve(net::ExchangePtr ex) {
   if (!check_lease()) return ex->send({503, "{}", 1});
   if (ex->path == "/status" && !ex->post) {
-    wire::Report r = report();
-    return ex->send(r.seq ? net::Answer{200, far::encode_report(r), 0} : net::Answer{503, "{}", 1});
+    wire::Heartbeat r = heartbeat();
+    return ex->send(r.sequence ? net::Answer{200, client_protocol::encode_heartbeat(r), 0} : net::Answer{503, "{}", 1});
   }
   if (ex->path != "/orders" || !ex->post) return ex->send({404, "{\"error\":\"no such path\"}", 0});
-  far::Orders o;
+  client_protocol::HeartbeatResponse o;
   try {
-    o = far::decode_orders(ex->body);
+    o = client_protocol::decode_heartbeat_response(ex->body);
   } catch (const wire::Malformed& e) {
     log::info("garbage order", {{"why", e.what()}});
     return ex->send({400,
@@ -116,11 +116,11 @@
   }
   if (!o.token || !o.session)
     return ex->send({400, "{\"error\":\"token or session is missing\"}", 0});
-  bool ours = book_.obeys(o.token) && *o.session == book_.session;
-  if (ours && !obey(o)) return ex->send({503, "{}", 1});
-  wire::Report r = report();
-  if (r.seq == 0) return ex->send({503, "{}", 1});
-  ex->send({ours ? 200 : 409, far::encode_report(r), 0});
+  bool ours = attempts_.accepts(o.token) && *o.session == attempts_.incarnation;
+  if (ours && !execute(o)) return ex->send({503, "{}", 1});
+  wire::Heartbeat r = heartbeat();
+  if (r.sequence == 0) return ex->send({503, "{}", 1});
+  ex->send({ours ? 200 : 409, client_protocol::encode_heartbeat(r), 0});
 }
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/agent_journal.cpp
+++ b/src/agent/agent_journal.cpp
@@ -2,11 +2,11 @@
 
 #include <sqlite3.h>
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 namespace {
 
 [[noreturn]] void fail(sqlite3* db, const std::string& what) {
-  throw RecordError("record: " + what + ": " + (db ? sqlite3_errmsg(db) : "out of memory"));
+  throw JournalError("record: " + what + ": " + (db ? sqlite3_errmsg(db) : "out of memory"));
 }
 
 class Statement {
@@ -52,9 +52,9 @@
 
 }  // namespace
 
-void Record::Close::operator()(sqlite3* db) const { sqlite3_close(db); }
+void AgentJournal::Close::operator()(sqlite3* db) const { sqlite3_close(db); }
 
-Record::Record(const std::filesystem::path& file, Step step) : step_(std::move(step)) {
+AgentJournal::AgentJournal(const std::filesystem::path& file, Step step) : step_(std::move(step)) {
   sqlite3* db = nullptr;
   int r = sqlite3_open_v2(file.c_str(), &db, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
   db_.reset(db);
@@ -66,7 +66,7 @@
   exec("CREATE TABLE IF NOT EXISTS facts(name TEXT PRIMARY KEY, value TEXT NOT NULL)");
   std::string format = get("format");
   if (!format.empty() && format != std::to_string(kFormat))
-    throw RecordError("record: " + file.string() + " has format " + format +
+    throw JournalError("record: " + file.string() + " has format " + format +
                       ", this program knows " + std::to_string(kFormat));
   exec(
       "CREATE TABLE IF NOT EXISTS attempts(job TEXT, task INTEGER, attempt INTEGER, phase INTEGER, "
@@ -76,29 +76,29 @@
       "CREATE TABLE IF NOT EXISTS forgotten(n INTEGER PRIMARY KEY AUTOINCREMENT, task TEXT UNIQUE, "
       "attempt INTEGER)");
 }
-Record::~Record() = default;
+AgentJournal::~AgentJournal() = default;
 
-void Record::exec(const char* sql) {
+void AgentJournal::exec(const char* sql) {
   if (sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr) != SQLITE_OK) fail(db_.get(), sql);
 }
-void Record::put(const char* name, const std::string& value) {
+void AgentJournal::put(const char* name, const std::string& value) {
   Statement s(db_.get(), "INSERT OR REPLACE INTO facts VALUES(?,?)");
   s.text(name).text(value).row();
 }
-std::string Record::get(const char* name) const {
+std::string AgentJournal::get(const char* name) const {
   Statement s(db_.get(), "SELECT value FROM facts WHERE name=?");
   return s.text(name).row() ? s.text_at(0) : "";
 }
 
-std::string Record::boot() const { return get("boot"); }
+std::string AgentJournal::boot() const { return get("boot"); }
 
-std::optional<Book> Record::load(const std::string& machine) {
+std::optional<AttemptTable> AgentJournal::load(const std::string& machine) {
   std::string whose = get("machine");
   if (whose.empty()) return std::nullopt;
   if (whose != machine)
-    throw RecordError("record: belongs to machine " + whose + ", not to " + machine);
-  Book b;
-  b.session = std::stoull(get("session"));
+    throw JournalError("record: belongs to machine " + whose + ", not to " + machine);
+  AttemptTable b;
+  b.incarnation = std::stoull(get("session"));
   b.token = std::stoull(get("token"));
   b.reserved = std::stoull(get("reserved"));
   Statement s(
@@ -107,24 +107,24 @@
       "FROM attempts");
   while (s.row()) {
     Attempt a;
-    if (s.whole_at(3) > 3 || s.whole_at(6) > static_cast<std::uint64_t>(wire::Why::unknown))
-      throw RecordError("record: an attempt of " + s.text_at(0) + " is damaged");
+    if (s.whole_at(3) > 3 || s.whole_at(6) > static_cast<std::uint64_t>(wire::ExitReason::unknown))
+      throw JournalError("record: an attempt of " + s.text_at(0) + " is damaged");
     a.phase = static_cast<Phase>(s.whole_at(3));
     a.stopping = s.whole_at(4) != 0;
     a.saving = s.whole_at(5) != 0;
-    a.why = static_cast<wire::Why>(s.whole_at(6));
-    a.kept = s.whole_at(7) != 0;
+    a.exit_reason = static_cast<wire::ExitReason>(s.whole_at(6));
+    a.checkpointed = s.whole_at(7) != 0;
     a.needs = {s.real_at(8), s.real_at(9), s.real_at(10)};
     a.saves = s.whole_at(11) != 0;
     a.save_s = s.real_at(12);
     b.attempts[{s.text_at(0), static_cast<std::uint32_t>(s.whole_at(1)), s.whole_at(2)}] = a;
   }
   Statement f(db_.get(), "SELECT task,attempt FROM forgotten ORDER BY n");
-  while (f.row()) b.forgotten.emplace_back(f.text_at(0), f.whole_at(1));
+  while (f.row()) b.acknowledged.emplace_back(f.text_at(0), f.whole_at(1));
   return b;
 }
 
-void Record::begin(const std::string& machine, const std::string& boot, const Book& book) {
+void AgentJournal::begin(const std::string& machine, const std::string& boot, const AttemptTable& book) {
   exec("BEGIN IMMEDIATE");
   try {
     exec("DELETE FROM attempts");
@@ -132,23 +132,23 @@
     put("format", std::to_string(kFormat));
     put("machine", machine);
     put("boot", boot);
-    put("session", std::to_string(book.session));
+    put("session", std::to_string(book.incarnation));
     put("token", std::to_string(book.token));
     put("reserved", std::to_string(book.reserved));
     step_("begin.before");
     exec("COMMIT");
-  } catch (const RecordError&) {
+  } catch (const JournalError&) {
     sqlite3_exec(db_.get(), "ROLLBACK", nullptr, nullptr, nullptr);
     throw;
   }
   step_("begin.after");
 }
 
-void Record::save(const Book& now, const Book& next, const std::string& step) {
+void AgentJournal::save(const AttemptTable& now, const AttemptTable& next, const std::string& step) {
   if (now == next) return;
   exec("BEGIN IMMEDIATE");
   try {
-    if (now.session != next.session) put("session", std::to_string(next.session));
+    if (now.incarnation != next.incarnation) put("session", std::to_string(next.incarnation));
     if (now.token != next.token) put("token", std::to_string(next.token));
     if (now.reserved != next.reserved) put("reserved", std::to_string(next.reserved));
     for (const auto& [k, a] : now.attempts) {
@@ -161,13 +161,13 @@
       if (was != now.attempts.end() && was->second == a) continue;
       Statement s(db_.get(), "INSERT OR REPLACE INTO attempts VALUES(?,?,?,?,?,?,?,?,?,?,?,?,?)");
       s.text(k.job).whole(k.index).whole(k.attempt).whole(static_cast<std::uint64_t>(a.phase));
-      s.whole(a.stopping).whole(a.saving).whole(static_cast<std::uint64_t>(a.why)).whole(a.kept);
+      s.whole(a.stopping).whole(a.saving).whole(static_cast<std::uint64_t>(a.exit_reason)).whole(a.checkpointed);
       s.real(a.needs.cpus).real(a.needs.gpus).real(a.needs.mem_gb).whole(a.saves).real(a.save_s);
       s.row();
     }
-    if (now.forgotten != next.forgotten) {
-      std::map<std::string, std::uint64_t> old(now.forgotten.begin(), now.forgotten.end());
-      for (const auto& [task, attempt] : next.forgotten) {
+    if (now.acknowledged != next.acknowledged) {
+      std::map<std::string, std::uint64_t> old(now.acknowledged.begin(), now.acknowledged.end());
+      for (const auto& [task, attempt] : next.acknowledged) {
         auto it = old.find(task);
         bool same = it != old.end() && it->second == attempt;
         if (it != old.end()) old.erase(it);
@@ -182,11 +182,11 @@
     }
     step_(step + ".before");
     exec("COMMIT");
-  } catch (const RecordError&) {
+  } catch (const JournalError&) {
     sqlite3_exec(db_.get(), "ROLLBACK", nullptr, nullptr, nullptr);
     throw;
   }
   step_(step + ".after");
 }
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/agent_journal.h
+++ b/src/agent/agent_journal.h
@@ -13,32 +13,32 @@
 
 struct sqlite3;
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 
 // The record cannot be read or written; says in one line why. After a failed write it holds what
 // it held before.
-struct RecordError : std::runtime_error {
+struct JournalError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-class Record {
+class AgentJournal {
  public:
   static constexpr int kFormat = 1;
   // Called before and after every durable step, with its name: where tests end the process.
   using Step = std::function<void(const std::string&)>;
-  Record(const std::filesystem::path& file, Step step);
-  ~Record();
-  Record(const Record&) = delete;
-  Record& operator=(const Record&) = delete;
+  AgentJournal(const std::filesystem::path& file, Step step);
+  ~AgentJournal();
+  AgentJournal(const AgentJournal&) = delete;
+  AgentJournal& operator=(const AgentJournal&) = delete;
 
   // What the last process left, or nothing where there was none. The machine's name belongs to it:
   // a record of another machine is refused.
-  std::optional<Book> load(const std::string& machine);
+  std::optional<AttemptTable> load(const std::string& machine);
   // The boot in which it was written.
   std::string boot() const;
   // Makes `next` what is on record, written as the difference from `now`.
-  void save(const Book& now, const Book& next, const std::string& step);
-  void begin(const std::string& machine, const std::string& boot, const Book& book);
+  void save(const AttemptTable& now, const AttemptTable& next, const std::string& step);
+  void begin(const std::string& machine, const std::string& boot, const AttemptTable& book);
 
  private:
   void exec(const char* sql);
@@ -51,4 +51,4 @@
   Step step_;
 };
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/agent_tasks.cpp
+++ b/src/agent/agent_tasks.cpp
@@ -16,7 +16,7 @@
 
 extern char** environ;
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 namespace fs = std::filesystem;
 namespace {
 
@@ -25,7 +25,7 @@
 }
 
 Identity read_identity(const fs::path& file) {
-  auto j = nlohmann::json::parse(depot::read_whole(file), nullptr, false);
+  auto j = nlohmann::json::parse(artifacts::read_whole(file), nullptr, false);
   if (!j.is_object()) return {};
   return {j.value("pid", 0), j.value("start", std::uint64_t{0}), j.value("boot", "")};
 }
@@ -33,7 +33,7 @@
 fs::path kept(const fs::path& dir, std::uint64_t n) { return dir / ("kept-" + std::to_string(n)); }
 
 // A shepherd has to outlive the agent: a session of its own, none of the agent's files.
-pid_t spawn_shepherd(const fs::path& dir, const fs::path& page) {
+pid_t spawn_supervisor(const fs::path& dir, const fs::path& page) {
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
   posix_spawn_file_actions_addopen(&actions, 0, "/dev/null", O_RDONLY, 0);
@@ -80,18 +80,18 @@
 
 void Agent::later(Live& l, double seconds) { l.retry_at = boot_now() + seconds; }
 
-void Agent::fail(const Key& k, wire::Why why, const std::string& reason) {
+void Agent::fail(const Key& k, wire::ExitReason why, const std::string& reason) {
   auto fields = about(k);
   fields["why"] = reason;
   log::info("attempt is refused or failed", fields);
-  Book next = book_;
+  AttemptTable next = attempts_;
   next.exited(k, why);
   if (!commit(next, "exited")) later(live(k));
 }
 
 void Agent::advance(const Key& k) {
-  auto it = book_.attempts.find(k);
-  if (it == book_.attempts.end() || it->second.phase == Phase::exited) return;
+  auto it = attempts_.attempts.find(k);
+  if (it == attempts_.attempts.end() || it->second.phase == Phase::exited) return;
   Live& l = live(k);
   if (l.busy || boot_now() < l.retry_at) return;
   try {
@@ -111,7 +111,7 @@
     auto fields = about(k);
     fields["why"] = e.what();
     log::error("attempt is held up", fields);
-    if (it->second.phase == Phase::accepted) return fail(k, wire::Why::error, e.what());
+    if (it->second.phase == Phase::accepted) return fail(k, wire::ExitReason::error, e.what());
     later(l);
   }
 }
@@ -135,24 +135,24 @@
 
 void Agent::describe(const Key& k, Live& l) {
   l.busy = true;
-  depot_.get_name(
-      far::description_name(k.job),
-      reply<depot::Outcome, depot::Store::Named>(
-          [this, k, of = guard(k)](depot::Outcome o, depot::Store::Named n) {
+  artifacts_.get_name(
+      client_protocol::description_name(k.job),
+      reply<artifacts::Outcome, artifacts::Store::Named>(
+          [this, k, of = guard(k)](artifacts::Outcome o, artifacts::Store::Named n) {
             Live* it = of();
             if (!it) return;
-            if (o == depot::Outcome::later) return later(*it);
-            if (o != depot::Outcome::ok)
-              return fail(k, wire::Why::unknown, "no such job in the depot");
+            if (o == artifacts::Outcome::later) return later(*it);
+            if (o != artifacts::Outcome::ok)
+              return fail(k, wire::ExitReason::unknown, "no such job in the depot");
             try {
-              it->description = far::decode_description(n.value);
+              it->description = client_protocol::decode_description(n.value);
             } catch (const wire::Malformed& e) {
-              return fail(k, wire::Why::error, std::string("bad description: ") + e.what());
+              return fail(k, wire::ExitReason::error, std::string("bad description: ") + e.what());
             }
             const auto& job = it->description.job;
             if (job.id != k.job || k.index >= job.tasks)
-              return fail(k, wire::Why::unknown, "the job has no such task");
-            Book next = book_;
+              return fail(k, wire::ExitReason::unknown, "the job has no such task");
+            AttemptTable next = attempts_;
             bool fits = next.described(k, {job.cpus, job.gpus, job.mem_gb}, job.checkpoint_s > 0,
                                        job.save_s, settings_.room);
             if (!commit(next, "described")) return later(*it);
@@ -169,11 +169,11 @@
   if (!l.description.image.empty()) {
     std::string why;
     switch (images_.want(l.description.image, why)) {
-      case Images::State::coming:
+      case ImageCache::State::coming:
         return later(l);
-      case Images::State::bad:
-        return fail(k, wire::Why::error, why);
-      case Images::State::ready:
+      case ImageCache::State::bad:
+        return fail(k, wire::ExitReason::error, why);
+      case ImageCache::State::ready:
         break;
     }
   }
@@ -184,19 +184,19 @@
 // A result is kept: a task that has one exits with `done` as soon as it has its image.
 void Agent::look_for_result(const Key& k, Live& l) {
   l.busy = true;
-  depot_.get_name(far::result_name(k.task()),
-                  reply<depot::Outcome, depot::Store::Named>(
-                      [this, k, of = guard(k)](depot::Outcome o, depot::Store::Named) {
+  artifacts_.get_name(client_protocol::result_name(k.task()),
+                  reply<artifacts::Outcome, artifacts::Store::Named>(
+                      [this, k, of = guard(k)](artifacts::Outcome o, artifacts::Store::Named) {
                         Live* it = of();
                         if (!it) return;
-                        if (o == depot::Outcome::ok) {
+                        if (o == artifacts::Outcome::ok) {
                           log::info("task has its result already", about(k));
-                          Book next = book_;
-                          next.exited(k, wire::Why::done);
+                          AttemptTable next = attempts_;
+                          next.exited(k, wire::ExitReason::done);
                           if (!commit(next, "exited")) later(*it);
                           return;
                         }
-                        if (o != depot::Outcome::absent) return later(*it);
+                        if (o != artifacts::Outcome::absent) return later(*it);
                         it->step = it->description.job.checkpoint_s > 0 ? Live::Step::restore
                                                                         : Live::Step::launch;
                         advance(k);
@@ -208,24 +208,24 @@
   const fs::path dir = places_.task(k);
   fs::remove_all(dir);
   fs::create_directories(dir / "save");
-  depot_.get_name(far::save_name(k.task()),
-                  reply<depot::Outcome, depot::Store::Named>(
-                      [this, k, dir, of = guard(k)](depot::Outcome o, depot::Store::Named n) {
+  artifacts_.get_name(client_protocol::checkpoint_name(k.task()),
+                  reply<artifacts::Outcome, artifacts::Store::Named>(
+                      [this, k, dir, of = guard(k)](artifacts::Outcome o, artifacts::Store::Named n) {
                         Live* it = of();
                         if (!it) return;
-                        if (o == depot::Outcome::absent) {
+                        if (o == artifacts::Outcome::absent) {
                           it->step = Live::Step::launch;
                           return advance(k);
                         }
                         auto j = nlohmann::json::parse(n.value, nullptr, false);
-                        if (o != depot::Outcome::ok || !j.is_object()) return later(*it);
+                        if (o != artifacts::Outcome::ok || !j.is_object()) return later(*it);
                         it->busy = true;
-                        depot_.get_file(j.value("hash", ""), dir / "save.tar",
-                                        reply<depot::Outcome>([this, k, of](depot::Outcome got) {
+                        artifacts_.get_file(j.value("hash", ""), dir / "save.tar",
+                                        reply<artifacts::Outcome>([this, k, of](artifacts::Outcome got) {
                                           Live* me = of();
                                           if (!me) return;
-                                          if (got == depot::Outcome::later) return later(*me);
-                                          if (got == depot::Outcome::ok) {
+                                          if (got == artifacts::Outcome::later) return later(*me);
+                                          if (got == artifacts::Outcome::ok) {
                                             me->step = Live::Step::unpack;
                                           } else {
                                             // Better from the beginning than from something else.
@@ -243,7 +243,7 @@
     if (!l.unpacker) {
       fs::remove_all(aside);
       l.unpacker =
-          std::make_unique<depot::Unpacker>(dir / "save.tar", aside, std::uint64_t{1} << 40);
+          std::make_unique<artifacts::Unpacker>(dir / "save.tar", aside, std::uint64_t{1} << 40);
     }
     if (!l.unpacker->step()) {
       l.busy = true;
@@ -252,7 +252,7 @@
       });
     }
     fs::rename(aside, dir / "save" / "last");
-  } catch (const depot::BadArchive& e) {
+  } catch (const artifacts::BadArchive& e) {
     auto fields = about(k);
     fields["why"] = e.what();
     log::error("checkpoint is damaged", fields);
@@ -267,14 +267,14 @@
 void Agent::launch(const Key& k, Live& l) {
   const fs::path dir = places_.task(k);
   if (static_cast<double>(fs::space(places_.dir).available) < settings_.disk_reserve_mb * 1e6)
-    return fail(k, wire::Why::no_room, "the disk is nearly full");
+    return fail(k, wire::ExitReason::no_room, "the disk is nearly full");
   fs::create_directories(dir / "work");
   fs::create_directories(dir / "save");
   const auto& d = l.description;
   Order o;
   o.task = k.job + "/" + std::to_string(k.index);
   o.attempt = k.attempt;
-  o.session = book_.session;
+  o.session = attempts_.incarnation;
   o.command = d.command;
   o.retry_exits = d.retry_exits;
   o.limit_s = d.limit_s;
@@ -293,16 +293,16 @@
   o.env["SHUNT_SAVED_FD"] = "3";
   if (!d.image.empty()) o.env["SHUNT_IMAGE_DIR"] = images_.path(d.image).string();
   o.env[kTaskDirVariable] = dir.string();
-  depot::write_whole(dir / "order.json", encode(o));
-  Book next = book_;
+  artifacts::write_whole(dir / "order.json", encode(o));
+  AttemptTable next = attempts_;
   next.launched(k);
   // On record before the process exists: whoever comes back after a kill looks for it.
   if (!commit(next, "launched")) return later(l);
   pid_t pid = 0;
   try {
-    pid = spawn_shepherd(dir, places_.lease());
+    pid = spawn_supervisor(dir, places_.lease());
   } catch (const std::system_error& e) {
-    return fail(k, wire::Why::error, e.what());
+    return fail(k, wire::ExitReason::error, e.what());
   }
   // Its own child: not yet waited for, so the number is its.
   l.process = open_process(identity_of(pid));
@@ -334,7 +334,7 @@
   if (l.process) {
     // A shepherd that is held up (stopped, above all) does not keep a task that has to go.
     if (l.gone_by && boot_now() > *l.gone_by) signal_process(l.process, SIGKILL);
-    if (book_.attempts.at(k).saves) upload_save(k, l);
+    if (attempts_.attempts.at(k).saves) upload_save(k, l);
     return;
   }
   if (fs::exists(dir / "end.json")) return dead(k);
@@ -349,14 +349,14 @@
   if (!l.process) return later(l, 0.2);  // it has not written down who it is yet, or is just going
   attach(k, l);
   try {
-    Order o = decode_order(depot::read_whole(dir / "order.json"));
+    Order o = decode_order(artifacts::read_whole(dir / "order.json"));
     if (auto image = o.env.find("SHUNT_IMAGE_DIR"); image != o.env.end())
       l.description.image = fs::path(image->second).filename();
   } catch (const wire::Malformed&) {
     // Its order is gone or torn: it runs without this agent knowing which image it uses.
   }
   // A stop that the last process was killed in the middle of is said again.
-  const Attempt& a = book_.attempts.at(k);
+  const Attempt& a = attempts_.attempts.at(k);
   if (a.stopping) {
     double grace = a.saving ? std::max(a.save_s, settings_.report_s) : 0;
     if (a.saving) l.give_up_at = boot_now() + grace;
@@ -369,7 +369,7 @@
   Live& l = live(k);
   l.gone_by = boot_now() + s.grace_s + 2;
   try {
-    depot::write_whole(dir / "stop.json", encode(s));
+    artifacts::write_whole(dir / "stop.json", encode(s));
   } catch (const std::exception& e) {
     // A full disk does not keep a task alive: without its file it is ended the hard way.
     auto fields = about(k);
@@ -389,36 +389,36 @@
 
 // Its shepherd is gone, and with it every process of the task.
 void Agent::dead(const Key& k) {
-  auto it = book_.attempts.find(k);
-  if (it == book_.attempts.end() || it->second.phase != Phase::launched) return;
+  auto it = attempts_.attempts.find(k);
+  if (it == attempts_.attempts.end() || it->second.phase != Phase::launched) return;
   Live& l = live(k);
   const fs::path dir = places_.task(k);
   End end;
   try {
-    end = decode_end(depot::read_whole(dir / "end.json"));
+    end = decode_end(artifacts::read_whole(dir / "end.json"));
   } catch (const wire::Malformed&) {
     // Killed: the task went with it, but what it had started elsewhere may not have.
-    end = {wire::Why::error, 0, "its shepherd was lost"};
+    end = {wire::ExitReason::error, 0, "its shepherd was lost"};
     if (!sweep(dir)) return later(l);
     end.kept = highest_kept(dir);
-    if (it->second.stopping) end.why = wire::Why::stopped;
+    if (it->second.stopping) end.why = wire::ExitReason::stopped;
   }
   l.end = end;
   auto fields = about(k);
   fields["exit"] = end.exit;
   fields["ran_s"] = end.ran_s;
-  fields["why"] = end.why == wire::Why::done      ? "done"
-                  : end.why == wire::Why::stopped ? "stopped"
+  fields["why"] = end.why == wire::ExitReason::done      ? "done"
+                  : end.why == wire::ExitReason::stopped ? "stopped"
                                                   : "error";
   fields["reason"] = end.reason;
   log::info("task ended", fields);
-  Book next = book_;
-  if (end.why == wire::Why::done)
-    next.ended(k, wire::Why::done, false);
+  AttemptTable next = attempts_;
+  if (end.why == wire::ExitReason::done)
+    next.ended(k, wire::ExitReason::done, false);
   else if (end.kept > l.uploaded)
     next.ended(k, end.why, false);
   else
-    next.exited(k, end.why, end.why == wire::Why::stopped && end.kept > 0);
+    next.exited(k, end.why, end.why == wire::ExitReason::stopped && end.kept > 0);
   if (!commit(next, "ended")) return later(l);
   advance(k);
 }
@@ -428,20 +428,20 @@
   const fs::path dir = places_.task(k);
   if (!l.end) {
     try {
-      l.end = decode_end(depot::read_whole(dir / "end.json"));
+      l.end = decode_end(artifacts::read_whole(dir / "end.json"));
     } catch (const wire::Malformed&) {
       // Its shepherd was lost, and the agent after that: what it was found to be is on record.
-      wire::Why why = book_.attempts.at(k).why;
-      l.end = End{why == wire::Why::done ? wire::Why::error : why, 0, "its shepherd was lost",
+      wire::ExitReason why = attempts_.attempts.at(k).exit_reason;
+      l.end = End{why == wire::ExitReason::done ? wire::ExitReason::error : why, 0, "its shepherd was lost",
                   highest_kept(dir)};
     }
   }
-  if (l.end->why != wire::Why::done) {
+  if (l.end->why != wire::ExitReason::done) {
     double now = boot_now();
     if (!l.give_up_at) l.give_up_at = now + settings_.lease_s / 2;
     bool lost = now > *l.give_up_at;
     if (l.end->kept <= l.uploaded || lost) {
-      Book next = book_;
+      AttemptTable next = attempts_;
       next.exited(k, l.end->why, l.uploaded > 0);
       if (!commit(next, "exited")) later(l);
       return;
@@ -451,30 +451,30 @@
   for (auto [file, hash] : {std::pair("stdout", &l.out), std::pair("stderr", &l.err)}) {
     if (hash->has_value()) continue;
     l.busy = true;
-    depot_.put_file(dir / file,
-                    reply<depot::Outcome, std::string>(
-                        [this, k, hash, of = guard(k)](depot::Outcome o, std::string h) {
+    artifacts_.put_file(dir / file,
+                    reply<artifacts::Outcome, std::string>(
+                        [this, k, hash, of = guard(k)](artifacts::Outcome o, std::string h) {
                           Live* me = of();
                           if (!me) return;
-                          if (o == depot::Outcome::later || o == depot::Outcome::refused)
+                          if (o == artifacts::Outcome::later || o == artifacts::Outcome::refused)
                             return later(*me);
-                          *hash = o == depot::Outcome::ok ? h : "";
+                          *hash = o == artifacts::Outcome::ok ? h : "";
                           advance(k);
                         }));
     return;
   }
-  far::TaskResult r{k.attempt, settings_.machine, l.end->exit, l.end->reason, *l.out,
+  client_protocol::TaskResult r{k.attempt, settings_.machine, l.end->exit, l.end->reason, *l.out,
                     *l.err,    l.end->ran_s};
   l.busy = true;
-  depot_.put_name(far::result_name(k.task()), {far::encode_result(r)},
-                  reply<depot::Outcome, depot::Store::Named>(
-                      [this, k, of = guard(k)](depot::Outcome o, depot::Store::Named) {
+  artifacts_.put_name(client_protocol::result_name(k.task()), {client_protocol::encode_result(r)},
+                  reply<artifacts::Outcome, artifacts::Store::Named>(
+                      [this, k, of = guard(k)](artifacts::Outcome o, artifacts::Store::Named) {
                         Live* me = of();
                         if (!me) return;
-                        if (o == depot::Outcome::later) return later(*me);
+                        if (o == artifacts::Outcome::later) return later(*me);
                         // Refused: an earlier attempt's result got there after all, and is the one.
-                        Book next = book_;
-                        next.exited(k, wire::Why::done);
+                        AttemptTable next = attempts_;
+                        next.exited(k, wire::ExitReason::done);
                         if (!commit(next, "exited")) later(*me);
                       }));
 }
@@ -486,7 +486,7 @@
   if (n <= l.uploaded) return;
   l.packing = n;
   try {
-    if (!l.packer) l.packer = std::make_unique<depot::Packer>(kept(dir, n), dir / "kept.tar");
+    if (!l.packer) l.packer = std::make_unique<artifacts::Packer>(kept(dir, n), dir / "kept.tar");
     if (!l.packer->step()) {
       l.busy = true;
       return post([this, k, of = guard(k)] {
@@ -503,21 +503,21 @@
   }
   l.packer.reset();
   l.busy = true;
-  depot_.put_file(
-      dir / "kept.tar", reply<depot::Outcome, std::string>([this, k, n, dir, of = guard(k)](
-                                                               depot::Outcome o, std::string hash) {
+  artifacts_.put_file(
+      dir / "kept.tar", reply<artifacts::Outcome, std::string>([this, k, n, dir, of = guard(k)](
+                                                               artifacts::Outcome o, std::string hash) {
         Live* me = of();
         if (!me) return;
-        if (o != depot::Outcome::ok) return later(*me);
+        if (o != artifacts::Outcome::ok) return later(*me);
         me->busy = true;
-        depot_.put_name(
-            far::save_name(k.task()),
+        artifacts_.put_name(
+            client_protocol::checkpoint_name(k.task()),
             {nlohmann::json{{"hash", hash}, {"machine", settings_.machine}}.dump(), k.attempt, n},
-            reply<depot::Outcome, depot::Store::Named>(
-                [this, k, n, dir, of](depot::Outcome put, depot::Store::Named) {
+            reply<artifacts::Outcome, artifacts::Store::Named>(
+                [this, k, n, dir, of](artifacts::Outcome put, artifacts::Store::Named) {
                   Live* it = of();
                   if (!it) return;
-                  if (put == depot::Outcome::later) return later(*it);
+                  if (put == artifacts::Outcome::later) return later(*it);
                   for (std::uint64_t i = std::max<std::uint64_t>(it->uploaded, 1); i < n; ++i) {
                     std::error_code ignored;
                     fs::remove_all(kept(dir, i), ignored);
@@ -531,4 +531,4 @@
       }));
 }
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/attempt_table.cpp
+++ b/src/agent/attempt_table.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 namespace {
 constexpr std::size_t kForgottenKept = 2000;
 
@@ -10,12 +10,12 @@
 std::string label(const Key& k) { return name(k) + " attempt " + std::to_string(k.attempt); }
 }  // namespace
 
-Attempt* Book::find(const Key& k) {
+Attempt* AttemptTable::find(const Key& k) {
   auto it = attempts.find(k);
   return it == attempts.end() ? nullptr : &it->second;
 }
 
-std::vector<Effect> Book::obey(const std::vector<wire::Command>& commands,
+std::vector<Effect> AttemptTable::execute(const std::vector<wire::Command>& commands,
                                std::vector<std::string>* refused) {
   std::vector<Effect> out;
   for (const auto& c : commands) {
@@ -27,15 +27,15 @@
       case wire::Command::Op::stop:
         stop(k, c.grace_s, out);
         break;
-      case wire::Command::Op::forget:
-        forget(k, out);
+      case wire::Command::Op::acknowledge:
+        acknowledge(k, out);
         break;
     }
   }
   return out;
 }
 
-void Book::start(const Key& k, std::vector<Effect>& out, std::vector<std::string>* refused) {
+void AttemptTable::start(const Key& k, std::vector<Effect>& out, std::vector<std::string>* refused) {
   if (find(k)) return;
   // Attempts of a task only go up (docs/safety.md, "attempts unique"): a lower one is a command
   // that was held back on the way until after its own end.
@@ -51,19 +51,19 @@
     held |= it->second.phase != Phase::exited;
   }
   const std::string task = name(k);
-  for (const auto& [t, attempt] : forgotten)
+  for (const auto& [t, attempt] : acknowledged)
     if (t == task && late(attempt)) return;
   Attempt a;
   if (held) {
     a.phase = Phase::exited;
-    a.why = wire::Why::busy;
+    a.exit_reason = wire::ExitReason::busy;
   } else {
     out.push_back({Effect::Kind::fetch, k});
   }
   attempts.emplace(k, a);
 }
 
-void Book::stop(const Key& k, double grace_s, std::vector<Effect>& out) {
+void AttemptTable::stop(const Key& k, double grace_s, std::vector<Effect>& out) {
   Attempt* a = find(k);
   if (!a) return;
   switch (a->phase) {
@@ -74,7 +74,7 @@
       // No process is there. What is on its way to the depot may still get there; the task's next
       // attempt then finds it and is done at once.
       a->phase = Phase::exited;
-      a->why = wire::Why::stopped;
+      a->exit_reason = wire::ExitReason::stopped;
       out.push_back({Effect::Kind::abandon, k});
       return;
     case Phase::launched:
@@ -90,27 +90,27 @@
   }
 }
 
-void Book::forget(const Key& k, std::vector<Effect>& out) {
+void AttemptTable::acknowledge(const Key& k, std::vector<Effect>& out) {
   Attempt* a = find(k);
   if (!a || a->phase != Phase::exited) return;
   attempts.erase(k);
   const std::string task = name(k);
   std::uint64_t highest = k.attempt;
-  std::erase_if(forgotten, [&](const auto& f) {
+  std::erase_if(acknowledged, [&](const auto& f) {
     if (f.first != task) return false;
     highest = std::max(highest, f.second);
     return true;
   });
-  forgotten.emplace_back(task, highest);
-  if (forgotten.size() > kForgottenKept) forgotten.pop_front();
+  acknowledged.emplace_back(task, highest);
+  if (acknowledged.size() > kForgottenKept) acknowledged.pop_front();
   out.push_back({Effect::Kind::drop, k});
 }
 
-bool Book::described(const Key& k, const Room& needs, bool saves, double save_s,
-                     const Room& machine) {
+bool AttemptTable::described(const Key& k, const Resources& needs, bool saves, double save_s,
+                     const Resources& machine) {
   Attempt* a = find(k);
   if (!a) return false;
-  Room used = needs;
+  Resources used = needs;
   for (const auto& [other, b] : attempts) {
     if (other == k || b.phase == Phase::exited) continue;
     used.cpus += b.needs.cpus;
@@ -120,7 +120,7 @@
   constexpr double kSlack = 1e-6;
   if (used.cpus > machine.cpus + kSlack || used.gpus > machine.gpus + kSlack ||
       used.mem_gb > machine.mem_gb + kSlack) {
-    exited(k, wire::Why::no_room);
+    exited(k, wire::ExitReason::no_room);
     return false;
   }
   a->needs = needs;
@@ -129,48 +129,48 @@
   return true;
 }
 
-void Book::launched(const Key& k) {
+void AttemptTable::launched(const Key& k) {
   if (Attempt* a = find(k)) a->phase = Phase::launched;
 }
-void Book::ended(const Key& k, wire::Why why, bool kept) {
+void AttemptTable::ended(const Key& k, wire::ExitReason why, bool kept) {
   if (Attempt* a = find(k)) {
     a->phase = Phase::ended;
-    a->why = why;
-    a->kept = kept;
+    a->exit_reason = why;
+    a->checkpointed = kept;
   }
 }
-void Book::exited(const Key& k, wire::Why why, bool kept) {
+void AttemptTable::exited(const Key& k, wire::ExitReason why, bool kept) {
   if (Attempt* a = find(k)) {
     a->phase = Phase::exited;
-    a->why = why;
-    a->kept = kept;
+    a->exit_reason = why;
+    a->checkpointed = kept;
   }
 }
-void Book::next_session() {
-  ++session;
+void AttemptTable::next_incarnation() {
+  ++incarnation;
   attempts.clear();
-  forgotten.clear();
+  acknowledged.clear();
 }
 
-std::vector<wire::TaskReport> Book::tasks() const {
-  std::vector<wire::TaskReport> out;
+std::vector<wire::TaskStatus> AttemptTable::tasks() const {
+  std::vector<wire::TaskStatus> out;
   for (const auto& [k, a] : attempts) {
-    wire::TaskReport t{k.task(), k.attempt};
+    wire::TaskStatus t{k.task(), k.attempt};
     switch (a.phase) {
       case Phase::accepted:
-        t.state = wire::RunState::fetching;
+        t.state = wire::TaskState::fetching;
         break;
       case Phase::launched:
-        t.state = a.saving ? wire::RunState::saving : wire::RunState::running;
+        t.state = a.saving ? wire::TaskState::saving : wire::TaskState::running;
         break;
       case Phase::ended:
         // It holds its place until its result is safe: `done` is never taken back.
-        t.state = a.why == wire::Why::stopped ? wire::RunState::saving : wire::RunState::running;
+        t.state = a.exit_reason == wire::ExitReason::stopped ? wire::TaskState::saving : wire::TaskState::running;
         break;
       case Phase::exited:
-        t.state = wire::RunState::exited;
-        t.why = a.why;
-        t.kept = a.kept;
+        t.state = wire::TaskState::exited;
+        t.exit_reason = a.exit_reason;
+        t.checkpointed = a.checkpointed;
         break;
     }
     out.push_back(std::move(t));
@@ -178,4 +178,4 @@
   return out;
 }
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/attempt_table.h
+++ b/src/agent/attempt_table.h
@@ -13,7 +13,7 @@
 
 #include "wire/types.h"
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 
 struct Key {
   std::string job;
@@ -23,9 +23,9 @@
   wire::TaskId task() const { return {job, index}; }
 };
 
-struct Room {
+struct Resources {
   double cpus = 0, gpus = 0, mem_gb = 0;
-  friend bool operator==(const Room&, const Room&) = default;
+  friend bool operator==(const Resources&, const Resources&) = default;
 };
 
 // How far an attempt is. Each step is on record before what it stands for begins, so that after a
@@ -41,9 +41,9 @@
   Phase phase = Phase::accepted;
   bool stopping = false;  // told to stop
   bool saving = false;    // and allowed to save first
-  wire::Why why = wire::Why::none;
-  bool kept = false;
-  Room needs;          // once its description is known
+  wire::ExitReason exit_reason = wire::ExitReason::none;
+  bool checkpointed = false;
+  Resources needs;          // once its description is known
   double save_s = 0;   // time it needs to save
   bool saves = false;  // it has checkpoints
   friend bool operator==(const Attempt&, const Attempt&) = default;
@@ -57,40 +57,40 @@
   double grace_s = 0;  // of save
 };
 
-class Book {
+class AttemptTable {
  public:
-  std::uint64_t session = 1, token = 0;
+  std::uint64_t incarnation = 1, token = 0;
   // Every message's `seq` is below this; it is on record before the first of a block is used.
   std::uint64_t reserved = 0;
   std::map<Key, Attempt> attempts;
   // The highest attempt of each task that was forgotten in this session, oldest first and bounded.
   // A start that comes after its own reap would run the task once more for nobody.
-  std::deque<std::pair<std::string, std::uint64_t>> forgotten;
+  std::deque<std::pair<std::string, std::uint64_t>> acknowledged;
 
   // Whether an answer with this token may be acted on at all.
-  bool obeys(std::optional<std::uint64_t> t) const { return t && *t >= token; }
+  bool accepts(std::optional<std::uint64_t> t) const { return t && *t >= token; }
   // The commands in order; `refused` gets a line for each that could not mean anything.
-  std::vector<Effect> obey(const std::vector<wire::Command>& commands,
+  std::vector<Effect> execute(const std::vector<wire::Command>& commands,
                            std::vector<std::string>* refused = nullptr);
 
   // The description has come: whether the machine has room for it beside what it holds.
   // If not, the attempt is exited.
-  bool described(const Key& k, const Room& needs, bool saves, double save_s, const Room& machine);
+  bool described(const Key& k, const Resources& needs, bool saves, double save_s, const Resources& machine);
   void launched(const Key& k);
   // Its processes are gone.
-  void ended(const Key& k, wire::Why why, bool kept);
+  void ended(const Key& k, wire::ExitReason why, bool kept);
   // Nothing more has to be done for it: what is reported from now on.
-  void exited(const Key& k, wire::Why why, bool kept = false);
+  void exited(const Key& k, wire::ExitReason why, bool kept = false);
   // The lease has run out: every task is forgotten. The caller has seen to it that all are gone.
-  void next_session();
+  void next_incarnation();
 
-  std::vector<wire::TaskReport> tasks() const;
-  friend bool operator==(const Book&, const Book&) = default;
+  std::vector<wire::TaskStatus> tasks() const;
+  friend bool operator==(const AttemptTable&, const AttemptTable&) = default;
 
  private:
   void start(const Key& k, std::vector<Effect>& out, std::vector<std::string>* refused);
   void stop(const Key& k, double grace_s, std::vector<Effect>& out);
-  void forget(const Key& k, std::vector<Effect>& out);
+  void acknowledge(const Key& k, std::vector<Effect>& out);
   Attempt* find(const Key& k);
 };
 
@@ -111,4 +111,4 @@
   double lease_s_, until_;
 };
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/image_cache.cpp
+++ b/src/agent/image_cache.cpp
@@ -2,7 +2,7 @@
 
 #include "log/log.h"
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 namespace fs = std::filesystem;
 namespace {
 std::uint64_t size_of(const fs::path& dir) {
@@ -15,10 +15,10 @@
 constexpr std::uint64_t kMostUnpacked = std::uint64_t{1} << 40;
 }  // namespace
 
-Images::Images(actor::Loop& loop, depot::Client& depot, fs::path dir, double cache_gb,
+ImageCache::ImageCache(actor::Loop& loop, artifacts::Client& depot, fs::path dir, double cache_gb,
                std::function<void()> changed)
     : Actor(loop),
-      depot_(depot),
+      artifacts_(depot),
       dir_(std::move(dir)),
       cache_gb_(cache_gb),
       changed_(std::move(changed)) {
@@ -26,14 +26,14 @@
   for (const auto& e : fs::directory_iterator(dir_)) {
     const std::string name = e.path().filename();
     // Whole images only have their hash for a name; the rest was under way when a process ended.
-    if (depot::valid_hash(name) && e.is_directory())
+    if (artifacts::valid_hash(name) && e.is_directory())
       sizes_[name] = size_of(e.path());
     else
       fs::remove_all(e.path());
   }
 }
 
-Images::State Images::want(const std::string& hash, std::string& why) {
+ImageCache::State ImageCache::want(const std::string& hash, std::string& why) {
   used_at_[hash] = ++uses_;
   if (sizes_.contains(hash)) return State::ready;
   auto [it, fresh] = fetches_.try_emplace(hash);
@@ -43,12 +43,12 @@
     fetches_.erase(it);
     return State::bad;
   }
-  depot_.get_file(hash, tar(hash),
-                  reply<depot::Outcome>([this, hash](depot::Outcome o) { arrived(hash, o); }));
+  artifacts_.get_file(hash, tar(hash),
+                  reply<artifacts::Outcome>([this, hash](artifacts::Outcome o) { arrived(hash, o); }));
   return State::coming;
 }
 
-void Images::arrived(const std::string& hash, depot::Outcome o) {
+void ImageCache::arrived(const std::string& hash, artifacts::Outcome o) {
   auto it = fetches_.find(hash);
   if (it == fetches_.end()) return;
   if (it->second.given_up) {
@@ -58,27 +58,27 @@
     return;
   }
   switch (o) {
-    case depot::Outcome::ok:
+    case artifacts::Outcome::ok:
       return unpack(hash);
-    case depot::Outcome::later:
+    case artifacts::Outcome::later:
       // The depot is away: whoever still wants it asks again.
       fetches_.erase(it);
       return;
-    case depot::Outcome::absent:
+    case artifacts::Outcome::absent:
       return settle(hash, "the depot has no image " + hash);
-    case depot::Outcome::refused:
+    case artifacts::Outcome::refused:
       return settle(hash, "the image's content does not match its hash " + hash);
   }
 }
 
-void Images::unpack(const std::string& hash) {
+void ImageCache::unpack(const std::string& hash) {
   auto it = fetches_.find(hash);
   if (it == fetches_.end()) return;
   try {
     auto& u = it->second.unpacker;
     if (!u) {
       fs::remove_all(aside(hash));
-      u = std::make_unique<depot::Unpacker>(tar(hash), aside(hash), kMostUnpacked);
+      u = std::make_unique<artifacts::Unpacker>(tar(hash), aside(hash), kMostUnpacked);
     }
     if (!u->step()) return post([this, hash] { unpack(hash); });
     u.reset();
@@ -90,7 +90,7 @@
   settle(hash, "");
 }
 
-void Images::settle(const std::string& hash, const std::string& why) {
+void ImageCache::settle(const std::string& hash, const std::string& why) {
   std::error_code ignored;
   fs::remove(tar(hash), ignored);
   if (why.empty()) {
@@ -105,7 +105,7 @@
   changed_();
 }
 
-void Images::keep(const std::set<std::string>& used) {
+void ImageCache::keep(const std::set<std::string>& used) {
   for (auto& [hash, f] : fetches_)
     if (!used.contains(hash)) f.given_up = true;
   std::uint64_t total = 0;
@@ -125,4 +125,4 @@
   }
 }
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/image_cache.h
+++ b/src/agent/image_cache.h
@@ -12,12 +12,12 @@
 #include "artifacts/archive.h"
 #include "artifacts/client.h"
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 
-class Images : public actor::Actor {
+class ImageCache : public actor::Actor {
  public:
   enum class State { ready, coming, bad };
-  Images(actor::Loop& loop, depot::Client& depot, std::filesystem::path dir, double cache_gb,
+  ImageCache(actor::Loop& loop, artifacts::Client& depot, std::filesystem::path dir, double cache_gb,
          std::function<void()> changed);
 
   // Asked again whenever something has changed, by each task that needs it. `bad`: what the depot
@@ -29,17 +29,17 @@
 
  private:
   struct Fetch {
-    std::unique_ptr<depot::Unpacker> unpacker;
+    std::unique_ptr<artifacts::Unpacker> unpacker;
     bool failed = false, given_up = false;
     std::string why;
   };
-  void arrived(const std::string& hash, depot::Outcome o);
+  void arrived(const std::string& hash, artifacts::Outcome o);
   void unpack(const std::string& hash);
   void settle(const std::string& hash, const std::string& why);
   std::filesystem::path tar(const std::string& hash) const { return dir_ / (hash + ".tar"); }
   std::filesystem::path aside(const std::string& hash) const { return dir_ / (hash + ".new"); }
 
-  depot::Client& depot_;
+  artifacts::Client& artifacts_;
   std::filesystem::path dir_;
   double cache_gb_;
   std::function<void()> changed_;
@@ -48,4 +48,4 @@
   std::uint64_t uses_ = 0;
 };
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/lease_file.cpp
+++ b/src/agent/lease_file.cpp
@@ -10,17 +10,17 @@
 
 #include "agent/processes.h"
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 
 // Version 1. Each word is written alone. A renewal touches the time only: a shepherd that looked in
 // between and saw no session would kill its task. Between two sessions there is none.
-struct LeasePage::Layout {
+struct LeaseFile::Layout {
   std::atomic<std::uint64_t> version, session;
   std::atomic<std::int64_t> until_ns;
 };
 static_assert(std::atomic<std::uint64_t>::is_always_lock_free);
 
-LeasePage::LeasePage(const std::filesystem::path& file, Open how) {
+LeaseFile::LeaseFile(const std::filesystem::path& file, Open how) {
   bool write = how == Open::write;
   Fd fd(::open(file.c_str(), (write ? O_RDWR | O_CREAT : O_RDONLY) | O_CLOEXEC, 0644));
   if (!fd || (write && ::ftruncate(fd.get(), 4096) != 0))
@@ -33,15 +33,15 @@
   if (p_->version != 1)
     throw std::system_error(EPROTO, std::generic_category(), file.string() + ": not a lease page");
 }
-LeasePage::~LeasePage() { ::munmap(p_, 4096); }
+LeaseFile::~LeaseFile() { ::munmap(p_, 4096); }
 
-void LeasePage::set(std::uint64_t session, double until) {
+void LeaseFile::set(std::uint64_t session, double until) {
   bool renewal = session != 0 && p_->session == session;
   if (!renewal) p_->session = 0;
   p_->until_ns = static_cast<std::int64_t>(std::floor(until * 1e9));
   if (!renewal) p_->session = session;
 }
-std::uint64_t LeasePage::session() const { return p_->session; }
-double LeasePage::until() const { return static_cast<double>(p_->until_ns) / 1e9; }
+std::uint64_t LeaseFile::session() const { return p_->session; }
+double LeaseFile::until() const { return static_cast<double>(p_->until_ns) / 1e9; }
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/lease_file.h
+++ b/src/agent/lease_file.h
@@ -5,16 +5,16 @@
 #include <cstdint>
 #include <filesystem>
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 
-class LeasePage {
+class LeaseFile {
  public:
   enum class Open { read, write };
   // Throws std::system_error. A page that is absent is made with no session.
-  LeasePage(const std::filesystem::path& file, Open how);
-  ~LeasePage();
-  LeasePage(const LeasePage&) = delete;
-  LeasePage& operator=(const LeasePage&) = delete;
+  LeaseFile(const std::filesystem::path& file, Open how);
+  ~LeaseFile();
+  LeaseFile(const LeaseFile&) = delete;
+  LeaseFile& operator=(const LeaseFile&) = delete;
 
   // `until` in seconds of CLOCK_BOOTTIME. Session 0: no task may be there.
   void set(std::uint64_t session, double until);
@@ -26,4 +26,4 @@
   Layout* p_ = nullptr;
 };
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/processes.cpp
+++ b/src/agent/processes.cpp
@@ -15,7 +15,7 @@
 
 #include "artifacts/store.h"
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 namespace fs = std::filesystem;
 
 double boot_now() {
@@ -49,7 +49,7 @@
   std::uint64_t start = 0;
 };
 std::optional<Stat> stat_of(pid_t pid) {
-  std::string s = depot::read_whole("/proc/" + std::to_string(pid) + "/stat");
+  std::string s = artifacts::read_whole("/proc/" + std::to_string(pid) + "/stat");
   auto close = s.rfind(')');  // the name before it may hold anything
   if (close == std::string::npos) return std::nullopt;
   std::istringstream in(s.substr(close + 2));
@@ -102,7 +102,7 @@
       if (pid == self) return;
       Fd handle(static_cast<int>(::syscall(SYS_pidfd_open, pid, 0)));
       if (!handle) return;
-      std::string env = depot::read_whole("/proc/" + std::to_string(pid) + "/environ");
+      std::string env = artifacts::read_whole("/proc/" + std::to_string(pid) + "/environ");
       bool mine = false;
       for (std::size_t at = 0; at < env.size() && !mine;) {
         std::string_view v(env.c_str() + at);
@@ -138,4 +138,4 @@
   return fd;
 }
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/processes.h
+++ b/src/agent/processes.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 
 // Seconds of CLOCK_BOOTTIME: it goes on while the machine sleeps, and nobody can set it.
 double boot_now();
@@ -53,4 +53,4 @@
 // An exclusive lock on a file, held until the object or the process goes. Nothing: another has it.
 std::optional<Fd> try_lock(const std::filesystem::path& file);
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/settings.cpp
+++ b/src/agent/settings.cpp
@@ -2,7 +2,7 @@
 
 #include "config/xml.h"
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 
 using namespace config;
 
@@ -41,7 +41,7 @@
                                         parse_endpoint(xml_attribute(c, where, "address"), where)});
                                  }}});
                   }},
-                 {"depot", endpoint(s.depot)},
+                 {"depot", endpoint(s.artifacts)},
                  {"cache-gb", xml_into(s.cache_gb, 0, 1e6)},
                  {"disk-reserve-mb", xml_into(s.disk_reserve_mb, 0, 1e9)},
                  {"file-mb", xml_into(s.file_mb, 0, 1e9)},
@@ -53,4 +53,4 @@
   return s;
 }
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/settings.h
+++ b/src/agent/settings.h
@@ -7,20 +7,20 @@
 #include "agent/attempt_table.h"
 #include "config/settings.h"
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 
 struct Settings {
   std::string machine, type, zone;
   config::Endpoint address;  // where orders are taken, and what reports name
   bool spot = false;
-  Room room;
+  Resources room;
   double report_s = 3, lease_s = 20;  // as the controllers' settings have them
   struct Controller {
     std::string name;
     config::Endpoint address;
   };
   std::vector<Controller> controllers;
-  config::Endpoint depot;
+  config::Endpoint artifacts;
   double cache_gb = 10;          // images kept for later tasks
   double disk_reserve_mb = 256;  // less free space than this: starts are refused as `full`
   double file_mb = 1024;         // largest file that a task may write, its output included
@@ -30,4 +30,4 @@
 
 Settings parse_settings(const std::string& xml);
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/task_supervisor.cpp
+++ b/src/agent/task_supervisor.cpp
@@ -22,7 +22,7 @@
 #include "artifacts/store.h"
 #include "wire/fields.h"
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 namespace fs = std::filesystem;
 using wire::json;
 
@@ -58,8 +58,8 @@
 }
 std::string encode(const End& e) {
   return json{{"format", End::kFormat},
-              {"why", e.why == wire::Why::done      ? "done"
-                      : e.why == wire::Why::stopped ? "stopped"
+              {"why", e.why == wire::ExitReason::done      ? "done"
+                      : e.why == wire::ExitReason::stopped ? "stopped"
                                                     : "error"},
               {"exit", e.exit},
               {"reason", e.reason},
@@ -73,9 +73,9 @@
     if (wire::whole(j, "format") != End::kFormat) throw wire::Malformed("format is unknown");
     End e;
     std::string why = wire::text(j, "why");
-    e.why = why == "done"      ? wire::Why::done
-            : why == "stopped" ? wire::Why::stopped
-                               : wire::Why::error;
+    e.why = why == "done"      ? wire::ExitReason::done
+            : why == "stopped" ? wire::ExitReason::stopped
+                               : wire::ExitReason::error;
     e.exit = static_cast<int>(wire::whole(j, "exit"));
     e.reason = wire::text_or(j, "reason", "");
     e.kept = wire::whole(j, "kept");
@@ -93,13 +93,13 @@
 constexpr int kNotForIt[] = {SIGINT, SIGHUP, SIGTERM, SIGPIPE, SIGXFSZ};
 constexpr int kLimitExit = 124;  // as timeout(1) has it
 
-class Shepherd {
+class TaskSupervisor {
  public:
-  Shepherd(fs::path dir, const fs::path& page)
-      : dir_(std::move(dir)), page_(page, LeasePage::Open::read) {}
+  TaskSupervisor(fs::path dir, const fs::path& page)
+      : dir_(std::move(dir)), lease_file_(page, LeaseFile::Open::read) {}
 
   int run() {
-    order_ = decode_order(depot::read_whole(dir_ / "order.json"));
+    order_ = decode_order(artifacts::read_whole(dir_ / "order.json"));
     ::prctl(PR_SET_CHILD_SUBREAPER, 1);
     sigset_t set;
     sigemptyset(&set);
@@ -109,13 +109,13 @@
     signals_ = Fd(::signalfd(-1, &set, SFD_CLOEXEC | SFD_NONBLOCK));
     timer_ = Fd(::timerfd_create(CLOCK_BOOTTIME, TFD_CLOEXEC | TFD_NONBLOCK));
     Identity me = identity_of(::getpid());
-    depot::write_whole(dir_ / "shepherd.json",
+    artifacts::write_whole(dir_ / "shepherd.json",
                        json{{"pid", me.pid}, {"start", me.start}, {"boot", me.boot}}.dump());
     kept_ = highest_kept(dir_);
     began_ = boot_now();
-    if (lease_over()) return finish({wire::Why::error, 0, "the lease had run out", kept_});
+    if (lease_over()) return finish({wire::ExitReason::error, 0, "the lease had run out", kept_});
     std::string failed = start();
-    if (!failed.empty()) return finish({wire::Why::error, 0, failed, kept_});
+    if (!failed.empty()) return finish({wire::ExitReason::error, 0, failed, kept_});
     look_at_stop();
     while (!end_) turn();
     kill_all();
@@ -130,7 +130,7 @@
  private:
   fs::path kept(std::uint64_t n) const { return dir_ / ("kept-" + std::to_string(n)); }
   bool lease_over() const {
-    return page_.session() != order_.session || boot_now() > page_.until();
+    return lease_file_.session() != order_.session || boot_now() > lease_file_.until();
   }
 
   int finish(const End& e) {
@@ -138,7 +138,7 @@
     // have room again before the lease is over: what was done is not given up before.
     while (true) {
       try {
-        depot::write_whole(dir_ / "end.json", encode(e));
+        artifacts::write_whole(dir_ / "end.json", encode(e));
         return 0;
       } catch (const std::system_error&) {
         if (lease_over()) throw;
@@ -208,7 +208,7 @@
     task_ = 0;
     if (why == ENOENT || why == EACCES || why == ENOEXEC) {
       // The same on every machine, as a shell says it; not the machine's fault.
-      end_ = End{wire::Why::done, why == ENOENT ? 127 : 126,
+      end_ = End{wire::ExitReason::done, why == ENOENT ? 127 : 126,
                  order_.command[0] + ": " + std::strerror(why)};
       return "";
     }
@@ -217,7 +217,7 @@
 
   // The next moment at which something has to be looked at without being told.
   void arm() {
-    double at = page_.until();
+    double at = lease_file_.until();
     if (grace_until_) at = std::min(at, *grace_until_);
     if (order_.limit_s > 0) at = std::min(at, began_ + order_.limit_s);
     at = std::max(at, boot_now()) + 0.001;
@@ -236,7 +236,7 @@
     std::uint64_t ignored;
     if (::read(timer_.get(), &ignored, sizeof ignored) < 0) ignored = 0;
     if (lease_over()) {
-      end_ = End{wire::Why::error, 0, "the lease ran out"};
+      end_ = End{wire::ExitReason::error, 0, "the lease ran out"};
       return;
     }
     drain_saves();
@@ -249,13 +249,13 @@
     reap();
     double now = boot_now();
     if (!end_ && grace_until_ && now >= *grace_until_)
-      end_ = End{wire::Why::stopped, 0, "it had not saved in time"};
+      end_ = End{wire::ExitReason::stopped, 0, "it had not saved in time"};
     if (!end_ && order_.limit_s > 0 && now >= began_ + order_.limit_s)
-      end_ = End{wire::Why::done, kLimitExit, "it ran into its limit"};
+      end_ = End{wire::ExitReason::done, kLimitExit, "it ran into its limit"};
   }
 
   void look_at_stop() {
-    std::string text = depot::read_whole(dir_ / "stop.json");
+    std::string text = artifacts::read_whole(dir_ / "stop.json");
     if (text.empty() || end_) return;
     Stop s;
     try {
@@ -264,7 +264,7 @@
       s = {};
     }
     if (!s.save) {
-      end_ = End{wire::Why::stopped, 0, ""};
+      end_ = End{wire::ExitReason::stopped, 0, ""};
     } else if (!grace_until_) {
       grace_until_ = boot_now() + s.grace_s;
       ::kill(task_, SIGUSR1);
@@ -289,7 +289,7 @@
     ++kept_;
     if (grace_until_ && !end_) {
       saved_ = true;
-      end_ = End{wire::Why::stopped, 0, ""};
+      end_ = End{wire::ExitReason::stopped, 0, ""};
     }
   }
 
@@ -306,15 +306,15 @@
       if (WIFSIGNALED(status)) {
         // A SIGKILL that nobody here sent is the machine's doing, above all for lack of memory.
         again = WTERMSIG(status) == SIGKILL;
-        end_ = End{again ? wire::Why::error : wire::Why::done, exit,
+        end_ = End{again ? wire::ExitReason::error : wire::ExitReason::done, exit,
                    std::string("ended by signal ") + strsignal(WTERMSIG(status))};
       } else {
-        end_ = End{again ? wire::Why::error : wire::Why::done, exit,
+        end_ = End{again ? wire::ExitReason::error : wire::ExitReason::done, exit,
                    again ? "asked to be retried" : ""};
       }
       // Told to stop, it went with an error instead of saving: not its own answer.
-      if (grace_until_ && end_->why == wire::Why::done && exit != 0)
-        end_ = End{wire::Why::stopped, exit, "it ended instead of saving"};
+      if (grace_until_ && end_->why == wire::ExitReason::done && exit != 0)
+        end_ = End{wire::ExitReason::stopped, exit, "it ended instead of saving"};
     }
   }
 
@@ -333,7 +333,7 @@
   }
 
   fs::path dir_;
-  LeasePage page_;
+  LeaseFile lease_file_;
   Order order_;
   Fd signals_, timer_, saves_;
   bool saves_open_ = true;
@@ -359,17 +359,17 @@
   return highest;
 }
 
-int shepherd(const fs::path& dir, const fs::path& page) {
+int run_task_supervisor(const fs::path& dir, const fs::path& page) {
   auto lock = try_lock(dir / "lock");
   // Another one has this attempt, or the agent is giving it up.
   if (!lock) return 3;
   if (!fs::exists(dir / "order.json") || fs::exists(dir / "end.json")) return 4;
   try {
-    return Shepherd(dir, page).run();
+    return TaskSupervisor(dir, page).run();
   } catch (const std::exception& e) {
     std::fprintf(stderr, "%s\n", e.what());
     return 5;
   }
 }
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/agent/task_supervisor.h
+++ b/src/agent/task_supervisor.h
@@ -21,7 +21,7 @@
 
 #include "wire/types.h"
 
-namespace shunt::agent {
+namespace shunttrail::agent {
 
 struct Order {
   static constexpr int kFormat = 1;
@@ -46,7 +46,7 @@
 
 struct End {
   static constexpr int kFormat = 1;
-  wire::Why why = wire::Why::error;  // done, stopped or error
+  wire::ExitReason why = wire::ExitReason::error;  // done, stopped or error
   int exit = 0;
   std::string reason;
   std::uint64_t kept = 0;  // the highest kept-N; 0: none
@@ -60,6 +60,6 @@
 std::uint64_t highest_kept(const std::filesystem::path& dir);
 
 // The whole life of a shepherd process for this directory; its exit status.
-int shepherd(const std::filesystem::path& dir, const std::filesystem::path& lease_page);
+int run_task_supervisor(const std::filesystem::path& dir, const std::filesystem::path& lease_page);
 
-}  // namespace shunt::agent
+}  // namespace shunttrail::agent
--- a/src/artifacts/archive.cpp
+++ b/src/artifacts/archive.cpp
@@ -10,7 +10,7 @@
 #include <fstream>
 #include <vector>
 
-namespace shunt::depot {
+namespace shunttrail::artifacts {
 namespace fs = std::filesystem;
 namespace {
 
@@ -168,4 +168,4 @@
   return false;
 }
 
-}  // namespace shunt::depot
+}  // namespace shunttrail::depot
--- a/src/artifacts/archive.h
+++ b/src/artifacts/archive.h
@@ -10,7 +10,7 @@
 #include <stdexcept>
 #include <string>
 
-namespace shunt::depot {
+namespace shunttrail::artifacts {
 
 // Says in one line what is wrong, naming the entry.
 struct BadArchive : std::runtime_error {
@@ -39,4 +39,4 @@
   std::unique_ptr<State> s_;
 };
 
-}  // namespace shunt::depot
+}  // namespace shunttrail::depot
--- a/src/artifacts/client.cpp
+++ b/src/artifacts/client.cpp
@@ -7,7 +7,7 @@
 
 #include "artifacts/server.h"
 
-namespace shunt::depot {
+namespace shunttrail::artifacts {
 namespace fs = std::filesystem;
 namespace {
 constexpr double kTimeout = 10;
@@ -142,4 +142,4 @@
                 });
 }
 
-}  // namespace shunt::depot
+}  // namespace shunttrail::depot
--- a/src/artifacts/client.h
+++ b/src/artifacts/client.h
@@ -9,7 +9,7 @@
 #include "artifacts/store.h"
 #include "net/http.h"
 
-namespace shunt::depot {
+namespace shunttrail::artifacts {
 
 enum class Outcome {
   ok,
@@ -41,4 +41,4 @@
   net::Client http_;
 };
 
-}  // namespace shunt::depot
+}  // namespace shunttrail::depot
--- a/src/artifacts/server.h
+++ b/src/artifacts/server.h
@@ -13,7 +13,7 @@
 #include "artifacts/store.h"
 #include "net/http.h"
 
-namespace shunt::depot {
+namespace shunttrail::artifacts {
 
 inline constexpr std::size_t kPart = 1024 * 1024;
 
@@ -31,4 +31,4 @@
   net::Server http_;
 };
 
-}  // namespace shunt::depot
+}  // namespace shunttrail::depot
--- a/src/artifacts/store.cpp
+++ b/src/artifacts/store.cpp
@@ -11,7 +11,7 @@
 #include <sstream>
 #include <system_error>
 
-namespace shunt::depot {
+namespace shunttrail::artifacts {
 namespace fs = std::filesystem;
 namespace {
 
@@ -236,4 +236,4 @@
   return n;
 }
 
-}  // namespace shunt::depot
+}  // namespace shunttrail::depot
--- a/src/artifacts/store.h
+++ b/src/artifacts/store.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <string_view>
 
-namespace shunt::depot {
+namespace shunttrail::artifacts {
 
 struct BadRequest : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -78,4 +78,4 @@
 std::string encode_named(const Store::Named& n);
 std::optional<Store::Named> decode_named(std::string_view text);
 
-}  // namespace shunt::depot
+}  // namespace shunttrail::depot
--- a/src/chain/bandit.cpp
+++ b/src/chain/bandit.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace shunt::chain {
+namespace shunttrail::chain {
 
 std::uint8_t size_bucket(double share) {
   if (share <= 0.125) return 0;
@@ -63,4 +63,4 @@
     k_ = std::min(std::max(k_, boot_s) * lambda_, cap_boots_ * boot_s);
 }
 
-}  // namespace shunt::chain
+}  // namespace shunttrail::chain
--- a/src/chain/bandit.h
+++ b/src/chain/bandit.h
@@ -7,7 +7,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace shunt::chain {
+namespace shunttrail::chain {
 
 using Rng = std::mt19937_64;
 
@@ -16,12 +16,12 @@
 
 // What a learner sees, packed into buckets.
 struct Context {
-  std::uint16_t cls = 0;     // dense index of the job's class
+  std::uint16_t job_class = 0;     // dense index of the job's class
   std::uint8_t size = 0;     // bucket of the share of a machine that the task takes
   std::uint8_t waiting = 0;  // 0: room now; else bucket of the waiting count
   bool warm = false;         // the machine has, or is fetching, the image
   std::uint64_t key() const {
-    return std::uint64_t{cls} << 24 | std::uint64_t{size} << 16 | std::uint64_t{waiting} << 8 |
+    return std::uint64_t{job_class} << 24 | std::uint64_t{size} << 16 | std::uint64_t{waiting} << 8 |
            (warm ? 1 : 0);
   }
 };
@@ -63,4 +63,4 @@
   double k_, lambda_, cap_boots_;
 };
 
-}  // namespace shunt::chain
+}  // namespace shunttrail::chain
--- a/src/chain/walk.cpp
+++ b/src/chain/walk.cpp
@@ -3,11 +3,11 @@
 #include <algorithm>
 #include <tuple>
 
-namespace shunt::chain {
+namespace shunttrail::chain {
 
 Outcome walk(const std::vector<Tier>& tiers, Rng& rng) {
   Outcome out;
-  const Seat* fallback = nullptr;
+  const Candidate* fallback = nullptr;
   int fallback_tier = 0;
   std::size_t fallback_step = 0;
   std::vector<std::pair<std::tuple<Bandit*, std::uint64_t, std::array<bool, kArms>>, Arm>> drawn;
@@ -15,9 +15,9 @@
     const Tier& tier = tiers[t];
     bool down_there = t + 1 < tiers.size();
     bool went_down = false;
-    for (std::size_t i = 0; i < tier.seats.size(); ++i) {
-      const Seat& s = tier.seats[i];
-      bool last = i + 1 == tier.seats.size();
+    for (std::size_t i = 0; i < tier.candidates.size(); ++i) {
+      const Candidate& s = tier.candidates[i];
+      bool last = i + 1 == tier.candidates.size();
       std::array<bool, kArms> allowed{s.may_accept, !s.empty, down_there};
       // Past the last machine there must be something to pass to.
       if (last && tier.end.kind == TierEnd::none) allowed[1] = false;
@@ -30,12 +30,12 @@
       if (s.may_accept && !fallback) {
         fallback = &s;
         fallback_tier = tier.id;
-        fallback_step = out.trail.size();
+        fallback_step = out.steps.size();
       }
       // A decision drawn once is recorded once.
       if (known == drawn.end()) {
         drawn.emplace_back(key, a);
-        out.trail.push_back({s.learner, s.context, a});
+        out.steps.push_back({s.learner, s.context, a});
       }
       if (a == Arm::accept) {
         out.kind = Outcome::accepted;
@@ -59,8 +59,8 @@
   // Every arm led to an end where nothing can be rented: the first machine that could have
   // accepted takes the task, so that a walk still ends at an Accept (paper 3.1).
   if (fallback) {
-    out.trail.resize(fallback_step);
-    out.trail.push_back({fallback->learner, fallback->context, Arm::accept});
+    out.steps.resize(fallback_step);
+    out.steps.push_back({fallback->learner, fallback->context, Arm::accept});
     out.kind = Outcome::accepted;
     out.tier = fallback_tier;
     out.machine = fallback->machine;
@@ -68,4 +68,4 @@
   return out;
 }
 
-}  // namespace shunt::chain
+}  // namespace shunttrail::chain
--- a/src/chain/walk.h
+++ b/src/chain/walk.h
@@ -4,7 +4,7 @@
 
 #include "chain/bandit.h"
 
-namespace shunt::chain {
+namespace shunttrail::chain {
 
 // One decision on the way: what to record the finish cost against.
 struct Step {
@@ -13,7 +13,7 @@
   Arm arm = Arm::accept;
 };
 
-struct Seat {
+struct Candidate {
   int machine = 0;  // the caller's own number
   Bandit* learner = nullptr;
   Context context;
@@ -26,17 +26,17 @@
 class Kinds {
  public:
   // False: one of its kind was there before.
-  bool add(const Seat& s) {
+  bool add(const Candidate& s) {
     const std::uint64_t bit = bits(s, s.context.warm);
     const bool fresh = !(seen_ & bit);
     seen_ |= bit;
     return fresh;
   }
   // Its kind was there, be it warm or cold.
-  bool both(const Seat& s) const { return (seen_ & bits(s, true)) && (seen_ & bits(s, false)); }
+  bool both(const Candidate& s) const { return (seen_ & bits(s, true)) && (seen_ & bits(s, false)); }
 
  private:
-  static std::uint64_t bits(const Seat& s, bool warm) {
+  static std::uint64_t bits(const Candidate& s, bool warm) {
     return std::uint64_t{1} << (s.context.waiting % 8 * 8 + (warm ? 4 : 0) +
                                 (s.may_accept ? 2 : 0) + (s.empty ? 1 : 0));
   }
@@ -51,7 +51,7 @@
 
 struct Tier {
   int id = 0;
-  std::vector<Seat> seats;
+  std::vector<Candidate> candidates;
   TierEnd end;
 };
 
@@ -59,11 +59,11 @@
   enum Kind { stalled, accepted, joined, rented } kind = stalled;
   int tier = 0;
   int machine = 0;
-  std::vector<Step> trail;
+  std::vector<Step> steps;
 };
 
 // Each learner resamples its costs once a walk and context: machines that share a learner and a
 // context cannot differ, and a tier may have hundreds of them.
 Outcome walk(const std::vector<Tier>& tiers, Rng& rng);
 
-}  // namespace shunt::chain
+}  // namespace shunttrail::chain
--- a/src/chaos/attempts.cpp
+++ b/src/chaos/attempts.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <sstream>
 
-namespace shunt::checker {
+namespace shunttrail::chaos {
 namespace {
 std::string label(const std::string& job, std::uint32_t task) {
   return job + "/" + std::to_string(task);
@@ -78,4 +78,4 @@
   return last;
 }
 
-}  // namespace shunt::checker
+}  // namespace shunttrail::checker
--- a/src/chaos/attempts.h
+++ b/src/chaos/attempts.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-namespace shunt::checker {
+namespace shunttrail::chaos {
 
 class Attempts {
  public:
@@ -39,4 +39,4 @@
   std::uint64_t begins_ = 0, ends_ = 0;
 };
 
-}  // namespace shunt::checker
+}  // namespace shunttrail::checker
--- a/src/chaos/chaos_run.cpp
+++ b/src/chaos/chaos_run.cpp
@@ -17,25 +17,25 @@
 #include "cli/service_client.h"
 #include "artifacts/store.h"
 
-namespace shunt::checker {
+namespace shunttrail::chaos {
 namespace fs = std::filesystem;
 namespace {
 
 std::string command_of(pid_t pid) {
-  std::string s = depot::read_whole("/proc/" + std::to_string(pid) + "/cmdline");
+  std::string s = artifacts::read_whole("/proc/" + std::to_string(pid) + "/cmdline");
   std::replace(s.begin(), s.end(), '\0', ' ');
   return s;
 }
 
 double resident_mb(pid_t pid) {
-  std::istringstream in(depot::read_whole("/proc/" + std::to_string(pid) + "/statm"));
+  std::istringstream in(artifacts::read_whole("/proc/" + std::to_string(pid) + "/statm"));
   double pages = 0, resident = 0;
   in >> pages >> resident;
   return resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1e6;
 }
 
 double cpu_s(pid_t pid) {
-  std::string s = depot::read_whole("/proc/" + std::to_string(pid) + "/stat");
+  std::string s = artifacts::read_whole("/proc/" + std::to_string(pid) + "/stat");
   auto close = s.rfind(')');
   if (close == std::string::npos) return 0;
   std::istringstream in(s.substr(close + 2));
@@ -47,9 +47,9 @@
 }
 
 // The set as a process, and who is who below it.
-class Set {
+class ClusterUnderTest {
  public:
-  Set(const Plan& p) : plan_(p) {
+  ClusterUnderTest(const ChaosPlan& p) : plan_(p) {
     fs::create_directories(p.dir);
     std::ofstream(p.dir / "set.xml")
         << "<shunt-local><zones><zone>a</zone><zone>b</zone></zones><teams><team name='t' cpus='"
@@ -77,7 +77,7 @@
     if (!line.starts_with("ready ")) throw std::runtime_error("the set does not start: " + line);
     url_ = line.substr(6);
   }
-  ~Set() { end(); }
+  ~ClusterUnderTest() { end(); }
 
   void end() {
     if (pid_ <= 0) return;
@@ -95,13 +95,13 @@
     }
     return out;
   }
-  std::vector<pid_t> shepherds() const {
+  std::vector<pid_t> supervisors() const {
     std::vector<pid_t> out;
     std::error_code gone;
     for (const auto& m : fs::directory_iterator(plan_.dir / "set" / "machines", gone))
       for (const auto& t : fs::directory_iterator(m.path() / "tasks", gone)) {
         auto j =
-            nlohmann::json::parse(depot::read_whole(t.path() / "shepherd.json"), nullptr, false);
+            nlohmann::json::parse(artifacts::read_whole(t.path() / "shepherd.json"), nullptr, false);
         if (!j.is_object() || fs::exists(t.path() / "end.json", gone)) continue;
         agent::Identity id{j.value("pid", 0), j.value("start", std::uint64_t{0}),
                            j.value("boot", "")};
@@ -111,27 +111,27 @@
   }
 
  private:
-  const Plan& plan_;
+  const ChaosPlan& plan_;
   pid_t pid_ = 0;
   std::string url_;
 };
 
 }  // namespace
 
-Outcome run(const Plan& p) {
+ChaosResult run(const ChaosPlan& p) {
   std::mt19937 rng(p.seed);
   auto draw = [&](double a, double b) { return std::uniform_real_distribution<>(a, b)(rng); };
-  Outcome out;
-  Set set(p);
-  ctl::Service service(set.url());
+  ChaosResult out;
+  ClusterUnderTest set(p);
+  cli::ServiceClient service(set.url());
   const std::string log = p.dir / "log", locks = p.dir / "locks";
   fs::create_directories(locks);
   std::map<std::string, std::uint32_t> expected;
   double began = actor::steady_now(), next_kill = began + 1, next_look = began;
   while (out.tasks < p.tasks) {
-    far::Description d;
-    d.job.id = ctl::fresh_id();
-    d.job.cls = "trial";
+    client_protocol::JobDescription d;
+    d.job.id = cli::fresh_id();
+    d.job.job_class = "trial";
     d.job.team = "t";
     d.job.image = "none";
     d.job.spot = true;
@@ -158,7 +158,7 @@
       next_kill = now + p.kill_every_s * draw(0.5, 1.5);
       double kind = draw(0, 1);
       auto [from, count] = kind < 0.5   ? std::pair(set.of("shunttrail-agent"), &out.agents_killed)
-                           : kind < 0.8 ? std::pair(set.shepherds(), &out.shepherds_killed)
+                           : kind < 0.8 ? std::pair(set.supervisors(), &out.supervisors_killed)
                                         : std::pair(set.of("shunttrail-controller"), &out.controllers_killed);
       if (!from.empty()) {
         ::kill(from[rng() % from.size()], SIGKILL);
@@ -173,7 +173,7 @@
         used[a] = c;
         out.agent_mb = std::max(out.agent_mb, resident_mb(a));
       }
-      for (pid_t s : set.shepherds()) out.shepherd_mb = std::max(out.shepherd_mb, resident_mb(s));
+      for (pid_t s : set.supervisors()) out.supervisor_mb = std::max(out.supervisor_mb, resident_mb(s));
     }
     for (const auto& [id, n] : expected) {
       if (seen.contains(id)) continue;
@@ -216,23 +216,23 @@
   return out;
 }
 
-std::string to_json(const Outcome& o) {
+std::string to_json(const ChaosResult& o) {
   return nlohmann::json{{"faults", o.faults},
                         {"jobs", o.jobs},
                         {"tasks", o.tasks},
                         {"begins", o.begins},
                         {"ends", o.ends},
                         {"agents_killed", o.agents_killed},
-                        {"shepherds_killed", o.shepherds_killed},
+                        {"shepherds_killed", o.supervisors_killed},
                         {"controllers_killed", o.controllers_killed},
                         {"took_s", o.took_s},
                         {"seen_p50_s", o.seen_p50_s},
                         {"seen_p99_s", o.seen_p99_s},
                         {"agent_cpu_s_per_100_tasks", o.agent_cpu_s * 100 / o.tasks},
                         {"agent_mb", o.agent_mb},
-                        {"shepherd_mb", o.shepherd_mb},
+                        {"shepherd_mb", o.supervisor_mb},
                         {"left_behind", o.left_behind}}
       .dump(1);
 }
 
-}  // namespace shunt::checker
+}  // namespace shunttrail::checker
--- a/src/chaos/chaos_run.h
+++ b/src/chaos/chaos_run.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-namespace shunt::checker {
+namespace shunttrail::chaos {
 
-struct Plan {
+struct ChaosPlan {
   std::filesystem::path dir, programs;  // an empty directory; where shunt-local and the others are
   std::uint32_t tasks = 2000, machines = 20;
   double kill_every_s = 0.5;  // 0: nothing is killed
@@ -16,19 +16,19 @@
   std::uint32_t seed = 1;
 };
 
-struct Outcome {
+struct ChaosResult {
   std::vector<std::string> faults;
   std::uint32_t jobs = 0, tasks = 0;
   std::uint64_t begins = 0, ends = 0;
-  std::uint64_t agents_killed = 0, shepherds_killed = 0, controllers_killed = 0;
+  std::uint64_t agents_killed = 0, supervisors_killed = 0, controllers_killed = 0;
   double took_s = 0;
   double seen_p50_s = 0, seen_p99_s = 0;  // from a job's last end to `done` seen by its user
   double agent_cpu_s = 0;                 // of all agents
-  double agent_mb = 0, shepherd_mb = 0;   // the largest resident set seen
+  double agent_mb = 0, supervisor_mb = 0;   // the largest resident set seen
   std::uint64_t left_behind = 0;          // processes after the set has ended
 };
 
-Outcome run(const Plan& p);
-std::string to_json(const Outcome& o);
+ChaosResult run(const ChaosPlan& p);
+std::string to_json(const ChaosResult& o);
 
-}  // namespace shunt::checker
+}  // namespace shunttrail::checker
--- a/src/cli/service_client.cpp
+++ b/src/cli/service_client.cpp
@@ -7,7 +7,7 @@
 
 #include "config/xml.h"
 
-namespace shunt::ctl {
+namespace shunttrail::cli {
 namespace {
 
 constexpr double kWithin = 5;      // PROTOCOL: no response within 5 s
@@ -19,8 +19,8 @@
   while (!url.empty() && url.back() == '/') url.pop_back();
   try {
     return config::parse_endpoint(url, "--server");
-  } catch (const config::BadSettings& e) {
-    throw Failed(e.what());
+  } catch (const config::SettingsError& e) {
+    throw RequestFailed(e.what());
   }
 }
 
@@ -37,11 +37,11 @@
 
 }  // namespace
 
-Service::Service(const std::string& url)
-    : at_(endpoint(url)), http_(loop_, at_, 1, 4), depot_(loop_, at_) {}
+ServiceClient::ServiceClient(const std::string& url)
+    : at_(endpoint(url)), http_(loop_, at_, 1, 4), artifacts_(loop_, at_) {}
 
 template <class... A, class Call, class Then>
-void Service::wait(Call call, Then then) {
+void ServiceClient::wait(Call call, Then then) {
   bool over = false;
   call([&](A... a) {
     then(std::move(a)...);
@@ -51,17 +51,17 @@
   while (!over) loop_.run();
 }
 
-depot::Outcome Service::ask(const std::function<depot::Outcome()>& once) {
+artifacts::Outcome ServiceClient::ask(const std::function<artifacts::Outcome()>& once) {
   double until = actor::steady_now() + kInsistFor;
   while (true) {
-    depot::Outcome o = once();
-    if (o != depot::Outcome::later) return o;
-    if (actor::steady_now() > until) throw Failed("gave up: the depot does not answer");
+    artifacts::Outcome o = once();
+    if (o != artifacts::Outcome::later) return o;
+    if (actor::steady_now() > until) throw RequestFailed("gave up: the depot does not answer");
     sleep(1);
   }
 }
 
-net::Result Service::once(const char* method, const std::string& path, const std::string& body) {
+net::Result ServiceClient::once(const char* method, const std::string& path, const std::string& body) {
   net::Result out;
   wait<net::Result>(
       [&](std::function<void(net::Result)> done) {
@@ -71,7 +71,7 @@
   return out;
 }
 
-void Service::sleep(double seconds) {
+void ServiceClient::sleep(double seconds) {
   bool over = false;
   actor::Timer t(loop_, [&] {
     over = true;
@@ -81,107 +81,107 @@
   while (!over) loop_.run();
 }
 
-net::Result Service::insist(const char* method, const std::string& path, const std::string& body) {
+net::Result ServiceClient::insist(const char* method, const std::string& path, const std::string& body) {
   double until = actor::steady_now() + kInsistFor;
   while (true) {
     net::Result r = once(method, path, body);
     if (is_final(r.status)) return r;
     double pause = std::clamp(r.retry_after_s, 1.0, 30.0);
-    if (actor::steady_now() + pause > until) throw Failed("gave up: " + reason(r));
+    if (actor::steady_now() + pause > until) throw RequestFailed("gave up: " + reason(r));
     sleep(pause);
   }
 }
 
-far::JobAnswer Service::submit(const far::Description& d) {
-  const std::string text = far::encode_description(d);
-  depot::Outcome outcome = ask([&] {
-    depot::Outcome got = depot::Outcome::later;
-    wait<depot::Outcome, depot::Store::Named>(
-        [&](auto done) { depot_.put_name(far::description_name(d.job.id), {text}, done); },
-        [&](depot::Outcome o, depot::Store::Named) { got = o; });
+client_protocol::JobAnswer ServiceClient::submit(const client_protocol::JobDescription& d) {
+  const std::string text = client_protocol::encode_description(d);
+  artifacts::Outcome outcome = ask([&] {
+    artifacts::Outcome got = artifacts::Outcome::later;
+    wait<artifacts::Outcome, artifacts::Store::Named>(
+        [&](auto done) { artifacts_.put_name(client_protocol::description_name(d.job.id), {text}, done); },
+        [&](artifacts::Outcome o, artifacts::Store::Named) { got = o; });
     return got;
   });
-  if (outcome != depot::Outcome::ok)
-    throw Failed(d.job.id + ": the depot has another job of this id");
+  if (outcome != artifacts::Outcome::ok)
+    throw RequestFailed(d.job.id + ": the depot has another job of this id");
   net::Result r = insist("POST", "/v2/runs", wire::encode_job(d.job));
-  if (r.status != 200 && r.status != 201) throw Failed("refused: " + reason(r));
-  return far::decode_job_state(r.body);
+  if (r.status != 200 && r.status != 201) throw RequestFailed("refused: " + reason(r));
+  return client_protocol::decode_job_state(r.body);
 }
 
-std::optional<far::JobAnswer> Service::status(const std::string& id) {
+std::optional<client_protocol::JobAnswer> ServiceClient::status(const std::string& id) {
   net::Result r = get("/v2/runs/" + id);
   if (r.status == 404) return std::nullopt;
-  return far::decode_job_state(r.body);
+  return client_protocol::decode_job_state(r.body);
 }
 
-net::Result Service::get(const std::string& path) {
+net::Result ServiceClient::get(const std::string& path) {
   net::Result r = insist("GET", path, "");
-  if (r.status != 200 && r.status != 404) throw Failed("refused: " + reason(r));
+  if (r.status != 200 && r.status != 404) throw RequestFailed("refused: " + reason(r));
   return r;
 }
 
-net::Result Service::order(const std::string& path, const std::string& body) {
+net::Result ServiceClient::order(const std::string& path, const std::string& body) {
   net::Result r = insist("POST", path, body);
-  if (r.status != 200) throw Failed("refused: " + reason(r));
+  if (r.status != 200) throw RequestFailed("refused: " + reason(r));
   return r;
 }
 
-far::JobAnswer Service::withdraw(const std::string& id) {
+client_protocol::JobAnswer ServiceClient::withdraw(const std::string& id) {
   net::Result r = insist("POST", "/v2/runs/" + id + "/withdraw", "{}");
-  if (r.status != 200) throw Failed("refused: " + reason(r));
-  return far::decode_job_state(r.body);
+  if (r.status != 200) throw RequestFailed("refused: " + reason(r));
+  return client_protocol::decode_job_state(r.body);
 }
 
-bool Service::up() { return once("GET", "/up", "").status == 200; }
+bool ServiceClient::up() { return once("GET", "/up", "").status == 200; }
 
-std::optional<depot::Store::Named> Service::named(const std::string& name) {
-  depot::Store::Named out;
-  depot::Outcome outcome = ask([&] {
-    depot::Outcome got = depot::Outcome::later;
-    wait<depot::Outcome, depot::Store::Named>([&](auto done) { depot_.get_name(name, done); },
-                                              [&](depot::Outcome o, depot::Store::Named n) {
+std::optional<artifacts::Store::Named> ServiceClient::named(const std::string& name) {
+  artifacts::Store::Named out;
+  artifacts::Outcome outcome = ask([&] {
+    artifacts::Outcome got = artifacts::Outcome::later;
+    wait<artifacts::Outcome, artifacts::Store::Named>([&](auto done) { artifacts_.get_name(name, done); },
+                                              [&](artifacts::Outcome o, artifacts::Store::Named n) {
                                                 got = o;
                                                 out = std::move(n);
                                               });
     return got;
   });
-  if (outcome == depot::Outcome::refused) throw Failed(name + ": refused by the depot");
-  if (outcome == depot::Outcome::absent) return std::nullopt;
+  if (outcome == artifacts::Outcome::refused) throw RequestFailed(name + ": refused by the depot");
+  if (outcome == artifacts::Outcome::absent) return std::nullopt;
   return out;
 }
 
-std::optional<far::Description> Service::description(const std::string& id) {
-  auto n = named(far::description_name(id));
+std::optional<client_protocol::JobDescription> ServiceClient::description(const std::string& id) {
+  auto n = named(client_protocol::description_name(id));
   if (!n) return std::nullopt;
-  return far::decode_description(n->value);
+  return client_protocol::decode_description(n->value);
 }
-std::optional<far::TaskResult> Service::result(const wire::TaskId& t) {
-  auto n = named(far::result_name(t));
+std::optional<client_protocol::TaskResult> ServiceClient::result(const wire::TaskId& t) {
+  auto n = named(client_protocol::result_name(t));
   if (!n) return std::nullopt;
-  return far::decode_result(n->value);
+  return client_protocol::decode_result(n->value);
 }
 
-bool Service::fetch(const std::string& hash, const std::string& file) {
+bool ServiceClient::fetch(const std::string& hash, const std::string& file) {
   return ask([&] {
-           depot::Outcome got = depot::Outcome::later;
-           wait<depot::Outcome>([&](auto done) { depot_.get_file(hash, file, done); },
-                                [&](depot::Outcome o) { got = o; });
+           artifacts::Outcome got = artifacts::Outcome::later;
+           wait<artifacts::Outcome>([&](auto done) { artifacts_.get_file(hash, file, done); },
+                                [&](artifacts::Outcome o) { got = o; });
            return got;
-         }) == depot::Outcome::ok;
+         }) == artifacts::Outcome::ok;
 }
 
-std::string Service::upload(const std::string& file) {
+std::string ServiceClient::upload(const std::string& file) {
   std::string hash;
-  depot::Outcome outcome = ask([&] {
-    depot::Outcome got = depot::Outcome::later;
-    wait<depot::Outcome, std::string>([&](auto done) { depot_.put_file(file, done); },
-                                      [&](depot::Outcome o, std::string h) {
+  artifacts::Outcome outcome = ask([&] {
+    artifacts::Outcome got = artifacts::Outcome::later;
+    wait<artifacts::Outcome, std::string>([&](auto done) { artifacts_.put_file(file, done); },
+                                      [&](artifacts::Outcome o, std::string h) {
                                         got = o;
                                         hash = std::move(h);
                                       });
     return got;
   });
-  if (outcome != depot::Outcome::ok) throw Failed(file + ": cannot be read");
+  if (outcome != artifacts::Outcome::ok) throw RequestFailed(file + ": cannot be read");
   return hash;
 }
 
@@ -194,4 +194,4 @@
   return id;
 }
 
-}  // namespace shunt::ctl
+}  // namespace shunttrail::ctl
--- a/src/cli/service_client.h
+++ b/src/cli/service_client.h
@@ -12,30 +12,30 @@
 #include "client_protocol/client_protocol.h"
 #include "net/http.h"
 
-namespace shunt::ctl {
+namespace shunttrail::cli {
 
 // The service refused, or did not answer within its time. One line.
-struct Failed : std::runtime_error {
+struct RequestFailed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-class Service {
+class ServiceClient {
  public:
   // "http://HOST:PORT" or "HOST:PORT"; throws Failed for anything else.
-  explicit Service(const std::string& url);
+  explicit ServiceClient(const std::string& url);
 
   // Puts the description into the depot, then submits; the same id until one answer is final.
   // Returns the job's state.
-  far::JobAnswer submit(const far::Description& d);
-  std::optional<far::JobAnswer> status(const std::string& id);  // nothing: no such job
-  far::JobAnswer withdraw(const std::string& id);
+  client_protocol::JobAnswer submit(const client_protocol::JobDescription& d);
+  std::optional<client_protocol::JobAnswer> status(const std::string& id);  // nothing: no such job
+  client_protocol::JobAnswer withdraw(const std::string& id);
   net::Result get(const std::string& path);  // any path of the service, retried as a poll
   // An operator's order, repeated until its answer is final; throws Failed where it is refused.
   net::Result order(const std::string& path, const std::string& body);
   bool up();
 
-  std::optional<far::Description> description(const std::string& id);
-  std::optional<far::TaskResult> result(const wire::TaskId& t);
+  std::optional<client_protocol::JobDescription> description(const std::string& id);
+  std::optional<client_protocol::TaskResult> result(const wire::TaskId& t);
   // A blob into a file; false: it is not there or damaged.
   bool fetch(const std::string& hash, const std::string& file);
   std::string upload(const std::string& file);  // its hash
@@ -50,16 +50,16 @@
   template <class... A, class Call, class Then>
   void wait(Call call, Then then);
   // Asks the depot again for up to a minute, as long as it answers `later`.
-  depot::Outcome ask(const std::function<depot::Outcome()>& once);
-  std::optional<depot::Store::Named> named(const std::string& name);
+  artifacts::Outcome ask(const std::function<artifacts::Outcome()>& once);
+  std::optional<artifacts::Store::Named> named(const std::string& name);
 
   actor::Loop loop_;
   config::Endpoint at_;
   net::Client http_;
-  depot::Client depot_;
+  artifacts::Client artifacts_;
 };
 
 // A job id that nobody else makes: the time and chance.
 std::string fresh_id();
 
-}  // namespace shunt::ctl
+}  // namespace shunttrail::ctl
--- a/src/client_protocol/client_protocol.cpp
+++ b/src/client_protocol/client_protocol.cpp
@@ -2,22 +2,22 @@
 
 #include "wire/fields.h"
 
-namespace shunt::far {
+namespace shunttrail::client_protocol {
 
 using namespace wire;
 
 namespace {
-const char* why_name(Why w) {
+const char* why_name(ExitReason w) {
   switch (w) {
-    case Why::done:
+    case ExitReason::done:
       return "done";
-    case Why::stopped:
+    case ExitReason::stopped:
       return "stopped";
-    case Why::no_room:
+    case ExitReason::no_room:
       return "full";
-    case Why::busy:
+    case ExitReason::busy:
       return "in_use";
-    case Why::unknown:
+    case ExitReason::unknown:
       return "unknown";
     default:
       return "error";
@@ -33,7 +33,7 @@
     c.op = Command::Op::stop;
     if (const json* g = find(j, "brake_s")) c.grace_s = as_number(*g, "brake_s", 0);
   } else if (op == "reap") {
-    c.op = Command::Op::forget;
+    c.op = Command::Op::acknowledge;
   } else {
     throw Malformed("order " + op + " is unknown");
   }
@@ -43,29 +43,29 @@
 }
 }  // namespace
 
-std::string encode_report(const Report& r) {
+std::string encode_heartbeat(const Heartbeat& r) {
   json cars = json::array();
-  for (const TaskReport& t : r.tasks) {
+  for (const TaskStatus& t : r.tasks) {
     json c = {{"car", task_name(t.task)},
               {"departure", t.attempt},
-              {"signal", kRunNames[static_cast<int>(t.state)]}};
-    if (t.state == RunState::exited) {
-      c["stop_cause"] = why_name(t.why);
-      if (t.why == Why::stopped) c["kept"] = t.kept;
+              {"signal", kTaskStateNames[static_cast<int>(t.state)]}};
+    if (t.state == TaskState::exited) {
+      c["stop_cause"] = why_name(t.exit_reason);
+      if (t.exit_reason == ExitReason::stopped) c["kept"] = t.checkpointed;
     }
     cars.push_back(std::move(c));
   }
   json j = {{"engine", r.machine},    {"address", r.addr},        {"stock", r.type},
-            {"yard", r.zone},         {"borrowed_stock", r.spot}, {"shift", r.session},
-            {"waybill", r.seq},       {"staff", r.token},         {"recall_s", nullptr},
+            {"yard", r.zone},         {"borrowed_stock", r.spot}, {"shift", r.incarnation},
+            {"waybill", r.sequence},       {"staff", r.token},         {"recall_s", nullptr},
             {"cars", std::move(cars)}};
   if (r.notice_s) j["recall_s"] = *r.notice_s;
   return j.dump();
 }
 
-Orders decode_orders(std::string_view body) {
+HeartbeatResponse decode_heartbeat_response(std::string_view body) {
   return guarded(body, [](const json& j) {
-    Orders o;
+    HeartbeatResponse o;
     if (const json* v = find(j, "staff")) o.token = as_whole(*v, "staff");
     if (const json* v = find(j, "shift")) o.session = as_whole(*v, "shift");
     if (const json* v = find(j, "orders")) {
@@ -150,7 +150,7 @@
   return names;
 }
 
-Txn decode_txn(std::string_view body) {
+Transaction decode_transaction(std::string_view body) {
   return guarded(body, [](const json& j) {
     auto key = [](const json& v, const char* name) {
       std::string k = as_text(v, name);
@@ -158,15 +158,15 @@
         throw Malformed(std::string(name) + " is not a key");
       return k;
     };
-    Txn t;
+    Transaction t;
     if (const json* v = find(j, "guards")) {
       if (!v->is_array()) throw Malformed("guards is not a list");
-      for (const json& g : *v) t.guards.emplace_back(key(need(g, "k"), "k"), whole(g, "stamp"));
+      for (const json& g : *v) t.preconditions.emplace_back(key(need(g, "k"), "k"), whole(g, "stamp"));
     }
     if (const json* v = find(j, "writes")) {
       if (!v->is_array()) throw Malformed("writes is not a list");
       for (const json& w : *v) {
-        Txn::Op op;
+        Transaction::Op op;
         if (const json* k = find(w, "set")) {
           op.key = key(*k, "set");
           auto value = w.find("value");
@@ -203,7 +203,7 @@
     if (i) s += ',';
     s += e.value ? "{\"set\":" + json(e.key).dump() + ",\"value\":" + *e.value
                  : "{\"drop\":" + json(e.key).dump();
-    s += ",\"stamp\":" + std::to_string(e.stamp) + "}";
+    s += ",\"stamp\":" + std::to_string(e.mod_revision) + "}";
   }
   return s + "]}";
 }
@@ -223,4 +223,4 @@
 std::string encode_revision(std::uint64_t revision) { return json{{"ledger", revision}}.dump(); }
 std::string encode_lease(std::uint64_t lease) { return json{{"block", lease}}.dump(); }
 
-}  // namespace shunt::far
+}  // namespace shunttrail::far
--- a/src/client_protocol/client_protocol.h
+++ b/src/client_protocol/client_protocol.h
@@ -11,11 +11,11 @@
 
 #include "wire/codec.h"
 
-namespace shunt::far {
+namespace shunttrail::client_protocol {
 
 // Workers
-std::string encode_report(const wire::Report& r);
-struct Orders {
+std::string encode_heartbeat(const wire::Heartbeat& r);
+struct HeartbeatResponse {
   std::optional<std::uint64_t> token;
   std::optional<std::uint64_t> session;  // of direct orders alone
   std::vector<wire::Command> commands;   // in order
@@ -23,7 +23,7 @@
 };
 // The envelope must be whole; an entry that makes no sense is refused by itself and the others
 // are taken, since none of them may depend on what this version has no word for.
-Orders decode_orders(std::string_view body);
+HeartbeatResponse decode_heartbeat_response(std::string_view body);
 std::string redirect_of(std::string_view body);  // the node named by a 421, or nothing
 
 // Users
@@ -47,7 +47,7 @@
 std::vector<std::string> decode_delete(std::string_view body);
 
 // State service
-wire::Txn decode_txn(std::string_view body);
+wire::Transaction decode_transaction(std::string_view body);
 std::uint64_t decode_life_ms(std::string_view body);
 // `value` is JSON text already.
 std::string encode_entry(const std::string& key, const std::string& value, std::uint64_t stamp,
@@ -58,4 +58,4 @@
 std::string encode_revision(std::uint64_t revision);
 std::string encode_lease(std::uint64_t lease);
 
-}  // namespace shunt::far
+}  // namespace shunttrail::far
--- a/src/client_protocol/job_description.cpp
+++ b/src/client_protocol/job_description.cpp
@@ -2,7 +2,7 @@
 
 #include "wire/fields.h"
 
-namespace shunt::far {
+namespace shunttrail::client_protocol {
 
 using namespace wire;
 
@@ -17,7 +17,7 @@
 }
 }  // namespace
 
-std::string encode_description(const Description& d) {
+std::string encode_description(const JobDescription& d) {
   json j = {{"job", json::parse(encode_job(d.job))}, {"command", d.command}};
   if (!d.env.empty()) j["env"] = d.env;
   if (!d.image.empty()) j["image"] = d.image;
@@ -26,9 +26,9 @@
   return j.dump();
 }
 
-Description decode_description(std::string_view body) {
+JobDescription decode_description(std::string_view body) {
   return guarded(body, [](const json& j) {
-    Description d;
+    JobDescription d;
     d.job = decode_job(need(j, "job").dump());
     for (const json& a : list(j, "command")) d.command.push_back(argument(a, "command"));
     if (d.command.empty() || d.command[0].empty()) throw Malformed("command is empty");
@@ -81,4 +81,4 @@
   });
 }
 
-}  // namespace shunt::far
+}  // namespace shunttrail::far
--- a/src/client_protocol/job_description.h
+++ b/src/client_protocol/job_description.h
@@ -8,9 +8,9 @@
 
 #include "wire/types.h"
 
-namespace shunt::far {
+namespace shunttrail::client_protocol {
 
-struct Description {
+struct JobDescription {
   wire::JobSpec job;
   std::vector<std::string> command;  // program and arguments; the program is looked up in PATH
   std::map<std::string, std::string> env;  // added to the agent's own
@@ -20,15 +20,15 @@
   std::vector<int> retry_exits = {75};
 };
 
-std::string encode_description(const Description& d);
-Description decode_description(std::string_view body);
+std::string encode_description(const JobDescription& d);
+JobDescription decode_description(std::string_view body);
 
 // Names in the depot.
 inline std::string description_name(const std::string& job) { return "jobs/" + job; }
 inline std::string result_name(const wire::TaskId& t) {
   return "results/" + t.job + "/" + std::to_string(t.index);
 }
-inline std::string save_name(const wire::TaskId& t) {
+inline std::string checkpoint_name(const wire::TaskId& t) {
   return "saves/" + t.job + "/" + std::to_string(t.index);
 }
 inline std::string image_name(const std::string& image) { return "images/" + image; }
@@ -45,4 +45,4 @@
 std::string encode_result(const TaskResult& r);
 TaskResult decode_result(std::string_view body);
 
-}  // namespace shunt::far
+}  // namespace shunttrail::far
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -1,6 +1,6 @@
 #include "cloud/cloud.h"
 
-namespace shunt::cloud {
+namespace shunttrail::cloud {
 namespace {
 constexpr double kTimeout = 5;
 constexpr int kTries = 6;
@@ -101,4 +101,4 @@
          false);
 }
 
-}  // namespace shunt::cloud
+}  // namespace shunttrail::cloud
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -8,7 +8,7 @@
 #include "state/client.h"
 #include "wire/codec.h"
 
-namespace shunt::cloud {
+namespace shunttrail::cloud {
 
 struct RentResult {
   enum Kind { rented, no_capacity, failed } kind = failed;
@@ -37,9 +37,9 @@
   void rent_again(std::string body, int tries, std::function<void(RentResult)> done);
 
   net::Client http_;
-  state::Bucket calls_;
+  state::TokenBucket calls_;
   std::deque<Call> urgent_, other_;
   actor::Timer timer_;
 };
 
-}  // namespace shunt::cloud
+}  // namespace shunttrail::cloud
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -10,13 +10,13 @@
 
 #include "config/xml.h"
 
-namespace shunt::config {
+namespace shunttrail::config {
 namespace {
 
 using nlohmann::json;
 
 [[noreturn]] void bad(const std::string& field, const std::string& why) {
-  throw BadSettings(field + ": " + why);
+  throw SettingsError(field + ": " + why);
 }
 
 const json& need(const json& at, const std::string& path, const char* name) {
@@ -73,7 +73,7 @@
   return stated > 0 ? stated : std::numeric_limits<double>::infinity();
 }
 
-double Settings::stale_s() const { return std::max(2.0, cancel_s - lease_s - 3.0); }
+double Settings::staleness_bound_s() const { return std::max(2.0, cancel_s - lease_s - 3.0); }
 
 Settings parse_settings(const std::string& input) {
   json root = json::parse(input, nullptr, false);
@@ -125,7 +125,7 @@
     s.teams.push_back(t);
   }
   const json& w = need(c, "cluster", "workers");
-  s.report_s = number(w, "cluster.workers", "report_s", 0.1, 3600);
+  s.heartbeat_s = number(w, "cluster.workers", "report_s", 0.1, 3600);
   s.lease_s = number(w, "cluster.workers", "lease_s", 1, 86400);
   s.cancel_s = number(w, "cluster.workers", "cancel_s", 1, 86400);
   if (s.cancel_s < s.lease_s + 5) bad("cluster.workers.cancel_s", "leaves no room above lease_s");
@@ -189,8 +189,8 @@
                  {"idle-cap", xml_into(t.idle_cap, 1, 10000)},
                  {"wait-weight", xml_into(t.wait_weight, 0, 1e6)},
                  {"late-weight", xml_into(t.late_weight, 0, 1e9)},
-                 {"hold-s", xml_into(t.hold_s, 1, 600)},
-                 {"reply-hold-s", xml_into(t.reply_hold_s, 0, 3)},
+                 {"hold-s", xml_into(t.node_lease_s, 1, 600)},
+                 {"reply-hold-s", xml_into(t.response_hold_s, 0, 3)},
                  {"relay", [&t](pugi::xml_node n, const std::string& at) {
                     t.relay = xml_flag(n.child_value(), at);
                   }}});
@@ -204,4 +204,4 @@
   return out.str();
 }
 
-}  // namespace shunt::config
+}  // namespace shunttrail::config
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-namespace shunt::config {
+namespace shunttrail::config {
 
 // Thrown with one line that names the field and the reason.
-struct BadSettings : std::runtime_error {
+struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -39,7 +39,7 @@
   Endpoint cloud, state;
   std::vector<std::string> zones;
   std::vector<Team> teams;
-  double report_s = 3, lease_s = 20, cancel_s = 45;
+  double heartbeat_s = 3, lease_s = 20, cancel_s = 45;
   // What the state service takes, and what it will take from some moment on, without notice.
   struct StateLimits {
     double rps = 80, write_rps = 25, value_kb = 4;
@@ -64,9 +64,9 @@
   // S: how long an owner may go on answering workers without a fresh read of the state service.
   // A cancellation it has not heard of must still end in time, and its last 200 keeps a lease
   // alive for lease_s more.
-  double stale_s() const;
+  double staleness_bound_s() const;
   // After a takeover, silence of a machine for this long proves that its session has ended.
-  double fence_s() const { return stale_s() + lease_s + 2.0; }
+  double fencing_wait_s() const { return staleness_bound_s() + lease_s + 2.0; }
 };
 
 Settings parse_settings(const std::string& text);
@@ -80,8 +80,8 @@
   double idle_cap = 8.0;      // k never grows beyond this many boot times
   double wait_weight = 1.0;  // price of a standard task's waiting, in rents of the cheapest machine
   double late_weight = 60.0;  // fine for a missed deadline, in seconds of that rent
-  double hold_s = 8.0;        // life of the key that shows this node alive
-  double reply_hold_s = 0.3;  // a report's answer waits this long for its commit
+  double node_lease_s = 8.0;        // life of the key that shows this node alive
+  double response_hold_s = 0.3;  // a report's answer waits this long for its commit
   bool relay = false;  // reports of workers that cannot reach their owner are passed on to it
 };
 
@@ -89,4 +89,4 @@
 
 std::string read_file(const std::string& path, const char* what);
 
-}  // namespace shunt::config
+}  // namespace shunttrail::config
--- a/src/config/xml.cpp
+++ b/src/config/xml.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <sstream>
 
-namespace shunt::config {
+namespace shunttrail::config {
 
 pugi::xml_node load_xml(pugi::xml_document& doc, const std::string& text, const char* root) {
   auto ok = doc.load_buffer(text.data(), text.size());
@@ -74,4 +74,4 @@
   return e;
 }
 
-}  // namespace shunt::config
+}  // namespace shunttrail::config
--- a/src/config/xml.h
+++ b/src/config/xml.h
@@ -8,10 +8,10 @@
 
 #include "config/settings.h"
 
-namespace shunt::config {
+namespace shunttrail::config {
 
 [[noreturn]] inline void bad_at(const std::string& place, const std::string& why) {
-  throw BadSettings(place + ": " + why);
+  throw SettingsError(place + ": " + why);
 }
 // The document's root element, which has to have this name. Errors name the line.
 pugi::xml_node load_xml(pugi::xml_document& doc, const std::string& text, const char* root);
@@ -30,4 +30,4 @@
 std::string xml_attribute(pugi::xml_node n, const std::string& place, const char* name);
 Endpoint parse_endpoint(const std::string& text, const std::string& place);
 
-}  // namespace shunt::config
+}  // namespace shunttrail::config
--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -3,7 +3,7 @@
 #include "controller/membership.h"
 #include "controller/inventory.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 namespace {
 constexpr double kTypesGap = 60;      // prices change
 constexpr double kRentGap = 0.4;      // rents are gathered this long
@@ -14,103 +14,103 @@
 constexpr std::size_t kDeleteMost = 100;
 }  // namespace
 
-Cloud::Cloud(actor::Loop& loop, Parts& parts)
-    : Actor(loop), parts_(parts), client_(loop, parts.settings) {
+CloudManager::CloudManager(actor::Loop& loop, ControllerComponents& parts)
+    : Actor(loop), components_(parts), client_(loop, parts.settings) {
   // Whoever deleted it, what has left the roster is gone: a late copy of its last reports must not
   // bring it back.
-  parts_.store->listen(reply<Changes>([this](Changes changes) {
+  components_.state_store->listen(reply<Changes>([this](Changes changes) {
     for (const auto& c : *changes)
-      if (c.kind == state::Change::machine_gone && !parts_.store->world().machine(c.name))
+      if (c.kind == state::Change::machine_gone && !components_.state_store->cache().machine(c.name))
         removed_[c.name] = loop_.now();
   }));
 }
 
-const std::string* Cloud::address(const std::string& machine) const {
+const std::string* CloudManager::address(const std::string& machine) const {
   auto a = seen_.find(machine);
   return a == seen_.end() ? nullptr : &a->second.addr;
 }
-double Cloud::rented_at(const std::string& machine) const {
+double CloudManager::rented_at(const std::string& machine) const {
   auto a = seen_.find(machine);
   return a == seen_.end() ? 0 : a->second.rented_at;
 }
-void Cloud::met(std::string machine, std::string addr) {
+void CloudManager::unknown_machine_reported(std::string machine, std::string addr) {
   post(
       [this, machine = std::move(machine), addr = std::move(addr)] { seen_[machine].addr = addr; });
 }
 
-void Cloud::tick() {
+void CloudManager::tick() {
   post([this] {
     const double now = loop_.now();
     if (catalogue_.empty() || now - types_at_ > kTypesGap) load_types();
     rent_and_return();
-    if (now > list_at_ && !list_busy_ && parts_.store->loaded()) list("");
+    if (now > list_at_ && !list_busy_ && components_.state_store->loaded()) list("");
   });
 }
 
-void Cloud::load_types() {
+void CloudManager::load_types() {
   if (types_busy_) return;
   types_busy_ = true;
   client_.types(reply<std::vector<wire::MachineType>>([this](std::vector<wire::MachineType> l) {
     types_busy_ = false;
     if (l.empty()) return;
     types_at_ = loop_.now();
-    catalogue_.load(l, parts_.settings);
-    parts_.membership->look();
+    catalogue_.load(l, components_.settings);
+    components_.membership->reconsider();
   }));
 }
 
 // One deletion at a time, of one shard: what leaves meanwhile goes with the next. Calls are scarcer
 // than machines, and a call for every one that leaves would keep hundreds on the bill.
-void Cloud::rent_and_return() {
+void CloudManager::rent_and_return() {
   const double now = loop_.now();
   if (now < rent_at_) return;
   rent_at_ = now + kRentGap;
   std::erase_if(removed_, [&](const auto& r) { return now - r.second > kRemovedKept; });
   // Without a name of its own this process rents nothing: a request's name is never used twice.
-  if (!parts_.membership->boot()) return;
-  const int shards = parts_.settings.shards();
+  if (!components_.membership->process_id()) return;
+  const int shards = components_.settings.shards();
   int to_return = -1;
   for (int i = 0; i < shards && !deleting_ && to_return < 0; ++i)
-    if (int k = (next_to_return_ + i) % shards; parts_.runner(k).desk()) to_return = k;
+    if (int k = (next_to_return_ + i) % shards; components_.shard_controller(k).scheduler()) to_return = k;
   if (to_return >= 0) {
     deleting_ = true;
     next_to_return_ = to_return + 1;
   }
   for (int k = 0; k < shards; ++k) {
     const bool returns = k == to_return;
-    if (parts_.runner(k).desk())
-      parts_.runner(k).wants(returns, reply<Runner::Wants>([this, k, returns](Runner::Wants w) {
-                               carry_out(k, std::move(w), returns);
+    if (components_.shard_controller(k).scheduler())
+      components_.shard_controller(k).cloud_requests(returns, reply<ShardController::CloudRequests>([this, k, returns](ShardController::CloudRequests w) {
+                               execute(k, std::move(w), returns);
                              }));
   }
 }
 
-void Cloud::carry_out(int shard, Runner::Wants w, bool returns) {
+void CloudManager::execute(int shard, ShardController::CloudRequests w, bool returns) {
   if (returns) {
-    if (w.back.empty())
+    if (w.machines_to_return.empty())
       deleting_ = false;
     else
-      give_back(shard, w.born, std::move(w.back));
+      return_machines(shard, w.opened_under, std::move(w.machines_to_return));
   }
-  for (const auto& r : w.rents) {
+  for (const auto& r : w.scale_out) {
     // The name holds the first hold's id, which no other process has, and a counter.
     std::string charter =
-        "c-" + std::to_string(parts_.membership->boot()) + "-" + std::to_string(++charters_);
-    client_.rent(charter, catalogue_.types[r.tier / 2].spec.name, parts_.settings.zones[r.zone],
+        "c-" + std::to_string(components_.membership->process_id()) + "-" + std::to_string(++charters_);
+    client_.rent(charter, catalogue_.types[r.tier / 2].spec.name, components_.settings.zones[r.zone],
                  r.tier % 2, static_cast<int>(r.machines.size()),
-                 reply<cloud::RentResult>([this, shard, born = w.born, r](cloud::RentResult got) {
-                   Runner& runner = parts_.runner(shard);
+                 reply<cloud::RentResult>([this, shard, born = w.opened_under, r](cloud::RentResult got) {
+                   ShardController& runner = components_.shard_controller(shard);
                    if (got.kind == cloud::RentResult::rented)
                      runner.rented(born, r, std::move(got.machines));
                    else
-                     runner.refused(born, r, got.kind == cloud::RentResult::no_capacity);
+                     runner.rent_refused(born, r, got.kind == cloud::RentResult::no_capacity);
                  }));
   }
 }
 
-void Cloud::give_back(int shard, std::uint64_t born, std::vector<std::string> back) {
+void CloudManager::return_machines(int shard, std::uint64_t born, std::vector<std::string> back) {
   if (back.size() > kDeleteMost) {
-    parts_.runner(shard).deleted(born, {back.begin() + kDeleteMost, back.end()}, false);
+    components_.shard_controller(shard).deleted(born, {back.begin() + kDeleteMost, back.end()}, false);
     back.resize(kDeleteMost);
   }
   client_.remove(back, reply<bool>([this, shard, born, back](bool ok) {
@@ -119,15 +119,15 @@
                    for (const auto& name : back) {
                      if (!ok) continue;
                      removed_[name] = loop_.now();
-                     parts_.roster->drop(name);
+                     components_.inventory->drop(name);
                    }
-                   parts_.runner(shard).deleted(born, back, ok);
+                   components_.shard_controller(shard).deleted(born, back, ok);
                  }));
 }
 
 // Every node reads the list for its own machines; the one that owns the first shard also looks
 // for machines that nobody knows.
-void Cloud::list(std::string after) {
+void CloudManager::list(std::string after) {
   list_busy_ = true;
   if (after.empty()) list_now_.clear();
   client_.list(after, reply<bool, wire::MachineList>([this](bool ok, wire::MachineList l) {
@@ -142,27 +142,27 @@
                }));
 }
 
-void Cloud::listed(const wire::ListedMachine& m) {
+void CloudManager::listed(const wire::ListedMachine& m) {
   const double now = loop_.now();
   list_now_.insert(m.name);
   seen_listed_.insert(m.name);
   seen_[m.name] = {m.addr, loop_.wall_now() - m.age_s};
-  if (const auto* known = parts_.store->world().machine(m.name)) {
+  if (const auto* known = components_.state_store->cache().machine(m.name)) {
     unknown_since_.erase(m.name);
     int k = known->shard;
-    if (k >= parts_.settings.shards() || !parts_.runner(k).desk()) return;
-    parts_.runner(k).address(m.name, m.addr);
-    if (m.state == "failed") parts_.runner(k).failed(m.name, false);
+    if (k >= components_.settings.shards() || !components_.shard_controller(k).scheduler()) return;
+    components_.shard_controller(k).set_machine_address(m.name, m.addr);
+    if (m.state == "failed") components_.shard_controller(k).machine_failed(m.name, false);
     return;
   }
-  if (!parts_.runner(0).desk() || removed_.contains(m.name)) return;
+  if (!components_.shard_controller(0).scheduler() || removed_.contains(m.name)) return;
   double since = unknown_since_.try_emplace(m.name, now).first->second;
-  if (now - since > kUnknownFor) parts_.roster->adopt({m.name, m.type, m.zone, m.spot, 0, 0, 0});
+  if (now - since > kUnknownFor) components_.inventory->adopt_orphan({m.name, m.type, m.zone, m.spot, 0, 0, 0});
 }
 
 // Once listed, a machine stays listed until it is gone; but lists come out of order, so it takes
 // two without it.
-void Cloud::list_over() {
+void CloudManager::list_over() {
   for (auto it = seen_listed_.begin(); it != seen_listed_.end();) {
     if (list_now_.contains(*it)) {
       missing_.erase(*it);
@@ -173,7 +173,7 @@
       ++it;
       continue;
     }
-    for (auto& r : parts_.runners) r->failed(*it, true);
+    for (auto& r : components_.shard_controllers) r->machine_failed(*it, true);
     missing_.erase(*it);
     unknown_since_.erase(*it);
     seen_.erase(*it);
@@ -181,8 +181,8 @@
   }
   list_busy_ = false;
   double pages = 1 + static_cast<double>(list_now_.size()) / 500;
-  double share = parts_.settings.cloud_rps / parts_.settings.shards() * kListShare;
+  double share = components_.settings.cloud_rps / components_.settings.shards() * kListShare;
   list_at_ = loop_.now() + std::max(kListGap, pages / share);
 }
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/controller/cloud_manager.h
+++ b/src/controller/cloud_manager.h
@@ -12,16 +12,16 @@
 #include "controller/components.h"
 #include "controller/shard_controller.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 
-class Cloud : public actor::Actor {
+class CloudManager : public actor::Actor {
  public:
-  Cloud(actor::Loop& loop, Parts& parts);
+  CloudManager(actor::Loop& loop, ControllerComponents& parts);
   void tick();
   // A report named a machine that nobody knows.
-  void met(std::string machine, std::string addr);
+  void unknown_machine_reported(std::string machine, std::string addr);
 
-  const fleet::Catalogue& catalogue() const { return catalogue_; }
+  const scheduler::MachineCatalogue& catalogue() const { return catalogue_; }
   // As last listed or reported; none: never.
   const std::string* address(const std::string& machine) const;
   // Time of day, by the latest list; 0: not listed yet.
@@ -31,15 +31,15 @@
  private:
   void load_types();
   void rent_and_return();
-  void carry_out(int shard, Runner::Wants w, bool returns);
-  void give_back(int shard, std::uint64_t born, std::vector<std::string> machines);
+  void execute(int shard, ShardController::CloudRequests w, bool returns);
+  void return_machines(int shard, std::uint64_t born, std::vector<std::string> machines);
   void list(std::string after);
   void listed(const wire::ListedMachine& m);
   void list_over();
 
-  Parts& parts_;
+  ControllerComponents& components_;
   cloud::Client client_;
-  fleet::Catalogue catalogue_;
+  scheduler::MachineCatalogue catalogue_;
   bool types_busy_ = false, list_busy_ = false;
   bool deleting_ = false;  // a deletion is out, or a shard has been asked for one
   int next_to_return_ = 0;
@@ -56,4 +56,4 @@
   std::map<std::string, int> missing_;
 };
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/controller/components.h
+++ b/src/controller/components.h
@@ -8,33 +8,33 @@
 #include "config/settings.h"
 #include "state/client.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 
-class Store;       // the state service as this node knows it
-class Levels;      // the active state level, and whether this build may serve
+class StateStore;       // the state service as this node knows it
+class SchemaManager;      // the active state level, and whether this build may serve
 class Membership;  // the key that shows this node alive, and who owns what
-class Outcomes;    // how jobs ended, and jobs that await others
-class Cloud;       // types, rents, returns, the list
-class Roster;      // which shard a machine belongs to
-class Peers;       // what the other controllers say
-class Relay;       // workers by way of a sibling
-class Runner;      // one shard, while this node owns it
+class JobResults;    // how jobs ended, and jobs that await others
+class CloudManager;       // types, rents, returns, the list
+class Inventory;      // which shard a machine belongs to
+class PeerGossip;       // what the other controllers say
+class HeartbeatRelay;       // workers by way of a sibling
+class ShardController;      // one shard, while this node owns it
 
-struct Parts {
+struct ControllerComponents {
   const config::Settings& settings;
   const config::Tuning& tuning;
-  state::Client& state;
-  Store* store = nullptr;
-  Levels* levels = nullptr;
+  state::Client& state_client;
+  StateStore* state_store = nullptr;
+  SchemaManager* schema = nullptr;
   Membership* membership = nullptr;
-  Outcomes* outcomes = nullptr;
-  Cloud* cloud = nullptr;
-  Roster* roster = nullptr;
-  Peers* peers = nullptr;
-  Relay* relay = nullptr;
-  std::vector<std::unique_ptr<Runner>> runners{};  // by shard
+  JobResults* job_results = nullptr;
+  CloudManager* cloud_manager = nullptr;
+  Inventory* inventory = nullptr;
+  PeerGossip* peer_gossip = nullptr;
+  HeartbeatRelay* heartbeat_relay = nullptr;
+  std::vector<std::unique_ptr<ShardController>> shard_controllers{};  // by shard
 
-  Runner& runner(int shard) const { return *runners[static_cast<std::size_t>(shard)]; }
+  ShardController& shard_controller(int shard) const { return *shard_controllers[static_cast<std::size_t>(shard)]; }
 };
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -19,38 +19,38 @@
 #include "net/http.h"
 #include "state/client.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 
 class Controller : public actor::Actor {
  public:
   Controller(actor::Loop& loop, const config::Settings& s, const config::Tuning& t,
-             levels::Build build = levels::here());
+             schema::Build build = schema::current_build());
   // This node owns the shard, and its desk is open.
-  bool acts_for(int shard) const { return parts_.runner(shard).desk() != nullptr; }
+  bool leads(int shard) const { return components_.shard_controller(shard).scheduler() != nullptr; }
 
  private:
   void tick();
   void log();
-  void front(const net::ExchangePtr& ex);
-  void internal(const net::ExchangePtr& ex);
+  void serve_public(const net::ExchangePtr& ex);
+  void serve_internal(const net::ExchangePtr& ex);
   std::string metrics() const;
 
-  state::Client client_;
-  Parts parts_;
-  Store store_;
+  state::Client state_client_;
+  ControllerComponents components_;
+  StateStore state_store_;
   // Told of changes in this order: the level, what jobs await, who is alive, then the shards.
-  Levels levels_;
-  Outcomes outcomes_;
+  SchemaManager schema_;
+  JobResults job_results_;
   Membership membership_;
-  Cloud cloud_;
-  Roster roster_;
-  Peers peers_;
-  Relay relay_;
-  Users users_;
-  Workers workers_;
+  CloudManager cloud_manager_;
+  Inventory inventory_;
+  PeerGossip peer_gossip_;
+  HeartbeatRelay heartbeat_relay_;
+  UserApi user_api_;
+  WorkerApi worker_api_;
   double log_at_ = 0;
   actor::Timer timer_;
-  net::Server front_, internal_;
+  net::Server public_server_, internal_server_;
 };
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/controller/heartbeat_relay.h
+++ b/src/controller/heartbeat_relay.h
@@ -12,35 +12,35 @@
 #include "relay/relay_routes.h"
 #include "net/http.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 
-class Relay : public actor::Actor {
+class HeartbeatRelay : public actor::Actor {
  public:
-  Relay(actor::Loop& loop, Parts& parts);
+  HeartbeatRelay(actor::Loop& loop, ControllerComponents& parts);
 
   // A report of a machine in this zone, whose shard node `owner` (-1: nobody) owns. Redirected,
   // passed on, or refused.
-  void report(net::ExchangePtr ex, std::string machine, links::Detours::Order order, int zone,
+  void route_heartbeat(net::ExchangePtr ex, std::string machine, relay::RelayRoutes::Order order, int zone,
               int owner);
   // From a sibling: `then` is handed the report, in an exchange that answers the sibling.
-  void heard(const net::ExchangePtr& ex, const std::function<void(net::ExchangePtr)>& then);
+  void handle_relayed(const net::ExchangePtr& ex, const std::function<void(net::ExchangePtr)>& then);
 
   struct Count {
-    std::uint64_t passed = 0, unanswered = 0, taken = 0;
+    std::uint64_t relayed = 0, unanswered = 0, taken = 0;
   };
   std::string describe() const;  // JSON, for the operators
-  std::uint64_t garbage() const { return garbage_; }
+  std::uint64_t malformed() const { return malformed_; }
 
  private:
-  void decide(const net::ExchangePtr& ex, const std::string& machine, links::Detours::Order order,
+  void decide(const net::ExchangePtr& ex, const std::string& machine, relay::RelayRoutes::Order order,
               int zone, int owner);
-  void pass(const net::ExchangePtr& ex, int owner);
+  void relay_to(const net::ExchangePtr& ex, int owner);
 
-  Parts& parts_;
+  ControllerComponents& components_;
   std::vector<std::unique_ptr<net::Client>> clients_;  // by node; none: this one
-  links::Detours detours_;
+  relay::RelayRoutes routes_;
   std::vector<Count> counts_;
-  std::uint64_t garbage_ = 0;
+  std::uint64_t malformed_ = 0;
 };
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/controller/inventory.cpp
+++ b/src/controller/inventory.cpp
@@ -10,126 +10,126 @@
 #include "controller/membership.h"
 #include "controller/shard_controller.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 namespace {
 constexpr std::size_t kPagesPerTxn = 6;
 constexpr int kUneven = 4;  // a shard with so many more machines than another takes no more
 }  // namespace
 
-Roster::Roster(actor::Loop& loop, Parts& parts) : Actor(loop), parts_(parts) {}
+Inventory::Inventory(actor::Loop& loop, ControllerComponents& parts) : Actor(loop), components_(parts) {}
 
-void Roster::tick() {
-  post([this] { pump(); });
+void Inventory::tick() {
+  post([this] { write_next(); });
 }
-void Roster::adopt(wire::MachineRecord found) {
-  post([this, found = std::move(found)] { take_in(found); });
+void Inventory::adopt_orphan(wire::MachineRecord found) {
+  post([this, found = std::move(found)] { add_orphan(found); });
 }
-void Roster::drop(std::string machine) {
+void Inventory::drop(std::string machine) {
   post([this, machine = std::move(machine)] {
-    wishes_.insert_or_assign(
-        machine, fleet::RosterWish{fleet::RosterWish::drop, {machine, {}, {}, false, 0, 0, 0}, 0});
+    pending_changes_.insert_or_assign(
+        machine, scheduler::InventoryChange{scheduler::InventoryChange::drop, {machine, {}, {}, false, 0, 0, 0}, 0});
   });
 }
 
-void Roster::take_in(const wire::MachineRecord& found) {
-  if (wishes_.contains(found.name)) return;
-  const int shards = parts_.settings.shards();
+void Inventory::add_orphan(const wire::MachineRecord& found) {
+  if (pending_changes_.contains(found.name)) return;
+  const int shards = components_.settings.shards();
   std::vector<int> have(static_cast<std::size_t>(shards), 0);
   auto count = [&](int shard) {
     if (shard < shards) ++have[static_cast<std::size_t>(shard)];
   };
-  for (const auto& [n, m] : parts_.store->world().machines()) count(m.shard);
-  for (const auto& [n, w] : wishes_)
-    if (w.kind == fleet::RosterWish::add) count(w.machine.shard);
+  for (const auto& [n, m] : components_.state_store->cache().machines()) count(m.shard);
+  for (const auto& [n, w] : pending_changes_)
+    if (w.kind == scheduler::InventoryChange::add) count(w.machine.shard);
   // Several nodes adopt at once when a fleet is found running: its names spread it evenly.
   auto least = std::min_element(have.begin(), have.end());
   std::size_t first = std::hash<std::string>{}(found.name) % have.size();
   if (auto digits = found.name.find_last_not_of("0123456789") + 1; digits < found.name.size())
     first = std::strtoull(found.name.c_str() + digits, nullptr, 10) % have.size();
-  fleet::RosterWish w;
+  scheduler::InventoryChange w;
   w.machine = found;
   // A shard that has far fewer comes first.
   w.machine.shard = static_cast<int>(have[first] > *least + kUneven ? least - have.begin()
                                                                     : static_cast<long>(first));
-  wishes_.emplace(found.name, std::move(w));
+  pending_changes_.emplace(found.name, std::move(w));
 }
 
-void Roster::pump() {
-  if (!parts_.store->loaded() || out_ || loop_.now() < after_ || !parts_.levels->serves()) return;
-  gather();
-  wire::Txn t;
-  const std::string tag = parts_.membership->tag('m', ++tags_);
-  const state::Room size = parts_.state.limits().present();
+void Inventory::write_next() {
+  if (!components_.state_store->loaded() || commit_in_flight_ || loop_.now() < retry_after_ || !components_.schema->may_serve()) return;
+  collect_changes();
+  wire::Transaction t;
+  const std::string tag = components_.membership->tag('m', ++tags_);
+  const state::TransactionLimits size = components_.state_client.limits().present();
   std::map<int, std::vector<std::string>> pages;
-  for (const auto& [name, w] : wishes_) pages[state::roster_page(name)].push_back(name);
+  for (const auto& [name, w] : pending_changes_) pages[state::inventory_page(name)].push_back(name);
   for (const auto& [page, names] : pages) {
     if (t.ops.size() >= std::min(kPagesPerTxn, size.ops)) break;
-    shard::RosterPage here(parts_.store->world(), page);
-    Guards owners;
-    if (carry_out(here, names, owners)) add(t, here, std::move(owners), size, tag);
+    shard::InventoryPage here(components_.state_store->cache(), page);
+    Preconditions owners;
+    if (apply_changes(here, names, owners)) append_page(t, here, std::move(owners), size, tag);
   }
   // Conversion takes what the rate leaves over.
-  auto urgency = state::Urgency::work;
-  if (t.ops.empty() && parts_.levels->converts()) {
-    urgency = state::Urgency::sweep;
+  auto urgency = state::RequestPriority::work;
+  if (t.ops.empty() && components_.schema->converts()) {
+    urgency = state::RequestPriority::sweep;
     convert(t, size, tag);
   }
   if (t.ops.empty()) return;
-  out_ = true;
-  parts_.store->settle(std::move(t), urgency, 3,
+  commit_in_flight_ = true;
+  components_.state_store->resolve_unknown_commit(std::move(t), urgency, 3,
                        reply<state::CommitResult>([this](state::CommitResult c) {
-                         out_ = false;
+                         commit_in_flight_ = false;
                          // Lost a race, or not known: what was read since decides anew. Nodes that
                          // race for a page come back at different times.
                          if (c.kind != state::CommitResult::applied)
-                           after_ = loop_.now() + 0.1 * (1 + parts_.settings.self);
+                           retry_after_ = loop_.now() + 0.1 * (1 + components_.settings.self);
                        }));
 }
 
-void Roster::gather() {
+void Inventory::collect_changes() {
   const double now = loop_.now();
-  for (auto& r : parts_.runners)
-    if (r->desk())
-      for (auto& w : r->desk()->roster_wishes(
-               [this](const std::string&name, fleet::RosterWish::Kind kind, int shard) {
-                 auto known = wishes_.find(name);
-                 return known != wishes_.end() && known->second.kind == kind &&
+  for (auto& r : components_.shard_controllers)
+    if (r->scheduler())
+      for (auto& w : r->scheduler()->inventory_changes(
+               [this](const std::string&name, scheduler::InventoryChange::Kind kind, int shard) {
+                 auto known = pending_changes_.find(name);
+                 return known != pending_changes_.end() && known->second.kind == kind &&
                         known->second.machine.shard == shard;
                })) {
         const std::string name = w.machine.name;
-        if (w.kind == fleet::RosterWish::add)
+        if (w.kind == scheduler::InventoryChange::add)
           w.machine.rented_at = loop_.wall_now() - (now - w.rented_at);
-        wishes_.insert_or_assign(name, std::move(w));
+        pending_changes_.insert_or_assign(name, std::move(w));
       }
 }
 
 // Wishes for one page's machines; what is over by now is forgotten. True if something is left.
-bool Roster::carry_out(shard::RosterPage& here, const std::vector<std::string>& names,
-                       Guards& owners) {
+bool Inventory::apply_changes(shard::InventoryPage& here, const std::vector<std::string>& names,
+                       Preconditions& owners) {
   bool changed = false;
   for (const auto& name : names) {
-    const fleet::RosterWish& w = wishes_.at(name);
+    const scheduler::InventoryChange& w = pending_changes_.at(name);
     const wire::MachineRecord* m = here.find(name);
     bool over = false;
     switch (w.kind) {
-      case fleet::RosterWish::add:
+      case scheduler::InventoryChange::add:
         over = m != nullptr;  // here already, perhaps as another's
         if (!over) here.set(w.machine);
         break;
-      case fleet::RosterWish::drop:
+      case scheduler::InventoryChange::drop:
         over = m == nullptr;
         if (!over) here.drop(name);
         break;
-      case fleet::RosterWish::give: {
+      case scheduler::InventoryChange::transfer: {
         // Only its shard's owner gives a machine away, and only while it is the owner. The desk is
         // asked now: the one that wished it may be closed, and its successor have work there.
-        over = !m || m->shard >= parts_.settings.shards();
+        over = !m || m->shard >= components_.settings.shards();
         if (over) break;
-        const fleet::Desk* giver = parts_.runner(m->shard).desk();
-        const int to = giver ? giver->gives(name) : -1;
+        const scheduler::ShardScheduler* giver = components_.shard_controller(m->shard).scheduler();
+        const int to = giver ? giver->transfer_target(name) : -1;
         over = to < 0 || to == m->shard;
         if (over) break;
-        owners.emplace_back(state::owner_key(m->shard), giver->token());
+        owners.emplace_back(state::leader_key(m->shard), giver->token());
         wire::MachineRecord given = *m;
         given.shard = to;
         given.token = giver->token();
@@ -138,7 +138,7 @@
       }
     }
     if (over)
-      wishes_.erase(name);
+      pending_changes_.erase(name);
     else
       changed = true;
   }
@@ -146,36 +146,36 @@
 }
 
 // Puts a page's changes into the transaction, if there is room for them.
-void Roster::add(wire::Txn& t, shard::RosterPage& here, Guards owners, const state::Room& size,
+void Inventory::append_page(wire::Transaction& t, shard::InventoryPage& here, Preconditions owners, const state::TransactionLimits& size,
                  const std::string& tag) {
-  here.know_ages([this](const std::string& name) { return parts_.cloud->rented_at(name); });
-  wire::Txn mine = here.changes(size.value_bytes, tag);
-  for (auto& g : owners) mine.guards.push_back(std::move(g));
-  std::erase_if(mine.guards, [&](const auto& g) {
-    return std::find(t.guards.begin(), t.guards.end(), g) != t.guards.end();
+  here.record_ages([this](const std::string& name) { return components_.cloud_manager->rented_at(name); });
+  wire::Transaction mine = here.changes(size.value_bytes, tag);
+  for (auto& g : owners) mine.preconditions.push_back(std::move(g));
+  std::erase_if(mine.preconditions, [&](const auto& g) {
+    return std::find(t.preconditions.begin(), t.preconditions.end(), g) != t.preconditions.end();
   });
   // A page that has to be parted takes several changes; another one may have room beside it.
   if (t.ops.size() + mine.ops.size() > size.ops ||
-      t.guards.size() + mine.guards.size() > size.guards)
+      t.preconditions.size() + mine.preconditions.size() > size.preconditions)
     return;
-  for (auto& g : mine.guards)
-    if (std::find(t.guards.begin(), t.guards.end(), g) == t.guards.end())
-      t.guards.push_back(std::move(g));
+  for (auto& g : mine.preconditions)
+    if (std::find(t.preconditions.begin(), t.preconditions.end(), g) == t.preconditions.end())
+      t.preconditions.push_back(std::move(g));
   for (auto& op : mine.ops) t.ops.push_back(std::move(op));
 }
 
 // Pages that stand in another form than the active level's. Each transaction brings a few over; one
 // that fails, or whose node dies, leaves them as they were.
-void Roster::convert(wire::Txn& t, const state::Room& size, const std::string& tag) {
-  const state::World& world = parts_.store->world();
+void Inventory::convert(wire::Transaction& t, const state::TransactionLimits& size, const std::string& tag) {
+  const state::StateCache& world = components_.state_store->cache();
   std::set<int> bases;  // parts of a page come over together
-  for (int page : world.roster_to_convert()) {
+  for (int page : world.inventory_to_convert()) {
     if (t.ops.size() >= std::min(kPagesPerTxn, size.ops)) break;
-    if (!bases.insert(state::roster_base(page)).second) continue;
-    shard::RosterPage here(world, state::roster_base(page));
+    if (!bases.insert(state::inventory_base(page)).second) continue;
+    shard::InventoryPage here(world, state::inventory_base(page));
     here.convert();
-    add(t, here, {}, size, tag);
+    append_page(t, here, {}, size, tag);
   }
 }
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/controller/inventory.h
+++ b/src/controller/inventory.h
@@ -9,32 +9,32 @@
 #include "controller/state_store.h"
 #include "shard/inventory_page.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 
-class Roster : public actor::Actor {
+class Inventory : public actor::Actor {
  public:
-  Roster(actor::Loop& loop, Parts& parts);
+  Inventory(actor::Loop& loop, ControllerComponents& parts);
   void tick();
   // Nobody's machine has been found: some shard takes it.
-  void adopt(wire::MachineRecord found);
+  void adopt_orphan(wire::MachineRecord found);
   // The cloud has answered its deletion.
   void drop(std::string machine);
 
  private:
-  void take_in(const wire::MachineRecord& found);
-  using Guards = std::vector<std::pair<std::string, std::uint64_t>>;
-  void pump();
-  void gather();
-  bool carry_out(shard::RosterPage& here, const std::vector<std::string>& names, Guards& owners);
-  void add(wire::Txn& t, shard::RosterPage& here, Guards owners, const state::Room& size,
+  void add_orphan(const wire::MachineRecord& found);
+  using Preconditions = std::vector<std::pair<std::string, std::uint64_t>>;
+  void write_next();
+  void collect_changes();
+  bool apply_changes(shard::InventoryPage& here, const std::vector<std::string>& names, Preconditions& owners);
+  void append_page(wire::Transaction& t, shard::InventoryPage& here, Preconditions owners, const state::TransactionLimits& size,
            const std::string& tag);
-  void convert(wire::Txn& t, const state::Room& size, const std::string& tag);
+  void convert(wire::Transaction& t, const state::TransactionLimits& size, const std::string& tag);
 
-  Parts& parts_;
-  std::map<std::string, fleet::RosterWish> wishes_;  // by machine
-  bool out_ = false;
-  double after_ = 0;
+  ControllerComponents& components_;
+  std::map<std::string, scheduler::InventoryChange> pending_changes_;  // by machine
+  bool commit_in_flight_ = false;
+  double retry_after_ = 0;
   std::uint64_t tags_ = 0;
 };
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/controller/job_results.h
+++ b/src/controller/job_results.h
@@ -14,63 +14,63 @@
 #include "jobs/result_reader.h"
 #include "jobs/dependency_graph.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 
-class Outcomes : public actor::Actor {
+class JobResults : public actor::Actor {
  public:
-  Outcomes(actor::Loop& loop, Parts& parts);
+  JobResults(actor::Loop& loop, ControllerComponents& parts);
   void tick();
 
   // None: not known here.
-  const wire::FinalRecord* final(const std::string& id) const;
-  const jobs::Pipelines& pipelines() const { return pipelines_; }
-  std::uint64_t made_ready() const { return readier_.moved; }
-  std::uint64_t ended_with_others() const { return ender_.moved; }
+  const wire::JobResultRecord* final(const std::string& id) const;
+  const jobs::DependencyGraph& dependencies() const { return dependencies_; }
+  std::uint64_t made_ready() const { return ready_writer_.moved; }
+  std::uint64_t ended_with_others() const { return cancelled_writer_.moved; }
 
   // What waiting jobs are called, after every change that the cache holds by now; where that cannot
   // be told, the final records that have to be read first are in `missing`.
-  struct Standings {
-    std::vector<jobs::Pipelines::Standing> of;
+  struct DependencyStates {
+    std::vector<jobs::DependencyGraph::DependencyState> of;
     std::vector<std::string> missing;
   };
-  void standings(std::vector<std::string> ids, std::function<void(Standings)> then);
+  void dependency_states(std::vector<std::string> ids, std::function<void(DependencyStates)> then);
   // A final record that this node has written.
-  void ended(std::string id, wire::FinalRecord f);
+  void result_written(std::string id, wire::JobResultRecord f);
   // Whatever is found is known before `then` is told.
-  using Look = jobs::Found;
-  void look(std::string id, std::function<void(Look)> then);
+  using LookupResult = jobs::Found;
+  void lookup(std::string id, std::function<void(LookupResult)> then);
   // All of them at the same time; `then` learns whether all were answered, found or not.
-  void look_all(std::vector<std::string> ids, std::function<void(bool)> then);
+  void lookup_all(std::vector<std::string> ids, std::function<void(bool)> then);
 
  private:
-  struct Mover {
-    bool out = false;
-    double after = 0;
+  struct TransitionWriter {
+    bool in_flight = false;
+    double not_before = 0;
     std::uint64_t moved = 0;
   };
   void changed(const std::vector<state::Change>& changes);
-  void remember(const std::string& id, const wire::FinalRecord& f);
-  void read(const std::string& id, std::function<void(Look)> then);
-  void ask();
-  void answered(const jobs::FinalReads::Ask& ask, const net::Result& r);
-  void note_urgencies();
-  void stir();
+  void remember(const std::string& id, const wire::JobResultRecord& f);
+  void read(const std::string& id, std::function<void(LookupResult)> then);
+  void read_next();
+  void read_answered(const jobs::ResultReader::Read& ask, const net::Result& r);
+  void send_effective_priorities();
+  void schedule_advance();
   void advance();
   void move_waiting(bool ready);
-  bool mine_to_move(const std::string& id);
+  bool may_move(const std::string& id);
 
-  Parts& parts_;
-  jobs::Pipelines pipelines_;
-  std::unordered_map<std::string, wire::FinalRecord> finals_;
-  std::deque<std::string> finals_order_;
-  jobs::FinalReads reads_;
+  ControllerComponents& components_;
+  jobs::DependencyGraph dependencies_;
+  std::unordered_map<std::string, wire::JobResultRecord> results_;
+  std::deque<std::string> results_by_age_;
+  jobs::ResultReader reader_;
   std::set<std::string> reading_;                       // final records on their way
   std::unordered_map<std::string, double> move_since_;  // waiting jobs to be moved, since when
-  Mover readier_, ender_;
+  TransitionWriter ready_writer_, cancelled_writer_;
   double read_after_ = 0;
   std::uint64_t tags_ = 0;
-  bool turn_armed_ = false;
-  actor::Timer turn_timer_;
+  bool advance_armed_ = false;
+  actor::Timer advance_timer_;
 };
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/controller/peer_gossip.h
+++ b/src/controller/peer_gossip.h
@@ -10,37 +10,37 @@
 #include "peer/peer.h"
 #include "shard/balance.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 
-class Peers : public actor::Actor {
+class PeerGossip : public actor::Actor {
  public:
-  Peers(actor::Loop& loop, Parts& parts);
+  PeerGossip(actor::Loop& loop, ControllerComponents& parts);
   void tick();
-  void heard(net::ExchangePtr ex);
+  void handle_request(net::ExchangePtr ex);
 
   // Some other node has said lately that it can serve, or may be able to: just started, this one
   // has not heard of the others yet, or hears none of them any more.
   bool another_serves() const;
-  std::uint64_t garbage() const { return garbage_; }
+  std::uint64_t malformed() const { return malformed_; }
 
  private:
-  void take(const net::ExchangePtr& ex);
-  void beat();
-  void share_out();
+  void take_heartbeat(const net::ExchangePtr& ex);
+  void send_heartbeats();
+  void rebalance();
   std::vector<double> waiting(int shard) const;
 
-  Parts& parts_;
+  ControllerComponents& components_;
   std::vector<std::unique_ptr<net::Client>> clients_;  // by node; none: this one
-  std::vector<peer::News> news_;                       // by node
-  struct LoadNews {
+  std::vector<peer::PeerStatus> peer_status_;                       // by node
+  struct ShardLoadReport {
     double at = -1e9;
     shard::Load load;
   };
-  std::vector<LoadNews> loads_;  // by shard
-  std::vector<double> gave_at_;  // by shard
+  std::vector<ShardLoadReport> loads_;  // by shard
+  std::vector<double> transferred_at_;  // by shard
   const double started_at_;
-  double beat_at_ = 0;
-  std::uint64_t garbage_ = 0;
+  double heartbeat_at_ = 0;
+  std::uint64_t malformed_ = 0;
 };
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/controller/schema_manager.h
+++ b/src/controller/schema_manager.h
@@ -10,36 +10,36 @@
 #include "schema/schema.h"
 #include "net/http.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 
-class Levels : public actor::Actor {
+class SchemaManager : public actor::Actor {
  public:
-  Levels(actor::Loop& loop, Parts& parts, levels::Build build);
+  SchemaManager(actor::Loop& loop, ControllerComponents& parts, schema::Build build);
   void tick();
-  void ask(net::ExchangePtr ex);  // GET: what stands; POST: an order
+  void handle_request(net::ExchangePtr ex);  // GET: what stands; POST: an order
 
-  const levels::Build& build() const { return build_; }
+  const schema::Build& build() const { return build_; }
   // Why this build must not serve beside the state as it has been read; empty: it may.
   std::string refusal() const;
-  bool serves() const { return refusal().empty(); }
+  bool may_serve() const { return refusal().empty(); }
   // One node at a time brings what stands in another form to the active level's.
   bool converts() const;
   std::string describe() const;  // JSON
 
  private:
-  void look();
+  void evaluate();
   void step();
-  void order(const net::ExchangePtr& ex);
+  void handle_order(const net::ExchangePtr& ex);
 
-  Parts& parts_;
-  const levels::Build build_;
-  levels::Outlook outlook_;
+  ControllerComponents& components_;
+  const schema::Build build_;
+  schema::RolloutStatus rollout_status_;
   std::map<std::pair<std::string, std::string>, double> held_since_;
-  std::string said_;       // of this build's refusal, in the log
+  std::string logged_refusal_;       // of this build's refusal, in the log
   double step_since_ = 0;  // 0: there is no step to be made
   int step_from_ = -1;     // the level that it is made from
-  bool out_ = false;
+  bool commit_in_flight_ = false;
   std::uint64_t tags_ = 0;
 };
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/controller/shard_controller.h
+++ b/src/controller/shard_controller.h
@@ -12,87 +12,87 @@
 #include "controller/state_store.h"
 #include "net/pool.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 
-class Runner : public actor::Actor {
+class ShardController : public actor::Actor {
  public:
-  Runner(actor::Loop& loop, Parts& parts, int shard);
+  ShardController(actor::Loop& loop, ControllerComponents& parts, int shard);
 
   // None: this node does not own the shard.
-  const fleet::Desk* desk() const { return desk_.get(); }
-  std::uint64_t garbage() const { return garbage_; }
+  const scheduler::ShardScheduler* scheduler() const { return scheduler_.get(); }
+  std::uint64_t malformed() const { return malformed_; }
 
   void tick();
-  void consider();  // who owns the shard may have changed
+  void reconsider_leadership();  // who owns the shard may have changed
   // Answered now, or once a commit that it waits for is through.
   // `passed_on`: by a sibling, since the worker does not reach this node.
-  void report(net::ExchangePtr ex, wire::Report r, bool passed_on = false);
-  void urgency(std::string job, wire::Priority priority, double due);
+  void take_heartbeat(net::ExchangePtr ex, wire::Heartbeat r, bool passed_on = false);
+  void set_effective_priority(std::string job, wire::Priority priority, double due);
   // Another shard lacks machines.
-  void give(fleet::Gift gift);
+  void transfer(scheduler::MachineTransfer gift);
 
   // What the cloud is to be asked for. Answers name the desk by the token it was opened under: for
   // another one they come too late.
-  struct Wants {
-    std::uint64_t born = 0;
-    std::vector<std::string> back;
-    std::vector<fleet::RentWish> rents;
+  struct CloudRequests {
+    std::uint64_t opened_under = 0;
+    std::vector<std::string> machines_to_return;
+    std::vector<scheduler::ScaleOutRequest> scale_out;
   };
-  void wants(bool returns, std::function<void(Wants)> then);
-  void rented(std::uint64_t born, fleet::RentWish w, std::vector<std::string> machines);
-  void refused(std::uint64_t born, fleet::RentWish w, bool no_capacity);
+  void cloud_requests(bool returns, std::function<void(CloudRequests)> then);
+  void rented(std::uint64_t born, scheduler::ScaleOutRequest w, std::vector<std::string> machines);
+  void rent_refused(std::uint64_t born, scheduler::ScaleOutRequest w, bool no_capacity);
   void deleted(std::uint64_t born, std::vector<std::string> machines, bool ok);
-  void failed(std::string machine, bool unlisted);  // says the cloud's list
-  void address(std::string machine, std::string addr);
+  void machine_failed(std::string machine, bool unlisted);  // says the cloud's list
+  void set_machine_address(std::string machine, std::string addr);
 
  private:
-  struct Held {
-    net::ExchangePtr ex;
+  struct HeldResponse {
+    net::ExchangePtr exchange;
     double until = 0;
   };
-  bool is(std::uint64_t born) const { return desk_ && desk_->born() == born; }
+  bool is_current(std::uint64_t born) const { return scheduler_ && scheduler_->opened_under() == born; }
   void changed(const std::vector<state::Change>& changes);
-  void decide();
-  void move(wire::Txn t);
-  void open(std::uint64_t token);
-  void close();
-  void raise();
+  void decide_leadership();
+  void commit_leadership(wire::Transaction t);
+  void open_scheduler(std::uint64_t token);
+  void close_scheduler();
+  void advance_token();
   void add_job(const std::string& id, const state::JobEntry& j, int team);
   void add_machine(const wire::MachineRecord& m);
   void lose_machine(const std::string& name);
-  void stir();  // something may have become possible
-  void turn();
-  void pump();
-  void send_direct();
+  void schedule_pass();  // something may have become possible
+  void run_scheduling_pass();
+  void commit_next();
+  void send_direct_commands();
   void send_probes();
   net::Client& worker(const std::string& machine, const std::string& addr);
-  void txn_done(std::uint64_t born, state::CommitResult r);
-  void look_up(std::uint64_t born);
-  void txn_settled(bool applied);
-  void again_later();
-  void take_report(const net::ExchangePtr& ex, const wire::Report& r);
-  void answer(const std::string& machine, const net::ExchangePtr& ex);
-  void flush_held();
+  void transaction_done(std::uint64_t born, state::CommitResult r);
+  void resolve_transaction(std::uint64_t born);
+  void transaction_resolved(bool applied);
+  void retry_later();
+  void handle_heartbeat(const net::ExchangePtr& ex, const wire::Heartbeat& r);
+  void respond(const std::string& machine, const net::ExchangePtr& ex);
+  void flush_held_responses();
   std::string next_tag();
 
-  Parts& parts_;
+  ControllerComponents& components_;
   const int shard_;
-  std::unique_ptr<fleet::Desk> desk_;
-  std::uint64_t spent_ = 0;  // the latest token whose desk was closed here
-  bool moving_ = false;      // an ownership commit is out
-  bool txn_retry_ = false;   // the transaction's fate is not known yet
-  wire::Txn txn_;            // kept for that
-  std::string tag_;
-  double txn_after_ = 0;
-  std::string raise_tag_;             // of the commit that raises the desk's own token
-  std::map<std::string, Held> held_;  // by machine: answers that wait for a commit
+  std::unique_ptr<scheduler::ShardScheduler> scheduler_;
+  std::uint64_t last_closed_token_ = 0;  // the latest token whose desk was closed here
+  bool leadership_in_flight_ = false;      // an ownership commit is out
+  bool transaction_unresolved_ = false;   // the transaction's fate is not known yet
+  wire::Transaction transaction_;            // kept for that
+  std::string transaction_tag_;
+  double next_commit_at_ = 0;
+  std::string token_commit_tag_;             // of the commit that raises the desk's own token
+  std::map<std::string, HeldResponse> held_responses_;  // by machine: answers that wait for a commit
   // By machine: until when it counts as cut off from this node. No direct order is sent there,
   // which would hold up the start that its report's answer can bring.
-  std::unordered_map<std::string, double> beyond_;
+  std::unordered_map<std::string, double> unreachable_until_;
   net::Pool workers_;  // by machine
-  std::uint64_t tags_ = 0, garbage_ = 0;
-  bool turn_armed_ = false;
-  actor::Timer turn_timer_;
+  std::uint64_t tags_ = 0, malformed_ = 0;
+  bool pass_armed_ = false;
+  actor::Timer pass_timer_;
 };
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
