--- a/src/controller/shard_controller_commits.cpp
+++ b/src/controller/shard_controller_commits.cpp
@@ -7,7 +7,7 @@
 #include "controller/job_results.h"
 #include "controller/shard_controller.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 namespace {
 constexpr double kCommitGap = 0.1;  // between two commits of a shard
 constexpr double kRetry = 0.3;      // before a transaction whose fate is not known is sent again
@@ -20,121 +20,121 @@
 
 // ---- reports
 
-void Runner::report(net::ExchangePtr ex, wire::Report r, bool passed_on) {
+void ShardController::take_heartbeat(net::ExchangePtr ex, wire::Heartbeat r, bool passed_on) {
   post([this, ex, r = std::move(r), passed_on] {
     if (passed_on)
-      beyond_[r.machine] = loop_.now() + 3 * parts_.settings.report_s;
+      unreachable_until_[r.machine] = loop_.now() + 3 * components_.settings.heartbeat_s;
     else
-      beyond_.erase(r.machine);
-    take_report(ex, r);
+      unreachable_until_.erase(r.machine);
+    handle_heartbeat(ex, r);
   });
 }
 
-void Runner::take_report(const net::ExchangePtr& ex, const wire::Report& r) {
-  const state::World& world = parts_.store->world();
-  if (!desk_) {
-    int owner = world.owner(shard_).node;
+void ShardController::handle_heartbeat(const net::ExchangePtr& ex, const wire::Heartbeat& r) {
+  const state::StateCache& world = components_.state_store->cache();
+  if (!scheduler_) {
+    int owner = world.leader(shard_).node;
     std::string to =
-        owner >= 0 && owner != parts_.settings.self ? parts_.settings.nodes[owner] : "";
+        owner >= 0 && owner != components_.settings.self ? components_.settings.nodes[owner] : "";
     return ex->send({421, wire::encode_redirect(to), 0});
   }
   const double now = loop_.now();
-  if (r.token > desk_->token()) {
+  if (r.token > scheduler_->token()) {
     // It has obeyed a newer owner than this node knows of, or came from another shard whose token
     // is higher. Look again before acting; if this node still is the owner, it raises its token.
-    parts_.store->barrier(reply<bool>([this, name = r.machine, seen = r.token](bool ok) {
-      decide();
-      if (ok && desk_ && desk_->has_machine(name) && seen > desk_->token() &&
-          seen <= parts_.store->world().revision())
-        desk_->outranked();
+    components_.state_store->linearizable_read(reply<bool>([this, name = r.machine, seen = r.token](bool ok) {
+      decide_leadership();
+      if (ok && scheduler_ && scheduler_->has_machine(name) && seen > scheduler_->token() &&
+          seen <= components_.state_store->cache().revision())
+        scheduler_->saw_higher_token();
     }));
     return ex->send({421, "{}", 0});
   }
-  auto heard = desk_->report(r, now);
-  if (heard == fleet::Desk::Heard::unknown) return ex->send({503, "{}", 0});
-  if (heard == fleet::Desk::Heard::older)
+  auto heard = scheduler_->take_heartbeat(r, now);
+  if (heard == scheduler::ShardScheduler::HeartbeatResult::unknown) return ex->send({503, "{}", 0});
+  if (heard == scheduler::ShardScheduler::HeartbeatResult::older)
     // Overtaken by the answer to a direct order: it tells nothing new, and keeps the lease. So it
     // is told what has to end: this may be the last answer that the worker hears.
     return ex->send(
-        desk_->unsettled(r.machine)
+        scheduler_->has_unacknowledged_start(r.machine)
             ? net::Answer{503, "{}", 0}
-            : net::Answer{200, wire::encode_orders(desk_->token(), desk_->stops(r.machine)), 0});
-  if (auto h = held_.find(r.machine); h != held_.end()) {
-    h->second.ex->send({503, "{}", 0});
-    held_.erase(h);
+            : net::Answer{200, wire::encode_heartbeat_response(scheduler_->token(), scheduler_->stop_commands(r.machine)), 0});
+  if (auto h = held_responses_.find(r.machine); h != held_responses_.end()) {
+    h->second.exchange->send({503, "{}", 0});
+    held_responses_.erase(h);
   }
-  stir();
-  if (desk_->awaits_commit(r.machine) && parts_.tuning.reply_hold_s > 0)
-    held_[r.machine] = {ex, now + parts_.tuning.reply_hold_s};
+  schedule_pass();
+  if (scheduler_->awaits_commit(r.machine) && components_.tuning.response_hold_s > 0)
+    held_responses_[r.machine] = {ex, now + components_.tuning.response_hold_s};
   else
-    answer(r.machine, ex);
+    respond(r.machine, ex);
 }
 
-void Runner::answer(const std::string& machine, const net::ExchangePtr& ex) {
+void ShardController::respond(const std::string& machine, const net::ExchangePtr& ex) {
   // A cancelled task that may still be started there must not find a lease that this answer has
   // renewed: not before the token is raised, or the order answered.
-  if (desk_->unsettled(machine)) return ex->send({503, "{}", 0});
-  auto commands = desk_->orders(machine, parts_.store->fresh(kStartFresh), loop_.now());
-  ex->send({200, wire::encode_orders(desk_->token(), commands), 0});
+  if (scheduler_->has_unacknowledged_start(machine)) return ex->send({503, "{}", 0});
+  auto commands = scheduler_->commands_for(machine, components_.state_store->fresh(kStartFresh), loop_.now());
+  ex->send({200, wire::encode_heartbeat_response(scheduler_->token(), commands), 0});
 }
 
-void Runner::flush_held() {
-  if (!desk_) return;
+void ShardController::flush_held_responses() {
+  if (!scheduler_) return;
   double now = loop_.now();
-  for (auto it = held_.begin(); it != held_.end();) {
-    if (now < it->second.until && desk_->awaits_commit(it->first)) {
+  for (auto it = held_responses_.begin(); it != held_responses_.end();) {
+    if (now < it->second.until && scheduler_->awaits_commit(it->first)) {
       ++it;
       continue;
     }
-    answer(it->first, it->second.ex);
-    it = held_.erase(it);
+    respond(it->first, it->second.exchange);
+    it = held_responses_.erase(it);
   }
 }
 
 // Starts go straight to machines that would not report soon.
-void Runner::send_direct() {
-  if (!desk_ || moving_) return;
+void ShardController::send_direct_commands() {
+  if (!scheduler_ || leadership_in_flight_) return;
   auto skip = [&](const std::string& name) {
-    auto b = beyond_.find(name);
-    return held_.contains(name) || (b != beyond_.end() && b->second > loop_.now());
+    auto b = unreachable_until_.find(name);
+    return held_responses_.contains(name) || (b != unreachable_until_.end() && b->second > loop_.now());
   };
-  for (auto& d : desk_->direct_orders(parts_.store->fresh(kStartFresh), skip, loop_.now())) {
+  for (auto& d : scheduler_->direct_commands(components_.state_store->fresh(kStartFresh), skip, loop_.now())) {
     net::Client& c = worker(d.machine, d.addr);
-    c.request("POST", "/orders", wire::encode_direct(desk_->token(), d.session, d.commands),
+    c.request("POST", "/orders", wire::encode_direct_commands(scheduler_->token(), d.incarnation, d.commands),
               kDirectWithin, reply<net::Result>([this, d](net::Result r) {
-                if (!desk_ || !desk_->has_machine(d.machine)) return;
-                desk_->direct_done(d, r.status);
+                if (!scheduler_ || !scheduler_->has_machine(d.machine)) return;
+                scheduler_->direct_commands_done(d, r.status);
                 if (r.status != 200 && r.status != 409) return;
                 try {
-                  desk_->report(wire::decode_report(r.body), loop_.now(), true);
+                  scheduler_->take_heartbeat(wire::decode_heartbeat(r.body), loop_.now(), true);
                 } catch (const wire::Malformed& e) {
-                  ++garbage_;
+                  ++malformed_;
                   spdlog::info("garbage from {}: {}", d.machine, e.what());
                 }
-                pump();
+                commit_next();
               }));
   }
 }
 
 // A silent machine is asked whether it lives. Nothing is concluded while this node may be the one
 // that is cut off.
-void Runner::send_probes() {
-  if (!desk_ || !parts_.store->fresh(kStartFresh)) return;
-  for (const auto& p : desk_->probes(loop_.now()))
+void ShardController::send_probes() {
+  if (!scheduler_ || !components_.state_store->fresh(kStartFresh)) return;
+  for (const auto& p : scheduler_->probes(loop_.now()))
     worker(p.machine, p.addr)
         .request("GET", "/status", "", kProbeWithin,
-                 reply<net::Result>([this, born = desk_->born(), p](net::Result r) {
-                   if (is(born)) desk_->probed(p.machine, r.status == 200, loop_.now());
+                 reply<net::Result>([this, born = scheduler_->opened_under(), p](net::Result r) {
+                   if (is_current(born)) scheduler_->probe_done(p.machine, r.status == 200, loop_.now());
                  }));
 }
 
 // All desks here share a quarter of the sockets: one controller that holds every shard still has
 // them for every worker's report and every user.
-net::Client& Runner::worker(const std::string& machine, const std::string& addr) {
+net::Client& ShardController::worker(const std::string& machine, const std::string& addr) {
   std::size_t desks = 0;
-  for (const auto& r : parts_.runners) desks += r->desk() != nullptr;
+  for (const auto& r : components_.shard_controllers) desks += r->scheduler() != nullptr;
   const std::size_t most = std::max<std::size_t>(
-      1, static_cast<std::size_t>(parts_.settings.max_sockets) / kDirectShare / desks);
+      1, static_cast<std::size_t>(components_.settings.max_sockets) / kDirectShare / desks);
   config::Endpoint to;
   auto colon = addr.rfind(':');
   if (colon != std::string::npos) {
@@ -146,102 +146,102 @@
 
 // ---- group commits
 
-void Runner::pump() {
-  if (!desk_ || !parts_.store->loaded()) return;
-  send_direct();
+void ShardController::commit_next() {
+  if (!scheduler_ || !components_.state_store->loaded()) return;
+  send_direct_commands();
   double now = loop_.now();
-  if (moving_) return;
-  if (now < txn_after_) return stir();
-  if (txn_retry_) {
-    txn_retry_ = false;
+  if (leadership_in_flight_) return;
+  if (now < next_commit_at_) return schedule_pass();
+  if (transaction_unresolved_) {
+    transaction_unresolved_ = false;
   } else {
-    if (desk_->txn_out()) return;
+    if (scheduler_->transaction_in_flight()) return;
     // A token is raised between transactions: a busy desk would never be without one, and machines
     // that came from another shard would stand idle until it was.
-    if (desk_->wants_raise(now)) return decide();
+    if (scheduler_->needs_new_token(now)) return decide_leadership();
     // Not before it can be sent: urgent starts would wait behind a transaction that waits for the
     // rate, and twice as many would be made.
-    state::Room size = parts_.state.limits().room();
-    const std::size_t budget = parts_.state.writes_now(state::Urgency::work);
-    if (budget < state::kLeastWrites) return stir();
+    state::TransactionLimits size = components_.state_client.limits().transaction_limits();
+    const std::size_t budget = components_.state_client.writes_now(state::RequestPriority::work);
+    if (budget < state::kLeastWrites) return schedule_pass();
     size.ops = std::min(size.ops, budget);
-    tag_ = next_tag();
-    auto t = desk_->next_txn(parts_.store->world(), size, tag_, now);
+    transaction_tag_ = next_tag();
+    auto t = scheduler_->next_transaction(components_.state_store->cache(), size, transaction_tag_, now);
     if (!t) return;
-    txn_ = std::move(*t);
+    transaction_ = std::move(*t);
   }
   // Every controller reads every change: a little patience makes them fewer and fuller.
-  txn_after_ = now + kCommitGap;
-  parts_.store->commit(
-      txn_, state::Urgency::work, kTxnWithin,
-      reply<state::CommitResult>([this, born = desk_->born()](state::CommitResult r) {
-        if (is(born) && desk_->txn_out()) txn_done(born, std::move(r));
+  next_commit_at_ = now + kCommitGap;
+  components_.state_store->commit(
+      transaction_, state::RequestPriority::work, kTxnWithin,
+      reply<state::CommitResult>([this, born = scheduler_->opened_under()](state::CommitResult r) {
+        if (is_current(born) && scheduler_->transaction_in_flight()) transaction_done(born, std::move(r));
       }));
 }
 
-void Runner::again_later() {
-  txn_retry_ = true;
-  txn_after_ = loop_.now() + kRetry;
+void ShardController::retry_later() {
+  transaction_unresolved_ = true;
+  next_commit_at_ = loop_.now() + kRetry;
 }
 
-void Runner::txn_done(std::uint64_t born, state::CommitResult r) {
+void ShardController::transaction_done(std::uint64_t born, state::CommitResult r) {
   switch (r.kind) {
     case state::CommitResult::applied:
-      return txn_settled(true);
-    case state::CommitResult::guard_failed:
+      return transaction_resolved(true);
+    case state::CommitResult::precondition_failed:
     case state::CommitResult::too_large:
-      return look_up(born);
+      return resolve_transaction(born);
     default:
       // Not executed, or no answer. The same transaction again: its guards let it be applied once.
-      return again_later();
+      return retry_later();
   }
 }
 
 // Either a guard has changed under us, or the limits have fallen, or this is the second copy of a
 // transaction whose first answer was lost: the tag on what it wrote tells. What was not carried out
 // is made anew, in a size that is taken now.
-void Runner::look_up(std::uint64_t born) {
-  const wire::Txn::Op* set = nullptr;
-  for (const auto& op : txn_.ops)
+void ShardController::resolve_transaction(std::uint64_t born) {
+  const wire::Transaction::Op* set = nullptr;
+  for (const auto& op : transaction_.ops)
     if (op.value) set = &op;
-  std::string key = set ? set->key : txn_.ops.front().key;
+  std::string key = set ? set->key : transaction_.ops.front().key;
   bool dropped = !set;
-  parts_.state.get(
-      "/kv/" + key, state::Urgency::work, reply<net::Result>([this, born, dropped](net::Result g) {
-        if (!is(born) || !desk_->txn_out()) return;
-        if (g.status == 404) return txn_settled(false);
+  components_.state_client.get(
+      "/kv/" + key, state::RequestPriority::work, reply<net::Result>([this, born, dropped](net::Result g) {
+        if (!is_current(born) || !scheduler_->transaction_in_flight()) return;
+        if (g.status == 404) return transaction_resolved(false);
         try {
           if (g.status != 200) throw wire::Malformed("no answer");
           wire::Event e = wire::decode_key(g.body);
-          bool ours = !dropped && e.value && e.value->find("\"" + tag_ + "\"") != std::string::npos;
-          if (!ours) return txn_settled(false);
-          parts_.store->learn(txn_, e.stamp, reply<>([this, born] {
-                                if (is(born) && desk_->txn_out()) txn_settled(true);
+          bool ours = !dropped && e.value && e.value->find("\"" + transaction_tag_ + "\"") != std::string::npos;
+          if (!ours) return transaction_resolved(false);
+          components_.state_store->apply_commit(transaction_, e.mod_revision, reply<>([this, born] {
+                                if (is_current(born) && scheduler_->transaction_in_flight()) transaction_resolved(true);
                               }));
         } catch (const wire::Malformed&) {
-          again_later();
+          retry_later();
         }
       }));
 }
 
-void Runner::txn_settled(bool applied) {
+void ShardController::transaction_resolved(bool applied) {
   if (applied) {
-    wire::Txn t = std::move(txn_);
-    desk_->txn_applied(loop_.now());
+    wire::Transaction t = std::move(transaction_);
+    scheduler_->transaction_applied(loop_.now());
     for (const auto& op : t.ops)
       if (op.key.starts_with("fin/") && op.value)
-        parts_.outcomes->ended(op.key.substr(4), wire::decode_final_record(*op.value));
-    flush_held();
-    pump();
+        components_.job_results->result_written(op.key.substr(4), wire::decode_job_result(*op.value));
+    flush_held_responses();
+    commit_next();
     return;
   }
   // Before the next try, what made it fail has to be known.
-  parts_.store->barrier(reply<bool>([this, born = desk_->born()](bool ok) {
-    if (!is(born) || !desk_->txn_out()) return;
-    if (!ok) return again_later();
-    desk_->txn_failed(loop_.now());
-    pump();
+  components_.state_store->linearizable_read(reply<bool>([this, born = scheduler_->opened_under()](bool ok) {
+    if (!is_current(born) || !scheduler_->transaction_in_flight()) return;
+    if (!ok) return retry_later();
+    scheduler_->transaction_failed(loop_.now());
+    commit_next();
   }));
 }
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/controller/state_store.cpp
+++ b/src/controller/state_store.cpp
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-namespace shunt::front {
+namespace shunttrail::controller {
 namespace {
 constexpr double kWatchGap = 0.15;       // between watches: changes come in bundles
 constexpr double kBarrierGap = 0.06;     // between reads that polls wait for
@@ -10,22 +10,22 @@
 constexpr int kWatchBlockMs = 1000;
 }  // namespace
 
-Store::Store(actor::Loop& loop, const config::Settings& s, state::Client& client)
+StateStore::StateStore(actor::Loop& loop, const config::Settings& s, state::Client& client)
     : Actor(loop),
       client_(client),
-      world_(s),
+      cache_(s),
       watch_timer_(loop, [this] { post([this] { watch_loop(); }); }),
-      barrier_timer_(loop, [this] { post([this] { start_barrier(); }); }) {}
+      read_timer_(loop, [this] { post([this] { start_linearizable_read(); }); }) {}
 
-bool Store::fresh(double within) const { return loaded_ && loop_.now() - fresh_at_ < within; }
+bool StateStore::fresh(double within) const { return loaded_ && loop_.now() - last_read_at_ < within; }
 
-void Store::tick() {
+void StateStore::tick() {
   post([this] {
     if (!loaded_ && !loading_) reload();
   });
 }
 
-void Store::tell(std::vector<state::Change> changes) {
+void StateStore::notify(std::vector<state::Change> changes) {
   if (changes.empty()) return;
   auto shared = std::make_shared<const std::vector<state::Change>>(std::move(changes));
   for (const auto& l : listeners_) l(shared);
@@ -33,15 +33,15 @@
 
 // ---- reading
 
-void Store::reload() {
+void StateStore::reload() {
   loading_ = true;
   load(loop_.now(), "", 0, {});
 }
 // `began`: the first page. What is known of its keys is as old as that, and S counts from there.
-void Store::load(double began, std::string after, std::uint64_t revision,
+void StateStore::load(double began, std::string after, std::uint64_t revision,
                  std::vector<wire::Event> items) {
   client_.get(
-      wire::keys_path(state::kRoot, after), state::Urgency::safety,
+      wire::keys_path(state::kRoot, after), state::RequestPriority::safety,
       reply<net::Result>([this, began, revision, items = std::move(items)](net::Result r) mutable {
         try {
           if (r.status != 200) throw wire::Malformed("status " + std::to_string(r.status));
@@ -61,16 +61,16 @@
           return;
         }
         std::vector<state::Change> changes;
-        world_.replace(revision, items, changes);
+        cache_.replace(revision, items, changes);
         loading_ = false;
         loaded_ = true;
-        fresh_at_ = std::max(fresh_at_, began);
-        tell(std::move(changes));
+        last_read_at_ = std::max(last_read_at_, began);
+        notify(std::move(changes));
         watch_loop();
       }));
 }
 
-void Store::watch_loop() {
+void StateStore::watch_loop() {
   if (watching_ || !loaded_) return;
   double now = loop_.now();
   if (now < next_watch_) {
@@ -79,14 +79,14 @@
   }
   watching_ = true;
   next_watch_ = now + kWatchGap;
-  client_.watch(world_.revision(), kWatchBlockMs, reply<net::Result>([this, now](net::Result r) {
+  client_.watch(cache_.revision(), kWatchBlockMs, reply<net::Result>([this, now](net::Result r) {
                   watching_ = false;
                   watched(now, r);
                   watch_loop();
                 }));
 }
 
-void Store::watched(double began, const net::Result& r) {
+void StateStore::watched(double began, const net::Result& r) {
   if (r.status == 410) {
     loaded_ = false;
     spdlog::info("the watch is too old: reading all keys");
@@ -96,11 +96,11 @@
     if (r.status != 200) throw wire::Malformed("status " + std::to_string(r.status));
     wire::WatchAnswer w = wire::decode_watch(r.body);
     std::vector<state::Change> changes;
-    for (const auto& e : w.events) world_.apply(e, changes);
-    world_.advance(w.revision);
-    fresh_at_ = std::max(fresh_at_, began);
+    for (const auto& e : w.events) cache_.apply(e, changes);
+    cache_.advance(w.revision);
+    last_read_at_ = std::max(last_read_at_, began);
     watch_fail_ = 0;
-    tell(std::move(changes));
+    notify(std::move(changes));
   } catch (const wire::Malformed& e) {
     watch_fail_ = std::min(1.0, watch_fail_ * 2 + 0.1);
     next_watch_ = loop_.now() + watch_fail_;
@@ -110,32 +110,32 @@
 
 // ---- barriers
 
-void Store::barrier(std::function<void(bool)> then) {
+void StateStore::linearizable_read(std::function<void(bool)> then) {
   post([this, then = std::move(then)]() mutable { wait_for_read(std::move(then)); });
 }
-void Store::wait_for_read(std::function<void(bool)> then) {
+void StateStore::wait_for_read(std::function<void(bool)> then) {
   if (!loaded_) return then(false);
-  barrier_next_.push_back(std::move(then));
-  if (!barrier_out_ && !barrier_armed_) {
-    barrier_armed_ = true;
-    barrier_timer_.after(kBarrierStart);
+  read_waiters_.push_back(std::move(then));
+  if (!read_in_flight_ && !read_armed_) {
+    read_armed_ = true;
+    read_timer_.after(kBarrierStart);
   }
 }
-void Store::start_barrier() {
-  barrier_armed_ = false;
-  if (barrier_out_ || barrier_next_.empty()) return;
-  barrier_out_ = true;
+void StateStore::start_linearizable_read() {
+  read_armed_ = false;
+  if (read_in_flight_ || read_waiters_.empty()) return;
+  read_in_flight_ = true;
   auto waiting = std::make_shared<std::vector<std::function<void(bool)>>>();
-  waiting->swap(barrier_next_);
+  waiting->swap(read_waiters_);
   double began = loop_.now();
-  client_.get(wire::watch_path(state::kRoot, world_.revision(), 0), state::Urgency::user,
+  client_.get(wire::watch_path(state::kRoot, cache_.revision(), 0), state::RequestPriority::user,
               reply<net::Result>([this, waiting, began](net::Result r) {
-                barrier_out_ = false;
+                read_in_flight_ = false;
                 if (r.status == 200 || r.status == 410) watched(began, r);
-                for (auto& w : *waiting) w(r.status == 200 && fresh_at_ >= began);
-                if (!barrier_next_.empty()) {
-                  barrier_armed_ = true;
-                  barrier_timer_.after(kBarrierGap);
+                for (auto& w : *waiting) w(r.status == 200 && last_read_at_ >= began);
+                if (!read_waiters_.empty()) {
+                  read_armed_ = true;
+                  read_timer_.after(kBarrierGap);
                 }
               }));
 }
@@ -144,7 +144,7 @@
 
 namespace {
 // Only what the cache takes is kept beside a request.
-std::vector<wire::Event> events_of(const wire::Txn& t) {
+std::vector<wire::Event> events_of(const wire::Transaction& t) {
   std::vector<wire::Event> out;
   for (const auto& op : t.ops)
     if (op.key.starts_with(state::kRoot)) out.push_back({op.key, op.value, 0});
@@ -152,16 +152,16 @@
 }
 }  // namespace
 
-void Store::applied(std::vector<wire::Event> events, std::uint64_t revision) {
+void StateStore::applied(std::vector<wire::Event> events, std::uint64_t revision) {
   std::vector<state::Change> changes;
   for (auto& e : events) {
-    e.stamp = revision;
-    world_.apply(e, changes);
+    e.mod_revision = revision;
+    cache_.apply(e, changes);
   }
-  tell(std::move(changes));
+  notify(std::move(changes));
 }
 
-void Store::commit(wire::Txn t, state::Urgency u, double give_up_s,
+void StateStore::commit(wire::Transaction t, state::RequestPriority u, double give_up_s,
                    std::function<void(state::CommitResult)> done) {
   auto events = events_of(t);
   client_.commit(std::move(t), u, give_up_s,
@@ -172,14 +172,14 @@
                  }));
 }
 
-void Store::learn(const wire::Txn& t, std::uint64_t revision, std::function<void()> done) {
+void StateStore::apply_commit(const wire::Transaction& t, std::uint64_t revision, std::function<void()> done) {
   post([this, events = events_of(t), revision, done = std::move(done)] {
     applied(events, revision);
     done();
   });
 }
 
-void Store::settle(wire::Txn t, state::Urgency u, double give_up_s,
+void StateStore::resolve_unknown_commit(wire::Transaction t, state::RequestPriority u, double give_up_s,
                    std::function<void(state::CommitResult)> done) {
   commit(std::move(t), u, give_up_s, [this, done = std::move(done)](state::CommitResult r) {
     if (r.kind == state::CommitResult::applied) return done(std::move(r));
@@ -187,4 +187,4 @@
   });
 }
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/controller/state_store.h
+++ b/src/controller/state_store.h
@@ -11,34 +11,34 @@
 #include "state/client.h"
 #include "state/state_cache.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 
 using Changes = std::shared_ptr<const std::vector<state::Change>>;
 
-class Store : public actor::Actor {
+class StateStore : public actor::Actor {
  public:
-  Store(actor::Loop& loop, const config::Settings& s, state::Client& client);
+  StateStore(actor::Loop& loop, const config::Settings& s, state::Client& client);
 
   // Told of every change of the cache, in order. Both are reply addresses.
   void listen(std::function<void(Changes)> told) { listeners_.push_back(std::move(told)); }
   void tick();
 
-  const state::World& world() const { return world_; }
+  const state::StateCache& cache() const { return cache_; }
   bool loaded() const { return loaded_; }
   // The latest successful read began so many seconds ago at the most.
   bool fresh(double within) const;
 
   // A read that begins after now: whatever was committed before is in the cache once it answers
   // true. Requests that come while one is out share the next one.
-  void barrier(std::function<void(bool)> then);
+  void linearizable_read(std::function<void(bool)> then);
   // A commit that was carried out is in the cache, and listeners are told, before `done` is.
-  void commit(wire::Txn t, state::Urgency u, double give_up_s,
+  void commit(wire::Transaction t, state::RequestPriority u, double give_up_s,
               std::function<void(state::CommitResult)> done);
   // A transaction whose answer was lost has been found to have been carried out.
-  void learn(const wire::Txn& t, std::uint64_t revision, std::function<void()> done);
+  void apply_commit(const wire::Transaction& t, std::uint64_t revision, std::function<void()> done);
   // As commit; one that was not carried out, or perhaps not, is followed by a read, so that what is
   // decided next is decided by what is there.
-  void settle(wire::Txn t, state::Urgency u, double give_up_s,
+  void resolve_unknown_commit(wire::Transaction t, state::RequestPriority u, double give_up_s,
               std::function<void(state::CommitResult)> done);
 
  private:
@@ -48,19 +48,19 @@
   void watch_loop();
   void watched(double began, const net::Result& r);
   void wait_for_read(std::function<void(bool)> then);
-  void start_barrier();
+  void start_linearizable_read();
   void applied(std::vector<wire::Event> events, std::uint64_t revision);
-  void tell(std::vector<state::Change> changes);
+  void notify(std::vector<state::Change> changes);
 
   state::Client& client_;
-  state::World world_;
+  state::StateCache cache_;
   std::vector<std::function<void(Changes)>> listeners_;
   bool loaded_ = false, loading_ = false, watching_ = false;
-  double fresh_at_ = -1e9;  // when the latest successful read of the state service began
+  double last_read_at_ = -1e9;  // when the latest successful read of the state service began
   double next_watch_ = 0, watch_fail_ = 0;
-  std::vector<std::function<void(bool)>> barrier_next_;
-  bool barrier_armed_ = false, barrier_out_ = false;
-  actor::Timer watch_timer_, barrier_timer_;
+  std::vector<std::function<void(bool)>> read_waiters_;
+  bool read_armed_ = false, read_in_flight_ = false;
+  actor::Timer watch_timer_, read_timer_;
 };
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -10,12 +10,12 @@
 #include "net/http.h"
 #include "wire/types.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 
-class Users : public actor::Actor {
+class UserApi : public actor::Actor {
  public:
-  Users(actor::Loop& loop, Parts& parts) : Actor(loop), parts_(parts) {}
-  void ask(net::ExchangePtr ex);
+  UserApi(actor::Loop& loop, ControllerComponents& parts) : Actor(loop), components_(parts) {}
+  void handle_request(net::ExchangePtr ex);
   std::uint64_t submissions() const { return submissions_; }
   std::uint64_t refused() const { return refused_; }
 
@@ -24,8 +24,8 @@
   void route(const ExchangePtr& ex);
   void submit(const ExchangePtr& ex);
   void poll(const ExchangePtr& ex, const std::string& id);
-  void withdraw(const ExchangePtr& ex, const std::string& id, int tries);
-  void withdrawn(const ExchangePtr& ex, const std::string& id);
+  void cancel_request(const ExchangePtr& ex, const std::string& id, int tries);
+  void cancel_completed(const ExchangePtr& ex, const std::string& id);
   static void cancelled(const ExchangePtr& ex, const std::string& id);
   void cancel(const ExchangePtr& ex, const std::string& id, int tries);
   void team(const ExchangePtr& ex, const std::string& name);
@@ -33,24 +33,24 @@
                     const std::function<void()>& unknown, int tries = 3);
   void answer_waiting(const ExchangePtr& ex, const std::string& id, bool counts,
                       const std::function<void()>& unknown, int tries);
-  static void answer_final(const ExchangePtr& ex, const std::string& id, const wire::FinalRecord& f,
+  static void answer_result(const ExchangePtr& ex, const std::string& id, const wire::JobResultRecord& f,
                            bool counts);
   // A job of a team's view.
-  struct Line {
+  struct TeamJob {
     wire::JobSpec spec;
     bool waits = false;
-    state::World::Progress progress;
+    state::StateCache::Progress progress;
   };
   static void answer_team(const ExchangePtr& ex, const std::string& name,
-                          const std::vector<Line>& list, const Outcomes::Standings& s, bool more);
-  void check_awaits(const ExchangePtr& ex, wire::JobRecord r, int look);
+                          const std::vector<TeamJob>& list, const JobResults::DependencyStates& s, bool more);
+  void check_dependencies(const ExchangePtr& ex, wire::JobRecord r, int look);
   void accept(const ExchangePtr& ex, const wire::JobRecord& r, bool cancelled);
-  void up(const ExchangePtr& ex);
+  void answer_health(const ExchangePtr& ex);
   int never_runs(const wire::JobSpec& s) const;  // 0: can run; else the status
   std::string next_tag();
 
-  Parts& parts_;
+  ControllerComponents& components_;
   std::uint64_t submissions_ = 0, refused_ = 0, tags_ = 0;
 };
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/controller/worker_api.h
+++ b/src/controller/worker_api.h
@@ -5,22 +5,22 @@
 #include "net/http.h"
 #include "wire/types.h"
 
-namespace shunt::front {
+namespace shunttrail::controller {
 
-class Workers : public actor::Actor {
+class WorkerApi : public actor::Actor {
  public:
-  Workers(actor::Loop& loop, Parts& parts) : Actor(loop), parts_(parts) {}
+  WorkerApi(actor::Loop& loop, ControllerComponents& parts) : Actor(loop), components_(parts) {}
   // `passed_on`: by a sibling that the worker reaches instead of this node.
-  void report(net::ExchangePtr ex, bool passed_on = false);
-  std::uint64_t garbage() const { return garbage_; }
+  void handle_heartbeat(net::ExchangePtr ex, bool passed_on = false);
+  std::uint64_t malformed() const { return malformed_; }
 
  private:
-  void take(const net::ExchangePtr& ex, bool passed_on);
+  void route_heartbeat(const net::ExchangePtr& ex, bool passed_on);
   int shard_of(const std::string& machine) const;  // -1: nobody's
-  std::string able(int shard) const;
+  std::string can_lead(int shard) const;
 
-  Parts& parts_;
-  std::uint64_t garbage_ = 0;
+  ControllerComponents& components_;
+  std::uint64_t malformed_ = 0;
 };
 
-}  // namespace shunt::front
+}  // namespace shunttrail::front
--- a/src/emulators/cloud.cpp
+++ b/src/emulators/cloud.cpp
@@ -7,10 +7,10 @@
 #include "artifacts/store.h"
 #include "client_protocol/client_protocol.h"
 
-namespace shunt::standins {
+namespace shunttrail::emulators {
 using nlohmann::json;
 
-Cloud::Cloud(actor::Loop& loop, const config::Endpoint& at, std::vector<CloudType> types,
+CloudEmulator::CloudEmulator(actor::Loop& loop, const config::Endpoint& at, std::vector<EmulatedMachineType> types,
              double rps, std::filesystem::path file, Power power, unsigned seed)
     : Actor(loop),
       types_(std::move(types)),
@@ -27,7 +27,7 @@
           if (ex->path == "/machine_types" && !ex->post) {
             std::vector<wire::MachineType> all;
             for (const auto& t : types_) all.push_back(t.spec);
-            return ex->send({200, far::encode_types(all), 0});
+            return ex->send({200, client_protocol::encode_types(all), 0});
           }
           if (ex->path == "/rentals" && ex->post) return ex->send(rent(ex->body));
           if (ex->path == "/rentals/delete" && ex->post) return remove(ex);
@@ -41,7 +41,7 @@
   timer_.after(0);
 }
 
-bool Cloud::paced() {
+bool CloudEmulator::paced() {
   double now = loop_.now();
   tokens_ = std::min(2 * rps_, tokens_ + (now - refilled_) * rps_);
   refilled_ = now;
@@ -50,12 +50,12 @@
   return true;
 }
 
-net::Answer Cloud::rent(const std::string& body) {
-  far::RentRequest r = far::decode_rent(body);
+net::Answer CloudEmulator::rent(const std::string& body) {
+  client_protocol::RentRequest r = client_protocol::decode_rent(body);
   if (auto it = requests_.find(r.name); it != requests_.end())
-    return {200, far::encode_rented(it->second), 0};
+    return {200, client_protocol::encode_rented(it->second), 0};
   auto type = std::find_if(types_.begin(), types_.end(),
-                           [&](const CloudType& t) { return t.spec.name == r.type; });
+                           [&](const EmulatedMachineType& t) { return t.spec.name == r.type; });
   if (type == types_.end() ||
       std::find(type->spec.zones.begin(), type->spec.zones.end(), r.zone) == type->spec.zones.end())
     throw wire::Malformed("no such type or zone");
@@ -85,12 +85,12 @@
   }
   save();
   timer_.after(0);
-  return {200, far::encode_rented(names), 0};
+  return {200, client_protocol::encode_rented(names), 0};
 }
 
-void Cloud::remove(net::ExchangePtr ex) {
+void CloudEmulator::remove(net::ExchangePtr ex) {
   std::vector<std::string> there;
-  for (const auto& name : far::decode_delete(ex->body))
+  for (const auto& name : client_protocol::decode_delete(ex->body))
     if (auto it = machines_.find(name); it != machines_.end()) {
       it->second.going = true;
       there.push_back(name);
@@ -105,7 +105,7 @@
              }));
 }
 
-net::Answer Cloud::list(const std::string& query) {
+net::Answer CloudEmulator::list(const std::string& query) {
   std::string after = net::query_value(query, "after"), limit = net::query_value(query, "limit");
   std::size_t most = 500;
   if (!limit.empty() && limit.size() < 6 &&
@@ -130,10 +130,10 @@
                           m.on && m.on_at <= as_of ? "running" : "booting", m.spot,
                           loop_.wall_now() - m.rented_at - old});
   }
-  return {200, far::encode_machines(l), 0};
+  return {200, client_protocol::encode_machines(l), 0};
 }
 
-void Cloud::boot() {
+void CloudEmulator::boot() {
   double now = loop_.now(), next = now + 1;
   for (auto& [name, m] : machines_) {
     if (m.on || m.going) continue;
@@ -148,7 +148,7 @@
   timer_.after(next - now);
 }
 
-void Cloud::save() const {
+void CloudEmulator::save() const {
   if (file_.empty()) return;
   json j = {{"next", next_}, {"requests", requests_}, {"machines", json::array()}};
   for (const auto& [name, m] : machines_)
@@ -157,10 +157,10 @@
                              {"zone", m.zone},
                              {"spot", m.spot},
                              {"rented_at", m.rented_at}});
-  depot::write_whole(file_, j.dump());
+  artifacts::write_whole(file_, j.dump());
 }
 
-void Cloud::load() {
+void CloudEmulator::load() {
   std::ifstream in(file_);
   if (!in) return;
   json j = json::parse(in, nullptr, false);
@@ -179,4 +179,4 @@
   }
 }
 
-}  // namespace shunt::standins
+}  // namespace shunttrail::standins
--- a/src/emulators/cloud.h
+++ b/src/emulators/cloud.h
@@ -12,14 +12,14 @@
 #include "net/http.h"
 #include "wire/types.h"
 
-namespace shunt::standins {
+namespace shunttrail::emulators {
 
-struct CloudType {
+struct EmulatedMachineType {
   wire::MachineType spec;
   int most = 0;  // machines of this type at a time, over all zones
 };
 
-class Cloud : public actor::Actor {
+class CloudEmulator : public actor::Actor {
  public:
   struct Machine {
     std::string name, type, zone, address;
@@ -35,7 +35,7 @@
     std::function<void(std::vector<std::string>, std::function<void()>)> off;  // then all are gone
   };
   // Without a file nothing is kept. `seed` draws the boot times.
-  Cloud(actor::Loop& loop, const config::Endpoint& at, std::vector<CloudType> types, double rps,
+  CloudEmulator(actor::Loop& loop, const config::Endpoint& at, std::vector<EmulatedMachineType> types, double rps,
         std::filesystem::path file, Power power, unsigned seed = std::random_device{}());
 
   const std::map<std::string, Machine>& machines() const { return machines_; }
@@ -60,7 +60,7 @@
   void save() const;
   void load();
 
-  std::vector<CloudType> types_;
+  std::vector<EmulatedMachineType> types_;
   double rps_, tokens_, refilled_;
   std::filesystem::path file_;
   Power power_;
@@ -76,4 +76,4 @@
   net::Server http_;
 };
 
-}  // namespace shunt::standins
+}  // namespace shunttrail::standins
--- a/src/emulators/state.cpp
+++ b/src/emulators/state.cpp
@@ -12,7 +12,7 @@
 #include "client_protocol/client_protocol.h"
 #include "log/log.h"
 
-namespace shunt::standins {
+namespace shunttrail::emulators {
 namespace fs = std::filesystem;
 using nlohmann::json;
 namespace {
@@ -28,7 +28,7 @@
 }
 }  // namespace
 
-State::State(actor::Loop& loop, const config::Endpoint& at, fs::path log)
+StateServiceEmulator::StateServiceEmulator(actor::Loop& loop, const config::Endpoint& at, fs::path log)
     : Actor(loop),
       log_(std::move(log)),
       timer_(loop,
@@ -48,15 +48,15 @@
   if (!log_.empty()) load();
   timer_.after(0.05);
 }
-State::~State() {
+StateServiceEmulator::~StateServiceEmulator() {
   if (fd_ >= 0) ::close(fd_);
 }
 
-void State::limit(double rps, double write_rps) {
+void StateServiceEmulator::limit(double rps, double write_rps) {
   requests_ = {rps, rps, loop_.now()};
   writes_ = {write_rps, write_rps, loop_.now()};
 }
-bool State::Pace::take(double n, double now) {
+bool StateServiceEmulator::RateLimit::take(double n, double now) {
   if (per_s <= 0) return true;
   left = std::min(per_s, left + (now - at) * per_s);
   at = now;
@@ -65,7 +65,7 @@
   return true;
 }
 
-net::Answer State::answer(net::ExchangePtr ex) {
+net::Answer StateServiceEmulator::answer(net::ExchangePtr ex) {
   try {
     if (ex->path == "/kv" && !ex->post) return page(ex->query);
     if (ex->path.starts_with("/kv/") && !ex->post) return get(ex->path.substr(4));
@@ -77,13 +77,13 @@
   }
 }
 
-net::Answer State::get(const std::string& key) {
+net::Answer StateServiceEmulator::get(const std::string& key) {
   auto it = keys_.find(key);
-  if (it == keys_.end()) return {404, far::encode_revision(revision_), 0};
-  return {200, far::encode_entry(key, it->second.value, it->second.stamp, it->second.lease), 0};
+  if (it == keys_.end()) return {404, client_protocol::encode_revision(revision_), 0};
+  return {200, client_protocol::encode_entry(key, it->second.value, it->second.mod_revision, it->second.lease), 0};
 }
 
-net::Answer State::page(const std::string& query) {
+net::Answer StateServiceEmulator::page(const std::string& query) {
   const std::string prefix = net::query_value(query, "starts"),
                     after = net::query_value(query, "after");
   std::uint64_t limit = std::min<std::uint64_t>(count(query, "limit", 1000), 1000);
@@ -92,33 +92,33 @@
   auto it = after > prefix ? keys_.upper_bound(after) : keys_.lower_bound(prefix);
   for (; it != keys_.end() && it->first.starts_with(prefix); ++it) {
     if (entries.size() >= limit || (bytes > 0 && bytes + it->second.value.size() > kPageBytes))
-      return {200, far::encode_page(entries, true, revision_), 0};
+      return {200, client_protocol::encode_page(entries, true, revision_), 0};
     bytes += it->second.value.size();
     entries.push_back(
-        far::encode_entry(it->first, it->second.value, it->second.stamp, it->second.lease));
+        client_protocol::encode_entry(it->first, it->second.value, it->second.mod_revision, it->second.lease));
   }
-  return {200, far::encode_page(entries, false, revision_), 0};
+  return {200, client_protocol::encode_page(entries, false, revision_), 0};
 }
 
-net::Answer State::commit(const std::string& body) {
-  wire::Txn t = far::decode_txn(body);
+net::Answer StateServiceEmulator::commit(const std::string& body) {
+  wire::Transaction t = client_protocol::decode_transaction(body);
   // Also of one whose conditions then fail.
   if (!writes_.take(static_cast<double>(t.ops.size()), loop_.now())) return {429, "{}", 0};
   for (const auto& op : t.ops)
     if (op.lease && !leases_.contains(op.lease)) return {400, "{\"error\":\"no such lease\"}", 0};
   std::vector<std::string> failed;
-  for (const auto& [key, stamp] : t.guards) {
+  for (const auto& [key, stamp] : t.preconditions) {
     auto it = keys_.find(key);
-    if ((it == keys_.end() ? 0 : it->second.stamp) != stamp) failed.push_back(key);
+    if ((it == keys_.end() ? 0 : it->second.mod_revision) != stamp) failed.push_back(key);
   }
-  if (!failed.empty()) return {409, far::encode_failed(failed, revision_), 0};
-  if (t.ops.empty()) return {200, far::encode_revision(revision_), 0};
+  if (!failed.empty()) return {409, client_protocol::encode_failed(failed, revision_), 0};
+  if (t.ops.empty()) return {200, client_protocol::encode_revision(revision_), 0};
   write("{\"ledger\":" + std::to_string(revision_ + 1) + ",\"commit\":" + body + "}");
   apply(t, revision_ + 1);
-  return {200, far::encode_revision(revision_), 0};
+  return {200, client_protocol::encode_revision(revision_), 0};
 }
 
-void State::apply(const wire::Txn& t, std::uint64_t revision) {
+void StateServiceEmulator::apply(const wire::Transaction& t, std::uint64_t revision) {
   revision_ = revision;
   for (const auto& op : t.ops) {
     auto it = keys_.find(op.key);
@@ -132,7 +132,7 @@
     recent_.push_back({op.key, op.value, revision});
   }
   while (recent_.size() > kRecent) {
-    first_recent_ = recent_.front().stamp;
+    first_recent_ = recent_.front().mod_revision;
     recent_.pop_front();
   }
   post([this] {
@@ -150,17 +150,17 @@
   });
 }
 
-std::string State::changes(const std::string& prefix, std::uint64_t after, bool& any) const {
+std::string StateServiceEmulator::changes(const std::string& prefix, std::uint64_t after, bool& any) const {
   std::vector<wire::Event> out;
   auto from = std::upper_bound(recent_.begin(), recent_.end(), after,
-                               [](std::uint64_t r, const wire::Event& e) { return r < e.stamp; });
+                               [](std::uint64_t r, const wire::Event& e) { return r < e.mod_revision; });
   for (auto it = from; it != recent_.end(); ++it)
     if (it->key.starts_with(prefix)) out.push_back(*it);
   any = !out.empty();
-  return far::encode_watch(revision_, out);
+  return client_protocol::encode_watch(revision_, out);
 }
 
-void State::watch(net::ExchangePtr ex) {
+void StateServiceEmulator::watch(net::ExchangePtr ex) {
   try {
     Watcher w{net::query_value(ex->query, "starts"), count(ex->query, "after", 0),
               loop_.now() + static_cast<double>(
@@ -177,13 +177,13 @@
   }
 }
 
-net::Answer State::holds(const net::Exchange& ex) {
+net::Answer StateServiceEmulator::holds(const net::Exchange& ex) {
   if (ex.path == "/holds" && ex.post) {
-    double life = static_cast<double>(far::decode_life_ms(ex.body)) / 1000;
+    double life = static_cast<double>(client_protocol::decode_life_ms(ex.body)) / 1000;
     std::uint64_t id = next_lease_++;
     write(json{{"hold", id}, {"life_s", life}}.dump());
     leases_[id] = {life, loop_.now() + life, {}};
-    return {200, far::encode_lease(id), 0};
+    return {200, client_protocol::encode_lease(id), 0};
   }
   std::string rest = ex.path.substr(std::min<std::size_t>(ex.path.size(), 7));
   bool renew = rest.ends_with("/renew");
@@ -194,15 +194,15 @@
   if (it == leases_.end()) return {404, "{}", 0};
   if (renew && ex.post) {
     it->second.until = loop_.now() + it->second.life_s;
-    return {200, far::encode_lease(it->first), 0};
+    return {200, client_protocol::encode_lease(it->first), 0};
   }
   if (!ex.del) return {405, "{}", 0};
   drop_lease(it->first);
   return {200, "{}", 0};
 }
 
-void State::drop_lease(std::uint64_t id) {
-  wire::Txn t;
+void StateServiceEmulator::drop_lease(std::uint64_t id) {
+  wire::Transaction t;
   for (const auto& k : leases_[id].keys) t.ops.push_back({k, std::nullopt, 0});
   json drops = json::array();
   for (const auto& op : t.ops) drops.push_back(op.key);
@@ -211,13 +211,13 @@
   leases_.erase(id);
 }
 
-void State::outage(bool on) {
+void StateServiceEmulator::outage(bool on) {
   out_ = on;
   if (on) return;
   for (auto& [id, l] : leases_) l.until = loop_.now() + l.life_s;
 }
 
-void State::tick() {
+void StateServiceEmulator::tick() {
   if (out_) return;
   double now = loop_.now();
   std::vector<std::uint64_t> over;
@@ -227,14 +227,14 @@
   std::deque<Watcher> still;
   for (auto& w : watchers_) {
     if (now >= w.until)
-      w.ex->send({200, far::encode_watch(revision_, {}), 0});
+      w.ex->send({200, client_protocol::encode_watch(revision_, {}), 0});
     else
       still.push_back(std::move(w));
   }
   watchers_ = std::move(still);
 }
 
-void State::write(const std::string& line) {
+void StateServiceEmulator::write(const std::string& line) {
   if (fd_ < 0) return;
   std::string bytes = line + "\n";
   std::string_view left = bytes;
@@ -248,16 +248,16 @@
   if (::fdatasync(fd_) != 0) throw std::system_error(errno, std::generic_category(), log_.string());
 }
 
-void State::load() {
+void StateServiceEmulator::load() {
   fs::create_directories(log_.parent_path());
   std::ifstream in(log_);
   for (std::string line; std::getline(in, line);) {
     json j = json::parse(line, nullptr, false);
     if (!j.is_object()) break;
     if (j.contains("commit")) {
-      apply(far::decode_txn(j["commit"].dump()), j["ledger"]);
+      apply(client_protocol::decode_transaction(j["commit"].dump()), j["ledger"]);
     } else if (j.contains("over")) {
-      wire::Txn t;
+      wire::Transaction t;
       for (const auto& k : j["drops"]) t.ops.push_back({k.get<std::string>(), std::nullopt, 0});
       if (!t.ops.empty()) apply(t, j["ledger"]);
       leases_.erase(j["over"].get<std::uint64_t>());
@@ -288,10 +288,10 @@
   for (const auto& [id, l] : leases_)
     out << "\n" << json{{"hold", id}, {"life_s", l.life_s}}.dump();
   for (const auto& [k, e] : keys_)
-    out << "\n{\"k\":" << json(k).dump() << ",\"value\":" << e.value << ",\"stamp\":" << e.stamp
+    out << "\n{\"k\":" << json(k).dump() << ",\"value\":" << e.value << ",\"stamp\":" << e.mod_revision
         << ",\"lease\":" << e.lease << "}";
   write(out.str());
   fs::rename(aside, log_);
 }
 
-}  // namespace shunt::standins
+}  // namespace shunttrail::standins
--- a/src/emulators/state.h
+++ b/src/emulators/state.h
@@ -12,13 +12,13 @@
 #include "net/http.h"
 #include "wire/types.h"
 
-namespace shunt::standins {
+namespace shunttrail::emulators {
 
-class State : public actor::Actor {
+class StateServiceEmulator : public actor::Actor {
  public:
   // Without a file nothing is kept.
-  State(actor::Loop& loop, const config::Endpoint& at, std::filesystem::path log);
-  ~State() override;
+  StateServiceEmulator(actor::Loop& loop, const config::Endpoint& at, std::filesystem::path log);
+  ~StateServiceEmulator() override;
   // An outage: everything is answered 503, open watches stay open, and once it is over every lease
   // has its full time again.
   void outage(bool on);
@@ -29,7 +29,7 @@
  private:
   struct Entry {
     std::string value;
-    std::uint64_t stamp = 0, lease = 0;
+    std::uint64_t mod_revision = 0, lease = 0;
   };
   struct Lease {
     double life_s = 0, until = 0;
@@ -42,7 +42,7 @@
     net::ExchangePtr ex;
   };
   // What a rate has left.
-  struct Pace {
+  struct RateLimit {
     double per_s = 0, left = 0, at = 0;  // per_s 0: no limit
     bool take(double n, double now);
   };
@@ -53,7 +53,7 @@
   net::Answer holds(const net::Exchange& ex);
   void watch(net::ExchangePtr ex);
   std::string changes(const std::string& prefix, std::uint64_t after, bool& any) const;
-  void apply(const wire::Txn& t, std::uint64_t revision);
+  void apply(const wire::Transaction& t, std::uint64_t revision);
   void drop_lease(std::uint64_t id);
   void tick();
   void load();
@@ -67,9 +67,9 @@
   std::filesystem::path log_;
   int fd_ = -1;
   bool out_ = false;
-  Pace requests_, writes_;
+  RateLimit requests_, writes_;
   actor::Timer timer_;
   net::Server http_;
 };
 
-}  // namespace shunt::standins
+}  // namespace shunttrail::standins
--- a/src/emulators/worker.cpp
+++ b/src/emulators/worker.cpp
@@ -2,11 +2,11 @@
 
 #include <algorithm>
 
-namespace shunt::standins {
+namespace shunttrail::emulators {
 
 using wire::Command;
-using wire::RunState;
-using wire::Why;
+using wire::TaskState;
+using wire::ExitReason;
 
 namespace {
 constexpr double kPatience = 4;    // for the answer to a report
@@ -14,7 +14,7 @@
 constexpr double kLeastGap = 0.5;  // between two reports
 }  // namespace
 
-Worker::Worker(actor::Loop& loop, Settings s, Describe describe, unsigned seed, Watched watched)
+WorkerEmulator::WorkerEmulator(actor::Loop& loop, Settings s, Describe describe, unsigned seed, Watched watched)
     : Actor(loop),
       s_(std::move(s)),
       describe_(std::move(describe)),
@@ -32,15 +32,15 @@
   lease_timer_.after(s_.lease_s);
 }
 
-wire::Report Worker::state() {
-  wire::Report r;
+wire::Heartbeat WorkerEmulator::state() {
+  wire::Heartbeat r;
   r.machine = s_.name;
   r.addr = s_.at.host + ":" + std::to_string(s_.at.port);
   r.type = s_.type;
   r.zone = s_.zone;
   r.spot = s_.spot;
-  r.session = session_;
-  r.seq = ++seq_;
+  r.incarnation = session_;
+  r.sequence = ++seq_;
   r.token = token_;
   if (taken_at_) r.notice_s = std::max(0.0, *taken_at_ - loop_.now());
   for (const Task& t : tasks_) r.tasks.push_back({t.id, t.attempt, t.state, t.why, t.kept});
@@ -49,7 +49,7 @@
 
 // ---- reports
 
-void Worker::report() {
+void WorkerEmulator::report() {
   expire();
   if (out_) {
     again_ = true;
@@ -58,19 +58,19 @@
   out_ = true;
   again_ = false;
   sent_at_ = loop_.now();
-  nodes_[node_]->request("POST", "/agent/beat", far::encode_report(state()), kPatience,
+  nodes_[node_]->request("POST", "/agent/beat", client_protocol::encode_heartbeat(state()), kPatience,
                          reply<net::Result>([this, sent = sent_at_, of = session_](net::Result r) {
                            answered(sent, of, r);
                          }));
 }
 
-void Worker::answered(double sent, std::uint64_t of, const net::Result& r) {
+void WorkerEmulator::answered(double sent, std::uint64_t of, const net::Result& r) {
   out_ = false;
   expire();
   // One that hung may find an answer that it has waited for too long: dropped as if none had come.
   if (r.status == 200 && loop_.now() - sent <= kPatience) {
     try {
-      far::Orders o = far::decode_orders(r.body);
+      client_protocol::HeartbeatResponse o = client_protocol::decode_heartbeat_response(r.body);
       if (of == session_ && o.token && *o.token >= token_) {
         leased_from_ = std::max(leased_from_, sent);
         obey(*o.token, o.commands);
@@ -82,19 +82,19 @@
     return;
   }
   if (r.status == 421) {
-    const std::string to = far::redirect_of(r.body);
+    const std::string to = client_protocol::redirect_of(r.body);
     for (std::size_t n = 0; n < s_.nodes.size(); ++n)
       if (s_.nodes[n].first == to && n != node_)
         return go_to(n, std::uniform_real_distribution<>(0, 0.5)(rng_));
   }
   go_to((node_ + 1) % s_.nodes.size(), kNextNode);
 }
-void Worker::go_to(std::size_t node, double after) {
+void WorkerEmulator::go_to(std::size_t node, double after) {
   node_ = node;
   report_timer_.after(after);
 }
 
-void Worker::changed() {
+void WorkerEmulator::changed() {
   if (out_) {
     again_ = true;
     return;
@@ -102,7 +102,7 @@
   report_timer_.after(std::max(0.0, sent_at_ + kLeastGap - loop_.now()));
 }
 
-void Worker::expire() {
+void WorkerEmulator::expire() {
   const double left = leased_from_ + s_.lease_s - loop_.now();
   if (left >= 0) return lease_timer_.after(left + 1e-3);
   leases_lost_ += !tasks_.empty();
@@ -115,24 +115,24 @@
 
 // ---- commands
 
-void Worker::direct(const net::ExchangePtr& ex) {
+void WorkerEmulator::direct(const net::ExchangePtr& ex) {
   expire();
-  if (ex->path == "/status") return ex->send({200, far::encode_report(state()), 0});
-  far::Orders o;
+  if (ex->path == "/status") return ex->send({200, client_protocol::encode_heartbeat(state()), 0});
+  client_protocol::HeartbeatResponse o;
   try {
-    o = far::decode_orders(ex->body);
+    o = client_protocol::decode_heartbeat_response(ex->body);
   } catch (const wire::Malformed&) {
     return ex->send({400, "{}", 0});
   }
   if (ex->path != "/orders") return ex->send({404, "{}", 0});
   if (!o.token || !o.session) return ex->send({400, "{}", 0});
   if (*o.token < token_ || *o.session != session_)
-    return ex->send({409, far::encode_report(state()), 0});
+    return ex->send({409, client_protocol::encode_heartbeat(state()), 0});
   obey(*o.token, o.commands);
-  ex->send({200, far::encode_report(state()), 0});
+  ex->send({200, client_protocol::encode_heartbeat(state()), 0});
 }
 
-void Worker::obey(std::uint64_t token, const std::vector<Command>& commands) {
+void WorkerEmulator::obey(std::uint64_t token, const std::vector<Command>& commands) {
   if (token > token_) {
     token_ = token;
     if (loop_.now() - token_told_ > s_.lease_s / 2) {
@@ -146,10 +146,10 @@
     });
     if (c.op == Command::Op::start && t == tasks_.end()) {
       start(c);
-    } else if (c.op == Command::Op::stop && t != tasks_.end() && t->state != RunState::exited) {
+    } else if (c.op == Command::Op::stop && t != tasks_.end() && t->state != TaskState::exited) {
       stop(*t, c.grace_s);
-    } else if (c.op == Command::Op::forget && t != tasks_.end() && t->state == RunState::exited) {
-      watched_.reaped(*t);
+    } else if (c.op == Command::Op::acknowledge && t != tasks_.end() && t->state == TaskState::exited) {
+      watched_.acknowledged(*t);
       tasks_.erase(t);
       changed();
     }
@@ -157,19 +157,19 @@
   arm();
 }
 
-void Worker::start(const Command& c) {
-  Task t{c.task, c.attempt, RunState::fetching, Why::none, {}, 0};
+void WorkerEmulator::start(const Command& c) {
+  Task t{c.task, c.attempt, TaskState::fetching, ExitReason::none, {}, 0};
   const auto work = describe_(c.task);
   double used = 0;
   bool busy = false;
   for (const Task& k : tasks_) {
-    if (k.state == RunState::exited) continue;
+    if (k.state == TaskState::exited) continue;
     used += k.work.cpus;
     busy |= k.id.job == c.task.job && k.id.index == c.task.index;
   }
   if (!work || busy || used + work->cpus > s_.cpus + 1e-9) {
-    t.state = RunState::exited;
-    t.why = !work ? Why::unknown : busy ? Why::busy : Why::no_room;
+    t.state = TaskState::exited;
+    t.why = !work ? ExitReason::unknown : busy ? ExitReason::busy : ExitReason::no_room;
   } else {
     t.work = *work;
     t.next = loop_.now() + work->fetch_s;
@@ -179,54 +179,54 @@
   changed();
 }
 
-void Worker::stop(Task& t, double grace_s) {
-  const RunState was = t.state;
-  if (was == RunState::saving) {
+void WorkerEmulator::stop(Task& t, double grace_s) {
+  const TaskState was = t.state;
+  if (was == TaskState::saving) {
     // Only one without any time ends it; one with time to save prolongs nothing.
     if (grace_s > 0) return;
-  } else if (was == RunState::running && t.work.checkpoint_s > 0 && grace_s >= t.work.save_s) {
-    t.state = RunState::saving;
+  } else if (was == TaskState::running && t.work.checkpoint_s > 0 && grace_s >= t.work.save_s) {
+    t.state = TaskState::saving;
     t.next = loop_.now() + t.work.save_s;
     watched_.moved(*this, t, was);
     return changed();
   }
-  t.state = RunState::exited;
-  t.why = Why::stopped;
+  t.state = TaskState::exited;
+  t.why = ExitReason::stopped;
   watched_.moved(*this, t, was);
   changed();
 }
 
-void Worker::notice(double recall_s) {
+void WorkerEmulator::notice(double recall_s) {
   taken_at_ = loop_.now() + recall_s;
   changed();
 }
 
 // ---- tasks
 
-void Worker::stood_still(double seconds) {
+void WorkerEmulator::stood_still(double seconds) {
   for (Task& t : tasks_) t.next += seconds;
   arm();
 }
 
-void Worker::arm() {
+void WorkerEmulator::arm() {
   double next = 1e18;
   for (const Task& t : tasks_)
-    if (t.state != RunState::exited) next = std::min(next, t.next);
+    if (t.state != TaskState::exited) next = std::min(next, t.next);
   if (next < 1e18) task_timer_.after(std::max(0.0, next - loop_.now()));
 }
-void Worker::advance() {
+void WorkerEmulator::advance() {
   expire();
   const double now = loop_.now();
   for (Task& t : tasks_) {
-    if (t.state == RunState::exited || t.next > now) continue;
-    const RunState was = t.state;
-    if (was == RunState::fetching) {
-      t.state = RunState::running;
+    if (t.state == TaskState::exited || t.next > now) continue;
+    const TaskState was = t.state;
+    if (was == TaskState::fetching) {
+      t.state = TaskState::running;
       t.next = now + t.work.run_s;
     } else {
-      t.state = RunState::exited;
-      t.kept = was == RunState::saving;
-      t.why = t.kept ? Why::stopped : Why::done;
+      t.state = TaskState::exited;
+      t.kept = was == TaskState::saving;
+      t.why = t.kept ? ExitReason::stopped : ExitReason::done;
     }
     watched_.moved(*this, t, was);
     changed();
@@ -234,4 +234,4 @@
   arm();
 }
 
-}  // namespace shunt::standins
+}  // namespace shunttrail::standins
--- a/src/emulators/worker.h
+++ b/src/emulators/worker.h
@@ -14,9 +14,9 @@
 #include "net/http.h"
 #include "wire/types.h"
 
-namespace shunt::standins {
+namespace shunttrail::emulators {
 
-class Worker : public actor::Actor {
+class WorkerEmulator : public actor::Actor {
  public:
   struct Settings {
     std::string name, type, zone;
@@ -34,18 +34,18 @@
   struct Task {
     wire::TaskId id;
     std::uint64_t attempt = 0;
-    wire::RunState state = wire::RunState::fetching;
-    wire::Why why = wire::Why::none;
+    wire::TaskState state = wire::TaskState::fetching;
+    wire::ExitReason why = wire::ExitReason::none;
     bool kept = false;  // stopped, and its progress was saved
     Work work;
     double next = 0;  // when its image is there, it completes, or it has saved
   };
   struct Watched {
     // After each change of a task's state; `was`: the one before, the same for a new task.
-    std::function<void(const Worker&, const Task&, wire::RunState was)> moved;
-    std::function<void(const Task&)> reaped;  // an exited one, by command
+    std::function<void(const WorkerEmulator&, const Task&, wire::TaskState was)> moved;
+    std::function<void(const Task&)> acknowledged;  // an exited one, by command
   };
-  Worker(actor::Loop& loop, Settings s, Describe describe, unsigned seed, Watched watched);
+  WorkerEmulator(actor::Loop& loop, Settings s, Describe describe, unsigned seed, Watched watched);
 
   const Settings& settings() const { return s_; }
   // None once its lease is over, also while the machine hangs: a hanging one may go on within its
@@ -62,7 +62,7 @@
   std::uint64_t leases_lost() const { return leases_lost_; }  // with tasks on it
 
  private:
-  wire::Report state();
+  wire::Heartbeat state();
   void report();
   void answered(double sent, std::uint64_t session, const net::Result& r);
   void go_to(std::size_t node, double after);
@@ -91,4 +91,4 @@
   net::Server http_;
 };
 
-}  // namespace shunt::standins
+}  // namespace shunttrail::standins
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -13,25 +13,25 @@
 #include "state/limits.h"
 #include "state/state_cache.h"
 
-namespace shunt::jobs {
+namespace shunttrail::jobs {
 
 // A job's own priority and deadline, or those of a job that needs it.
-struct Urgency {
+struct EffectivePriority {
   wire::Priority priority = wire::Priority::idle;
   // Time of day by which it should be done, so that what needs it can be in time as well.
   double due = std::numeric_limits<double>::infinity();
-  friend bool operator==(const Urgency&, const Urgency&) = default;
+  friend bool operator==(const EffectivePriority&, const EffectivePriority&) = default;
 };
 
-class Pipelines {
+class DependencyGraph {
  public:
-  explicit Pipelines(const state::World& world) : world_(world) {}
+  explicit DependencyGraph(const state::StateCache& world) : cache_(world) {}
 
   // The key of this job has come or gone. The cache holds the new state already.
-  void note(const std::string& id);
+  void key_changed(const std::string& id);
   // What its final record says. Only that proves how a job has ended: a key that is gone does not.
-  void ended(const std::string& id, bool cancelled);
-  bool concerns(const std::string& id) const { return index_.contains(id); }
+  void job_ended(const std::string& id, bool cancelled);
+  bool contains(const std::string& id) const { return index_.contains(id); }
 
   // Jobs whose final record has to be read: they are not live, and something awaits them.
   const std::set<std::string>& unread() const { return unread_; }
@@ -42,10 +42,10 @@
 
   // What a waiting job is called. `unread`: some final record has to be read first, those are put
   // into `missing`.
-  enum class Standing { queued, cancelled, unread };
-  Standing standing(const std::string& id, std::vector<std::string>* missing = nullptr) const;
+  enum class DependencyState { queued, cancelled, unread };
+  DependencyState state_of(const std::string& id, std::vector<std::string>* missing = nullptr) const;
 
-  Urgency urgency(const std::string& id, const wire::JobRecord& own) const;
+  EffectivePriority effective_priority(const std::string& id, const wire::JobRecord& own) const;
   // Jobs whose urgency has changed since the last call.
   std::vector<std::string> take_changed();
 
@@ -54,9 +54,9 @@
     std::string id;
     enum Kind { absent, waiting, live, done, cancelled } kind = absent;
     bool doomed = false;
-    std::size_t left = 0;             // awaited jobs that are not known to be done
-    std::vector<int> awaits, needed;  // needed: by the waiting jobs that await it
-    Urgency own, all;
+    std::size_t unfinished = 0;             // awaited jobs that are not known to be done
+    std::vector<int> dependencies, dependents;  // needed: by the waiting jobs that await it
+    EffectivePriority own, effective;
     double run_s = 0;
   };
   Node& at(int n) { return nodes_[static_cast<std::size_t>(n)]; }
@@ -66,12 +66,12 @@
   void set_kind(int n, Node::Kind kind);
   void attach(int n, const wire::JobRecord& r);
   void detach(int n);
-  void doom(int n);
-  void spread(int n);  // its urgency, to what it awaits, through all levels
-  Urgency worked_out(const Node& n) const;
-  static Urgency own_of(const wire::JobRecord& r);
+  void mark_doomed(int n);
+  void propagate(int n);  // its urgency, to what it awaits, through all levels
+  EffectivePriority compute_effective(const Node& n) const;
+  static EffectivePriority own_of(const wire::JobRecord& r);
 
-  const state::World& world_;
+  const state::StateCache& cache_;
   std::unordered_map<std::string, int> index_;
   std::deque<Node> nodes_;
   std::vector<int> free_;
@@ -81,12 +81,12 @@
 // A transaction that moves waiting jobs on, and what it makes final. Ready: the record goes to
 // where jobs that may start are kept. Below a cancelled one: its final record follows what polls
 // say already. Guarded by what waits, so that a late or second copy undoes nothing.
-struct Moves {
-  wire::Txn txn;
-  std::vector<std::pair<std::string, wire::FinalRecord>> finals;
+struct StateTransitions {
+  wire::Transaction txn;
+  std::vector<std::pair<std::string, wire::JobResultRecord>> results;
 };
-Moves moves(const state::World& world, const Pipelines& p, bool ready, const state::Room& size,
+StateTransitions state_transitions(const state::StateCache& world, const DependencyGraph& p, bool ready, const state::TransactionLimits& size,
             double wall_now, const std::string& tag,
             const std::function<bool(const std::string&)>& mine);
 
-}  // namespace shunt::jobs
+}  // namespace shunttrail::jobs
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -11,30 +11,30 @@
 #include "state/state_cache.h"
 #include "wire/types.h"
 
-namespace shunt::jobs {
+namespace shunttrail::jobs {
 
 // Amounts are kept whole, in millionths: sums of decimals must not drift past a limit.
-struct Amount {
+struct Resources {
   std::int64_t cpus = 0, gpus = 0, mem = 0;
   // An infinite one stands for no limit, and is more than any sum.
-  static Amount of(double cpus, double gpus, double mem_gb);
-  Amount& operator+=(const Amount& o) {
+  static Resources of(double cpus, double gpus, double mem_gb);
+  Resources& operator+=(const Resources& o) {
     cpus += o.cpus, gpus += o.gpus, mem += o.mem;
     return *this;
   }
-  Amount& operator-=(const Amount& o) {
+  Resources& operator-=(const Resources& o) {
     cpus -= o.cpus, gpus -= o.gpus, mem -= o.mem;
     return *this;
   }
-  friend Amount operator+(Amount a, const Amount& b) { return a += b; }
-  friend Amount operator-(Amount a, const Amount& b) { return a -= b; }
-  bool fits(const Amount& room) const {
+  friend Resources operator+(Resources a, const Resources& b) { return a += b; }
+  friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
+  bool fits(const Resources& room) const {
     return cpus <= room.cpus && gpus <= room.gpus && mem <= room.mem;
   }
 };
 
 // Tasks of one chunk of a job's finished set; a chunk's worst case stays below 4 KiB.
-inline constexpr std::uint32_t kChunk = 256;
+inline constexpr std::uint32_t kTasksPerChunk = 256;
 
 class Job {
  public:
@@ -42,22 +42,22 @@
 
   const wire::JobSpec spec;
   const int team;
-  const int cls;
-  const Amount need;
+  const int job_class;
+  const Resources need;
   const double since;  // steady time of its submission, or of when it was ready
   // Its own, or that of a job that needs it.
   wire::Priority priority;
   // Steady time by which it should be done, for its own sake or theirs: its own deadline counts
   // from its submission, however long it waited.
   double due;
-  bool gone = false;  // cancelled or final: none of its tasks may start
+  bool over = false;  // cancelled or final: none of its tasks may start
   int image = -1;     // dense index of its image
   // It fits into its team's guarantee together with the team's earlier unfinished jobs.
-  bool within = false;
+  bool within_guarantee = false;
   // Order of service: urgent work, then what is guaranteed, then the rest by priority.
-  int band() const {
+  int priority_band() const {
     if (priority <= wire::Priority::high) return static_cast<int>(priority);
-    return within ? kGuaranteed : static_cast<int>(priority) + 1;
+    return within_guarantee ? kGuaranteed : static_cast<int>(priority) + 1;
   }
   static constexpr int kGuaranteed = static_cast<int>(wire::Priority::high) + 1;
   // Steady time by which its tasks should start: what has no deadline, or a far one, is not passed
@@ -75,11 +75,11 @@
   bool dirty(std::uint32_t c) const;
   std::set<std::uint32_t> dirty_chunks;
   double dirty_since = 0;                   // of the oldest result that is not persisted
-  std::map<std::uint32_t, int> done_sheet;  // where each chunk was written last
-  std::uint32_t listed = 0;                 // of its tasks, on machines' waiting lists
+  std::map<std::uint32_t, int> done_page;  // where each chunk was written last
+  std::uint32_t queued = 0;                 // of its tasks, on machines' waiting lists
 
   // Placements that may exist, by task and by zone.
-  std::vector<std::uint8_t> places;
+  std::vector<std::uint8_t> placements;
   std::vector<std::uint32_t> in_zone;
   std::uint32_t placed = 0;
   // Tasks with no placement and not in the chain.
@@ -103,4 +103,4 @@
 };
 using JobPtr = std::shared_ptr<Job>;
 
-}  // namespace shunt::jobs
+}  // namespace shunttrail::jobs
--- a/src/local_cluster/children.cpp
+++ b/src/local_cluster/children.cpp
@@ -11,7 +11,7 @@
 
 #include "log/log.h"
 
-namespace shunt::local {
+namespace shunttrail::local_cluster {
 namespace {
 constexpr double kTick = 0.1;
 constexpr double kPauseLeast = 0.2, kPauseMost = 5;
@@ -146,4 +146,4 @@
   return out;
 }
 
-}  // namespace shunt::local
+}  // namespace shunttrail::local
--- a/src/local_cluster/children.h
+++ b/src/local_cluster/children.h
@@ -11,7 +11,7 @@
 
 #include "actor/loop.h"
 
-namespace shunt::local {
+namespace shunttrail::local_cluster {
 
 class Children : public actor::Actor {
  public:
@@ -49,4 +49,4 @@
   actor::EventPtr ended_;
 };
 
-}  // namespace shunt::local
+}  // namespace shunttrail::local
--- a/src/local_cluster/load_balancer.cpp
+++ b/src/local_cluster/load_balancer.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <stdexcept>
 
-namespace shunt::local {
+namespace shunttrail::local_cluster {
 namespace {
 constexpr std::size_t kFirstLine = 4096;
 constexpr double kProbeEvery = 0.5, kSkip = 3;
@@ -24,12 +24,12 @@
 }
 }  // namespace
 
-Door::Door(actor::Loop& loop, const config::Endpoint& at, std::vector<Backend> controllers,
+LoadBalancer::LoadBalancer(actor::Loop& loop, const config::Endpoint& at, std::vector<Backend> controllers,
            const config::Endpoint& depot)
     : Actor(loop),
       controllers_(std::move(controllers)),
       states_(controllers_.size()),
-      depot_(depot),
+      artifacts_(depot),
       timer_(loop, [this] {
         probe();
         timer_.after(kProbeEvery);
@@ -40,7 +40,7 @@
   listener_.reset(evconnlistener_new_bind(
       loop.base(),
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
-        static_cast<Door*>(self)->accept(fd);
+        static_cast<LoadBalancer*>(self)->accept(fd);
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE, -1,
       reinterpret_cast<sockaddr*>(&a), sizeof a));
@@ -48,13 +48,13 @@
     throw std::runtime_error("cannot listen on " + at.host + ":" + std::to_string(at.port));
   timer_.after(0);
 }
-Door::~Door() = default;
+LoadBalancer::~LoadBalancer() = default;
 
-bool Door::healthy() const {
+bool LoadBalancer::healthy() const {
   return std::any_of(states_.begin(), states_.end(), [](const State& s) { return s.up; });
 }
 
-void Door::probe() {
+void LoadBalancer::probe() {
   for (std::size_t i = 0; i < states_.size(); ++i)
     states_[i].probe->request("GET", "/up", "", 1, reply<net::Result>([this, i](net::Result r) {
                                 State& s = states_[i];
@@ -67,9 +67,9 @@
 }
 
 // The healthy one with the fewest users; nothing: none is.
-int Door::choose() const {
+int LoadBalancer::choose() const {
   std::vector<int> open(states_.size(), 0);
-  for (const auto& [id, p] : passes_)
+  for (const auto& [id, p] : connections_)
     if (p->controller >= 0) ++open[static_cast<std::size_t>(p->controller)];
   int best = -1;
   double now = actor::steady_now();
@@ -80,29 +80,29 @@
   return best;
 }
 
-void Door::accept(evutil_socket_t fd) {
-  auto p = std::make_unique<Pass>();
-  p->door = this;
+void LoadBalancer::accept(evutil_socket_t fd) {
+  auto p = std::make_unique<Connection>();
+  p->balancer = this;
   p->id = next_++;
   evutil_make_socket_nonblocking(fd);
   p->user.reset(bufferevent_socket_new(loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE));
   bufferevent_setcb(
       p->user.get(),
       [](bufferevent*, void* arg) {
-        auto* pass = static_cast<Pass*>(arg);
-        pass->door->moved(*pass, true);
+        auto* pass = static_cast<Connection*>(arg);
+        pass->balancer->moved(*pass, true);
       },
       nullptr,
       [](bufferevent*, short what, void* arg) {
-        auto* pass = static_cast<Pass*>(arg);
-        pass->door->event(*pass, true, what);
+        auto* pass = static_cast<Connection*>(arg);
+        pass->balancer->event(*pass, true, what);
       },
       p.get());
   bufferevent_enable(p->user.get(), EV_READ | EV_WRITE);
-  passes_[p->id] = std::move(p);
+  connections_[p->id] = std::move(p);
 }
 
-void Door::route(Pass& p) {
+void LoadBalancer::route(Connection& p) {
   evbuffer* in = bufferevent_get_input(p.user.get());
   std::string head(std::min(evbuffer_get_length(in), kFirstLine), '\0');
   evbuffer_copyout(in, head.data(), head.size());
@@ -113,7 +113,7 @@
   }
   auto space = head.find(' ');
   std::string path = space < end ? head.substr(space + 1, end - space - 1) : "";
-  if (path.starts_with("/depot/")) return connect(p, depot_);
+  if (path.starts_with("/depot/")) return connect(p, artifacts_);
   int c = choose();
   if (c < 0) {
     // Answered at once, never held back.
@@ -133,19 +133,19 @@
   connect(p, inside ? b.internal : b.front);
 }
 
-void Door::connect(Pass& p, const config::Endpoint& to) {
+void LoadBalancer::connect(Connection& p, const config::Endpoint& to) {
   ++p.tries;
   p.behind.reset(bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE));
   bufferevent_setcb(
       p.behind.get(),
       [](bufferevent*, void* arg) {
-        auto* pass = static_cast<Pass*>(arg);
-        pass->door->moved(*pass, false);
+        auto* pass = static_cast<Connection*>(arg);
+        pass->balancer->moved(*pass, false);
       },
       nullptr,
       [](bufferevent*, short what, void* arg) {
-        auto* pass = static_cast<Pass*>(arg);
-        pass->door->event(*pass, false, what);
+        auto* pass = static_cast<Connection*>(arg);
+        pass->balancer->event(*pass, false, what);
       },
       &p);
   timeval wait{0, kConnectMs * 1000};
@@ -156,7 +156,7 @@
   bufferevent_enable(p.behind.get(), EV_READ | EV_WRITE);
 }
 
-void Door::moved(Pass& p, bool from_user) {
+void LoadBalancer::moved(Connection& p, bool from_user) {
   if (!p.behind) return route(p);
   if (!p.connected) return;  // what the user sent waits
   bufferevent* from = from_user ? p.user.get() : p.behind.get();
@@ -164,7 +164,7 @@
   bufferevent_write_buffer(to, bufferevent_get_input(from));
 }
 
-void Door::event(Pass& p, bool at_user, short what) {
+void LoadBalancer::event(Connection& p, bool at_user, short what) {
   if (!at_user && (what & BEV_EVENT_CONNECTED)) {
     p.connected = true;
     if (p.controller >= 0) states_[static_cast<std::size_t>(p.controller)].failures = 0;
@@ -180,8 +180,8 @@
     }
     if (p.tries < kTries)
       return post([this, id = p.id] {
-        auto it = passes_.find(id);
-        if (it == passes_.end()) return;
+        auto it = connections_.find(id);
+        if (it == connections_.end()) return;
         it->second->behind.reset();
         it->second->controller = -1;
         route(*it->second);
@@ -197,22 +197,22 @@
   close(p.id);
 }
 
-void Door::close_when_written(Pass& p, bufferevent* to) {
+void LoadBalancer::close_when_written(Connection& p, bufferevent* to) {
   bufferevent_setcb(
       to, nullptr,
       [](bufferevent*, void* arg) {
-        auto* pass = static_cast<Pass*>(arg);
-        pass->door->close(pass->id);
+        auto* pass = static_cast<Connection*>(arg);
+        pass->balancer->close(pass->id);
       },
       [](bufferevent*, short, void* arg) {
-        auto* pass = static_cast<Pass*>(arg);
-        pass->door->close(pass->id);
+        auto* pass = static_cast<Connection*>(arg);
+        pass->balancer->close(pass->id);
       },
       &p);
 }
 
-void Door::close(std::uint64_t id) {
-  post([this, id] { passes_.erase(id); });
+void LoadBalancer::close(std::uint64_t id) {
+  post([this, id] { connections_.erase(id); });
 }
 
-}  // namespace shunt::local
+}  // namespace shunttrail::local
--- a/src/local_cluster/load_balancer.h
+++ b/src/local_cluster/load_balancer.h
@@ -13,16 +13,16 @@
 #include "actor/loop.h"
 #include "net/http.h"
 
-namespace shunt::local {
+namespace shunttrail::local_cluster {
 
-class Door : public actor::Actor {
+class LoadBalancer : public actor::Actor {
  public:
   struct Backend {
     config::Endpoint front, internal;
   };
-  Door(actor::Loop& loop, const config::Endpoint& at, std::vector<Backend> controllers,
+  LoadBalancer(actor::Loop& loop, const config::Endpoint& at, std::vector<Backend> controllers,
        const config::Endpoint& depot);
-  ~Door() override;
+  ~LoadBalancer() override;
   bool healthy() const;  // some controller is
 
  private:
@@ -31,8 +31,8 @@
   };
   using Buffer = std::unique_ptr<bufferevent, BufferFree>;
   // One user's connection and, once its first line has come, the one behind it.
-  struct Pass {
-    Door* door = nullptr;
+  struct Connection {
+    LoadBalancer* balancer = nullptr;
     std::uint64_t id = 0;
     Buffer user, behind;
     int controller = -1;
@@ -47,19 +47,19 @@
     int failures = 0;
   };
   void accept(evutil_socket_t fd);
-  void route(Pass& p);
-  void connect(Pass& p, const config::Endpoint& to);
-  void moved(Pass& p, bool from_user);
-  void event(Pass& p, bool at_user, short what);
-  void close_when_written(Pass& p, bufferevent* to);
+  void route(Connection& p);
+  void connect(Connection& p, const config::Endpoint& to);
+  void moved(Connection& p, bool from_user);
+  void event(Connection& p, bool at_user, short what);
+  void close_when_written(Connection& p, bufferevent* to);
   void close(std::uint64_t id);
   void probe();
   int choose() const;
 
   std::vector<Backend> controllers_;
   std::vector<State> states_;
-  config::Endpoint depot_;
-  std::map<std::uint64_t, std::unique_ptr<Pass>> passes_;
+  config::Endpoint artifacts_;
+  std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
   std::uint64_t next_ = 1;
   struct ListenerFree {
     void operator()(evconnlistener* l) const { evconnlistener_free(l); }
@@ -68,4 +68,4 @@
   actor::Timer timer_;
 };
 
-}  // namespace shunt::local
+}  // namespace shunttrail::local
--- a/src/local_cluster/local_cluster.cpp
+++ b/src/local_cluster/local_cluster.cpp
@@ -10,7 +10,7 @@
 #include "artifacts/store.h"
 #include "log/log.h"
 
-namespace shunt::local {
+namespace shunttrail::local_cluster {
 namespace fs = std::filesystem;
 namespace {
 
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-LocalSet::LocalSet(actor::Loop& loop, Settings s, fs::path dir, const fs::path& programs,
+LocalCluster::LocalCluster(actor::Loop& loop, Settings s, fs::path dir, const fs::path& programs,
                    const fs::path& self, std::uint16_t port, std::function<void(std::string)> ready)
     : Actor(loop),
       settings_(std::move(s)),
@@ -54,7 +54,7 @@
       timer_(loop, [this] { look(); }) {
   front_ = port ? config::Endpoint{"127.0.0.1", port} : take_address();
   state_at_ = take_address();
-  depot_at_ = take_address();
+  artifacts_at_ = take_address();
   cloud_at_ = take_address();
   for (int i = 0; i < settings_.controllers; ++i)
     places_.push_back({"node-" + std::to_string(i),
@@ -64,27 +64,27 @@
   fs::create_directories(dir_ / "controllers");
   children_.keep("state", {self.string(), "state", "--listen", text(state_at_), "--file",
                            (dir_ / "state" / "log").string()});
-  children_.keep("depot", {self.string(), "depot", "--listen", text(depot_at_), "--dir",
+  children_.keep("depot", {self.string(), "depot", "--listen", text(artifacts_at_), "--dir",
                            (dir_ / "depot").string()});
   for (std::size_t i = 0; i < places_.size(); ++i) {
     fs::path file = dir_ / "controllers" / (places_[i].name + ".json");
-    depot::write_whole(file, controller_settings(settings_, places_, i, state_at_, cloud_at_));
+    artifacts::write_whole(file, controller_settings(settings_, places_, i, state_at_, cloud_at_));
     children_.keep(places_[i].name,
                    {(programs_ / "shunttrail-controller").string(), "--config", file.string()});
   }
-  cloud_ = std::make_unique<standins::Cloud>(
+  cloud_ = std::make_unique<emulators::CloudEmulator>(
       loop, cloud_at_, settings_.types, settings_.cloud_rps, dir_ / "cloud.json",
-      standins::Cloud::Power{[this] { return text(take_address()); },
+      emulators::CloudEmulator::Power{[this] { return text(take_address()); },
                              [this](const auto& m) { power_on(m); },
                              [this](auto names, auto done) { power_off(names, done); }});
-  std::vector<Door::Backend> backends;
+  std::vector<LoadBalancer::Backend> backends;
   for (const auto& p : places_) backends.push_back({p.front, p.internal});
-  door_ = std::make_unique<Door>(loop, front_, std::move(backends), depot_at_);
-  probe_ = std::make_unique<net::Client>(loop, depot_at_, 1, 1);
+  load_balancer_ = std::make_unique<LoadBalancer>(loop, front_, std::move(backends), artifacts_at_);
+  probe_ = std::make_unique<net::Client>(loop, artifacts_at_, 1, 1);
   timer_.after(0.1);
 }
 
-config::Endpoint LocalSet::take_address() {
+config::Endpoint LocalCluster::take_address() {
   for (int i = 0; i < kLastPort - kFirstPort; ++i) {
     std::uint16_t port = next_port_++;
     if (next_port_ >= kLastPort) next_port_ = kFirstPort;
@@ -95,20 +95,20 @@
   throw std::runtime_error("no free port is left");
 }
 
-fs::path LocalSet::machine_dir(const std::string& name) const { return dir_ / "machines" / name; }
+fs::path LocalCluster::machine_dir(const std::string& name) const { return dir_ / "machines" / name; }
 
-void LocalSet::power_on(const standins::Cloud::Machine& m) {
+void LocalCluster::power_on(const emulators::CloudEmulator::Machine& m) {
   if (ending_) return;
   fs::path dir = machine_dir(m.name);
   fs::create_directories(dir);
   fs::path file = dir / "agent.xml";
-  depot::write_whole(file, agent_settings(settings_, places_, m, depot_at_));
+  artifacts::write_whole(file, agent_settings(settings_, places_, m, artifacts_at_));
   children_.keep(m.name, {(programs_ / "shunttrail-agent").string(), "--settings", file.string(),
                           "--dir", dir.string()});
 }
 
 // As when a machine loses its power: nothing is saved, and nothing is left.
-void LocalSet::power_off(std::vector<std::string> machines, std::function<void()> done) {
+void LocalCluster::power_off(std::vector<std::string> machines, std::function<void()> done) {
   auto left = std::make_shared<std::size_t>(machines.size());
   if (machines.empty()) return done();
   for (const auto& name : machines) {
@@ -128,9 +128,9 @@
 }
 
 // Whether users can be served: a controller is up, and the depot is.
-void LocalSet::look() {
+void LocalCluster::look() {
   if (ending_ || !ready_) return;
-  if (!door_->healthy()) return timer_.after(0.1);
+  if (!load_balancer_->healthy()) return timer_.after(0.1);
   probe_->request("GET", "/depot/up", "", 1, reply<net::Result>([this](net::Result r) {
                     if (ending_ || !ready_) return;
                     if (r.status != 200) return timer_.after(0.1);
@@ -138,12 +138,12 @@
                   }));
 }
 
-void LocalSet::end(std::function<void()> gone) {
+void LocalCluster::end(std::function<void()> gone) {
   if (ending_) return;
   ending_ = true;
   log::info("set ends");
   // Users first, then who could start anything, then the machines, then what keeps their record.
-  door_.reset();
+  load_balancer_.reset();
   auto left = std::make_shared<std::size_t>(places_.size());
   for (const auto& p : places_)
     children_.stop(p.name, SIGTERM, [this, left, gone] {
@@ -157,4 +157,4 @@
     });
 }
 
-}  // namespace shunt::local
+}  // namespace shunttrail::local
--- a/src/local_cluster/local_cluster.h
+++ b/src/local_cluster/local_cluster.h
@@ -15,14 +15,14 @@
 #include "local_cluster/settings.h"
 #include "emulators/cloud.h"
 
-namespace shunt::local {
+namespace shunttrail::local_cluster {
 
-class LocalSet : public actor::Actor {
+class LocalCluster : public actor::Actor {
  public:
   // `programs`: where shunttrail and shunt-agent are. `self`: this program, which also serves as
   // the state service and the depot. Throws std::runtime_error: another set has the directory, or
   // an address cannot be had.
-  LocalSet(actor::Loop& loop, Settings s, std::filesystem::path dir,
+  LocalCluster(actor::Loop& loop, Settings s, std::filesystem::path dir,
            const std::filesystem::path& programs, const std::filesystem::path& self,
            std::uint16_t port, std::function<void(std::string url)> ready);
 
@@ -30,12 +30,12 @@
   void end(std::function<void()> gone);
 
   Children& children() { return children_; }
-  standins::Cloud& cloud() { return *cloud_; }
+  emulators::CloudEmulator& cloud() { return *cloud_; }
   std::filesystem::path machine_dir(const std::string& name) const;
 
  private:
   config::Endpoint take_address();
-  void power_on(const standins::Cloud::Machine& m);
+  void power_on(const emulators::CloudEmulator::Machine& m);
   void power_off(std::vector<std::string> machines, std::function<void()> done);
   void look();
 
@@ -44,15 +44,15 @@
   agent::Fd lock_;
   std::set<std::uint16_t> taken_;
   std::uint16_t next_port_ = 20000;
-  std::vector<Place> places_;
-  config::Endpoint front_, state_at_, depot_at_, cloud_at_;
+  std::vector<AgentPlace> places_;
+  config::Endpoint front_, state_at_, artifacts_at_, cloud_at_;
   Children children_;
-  std::unique_ptr<standins::Cloud> cloud_;
-  std::unique_ptr<Door> door_;
+  std::unique_ptr<emulators::CloudEmulator> cloud_;
+  std::unique_ptr<LoadBalancer> load_balancer_;
   std::unique_ptr<net::Client> probe_;
   std::function<void(std::string)> ready_;
   bool ending_ = false;
   actor::Timer timer_;
 };
 
-}  // namespace shunt::local
+}  // namespace shunttrail::local
--- a/src/local_cluster/settings.cpp
+++ b/src/local_cluster/settings.cpp
@@ -5,7 +5,7 @@
 
 #include "config/xml.h"
 
-namespace shunt::local {
+namespace shunttrail::local_cluster {
 
 using namespace config;
 
@@ -42,7 +42,7 @@
        {"types",
         [&](pugi::xml_node n, const std::string& at) {
           read_children(n, at, {{"type", [&](pugi::xml_node t, const std::string& where) {
-                                   standins::CloudType c;
+                                   emulators::EmulatedMachineType c;
                                    c.spec.name = xml_attribute(t, where, "name");
                                    c.spec.cpus = attribute(t, where, "cpus", 1);
                                    c.spec.gpus = attribute(t, where, "gpus", 0);
@@ -74,7 +74,7 @@
 
 std::string text(const Endpoint& e) { return e.host + ":" + std::to_string(e.port); }
 
-std::string controller_settings(const Settings& s, const std::vector<Place>& all, std::size_t self,
+std::string controller_settings(const Settings& s, const std::vector<AgentPlace>& all, std::size_t self,
                                 const Endpoint& state, const Endpoint& cloud) {
   using nlohmann::json;
   json siblings = json::array(), teams = json::array();
@@ -108,8 +108,8 @@
       .dump(1);
 }
 
-std::string agent_settings(const Settings& s, const std::vector<Place>& all,
-                           const standins::Cloud::Machine& m, const Endpoint& depot) {
+std::string agent_settings(const Settings& s, const std::vector<AgentPlace>& all,
+                           const emulators::CloudEmulator::Machine& m, const Endpoint& depot) {
   pugi::xml_document doc;
   pugi::xml_node root = doc.append_child("shunt-agent");
   auto put = [&](const char* name, const std::string& value) {
@@ -149,4 +149,4 @@
   return out.str();
 }
 
-}  // namespace shunt::local
+}  // namespace shunttrail::local
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -6,7 +6,7 @@
 
 #include "actor/loop.h"
 
-namespace shunt::log {
+namespace shunttrail::log {
 namespace {
 std::string& program_name() {
   static std::string name;
@@ -34,4 +34,4 @@
   spdlog::log(level, "{}", f.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-}  // namespace shunt::log
+}  // namespace shunttrail::log
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-namespace shunt::log {
+namespace shunttrail::log {
 
 // Sets the level from LOG_LEVEL (error, info or debug; `info` if it is not set) and the form.
 void open(const char* program);
@@ -21,4 +21,4 @@
   write(spdlog::level::debug, what, std::move(f));
 }
 
-}  // namespace shunt::log
+}  // namespace shunttrail::log
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -10,7 +10,7 @@
 #include <cstring>
 #include <nlohmann/json.hpp>
 
-namespace shunt::net {
+namespace shunttrail::net {
 namespace {
 
 std::string take(evbuffer* b) {
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-Answer no(int status, const std::string& why, double retry_after_s) {
+Answer error_response(int status, const std::string& why, double retry_after_s) {
   return {
       status,
       nlohmann::json{{"error", why}}.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace),
@@ -246,4 +246,4 @@
   mine->done(std::move(res));
 }
 
-}  // namespace shunt::net
+}  // namespace shunttrail::net
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -12,7 +12,7 @@
 #include "actor/loop.h"
 #include "config/settings.h"
 
-namespace shunt::net {
+namespace shunttrail::net {
 
 struct Answer {
   int status = 200;
@@ -20,7 +20,7 @@
   double retry_after_s = 0;  // 0: no Retry-After
 };
 // A refusal that says why: {"error": why}.
-Answer no(int status, const std::string& why, double retry_after_s = 0);
+Answer error_response(int status, const std::string& why, double retry_after_s = 0);
 
 // One request on the server's side. Answered exactly once; dropping it unanswered answers 503.
 class Exchange {
@@ -120,4 +120,4 @@
   actor::Timer reap_;
 };
 
-}  // namespace shunt::net
+}  // namespace shunttrail::net
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -1,6 +1,6 @@
 #include "net/pool.h"
 
-namespace shunt::net {
+namespace shunttrail::net {
 namespace {
 constexpr std::size_t kQueued = 4;  // requests that wait for one server's connection
 }  // namespace
@@ -12,4 +12,4 @@
   return *clients_.emplace(name, std::make_unique<Client>(loop_, to, 1, kQueued)).first->second;
 }
 
-}  // namespace shunt::net
+}  // namespace shunttrail::net
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -8,7 +8,7 @@
 
 #include "net/http.h"
 
-namespace shunt::net {
+namespace shunttrail::net {
 
 class Pool {
  public:
@@ -25,4 +25,4 @@
   std::unordered_map<std::string, std::unique_ptr<Client>> clients_;
 };
 
-}  // namespace shunt::net
+}  // namespace shunttrail::net
--- a/src/pbs/job.cpp
+++ b/src/pbs/job.cpp
@@ -9,7 +9,7 @@
 
 #include "wire/codec.h"
 
-namespace shunt::pbs {
+namespace shunttrail::pbs {
 namespace {
 namespace fs = std::filesystem;
 
@@ -350,13 +350,13 @@
         fault(a.value_at + dep.at, id + " is no job of " + tables_.server);
         continue;
       }
-      auto& awaits = job_.description.job.awaits;
+      auto& awaits = job_.description.job.dependencies;
       if (std::find(awaits.begin(), awaits.end(), *native) == awaits.end())
         awaits.push_back(*native);
       if (dep.type == "afterok") job_.after_ok.push_back(*native);
-      if (awaits.size() > wire::kAwaitsMax)
+      if (awaits.size() > wire::kMaxDependencies)
         return fault(a.value_at + dep.at,
-                     "names more than " + std::to_string(wire::kAwaitsMax) + " jobs");
+                     "names more than " + std::to_string(wire::kMaxDependencies) + " jobs");
     }
   }
 
@@ -399,8 +399,8 @@
       tasks = array_->size();
     }
     s.tasks = static_cast<std::uint32_t>(std::clamp<std::uint64_t>(tasks, 1, kTasksMost));
-    s.one_zone = one_zone_;
-    s.spread = spread_;
+    s.same_zone = one_zone_;
+    s.anti_affinity = spread_;
     s.estimate_s = walltime_.value_or(tables_.walltime_s);
     job_.description.limit_s = s.estimate_s;
     job_.array = array_;
@@ -479,7 +479,7 @@
   void command(const Queue& q, const std::string& shell_line) {
     auto& d = job_.description;
     auto& s = d.job;
-    s.cls = q.cls;
+    s.job_class = q.cls;
     s.spot = q.spot;
     s.image = "none";
     d.retry_exits.clear();
@@ -560,4 +560,4 @@
   return out;
 }
 
-}  // namespace shunt::pbs
+}  // namespace shunttrail::pbs
--- a/src/pbs/job.h
+++ b/src/pbs/job.h
@@ -10,7 +10,7 @@
 #include "pbs/tables.h"
 #include "pbs/values.h"
 
-namespace shunt::pbs {
+namespace shunttrail::pbs {
 
 // What is not in the script.
 struct Context {
@@ -20,7 +20,7 @@
 };
 
 struct Job {
-  far::Description description;  // its id is the caller's to set
+  client_protocol::JobDescription description;  // its id is the caller's to set
   std::string name, queue;
   std::optional<Range> array;
   std::vector<std::string> after_ok;  // native ids whose tasks must all have exited with 0
@@ -38,4 +38,4 @@
 std::optional<std::string> native_id(const std::string& pbs_id, const std::string& server);
 std::string pbs_id(std::uint64_t number, bool array, const std::string& server);
 
-}  // namespace shunt::pbs
+}  // namespace shunttrail::pbs
--- a/src/pbs/script.cpp
+++ b/src/pbs/script.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <tao/pegtl.hpp>
 
-namespace shunt::pbs {
+namespace shunttrail::pbs {
 namespace {
 
 namespace p = tao::pegtl;
@@ -247,4 +247,4 @@
   return out;
 }
 
-}  // namespace shunt::pbs
+}  // namespace shunttrail::pbs
--- a/src/pbs/script.h
+++ b/src/pbs/script.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-namespace shunt::pbs {
+namespace shunttrail::pbs {
 
 // Where something stands: lines and columns from 1; line 0 is the command line, whose columns count
 // its words.
@@ -52,4 +52,4 @@
 // A directive as a line that reads back to it.
 std::string print(const Directive& d, std::string_view prefix);
 
-}  // namespace shunt::pbs
+}  // namespace shunttrail::pbs
--- a/src/pbs/tables.cpp
+++ b/src/pbs/tables.cpp
@@ -6,7 +6,7 @@
 
 #include "config/xml.h"
 
-namespace shunt::pbs {
+namespace shunttrail::pbs {
 
 using namespace config;
 
@@ -129,4 +129,4 @@
   return t;
 }
 
-}  // namespace shunt::pbs
+}  // namespace shunttrail::pbs
--- a/src/pbs/tables.h
+++ b/src/pbs/tables.h
@@ -8,7 +8,7 @@
 
 #include "wire/types.h"
 
-namespace shunt::pbs {
+namespace shunttrail::pbs {
 
 struct Limits {
   std::optional<double> cpus, mem_gb, gpus;  // of a chunk
@@ -43,4 +43,4 @@
 
 Tables parse_tables(const std::string& xml);
 
-}  // namespace shunt::pbs
+}  // namespace shunttrail::pbs
--- a/src/pbs/values.cpp
+++ b/src/pbs/values.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <tao/pegtl.hpp>
 
-namespace shunt::pbs {
+namespace shunttrail::pbs {
 namespace {
 
 namespace p = tao::pegtl;
@@ -226,4 +226,4 @@
   return out;
 }
 
-}  // namespace shunt::pbs
+}  // namespace shunttrail::pbs
--- a/src/pbs/values.h
+++ b/src/pbs/values.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-namespace shunt::pbs {
+namespace shunttrail::pbs {
 
 struct BadValue : std::runtime_error {
   BadValue(std::size_t at, const std::string& why) : std::runtime_error(why), offset(at) {}
@@ -58,4 +58,4 @@
 };
 std::vector<Dependency> read_dependencies(std::string_view s);
 
-}  // namespace shunt::pbs
+}  // namespace shunttrail::pbs
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-namespace shunt::peer {
+namespace shunttrail::peer {
 
-struct Beat {
+struct PeerHeartbeat {
   std::uint32_t version = 3;
   std::int32_t node = -1;
   bool serving = false;               // has read the state service lately
@@ -25,17 +25,17 @@
 
 // A worker's report that reached a node which does not own its shard, as it came. The owner's
 // answer is the answer to it.
-struct Passed {
+struct RelayedHeartbeat {
   std::uint32_t version = 1;
   std::int32_t node = -1;  // who passes it on
-  std::string report;
+  std::string heartbeat;
 };
-std::string encode(const Passed& p);
+std::string encode(const RelayedHeartbeat& p);
 // None: garbage, or a version that this build does not know.
-std::optional<Passed> decode_passed(const std::string& bytes, int nodes);
+std::optional<RelayedHeartbeat> decode_relayed(const std::string& bytes, int nodes);
 
 // What a node has last said of itself, and when; the steady clock's seconds.
-struct News {
+struct PeerStatus {
   double at = -1e9;
   bool serving = false;
 };
@@ -43,9 +43,9 @@
 // here may be better off elsewhere. Somebody serves; or nobody is heard, since then this node is
 // cut off, from them as well. In an outage they are heard and none serves: leaving would help
 // nobody.
-bool another_serves(const std::vector<News>& nodes, double started_at, double now);
+bool another_serves(const std::vector<PeerStatus>& nodes, double started_at, double now);
 
-std::string encode(const Beat& b);
-std::optional<Beat> decode(const std::string& bytes, int nodes);  // none: garbage
+std::string encode(const PeerHeartbeat& b);
+std::optional<PeerHeartbeat> decode(const std::string& bytes, int nodes);  // none: garbage
 
-}  // namespace shunt::peer
+}  // namespace shunttrail::peer
--- a/src/relay/relay_routes.h
+++ b/src/relay/relay_routes.h
@@ -9,37 +9,37 @@
 #include <string>
 #include <utility>
 
-namespace shunt::links {
+namespace shunttrail::relay {
 
-enum class Way {
+enum class Decision {
   redirect,  // 421 naming the owner
   relay,     // passed on to the owner; its answer goes back in the same exchange
   refuse     // the owner has just not answered either: the worker tries another node
 };
 
-class Detours {
+class RelayRoutes {
  public:
   // A report of a machine in this zone has come here, whose shard node `owner` owns. Times in
   // seconds.
   // `order`: the report's session and sequence. A copy that comes late shows nothing: only a report
   // that is newer than the one that was sent away tells that its worker has come back.
   using Order = std::pair<std::uint64_t, std::uint64_t>;
-  Way way(const std::string& machine, Order order, int zone, int owner, double now);
+  Decision decide(const std::string& machine, Order order, int zone, int owner, double now);
   // Whether the owner answered what was passed on.
-  void passed(int owner, bool answered, double now);
+  void relayed(int owner, bool answered, double now);
   // It speaks no version of the relay that this node knows.
-  void cannot(int owner, double now);
-  struct Detour {
+  void unavailable(int owner, double now);
+  struct Route {
     double since = 0;
-    double trial_at = 0;  // when the next worker is sent to the owner on trial
-    double gap = 0;       // between two trials that fail
-    std::string on_trial;
-    Order trial_order{};  // the report that was sent there
+    double probe_at = 0;  // when the next worker is sent to the owner on trial
+    double probe_interval = 0;       // between two trials that fail
+    std::string probing;
+    Order probe_order{};  // the report that was sent there
     double sent_at = 0;
     double used_at = 0;
   };
   // By owner and zone, those in use.
-  const std::map<std::pair<int, int>, Detour>& open() const { return open_; }
+  const std::map<std::pair<int, int>, Route>& open() const { return open_; }
   std::size_t remembered() const { return sent_.size(); }
 
  private:
@@ -51,10 +51,10 @@
   void forget(double now);
 
   std::map<std::string, Sent> sent_;  // by machine: where it was sent lately
-  std::map<std::pair<int, int>, Detour> open_;
-  std::map<int, double> quiet_until_;  // by owner: it does not answer us either
-  std::map<int, double> cannot_until_;
+  std::map<std::pair<int, int>, Route> open_;
+  std::map<int, double> silent_until_;  // by owner: it does not answer us either
+  std::map<int, double> unavailable_until_;
   double forgotten_at_ = 0;
 };
 
-}  // namespace shunt::links
+}  // namespace shunttrail::links
--- a/src/scheduler/failure_detector.cpp
+++ b/src/scheduler/failure_detector.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
 namespace {
 constexpr std::size_t kProbesOut = 24;       // at the same time
@@ -14,32 +14,32 @@
 }  // namespace
 
 // Workers report every report_s, give or take a quarter.
-bool Doubts::silent(const Machine& m, double now) const {
-  return now - m.last_report > 1.25 * common_.settings.report_s + 1;
+bool FailureDetector::silent(const Machine& m, double now) const {
+  return now - m.last_heartbeat > 1.25 * context_.settings.heartbeat_s + 1;
 }
 // Where reports are far apart a machine is asked in between as well.
-bool Doubts::quiet(const Machine& m, double now) const {
-  return now - std::max(m.last_report, m.alive_at) > std::min(kQuiet, 0.6 * common_.settings.report_s);
+bool FailureDetector::suspected(const Machine& m, double now) const {
+  return now - std::max(m.last_heartbeat, m.known_alive_at) > std::min(kQuiet, 0.6 * context_.settings.heartbeat_s);
 }
 
 // The zone's machines are heard, by and large. Where most are silent at once a network is cut, or
 // this node stood still: nothing is concluded of one machine, and none is deleted.
-bool Doubts::zone_heard(int zone, double now) const {
+bool FailureDetector::zone_heard(int zone, double now) const {
   std::size_t all = 0, heard = 0;
   for (const auto& [n, m] : machines_.all()) {
     if (m->state != Machine::up || m->zone != zone || m->lost) continue;
     ++all;
-    heard += !m->unanswered && m->deaf < kDeaf && !silent(*m, now);
+    heard += !m->unanswered && m->losing_responses < kLostResponsesBeforeSuspicion && !silent(*m, now);
   }
   return heard > 0 && 2 * heard >= all;
 }
 
-void Doubts::note(Machine& m, bool answer_lost, double now) {
-  m.deaf = answer_lost ? m.deaf + 1 : std::max(0, m.deaf - 1);
-  if (m.deaf >= kDeaf) Machines::avoid(m, now + 1.5 * common_.settings.report_s);
+void FailureDetector::heartbeat_received(Machine& m, bool answer_lost, double now) {
+  m.losing_responses = answer_lost ? m.losing_responses + 1 : std::max(0, m.losing_responses - 1);
+  if (m.losing_responses >= kLostResponsesBeforeSuspicion) Machines::avoid(m, now + 1.5 * context_.settings.heartbeat_s);
 }
 
-std::vector<Probe> Doubts::probes(double now) {
+std::vector<Probe> FailureDetector::probes(double now) {
   std::vector<Probe> out;
   std::size_t busy = 0;
   for (const auto& [n, m] : machines_.all()) {
@@ -48,9 +48,9 @@
     if (m->probe_out || m->lost || m->zone < 0 || m->addr.empty() || m->probe_after > now) continue;
     // Arrays lose little by waiting for the proof by silence, and a machine that hangs may go on.
     const bool replicas =
-        std::any_of(m->placed.list.begin(), m->placed.list.end(),
+        std::any_of(m->tasks.placements.begin(), m->tasks.placements.end(),
                     [](const Placement& p) { return p.job->spec.service && !p.released; });
-    if (m->deaf < kDeaf && !(replicas && quiet(*m, now))) continue;
+    if (m->losing_responses < kLostResponsesBeforeSuspicion && !(replicas && suspected(*m, now))) continue;
     m->probe_out = true;
     ++busy;
     out.push_back({m->name, m->addr});
@@ -58,27 +58,27 @@
   return out;
 }
 
-bool Doubts::answered(Machine& m, bool yes, double now) {
+bool FailureDetector::probe_done(Machine& m, bool yes, double now) {
   m.probe_out = false;
   m.probe_after = now + kGap;
   const auto zone = static_cast<std::size_t>(m.zone);
   if (yes) {
     // If its reports do not come here, that is for the detours to mend.
-    m.unanswered = m.deaf = 0;
-    m.alive_at = reached_[zone] = now;
+    m.unanswered = m.losing_responses = 0;
+    m.known_alive_at = zone_heard_at_[zone] = now;
     return false;
   }
-  const bool deaf = m.deaf >= kDeaf;
-  if (!(deaf || quiet(m, now)) || m.lost || ++m.unanswered < kUnanswered) return false;
+  const bool deaf = m.losing_responses >= kLostResponsesBeforeSuspicion;
+  if (!(deaf || suspected(m, now)) || m.lost || ++m.unanswered < kUnanswered) return false;
   // Only where others in its zone answer this node, and are heard by and large.
-  if (!zone_heard(m.zone, now) || (!deaf && now - reached_[zone] > kReached)) return false;
+  if (!zone_heard(m.zone, now) || (!deaf && now - zone_heard_at_[zone] > kReached)) return false;
   // A switch that takes hundreds with it must not empty the fleet: beyond a share of it, the proof
   // by silence is waited for.
-  std::erase_if(given_up_, [&](double at) { return now - at > common_.settings.lease_s; });
+  std::erase_if(given_up_at_, [&](double at) { return now - at > context_.settings.lease_s; });
   const double most = std::max(kLeast, kShare * static_cast<double>(machines_.named()));
-  if (static_cast<double>(given_up_.size()) >= most) return false;
-  given_up_.push_back(now);
+  if (static_cast<double>(given_up_at_.size()) >= most) return false;
+  given_up_at_.push_back(now);
   return true;
 }
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/scheduler/failure_detector.h
+++ b/src/scheduler/failure_detector.h
@@ -8,36 +8,36 @@
 #include "scheduler/shard_context.h"
 #include "scheduler/machines.h"
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
 // A machine to be asked for its state (GET /status).
 struct Probe {
   std::string machine, addr;
 };
 
-class Doubts {
+class FailureDetector {
  public:
-  Doubts(Common& common, Machines& machines)
-      : common_(common), machines_(machines), reached_(common.settings.zones.size(), -1e9) {}
+  FailureDetector(ShardContext& common, Machines& machines)
+      : context_(common), machines_(machines), zone_heard_at_(common.settings.zones.size(), -1e9) {}
 
   // A report, and whether it shows that the answer to an earlier one did not get there. Such a
   // machine looks alive for ever, while every start on it is lost: nothing new goes there, and it
   // is asked as a silent one is.
-  void note(Machine& m, bool answer_lost, double now);
+  void heartbeat_received(Machine& m, bool answer_lost, double now);
   // Each is answered by `answered`.
   std::vector<Probe> probes(double now);
   // True: it has not answered, again, and is to be given up on.
-  bool answered(Machine& m, bool yes, double now);
+  bool probe_done(Machine& m, bool yes, double now);
 
  private:
   bool silent(const Machine& m, double now) const;
-  bool quiet(const Machine& m, double now) const;
+  bool suspected(const Machine& m, double now) const;
   bool zone_heard(int zone, double now) const;
 
-  Common& common_;
+  ShardContext& context_;
   Machines& machines_;
-  std::vector<double> reached_;   // by zone: when a machine there answered last
-  std::vector<double> given_up_;  // when, lately
+  std::vector<double> zone_heard_at_;   // by zone: when a machine there answered last
+  std::vector<double> given_up_at_;  // when, lately
 };
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/scheduler/machine_catalogue.h
+++ b/src/scheduler/machine_catalogue.h
@@ -7,14 +7,14 @@
 #include "jobs/job.h"
 #include "wire/types.h"
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
 // Machine types, names mapped to dense indices, with the tiers in order of price. A tier is a
 // type and a kind (spot or ordinary).
-struct Catalogue {
+struct MachineCatalogue {
   struct Type {
     wire::MachineType spec;
-    jobs::Amount room;
+    jobs::Resources room;
     std::vector<bool> in_zone;
   };
   std::vector<Type> types;
@@ -25,11 +25,11 @@
   int type_index(const std::string& name) const;
   double rate(int tier) const;  // price a second
   // A task of the job may run on the tier's machines, as far as type, kind and size go.
-  bool takes(int tier, const wire::JobSpec& job, const jobs::Amount& need) const;
+  bool accepts(int tier, const wire::JobSpec& job, const jobs::Resources& need) const;
   // What a machine of the type counts for where machines are shared out: in those of the first
   // type, by vcpus.
   double units(int type) const;
   bool empty() const { return types.empty(); }
 };
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/scheduler/machine_queue.h
+++ b/src/scheduler/machine_queue.h
@@ -7,16 +7,16 @@
 
 #include "scheduler/queued_task.h"
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
-struct Queue {
-  std::array<std::uint16_t, wire::kPriorities + 1> listed{};  // by band
-  std::vector<Item> items;                                    // in order of service
-  double left_over_since = -1;  // it has had room for something that waits; -1: it has not
+struct MachineQueue {
+  std::array<std::uint16_t, wire::kPriorities + 1> tasks_by_band{};  // by band
+  std::vector<QueuedTask> tasks;                                    // in order of service
+  double idle_capacity_since = -1;  // it has had room for something that waits; -1: it has not
   // A reservation: nothing but this task is placed here until there is room for it. It holds as
   // long as the task is on this list (Waiting::reserved).
-  std::optional<Key> reserved;
+  std::optional<ServiceOrder> reserved_for;
   double reserved_at = -1e9;
 };
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/scheduler/machines.cpp
+++ b/src/scheduler/machines.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <tuple>
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
-using jobs::Amount;
+using jobs::Resources;
 using jobs::Job;
 
 namespace {
@@ -17,7 +17,7 @@
 constexpr double kFaultPause = 5;       // before a machine that failed a task gets another
 }  // namespace
 
-double share_of(const Amount& a, const Amount& one) {
+double share_of(const Resources& a, const Resources& one) {
   double s = one.cpus > 0 ? static_cast<double>(a.cpus) / static_cast<double>(one.cpus) : 0;
   return one.mem > 0 ? std::max(s, static_cast<double>(a.mem) / static_cast<double>(one.mem)) : s;
 }
@@ -50,17 +50,17 @@
 
 bool Machines::known(const wire::MachineRecord& r, double now) {
   if (Machine* here = find(r.name)) {
-    here->rostered = true;
+    here->in_inventory = true;
     return false;
   }
   Machine& m = add();
   m.name = r.name;
-  m.type = common_.catalogue.type_index(r.type);
-  m.zone = common_.settings.zone_index(r.zone);
+  m.type = context_.catalogue.type_index(r.type);
+  m.zone = context_.settings.zone_index(r.zone);
   m.spot = r.spot;
-  m.rostered = true;
+  m.in_inventory = true;
   m.state = Machine::booting;
-  m.rented_at = m.last_report = m.last_answer = now;
+  m.rented_at = m.last_heartbeat = m.last_answer = now;
   by_name_[r.name] = m.number;
   // A type or zone that is not known any more: its tasks are let go of, then it is returned.
   if (m.type < 0 || m.zone < 0) m.leaving = true;
@@ -69,20 +69,20 @@
 
 // ---- what it can take
 
-Amount Machines::room(const Machine& m) const {
-  return m.type < 0 ? Amount{} : common_.catalogue.types[m.type].room - m.placed.used;
+Resources Machines::room(const Machine& m) const {
+  return m.type < 0 ? Resources{} : context_.catalogue.types[m.type].room - m.tasks.used;
 }
-Amount Machines::room(const Machine& m, int band) const {
+Resources Machines::room(const Machine& m, int band) const {
   return band < Job::kGuaranteed ? room(m) : room(m) - m.reserved;
 }
 bool Machines::warm(const Machine& m, int image) {
   return std::find(m.images.begin(), m.images.end(), image) != m.images.end();
 }
 bool Machines::type_ok(const Job& j, int type, bool spot) const {
-  return type >= 0 && common_.catalogue.takes(2 * type + (spot ? 1 : 0), j.spec, j.need);
+  return type >= 0 && context_.catalogue.accepts(2 * type + (spot ? 1 : 0), j.spec, j.need);
 }
 bool Machines::zone_ok(const Job& j, int zone) const {
-  if (j.spec.zone && common_.settings.zone_index(*j.spec.zone) != zone) return false;
+  if (j.spec.zone && context_.settings.zone_index(*j.spec.zone) != zone) return false;
   return j.zone_ok(zone);
 }
 bool Machines::usable(const Machine& m, const Job& j, double now) const {
@@ -90,8 +90,8 @@
   return type_ok(j, m.type, m.spot) && zone_ok(j, m.zone);
 }
 int Machines::pick_zone(const Job& j, int tier, double now) const {
-  const auto& settings = common_.settings;
-  const auto& type = common_.catalogue.types[tier / 2];
+  const auto& settings = context_.settings;
+  const auto& type = context_.catalogue.types[tier / 2];
   std::vector<int> have(settings.zones.size(), 0);
   std::vector<std::size_t> ordered(settings.zones.size(), 0);
   for (const auto& [n, m] : all_) {
@@ -115,14 +115,14 @@
 
 // ---- what is heard of it
 
-bool Machines::heard(Machine& m, const wire::Report& r, bool new_session, double now) {
+bool Machines::heartbeat_received(Machine& m, const wire::Heartbeat& r, bool new_session, double now) {
   m.addr = r.addr;
-  m.last_report = now;
-  if (m.deaf < kDeaf) m.unanswered = 0;
+  m.last_heartbeat = now;
+  if (m.losing_responses < kLostResponsesBeforeSuspicion) m.unanswered = 0;
   if (m.state != Machine::up) {
     m.state = Machine::up;
     m.idle_since = now;
-    common_.stirred = true;
+    context_.scheduling_due = true;
   }
   if (new_session) m.images.clear();
   m.notice_s = r.notice_s;
@@ -136,8 +136,8 @@
   if (!m.images.empty() && m.images.back() == image) return;
   std::erase(m.images, image);
   m.images.push_back(image);
-  auto gb = [&](int i) { return common_.image_gb[static_cast<std::size_t>(i)]; };
-  const double room = m.type < 0 ? 0 : common_.catalogue.types[m.type].spec.cache_gb;
+  auto gb = [&](int i) { return context_.image_gb[static_cast<std::size_t>(i)]; };
+  const double room = m.type < 0 ? 0 : context_.catalogue.types[m.type].spec.cache_gb;
   double sum = 0;
   for (int i : m.images) sum += gb(i);
   while (m.images.size() > (room > 0 ? 1 : kImagesKept) && (room <= 0 || sum > room)) {
@@ -146,7 +146,7 @@
   }
 }
 void Machines::note_idle(Machine& m, double now) {
-  bool idle = m.state == Machine::up && m.placed.list.empty() && m.queue.items.empty();
+  bool idle = m.state == Machine::up && m.tasks.placements.empty() && m.queue.tasks.empty();
   if (idle && !m.was_idle) m.idle_since = now;
   m.was_idle = idle;
 }
@@ -161,7 +161,7 @@
   m.faults = 0;
   m.faulty_for.clear();
 }
-bool Machines::lose(Machine& m) {
+bool Machines::give_up(Machine& m) {
   if (m.lost) return false;
   m.leaving = m.lost = true;
   return true;
@@ -170,12 +170,12 @@
 // ---- the idle wait
 
 chain::IdleWait& Machines::idle_wait(int tier) {
-  const auto& t = common_.tuning;
+  const auto& t = context_.tuning;
   return idle_.try_emplace(tier, t.idle_start_s, t.lambda, t.idle_cap).first->second;
 }
 void Machines::reused(const Machine& m, double now) {
   if (!m.was_idle) return;
-  idle_wait(m.tier()).reused(now - m.idle_since, common_.catalogue.types[m.type].spec.boot_s);
+  idle_wait(m.tier()).reused(now - m.idle_since, context_.catalogue.types[m.type].spec.boot_s);
 }
 std::vector<double> Machines::waits() const {
   std::vector<double> k;
@@ -184,11 +184,11 @@
 }
 void Machines::return_idle(Machine& m, double now) {
   if (!m.was_idle || m.leaving) return;
-  const double boot = common_.catalogue.types[m.type].spec.boot_s;
+  const double boot = context_.catalogue.types[m.type].spec.boot_s;
   if (now - m.idle_since <= idle_wait(m.tier()).seconds(boot)) return;
   m.leaving = true;
   last_returned_[m.tier()] = m.idle_since;
-  ++common_.count.returns;
+  ++context_.counters.returns;
 }
 
 // ---- rents and returns
@@ -201,16 +201,16 @@
   m.rented_at = now;
   auto last = last_returned_.find(tier);
   if (last != last_returned_.end()) {
-    idle_wait(tier).missed(now - last->second, common_.catalogue.types[m.type].spec.boot_s);
+    idle_wait(tier).missed(now - last->second, context_.catalogue.types[m.type].spec.boot_s);
     last_returned_.erase(last);
   }
   return m;
 }
 
-std::vector<RentWish> Machines::rent_wishes(double now, std::vector<Machine*>& barred) {
-  std::map<std::pair<int, int>, RentWish> groups;
+std::vector<ScaleOutRequest> Machines::scale_out_requests(double now, std::vector<Machine*>& barred) {
+  std::map<std::pair<int, int>, ScaleOutRequest> groups;
   for (auto& [n, m] : all_) {
-    if (m->state != Machine::ordered || m->posted) continue;
+    if (m->state != Machine::ordered || m->announced) continue;
     // A later order where the cloud has just said that it has none goes back to the chain.
     auto r = refused_until_.find({m->tier(), m->zone});
     if (r != refused_until_.end() && r->second > now) {
@@ -220,22 +220,22 @@
     // One rent a tier and zone at a time: what is wanted meanwhile goes into the next one, since
     // calls are scarcer than machines.
     if (asking_.contains({m->tier(), m->zone})) continue;
-    RentWish& w = groups[{m->tier(), m->zone}];
+    ScaleOutRequest& w = groups[{m->tier(), m->zone}];
     if (w.machines.size() >= kRentMost) continue;
     w.tier = m->tier();
     w.zone = m->zone;
     w.machines.push_back(n);
   }
-  std::vector<RentWish> out;
+  std::vector<ScaleOutRequest> out;
   for (auto& [key, w] : groups) {
-    for (int n : w.machines) at(n)->posted = true;
+    for (int n : w.machines) at(n)->announced = true;
     asking_.insert(key);
     out.push_back(std::move(w));
   }
   return out;
 }
 
-std::vector<int> Machines::rented(const RentWish& w, const std::vector<std::string>& names,
+std::vector<int> Machines::rented(const ScaleOutRequest& w, const std::vector<std::string>& names,
                                   double now) {
   asking_.erase({w.tier, w.zone});
   if (auto g = grant_.find({w.tier, w.zone}); g != grant_.end() && (g->second *= 4) > kRentMost)
@@ -257,37 +257,37 @@
     }
     m->name = names[i];
     m->state = Machine::booting;
-    m->rented_at = m->last_report = m->last_answer = now;
+    m->rented_at = m->last_heartbeat = m->last_answer = now;
     by_name_[m->name] = m->number;
-    ++common_.count.rents;
+    ++context_.counters.rents;
   }
   if (i < w.machines.size()) {
     auto rest = refused(w, i, true, now);
     nothing.insert(nothing.end(), rest.begin(), rest.end());
   }
-  common_.stirred = true;
+  context_.scheduling_due = true;
   return nothing;
 }
 
-std::vector<int> Machines::refused(const RentWish& w, std::size_t from, bool no_capacity,
+std::vector<int> Machines::refused(const ScaleOutRequest& w, std::size_t from, bool no_capacity,
                                    double now) {
   asking_.erase({w.tier, w.zone});
   if (no_capacity) {
     refused_until_[{w.tier, w.zone}] = now + kRefusedFor;
     grant_[{w.tier, w.zone}] = kGrantLeast;
   }
-  common_.count.refused += w.machines.size() - from;
-  common_.stirred = true;
+  context_.counters.refused += w.machines.size() - from;
+  context_.scheduling_due = true;
   return {w.machines.begin() + static_cast<long>(from), w.machines.end()};
 }
 
-std::vector<std::string> Machines::returns() {
+std::vector<std::string> Machines::machines_to_return() {
   std::vector<std::string> out;
   for (auto& [n, m] : all_) {
-    if (!m->leaving || m->returning || m->name.empty() || (m->giving >= 0 && !m->lost)) continue;
+    if (!m->leaving || m->returning || m->name.empty() || (m->transfer_to >= 0 && !m->lost)) continue;
     // Tasks of a machine that answers are let finish; a lost machine's are not waited for.
     bool running = false;
-    for (const Placement& p : m->placed.list) running |= !p.reaping;
+    for (const Placement& p : m->tasks.placements) running |= !p.acknowledging;
     if (running && !m->lost) continue;
     m->returning = true;
     out.push_back(m->name);
@@ -300,52 +300,52 @@
 
 // ---- other shards
 
-double Machines::pledged() const {
+double Machines::transferring() const {
   double sum = 0;
   for (const auto& [n, m] : all_)
-    if (m->giving >= 0 && m->type >= 0) sum += common_.catalogue.units(m->type);
+    if (m->transfer_to >= 0 && m->type >= 0) sum += context_.catalogue.units(m->type);
   return sum;
 }
 
 // Work goes on where a machine was to leave and is not wanted any more. Only one that is not empty
 // may stay: of an empty one the roster's commit may be on its way.
 void Machines::keep(Machine& m) {
-  if (m.giving < 0 || m.lost || m.returning || m.placed.list.empty()) return;
-  m.giving = -1;
+  if (m.transfer_to < 0 || m.lost || m.returning || m.tasks.placements.empty()) return;
+  m.transfer_to = -1;
   m.leaving = m.faulty_for.size() >= kFaulty;
-  common_.stirred = true;
+  context_.scheduling_due = true;
 }
 
 // Idle ones at once, then the emptiest ones as soon as their tasks are over: work spread thinly
 // over a surplus would leave hardly any machine idle. A machine with a replica is not promised: it
 // would stand half empty for as long as the service runs. Those that take most of what waits there
 // go first.
-std::vector<Machine*> Machines::give(const Gift& gift) {
+std::vector<Machine*> Machines::transfer(const MachineTransfer& gift) {
   double left = gift.amount;
   std::vector<Machine*> out, mine;
-  auto units = [&](const Machine& m) { return common_.catalogue.units(m.type); };
+  auto units = [&](const Machine& m) { return context_.catalogue.units(m.type); };
   for (auto& [n, m] : all_) {
-    if (m->giving != gift.to || m->type < 0) continue;
+    if (m->transfer_to != gift.to || m->type < 0) continue;
     if (left < units(*m)) keep(*m);
-    if (m->giving == gift.to) left -= units(*m);
+    if (m->transfer_to == gift.to) left -= units(*m);
   }
   auto useful = [&](const Machine& m) { return gift.useful[static_cast<std::size_t>(m.tier())]; };
   for (auto& [n, m] : all_) {
-    if (m->state != Machine::up || !m->rostered || m->leaving || m->draining || m->type < 0 ||
-        units(*m) > left + 1e-9 || useful(*m) <= 0 || m->queue.reserved)
+    if (m->state != Machine::up || !m->in_inventory || m->leaving || m->draining || m->type < 0 ||
+        units(*m) > left + 1e-9 || useful(*m) <= 0 || m->queue.reserved_for)
       continue;
-    if (std::none_of(m->placed.list.begin(), m->placed.list.end(),
+    if (std::none_of(m->tasks.placements.begin(), m->tasks.placements.end(),
                      [](const Placement& p) { return p.job->spec.service && !p.released; }))
       mine.push_back(m.get());
   }
   std::stable_sort(mine.begin(), mine.end(), [&](const Machine* a, const Machine* b) {
-    return std::tuple(!a->was_idle, a->placed.used.cpus, -useful(*a)) <
-           std::tuple(!b->was_idle, b->placed.used.cpus, -useful(*b));
+    return std::tuple(!a->was_idle, a->tasks.used.cpus, -useful(*a)) <
+           std::tuple(!b->was_idle, b->tasks.used.cpus, -useful(*b));
   });
   for (Machine* m : mine) {
     if (units(*m) > left + 1e-9) continue;
     m->leaving = true;
-    m->giving = gift.to;
+    m->transfer_to = gift.to;
     left -= units(*m);
     out.push_back(m);
   }
@@ -354,27 +354,27 @@
 
 namespace {
 bool can_go(const Machine& m) {
-  return m.giving >= 0 && m.rostered && m.placed.list.empty() && m.queue.items.empty();
+  return m.transfer_to >= 0 && m.in_inventory && m.tasks.placements.empty() && m.queue.tasks.empty();
 }
 }  // namespace
 
-int Machines::gives(const std::string& name) const {
+int Machines::transfer_target(const std::string& name) const {
   const Machine* m = find(name);
-  return m && can_go(*m) ? m->giving : -1;
+  return m && can_go(*m) ? m->transfer_to : -1;
 }
 
-std::vector<RosterWish> Machines::roster_wishes(std::uint64_t token, const Asked& asked) const {
-  std::vector<RosterWish> out;
+std::vector<InventoryChange> Machines::inventory_changes(std::uint64_t token, const Asked& asked) const {
+  std::vector<InventoryChange> out;
   for (const auto& [n, m] : all_) {
     if (m->name.empty() || m->type < 0 || m->zone < 0) continue;
     const bool give = can_go(*m);
-    if (m->rostered && !give) continue;
-    const auto kind = give ? RosterWish::give : RosterWish::add;
-    const int shard = give ? m->giving : common_.shard;
+    if (m->in_inventory && !give) continue;
+    const auto kind = give ? InventoryChange::transfer : InventoryChange::add;
+    const int shard = give ? m->transfer_to : context_.shard;
     if (asked(m->name, kind, shard)) continue;
     out.push_back({kind,
-                   {m->name, common_.catalogue.types[m->type].spec.name,
-                    common_.settings.zones[m->zone], m->spot, shard, token, 0},
+                   {m->name, context_.catalogue.types[m->type].spec.name,
+                    context_.settings.zones[m->zone], m->spot, shard, token, 0},
                    m->rented_at});
   }
   return out;
@@ -383,8 +383,8 @@
 double Machines::capacity() const {
   double sum = 0;
   for (const auto& [n, m] : all_)
-    if (m->type >= 0 && !m->leaving && !m->draining) sum += common_.catalogue.units(m->type);
+    if (m->type >= 0 && !m->leaving && !m->draining) sum += context_.catalogue.units(m->type);
   return sum;
 }
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/scheduler/machines.h
+++ b/src/scheduler/machines.h
@@ -15,7 +15,7 @@
 #include "shard/balance.h"
 #include "wire/types.h"
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
 // A machine, with what may run on it and what waits for it: two parts that are others' to change.
 // What every walk through the chain asks of every machine comes first: a fleet is hundreds of them.
@@ -27,52 +27,52 @@
   bool draining = false;  // spot notice
   enum State : std::uint8_t { ordered, booting, up } state = ordered;
   double avoid_until = 0;
-  Queue queue;
-  Placed placed;
-  jobs::Amount reserved;    // kept free for urgent work
+  MachineQueue queue;
+  MachineTasks tasks;
+  jobs::Resources reserved;    // kept free for urgent work
   std::vector<int> images;  // as cached, the latest used last
 
   std::string name, addr;
-  bool posted = false;    // ordered: the request is out
-  bool rostered = false;  // the roster holds it: only then may anything be placed on it
+  bool announced = false;    // ordered: the request is out
+  bool in_inventory = false;  // the roster holds it: only then may anything be placed on it
   bool returning = false;
-  int giving = -1;    // the shard that it goes to once it is empty
+  int transfer_to = -1;    // the shard that it goes to once it is empty
   bool lost = false;  // not coming back: its tasks are not waited for
   std::optional<double> notice_s;
-  double rented_at = 0, last_report = 0, last_answer = 0, idle_since = 0;
-  double newest_at = -1e9;  // when what was heard last came
+  double rented_at = 0, last_heartbeat = 0, last_answer = 0, idle_since = 0;
+  double newest_task_at = -1e9;  // when what was heard last came
   bool was_idle = false;
   std::set<std::string> faulty_for;
   int faults = 0;
   // Its reports come, and the answers do not get there: how many in a row show that.
-  int deaf = 0;
+  int losing_responses = 0;
   std::uint64_t answered_token = 0;  // of the latest answer to a report
   bool start_lost = false;           // the latest report does not show a start sent in an answer
   bool probe_out = false;            // asked whether it lives, since it is silent
   int unanswered = 0;                // how often in a row it has not answered that
-  double probe_after = 0, alive_at = 0;  // when it answered it last
+  double probe_after = 0, known_alive_at = 0;  // when it answered it last
   int tier() const { return 2 * type + (spot ? 1 : 0); }
   // Something may be placed here, as far as the machine itself goes.
-  bool open(double now) const { return state == up && !leaving && !draining && avoid_until <= now; }
+  bool accepts_work(double now) const { return state == up && !leaving && !draining && avoid_until <= now; }
 };
 
 // So many reports in a row that show no answer: it is asked whether it hears anything at all.
-inline constexpr int kDeaf = 2;
+inline constexpr int kLostResponsesBeforeSuspicion = 2;
 
-struct RentWish {
+struct ScaleOutRequest {
   int tier = 0, zone = 0;
   std::vector<int> machines;  // ordered machines, by number
 };
 
 // A change of the roster that the desk asks for.
-struct RosterWish {
-  enum Kind { add, give, drop } kind = add;
+struct InventoryChange {
+  enum Kind { add, transfer, drop } kind = add;
   wire::MachineRecord machine;
   double rented_at = 0;  // add: by the steady clock
 };
 
 // What a shard has to give to another one.
-struct Gift {
+struct MachineTransfer {
   int to = 0;
   double amount = 0;           // in machines of the first type, by vcpus
   std::vector<double> useful;  // by tier: how much of what waits there it takes
@@ -81,7 +81,7 @@
 class Machines {
  public:
   using Ptr = std::unique_ptr<Machine>;
-  explicit Machines(Common& common) : common_(common) {}
+  explicit Machines(ShardContext& common) : context_(common) {}
 
   // In the order they were rented: the chain's order.
   const std::vector<std::pair<int, Ptr>>& all() const { return all_; }
@@ -95,9 +95,9 @@
   // Nothing is on it, and nothing waits for it.
   void erase(int number);
 
-  jobs::Amount room(const Machine& m) const;
+  jobs::Resources room(const Machine& m) const;
   // As a task of this band finds it: what is kept free is for urgent ones.
-  jobs::Amount room(const Machine& m, int band) const;
+  jobs::Resources room(const Machine& m, int band) const;
   static bool warm(const Machine& m, int image);
   bool type_ok(const jobs::Job& j, int type, bool spot) const;
   bool zone_ok(const jobs::Job& j, int zone) const;
@@ -105,14 +105,14 @@
   int pick_zone(const jobs::Job& j, int tier, double now) const;  // to rent in; -1: none
 
   // What reports say of the machine itself. True: it has just had notice that it will be taken.
-  bool heard(Machine& m, const wire::Report& r, bool new_session, double now);
+  bool heartbeat_received(Machine& m, const wire::Heartbeat& r, bool new_session, double now);
   void note_image(Machine& m, int image);
   void note_idle(Machine& m, double now);
   void task_failed(Machine& m, const std::string& job, double now);
   void task_done(Machine& m);
   static void avoid(Machine& m, double until) { m.avoid_until = std::max(m.avoid_until, until); }
   // It is not coming back. False: that was known.
-  bool lose(Machine& m);
+  bool give_up(Machine& m);
 
   // The learned wait k of a tier (DESIGN point 7).
   chain::IdleWait& idle_wait(int tier);
@@ -124,29 +124,29 @@
   // A rent that the chain asks for.
   Machine& order(int tier, int zone, double now);
   // Grouped; `barred`: orders where the cloud has just said that it has none.
-  std::vector<RentWish> rent_wishes(double now, std::vector<Machine*>& barred);
+  std::vector<ScaleOutRequest> scale_out_requests(double now, std::vector<Machine*>& barred);
   // The numbers of orders that came to nothing.
-  std::vector<int> rented(const RentWish& w, const std::vector<std::string>& names, double now);
-  std::vector<int> refused(const RentWish& w, std::size_t from, bool no_capacity, double now);
-  std::vector<std::string> returns();
+  std::vector<int> rented(const ScaleOutRequest& w, const std::vector<std::string>& names, double now);
+  std::vector<int> refused(const ScaleOutRequest& w, std::size_t from, bool no_capacity, double now);
+  std::vector<std::string> machines_to_return();
   void return_failed(const std::string& name);
 
   // Machines that another shard lacks, marked to go there once they are empty: so much in all, what
   // is marked already included. What is marked beyond that stays, unless it is empty already.
-  std::vector<Machine*> give(const Gift& gift);
-  double pledged() const;  // marked to go, in machines of the first type
-  using Asked = std::function<bool(const std::string& machine, RosterWish::Kind, int shard)>;
-  std::vector<RosterWish> roster_wishes(std::uint64_t token, const Asked& asked) const;
+  std::vector<Machine*> transfer(const MachineTransfer& gift);
+  double transferring() const;  // marked to go, in machines of the first type
+  using Asked = std::function<bool(const std::string& machine, InventoryChange::Kind, int shard)>;
+  std::vector<InventoryChange> inventory_changes(std::uint64_t token, const Asked& asked) const;
   // The shard that it is to go to now: it is marked for that, and nothing is on it or waits for it.
   // -1: none.
-  int gives(const std::string& name) const;
+  int transfer_target(const std::string& name) const;
   double capacity() const;  // in machines of the first type: up or booting, and staying
 
  private:
   Machine& add();
   void keep(Machine& m);
 
-  Common& common_;
+  ShardContext& context_;
   int next_number_ = 1;
   std::vector<std::pair<int, Ptr>> all_;
   std::vector<Machine*> by_number_;  // null: gone
@@ -160,6 +160,6 @@
 };
 
 // What a task takes of a machine of this size, the greater share of the two.
-double share_of(const jobs::Amount& a, const jobs::Amount& one);
+double share_of(const jobs::Resources& a, const jobs::Resources& one);
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/scheduler/placement_store.h
+++ b/src/scheduler/placement_store.h
@@ -13,50 +13,50 @@
 #include "state/limits.h"
 #include "state/state_cache.h"
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
-class Sheets {
+class PlacementStore {
  public:
-  Sheets(Common& common, Machines& machines, Placements& placements);
+  PlacementStore(ShardContext& common, Machines& machines, Placements& placements);
 
   // A sheet of the shard as a takeover found it: all its placements may exist.
-  void inherit(int sheet, const wire::SheetRecord& r, double now);
+  void recover_page(int sheet, const wire::PlacementPageRecord& r, double now);
 
-  std::optional<wire::Txn> next(const state::World& w, const state::Room& size,
+  std::optional<wire::Transaction> next_transaction(const state::StateCache& w, const state::TransactionLimits& size,
                                 const std::string& tag, double now);
   // The jobs that it has ended.
-  std::vector<std::string> applied(double now);
-  void failed(double now);
-  bool out() const { return out_.has_value(); }
+  std::vector<std::string> transaction_applied(double now);
+  void transaction_failed(double now);
+  bool transaction_in_flight() const { return pending_.has_value(); }
 
  private:
   // What a sheet holds as far as it still matters.
-  struct Sheet {
-    std::vector<Held> held;
+  struct PlacementPage {
+    std::vector<PersistedPlacement> placements;
     std::vector<std::pair<jobs::JobPtr, std::uint32_t>> done;  // job and chunk
   };
-  struct Out {
+  struct PendingTransaction {
     struct Write {
-      int sheet = 0;
-      std::vector<Held> starts;
+      int page = 0;
+      std::vector<PersistedPlacement> starts;
       std::vector<std::tuple<jobs::JobPtr, std::uint32_t, std::vector<bool>>> done;
     };
     std::vector<Write> writes;
-    std::vector<std::string> finals;
+    std::vector<std::string> ended_jobs;
   };
   using Chunks = std::vector<std::pair<jobs::JobPtr, std::uint32_t>>;
   void prune();
-  std::vector<Held> planned(const state::World& w) const;
-  bool fill(int sheet, const state::World& w, const state::Room& size, std::vector<Held>& starts,
-            Chunks& dirty, const std::string& tag, wire::Txn& t, Out& out);
+  std::vector<PersistedPlacement> planned(const state::StateCache& w) const;
+  bool fill_page(int sheet, const state::StateCache& w, const state::TransactionLimits& size, std::vector<PersistedPlacement>& starts,
+            Chunks& dirty, const std::string& tag, wire::Transaction& t, PendingTransaction& out);
 
-  Common& common_;
+  ShardContext& context_;
   Machines& machines_;
   Placements& placements_;
-  std::vector<Sheet> sheets_;
+  std::vector<PlacementPage> pages_;
   // By job and chunk: how many tasks the largest copy shows that has been inherited.
-  std::map<std::pair<std::string, std::uint32_t>, std::uint64_t> largest_;
-  std::optional<Out> out_;
+  std::map<std::pair<std::string, std::uint32_t>, std::uint64_t> largest_recovered_;
+  std::optional<PendingTransaction> pending_;
 };
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/scheduler/placements.cpp
+++ b/src/scheduler/placements.cpp
@@ -3,12 +3,12 @@
 
 #include <algorithm>
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
 using jobs::Job;
 using jobs::JobPtr;
-using wire::RunState;
-using wire::Why;
+using wire::TaskState;
+using wire::ExitReason;
 
 namespace {
 const double kPriorityWeight[wire::kPriorities] = {8, 4, 1, 0.5};
@@ -20,26 +20,26 @@
 constexpr double kReplicaRun = 60;
 }  // namespace
 
-Placements::Placements(Common& common, Machines& machines, std::uint64_t token, double now)
-    : common_(common),
+Placements::Placements(ShardContext& common, Machines& machines, std::uint64_t token, double now)
+    : context_(common),
       machines_(machines),
       token_(token),
       next_attempt_(token << 20),
-      taken_at_(now),
+      opened_at_(now),
       used_(common.settings.teams.size()) {}
 
-Placement* Placements::find(const Held& h) {
+Placement* Placements::find(const PersistedPlacement& h) {
   Machine* m = machines_.at(h.machine);
   if (!m) return nullptr;
-  for (Placement& p : m->placed.list)
+  for (Placement& p : m->tasks.placements)
     if (p.attempt == h.attempt && p.task == h.task && p.job == h.job) return &p;
   return nullptr;
 }
 
-void Placements::hold(Machine& m, const Placement& p) {
-  m.placed.used += p.job->need;
+void Placements::reserve_room(Machine& m, const Placement& p) {
+  m.tasks.used += p.job->need;
   if (p.job->team >= 0) used_[p.job->team] += p.job->need;
-  if (p.task < p.job->places.size()) ++p.job->places[p.task];
+  if (p.task < p.job->placements.size()) ++p.job->placements[p.task];
   if (m.zone >= 0) ++p.job->in_zone[m.zone];
   ++p.job->placed;
   p.job->pending.erase(p.task);
@@ -48,24 +48,24 @@
 void Placements::release(Machine& m, Placement& p, double now, bool again) {
   if (p.released) return;
   p.released = true;
-  m.placed.used -= p.job->need;
+  m.tasks.used -= p.job->need;
   if (p.job->team >= 0) used_[p.job->team] -= p.job->need;
-  if (p.task < p.job->places.size()) --p.job->places[p.task];
+  if (p.task < p.job->placements.size()) --p.job->placements[p.task];
   if (m.zone >= 0) --p.job->in_zone[m.zone];
   if (--p.job->placed == 0) {
     p.job->round = 0;
     p.job->in_round.clear();
   }
-  if (again) common_.requeue(p.job, p.task);
+  if (again) context_.requeue(p.job, p.task);
   machines_.note_idle(m, now);
-  common_.stirred = true;
+  context_.scheduling_due = true;
 }
 
 // Every learner that the task passed through records its finish cost (DESIGN point 6).
 void Placements::record_cost(const Placement& p, const Machine& m, double now) {
   const Job& j = *p.job;
-  const auto& type = common_.catalogue.types[m.type];
-  double rate = common_.catalogue.rate(m.tier());
+  const auto& type = context_.catalogue.types[m.type];
+  double rate = context_.catalogue.rate(m.tier());
   double share = 0;
   auto part = [&](std::int64_t need, std::int64_t all) {
     if (all > 0) share = std::max(share, static_cast<double>(need) / static_cast<double>(all));
@@ -73,18 +73,18 @@
   part(j.need.cpus, type.room.cpus);
   part(j.need.gpus, type.room.gpus);
   part(j.need.mem, type.room.mem);
-  double weight = kPriorityWeight[static_cast<int>(j.priority)] * common_.catalogue.base_rate;
+  double weight = kPriorityWeight[static_cast<int>(j.priority)] * context_.catalogue.base_rate;
   double started = p.started > 0 ? p.started : now;
   double cost = rate * share * (j.spec.service ? kReplicaRun : now - started);
-  if (p.item.rented) cost += rate * type.spec.boot_s;
-  cost += common_.tuning.wait_weight * weight * std::max(0.0, started - p.item.since);
-  if (now > j.due) cost += common_.tuning.late_weight * weight;
-  for (const auto& s : p.item.trail) s.learner->record(s.context, s.arm, cost);
+  if (p.queued_task.rented) cost += rate * type.spec.boot_s;
+  cost += context_.tuning.wait_weight * weight * std::max(0.0, started - p.queued_task.since);
+  if (now > j.due) cost += context_.tuning.late_weight * weight;
+  for (const auto& s : p.queued_task.chain_steps) s.learner->record(s.context, s.arm, cost);
 }
 
 // ---- what comes to be placed
 
-void Placements::place(Machine& m, Item item) {
+void Placements::place(Machine& m, QueuedTask item) {
   Job& j = *item.job;
   Placement p;
   p.job = item.job;
@@ -94,100 +94,100 @@
     j.round = p.attempt;
     j.in_round.insert(p.task);
   }
-  p.item = std::move(item);
-  hold(m, p);
-  m.placed.list.push_back(std::move(p));
+  p.queued_task = std::move(item);
+  reserve_room(m, p);
+  m.tasks.placements.push_back(std::move(p));
 }
 
 void Placements::stop(Machine& m, Placement& p) {
-  p.stopping = true;
-  note_due(m);
-  ++common_.count.preempted;
+  p.preempted = true;
+  note_direct_due(m);
+  ++context_.counters.preempted;
 }
 
-void Placements::inherit(Machine& m, const Held& h, double now) {
+void Placements::recover_placement(Machine& m, const PersistedPlacement& h, double now) {
   Placement p;
   p.job = h.job;
   p.task = h.task;
   p.attempt = h.attempt;
   p.phase = Phase::committed;
-  p.inherited = true;
-  p.item.job = p.job;
-  p.item.task = p.task;
-  p.item.since = now;
-  hold(m, p);
+  p.recovered = true;
+  p.queued_task.job = p.job;
+  p.queued_task.task = p.task;
+  p.queued_task.since = now;
+  reserve_room(m, p);
   if (p.job->spec.gang) {
     p.job->round = p.attempt;
     for (std::uint32_t i = 0; i < p.job->spec.tasks; ++i) p.job->in_round.insert(i);
   }
-  m.placed.greet = true;
-  note_due(m);
-  m.placed.list.push_back(std::move(p));
+  m.tasks.needs_resync = true;
+  note_direct_due(m);
+  m.tasks.placements.push_back(std::move(p));
 }
 
 // ---- what is given up
 
 void Placements::drop_planned(Machine& m, const JobPtr& j, double now) {
   auto planned = [&](const Placement& p) { return p.job == j && p.phase == Phase::planned; };
-  for (Placement& p : m.placed.list)
+  for (Placement& p : m.tasks.placements)
     if (planned(p)) release(m, p, now, false);
-  std::erase_if(m.placed.list, planned);
+  std::erase_if(m.tasks.placements, planned);
 }
 void Placements::stop_directly(Machine& m, const JobPtr& j) {
-  if (std::any_of(m.placed.list.begin(), m.placed.list.end(),
+  if (std::any_of(m.tasks.placements.begin(), m.tasks.placements.end(),
                   [&](const Placement& p) { return p.job == j && p.seen && !p.released; }))
-    note_due(m);
+    note_direct_due(m);
 }
 void Placements::undo(Machine& m, Placement& p, double now) {
   p.phase = Phase::planned;
-  if (!p.job->gone) return;
+  if (!p.job->over) return;
   release(m, p, now, false);
-  std::erase_if(m.placed.list,
+  std::erase_if(m.tasks.placements,
                 [](const Placement& q) { return q.phase == Phase::planned && q.released; });
 }
-void Placements::lose_all(Machine& m, double now) {
-  for (Placement& p : m.placed.list) {
-    if (!p.released) ++common_.count.lost;
+void Placements::machine_gone(Machine& m, double now) {
+  for (Placement& p : m.tasks.placements) {
+    if (!p.released) ++context_.counters.lost;
     release(m, p, now, true);
   }
 }
 
 // Its tasks are over once no answer of ours, and none of an earlier owner's, can have kept its
 // lease alive.
-void Placements::silent(Machine& m, double now) {
-  const auto& s = common_.settings;
+void Placements::lease_expired(Machine& m, double now) {
+  const auto& s = context_.settings;
   double proof =
-      std::max(m.last_answer + s.lease_s + 2, m.placed.token_seen ? 0.0 : taken_at_ + s.fence_s());
+      std::max(m.last_answer + s.lease_s + 2, m.tasks.token_seen ? 0.0 : opened_at_ + s.fencing_wait_s());
   if (now <= proof) return;
-  for (Placement& p : m.placed.list) {
+  for (Placement& p : m.tasks.placements) {
     if (p.phase == Phase::committing) continue;
-    if (!p.released) ++common_.count.lost;
+    if (!p.released) ++context_.counters.lost;
     release(m, p, now, true);
   }
-  std::erase_if(m.placed.list, [](const Placement& p) { return p.phase != Phase::committing; });
+  std::erase_if(m.tasks.placements, [](const Placement& p) { return p.phase != Phase::committing; });
 }
 
 void Placements::task_done(const JobPtr& j, std::uint32_t task, double now) {
-  if (j->gone || j->done(task)) return;
+  if (j->over || j->done(task)) return;
   if (j->dirty_chunks.empty()) j->dirty_since = now;
   if (!j->mark_done(task)) return;
-  ++common_.count.dones;
-  if (j->listed) finished_.emplace_back(j, task);
+  ++context_.counters.dones;
+  if (j->queued) finished_tasks_.emplace_back(j, task);
 }
 
 void Placements::exited(Machine& m, Placement& p, double now) {
-  switch (p.why) {
-    case Why::done:
+  switch (p.exit_reason) {
+    case ExitReason::done:
       if (p.task < p.job->spec.tasks) task_done(p.job, p.task, now);
-      if (p.job->gone || m.type < 0) break;
+      if (p.job->over || m.type < 0) break;
       record_cost(p, m, now);
       machines_.task_done(m);
       p.job->failed_on.clear();
       p.job->backoff_s = 0;
       break;
-    case Why::error:
-      ++common_.count.errors;
-      if (p.job->gone) break;
+    case ExitReason::error:
+      ++context_.counters.errors;
+      if (p.job->over) break;
       // One job that fails on several machines is at fault itself and waits longer each time.
       machines_.task_failed(m, p.job->spec.id, now);
       p.job->failed_on.insert(m.name);
@@ -196,11 +196,11 @@
         p.job->not_before = now + p.job->backoff_s;
       }
       break;
-    case Why::unknown:
+    case ExitReason::unknown:
       p.job->not_before = std::max(p.job->not_before, now + kUnknownPause);
       break;
-    case Why::no_room:
-    case Why::busy:
+    case ExitReason::no_room:
+    case ExitReason::busy:
       Machines::avoid(m, now + kFullPause);
       break;
     default:
@@ -211,48 +211,48 @@
 
 // ---- reports
 
-void Placements::heard(Machine& m, const wire::Report& r, bool to_direct, double now) {
-  Placed& here = m.placed;
-  here.session = r.session;
-  here.seq = r.seq;
+void Placements::heartbeat_received(Machine& m, const wire::Heartbeat& r, bool to_direct, double now) {
+  MachineTasks& here = m.tasks;
+  here.incarnation = r.incarnation;
+  here.sequence = r.sequence;
   here.token = r.token;
   if (r.token == token_) {
     here.token_seen = true;
-    here.greet = false;
+    here.needs_resync = false;
   }
-  here.strangers.clear();
-  std::vector<bool> shown(here.list.size(), false);
+  here.unknown_tasks.clear();
+  std::vector<bool> shown(here.placements.size(), false);
   for (const auto& t : r.tasks) {
     std::size_t i = 0;
-    while (i < here.list.size() &&
-           !(here.list[i].attempt == t.attempt && here.list[i].task == t.task.index &&
-             here.list[i].job->spec.id == t.task.job))
+    while (i < here.placements.size() &&
+           !(here.placements[i].attempt == t.attempt && here.placements[i].task == t.task.index &&
+             here.placements[i].job->spec.id == t.task.job))
       ++i;
-    if (i == here.list.size()) {
-      here.strangers.push_back(t);
+    if (i == here.placements.size()) {
+      here.unknown_tasks.push_back(t);
       // A result is a result, whoever started it: an earlier owner may have gone before it
       // could persist this.
-      if (t.state == RunState::exited && t.why == Why::done)
-        if (auto j = common_.jobs.find(t.task.job); j != common_.jobs.end())
+      if (t.state == TaskState::exited && t.exit_reason == ExitReason::done)
+        if (auto j = context_.jobs.find(t.task.job); j != context_.jobs.end())
           task_done(j->second, t.task.index, now);
       continue;
     }
     shown[i] = true;
-    Placement& p = here.list[i];
+    Placement& p = here.placements[i];
     p.seen = true;
     // Proven not to run, and it does: whatever started it again, it is stopped like a stranger's.
-    if (p.released && t.state != RunState::exited) here.strangers.push_back(t);
-    if (p.state != RunState::exited || !p.released) {
+    if (p.released && t.state != TaskState::exited) here.unknown_tasks.push_back(t);
+    if (p.state != TaskState::exited || !p.released) {
       p.state = t.state;
-      p.why = t.why;
-      if (t.state == RunState::running && p.started == 0) {
+      p.exit_reason = t.exit_reason;
+      if (t.state == TaskState::running && p.started == 0) {
         p.started = now;
         // A replica has no end to record its cost at.
-        if (p.job->spec.service && !p.inherited && m.type >= 0) record_cost(p, m, now);
+        if (p.job->spec.service && !p.recovered && m.type >= 0) record_cost(p, m, now);
       }
-      if (t.state == RunState::exited && !p.released) exited(m, p, now);
+      if (t.state == TaskState::exited && !p.released) exited(m, p, now);
     }
-    if (t.state != RunState::exited && !p.job->gone) machines_.note_image(m, p.job->image);
+    if (t.state != TaskState::exited && !p.job->over) machines_.note_image(m, p.job->image);
   }
   absent(m, shown, r, to_direct, now);
 }
@@ -261,37 +261,37 @@
 // report: the worker has carried it out or dropped it before it reports again. Nothing is
 // concluded about an earlier owner's placement until the worker has shown our token: before
 // that, the earlier owner's start could still be on its way.
-void Placements::absent(Machine& m, const std::vector<bool>& shown, const wire::Report& r,
+void Placements::absent(Machine& m, const std::vector<bool>& shown, const wire::Heartbeat& r,
                         bool to_direct, double now) {
   const bool under_us = r.token == token_;
-  std::vector<bool> erase(m.placed.list.size(), false);
+  std::vector<bool> erase(m.tasks.placements.size(), false);
   for (std::size_t i = 0; i < shown.size(); ++i) {
     if (shown[i]) continue;
-    Placement& p = m.placed.list[i];
-    if (to_direct && !(p.inherited && !p.sent)) continue;
+    Placement& p = m.tasks.placements[i];
+    if (to_direct && !(p.recovered && !p.sent)) continue;
     // What has been seen was carried out, though its direct order was taken for lost and is not
     // counted as sent any more. (An earlier owner's may be on its way a second time.)
-    if (p.sent || (p.seen && !p.inherited)) {
-      bool later = r.session > p.sent_session;
-      if (later || p.seen || p.reaping) {
-        if (!p.released) ++common_.count.lost;
+    if (p.sent || (p.seen && !p.recovered)) {
+      bool later = r.incarnation > p.sent_incarnation;
+      if (later || p.seen || p.acknowledging) {
+        if (!p.released) ++context_.counters.lost;
         release(m, p, now, true);
         erase[i] = true;
-      } else if (!p.direct) {
+      } else if (!p.sent_directly) {
         p.sent = false;  // the answer did not get there: sent once more, same attempt
         m.start_lost = true;
       }
-    } else if (p.inherited && (under_us || p.released)) {
+    } else if (p.recovered && (under_us || p.released)) {
       release(m, p, now, true);
       erase[i] = true;
-    } else if (p.job->gone && !p.inherited && p.phase == Phase::committed && settled(m, p)) {
+    } else if (p.job->over && !p.recovered && p.phase == Phase::committed && is_acknowledged(m, p)) {
       release(m, p, now, false);  // not there, nothing on its way, and none will be sent
       erase[i] = true;
     }
   }
   for (std::size_t i = erase.size(); i-- > 0;)
-    if (erase[i]) m.placed.list.erase(m.placed.list.begin() + static_cast<long>(i));
+    if (erase[i]) m.tasks.placements.erase(m.tasks.placements.begin() + static_cast<long>(i));
   machines_.note_idle(m, now);
 }
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/scheduler/placements.h
+++ b/src/scheduler/placements.h
@@ -12,17 +12,17 @@
 #include "state/state_cache.h"
 #include "wire/types.h"
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
 // Starts sent straight to a worker's address.
-struct Direct {
+struct DirectCommands {
   std::string machine, addr;
-  std::uint64_t session = 0;
+  std::uint64_t incarnation = 0;
   std::vector<wire::Command> commands;
 };
 
 // A placement as a sheet holds it.
-struct Held {
+struct PersistedPlacement {
   int machine = 0;
   jobs::JobPtr job;
   std::uint32_t task = 0;
@@ -31,19 +31,19 @@
 
 class Placements {
  public:
-  Placements(Common& common, Machines& machines, std::uint64_t token, double now);
+  Placements(ShardContext& common, Machines& machines, std::uint64_t token, double now);
 
   std::uint64_t token() const { return token_; }
   // What a team's placements take, all that may exist.
-  const jobs::Amount& used(int team) const { return used_[static_cast<std::size_t>(team)]; }
-  Placement* find(const Held& h);
+  const jobs::Resources& used(int team) const { return used_[static_cast<std::size_t>(team)]; }
+  Placement* find(const PersistedPlacement& h);
 
   // A task out of the chain, on a machine with room for it.
-  void place(Machine& m, Item item);
+  void place(Machine& m, QueuedTask item);
   // To make room for more urgent work.
   void stop(Machine& m, Placement& p);
   // An earlier owner's placement, as a sheet says: it may exist.
-  void inherit(Machine& m, const Held& h, double now);
+  void recover_placement(Machine& m, const PersistedPlacement& h, double now);
   // Its job is over: what was only planned never was.
   void drop_planned(Machine& m, const jobs::JobPtr& j, double now);
   // Its job is over: what runs is told so at once, and not only when its machine reports.
@@ -51,72 +51,72 @@
   // Its commit has failed: planned again, or, if its job is over by now, never was.
   void undo(Machine& m, Placement& p, double now);
   // The machine is proven gone.
-  void lose_all(Machine& m, double now);
+  void machine_gone(Machine& m, double now);
   // It has been silent for longer than its lease. Its tasks are released once that is a proof.
-  void silent(Machine& m, double now);
+  void lease_expired(Machine& m, double now);
 
   // False: older than what was heard last.
-  static bool newer(const Machine& m, const wire::Report& r) {
-    return std::pair(r.session, r.seq) > std::pair(m.placed.session, m.placed.seq);
+  static bool is_newer(const Machine& m, const wire::Heartbeat& r) {
+    return std::pair(r.incarnation, r.sequence) > std::pair(m.tasks.incarnation, m.tasks.sequence);
   }
   // A report that is newer. The body of an answer to direct orders is one too, but proves no
   // absence: the answer to an earlier report may still be on its way to the worker.
-  void heard(Machine& m, const wire::Report& r, bool to_direct, double now);
+  void heartbeat_received(Machine& m, const wire::Heartbeat& r, bool to_direct, double now);
   // Tasks found done since the last call: they may wait somewhere for another try.
   std::vector<std::pair<jobs::JobPtr, std::uint32_t>> take_finished() {
-    return std::exchange(finished_, {});
+    return std::exchange(finished_tasks_, {});
   }
 
   // What to answer the machine's report with. `fresh` says that the state service was read lately
   // enough to start tasks; without it, leases are renewed and tasks stopped, but nothing is
   // started.
-  std::vector<wire::Command> orders(Machine& m, bool fresh, double now);
+  std::vector<wire::Command> commands_for(Machine& m, bool fresh, double now);
   static bool awaits_commit(const Machine& m);
   // For a report that has been overtaken: what ends work that is not wanted, and nothing else.
-  std::vector<wire::Command> stops(const Machine& m) const;
+  std::vector<wire::Command> stop_commands(const Machine& m) const;
   // A start of a cancelled job, sent directly, may still be carried out under the token that an
   // answer would carry now: the lease is not renewed under it (docs/safety.md, "From a confirmed
   // cancellation to the last task").
-  bool unsettled(const Machine& m) const;
+  bool has_unacknowledged_start(const Machine& m) const;
 
   // Starts for machines that are not about to be answered. A direct order may be carried out as
   // late as its token and session hold, so an attempt sent that way is `loose` until an answer
   // comes: it is not reaped, nor given up, before the worker has seen a higher token.
-  std::vector<Direct> direct_orders(bool fresh, const std::function<bool(const std::string&)>& skip,
+  std::vector<DirectCommands> direct_commands(bool fresh, const std::function<bool(const std::string&)>& skip,
                                     double now);
-  void direct_done(const Direct& d, int status);
-  void note_due(Machine& m);
+  void direct_commands_done(const DirectCommands& d, int status);
+  void note_direct_due(Machine& m);
 
   // A machine of ours has seen a higher token under another shard.
-  void outranked() { outranked_ = true; }
+  void saw_higher_token() { saw_higher_token_ = true; }
   // True when a higher token would settle something loose, or let a machine in.
-  bool wants_raise(double now) const;
-  void raise(std::uint64_t token, double now);
+  bool needs_new_token(double now) const;
+  void advance_token(std::uint64_t token, double now);
 
  private:
-  void hold(Machine& m, const Placement& p);
+  void reserve_room(Machine& m, const Placement& p);
   void release(Machine& m, Placement& p, double now, bool again);
   void exited(Machine& m, Placement& p, double now);
   void task_done(const jobs::JobPtr& j, std::uint32_t task, double now);
-  void absent(Machine& m, const std::vector<bool>& shown, const wire::Report& r, bool to_direct,
+  void absent(Machine& m, const std::vector<bool>& shown, const wire::Heartbeat& r, bool to_direct,
               double now);
   void record_cost(const Placement& p, const Machine& m, double now);
-  static bool settled(const Machine& m, const Placement& p) {
-    return p.loose == 0 || m.placed.token > p.loose;
+  static bool is_acknowledged(const Machine& m, const Placement& p) {
+    return p.unacknowledged_token == 0 || m.tasks.token > p.unacknowledged_token;
   }
   bool may_start_late(const Placement& p) const {
-    return p.loose == token_ && p.job->gone && !p.seen && !p.released;
+    return p.unacknowledged_token == token_ && p.job->over && !p.seen && !p.released;
   }
 
-  Common& common_;
+  ShardContext& context_;
   Machines& machines_;
   std::uint64_t token_, next_attempt_;
-  double raised_at_ = -1e9;
-  bool outranked_ = false;
-  const double taken_at_;
-  std::vector<jobs::Amount> used_;  // by team
-  std::vector<std::pair<jobs::JobPtr, std::uint32_t>> finished_;
-  std::vector<int> due_;
+  double token_advanced_at_ = -1e9;
+  bool saw_higher_token_ = false;
+  const double opened_at_;
+  std::vector<jobs::Resources> used_;  // by team
+  std::vector<std::pair<jobs::JobPtr, std::uint32_t>> finished_tasks_;
+  std::vector<int> direct_due_;
 };
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/scheduler/queued_task.h
+++ b/src/scheduler/queued_task.h
@@ -7,20 +7,20 @@
 #include "chain/walk.h"
 #include "jobs/job.h"
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
-using Key = std::pair<int, std::uint64_t>;  // order of service: band, then first come
+using ServiceOrder = std::pair<int, std::uint64_t>;  // order of service: band, then first come
 
-struct Item {
+struct QueuedTask {
   jobs::JobPtr job;
   std::uint32_t task = 0;
   double since = 0;  // when it began to wait
   std::uint64_t order = 0;
-  int band = 0;  // the job's when the task entered the chain
-  std::vector<chain::Step> trail;
+  int priority_band = 0;  // the job's when the task entered the chain
+  std::vector<chain::Step> chain_steps;
   bool rented = false;
-  Key key() const { return {band, order}; }
-  static bool before(const Item& a, const Item& b) { return a.key() < b.key(); }
+  ServiceOrder service_order() const { return {priority_band, order}; }
+  static bool before(const QueuedTask& a, const QueuedTask& b) { return a.service_order() < b.service_order(); }
 };
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/scheduler/shard_context.h
+++ b/src/scheduler/shard_context.h
@@ -10,30 +10,30 @@
 #include "scheduler/machine_catalogue.h"
 #include "jobs/job.h"
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
 struct Counters {
-  std::uint64_t reports = 0, stale_reports = 0, starts = 0, direct = 0, dones = 0, errors = 0,
-                lost = 0, rents = 0, given = 0, preempted = 0, refused = 0, returns = 0,
-                replaced = 0, emptied = 0, commits = 0, commit_failures = 0;
+  std::uint64_t heartbeats = 0, stale_heartbeats = 0, starts = 0, direct = 0, dones = 0, errors = 0,
+                lost = 0, rents = 0, transferred = 0, preempted = 0, refused = 0, returns = 0,
+                replaced = 0, consolidated = 0, commits = 0, commit_failures = 0;
 };
 
-struct Common {
+struct ShardContext {
   const config::Settings& settings;
   const config::Tuning& tuning;
-  const Catalogue& catalogue;
+  const MachineCatalogue& catalogue;
   const int shard;
   std::map<std::string, jobs::JobPtr> jobs{};
   std::vector<double> image_gb{};  // by the images' dense index
-  Counters count{};
-  bool stirred = true;
+  Counters counters{};
+  bool scheduling_due = true;
 
   // A task without a placement is to enter the chain again.
   void requeue(const jobs::JobPtr& j, std::uint32_t task) {
-    if (j->gone || j->done(task) || task >= j->spec.tasks) return;
-    if (j->places[task] == 0) j->pending.insert(task);
-    stirred = true;
+    if (j->over || j->done(task) || task >= j->spec.tasks) return;
+    if (j->placements[task] == 0) j->pending.insert(task);
+    scheduling_due = true;
   }
 };
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -23,18 +23,18 @@
 #include "state/state_cache.h"
 #include "wire/types.h"
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
-class Desk {
+class ShardScheduler {
  public:
-  Desk(const config::Settings& s, const config::Tuning& t, const Catalogue& c, int shard,
+  ShardScheduler(const config::Settings& s, const config::Tuning& t, const MachineCatalogue& c, int shard,
        std::uint64_t token, double now, std::uint64_t seed);
 
   std::uint64_t token() const { return placements_.token(); }
   // The token it was opened under: names this desk through all raises.
-  std::uint64_t born() const { return born_; }
-  void outranked() { placements_.outranked(); }
-  int shard() const { return common_.shard; }
+  std::uint64_t opened_under() const { return opened_under_; }
+  void saw_higher_token() { placements_.saw_higher_token(); }
+  int shard() const { return context_.shard; }
 
   // The shard's durable state, at the takeover and as it changes.
   void job_added(const wire::JobRecord& r, int team,
@@ -42,67 +42,67 @@
                  double wall_now);
   void job_gone(const std::string& id, double now);
   // Jobs that need it have come, or gone.
-  void job_urgency(const std::string& id, wire::Priority priority, double due);
+  void set_effective_priority(const std::string& id, wire::Priority priority, double due);
   void machine_known(const wire::MachineRecord& r, double now);
   // A sheet of the shard as the takeover found it: all its placements may exist.
-  void inherit(int sheet, const wire::SheetRecord& r, double now) {
-    sheets_.inherit(sheet, r, now);
+  void recover_page(int sheet, const wire::PlacementPageRecord& r, double now) {
+    placement_store_.recover_page(sheet, r, now);
   }
   // The machine is proven deleted, or belongs to another shard.
   void machine_gone(const std::string& name, double now);
   void machine_moved(const std::string& name, double now);
-  void machine_addr(const std::string& name, const std::string& addr);
+  void set_machine_address(const std::string& name, const std::string& addr);
   // But for those that the roster's actor has already.
-  std::vector<RosterWish> roster_wishes(const Machines::Asked& asked = [](auto&&...) {
+  std::vector<InventoryChange> inventory_changes(const Machines::Asked& asked = [](auto&&...) {
     return false;
   }) const {
-    return machines_.roster_wishes(token(), asked);
+    return machines_.inventory_changes(token(), asked);
   }
-  int gives(const std::string& name) const { return machines_.gives(name); }
+  int transfer_target(const std::string& name) const { return machines_.transfer_target(name); }
   bool has_machine(const std::string& name) const { return machines_.contains(name); }
 
   // A worker's report, or the body of an answer to a direct order (Placements::heard).
-  enum class Heard { fresh, older, unknown };
-  Heard report(const wire::Report& r, double now, bool to_direct = false);
-  std::vector<wire::Command> orders(const std::string& machine, bool fresh, double now);
+  enum class HeartbeatResult { fresh, older, unknown };
+  HeartbeatResult take_heartbeat(const wire::Heartbeat& r, double now, bool to_direct = false);
+  std::vector<wire::Command> commands_for(const std::string& machine, bool fresh, double now);
   // True while an answer would be worth waiting for a commit.
   bool awaits_commit(const std::string& machine);
   // What ends work that is not wanted: for a report that has been overtaken.
-  std::vector<wire::Command> stops(const std::string& machine) const;
+  std::vector<wire::Command> stop_commands(const std::string& machine) const;
   // No answer may renew this machine's lease under the present token: Placements::unsettled.
-  bool unsettled(const std::string& machine) const;
+  bool has_unacknowledged_start(const std::string& machine) const;
 
-  std::vector<Direct> direct_orders(bool fresh, const std::function<bool(const std::string&)>& skip,
+  std::vector<DirectCommands> direct_commands(bool fresh, const std::function<bool(const std::string&)>& skip,
                                     double now) {
-    return placements_.direct_orders(fresh, skip, now);
+    return placements_.direct_commands(fresh, skip, now);
   }
-  void direct_done(const Direct& d, int status) { placements_.direct_done(d, status); }
+  void direct_commands_done(const DirectCommands& d, int status) { placements_.direct_commands_done(d, status); }
   // Silent machines to be asked whether they live, and whether they did.
-  std::vector<Probe> probes(double now) { return doubts_.probes(now); }
-  void probed(const std::string& machine, bool answered, double now);
-  bool wants_raise(double now) const { return placements_.wants_raise(now); }
-  void raise(std::uint64_t token, double now) { placements_.raise(token, now); }
+  std::vector<Probe> probes(double now) { return failure_detector_.probes(now); }
+  void probe_done(const std::string& machine, bool answered, double now);
+  bool needs_new_token(double now) const { return placements_.needs_new_token(now); }
+  void advance_token(std::uint64_t token, double now) { placements_.advance_token(token, now); }
 
   // Group commit: at most one transaction is out at a time.
-  std::optional<wire::Txn> next_txn(const state::World& w, const state::Room& size,
+  std::optional<wire::Transaction> next_transaction(const state::StateCache& w, const state::TransactionLimits& size,
                                     const std::string& tag, double now) {
-    return sheets_.next(w, size, tag, now);
+    return placement_store_.next_transaction(w, size, tag, now);
   }
-  void txn_applied(double now);
-  void txn_failed(double now) { sheets_.failed(now); }
-  bool txn_out() const { return sheets_.out(); }
+  void transaction_applied(double now);
+  void transaction_failed(double now) { placement_store_.transaction_failed(now); }
+  bool transaction_in_flight() const { return placement_store_.transaction_in_flight(); }
 
   void tick(double now);
   // What became possible since the last turn: waiting work enters the chain. Reports only note
   // that there is something to do, so that a thousand of them cost one turn.
-  bool stirred() const { return common_.stirred; }
-  void turn(double now);
+  bool scheduling_due() const { return context_.scheduling_due; }
+  void run_scheduling_pass(double now);
   // Machines to rent, grouped; each is handed out once and answered by rented/refused.
-  std::vector<RentWish> rent_wishes(double now);
-  void rented(const RentWish& w, const std::vector<std::string>& names, double now);
-  void refused(const RentWish& w, std::size_t from, bool no_capacity, double now);
+  std::vector<ScaleOutRequest> scale_out_requests(double now);
+  void rented(const ScaleOutRequest& w, const std::vector<std::string>& names, double now);
+  void rent_refused(const ScaleOutRequest& w, std::size_t from, bool no_capacity, double now);
   // Machines to give back: idle, never up, failed, lost. Handed out once; machine_gone follows.
-  std::vector<std::string> returns() { return machines_.returns(); }
+  std::vector<std::string> machines_to_return() { return machines_.machines_to_return(); }
   void return_failed(const std::string& name) { machines_.return_failed(name); }
   // The cloud says that it stopped by itself, or does not list it any more (`unlisted`).
   void machine_failed(const std::string& name, bool unlisted, double now);
@@ -110,30 +110,30 @@
   // What this shard has, is entitled to and could use.
   shard::Load load(double now) const;
   // Another shard lacks machines.
-  void give(const Gift& gift);
-  double pledged() const { return machines_.pledged(); }
+  void transfer(const MachineTransfer& gift);
+  double transferring() const { return machines_.transferring(); }
   std::size_t machine_count() const { return machines_.named(); }
-  const Counters& counters() const { return common_.count; }
+  const Counters& counters() const { return context_.counters; }
   std::string summary() const;
 
  private:
   void remove_machine(int number, double now);
-  void look_at(Machine& m, bool hear, double now);
-  void lose(Machine& m);
+  void update_machine(Machine& m, bool hear, double now);
+  void give_up_machine(Machine& m);
 
-  Common common_;
-  const std::uint64_t born_;
-  const double taken_at_;
+  ShardContext context_;
+  const std::uint64_t opened_under_;
+  const double opened_at_;
   Machines machines_;
   Placements placements_;
-  Sheets sheets_;
-  Waiting waiting_;
-  Packing packing_;
-  Doubts doubts_;
-  Reserve reserve_;
+  PlacementStore placement_store_;
+  TaskQueues queues_;
+  ReplicaConsolidation consolidation_;
+  FailureDetector failure_detector_;
+  UrgentHeadroom urgent_headroom_;
   std::unordered_map<std::string, int> classes_, images_;  // names to dense indices
-  double last_heard_ = 0;
-  double turned_at_ = -1e9, moved_on_at_ = -1e9;
+  double last_heartbeat_at_ = 0;
+  double last_pass_at_ = -1e9, last_requeue_at_ = -1e9;
 };
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/scheduler/task_queues_reservations.cpp
+++ b/src/scheduler/task_queues_reservations.cpp
@@ -6,9 +6,9 @@
 
 #include "scheduler/task_queues.h"
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
-using jobs::Amount;
+using jobs::Resources;
 using jobs::Job;
 using jobs::JobPtr;
 
@@ -26,32 +26,32 @@
 constexpr std::size_t kUrgentOneIn = 3;  // for urgent work
 constexpr double kMovesReplica = 20;     // a machine with a replica, which has to move, comes later
 constexpr double kLeastLeft = 5;         // of a task that runs for longer than was estimated
-bool urgent(const Job& j) { return j.band() < Job::kGuaranteed; }
+bool urgent(const Job& j) { return j.priority_band() < Job::kGuaranteed; }
 }  // namespace
 
-bool Waiting::reserved(const Machine& m) const {
-  if (!m.queue.reserved) return false;
-  auto at = all_.find(*m.queue.reserved);
-  return at != all_.end() && at->second == m.number;
+bool TaskQueues::is_reserved(const Machine& m) const {
+  if (!m.queue.reserved_for) return false;
+  auto at = queued_tasks_.find(*m.queue.reserved_for);
+  return at != queued_tasks_.end() && at->second == m.number;
 }
 
 // The longest-waiting first once they have waited for very long, the more urgent before that.
-std::vector<JobPtr> Waiting::overdue(double now) const {
+std::vector<JobPtr> TaskQueues::overdue(double now) const {
   std::vector<JobPtr> out;
   auto large = [&](const Job& j) {
-    const auto& types = common_.catalogue.types;
+    const auto& types = context_.catalogue.types;
     return std::any_of(types.begin(), types.end(), [&](const auto& t) {
       return j.need.fits(t.room) && share_of(j.need, t.room) >= kLarge;
     });
   };
-  for (const auto& [id, j] : common_.jobs)
+  for (const auto& [id, j] : context_.jobs)
     if (!j->placed && !j->done_count() && j->not_before <= now &&
-        now - j->since > (urgent(*j) ? kUrgent : kOverdue) && (j->listed || !j->pending.empty()) &&
+        now - j->since > (urgent(*j) ? kUrgent : kOverdue) && (j->queued || !j->pending.empty()) &&
         large(*j))
       out.push_back(j);
   auto rank = [&](const JobPtr& j) {
     const bool first = now - j->since > kFirst;
-    return std::tuple(!first, first ? 0 : j->band(), j->since);
+    return std::tuple(!first, first ? 0 : j->priority_band(), j->since);
   };
   std::sort(out.begin(), out.end(),
             [&](const JobPtr& a, const JobPtr& b) { return rank(a) < rank(b); });
@@ -59,17 +59,17 @@
 }
 
 // Small tasks of its team would take what ends, one by one, and it would never have enough.
-void Waiting::save_limit(const JobPtr& j, double now) {
-  Saved& s = saved_[j->team];
+void TaskQueues::reserve_quota(const JobPtr& j, double now) {
+  QuotaReservation& s = quota_reservations_[j->team];
   if (!s.job && now - s.at > kHeldFor + kPause) s = {j, now};
 }
 
 // Seconds until the machine has room for one task, if nothing more begins there. Infinite: never.
-double Waiting::clear_in(const Machine& m, const Job& j, double now) const {
-  Amount room = machines_.room(m);
+double TaskQueues::time_until_room(const Machine& m, const Job& j, double now) const {
+  Resources room = machines_.room(m);
   if (j.need.fits(room)) return 0;
-  std::vector<std::pair<double, Amount>> ends;
-  for (const Placement& p : m.placed.list) {
+  std::vector<std::pair<double, Resources>> ends;
+  for (const Placement& p : m.tasks.placements) {
     if (p.released) continue;
     const double run = p.job->spec.estimate_s;
     const double left = p.job->spec.service ? kMovesReplica
@@ -86,51 +86,51 @@
   return std::numeric_limits<double>::infinity();
 }
 
-void Waiting::reserve(Machine& m, const JobPtr& j, double now) {
-  Item item;
+void TaskQueues::make_reservations(Machine& m, const JobPtr& j, double now) {
+  QueuedTask item;
   if (j->pending.empty()) {
-    const auto at = std::find_if(all_.begin(), all_.end(), [&](const auto& e) {
-      return item_at(*machines_.at(e.second), e.first)->job == j;
+    const auto at = std::find_if(queued_tasks_.begin(), queued_tasks_.end(), [&](const auto& e) {
+      return find_queued(*machines_.at(e.second), e.first)->job == j;
     });
-    if (at == all_.end()) return;
+    if (at == queued_tasks_.end()) return;
     Machine& from = *machines_.at(at->second);
-    item = take_off(from, item_at(from, at->first));
+    item = dequeue(from, find_queued(from, at->first));
     machines_.note_idle(from, now);
   } else {
-    item = first_pending(j, now);
+    item = next_pending_task(j, now);
   }
-  item.trail.clear();  // it has not come this way by the chain
+  item.chain_steps.clear();  // it has not come this way by the chain
   item.rented = false;
   machines_.reused(m, now);
-  empty(m);
-  m.queue.reserved = item.key();
+  requeue_all(m);
+  m.queue.reserved_for = item.service_order();
   m.queue.reserved_at = now;
-  join(m, std::move(item));
+  enqueue(m, std::move(item));
   // Replicas have no end: they move, as for a machine that is drained.
-  Amount room = machines_.room(m);
-  for (const Placement& p : m.placed.list)
-    if (!p.released && (!p.job->spec.service || p.stopping)) room += p.job->need;
-  for (Placement& p : m.placed.list) {
+  Resources room = machines_.room(m);
+  for (const Placement& p : m.tasks.placements)
+    if (!p.released && (!p.job->spec.service || p.preempted)) room += p.job->need;
+  for (Placement& p : m.tasks.placements) {
     if (j->need.fits(room)) break;
-    if (p.released || !p.job->spec.service || p.stopping) continue;
+    if (p.released || !p.job->spec.service || p.preempted) continue;
     room += p.job->need;
     placements_.stop(m, p);
   }
-  plan(m, now);
+  place_queued(m, now);
   preempt(m, now);
 }
 
-void Waiting::reserve(double now) {
-  for (Saved& s : saved_)
-    if (s.job && (s.job->gone || s.job->placed || now - s.at > kHeldFor)) s.job = nullptr;
+void TaskQueues::make_reservations(double now) {
+  for (QuotaReservation& s : quota_reservations_)
+    if (s.job && (s.job->over || s.job->placed || now - s.at > kHeldFor)) s.job = nullptr;
   std::size_t up = 0;
   std::set<JobPtr> held;  // of whose tasks one has a machine reserved
   for (const auto& [n, m] : machines_.all()) {
     up += m->state == Machine::up;
-    if (!reserved(*m) || now - m->queue.reserved_at > kHeldFor || !m->open(now))
-      m->queue.reserved.reset();
+    if (!is_reserved(*m) || now - m->queue.reserved_at > kHeldFor || !m->accepts_work(now))
+      m->queue.reserved_for.reset();
     else
-      held.insert(item_at(*m, *m->queue.reserved)->job);
+      held.insert(find_queued(*m, *m->queue.reserved_for)->job);
   }
   const std::size_t most = std::max<std::size_t>(1, up / kOneIn);
   const std::size_t urgent_most = std::max<std::size_t>(1, up / kUrgentOneIn);
@@ -139,22 +139,22 @@
     Machine* best = nullptr;
     double soonest = kHeldFor;
     for (const auto& [n, m] : machines_.all()) {
-      if (!m->open(now) || !m->rostered || !machines_.usable(*m, *j, now) || reserved(*m) ||
+      if (!m->accepts_work(now) || !m->in_inventory || !machines_.usable(*m, *j, now) || is_reserved(*m) ||
           now - m->queue.reserved_at < kHeldFor + kPause ||
-          (m->queue.left_over_since >= 0 && now - m->queue.left_over_since > kRoomBeside) ||
-          share_of(j->need, common_.catalogue.types[m->type].room) < kLarge)
+          (m->queue.idle_capacity_since >= 0 && now - m->queue.idle_capacity_since > kRoomBeside) ||
+          share_of(j->need, context_.catalogue.types[m->type].room) < kLarge)
         continue;
-      const double in = clear_in(*m, *j, now);
+      const double in = time_until_room(*m, *j, now);
       if (in < soonest) soonest = in, best = m.get();
     }
     if (!best) continue;
-    if (!quota_ok(*j, false)) {
-      save_limit(j, now);
+    if (!within_quota(*j, false)) {
+      reserve_quota(j, now);
       continue;
     }
-    reserve(*best, j, now);
+    make_reservations(*best, j, now);
     held.insert(j);
   }
 }
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/scheduler/urgent_headroom.cpp
+++ b/src/scheduler/urgent_headroom.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <tuple>
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
-using jobs::Amount;
+using jobs::Resources;
 using jobs::JobPtr;
 
 namespace {
@@ -15,26 +15,26 @@
 constexpr std::int64_t kTasksOnOne = 4;  // that a machine keeps room for
 }  // namespace
 
-JobPtr Reserve::example(double now) const {
+JobPtr UrgentHeadroom::largest_urgent_job(double now) const {
   JobPtr best;
   auto size = [](const JobPtr& j) { return j->need.cpus * j->spec.tasks; };
-  for (const auto& [id, j] : common_.jobs)
-    if (j->band() < jobs::Job::kGuaranteed && now - j->since < kLate &&
+  for (const auto& [id, j] : context_.jobs)
+    if (j->priority_band() < jobs::Job::kGuaranteed && now - j->since < kLate &&
         (!best || size(j) > size(best)))
       best = j;
   return best;
 }
 
-void Reserve::look(double now) {
-  if (now < looked_at_ + kGap) return;
-  looked_at_ = now;
-  const JobPtr like = example(now);
+void UrgentHeadroom::update(double now) {
+  if (now < updated_at_ + kGap) return;
+  updated_at_ = now;
+  const JobPtr like = largest_urgent_job(now);
   std::int64_t all = 0;
-  std::vector<std::vector<Machine*>> by_zone(common_.settings.zones.size());
+  std::vector<std::vector<Machine*>> by_zone(context_.settings.zones.size());
   for (const auto& [n, m] : machines_.all()) {
     m->reserved = {};
-    if (!m->open(now) || !m->rostered || m->type < 0 || m->zone < 0) continue;
-    all += common_.catalogue.types[static_cast<std::size_t>(m->type)].room.cpus;
+    if (!m->accepts_work(now) || !m->in_inventory || m->type < 0 || m->zone < 0) continue;
+    all += context_.catalogue.types[static_cast<std::size_t>(m->type)].room.cpus;
     if (like && machines_.type_ok(*like, m->type, m->spot))
       by_zone[static_cast<std::size_t>(m->zone)].push_back(m.get());
   }
@@ -44,8 +44,8 @@
                              static_cast<std::int64_t>(kMost * static_cast<double>(all)));
   // Where there is room already, and most images are: zone by zone in turn, since jobs are spread.
   auto kept = [&](const Machine& m) {
-    Amount k;
-    const Amount full = common_.catalogue.types[static_cast<std::size_t>(m.type)].room;
+    Resources k;
+    const Resources full = context_.catalogue.types[static_cast<std::size_t>(m.type)].room;
     for (std::int64_t i = 0; i < kTasksOnOne && k.cpus + like->need.cpus <= left; ++i) {
       if (!(k + k + like->need + like->need).fits(full)) break;  // half a machine at the most
       k += like->need;
@@ -70,4 +70,4 @@
   }
 }
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/scheduler/urgent_headroom.h
+++ b/src/scheduler/urgent_headroom.h
@@ -4,21 +4,21 @@
 #include "scheduler/shard_context.h"
 #include "scheduler/machines.h"
 
-namespace shunt::fleet {
+namespace shunttrail::scheduler {
 
-class Reserve {
+class UrgentHeadroom {
  public:
-  Reserve(Common& common, Machines& machines) : common_(common), machines_(machines) {}
+  UrgentHeadroom(ShardContext& common, Machines& machines) : context_(common), machines_(machines) {}
   // Chooses anew which machines keep room (Machine::reserved).
-  void look(double now);
+  void update(double now);
 
  private:
   // The largest urgent job of late: what is kept free is for another one like it. None: nothing is.
-  jobs::JobPtr example(double now) const;
+  jobs::JobPtr largest_urgent_job(double now) const;
 
-  Common& common_;
+  ShardContext& context_;
   Machines& machines_;
-  double looked_at_ = -1e9;
+  double updated_at_ = -1e9;
 };
 
-}  // namespace shunt::fleet
+}  // namespace shunttrail::fleet
--- a/src/schema/codec.cpp
+++ b/src/schema/codec.cpp
@@ -4,7 +4,7 @@
 #include "schema/schema.h"
 #include "wire/fields.h"
 
-namespace shunt::levels {
+namespace shunttrail::schema {
 
 using wire::json;
 using wire::Malformed;
@@ -26,15 +26,15 @@
 
 }  // namespace
 
-std::string encode(const Record& r) {
+std::string encode(const VersionRecord& r) {
   return json{{"level", r.active}, {"lowest", r.lowest}, {"highest", r.highest}, {"w", r.tag}}
       .dump();
 }
-Record decode_record(const wire::Event& e) {
+VersionRecord decode_record(const wire::Event& e) {
   return wire::of_value(e, [](const json& j) {
     if (!j.is_object()) throw Malformed("not an object");
     only(j, {"level", "lowest", "highest", "w"});
-    Record r{level(wire::need(j, "level"), "level"), level(wire::need(j, "lowest"), "lowest"),
+    VersionRecord r{level(wire::need(j, "level"), "level"), level(wire::need(j, "lowest"), "lowest"),
              level(wire::need(j, "highest"), "highest"), wire::text(j, "w")};
     if (r.active < r.lowest || r.active > r.highest) throw Malformed("level is out of its range");
     return r;
@@ -43,7 +43,7 @@
 
 std::string encode(const Orders& o) {
   json j = {{"gone", o.gone}, {"w", o.tag}};
-  if (o.most) j["most"] = *o.most;
+  if (o.max_version) j["most"] = *o.max_version;
   return j.dump();
 }
 Orders decode_orders(const wire::Event& e) {
@@ -52,7 +52,7 @@
     only(j, {"gone", "most", "w"});
     Orders o;
     for (const json& n : wire::list(j, "gone")) o.gone.insert(wire::as_text(n, "gone"));
-    if (const json* m = wire::find(j, "most")) o.most = level(*m, "most");
+    if (const json* m = wire::find(j, "most")) o.max_version = level(*m, "most");
     o.tag = wire::text(j, "w");
     return o;
   });
@@ -79,7 +79,7 @@
 std::string encode(const Order& o) {
   switch (o.kind) {
     case Order::hold:
-      return json{{"hold", o.level}}.dump();
+      return json{{"hold", o.version}}.dump();
     case Order::release:
       return json{{"hold", nullptr}}.dump();
     case Order::gone:
@@ -96,7 +96,7 @@
     Order o;
     if (j.contains("hold")) {
       o.kind = j["hold"].is_null() ? Order::release : Order::hold;
-      if (o.kind == Order::hold) o.level = level(j["hold"], "hold");
+      if (o.kind == Order::hold) o.version = level(j["hold"], "hold");
     } else {
       o.kind = j.contains("gone") ? Order::gone : Order::here;
       o.node = wire::text(j, o.kind == Order::gone ? "gone" : "here");
@@ -105,4 +105,4 @@
   });
 }
 
-}  // namespace shunt::levels
+}  // namespace shunttrail::levels
--- a/src/shard/balance.cpp
+++ b/src/shard/balance.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace shunt::shard {
+namespace shunttrail::shard {
 
 std::vector<double> targets(const std::vector<Load>& loads) {
   double all = 0, entitled = 0, demand = 0;
@@ -26,7 +26,7 @@
 constexpr double kLeast = 1e-6;   // of a machine: less is nothing
 }  // namespace
 
-std::vector<int> gifts(const std::vector<Load>& loads, int from) {
+std::vector<int> transfers(const std::vector<Load>& loads, int from) {
   const std::size_t n = loads.size();
   const std::vector<double> goal = targets(loads);
   std::vector<double> spare, wanted;
@@ -76,4 +76,4 @@
   return out[static_cast<std::size_t>(from)];
 }
 
-}  // namespace shunt::shard
+}  // namespace shunttrail::shard
--- a/src/shard/balance.h
+++ b/src/shard/balance.h
@@ -3,7 +3,7 @@
 #pragma once
 #include <vector>
 
-namespace shunt::shard {
+namespace shunttrail::shard {
 
 // In machines.
 struct Load {
@@ -20,6 +20,6 @@
 // what is beyond a share are brought together in whole machines, as long as that brings all nearer
 // to their goals; a shard with work and no machine at all gets one from whoever has most to spare,
 // and nobody with work gives the last one.
-std::vector<int> gifts(const std::vector<Load>& loads, int from);
+std::vector<int> transfers(const std::vector<Load>& loads, int from);
 
-}  // namespace shunt::shard
+}  // namespace shunttrail::shard
--- a/src/shard/leader_election.h
+++ b/src/shard/leader_election.h
@@ -8,19 +8,19 @@
 #include "config/settings.h"
 #include "state/state_cache.h"
 
-namespace shunt::shard {
+namespace shunttrail::shard {
 
-struct Move {
-  enum Kind { none, act, take, hand_over } kind = none;
+struct LeadershipMove {
+  enum Kind { none, lead, take, hand_over } kind = none;
   int to = -1;              // hand_over
   std::uint64_t token = 0;  // act
   // take, hand_over: the commit's guards
-  std::vector<std::pair<std::string, std::uint64_t>> guards;
+  std::vector<std::pair<std::string, std::uint64_t>> preconditions;
 };
 
-class Ownership {
+class LeaderElection {
  public:
-  explicit Ownership(const config::Settings& s);
+  explicit LeaderElection(const config::Settings& s);
   // This process's own registration; ownership granted earlier belongs to a process that is gone.
   // `process`: what all its tags begin with, and no other process's. A token is acted on only by
   // the process whose own commit gave it: a former self that stood still, or whose commits came
@@ -29,17 +29,17 @@
     if (!registered_) registered_ = stamp;
     process_ = std::move(process);
   }
-  void observe(const state::World& w, double now);
+  void observe(const state::StateCache& w, double now);
   // `spent`: the latest token whose desk this process has closed. The desk's attempts and its
   // knowledge of what is in flight went with it, so the token must not be acted on again: it is
   // reclaimed under a new one.
-  Move decide(const state::World& w, int shard, double now, std::uint64_t spent) const;
+  LeadershipMove decide(const state::StateCache& w, int shard, double now, std::uint64_t spent) const;
 
  private:
   const config::Settings& settings_;
   std::uint64_t registered_ = 0;
   std::string process_;
-  std::vector<double> seen_since_, gone_since_;  // by node; -1: not so
+  std::vector<double> seen_since_, absent_since_;  // by node; -1: not so
 };
 
-}  // namespace shunt::shard
+}  // namespace shunttrail::shard
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <array>
 
-namespace shunt::rehearsal {
+namespace shunttrail::simulation {
 
-using wire::RunState;
+using wire::TaskState;
 
 namespace {
 constexpr double kLook = 0.25;  // between two looks at the rules
@@ -13,8 +13,8 @@
 constexpr std::array kTeams = {"red", "blue", "green", "white"};
 }  // namespace
 
-Set::Set(unsigned seed, const Scale& scale)
-    : scale_(scale),
+SimulatedCluster::SimulatedCluster(unsigned seed, const ClusterOptions& scale)
+    : options_(scale),
       sim_(seed),
       cuts_(static_cast<std::size_t>(scale.controllers)),
       refused_until_(static_cast<std::size_t>(scale.controllers), 0) {
@@ -29,7 +29,7 @@
     s.teams.push_back({kTeams[static_cast<std::size_t>(t)], limit / 2, limit, 0, 0});
     s.team_shard.push_back(t % scale.controllers);
   }
-  s.report_s = scale.report_s;
+  s.heartbeat_s = scale.heartbeat_s;
   s.lease_s = scale.lease_s;
   s.cancel_s = scale.told_cancel_s > 0 ? scale.told_cancel_s : scale.cancel_s;
   s.state_limits = s.state_next = {3000, 1000, 16, 16};
@@ -44,19 +44,19 @@
   state_host_ = std::make_unique<Host>(sim_, "state");
   cloud_host_ = std::make_unique<Host>(sim_, "cloud");
   users_host_ = std::make_unique<Host>(sim_, "users");
-  state_ = std::make_unique<standins::State>(state_host_->loop(), s.state, "");
+  state_ = std::make_unique<emulators::StateServiceEmulator>(state_host_->loop(), s.state, "");
   state_->limit(scale.state_rps, scale.state_write_rps);
-  std::vector<standins::CloudType> types{
+  std::vector<emulators::EmulatedMachineType> types{
       {{"t4", scale.machine_cpus, 0, kMemGb, 0.4, 0.1, kBoot, s.zones}, scale.machines}};
   if (scale.big_machines > 0)
     types.push_back(
         {{"t8", 2 * scale.machine_cpus, 0, kMemGb, 0.8, 0.2, kBoot, s.zones}, scale.big_machines});
   types.insert(types.end(), scale.more_types.begin(), scale.more_types.end());
-  cloud_ = std::make_unique<standins::Cloud>(
+  cloud_ = std::make_unique<emulators::CloudEmulator>(
       cloud_host_->loop(), s.cloud, std::move(types), scale.cloud_rps, "",
-      standins::Cloud::Power{
+      emulators::CloudEmulator::Power{
           [this] { return "w-" + std::to_string(++addresses_) + ":9"; },
-          [this](const standins::Cloud::Machine& m) { power_on(m); },
+          [this](const emulators::CloudEmulator::Machine& m) { power_on(m); },
           [this](std::vector<std::string> names, const std::function<void()>& gone) {
             for (const auto& m : machines_)
               if (std::find(names.begin(), names.end(), m->name) != names.end() && m->worker) {
@@ -72,7 +72,7 @@
   for (int n = 0; n < scale.controllers; ++n) start(n);
 }
 
-Set::~Set() {
+SimulatedCluster::~SimulatedCluster() {
   asked_.clear();
   for (auto& n : nodes_) n.controller.reset();
   for (auto& m : machines_) m->worker.reset();
@@ -80,12 +80,12 @@
   state_.reset();
 }
 
-void Set::start(int node) {
+void SimulatedCluster::start(int node) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
   if (n.controller) return;
   // Steady clocks drift apart by as much as the protocol allows.
   n.host = std::make_unique<Host>(sim_, base_.nodes[static_cast<std::size_t>(node)],
-                                  1 + (node % 3 - 1) * 0.00025, (node % 3 - 1) * scale_.wall_off_s);
+                                  1 + (node % 3 - 1) * 0.00025, (node % 3 - 1) * options_.wall_off_s);
   n.settings = base_;
   n.settings.node = n.host->name();
   n.settings.self = node;
@@ -94,30 +94,30 @@
   n.settings.internal = {n.host->name(), 81};
   for (const auto& other : base_.nodes)
     if (other != n.settings.node) n.settings.peers.push_back({other, "a", {other, 81}});
-  n.controller = std::make_unique<front::Controller>(n.host->loop(), n.settings, tuning_);
+  n.controller = std::make_unique<controller::Controller>(n.host->loop(), n.settings, tuning_);
 }
 
-void Set::power_on(const standins::Cloud::Machine& m) {
+void SimulatedCluster::power_on(const emulators::CloudEmulator::Machine& m) {
   auto machine = std::make_unique<Machine>();
   machine->name = m.name;
   const std::string host = m.address.substr(0, m.address.find(':'));
   machine->zone = m.zone;
   machine->host = std::make_unique<Host>(sim_, host, 1 + sim_.draw(-0.00025, 0.00025));
   machine->host->any_order_after_freezes();
-  standins::Worker::Settings s;
+  emulators::WorkerEmulator::Settings s;
   s.name = m.name;
   s.type = m.type;
   s.zone = m.zone;
   s.spot = m.spot;
   s.at = {host, 9};
   s.cpus = cpus_of(m.type);
-  s.report_s = scale_.report_s;
-  s.lease_s = scale_.lease_s;
+  s.report_s = options_.heartbeat_s;
+  s.lease_s = options_.lease_s;
   for (const auto& n : base_.nodes) s.nodes.emplace_back(n, config::Endpoint{n, 80});
   machine_by_host_[host] = machines_.size();
-  machine->worker = std::make_unique<standins::Worker>(
+  machine->worker = std::make_unique<emulators::WorkerEmulator>(
       machine->host->loop(), std::move(s),
-      [this](const wire::TaskId& t) -> std::optional<standins::Worker::Work> {
+      [this](const wire::TaskId& t) -> std::optional<emulators::WorkerEmulator::Work> {
         auto j = jobs_.find(t.job);
         if (j == jobs_.end()) return std::nullopt;
         // A result that is kept: the task exits as soon as it has its image.
@@ -125,36 +125,36 @@
                            : results_.contains(name_of(t)) ? 0.01
                                                            : j->second.run_s * (1 + t.index % 3);
         const wire::JobSpec& spec = j->second.spec;
-        return standins::Worker::Work{spec.cpus, spec.image_gb, run, spec.checkpoint_s,
+        return emulators::WorkerEmulator::Work{spec.cpus, spec.image_gb, run, spec.checkpoint_s,
                                       spec.save_s};
       },
       static_cast<unsigned>(sim_.rng()()),
-      standins::Worker::Watched{[this](const standins::Worker& w, const standins::Worker::Task& t,
-                                       wire::RunState was) { moved(w, t, was); },
-                                [this](const standins::Worker::Task& t) {
-                                  if (t.why == wire::Why::done) reaped_.insert(name_of(t.id));
+      emulators::WorkerEmulator::Watched{[this](const emulators::WorkerEmulator& w, const emulators::WorkerEmulator::Task& t,
+                                       wire::TaskState was) { moved(w, t, was); },
+                                [this](const emulators::WorkerEmulator::Task& t) {
+                                  if (t.why == wire::ExitReason::done) acknowledged_.insert(name_of(t.id));
                                 }});
   machines_.push_back(std::move(machine));
 }
 
-void Set::pass(double seconds) {
+void SimulatedCluster::pass(double seconds) {
   for (const double until = sim_.now() + seconds; sim_.now() < until;) {
     sim_.run_until(std::min(until, sim_.now() + kLook));
     check();
     look_at_room();
-    cloud_->quick(scale_.quick_boots_s);
+    cloud_->quick(options_.quick_boots_s);
     look_for_leaders();
   }
 }
 
-std::uint64_t Set::leases_lost() const {
+std::uint64_t SimulatedCluster::leases_lost() const {
   std::uint64_t n = lost_before_;
   for (const auto& m : machines_)
     if (m->worker) n += m->worker->leases_lost();
   return n;
 }
 
-void Set::lose_zone(const std::string& zone, double none_for_s) {
+void SimulatedCluster::lose_zone(const std::string& zone, double none_for_s) {
   for (int n = 0; n < machines(); ++n)
     if (const Machine& m = *machines_[static_cast<std::size_t>(n)];
         m.worker && m.worker->settings().zone == zone)
@@ -162,4 +162,4 @@
   cloud_->refuse_in(zone, none_for_s);
 }
 
-}  // namespace shunt::rehearsal
+}  // namespace shunttrail::rehearsal
