--- a/src/simulation/simulated_cluster.h
+++ b/src/simulation/simulated_cluster.h
@@ -17,18 +17,18 @@
 #include "emulators/state.h"
 #include "emulators/worker.h"
 
-namespace shunt::rehearsal {
+namespace shunttrail::simulation {
 
 inline std::string name_of(const wire::TaskId& t) { return t.job + "/" + std::to_string(t.index); }
 
-struct Scale {
+struct ClusterOptions {
   int controllers = 3, machines = 6;
   double machine_cpus = 4;
   double team_limit = 16;  // vcpus, of each of two teams
-  double report_s = 5, lease_s = 26.5, cancel_s = 46.5;
+  double heartbeat_s = 5, lease_s = 26.5, cancel_s = 46.5;
   // What the controllers are told instead: for tests that show that the rules are checked.
   double told_cancel_s = 0;
-  double report_copies = 0;  // the share of reports of which a copy comes again, 2 to 60 s later
+  double heartbeat_copies = 0;  // the share of reports of which a copy comes again, 2 to 60 s later
   double late_writes = 0;    // the share of transactions that get no answer and come 2 to 12 s late
   double copies_for_next = 0;  // the share of reports of which a copy is kept for the next leader
   double slow_links_s = 0;     // all that is sent takes up to this long, one way; 0: it does not
@@ -53,20 +53,20 @@
   // The share of transactions that are carried out at once, and get no answer; of these alone.
   double lost_answers = 0;
   std::function<bool(const std::string& body)> lose_answer_of;
-  std::vector<standins::CloudType> more_types;  // beside the one that there always is
+  std::vector<emulators::EmulatedMachineType> more_types;  // beside the one that there always is
 };
 inline constexpr double kMemGb = 64;  // of a machine of any type
 
-class Set {
+class SimulatedCluster {
  public:
-  Set(unsigned seed, const Scale& scale);
-  ~Set();
+  SimulatedCluster(unsigned seed, const ClusterOptions& scale);
+  ~SimulatedCluster();
 
   void pass(double seconds);
   double now() const { return sim_.now(); }
   Simulation& sim() { return sim_; }
-  const Scale& scale() const { return scale_; }
-  Scale& scale() { return scale_; }  // shares may change as it goes
+  const ClusterOptions& options() const { return options_; }
+  ClusterOptions& options() { return options_; }  // shares may change as it goes
 
   // ---- users
 
@@ -87,7 +87,7 @@
   void cancel(const std::string& job, int node = -1);
   // Half a second of questions at all nodes, 1 to 50 ms apart, with repeated submissions and, of
   // what is over, cancellations among them.
-  void look_closely(const std::string& job);
+  void ask_all_repeatedly(const std::string& job);
   // One question at this node, and one submission more, of this body if there is one. What comes
   // back is checked like any answer.
   void ask_once(const std::string& job, int node);
@@ -130,12 +130,12 @@
   void kill(int node, double back_after_s);  // the process ends, and is started again
   void freeze(int node, double for_s);
   void freeze_after(int node, std::uint64_t turns, double for_s);  // between two of its turns
-  void deaf(int machine, double for_s);  // its reports arrive, answers and orders do not
-  void mute(int machine, double for_s);  // it reaches no controller; direct orders and answers pass
+  void lose_responses(int machine, double for_s);  // its reports arrive, answers and orders do not
+  void cut_heartbeats(int machine, double for_s);  // it reaches no controller; direct orders and answers pass
   void hang(int machine, double for_s);
   // Again and again, each within its lease, with a moment or a few turns in between.
   void hang_in_chains(int machine, int times);
-  void hold_orders(int machine, double for_s);  // direct ones come when it is over
+  void hold_direct_commands(int machine, double for_s);  // direct ones come when it is over
   void hold_direct_answers(int machine, double for_s);
   void kill_machine(int machine);
   void take_machine(int machine, double notice_s);  // a spot one, by its cloud; 0: without notice
@@ -144,8 +144,8 @@
   // another team's may be another shard's, and moves only when it is empty (KNOWN-RED.txt).
   bool room_for(const std::string& job) const;
   std::string room() const;    // by machine: zone, vcpus in use and in all, tasks; for messages
-  int owner(int shard) const;  // the first node that does; -1: none
-  bool acts(int node, int shard) const;           // its desk for the shard is open
+  int leader(int shard) const;  // the first node that does; -1: none
+  bool leads(int node, int shard) const;           // its desk for the shard is open
   int busiest();                                  // of the nodes that own a shard
   int machine_at(const std::string& host) const;  // -1: none is there
   int machines() const { return static_cast<int>(machines_.size()); }
@@ -155,7 +155,7 @@
   // ---- rules
 
   // From now on no job may wait for 90 s beside room: "neglected".
-  void troubles_are_over() { calm_since_ = sim_.now(); }
+  void faults_are_over() { faults_over_since_ = sim_.now(); }
   double used(const std::string& team) const;  // vcpus, of what is on the machines in any state
   // When the first of its tasks came to run; -1: none has.
   double begun_at(const std::string& job) const {
@@ -169,13 +169,13 @@
   struct Node {
     std::unique_ptr<Host> host;
     config::Settings settings;
-    std::unique_ptr<front::Controller> controller;
+    std::unique_ptr<controller::Controller> controller;
   };
   struct Machine {
     std::string name;
     std::unique_ptr<Host> host;
-    std::unique_ptr<standins::Worker> worker;
-    double deaf_until = 0, mute_until = 0, held_until = 0, answers_held_until = 0, hung_until = 0;
+    std::unique_ptr<emulators::WorkerEmulator> worker;
+    double responses_lost_until = 0, heartbeats_cut_until = 0, held_until = 0, answers_held_until = 0, hung_until = 0;
     std::string zone;
   };
   struct Until {
@@ -187,8 +187,8 @@
     double until = 0;
   };
   void start(int node);
-  void power_on(const standins::Cloud::Machine& m);
-  Way way(const Request& r);
+  void power_on(const emulators::CloudEmulator::Machine& m);
+  Delivery way(const Request& r);
   double hold_answer(const Request& r);
   bool parted(const std::string& from, const std::string& to) const;
   std::string zone_of(const std::string& host);  // empty: in none
@@ -203,28 +203,28 @@
   void cancel_again(const std::string& id, int node);
   void poll(const std::string& id);
   enum class Asked { state, submission, cancellation };
-  void told(const std::string& id, const net::Result& r, double asked_at,
+  void answered(const std::string& id, const net::Result& r, double asked_at,
             Asked what = Asked::state);
   void task_done(const std::string& id);
   void look_on(const std::string& id, int step, double until);
   bool some(double share) { return share > 0 && sim_.chance(share); }
   bool cancelled_by_users(const std::string& id) const;  // itself, or what it awaits
-  void moved(const standins::Worker& w, const standins::Worker::Task& t, wire::RunState was);
+  void moved(const emulators::WorkerEmulator& w, const emulators::WorkerEmulator::Task& t, wire::TaskState was);
   void check();
   double cpus_of(const std::string& type) const;
   bool wants_room(const Job& j) const;
   void look_at_room();
-  void check_cancelled(const standins::Worker::Task& t);
+  void check_cancelled(const emulators::WorkerEmulator::Task& t);
   void broke(const std::string& what);
 
-  Scale scale_;
+  ClusterOptions options_;
   Simulation sim_;
   config::Settings base_;
   config::Tuning tuning_;
   std::vector<Node> nodes_;
   std::unique_ptr<Host> state_host_, cloud_host_, users_host_;
-  std::unique_ptr<standins::State> state_;
-  std::unique_ptr<standins::Cloud> cloud_;
+  std::unique_ptr<emulators::StateServiceEmulator> state_;
+  std::unique_ptr<emulators::CloudEmulator> cloud_;
   std::vector<std::unique_ptr<Machine>> machines_;
   std::map<std::string, std::size_t> machine_by_host_;
   std::vector<Until> cuts_;
@@ -236,10 +236,10 @@
   double slow_until_ = 0, slow_s_ = 0, cloud_until_ = 0;
   std::map<std::string, Job> jobs_;
   std::set<std::string> results_;                        // tasks that have completed, somewhere
-  std::set<std::string> reaped_;                         // whose result has been let go after that
+  std::set<std::string> acknowledged_;                         // whose result has been let go after that
   std::map<std::uint64_t, net::Network::Handle> asked_;  // questions that are out
   std::vector<std::string> broken_;
-  double calm_since_ = -1, room_seen_at_ = 0;
+  double faults_over_since_ = -1, room_seen_at_ = 0;
   // Since when a task has waited while this machine had room for it.
   std::map<std::pair<std::string, std::string>, double> beside_room_;
   std::set<std::string> neglected_;      // tasks
@@ -249,4 +249,4 @@
   std::uint64_t close_questions_ = 0, ends_met_ = 0, answers_lost_ = 0;
 };
 
-}  // namespace shunt::rehearsal
+}  // namespace shunttrail::rehearsal
--- a/src/simulation/simulated_cluster_users.cpp
+++ b/src/simulation/simulated_cluster_users.cpp
@@ -5,7 +5,7 @@
 #include "simulation/simulated_cluster.h"
 #include "wire/codec.h"
 
-namespace shunt::rehearsal {
+namespace shunttrail::simulation {
 
 namespace {
 constexpr double kPollGap = 5;       // of a user, for one job
@@ -18,7 +18,7 @@
 constexpr int kSubmitEvery = 6;      // so many questions of theirs, one submission
 }  // namespace
 
-void Set::ask(int node, const char* method, const std::string& path, const std::string& body,
+void SimulatedCluster::ask(int node, const char* method, const std::string& path, const std::string& body,
               double within_s, std::function<void(net::Result)> done) {
   const std::uint64_t n = ++questions_;
   asked_[n] =
@@ -28,20 +28,20 @@
                              done(std::move(r));
                            });
 }
-int Set::any_node() { return static_cast<int>(sim_.rng()() % nodes_.size()); }
+int SimulatedCluster::any_node() { return static_cast<int>(sim_.rng()() % nodes_.size()); }
 
-std::string Set::submit(wire::JobSpec spec, double run_s, int node) {
+std::string SimulatedCluster::submit(wire::JobSpec spec, double run_s, int node) {
   spec.id = "run-" + std::to_string(100000 + next_job_++);
   const std::string id = spec.id;
   jobs_[id] = {std::move(spec), run_s};
   submit_again(id, node, sim_.now() + kInsist);
   return id;
 }
-void Set::submit_again(const std::string& id, int node, double until) {
+void SimulatedCluster::submit_again(const std::string& id, int node, double until) {
   const double sent = sim_.now();
   ask(node >= 0 ? node : any_node(), "POST", "/v2/runs", wire::encode_job(jobs_[id].spec),
       kAnswerWithin, [this, id, node, until, sent](net::Result r) {
-        told(id, r, sent, Asked::submission);
+        answered(id, r, sent, Asked::submission);
         if (r.status == 200 || r.status == 201) {
           jobs_[id].accepted = true;
           sim_.at(sim_.now() + kPollGap, [this, id] { poll(id); });
@@ -51,53 +51,53 @@
         }
       });
 }
-void Set::cancel(const std::string& id, int node) {
+void SimulatedCluster::cancel(const std::string& id, int node) {
   jobs_[id].cancel_asked = true;
   cancel_again(id, node);
 }
-void Set::cancel_again(const std::string& id, int node) {
+void SimulatedCluster::cancel_again(const std::string& id, int node) {
   const double sent = sim_.now();
   ask(node >= 0 ? node : any_node(), "POST", "/v2/runs/" + id + "/withdraw", "{}", kAnswerWithin,
       [this, id, sent](net::Result r) {
-        told(id, r, sent, Asked::cancellation);
+        answered(id, r, sent, Asked::cancellation);
         if (r.status == 200 || (r.status == 404 && !jobs_[id].accepted)) return;
         sim_.at(sim_.now() + std::max(1.0, r.retry_after_s), [this, id] { cancel_again(id, -1); });
       });
 }
-void Set::poll(const std::string& id) {
+void SimulatedCluster::poll(const std::string& id) {
   const Job& j = jobs_[id];
   const bool over = j.told_done >= 0 || j.told_cancelled >= 0;
   const double sent = sim_.now();
   ask(any_node(), "GET", "/v2/runs/" + id, "", kPollWithin,
-      [this, id, sent](net::Result r) { told(id, r, sent); });
+      [this, id, sent](net::Result r) { answered(id, r, sent); });
   sim_.at(sent + (over ? kAgainGap : kPollGap), [this, id] { poll(id); });
 }
 
-bool Set::cancelled_by_users(const std::string& id) const {
+bool SimulatedCluster::cancelled_by_users(const std::string& id) const {
   const Job& j = jobs_.at(id);
-  return j.cancel_asked || std::any_of(j.spec.awaits.begin(), j.spec.awaits.end(),
+  return j.cancel_asked || std::any_of(j.spec.dependencies.begin(), j.spec.dependencies.end(),
                                        [&](const std::string& a) { return cancelled_by_users(a); });
 }
 
 // ---- users who look closely
 
-void Set::ask_once(const std::string& id, int node) {
+void SimulatedCluster::ask_once(const std::string& id, int node) {
   ask(node, "GET", "/v2/runs/" + id, "", kPollWithin,
-      [this, id, sent = sim_.now()](net::Result r) { told(id, r, sent); });
+      [this, id, sent = sim_.now()](net::Result r) { answered(id, r, sent); });
 }
-void Set::submit_once(const std::string& id, int node, const std::string& body) {
+void SimulatedCluster::submit_once(const std::string& id, int node, const std::string& body) {
   ask(node, "POST", "/v2/runs", body.empty() ? wire::encode_job(jobs_[id].spec) : body,
       kAnswerWithin,
-      [this, id, sent = sim_.now()](net::Result r) { told(id, r, sent, Asked::submission); });
+      [this, id, sent = sim_.now()](net::Result r) { answered(id, r, sent, Asked::submission); });
 }
-void Set::cancel_once(const std::string& id, int node) {
+void SimulatedCluster::cancel_once(const std::string& id, int node) {
   Job& j = jobs_[id];
   j.cancel_asked |= j.told_done < 0 && j.told_cancelled < 0;
   ask(node, "POST", "/v2/runs/" + id + "/withdraw", "{}", kAnswerWithin,
-      [this, id, sent = sim_.now()](net::Result r) { told(id, r, sent, Asked::cancellation); });
+      [this, id, sent = sim_.now()](net::Result r) { answered(id, r, sent, Asked::cancellation); });
 }
 
-std::string Set::other_body(const std::string& id) {
+std::string SimulatedCluster::other_body(const std::string& id) {
   wire::JobSpec spec = jobs_[id].spec;
   switch (sim_.rng()() % 5) {
     case 0:
@@ -124,8 +124,8 @@
   return wire::encode_job(spec);
 }
 
-void Set::look_closely(const std::string& id) { look_on(id, 0, sim_.now() + kClosely); }
-void Set::look_on(const std::string& id, int step, double until) {
+void SimulatedCluster::ask_all_repeatedly(const std::string& id) { look_on(id, 0, sim_.now() + kClosely); }
+void SimulatedCluster::look_on(const std::string& id, int step, double until) {
   if (sim_.now() > until) return;
   ++close_questions_;
   const Job& j = jobs_[id];
@@ -144,11 +144,11 @@
 }
 
 // What is on its way to the controllers at this moment is the last task's report.
-void Set::task_done(const std::string& id) {
+void SimulatedCluster::task_done(const std::string& id) {
   Job& j = jobs_[id];
   if (++j.done < j.spec.tasks) return;
-  if (some(scale_.close_looks)) look_closely(id);
-  if (!some(scale_.meet_ends)) return;
+  if (some(options_.close_looks)) ask_all_repeatedly(id);
+  if (!some(options_.meet_ends)) return;
   ++ends_met_;
   // Within the report, its commit and what follows.
   auto soon = [this] { return sim_.now() + (sim_.chance(0.3) ? 0 : sim_.draw(0, 0.4)); };
@@ -164,7 +164,7 @@
 
 // Rules: forgotten, invented, not_done, went_back. All answers about a job, of all nodes, are one
 // register: what a question asked after an answer is told is never older than that answer.
-void Set::told(const std::string& id, const net::Result& r, double asked_at, Asked what) {
+void SimulatedCluster::answered(const std::string& id, const net::Result& r, double asked_at, Asked what) {
   auto known = jobs_.find(id);
   if (known == jobs_.end()) {
     if (r.status == 200) broke("invented: " + id);
@@ -179,7 +179,7 @@
     if (r.status == 201) broke("went_back: " + id + " is accepted as if it were new");
   }
   if (r.status != 200 && r.status != 201) return;
-  const auto now_called = far::decode_job_state(r.body).state;
+  const auto now_called = client_protocol::decode_job_state(r.body).state;
   const bool cancelled = now_called == wire::JobState::cancelled;
   const bool done = now_called == wire::JobState::done;
   j.answered = sim_.now();
@@ -200,15 +200,15 @@
       j.told_accepted < 0 || (cancelled && j.told_cancelled < 0) || (done && j.told_done < 0);
   if (j.told_accepted < 0) {
     j.told_accepted = sim_.now();
-    if (some(scale_.cancel_at_once))
+    if (some(options_.cancel_at_once))
       sim_.at(sim_.now() + sim_.draw(0, 0.1), [this, id] { cancel(id); });
   }
   if (cancelled && j.told_cancelled < 0) j.told_cancelled = sim_.now();
   if (done && j.told_done < 0) j.told_done = sim_.now();
-  if (news && some(scale_.close_looks)) look_closely(id);
+  if (news && some(options_.close_looks)) ask_all_repeatedly(id);
 }
 
-void Set::ask_all() {
+void SimulatedCluster::ask_all() {
   for (auto& [id, j] : jobs_) {
     if (!j.accepted) continue;
     j.answered = -1;
@@ -225,7 +225,7 @@
       for (int n : *left)
         ask(n, "GET", "/v2/runs/" + id, "", kPollWithin, [this, id, n, left, sent](net::Result r) {
           if (r.status == 200 || r.status == 404) left->erase(n);
-          told(id, r, sent);
+          answered(id, r, sent);
         });
       sim_.at(sent + kPollGap, [self] { (*self)(); });
     };
@@ -234,4 +234,4 @@
   pass(kForgotten + kPollGap + kPollWithin);
 }
 
-}  // namespace shunt::rehearsal
+}  // namespace shunttrail::rehearsal
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -3,7 +3,7 @@
 #include <cmath>
 #include <utility>
 
-namespace shunt::rehearsal {
+namespace shunttrail::simulation {
 namespace {
 constexpr double kMidnight = 1.7e9;  // the time of day at the simulation's start
 constexpr double kTimerStep = 1e-6;
@@ -69,7 +69,7 @@
   return kMidnight + sim_.now() + wall_off_s_ * std::cos(sim_.now() / kWander);
 }
 
-actor::Clockwork::Handle Host::schedule(double seconds, std::function<void()> fn) {
+actor::EventSource::Handle Host::schedule(double seconds, std::function<void()> fn) {
   auto kept = std::make_shared<std::function<void()>>(std::move(fn));
   // As fine as a real timer is: what is due by less than a rounding must not come at this very
   // moment, find nothing due, and be set again for ever.
@@ -111,11 +111,11 @@
   Simulation& sim = sim_;
   auto r = std::make_shared<Request>(
       Request{name_, to.host, std::move(method), std::move(path), std::move(body)});
-  const Way way = sim.way ? sim.way(*r) : Way{};
+  const Delivery way = sim.way ? sim.way(*r) : Delivery{};
   // The first of an answer and the timeout; neither once the asker has let go.
   struct Flight {
     std::function<void(net::Result)> done;
-    Clockwork::Handle timeout;
+    EventSource::Handle timeout;
   };
   auto flight = std::make_shared<Flight>();
   flight->done = std::move(done);
@@ -150,4 +150,4 @@
   return flight;
 }
 
-}  // namespace shunt::rehearsal
+}  // namespace shunttrail::rehearsal
--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -15,11 +15,11 @@
 #include "actor/loop.h"
 #include "net/http.h"
 
-namespace shunt::rehearsal {
+namespace shunttrail::simulation {
 
 class Simulation;
 
-class Host final : public actor::Clockwork, public net::Network {
+class Host final : public actor::EventSource, public net::Network {
  public:
   // `rate`: seconds that its steady clock shows in one second (PROTOCOL: apart by 0.05% at most).
   // `wall_off_s`: the time of day wanders by so much to either side.
@@ -40,7 +40,7 @@
 
   double now() const override;
   double wall_now() const override;
-  Clockwork::Handle schedule(double seconds, std::function<void()> fn) override;
+  EventSource::Handle schedule(double seconds, std::function<void()> fn) override;
   net::Network::Handle listen(const config::Endpoint& at, Handler handler) override;
   net::Network::Handle request(const config::Endpoint& to, std::string method, std::string path,
                                std::string body, double timeout_s,
@@ -70,7 +70,7 @@
 };
 
 // What becomes of a request on its way.
-struct Way {
+struct Delivery {
   double there_s = 0.002, back_s = 0.002;
   bool arrives = true;             // otherwise it is lost, and nobody answers
   bool answered = true;            // otherwise the answer is lost
@@ -96,7 +96,7 @@
   void send_copy(Request r, const config::Endpoint& to);
 
   // Asked as each request leaves. None: nothing is ever lost.
-  std::function<Way(const Request&)> way;
+  std::function<Delivery(const Request&)> way;
   // Asked as its answer leaves: seconds that it is held up, or below 0: it is lost.
   std::function<double(const Request&)> hold_answer;
 
@@ -127,4 +127,4 @@
   std::map<std::string, Listener> listeners_;  // by address
 };
 
-}  // namespace shunt::rehearsal
+}  // namespace shunttrail::rehearsal
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -2,21 +2,21 @@
 
 #include <algorithm>
 
-namespace shunt::state {
+namespace shunttrail::state {
 
 namespace {
 // Less urgent calls leave some of the burst for the more urgent ones.
-double spare(const Bucket& b, Urgency u, double part) {
+double spare(const TokenBucket& b, RequestPriority u, double part) {
   return b.cap() * part * static_cast<int>(u);
 }
 }  // namespace
 
-void Bucket::refill(double now) {
+void TokenBucket::refill(double now) {
   if (now > at_) level_ = std::min(cap(), level_ + (now - at_) * rate_);
   at_ = std::max(at_, now);
 }
 
-void Bucket::set_rate(double rate) {
+void TokenBucket::set_rate(double rate) {
   if (rate == rate_) return;
   rate_ = rate;
   cap_ = std::max(rate * burst_s_, 1.0);
@@ -59,7 +59,7 @@
   refill(now);
 }
 
-std::size_t Client::writes_now(Urgency u) {
+std::size_t Client::writes_now(RequestPriority u) {
   refill(loop_.now());
   for (int i = 0; i <= static_cast<int>(u); ++i)
     if (!queues_[static_cast<std::size_t>(i)].empty()) return 0;
@@ -71,7 +71,7 @@
   return static_cast<std::size_t>(std::max(0.0, writes_.level() - spare(writes_, u, 0.12)));
 }
 
-void Client::submit(Call c, Urgency u) {
+void Client::submit(Call c, RequestPriority u) {
   auto& q = queues_[static_cast<int>(u)];
   if (q.size() >= 512) {
     c.done({503, {}});  // never sent: as good as refused
@@ -85,7 +85,7 @@
 void Client::pump() {
   double now = loop_.now();
   refill(now);
-  for (int u = 0; u < kUrgencies; ++u) {
+  for (int u = 0; u < kRequestPriorities; ++u) {
     auto& q = queues_[u];
     while (!q.empty()) {
       Call& c = q.front();
@@ -95,7 +95,7 @@
         late.done({503, {}});
         continue;
       }
-      const auto urgency = static_cast<Urgency>(u);
+      const auto urgency = static_cast<RequestPriority>(u);
       double spare_r = spare(requests_, urgency, 0.1), spare_w = spare(writes_, urgency, 0.12);
       double need_w = c.writes > 0 ? std::min(c.writes + spare_w, writes_.cap()) : 0;
       double wait = std::max(requests_.wait_for(std::min(1 + spare_r, requests_.cap())),
@@ -115,12 +115,12 @@
   }
 }
 
-void Client::commit(wire::Txn t, Urgency u, double give_up_s,
+void Client::commit(wire::Transaction t, RequestPriority u, double give_up_s,
                     std::function<void(CommitResult)> done) {
   Call c;
   c.method = "POST";
   c.path = "/commit";
-  c.body = wire::encode_txn(t);
+  c.body = wire::encode_transaction(t);
   c.writes = static_cast<double>(t.ops.size());
   c.timeout_s = 2;
   c.give_up_at = loop_.now() + give_up_s;
@@ -136,7 +136,7 @@
         out.kind = CommitResult::applied;
       } else if (r.status == 409) {
         out.failed = wire::decode_failed(r.body);
-        out.kind = CommitResult::guard_failed;
+        out.kind = CommitResult::precondition_failed;
       } else if (r.status == 503 || r.status == 429) {
         out.kind = CommitResult::not_executed;
       } else if (r.status == 400) {
@@ -162,14 +162,14 @@
                       });
 }
 
-void Client::get(std::string path, Urgency u, std::function<void(net::Result)> done) {
+void Client::get(std::string path, RequestPriority u, std::function<void(net::Result)> done) {
   call("GET", std::move(path), "", u, std::move(done));
 }
-void Client::post(std::string path, std::string body, Urgency u,
+void Client::post(std::string path, std::string body, RequestPriority u,
                   std::function<void(net::Result)> done) {
   call("POST", std::move(path), std::move(body), u, std::move(done));
 }
-void Client::call(const char* method, std::string path, std::string body, Urgency u,
+void Client::call(const char* method, std::string path, std::string body, RequestPriority u,
                   std::function<void(net::Result)> done) {
   Call c;
   c.method = method;
@@ -183,4 +183,4 @@
   submit(std::move(c), u);
 }
 
-}  // namespace shunt::state
+}  // namespace shunttrail::state
--- a/src/state/client.h
+++ b/src/state/client.h
@@ -9,12 +9,12 @@
 #include "state/limits.h"
 #include "wire/codec.h"
 
-namespace shunt::state {
+namespace shunttrail::state {
 
 // Tokens that refill at `rate`, up to so many seconds' worth.
-class Bucket {
+class TokenBucket {
  public:
-  Bucket(double rate, double now, double burst_s = 1)
+  TokenBucket(double rate, double now, double burst_s = 1)
       : burst_s_(burst_s),
         rate_(rate),
         cap_(std::max(rate * burst_s, 1.0)),
@@ -35,13 +35,13 @@
 
 inline constexpr std::size_t kLeastWrites = 2;  // a job's end, and a move, take as many
 
-enum class Urgency { safety, user, work, sweep };
-inline constexpr int kUrgencies = 4;
+enum class RequestPriority { safety, user, work, sweep };
+inline constexpr int kRequestPriorities = 4;
 
 struct CommitResult {
   // unknown: no answer; it may have been carried out, or may yet be.
   // too_large: refused for its size; sent unchanged it would be refused again.
-  enum Kind { applied, guard_failed, not_executed, unknown, no_lease, too_large } kind = unknown;
+  enum Kind { applied, precondition_failed, not_executed, unknown, no_lease, too_large } kind = unknown;
   std::uint64_t revision = 0;
   std::vector<std::string> failed;
 };
@@ -51,14 +51,14 @@
   Client(actor::Loop& loop, const config::Settings& s);
   // Ownership of the callback's thread of control: each runs in the asker's mailbox if it was
   // made by Actor::reply.
-  void commit(wire::Txn t, Urgency u, double give_up_s, std::function<void(CommitResult)> done);
+  void commit(wire::Transaction t, RequestPriority u, double give_up_s, std::function<void(CommitResult)> done);
   void watch(std::uint64_t after, int block_ms, std::function<void(net::Result)> done);
-  void get(std::string path, Urgency u, std::function<void(net::Result)> done);
-  void post(std::string path, std::string body, Urgency u, std::function<void(net::Result)> done);
+  void get(std::string path, RequestPriority u, std::function<void(net::Result)> done);
+  void post(std::string path, std::string body, RequestPriority u, std::function<void(net::Result)> done);
   std::size_t queued() const;
   // So many changes could be sent at once, as far as the rates go. What is made only then holds all
   // that has come up to that moment: made earlier, it would wait here while more comes.
-  std::size_t writes_now(Urgency u);
+  std::size_t writes_now(RequestPriority u);
   const Limits& limits() const { return limits_; }
   // What the rates have cost: calls answered 429, seconds that calls have waited, writes a second
   // at present.
@@ -77,20 +77,20 @@
     std::function<void(net::Result)> done;
     double since = 0;
   };
-  void call(const char* method, std::string path, std::string body, Urgency u,
+  void call(const char* method, std::string path, std::string body, RequestPriority u,
             std::function<void(net::Result)> done);
-  void submit(Call c, Urgency u);
+  void submit(Call c, RequestPriority u);
   void pump();
   void refill(double now);
   void heard(int status, bool wrote);
 
   net::Client http_, watch_http_;
   Limits limits_;
-  Pace request_pace_, write_pace_;
-  Bucket requests_, writes_;
+  AdaptiveRate request_pace_, write_pace_;
+  TokenBucket requests_, writes_;
   double waited_s_ = 0;
-  std::array<std::deque<Call>, kUrgencies> queues_;
+  std::array<std::deque<Call>, kRequestPriorities> queues_;
   actor::Timer timer_;
 };
 
-}  // namespace shunt::state
+}  // namespace shunttrail::state
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -4,14 +4,14 @@
 #include <cstdlib>
 #include <set>
 
-namespace shunt::state {
+namespace shunttrail::state {
 
 std::string node_key(const std::string& node) { return "st/n/" + node; }
-std::string owner_key(int shard) { return "st/o/" + std::to_string(shard); }
+std::string leader_key(int shard) { return "st/o/" + std::to_string(shard); }
 std::string job_key(const std::string& id) { return "st/j/" + id; }
 std::string waiting_key(const std::string& id) { return "st/w/" + id; }
-std::string roster_key(int page) { return "st/m/" + std::to_string(page); }
-int roster_page(const std::string& machine) {
+std::string inventory_key(int page) { return "st/m/" + std::to_string(page); }
+int inventory_page(const std::string& machine) {
   constexpr int kPage = 32, kOdd = 1 << 24;
   auto digits = machine.find_last_not_of("0123456789") + 1;
   if (digits < machine.size() && machine.size() - digits < 9)
@@ -21,74 +21,74 @@
   return kOdd + sum;
 }
 constexpr int kPart = 1 << 26;  // beyond every page's number
-int roster_part(int page, int part) { return page + part * kPart; }
-int roster_base(int part) { return part % kPart; }
-std::string sheet_key(int shard, int sheet) {
+int inventory_part(int page, int part) { return page + part * kPart; }
+int inventory_base(int part) { return part % kPart; }
+std::string placement_page_key(int shard, int sheet) {
   return "st/a/" + std::to_string(shard) + "/" + std::to_string(sheet);
 }
-std::string final_key(const std::string& id) { return kFinals + id; }
+std::string job_result_key(const std::string& id) { return kJobResults + id; }
 
-World::World(const config::Settings& s) : settings_(s), sheets_(s.shards()), owners_(s.shards()) {
-  levels_.members.resize(static_cast<std::size_t>(s.shards()));
+StateCache::StateCache(const config::Settings& s) : settings_(s), placement_pages_(s.shards()), leaders_(s.shards()) {
+  schema_.members.resize(static_cast<std::size_t>(s.shards()));
 }
 
-std::uint64_t World::stamp(const std::string& key) const {
-  auto it = stamps_.find(key);
-  return it == stamps_.end() ? 0 : it->second;
+std::uint64_t StateCache::mod_revision(const std::string& key) const {
+  auto it = revisions_.find(key);
+  return it == revisions_.end() ? 0 : it->second;
 }
-const JobEntry* World::job(const std::string& id) const {
+const JobEntry* StateCache::job(const std::string& id) const {
   auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : &it->second;
 }
-const JobEntry* World::waiting(const std::string& id) const {
+const JobEntry* StateCache::waiting(const std::string& id) const {
   auto it = waiting_.find(id);
   return it == waiting_.end() ? nullptr : &it->second;
 }
-const wire::MachineRecord* World::machine(const std::string& name) const {
+const wire::MachineRecord* StateCache::machine(const std::string& name) const {
   auto it = machines_.find(name);
   return it == machines_.end() ? nullptr : &it->second;
 }
-std::vector<wire::MachineRecord> World::roster(int page) const {
+std::vector<wire::MachineRecord> StateCache::inventory(int page) const {
   std::vector<wire::MachineRecord> out;
   if (auto it = pages_.find(page); it != pages_.end())
     for (const auto& name : it->second) out.push_back(machines_.at(name));
   return out;
 }
 
-void World::each_part(const std::string& id,
-                      const std::function<void(const wire::SheetJob&)>& f) const {
-  auto known = sheets_of_.find(id);
-  if (known == sheets_of_.end()) return;
+void StateCache::for_each_job_placements(const std::string& id,
+                      const std::function<void(const wire::JobPlacements&)>& f) const {
+  auto known = pages_of_job_.find(id);
+  if (known == pages_of_job_.end()) return;
   for (const auto& [shard, sheet] : known->second)
-    for (const auto& g : sheets_[static_cast<std::size_t>(shard)].at(sheet).jobs)
+    for (const auto& g : placement_pages_[static_cast<std::size_t>(shard)].at(sheet).jobs)
       if (g.job == id) {
         f(g);
         break;
       }
 }
-void World::put_sheet(int shard, int sheet, std::optional<wire::SheetRecord> r) {
-  auto& all = sheets_[static_cast<std::size_t>(shard)];
+void StateCache::put_placement_page(int shard, int sheet, std::optional<wire::PlacementPageRecord> r) {
+  auto& all = placement_pages_[static_cast<std::size_t>(shard)];
   const std::pair at(shard, sheet);
   if (auto old = all.find(sheet); old != all.end()) {
     for (const auto& g : old->second.jobs)
-      if (auto of = sheets_of_.find(g.job); of != sheets_of_.end()) {
+      if (auto of = pages_of_job_.find(g.job); of != pages_of_job_.end()) {
         of->second.erase(at);
-        if (of->second.empty()) sheets_of_.erase(of);
+        if (of->second.empty()) pages_of_job_.erase(of);
       }
     all.erase(old);
   }
   if (!r) return;
-  for (const auto& g : r->jobs) sheets_of_[g.job].insert(at);
+  for (const auto& g : r->jobs) pages_of_job_[g.job].insert(at);
   all.emplace(sheet, std::move(*r));
 }
-std::map<std::uint32_t, Intervals> World::done(const std::string& id) const {
+std::map<std::uint32_t, Intervals> StateCache::done(const std::string& id) const {
   std::map<std::uint32_t, Intervals> out;
-  each_part(id, [&](const wire::SheetJob& g) {
+  for_each_job_placements(id, [&](const wire::JobPlacements& g) {
     for (const auto& [c, list] : g.done) out[c].insert(out[c].end(), list.begin(), list.end());
   });
   return out;
 }
-World::Progress World::progress(const JobEntry& j, std::uint32_t chunk_size) const {
+StateCache::Progress StateCache::progress(const JobEntry& j, std::uint32_t chunk_size) const {
   const std::string& id = j.record.spec.id;
   std::vector<bool> known(j.record.spec.tasks, false);  // done, or counted as placed
   Progress out;
@@ -100,105 +100,105 @@
   for (const auto& [c, list] : done(id))
     for (auto [a, b] : list)
       for (std::uint64_t i = a; i <= b; ++i) count(std::uint64_t{c} * chunk_size + i, out.done);
-  each_part(id, [&](const wire::SheetJob& g) {
-    for (const auto& p : g.places) count(p.task, out.placed);
+  for_each_job_placements(id, [&](const wire::JobPlacements& g) {
+    for (const auto& p : g.placements) count(p.task, out.placed);
   });
   return out;
 }
 
-void World::apply(const wire::Event& e, std::vector<Change>& changes) {
-  auto known = stamps_.find(e.key);
-  if (known != stamps_.end() && known->second >= e.stamp) return;
-  auto tomb = tombs_.find(e.key);
-  if (tomb != tombs_.end() && tomb->second >= e.stamp) return;
-  if (e.stamp <= revision_) return;
+void StateCache::apply(const wire::Event& e, std::vector<Change>& changes) {
+  auto known = revisions_.find(e.key);
+  if (known != revisions_.end() && known->second >= e.mod_revision) return;
+  auto tomb = tombstones_.find(e.key);
+  if (tomb != tombstones_.end() && tomb->second >= e.mod_revision) return;
+  if (e.mod_revision <= revision_) return;
   if (e.set()) {
-    tombs_.erase(e.key);
-    stamps_[e.key] = e.stamp;
+    tombstones_.erase(e.key);
+    revisions_[e.key] = e.mod_revision;
     set(e, changes);
   } else {
-    tombs_[e.key] = e.stamp;
-    stamps_.erase(e.key);
+    tombstones_[e.key] = e.mod_revision;
+    revisions_.erase(e.key);
     drop(e.key, changes);
   }
 }
 
-void World::advance(std::uint64_t revision) {
+void StateCache::advance(std::uint64_t revision) {
   if (revision <= revision_) return;
   revision_ = revision;
-  std::erase_if(tombs_, [&](const auto& t) { return t.second <= revision; });
+  std::erase_if(tombstones_, [&](const auto& t) { return t.second <= revision; });
 }
 
-void World::replace(std::uint64_t revision, const std::vector<wire::Event>& items,
+void StateCache::replace(std::uint64_t revision, const std::vector<wire::Event>& items,
                     std::vector<Change>& changes) {
   if (revision < revision_) return;
   std::set<std::string> here;
   for (const auto& e : items) {
     here.insert(e.key);
     // Dropped by a commit that was answered while the pages were read: its page is older news.
-    if (auto tomb = tombs_.find(e.key); tomb != tombs_.end() && tomb->second >= e.stamp) continue;
-    if (stamp(e.key) < e.stamp) {
-      stamps_[e.key] = e.stamp;
+    if (auto tomb = tombstones_.find(e.key); tomb != tombstones_.end() && tomb->second >= e.mod_revision) continue;
+    if (mod_revision(e.key) < e.mod_revision) {
+      revisions_[e.key] = e.mod_revision;
       set(e, changes);
     }
   }
   std::vector<std::string> gone;
-  for (const auto& [k, s] : stamps_)
+  for (const auto& [k, s] : revisions_)
     if (!here.contains(k) && s <= revision) gone.push_back(k);
   for (const auto& k : gone) {
-    stamps_.erase(k);
+    revisions_.erase(k);
     drop(k, changes);
   }
   advance(revision);
 }
 
-void World::set(const wire::Event& e, std::vector<Change>& changes) {
+void StateCache::set(const wire::Event& e, std::vector<Change>& changes) {
   if (e.key.size() < 6) return;
   std::string rest = e.key.substr(5);
   try {
     switch (e.key[3]) {
       case 'j': {
-        jobs_[rest] = {wire::decode_job_record(e), e.stamp};
+        jobs_[rest] = {wire::decode_job_record(e), e.mod_revision};
         changes.push_back({Change::job_set, rest, -1});
         break;
       }
       case 'w':
-        waiting_[rest] = {wire::decode_job_record(e), e.stamp};
+        waiting_[rest] = {wire::decode_job_record(e), e.mod_revision};
         changes.push_back({Change::waiting_set, rest, -1});
         break;
       case 'm': {
         const int page = std::atoi(rest.c_str());
-        wire::RosterRecord r = wire::decode_roster(e);
+        wire::InventoryPageRecord r = wire::decode_inventory_page(e);
         for (auto& pages : pages_by_form_) pages.erase(page);
         pages_by_form_[static_cast<std::size_t>(r.form)].insert(page);
-        roster(page, std::move(r.machines), changes);
+        inventory(page, std::move(r.machines), changes);
         break;
       }
       case 'l':
-        level_set(e);
-        changes.push_back({Change::level, rest, -1});
+        schema_set(e);
+        changes.push_back({Change::schema_version, rest, -1});
         break;
       case 'a': {
         auto slash = rest.find('/');
         int shard = std::atoi(rest.c_str());
         if (slash == std::string::npos || shard < 0 || shard >= settings_.shards()) break;
-        put_sheet(
+        put_placement_page(
             shard, std::atoi(rest.c_str() + slash + 1),
-            wire::decode_sheet(e, [&](const std::string& t) { return settings_.team_index(t); }));
+            wire::decode_placement_page(e, [&](const std::string& t) { return settings_.team_index(t); }));
         break;
       }
       case 'o': {
         int shard = std::atoi(rest.c_str());
         if (shard < 0 || shard >= settings_.shards()) break;
-        auto r = wire::decode_owner_record(e);
-        owners_[shard] = {settings_.node_index(r.node), r.tag, e.stamp};
-        changes.push_back({Change::owner, rest, shard});
+        auto r = wire::decode_leader_record(e);
+        leaders_[shard] = {settings_.node_index(r.node), r.tag, e.mod_revision};
+        changes.push_back({Change::leader, rest, shard});
         break;
       }
       case 'n': {
         int n = settings_.node_index(rest);
         if (n < 0) break;
-        levels_.members[static_cast<std::size_t>(n)] = {e.stamp, levels::decode_member(e)};
+        schema_.members[static_cast<std::size_t>(n)] = {e.mod_revision, schema::decode_member(e)};
         changes.push_back({Change::node, rest, n});
         break;
       }
@@ -207,11 +207,11 @@
     }
   } catch (const wire::Malformed&) {
     // A value nobody here wrote. The key's stamp is kept, its meaning is not guessed.
-    ++garbage_;
+    ++malformed_;
   }
 }
 
-void World::drop(const std::string& key, std::vector<Change>& changes) {
+void StateCache::drop(const std::string& key, std::vector<Change>& changes) {
   if (key.size() < 6) return;
   std::string rest = key.substr(5);
   switch (key[3]) {
@@ -223,30 +223,30 @@
       break;
     case 'm':
       for (auto& pages : pages_by_form_) pages.erase(std::atoi(rest.c_str()));
-      roster(std::atoi(rest.c_str()), {}, changes);
+      inventory(std::atoi(rest.c_str()), {}, changes);
       break;
     case 'l':
-      level_gone(key);
-      changes.push_back({Change::level, rest, -1});
+      schema_gone(key);
+      changes.push_back({Change::schema_version, rest, -1});
       break;
     case 'a': {
       auto slash = rest.find('/');
       int shard = std::atoi(rest.c_str());
       if (slash == std::string::npos || shard < 0 || shard >= settings_.shards()) break;
-      put_sheet(shard, std::atoi(rest.c_str() + slash + 1), std::nullopt);
+      put_placement_page(shard, std::atoi(rest.c_str() + slash + 1), std::nullopt);
       break;
     }
     case 'o': {
       int shard = std::atoi(rest.c_str());
       if (shard < 0 || shard >= settings_.shards()) break;
-      owners_[shard] = {};
-      changes.push_back({Change::owner, rest, shard});
+      leaders_[shard] = {};
+      changes.push_back({Change::leader, rest, shard});
       break;
     }
     case 'n': {
       int n = settings_.node_index(rest);
       if (n < 0) break;
-      levels_.members[static_cast<std::size_t>(n)] = {};
+      schema_.members[static_cast<std::size_t>(n)] = {};
       changes.push_back({Change::node, rest, n});
       break;
     }
@@ -255,52 +255,52 @@
   }
 }
 
-int World::roster_form() const {
-  return levels::Gate(levels_).on(levels::Feature::machine_ages) ? 1 : 0;
+int StateCache::inventory_form() const {
+  return schema::FeatureGate(schema_).on(schema::Feature::machine_ages) ? 1 : 0;
 }
-double World::converted() const {
-  const auto right = static_cast<double>(roster_pages(roster_form()).size());
-  const auto wrong = static_cast<double>(roster_to_convert().size());
+double StateCache::converted() const {
+  const auto right = static_cast<double>(inventory_pages(inventory_form()).size());
+  const auto wrong = static_cast<double>(inventory_to_convert().size());
   return right + wrong > 0 ? right / (right + wrong) : 1;
 }
 
 // A record that cannot be read is not passed over as other garbage is: it may say that nothing that
 // stands can be read rightly by this build.
-void World::level_set(const wire::Event& e) {
-  if (e.key == levels::kActiveKey) {
-    levels_.stamp = e.stamp;
-    levels_.unreadable.clear();
+void StateCache::schema_set(const wire::Event& e) {
+  if (e.key == schema::kActiveKey) {
+    schema_.mod_revision = e.mod_revision;
+    schema_.unreadable.clear();
     try {
-      levels_.record = levels::decode_record(e);
+      schema_.record = schema::decode_record(e);
     } catch (const wire::Malformed& x) {
-      levels_.unreadable = x.what();
-      ++garbage_;
+      schema_.unreadable = x.what();
+      ++malformed_;
     }
-  } else if (e.key == levels::kOrdersKey) {
-    levels_.orders_stamp = e.stamp;
-    levels_.orders_unreadable = false;
+  } else if (e.key == schema::kOrdersKey) {
+    schema_.orders_revision = e.mod_revision;
+    schema_.orders_unreadable = false;
     try {
-      levels_.orders = levels::decode_orders(e);
+      schema_.orders = schema::decode_orders(e);
     } catch (const wire::Malformed&) {
-      levels_.orders_unreadable = true;
-      ++garbage_;
+      schema_.orders_unreadable = true;
+      ++malformed_;
     }
   }
 }
-void World::level_gone(const std::string& key) {
-  if (key == levels::kActiveKey) {
-    levels_.record = {};
-    levels_.stamp = 0;
-    levels_.unreadable.clear();
-  } else if (key == levels::kOrdersKey) {
-    levels_.orders = {};
-    levels_.orders_stamp = 0;
-    levels_.orders_unreadable = false;
+void StateCache::schema_gone(const std::string& key) {
+  if (key == schema::kActiveKey) {
+    schema_.record = {};
+    schema_.mod_revision = 0;
+    schema_.unreadable.clear();
+  } else if (key == schema::kOrdersKey) {
+    schema_.orders = {};
+    schema_.orders_revision = 0;
+    schema_.orders_unreadable = false;
   }
 }
 
 // A page of the roster as it is now: only what differs is news.
-void World::roster(int page, std::vector<wire::MachineRecord> now, std::vector<Change>& changes) {
+void StateCache::inventory(int page, std::vector<wire::MachineRecord> now, std::vector<Change>& changes) {
   std::vector<std::string> names;
   for (auto& m : now) {
     names.push_back(m.name);
@@ -323,4 +323,4 @@
   pages_[page] = std::move(names);
 }
 
-}  // namespace shunt::state
+}  // namespace shunttrail::state
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -12,7 +12,7 @@
 
 #include "wire/fields.h"
 
-namespace shunt::wire {
+namespace shunttrail::wire {
 namespace {
 
 const char* const kPriorityNames[] = {"critical", "high", "standard", "idle"};
@@ -21,7 +21,7 @@
   JobSpec s;
   s.id = text(j, "uid");
   if (!valid_job_id(s.id)) throw Malformed("uid is not a job id");
-  s.cls = text(j, "consist");
+  s.job_class = text(j, "consist");
   s.team = text(j, "crew");
   std::string kind = text(j, "haul");
   if (kind != "batch" && kind != "group" && kind != "service") throw Malformed("haul is unknown");
@@ -46,8 +46,8 @@
     for (const json& t : *v) s.types->push_back(as_text(t, "stock_types"));
   }
   if (const json* v = find(j, "yard")) s.zone = as_text(*v, "yard");
-  s.one_zone = flag(j, "same_place");
-  s.spread = flag(j, "scatter");
+  s.same_zone = flag(j, "same_place");
+  s.anti_affinity = flag(j, "scatter");
   s.spot = flag(j, "borrowed_stock");
   s.estimate_s = number(j, "run_s", 0);
   s.checkpoint_s = number(j, "milepost_s", 0);
@@ -60,16 +60,16 @@
       std::string name = as_text(a, "awaits");
       if (!valid_job_id(name)) throw Malformed("awaits holds what is not a job id");
       names.insert(std::move(name));
-      if (names.size() > kAwaitsMax) throw Malformed("awaits names too many jobs");
+      if (names.size() > kMaxDependencies) throw Malformed("awaits names too many jobs");
     }
-    s.awaits.assign(names.begin(), names.end());
+    s.dependencies.assign(names.begin(), names.end());
   }
   return s;
 }
 
 json job_json(const JobSpec& s) {
   json j = {{"uid", s.id},
-            {"consist", s.cls},
+            {"consist", s.job_class},
             {"crew", s.team},
             {"haul", s.service ? "service"
                      : s.gang  ? "group"
@@ -81,8 +81,8 @@
             {"mem_gb", s.mem_gb},
             {"manifest", s.image},
             {"size_gb", s.image_gb},
-            {"same_place", s.one_zone},
-            {"scatter", s.spread},
+            {"same_place", s.same_zone},
+            {"scatter", s.anti_affinity},
             {"borrowed_stock", s.spot},
             {"run_s", s.estimate_s},
             {"milepost_s", s.checkpoint_s},
@@ -126,7 +126,7 @@
 }
 std::string encode_job(const JobSpec& s) {
   json j = job_json(s);
-  if (!s.awaits.empty()) j["awaits"] = s.awaits;
+  if (!s.dependencies.empty()) j["awaits"] = s.dependencies;
   return j.dump();
 }
 
@@ -145,38 +145,38 @@
   return j.dump();
 }
 
-Report decode_report(std::string_view body) {
+Heartbeat decode_heartbeat(std::string_view body) {
   return guarded(body, [](const json& j) {
-    Report r;
+    Heartbeat r;
     r.machine = text(j, "engine");
     r.addr = text(j, "address");
     r.type = text(j, "stock");
     r.zone = text(j, "yard");
     r.spot = flag(j, "borrowed_stock");
-    r.session = whole(j, "shift");
-    r.seq = whole(j, "waybill");
+    r.incarnation = whole(j, "shift");
+    r.sequence = whole(j, "waybill");
     r.token = whole(j, "staff");
     if (const json* v = find(j, "recall_s")) r.notice_s = as_number(*v, "recall_s", -1e9);
     if (const json* v = find(j, "cars")) {
       if (!v->is_array()) throw Malformed("cars is not a list");
       for (const json& c : *v) {
-        TaskReport t;
+        TaskStatus t;
         t.task = task_id(text(c, "car"));
         t.attempt = whole(c, "departure");
         std::string s = text(c, "signal");
         int k = 0;
-        while (k < 4 && s != kRunNames[k]) ++k;
+        while (k < 4 && s != kTaskStateNames[k]) ++k;
         // A state this version has no word for is a task that is there.
-        t.state = k < 4 ? static_cast<RunState>(k) : RunState::running;
-        if (t.state == RunState::exited) {
-          static const std::map<std::string, Why> whys = {
-              {"done", Why::done},          {"stopped", Why::stopped}, {"error", Why::error},
-              {"full", Why::no_room},       {"in_use", Why::busy},     {"unknown", Why::unknown},
-              {"mates_gone", Why::stopped}, {"alone", Why::stopped}};
+        t.state = k < 4 ? static_cast<TaskState>(k) : TaskState::running;
+        if (t.state == TaskState::exited) {
+          static const std::map<std::string, ExitReason> whys = {
+              {"done", ExitReason::done},          {"stopped", ExitReason::stopped}, {"error", ExitReason::error},
+              {"full", ExitReason::no_room},       {"in_use", ExitReason::busy},     {"unknown", ExitReason::unknown},
+              {"mates_gone", ExitReason::stopped}, {"alone", ExitReason::stopped}};
           auto it = whys.find(text_or(c, "stop_cause", "error"));
-          t.why = it == whys.end() ? Why::error : it->second;
+          t.exit_reason = it == whys.end() ? ExitReason::error : it->second;
           const json* kept = find(c, "kept");
-          t.kept = kept && kept->is_boolean() && kept->get<bool>();
+          t.checkpointed = kept && kept->is_boolean() && kept->get<bool>();
         }
         r.tasks.push_back(std::move(t));
       }
@@ -186,7 +186,7 @@
 }
 
 namespace {
-json orders_json(const std::vector<Command>& commands) {
+json commands_json(const std::vector<Command>& commands) {
   json list = json::array();
   for (const Command& c : commands) {
     json o = {{"car", task_name(c.task)}, {"departure", c.attempt}};
@@ -198,7 +198,7 @@
         o["order"] = "halt";
         o["brake_s"] = c.grace_s;
         break;
-      case Command::Op::forget:
+      case Command::Op::acknowledge:
         o["order"] = "reap";
         break;
     }
@@ -208,12 +208,12 @@
 }
 }  // namespace
 
-std::string encode_orders(std::uint64_t token, const std::vector<Command>& commands) {
-  return json{{"staff", token}, {"orders", orders_json(commands)}}.dump();
+std::string encode_heartbeat_response(std::uint64_t token, const std::vector<Command>& commands) {
+  return json{{"staff", token}, {"orders", commands_json(commands)}}.dump();
 }
-std::string encode_direct(std::uint64_t token, std::uint64_t session,
+std::string encode_direct_commands(std::uint64_t token, std::uint64_t session,
                           const std::vector<Command>& commands) {
-  return json{{"staff", token}, {"shift", session}, {"orders", orders_json(commands)}}.dump();
+  return json{{"staff", token}, {"shift", session}, {"orders", commands_json(commands)}}.dump();
 }
 
 std::string encode_redirect(const std::string& node) {
@@ -282,13 +282,13 @@
   });
 }
 
-std::string encode_txn(const Txn& t) {
+std::string encode_transaction(const Transaction& t) {
   // Values are JSON text already: they are joined, not parsed once more.
   std::string s = "{\"guards\":[";
-  for (std::size_t i = 0; i < t.guards.size(); ++i) {
+  for (std::size_t i = 0; i < t.preconditions.size(); ++i) {
     if (i) s += ',';
-    s += "{\"k\":" + json(t.guards[i].first).dump() +
-         ",\"stamp\":" + std::to_string(t.guards[i].second) + "}";
+    s += "{\"k\":" + json(t.preconditions[i].first).dump() +
+         ",\"stamp\":" + std::to_string(t.preconditions[i].second) + "}";
   }
   s += "],\"writes\":[";
   for (std::size_t i = 0; i < t.ops.size(); ++i) {
@@ -352,7 +352,7 @@
       } else {
         ev.key = text(e, "drop");
       }
-      ev.stamp = whole(e, "stamp");
+      ev.mod_revision = whole(e, "stamp");
       w.events.push_back(std::move(ev));
     }
     return w;
@@ -384,7 +384,7 @@
   if (r.ready_at > 0) j["ready"] = r.ready_at;
   // What is awaited is kept without what all ids begin with: a value has little room.
   std::string needs;
-  for (const auto& a : r.spec.awaits) needs += (needs.empty() ? "" : " ") + a.substr(4);
+  for (const auto& a : r.spec.dependencies) needs += (needs.empty() ? "" : " ") + a.substr(4);
   if (!needs.empty()) j["needs"] = needs;
   return j.dump();
 }
@@ -396,8 +396,8 @@
       if (!v->is_string()) throw Malformed("needs is not a string");
       std::istringstream in(v->get<std::string>());
       for (std::string n; in >> n;) {
-        r.spec.awaits.push_back("run-" + n);
-        if (!valid_job_id(r.spec.awaits.back())) throw Malformed("needs holds a bad id");
+        r.spec.dependencies.push_back("run-" + n);
+        if (!valid_job_id(r.spec.dependencies.back())) throw Malformed("needs holds a bad id");
       }
     }
     return r;
@@ -407,7 +407,7 @@
 namespace {
 // When machines were rented, in whole seconds after the first of them, in the order of their names;
 // null where it is not known.
-json ages_json(const RosterRecord& r, const json& machines) {
+json ages_json(const InventoryPageRecord& r, const json& machines) {
   std::map<std::string, double> at;
   double base = 0;
   for (const auto& m : r.machines) {
@@ -427,7 +427,7 @@
 }
 }  // namespace
 
-std::string encode_record(const RosterRecord& r) {
+std::string encode_record(const InventoryPageRecord& r) {
   json machines = json::object();
   for (const auto& m : r.machines)
     machines[m.name] = json::array({m.type, m.zone, m.spot ? 1 : 0, m.shard, m.token});
@@ -436,9 +436,9 @@
   out["m"] = std::move(machines);
   return out.dump();
 }
-RosterRecord decode_roster(const Event& e) {
+InventoryPageRecord decode_inventory_page(const Event& e) {
   return of_value(e, [](const json& j) {
-    RosterRecord r;
+    InventoryPageRecord r;
     r.tag = text_or(j, "w", "");
     const json& machines = need(j, "m");
     if (!machines.is_object()) throw Malformed("m is not an object");
@@ -466,11 +466,11 @@
 }
 
 // Machines are named once and referred to by position; attempts are counted from the lowest.
-std::string encode_record(const SheetRecord& r, const TeamName& names) {
+std::string encode_record(const PlacementPageRecord& r, const TeamName& names) {
   std::uint64_t base = 0;
   bool any = false;
   for (const auto& g : r.jobs)
-    for (const auto& p : g.places) {
+    for (const auto& p : g.placements) {
       base = any ? std::min(base, p.attempt) : p.attempt;
       any = true;
     }
@@ -478,7 +478,7 @@
   std::unordered_map<std::string, std::size_t> position;
   for (const auto& g : r.jobs) {
     json places = json::array(), done = json::object();
-    for (const auto& p : g.places) {
+    for (const auto& p : g.placements) {
       auto [it, fresh] = position.try_emplace(p.machine, position.size());
       if (fresh) machines.push_back(p.machine);
       places.push_back(it->second);
@@ -498,9 +498,9 @@
   }
   return json{{"w", r.tag}, {"b", base}, {"m", std::move(machines)}, {"j", std::move(jobs)}}.dump();
 }
-SheetRecord decode_sheet(const Event& e, const TeamIndex& index) {
+PlacementPageRecord decode_placement_page(const Event& e, const TeamIndex& index) {
   return of_value(e, [&](const json& j) {
-    SheetRecord r;
+    PlacementPageRecord r;
     r.tag = text_or(j, "w", "");
     std::uint64_t base = whole(j, "b");
     const json& machines = list(j, "m");
@@ -508,7 +508,7 @@
     if (!jobs.is_object()) throw Malformed("j is not an object");
     for (auto it = jobs.begin(); it != jobs.end(); ++it) {
       const json& g = it.value();
-      SheetJob out;
+      JobPlacements out;
       out.job = it.key();
       out.team = index(text(g, "t"));
       out.cpus = number(g, "c", 0);
@@ -520,7 +520,7 @@
           auto m = as_whole((*l)[i], "l");
           auto task = as_whole((*l)[i + 1], "l");
           if (m >= machines.size() || task > 100000) throw Malformed("a placement is bad");
-          out.places.push_back({as_text(machines[m], "m"), static_cast<std::uint32_t>(task),
+          out.placements.push_back({as_text(machines[m], "m"), static_cast<std::uint32_t>(task),
                                 base + as_whole((*l)[i + 2], "l")});
         }
       }
@@ -545,18 +545,18 @@
     return r;
   });
 }
-std::string encode_record(const FinalRecord& r) {
+std::string encode_record(const JobResultRecord& r) {
   json j = {
       {"s", r.cancelled ? "cancelled" : "done"}, {"n", r.tasks}, {"team", r.team}, {"w", r.tag}};
   if (r.service) j["svc"] = 1;
   return j.dump();
 }
-FinalRecord cancelled_record(const JobSpec& s, const std::string& tag) {
+JobResultRecord cancelled_record(const JobSpec& s, const std::string& tag) {
   return {true, s.tasks, s.team, tag, s.service};
 }
-FinalRecord decode_final_record(std::string_view body) {
+JobResultRecord decode_job_result(std::string_view body) {
   return guarded(body, [](const json& j) {
-    FinalRecord r;
+    JobResultRecord r;
     r.cancelled = text(j, "s") == "cancelled";
     r.tasks = static_cast<std::uint32_t>(whole(j, "n"));
     r.team = text_or(j, "team", "");
@@ -565,12 +565,12 @@
     return r;
   });
 }
-std::string encode_record(const OwnerRecord& r) {
+std::string encode_record(const LeaderRecord& r) {
   return json{{"node", r.node}, {"w", r.tag}}.dump();
 }
-OwnerRecord decode_owner_record(const Event& e) {
+LeaderRecord decode_leader_record(const Event& e) {
   return of_value(e, [](const json& j) {
-    return OwnerRecord{text(j, "node"), text_or(j, "w", "")};
+    return LeaderRecord{text(j, "node"), text_or(j, "w", "")};
   });
 }
 
@@ -586,4 +586,4 @@
   return l;
 }
 
-}  // namespace shunt::wire
+}  // namespace shunttrail::wire
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -8,7 +8,7 @@
 
 #include "wire/types.h"
 
-namespace shunt::wire {
+namespace shunttrail::wire {
 
 struct Malformed : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -16,7 +16,7 @@
 
 bool valid_job_id(std::string_view id);
 // A submission names no more jobs than this: its record has to fit one value.
-inline constexpr std::size_t kAwaitsMax = 128;
+inline constexpr std::size_t kMaxDependencies = 128;
 
 // Users
 JobSpec decode_job(std::string_view body);
@@ -27,10 +27,10 @@
 const char* state_name(JobState s);
 
 // Workers
-Report decode_report(std::string_view body);
-std::string encode_orders(std::uint64_t token, const std::vector<Command>& commands);
+Heartbeat decode_heartbeat(std::string_view body);
+std::string encode_heartbeat_response(std::uint64_t token, const std::vector<Command>& commands);
 // Straight to a worker: the session must match as well.
-std::string encode_direct(std::uint64_t token, std::uint64_t session,
+std::string encode_direct_commands(std::uint64_t token, std::uint64_t session,
                           const std::vector<Command>& commands);
 std::string encode_redirect(const std::string& node);
 
@@ -44,7 +44,7 @@
 std::string machines_path(const std::string& after);
 
 // State service
-std::string encode_txn(const Txn& t);
+std::string encode_transaction(const Transaction& t);
 std::uint64_t decode_revision(std::string_view body);  // a commit's answer
 std::vector<std::string> decode_failed(std::string_view body);
 bool lease_missing(std::string_view body);
@@ -62,16 +62,16 @@
 // A team travels by name; the index is made at the door.
 using TeamIndex = std::function<int(const std::string&)>;
 using TeamName = std::function<std::string(int)>;
-std::string encode_record(const RosterRecord& r);
-RosterRecord decode_roster(const Event& e);
-std::string encode_record(const SheetRecord& r, const TeamName& names);
-SheetRecord decode_sheet(const Event& e, const TeamIndex& index);
-std::string encode_record(const FinalRecord& r);
-FinalRecord cancelled_record(const JobSpec& s, const std::string& tag);
-FinalRecord decode_final_record(std::string_view text);
-std::string encode_record(const OwnerRecord& r);
-OwnerRecord decode_owner_record(const Event& e);
+std::string encode_record(const InventoryPageRecord& r);
+InventoryPageRecord decode_inventory_page(const Event& e);
+std::string encode_record(const PlacementPageRecord& r, const TeamName& names);
+PlacementPageRecord decode_placement_page(const Event& e, const TeamIndex& index);
+std::string encode_record(const JobResultRecord& r);
+JobResultRecord cancelled_record(const JobSpec& s, const std::string& tag);
+JobResultRecord decode_job_result(std::string_view text);
+std::string encode_record(const LeaderRecord& r);
+LeaderRecord decode_leader_record(const Event& e);
 // Finished tasks of one chunk as intervals relative to its start.
 Intervals intervals(const std::vector<bool>& bits);
 
-}  // namespace shunt::wire
+}  // namespace shunttrail::wire
--- a/src/wire/fields.h
+++ b/src/wire/fields.h
@@ -8,7 +8,7 @@
 
 #include "wire/codec.h"
 
-namespace shunt::wire {
+namespace shunttrail::wire {
 
 using nlohmann::json;
 
@@ -103,7 +103,7 @@
   return t;
 }
 
-inline constexpr const char* const kRunNames[] = {"pulling", "running", "flushing", "exited"};
+inline constexpr const char* const kTaskStateNames[] = {"pulling", "running", "flushing", "exited"};
 
 // A decoder's errors are Malformed and nothing else, whatever the JSON library throws.
 template <class F>
@@ -128,4 +128,4 @@
   }
 }
 
-}  // namespace shunt::wire
+}  // namespace shunttrail::wire
--- a/src/wire/types.h
+++ b/src/wire/types.h
@@ -7,13 +7,13 @@
 #include <utility>
 #include <vector>
 
-namespace shunt::wire {
+namespace shunttrail::wire {
 
 enum class Priority : std::uint8_t { critical, high, standard, idle };
 inline constexpr int kPriorities = 4;
 
 struct JobSpec {
-  std::string id, cls, team, image;
+  std::string id, job_class, team, image;
   // A gang's tasks run together or not at all; the rest of an array's rules hold for it.
   bool service = false, gang = false;
   Priority priority = Priority::standard;
@@ -21,10 +21,10 @@
   double cpus = 0, gpus = 0, mem_gb = 0, image_gb = 0;
   std::optional<std::vector<std::string>> types;
   std::optional<std::string> zone;
-  bool one_zone = false, spread = false, spot = false;
+  bool same_zone = false, anti_affinity = false, spot = false;
   double estimate_s = 0, checkpoint_s = 0, save_s = 0;
   std::optional<double> deadline_s;
-  std::vector<std::string> awaits;  // jobs that have to be done before any task of this one starts
+  std::vector<std::string> dependencies;  // jobs that have to be done before any task of this one starts
 };
 
 enum class JobState { queued, running, done, cancelled };
@@ -34,27 +34,27 @@
   std::uint32_t index = 0;
 };
 
-enum class RunState : std::uint8_t { fetching, running, saving, exited };
-enum class Why : std::uint8_t { none, done, stopped, error, no_room, busy, unknown };
+enum class TaskState : std::uint8_t { fetching, running, saving, exited };
+enum class ExitReason : std::uint8_t { none, done, stopped, error, no_room, busy, unknown };
 
-struct TaskReport {
+struct TaskStatus {
   TaskId task;
   std::uint64_t attempt = 0;
-  RunState state = RunState::fetching;
-  Why why = Why::none;
-  bool kept = false;  // stopped, and its progress was saved
+  TaskState state = TaskState::fetching;
+  ExitReason exit_reason = ExitReason::none;
+  bool checkpointed = false;  // stopped, and its progress was saved
 };
 
-struct Report {
+struct Heartbeat {
   std::string machine, addr, type, zone;
   bool spot = false;
-  std::uint64_t session = 0, seq = 0, token = 0;
+  std::uint64_t incarnation = 0, sequence = 0, token = 0;
   std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
 };
 
 struct Command {
-  enum class Op : std::uint8_t { start, stop, forget };
+  enum class Op : std::uint8_t { start, stop, acknowledge };
   Op op = Op::start;
   TaskId task;
   std::uint64_t attempt = 0;
@@ -83,7 +83,7 @@
 struct Event {
   std::string key;
   std::optional<std::string> value;
-  std::uint64_t stamp = 0;
+  std::uint64_t mod_revision = 0;
   std::shared_ptr<const void> parsed = nullptr;
   bool set() const { return value.has_value() || parsed; }
 };
@@ -97,13 +97,13 @@
   bool more = false;
 };
 
-struct Txn {
+struct Transaction {
   struct Op {
     std::string key;
     std::optional<std::string> value;  // none: drop
     std::uint64_t lease = 0;           // 0: not attached
   };
-  std::vector<std::pair<std::string, std::uint64_t>> guards;
+  std::vector<std::pair<std::string, std::uint64_t>> preconditions;
   std::vector<Op> ops;
 };
 
@@ -123,15 +123,15 @@
   friend bool operator==(const MachineRecord&, const MachineRecord&) = default;
 };
 // Many machines share a key: a fleet's start must not cost a change a machine.
-struct RosterRecord {
+struct InventoryPageRecord {
   std::string tag;  // names the transaction that wrote it
   std::vector<MachineRecord> machines;
   int form = 0;  // the state level whose form it has: 0, or 1 (it tells when machines were rented)
 };
 // Where a job's tasks may run, and which of its tasks are done, as [first,last] by chunk.
 using Intervals = std::vector<std::pair<std::uint32_t, std::uint32_t>>;
-struct SheetJob {
-  struct Place {
+struct JobPlacements {
+  struct PersistedPlacement {
     std::string machine;
     std::uint32_t task = 0;
     std::uint64_t attempt = 0;
@@ -139,23 +139,23 @@
   std::string job;
   int team = -1;  // dense index by name at the door
   double cpus = 0, gpus = 0, mem_gb = 0;
-  std::vector<Place> places;
+  std::vector<PersistedPlacement> placements;
   std::vector<std::pair<std::uint32_t, Intervals>> done;
 };
 // A sheet holds placements on many machines, so that many starts share one change.
-struct SheetRecord {
+struct PlacementPageRecord {
   std::string tag;
-  std::vector<SheetJob> jobs;
+  std::vector<JobPlacements> jobs;
 };
-struct FinalRecord {
+struct JobResultRecord {
   bool cancelled = false;
   std::uint32_t tasks = 0;
   std::string team, tag;
   bool service = false;  // not told by versions that knew no job that awaits others
 };
-struct OwnerRecord {
+struct LeaderRecord {
   std::string node;
   std::string tag;
 };
 
-}  // namespace shunt::wire
+}  // namespace shunttrail::wire
--- a/tests/agent_attempt_table_test.cpp
+++ b/tests/agent_attempt_table_test.cpp
@@ -24,7 +24,7 @@
 #include "client_protocol/job_description.h"
 #include "client_protocol/client_protocol.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 namespace fs = std::filesystem;
 using agent::Book;
@@ -32,8 +32,8 @@
 using agent::Key;
 using agent::Phase;
 using wire::Command;
-using wire::RunState;
-using wire::Why;
+using wire::TaskState;
+using wire::ExitReason;
 
 struct TempDir {
   fs::path path;
@@ -53,7 +53,7 @@
 struct Model {
   struct Held {
     bool exited = false, launched = false, ended = false;
-    Why why = Why::none;
+    Why why = ExitReason::none;
   };
   std::map<std::uint64_t, Held> held;
   std::uint64_t reaped = 0;
@@ -62,13 +62,13 @@
     if (held.contains(n) || n <= reaped) return;
     if (!held.empty() && held.rbegin()->first > n) return;
     bool busy = std::any_of(held.begin(), held.end(), [](auto& h) { return !h.second.exited; });
-    held[n] = busy ? Held{true, false, false, Why::busy} : Held{};
+    held[n] = busy ? Held{true, false, false, ExitReason::busy} : Held{};
   }
   void halt(std::uint64_t n) {
     auto it = held.find(n);
     if (it == held.end() || it->second.exited || (it->second.launched && !it->second.ended)) return;
     it->second.exited = true;
-    it->second.why = Why::stopped;
+    it->second.why = ExitReason::stopped;
   }
   void reap(std::uint64_t n) {
     auto it = held.find(n);
@@ -105,12 +105,12 @@
         next.launched(key(n));
         h.launched = true;
       } else if (!h.ended) {
-        next.ended(key(n), Why::done, false);
+        next.ended(key(n), ExitReason::done, false);
         h.ended = true;
       } else {
-        next.exited(key(n), Why::done);
+        next.exited(key(n), ExitReason::done);
         h.exited = true;
-        h.why = Why::done;
+        h.why = ExitReason::done;
       }
     } else if (what == 5) {
       next.token += n;
@@ -132,9 +132,9 @@
     for (const auto& t : book.tasks()) {
       there.insert(t.attempt);
       const auto& h = model.held.at(t.attempt);
-      RC_ASSERT((t.state == RunState::exited) == h.exited);
+      RC_ASSERT((t.state == TaskState::exited) == h.exited);
       if (h.exited) RC_ASSERT(t.why == h.why);
-      on += t.state != RunState::exited;
+      on += t.state != TaskState::exited;
     }
     RC_ASSERT(there.size() == model.held.size());
     RC_ASSERT(on <= 1);  // two attempts of a task are never on the machine together
@@ -184,9 +184,9 @@
   ASSERT_EQ(first.size(), 1u);
   EXPECT_EQ(first[0].kind, Effect::Kind::fetch);
   b.launched(kA);
-  b.ended(kA, Why::done, false);
-  EXPECT_EQ(b.tasks()[0].state, RunState::running);  // its result is not safe yet
-  b.exited(kA, Why::done);
+  b.ended(kA, ExitReason::done, false);
+  EXPECT_EQ(b.tasks()[0].state, TaskState::running);  // its result is not safe yet
+  b.exited(kA, ExitReason::done);
   b.obey({make(Command::Op::forget, kA)});
   std::vector<std::string> refused;
   EXPECT_TRUE(b.obey({make(Command::Op::start, kA)}, &refused).empty());
@@ -208,7 +208,7 @@
   auto e = b.obey({make(Command::Op::stop, kA, 4)});
   ASSERT_EQ(e.size(), 1u);
   EXPECT_EQ(e[0].kind, Effect::Kind::save);
-  EXPECT_EQ(b.tasks()[0].state, RunState::saving);
+  EXPECT_EQ(b.tasks()[0].state, TaskState::saving);
   EXPECT_TRUE(b.obey({make(Command::Op::stop, kA, 10)}).empty());
   EXPECT_EQ(b.obey({make(Command::Op::stop, kA, 0)})[0].kind, Effect::Kind::kill);
   EXPECT_TRUE(b.obey({make(Command::Op::forget, kA)}).empty());  // not exited: it stays
@@ -222,7 +222,7 @@
   b.obey({make(Command::Op::start, kA), make(Command::Op::start, other)});
   EXPECT_TRUE(b.described(kA, {3, 0, 1}, false, 0, machine));
   EXPECT_FALSE(b.described(other, {2, 0, 1}, false, 0, machine));
-  EXPECT_EQ(b.attempts.at(other).why, Why::no_room);
+  EXPECT_EQ(b.attempts.at(other).why, ExitReason::no_room);
   b.token = 5;
   EXPECT_TRUE(b.obeys(5));
   EXPECT_TRUE(b.obeys(6));
@@ -319,7 +319,7 @@
   if (*rc::gen::arbitrary<bool>()) r.notice_s = *rc::gen::inRange(0, 1000);
   for (int n = *rc::gen::inRange(0, 8); n > 0; --n) {
     auto state = static_cast<RunState>(*rc::gen::inRange(0, 4));
-    auto why = state == RunState::exited ? static_cast<Why>(*rc::gen::inRange(1, 7)) : Why::none;
+    auto why = state == TaskState::exited ? static_cast<Why>(*rc::gen::inRange(1, 7)) : ExitReason::none;
     r.tasks.push_back({{"run-" + std::to_string(100000 + n), static_cast<std::uint32_t>(n)},
                        *rc::gen::arbitrary<std::uint64_t>(),
                        state,
@@ -467,4 +467,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -5,7 +5,7 @@
 #include "agent_rig.h"
 #include "artifacts/archive.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 class KillPoint : public testing::TestWithParam<const char*> {};
@@ -146,7 +146,7 @@
   ASSERT_TRUE(rig.until_logged("forked"));
   rig.tasks[id].cancelled = true;
   ASSERT_TRUE(rig.until([&] { return rig.tasks[id].failed == 1; }));
-  EXPECT_EQ(rig.tasks[id].why, std::to_string(static_cast<int>(wire::Why::stopped)));
+  EXPECT_EQ(rig.tasks[id].why, std::to_string(static_cast<int>(wire::ExitReason::stopped)));
   EXPECT_TRUE(rig.nothing_left_of(id));
 }
 
@@ -177,7 +177,7 @@
   ASSERT_TRUE(rig.until_logged("ready"));
   rig.tasks[id].cancelled = true;
   ASSERT_TRUE(rig.until([&] { return rig.tasks[id].failed == 1; }));
-  EXPECT_EQ(rig.tasks[id].why, std::to_string(static_cast<int>(wire::Why::stopped)) + "kept");
+  EXPECT_EQ(rig.tasks[id].why, std::to_string(static_cast<int>(wire::ExitReason::stopped)) + "kept");
   rig.tasks[id].cancelled = false;
   ASSERT_TRUE(rig.until_done(id)) << depot::read_whole(rig.dir / "agent.log");
   EXPECT_EQ(rig.logged("from 0"), 1);
@@ -268,7 +268,7 @@
   int before = rig.reports;
   ASSERT_TRUE(rig.until([&] { return rig.reports > before + 2; }));
   EXPECT_EQ(rig.tasks[id].done, 0);  // its result is not safe
-  EXPECT_EQ(rig.last.tasks.at(0).state, wire::RunState::running);
+  EXPECT_EQ(rig.last.tasks.at(0).state, wire::TaskState::running);
   rig.open_depot();
   ASSERT_TRUE(rig.until_done(id));
   auto r = far::decode_result(
@@ -374,7 +374,7 @@
   // Nobody has described that job: refused as unknown, and the token of the answers is too low now.
   ASSERT_TRUE(rig.until([&] {
     auto s = rig.status();
-    return s.tasks.size() == 1 && s.tasks[0].why == wire::Why::unknown;
+    return s.tasks.size() == 1 && s.tasks[0].why == wire::ExitReason::unknown;
   }));
   std::uint64_t seq = rig.status().seq;
   EXPECT_GT(rig.status().seq, seq);
@@ -405,4 +405,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/agent_rig.h
+++ b/tests/agent_rig.h
@@ -22,7 +22,7 @@
 #include "client_protocol/client_protocol.h"
 #include "net/http.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace fs = std::filesystem;
 
 // Below the range that the system takes for its own connections, and elsewhere for each process: a
@@ -192,7 +192,7 @@
     std::vector<wire::Command> commands;
     std::map<std::string, wire::TaskReport> there;
     for (const auto& t : last.tasks) {
-      if (t.state == wire::RunState::exited)
+      if (t.state == wire::TaskState::exited)
         commands.push_back({wire::Command::Op::forget, t.task, t.attempt, 0});
       Task& w = tasks[t.task.job];
       if (t.attempt == w.attempt && w.sent) there[t.task.job] = t;
@@ -204,9 +204,9 @@
         w.sent = false;
       }
       auto it = there.find(id);
-      if (it != there.end() && it->second.state == wire::RunState::exited) {
+      if (it != there.end() && it->second.state == wire::TaskState::exited) {
         w.why = std::to_string(static_cast<int>(it->second.why)) + (it->second.kept ? "kept" : "");
-        if (it->second.why == wire::Why::done) {
+        if (it->second.why == wire::ExitReason::done) {
           ++w.done;
           w.wanted = false;
         } else {
@@ -233,4 +233,4 @@
   std::unique_ptr<net::Server> controller_;
 };
 
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/chain_test.cpp
+++ b/tests/chain_test.cpp
@@ -5,7 +5,7 @@
 
 #include "chain/walk.h"
 
-namespace shunt::chain {
+namespace shunttrail::chain {
 namespace {
 
 Bandit* learner() {
@@ -191,4 +191,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::chain
+}  // namespace shunttrail::chain
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -10,7 +10,7 @@
 #include "jobs/job.h"
 #include "peer/peer.h"
 
-namespace shunt::wire {
+namespace shunttrail::wire {
 namespace {
 
 const std::string kGood =
@@ -221,8 +221,8 @@
   EXPECT_EQ(t.cpus_max, 8);
   EXPECT_TRUE(std::isinf(t.gpus_max));
   // No limit is more than any sum, and sums with it stay whole.
-  const auto most = jobs::Amount::of(t.gpus_max, t.gpus_max, 0);
-  EXPECT_GT(most.cpus, (jobs::Amount::of(1e9, 0, 0) + jobs::Amount::of(1e9, 0, 0)).cpus);
+  const auto most = jobs::Resources::of(t.gpus_max, t.gpus_max, 0);
+  EXPECT_GT(most.cpus, (jobs::Resources::of(1e9, 0, 0) + jobs::Resources::of(1e9, 0, 0)).cpus);
   EXPECT_EQ(message(R"("cpus":4,"cpus_max":3,"gpus":0,"gpus_max":0)"),
             "cluster.teams[0].cpus_max: is below the guarantee");
   EXPECT_EQ(message(R"("cpus":4,"cpus_max":4,"gpus":2,"gpus_max":1)"),
@@ -250,4 +250,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::wire
+}  // namespace shunttrail::wire
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -6,7 +6,7 @@
 
 #include "emulators.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 using jobs::Pipelines;
@@ -241,4 +241,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/emulators.h
+++ b/tests/emulators.h
@@ -13,7 +13,7 @@
 #include "scheduler/shard_scheduler.h"
 #include "state/state_cache.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 
 inline config::Settings make_settings(int nodes = 2) {
   config::Settings s;
@@ -148,17 +148,17 @@
       if (c.op == wire::Command::Op::start && it == tasks.end()) {
         bool busy = std::any_of(tasks.begin(), tasks.end(), [&](const Task& k) {
           return k.id.job == c.task.job && k.id.index == c.task.index &&
-                 k.state != wire::RunState::exited;
+                 k.state != wire::TaskState::exited;
         });
         double run = 2 + static_cast<double>(rng() % 400) / 10.0;
-        tasks.push_back({c.task, c.attempt, busy ? wire::RunState::exited : wire::RunState::running,
-                         busy ? wire::Why::busy : wire::Why::none, now + run});
+        tasks.push_back({c.task, c.attempt, busy ? wire::TaskState::exited : wire::TaskState::running,
+                         busy ? wire::ExitReason::busy : wire::ExitReason::none, now + run});
       } else if (c.op == wire::Command::Op::stop && it != tasks.end() &&
-                 it->state != wire::RunState::exited) {
-        it->state = wire::RunState::exited;
-        it->why = wire::Why::stopped;
+                 it->state != wire::TaskState::exited) {
+        it->state = wire::TaskState::exited;
+        it->why = wire::ExitReason::stopped;
       } else if (c.op == wire::Command::Op::forget && it != tasks.end() &&
-                 it->state == wire::RunState::exited) {
+                 it->state == wire::TaskState::exited) {
         tasks.erase(it);
       }
     }
@@ -166,4 +166,4 @@
   }
 };
 
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -11,7 +11,7 @@
 
 #include "simulation/simulated_cluster.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 
 using rehearsal::Scale;
 using rehearsal::Set;
@@ -381,4 +381,4 @@
   ::testing::Test::RecordProperty("on_machine_after_cancel_s", std::to_string(latest.on_machine));
 }
 
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -13,7 +13,7 @@
 #include "schema/schema.h"
 #include "fault_combinations.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 using nlohmann::json;
@@ -682,4 +682,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/fault_combinations_cancel_test.cpp
+++ b/tests/fault_combinations_cancel_test.cpp
@@ -5,7 +5,7 @@
 
 #include "fault_combinations.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 // A start sent directly is held on its way while its job is cancelled and the worker goes on
@@ -112,4 +112,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/fault_combinations_emulators_test.cpp
+++ b/tests/fault_combinations_emulators_test.cpp
@@ -13,14 +13,14 @@
 #include "emulators/worker.h"
 #include "wire/codec.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 using rehearsal::Host;
 using rehearsal::Simulation;
 using standins::Worker;
 using wire::Command;
-using wire::RunState;
+using wire::TaskState;
 
 // One worker, a controller that answers its reports 200 without commands while `answers`, and
 // whoever sends it direct orders.
@@ -63,7 +63,7 @@
   }
   void pass(double s) { sim.run_until(sim.now() + s); }
   RunState state() const {
-    return worker->tasks().empty() ? RunState::exited : worker->tasks().front().state;
+    return worker->tasks().empty() ? TaskState::exited : worker->tasks().front().state;
   }
 };
 
@@ -71,14 +71,14 @@
   Bench b;
   b.order("start");
   b.pass(2);
-  ASSERT_EQ(b.state(), RunState::running);
+  ASSERT_EQ(b.state(), TaskState::running);
   b.order("halt", 6);
   b.pass(5.9);
-  EXPECT_EQ(b.state(), RunState::saving);
+  EXPECT_EQ(b.state(), TaskState::saving);
   b.pass(0.2);
-  ASSERT_EQ(b.state(), RunState::exited);
+  ASSERT_EQ(b.state(), TaskState::exited);
   EXPECT_TRUE(b.worker->tasks().front().kept);
-  EXPECT_EQ(b.worker->tasks().front().why, wire::Why::stopped);
+  EXPECT_EQ(b.worker->tasks().front().why, wire::ExitReason::stopped);
 }
 
 TEST(StandInWorker, EndsAtOnceWithoutTimeOrWithoutCheckpoints) {
@@ -89,7 +89,7 @@
     b.pass(2);
     b.order("halt", checkpoints ? 5.9 : 60);
     b.pass(0.1);
-    ASSERT_EQ(b.state(), RunState::exited);
+    ASSERT_EQ(b.state(), TaskState::exited);
     EXPECT_FALSE(b.worker->tasks().front().kept);
   }
 }
@@ -104,9 +104,9 @@
     b.pass(4);
     b.order("halt", second);
     b.pass(0.1);
-    EXPECT_EQ(b.state(), second > 0 ? RunState::saving : RunState::exited) << second;
+    EXPECT_EQ(b.state(), second > 0 ? TaskState::saving : TaskState::exited) << second;
     b.pass(2);
-    ASSERT_EQ(b.state(), RunState::exited) << second;
+    ASSERT_EQ(b.state(), TaskState::exited) << second;
     EXPECT_EQ(b.worker->tasks().front().kept, second > 0) << second;
   }
 }
@@ -194,4 +194,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/fault_combinations_held_test.cpp
+++ b/tests/fault_combinations_held_test.cpp
@@ -6,7 +6,7 @@
 
 #include "fault_combinations.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 // A start that is sent straight to a machine as it begins to hang, and whose job is cancelled at
@@ -88,4 +88,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/fault_combinations_limits_test.cpp
+++ b/tests/fault_combinations_limits_test.cpp
@@ -8,7 +8,7 @@
 
 #include "fault_combinations.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 const char* const kTeam[] = {"red", "blue", "green", "white"};
@@ -581,4 +581,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/fault_combinations_state_test.cpp
+++ b/tests/fault_combinations_state_test.cpp
@@ -5,7 +5,7 @@
 #include "controller/state_store.h"
 #include "simulation/simulation.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 // A state service whose pages come slowly, and which answers nothing but them.
@@ -59,4 +59,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -8,7 +8,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 const bool quiet = [] {
@@ -243,4 +243,4 @@
 INSTANTIATE_TEST_SUITE_P(Troubles, Drawn, ::testing::Range(0u, 4u));
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -9,7 +9,7 @@
 #include "jobs/dependency_graph.h"
 #include "emulators.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 struct Node {
@@ -365,10 +365,10 @@
     for (auto& w : workers_) {
       w.lease(now_, s_.lease_s);
       for (auto& t : w.tasks)
-        if (t.state != wire::RunState::exited && t.ends <= now_) {
-          t.state = wire::RunState::exited;
-          t.why = (rng_() % 10) ? wire::Why::done : wire::Why::error;
-          if (t.why == wire::Why::done)
+        if (t.state != wire::TaskState::exited && t.ends <= now_) {
+          t.state = wire::TaskState::exited;
+          t.why = (rng_() % 10) ? wire::ExitReason::done : wire::ExitReason::error;
+          if (t.why == wire::ExitReason::done)
             done_truly_.insert(t.id.job + "/" + std::to_string(t.id.index));
         }
     }
@@ -407,7 +407,7 @@
     std::map<std::string, std::map<std::string, int>> zones;
     for (const auto& w : workers_)
       for (const auto& t : w.tasks) {
-        if (t.state == wire::RunState::exited) continue;
+        if (t.state == wire::TaskState::exited) continue;
         std::string name = t.id.job + "/" + std::to_string(t.id.index);
         ASSERT_EQ(++where[name], 1) << "ran_twice: " << name << " at " << now_;
         cpus += specs_[t.id.job].cpus;
@@ -491,4 +491,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/local_cluster_test.cpp
+++ b/tests/local_cluster_test.cpp
@@ -17,7 +17,7 @@
 #include "cli/service_client.h"
 #include "local_cluster/settings.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 namespace fs = std::filesystem;
 
@@ -168,7 +168,7 @@
   set.start();
   ASSERT_EQ(set.ctl("submit --wait -- true").first, 0);
   std::ifstream in(set.dir / "set" / "controllers" / "node-0.json");
-  ctl::Service state(nlohmann::json::parse(in)["services"]["state"].get<std::string>());
+  cli::Service state(nlohmann::json::parse(in)["services"]["state"].get<std::string>());
   auto level = [&](int n) {
     const std::string text = std::to_string(n);
     state.order("/commit", R"({"guards":[],"writes":[{"set":"st/l/active","value":{"level":)" +
@@ -264,4 +264,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -12,7 +12,7 @@
 
 #include "actor/loop.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 
 // A port that was free a moment ago.
 inline std::uint16_t free_port() {
@@ -36,4 +36,4 @@
   return over();
 }
 
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -12,7 +12,7 @@
 #include "loopback.h"
 #include "net/pool.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 struct Echo {
@@ -163,4 +163,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/pbs_test.cpp
+++ b/tests/pbs_test.cpp
@@ -10,7 +10,7 @@
 #include "pbs/job.h"
 #include "wire/codec.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 using namespace pbs;
 
@@ -299,4 +299,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -13,7 +13,7 @@
 #include "peer/peer.h"
 #include "emulators.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 using links::Detours;
@@ -314,4 +314,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -3,7 +3,7 @@
 
 #include "scheduler_fixture.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 constexpr double kBegin = 240;  // the largest begin within this
@@ -109,10 +109,10 @@
   // Both replicas run, one of them elsewhere than before.
   std::map<std::string, int> live;
   for (const auto& [name, k] : d.workers)
-    for (const auto& task : k.tasks) live[task.id.job] += task.state == RunState::running;
+    for (const auto& task : k.tasks) live[task.id.job] += task.state == TaskState::running;
   EXPECT_EQ(live[one.spec.id], 1);
   EXPECT_EQ(live[other.spec.id], 1);
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -10,7 +10,7 @@
 #include "shard/leader_election.h"
 #include "emulators.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 constexpr int kNodes = 3;
@@ -335,4 +335,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -2,10 +2,10 @@
 #pragma once
 #include "emulators.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 
 using wire::Command;
-using wire::RunState;
+using wire::TaskState;
 
 class Site {
  public:
@@ -100,14 +100,14 @@
   std::size_t on(const std::string& name) {
     auto& tasks = workers.at(name).tasks;
     return static_cast<std::size_t>(std::count_if(
-        tasks.begin(), tasks.end(), [](const auto& k) { return k.state != RunState::exited; }));
+        tasks.begin(), tasks.end(), [](const auto& k) { return k.state != TaskState::exited; }));
   }
   // A task of the job is on some machine, or has been.
   bool begun(const std::string& job) {
     if (!w.job(job)) return true;  // it is over
     for (const auto& [name, k] : workers)
       for (const auto& task : k.tasks)
-        if (task.id.job == job && task.why != wire::Why::busy) return true;
+        if (task.id.job == job && task.why != wire::ExitReason::busy) return true;
     return false;
   }
   // A second in which tasks end by themselves, all machines report, and the cloud has none to give.
@@ -115,8 +115,8 @@
     for (auto& [name, k] : workers)
       for (auto& task : k.tasks) {
         const auto* j = w.job(task.id.job);
-        if (task.state == RunState::running && task.ends <= now && !(j && j->record.spec.service))
-          task.state = RunState::exited, task.why = wire::Why::done;
+        if (task.state == TaskState::running && task.ends <= now && !(j && j->record.spec.service))
+          task.state = TaskState::exited, task.why = wire::ExitReason::done;
       }
     all_report(now);
     desk->tick(now);
@@ -125,7 +125,7 @@
   }
   void end(const std::string& name, const std::string& job) {
     for (auto& k : workers.at(name).tasks)
-      if (k.id.job == job) k.state = RunState::exited, k.why = wire::Why::done;
+      if (k.id.job == job) k.state = TaskState::exited, k.why = wire::ExitReason::done;
   }
   // Each is asked; the dead do not answer.
   std::size_t probe(double now, const std::set<std::string>& dead) {
@@ -135,4 +135,4 @@
   }
 };
 
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -5,7 +5,7 @@
 
 #include "emulators.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 class Fleet {
@@ -96,9 +96,9 @@
     for (auto& w : workers_) {
       w.lease(now_, s_.lease_s);
       for (auto& t : w.tasks)
-        if (t.state != wire::RunState::exited && t.ends <= now_) {
-          t.state = wire::RunState::exited;
-          t.why = wire::Why::done;
+        if (t.state != wire::TaskState::exited && t.ends <= now_) {
+          t.state = wire::TaskState::exited;
+          t.why = wire::ExitReason::done;
           done_.insert(t.id.job + "/" + std::to_string(t.id.index));
         }
       if (!desk_ || !chance(0.4) || chance(0.05)) continue;  // not yet, or lost
@@ -114,7 +114,7 @@
     double cpus = 0;
     for (const auto& w : workers_)
       for (const auto& t : w.tasks) {
-        if (t.state == wire::RunState::exited) continue;
+        if (t.state == wire::TaskState::exited) continue;
         ASSERT_TRUE(there.insert(t.id.job + "/" + std::to_string(t.id.index)).second)
             << "ran_twice at " << now_;
         cpus += jobs_[t.id.job].cpus;
@@ -157,4 +157,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/schema_test.cpp
+++ b/tests/schema_test.cpp
@@ -10,7 +10,7 @@
 #include "shard/inventory_page.h"
 #include "emulators.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 using levels::Build;
@@ -503,4 +503,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -6,7 +6,7 @@
 #include "jobs/result_reader.h"
 #include "scheduler_fixture.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 // When arrays were through, replicas stood on hundreds of machines, one or two on each, for as long
@@ -402,4 +402,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/shard_scheduler_test.cpp
+++ b/tests/shard_scheduler_test.cpp
@@ -3,7 +3,7 @@
 
 #include "emulators.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 struct OneDesk {
@@ -81,7 +81,7 @@
   for (const auto& c : first) EXPECT_EQ(c.attempt, first[0].attempt);
   std::vector<wire::TaskReport> gone;
   for (const auto& c : first)
-    gone.push_back({c.task, c.attempt, wire::RunState::exited, wire::Why::stopped});
+    gone.push_back({c.task, c.attempt, wire::TaskState::exited, wire::ExitReason::stopped});
   d.beat("m-1", 2, gone);
   auto second = d.beat("m-1", 3);
   std::set<std::uint64_t> attempts;
@@ -119,8 +119,8 @@
   r.session = 1;
   r.seq = ++d.seq;
   r.token = d.desk->token();
-  r.tasks = {{starts[0].task, starts[0].attempt, wire::RunState::exited, wire::Why::done},
-             {starts[1].task, starts[1].attempt, wire::RunState::running, wire::Why::none}};
+  r.tasks = {{starts[0].task, starts[0].attempt, wire::TaskState::exited, wire::ExitReason::done},
+             {starts[1].task, starts[1].attempt, wire::TaskState::running, wire::ExitReason::none}};
   d.desk->report(r, 2);
   EXPECT_TRUE(d.desk->orders("m-1", true, 2).empty());
   d.commit(2);
@@ -213,7 +213,7 @@
   d.job(service);
   std::vector<wire::TaskReport> running;
   for (const auto& c : d.beat("m-1", 1))
-    running.push_back({c.task, c.attempt, wire::RunState::running, wire::Why::none});
+    running.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
   ASSERT_EQ(running.size(), 2u);
   d.beat("m-1", 2, running);
   d.job(make_job(2, 1, 1));
@@ -241,7 +241,7 @@
   d.job(make_job(1, 1, 3));
   std::vector<wire::TaskReport> running;
   for (const auto& c : d.beat("m-1", 1))
-    running.push_back({c.task, c.attempt, wire::RunState::running, wire::Why::none});
+    running.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
   ASSERT_EQ(running.size(), 1u);
   d.beat("m-1", 2, running);
   auto large = make_job(2, 1, 2), small = make_job(3, 1, 1);
@@ -282,13 +282,13 @@
       if (rng() % 3 == 0) d.job(make_job(jobs++, 1 + rng() % 4, 1));
       for (auto& [name, tasks] : there) {
         for (auto& t : tasks)
-          if (rng() % 5 == 0) t.state = wire::RunState::exited, t.why = wire::Why::done;
+          if (rng() % 5 == 0) t.state = wire::TaskState::exited, t.why = wire::ExitReason::done;
         for (const auto& c : d.beat(name, now, tasks)) {
           std::erase_if(tasks, [&](const auto& t) {
             return c.op == wire::Command::Op::forget && t.attempt == c.attempt;
           });
           if (c.op == wire::Command::Op::start)
-            tasks.push_back({c.task, c.attempt, wire::RunState::running, wire::Why::none});
+            tasks.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
         }
       }
       for (const auto& t : d.made) {
@@ -334,7 +334,7 @@
   ASSERT_EQ(direct[0].commands.size(), 1u);
   d.desk->direct_done(direct[0], 0);
   const auto& start = direct[0].commands[0];
-  d.beat("m-1", 5, {{start.task, start.attempt, wire::RunState::running, wire::Why::none}});
+  d.beat("m-1", 5, {{start.task, start.attempt, wire::TaskState::running, wire::ExitReason::none}});
   auto again = d.beat("m-1", 40, {}, 2);
   ASSERT_EQ(again.size(), 1u);
   EXPECT_EQ(again[0].op, wire::Command::Op::start);
@@ -413,7 +413,7 @@
   ASSERT_EQ(starts.size(), 3u);
   std::vector<wire::TaskReport> running;
   for (const auto& c : starts)
-    running.push_back({c.task, c.attempt, wire::RunState::running, wire::Why::none});
+    running.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
   d.beat("m-1", 2, running);
   d.desk->machine_addr("m-1", "10.0.0.1:1");
   const auto none = [](const std::string&) { return false; };
@@ -445,10 +445,10 @@
   auto starts = d.beat("m-1", 1);
   ASSERT_EQ(starts.size(), 1u);
   const auto& c = starts[0];
-  d.beat("m-1", 2, {{c.task, c.attempt, wire::RunState::exited, wire::Why::done}});
+  d.beat("m-1", 2, {{c.task, c.attempt, wire::TaskState::exited, wire::ExitReason::done}});
   bool stopped = false;
   for (const auto& o :
-       d.beat("m-1", 3, {{c.task, c.attempt, wire::RunState::running, wire::Why::none}}))
+       d.beat("m-1", 3, {{c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none}}))
     stopped |= o.op == wire::Command::Op::stop && o.attempt == c.attempt;
   EXPECT_TRUE(stopped);
 }
@@ -467,7 +467,7 @@
   auto c = direct[0].commands.at(0);
   d.desk->direct_done(direct[0], 0);
   std::vector<wire::TaskReport> failed = {
-      {c.task, c.attempt, wire::RunState::exited, wire::Why::error}};
+      {c.task, c.attempt, wire::TaskState::exited, wire::ExitReason::error}};
   for (const auto& o : d.beat("m-1", 3, failed)) EXPECT_NE(o.op, wire::Command::Op::forget);
   EXPECT_TRUE(d.desk->wants_raise(30));
   wire::Txn raise;
@@ -679,7 +679,7 @@
       auto& tasks = there[m.name];
       for (auto& t : tasks)  // one in forty runs for long
         if (t.task.index % 40 || t.attempt % 23 == 0)
-          t.state = wire::RunState::exited, t.why = wire::Why::done;
+          t.state = wire::TaskState::exited, t.why = wire::ExitReason::done;
       wire::Report r{m.name,  "10.0.0.1:1",    "t4", "a",  false, 1,
                      ++d.seq, d.desk->token(), {},   tasks};
       d.desk->report(r, now);
@@ -696,10 +696,10 @@
     worst = std::max(worst, changes);
     for (const auto& m : fleet) {
       ASSERT_FALSE(d.desk->awaits_commit(m.name)) << "round " << round;
-      std::erase_if(there[m.name], [](const auto& t) { return t.state == wire::RunState::exited; });
+      std::erase_if(there[m.name], [](const auto& t) { return t.state == wire::TaskState::exited; });
       for (const auto& c : d.desk->orders(m.name, true, now))
         if (c.op == wire::Command::Op::start)
-          there[m.name].push_back({c.task, c.attempt, wire::RunState::running, wire::Why::none});
+          there[m.name].push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
     }
   }
   EXPECT_LE(worst, 6u);
@@ -711,7 +711,7 @@
   OneDesk d;
   d.s.teams[0].cpus_max = 1e6;
   auto task_of = [](const wire::Command& c) {
-    return wire::TaskReport{c.task, c.attempt, wire::RunState::running, wire::Why::none};
+    return wire::TaskReport{c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none};
   };
   std::map<std::string, std::vector<wire::TaskReport>> there;
   for (std::string name : {"m-1", "m-2"}) {
@@ -735,8 +735,8 @@
   // Whichever machine the urgent tasks joined, room on either goes to them.
   std::size_t started = 0;
   for (std::string name : {"m-1", "m-2"}) {
-    there[name][0].state = there[name][1].state = wire::RunState::exited;
-    there[name][0].why = there[name][1].why = wire::Why::done;
+    there[name][0].state = there[name][1].state = wire::TaskState::exited;
+    there[name][0].why = there[name][1].why = wire::ExitReason::done;
     for (const auto& c : d.beat(name, 21, there[name]))
       if (c.op == wire::Command::Op::start) {
         EXPECT_EQ(c.task.job, urgent.spec.id);
@@ -758,7 +758,7 @@
   ASSERT_EQ(first.size(), 4u);
   std::vector<wire::TaskReport> there;
   for (const auto& c : first)
-    there.push_back({c.task, c.attempt, wire::RunState::running, wire::Why::none});
+    there.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
   d.beat("m-1", 3, there);
   auto blue = make_job(2, 2, 1);
   blue.spec.team = "blue";
@@ -775,8 +775,8 @@
   std::size_t stops = 0;
   for (const auto& c : d.beat("m-1", 4, there)) stops += c.op == wire::Command::Op::stop;
   EXPECT_EQ(stops, 2u);
-  there[0].state = there[1].state = wire::RunState::exited;
-  there[0].why = there[1].why = wire::Why::stopped;
+  there[0].state = there[1].state = wire::TaskState::exited;
+  there[0].why = there[1].why = wire::ExitReason::stopped;
   for (const auto& c : d.beat("m-1", 5, there))
     if (c.op == wire::Command::Op::start) {
       EXPECT_EQ(c.task.job, blue.spec.id);
@@ -837,10 +837,10 @@
   ASSERT_FALSE(warm.empty());
   auto c = d.beat(warm, 3);
   ASSERT_EQ(c.size(), 1u);
-  d.beat(warm, 4, {{c[0].task, c[0].attempt, wire::RunState::running, wire::Why::none}});
+  d.beat(warm, 4, {{c[0].task, c[0].attempt, wire::TaskState::running, wire::ExitReason::none}});
   for (const auto& [name, o] : there)
     if (!o.empty())
-      d.beat(name, 5, {{o[0].task, o[0].attempt, wire::RunState::exited, wire::Why::done}});
+      d.beat(name, 5, {{o[0].task, o[0].attempt, wire::TaskState::exited, wire::ExitReason::done}});
   for (int n = 3; n < 6; ++n) {
     auto r = make_job(n, 1, 1);
     r.spec.priority = wire::Priority::high;
@@ -855,4 +855,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/shard_test.cpp
+++ b/tests/shard_test.cpp
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <numeric>
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 using shard::Load;
 
@@ -92,4 +92,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -5,7 +5,7 @@
 #include "shard/leader_election.h"
 #include "emulators.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 // Own writes are applied when answered, before or after the watch brings them; whatever the
@@ -251,4 +251,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -8,7 +8,7 @@
 #include "shard/inventory_page.h"
 #include "emulators.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 using wire::JobRecord;
@@ -319,7 +319,7 @@
       for (const auto& g : sheet.jobs)
         for (const auto& p : g.places)
           on[p.machine].push_back(
-              {{g.job, p.task}, p.attempt, wire::RunState::exited, wire::Why::done});
+              {{g.job, p.task}, p.attempt, wire::TaskState::exited, wire::ExitReason::done});
     for (int i = from; i < to; ++i) {
       const auto& m = machines[static_cast<std::size_t>(i)].name;
       d.report({m, "10.0.0.1:1", "t4", "a", true, 1, seq, 0, std::nullopt, {on[m].front()}}, 5);
@@ -382,7 +382,7 @@
                  1,
                  w.owner(0).stamp,
                  std::nullopt,
-                 {{{job.spec.id, 1}, 7, wire::RunState::exited, wire::Why::done}}};
+                 {{{job.spec.id, 1}, 7, wire::TaskState::exited, wire::ExitReason::done}}};
   d.report(r, 1);
   d.turn(10);
   auto t = d.next_txn(w, {1024, 2, 8}, "t", 10);
@@ -401,4 +401,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
