--- a/app/shunttrail-agent.cpp
+++ b/app/shunttrail-agent.cpp
@@ -1,4 +1,4 @@
-// The worker agent, and the shepherds that it starts.
+// The worker agent, and the supervisors that it starts.
 #include <signal.h>
 #include <sys/wait.h>
 
@@ -70,7 +70,7 @@
     Signals signals(loop, a);
     log::info("agent serves", {{"machine", settings.machine}});
     loop.run();
-    // Its tasks go on under their shepherds, as long as the lease holds.
+    // Its tasks go on under their supervisors, as long as the lease holds.
     log::info("agent ends");
   } catch (const std::exception& e) {
     log::error("agent cannot go on", {{"why", e.what()}});
@@ -91,10 +91,10 @@
   app.add_flag("--check", check, "check the settings, then exit");
   auto* end = app.add_subcommand("end", "end every task of the agent in DIR, and its session");
   end->add_option("--dir", dir, "the agent's directory")->required();
-  auto* shepherd =
+  auto* supervisor =
       app.add_subcommand("shepherd", "keep one task (started by the agent)")->group("");
-  shepherd->add_option("task-dir", task_dir)->required();
-  shepherd->add_option("lease-page", page)->required();
+  supervisor->add_option("task-dir", task_dir)->required();
+  supervisor->add_option("lease-page", page)->required();
   app.require_subcommand(0, 1);
   try {
     app.parse(argc, argv);
@@ -102,7 +102,7 @@
     int r = app.exit(e);
     return r == 0 ? 0 : 2;
   }
-  if (shepherd->parsed()) return agent::run_task_supervisor(task_dir, page);
+  if (supervisor->parsed()) return agent::run_task_supervisor(task_dir, page);
   if (end->parsed()) {
     try {
       auto lock = agent::try_lock(agent::AgentPaths{dir}.lock());
--- a/app/shunttrail-controller.cpp
+++ b/app/shunttrail-controller.cpp
@@ -15,9 +15,10 @@
   app.add_option("--tuning", tuning_path, "operators' tuning (XML)");
   app.add_flag("--check", check, "check the settings and tuning, then exit");
   const auto build = shunttrail::schema::current_build();
-  app.set_version_flag(
-      "--version", "shunttrail-controller 0.1.0, state levels " + std::to_string(build.lowest) + " to " +
-                       std::to_string(build.highest) + ", writes " + std::to_string(build.writes));
+  app.set_version_flag("--version", "shunttrail-controller 0.1.0, state levels " +
+                                        std::to_string(build.lowest) + " to " +
+                                        std::to_string(build.highest) + ", writes " +
+                                        std::to_string(build.writes));
   CLI11_PARSE(app, argc, argv);
 
   spdlog::set_default_logger(spdlog::stderr_logger_st("shunttrail"));
--- a/app/shunttrail-local.cpp
+++ b/app/shunttrail-local.cpp
@@ -4,11 +4,11 @@
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
-#include "config/xml.h"
 #include "artifacts/server.h"
+#include "config/xml.h"
+#include "emulators/state.h"
 #include "local_cluster/local_cluster.h"
 #include "log/log.h"
-#include "emulators/state.h"
 
 namespace {
 
@@ -35,10 +35,11 @@
   log::open("shunttrail-local");
   fs::path self = fs::read_symlink("/proc/self/exe");
   actor::Loop loop;
-  local_cluster::LocalCluster set(loop, settings, dir, self.parent_path(), self, port, [](std::string url) {
-    std::printf("ready %s\n", url.c_str());
-    std::fflush(stdout);
-  });
+  local_cluster::LocalCluster set(loop, settings, dir, self.parent_path(), self, port,
+                                  [](std::string url) {
+                                    std::printf("ready %s\n", url.c_str());
+                                    std::fflush(stdout);
+                                  });
   struct Context {
     local_cluster::LocalCluster& set;
     actor::Loop& loop;
@@ -76,9 +77,9 @@
   auto* state = app.add_subcommand("state", "the state service's stand-in")->group("");
   state->add_option("--listen", listen)->required();
   state->add_option("--file", file);
-  auto* depot = app.add_subcommand("depot", "the depot alone");
-  depot->add_option("--listen", listen, "HOST:PORT")->required();
-  depot->add_option("--dir", dir, "where it is kept")->required();
+  auto* artifacts = app.add_subcommand("depot", "the depot alone");
+  artifacts->add_option("--listen", listen, "HOST:PORT")->required();
+  artifacts->add_option("--dir", dir, "where it is kept")->required();
   app.require_subcommand(0, 1);
   try {
     app.parse(argc, argv);
@@ -89,7 +90,7 @@
   ::signal(SIGPIPE, SIG_IGN);
   try {
     if (state->parsed()) return serve_state(listen, file);
-    if (depot->parsed()) return serve_depot(listen, dir);
+    if (artifacts->parsed()) return serve_depot(listen, dir);
     if (settings_path.empty())
       settings_path =
           fs::read_symlink("/proc/self/exe").parent_path().parent_path() / "deploy" / "local.xml";
--- a/app/shunttrail-pbs.cpp
+++ b/app/shunttrail-pbs.cpp
@@ -11,8 +11,8 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "config/xml.h"
 #include "cli/service_client.h"
+#include "config/xml.h"
 #include "pbs/job.h"
 
 extern char** environ;
@@ -131,8 +131,9 @@
       return 0;
     }
     if (words.empty() || words[0] != "qsub") {
-      std::fprintf(words.empty() || words[0] != "--help" ? stderr : stdout,
-                   "usage: shunttrail-pbs qsub --check [--tables FILE] [qsub's options] [SCRIPT|-]\n");
+      std::fprintf(
+          words.empty() || words[0] != "--help" ? stderr : stdout,
+          "usage: shunttrail-pbs qsub --check [--tables FILE] [qsub's options] [SCRIPT|-]\n");
       return !words.empty() && words[0] == "--help" ? 0 : 2;
     }
     words.erase(words.begin());
--- a/app/shunttrailctl.cpp
+++ b/app/shunttrailctl.cpp
@@ -10,8 +10,8 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "cli/service_client.h"
 #include "artifacts/archive.h"
+#include "cli/service_client.h"
 #include "schema/schema.h"
 
 namespace {
@@ -194,7 +194,8 @@
   auto d = service.description(o.id);
   if (!d) throw cli::RequestFailed(o.id + ": no such job");
   if (o.task >= d->job.tasks)
-    throw cli::RequestFailed(o.id + ": has " + std::to_string(d->job.tasks) + " tasks, numbered from 0");
+    throw cli::RequestFailed(o.id + ": has " + std::to_string(d->job.tasks) +
+                             " tasks, numbered from 0");
   auto r = service.result({o.id, o.task});
   if (!r) throw cli::RequestFailed(o.id + "/" + std::to_string(o.task) + ": has not ended");
   if (o.as_json) {
--- a/src/actor/loop.h
+++ b/src/actor/loop.h
@@ -18,7 +18,7 @@
 double wall_now();    // its time of day, seconds
 
 // What drives a loop instead of this machine's clocks and events: a simulated host
-// (src/rehearsal).
+// (src/simulation).
 class EventSource {
  public:
   using Handle = std::shared_ptr<void>;  // released: it does not run any more
--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -27,7 +27,7 @@
 
 bool end_all(const AgentPaths& p) {
   if (!fs::exists(p.tasks())) return true;
-  // Every shepherd that is still to start reads this first, and starts nothing.
+  // Every supervisor that is still to start reads this first, and starts nothing.
   LeaseFile(p.lease(), LeaseFile::Open::write).set(0, 0);
   return sweep(p.tasks());
 }
@@ -71,7 +71,7 @@
   double now = boot_now();
   if (!was) {
     end_all(places_);  // of a record that somebody has removed
-    // The page first: a record without it would be of a session that is over.
+    // The page first: a record without it would be of a incarnation that is over.
     lease_file_.set(attempts_.incarnation, lease_.until());
     journal_.begin(settings_.machine, boot, attempts_);
   } else {
@@ -115,10 +115,11 @@
   return true;
 }
 
-// False: the lease is over and something of its session is still there; nothing may be said.
+// False: the lease is over and something of its incarnation is still there; nothing may be said.
 bool Agent::check_lease() {
   if (!lease_.over(boot_now())) return true;
-  log::info("lease ran out", {{"session", attempts_.incarnation}, {"attempts", attempts_.attempts.size()}});
+  log::info("lease ran out",
+            {{"session", attempts_.incarnation}, {"attempts", attempts_.attempts.size()}});
   if (!end_all(places_)) {
     log::error("tasks do not go", {{"session", attempts_.incarnation}});
     return false;
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -1,6 +1,6 @@
-// The worker agent: one per machine. It reports, obeys, starts each task under a shepherd of its
-// own and sees its result into the depot. Whatever it decides is the book's; whatever it does is on
-// record first. It may be killed at any moment and started again (docs/agent.md).
+// The worker agent: one per machine. It reports, obeys, starts each task under a supervisor of its
+// own and sees its result into the artifact store. Whatever it decides is the book's; whatever it
+// does is on record first. It may be killed at any moment and started again (docs/agent.md).
 #pragma once
 #include <filesystem>
 #include <functional>
@@ -12,17 +12,17 @@
 #include <string>
 
 #include "actor/loop.h"
+#include "agent/agent_journal.h"
 #include "agent/attempt_table.h"
 #include "agent/image_cache.h"
 #include "agent/lease_file.h"
 #include "agent/processes.h"
-#include "agent/agent_journal.h"
 #include "agent/settings.h"
 #include "agent/task_supervisor.h"
 #include "artifacts/archive.h"
 #include "artifacts/client.h"
-#include "client_protocol/job_description.h"
 #include "client_protocol/client_protocol.h"
+#include "client_protocol/job_description.h"
 #include "net/http.h"
 
 namespace shunttrail::agent {
@@ -39,15 +39,16 @@
   std::filesystem::path task(const Key& k) const;
 };
 
-// Ends every task of the agent in this directory, shepherds first, and its session with them: what
-// a machine's end does. The agent itself must not run. False: some process did not go.
+// Ends every task of the agent in this directory, supervisors first, and its incarnation with them:
+// what a machine's end does. The agent itself must not run. False: some process did not go.
 bool end_all(const AgentPaths& p);
 
 class Agent : public actor::Actor {
  public:
   // Takes the directory for itself and recovers what the last process left. Throws RecordError or
   // std::system_error, with nothing changed that the next start would miss.
-  Agent(actor::Loop& loop, Settings settings, const std::filesystem::path& dir, AgentJournal::Step step);
+  Agent(actor::Loop& loop, Settings settings, const std::filesystem::path& dir,
+        AgentJournal::Step step);
   void notice();  // the spot notice of the settings
 
  private:
@@ -58,7 +59,7 @@
     bool busy = false;    // an answer is awaited
     double retry_at = 0;  // no sooner than this
     client_protocol::JobDescription description;
-    Fd process;  // its shepherd
+    Fd process;  // its supervisor
     struct Ended {
       Agent* agent;
       Key key;
@@ -69,11 +70,12 @@
     std::unique_ptr<artifacts::Unpacker> unpacker;
     std::unique_ptr<artifacts::Packer> packer;
     std::uint64_t packing = 0;   // the kept-N that the packer has
-    std::uint64_t uploaded = 0;  // the highest kept-N that is in the depot
+    std::uint64_t uploaded = 0;  // the highest kept-N that is in the artifact store
     std::optional<End> end;
-    std::optional<std::string> out, err;  // hashes, once they are in the depot
-    std::optional<double> give_up_at;     // a checkpoint that is not in the depot by then is lost
-    std::optional<double> gone_by;        // told to stop, its shepherd has to be gone by then
+    std::optional<std::string> out, err;  // hashes, once they are in the artifact store
+    std::optional<double>
+        give_up_at;  // a checkpoint that is not in the artifact store by then is lost
+    std::optional<double> gone_by;  // told to stop, its supervisor has to be gone by then
   };
   using Guard = std::function<Live*()>;  // the attempt that a late answer is for, if it still is
 
--- a/src/agent/agent_heartbeat.cpp
+++ b/src/agent/agent_heartbeat.cpp
@@ -33,7 +33,7 @@
 void Agent::answered(std::uint64_t session, double sent, std::size_t controller, net::Result r) {
   in_flight_ = false;
   heartbeat_timer_.after(0);
-  // The lease comes first: an answer that is late by more than it has no session left to renew.
+  // The lease comes first: an answer that is late by more than it has no incarnation left to renew.
   if (!check_lease()) return;
   if (r.status == 200) {
     if (boot_now() - sent > kAnswerWithin || session != attempts_.incarnation) return;
@@ -101,7 +101,8 @@
   if (!check_lease()) return ex->send({503, "{}", 1});
   if (ex->path == "/status" && !ex->post) {
     wire::Heartbeat r = heartbeat();
-    return ex->send(r.sequence ? net::Answer{200, client_protocol::encode_heartbeat(r), 0} : net::Answer{503, "{}", 1});
+    return ex->send(r.sequence ? net::Answer{200, client_protocol::encode_heartbeat(r), 0}
+                               : net::Answer{503, "{}", 1});
   }
   if (ex->path != "/orders" || !ex->post) return ex->send({404, "{\"error\":\"no such path\"}", 0});
   client_protocol::HeartbeatResponse o;
--- a/src/agent/agent_journal.cpp
+++ b/src/agent/agent_journal.cpp
@@ -67,7 +67,7 @@
   std::string format = get("format");
   if (!format.empty() && format != std::to_string(kFormat))
     throw JournalError("record: " + file.string() + " has format " + format +
-                      ", this program knows " + std::to_string(kFormat));
+                       ", this program knows " + std::to_string(kFormat));
   exec(
       "CREATE TABLE IF NOT EXISTS attempts(job TEXT, task INTEGER, attempt INTEGER, phase INTEGER, "
       "stopping INTEGER, saving INTEGER, why INTEGER, kept INTEGER, cpus REAL, gpus REAL, "
@@ -124,7 +124,8 @@
   return b;
 }
 
-void AgentJournal::begin(const std::string& machine, const std::string& boot, const AttemptTable& book) {
+void AgentJournal::begin(const std::string& machine, const std::string& boot,
+                         const AttemptTable& book) {
   exec("BEGIN IMMEDIATE");
   try {
     exec("DELETE FROM attempts");
@@ -144,7 +145,8 @@
   step_("begin.after");
 }
 
-void AgentJournal::save(const AttemptTable& now, const AttemptTable& next, const std::string& step) {
+void AgentJournal::save(const AttemptTable& now, const AttemptTable& next,
+                        const std::string& step) {
   if (now == next) return;
   exec("BEGIN IMMEDIATE");
   try {
@@ -161,7 +163,10 @@
       if (was != now.attempts.end() && was->second == a) continue;
       Statement s(db_.get(), "INSERT OR REPLACE INTO attempts VALUES(?,?,?,?,?,?,?,?,?,?,?,?,?)");
       s.text(k.job).whole(k.index).whole(k.attempt).whole(static_cast<std::uint64_t>(a.phase));
-      s.whole(a.stopping).whole(a.saving).whole(static_cast<std::uint64_t>(a.exit_reason)).whole(a.checkpointed);
+      s.whole(a.stopping)
+          .whole(a.saving)
+          .whole(static_cast<std::uint64_t>(a.exit_reason))
+          .whole(a.checkpointed);
       s.real(a.needs.cpus).real(a.needs.gpus).real(a.needs.mem_gb).whole(a.saves).real(a.save_s);
       s.row();
     }
--- a/src/agent/agent_tasks.cpp
+++ b/src/agent/agent_tasks.cpp
@@ -32,7 +32,7 @@
 
 fs::path kept(const fs::path& dir, std::uint64_t n) { return dir / ("kept-" + std::to_string(n)); }
 
-// A shepherd has to outlive the agent: a session of its own, none of the agent's files.
+// A supervisor has to outlive the agent: a incarnation of its own, none of the agent's files.
 pid_t spawn_supervisor(const fs::path& dir, const fs::path& page) {
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
@@ -185,22 +185,22 @@
 void Agent::look_for_result(const Key& k, Live& l) {
   l.busy = true;
   artifacts_.get_name(client_protocol::result_name(k.task()),
-                  reply<artifacts::Outcome, artifacts::Store::Named>(
-                      [this, k, of = guard(k)](artifacts::Outcome o, artifacts::Store::Named) {
-                        Live* it = of();
-                        if (!it) return;
-                        if (o == artifacts::Outcome::ok) {
-                          log::info("task has its result already", about(k));
-                          AttemptTable next = attempts_;
-                          next.exited(k, wire::ExitReason::done);
-                          if (!commit(next, "exited")) later(*it);
-                          return;
-                        }
-                        if (o != artifacts::Outcome::absent) return later(*it);
-                        it->step = it->description.job.checkpoint_s > 0 ? Live::Step::restore
-                                                                        : Live::Step::launch;
-                        advance(k);
-                      }));
+                      reply<artifacts::Outcome, artifacts::Store::Named>(
+                          [this, k, of = guard(k)](artifacts::Outcome o, artifacts::Store::Named) {
+                            Live* it = of();
+                            if (!it) return;
+                            if (o == artifacts::Outcome::ok) {
+                              log::info("task has its result already", about(k));
+                              AttemptTable next = attempts_;
+                              next.exited(k, wire::ExitReason::done);
+                              if (!commit(next, "exited")) later(*it);
+                              return;
+                            }
+                            if (o != artifacts::Outcome::absent) return later(*it);
+                            it->step = it->description.job.checkpoint_s > 0 ? Live::Step::restore
+                                                                            : Live::Step::launch;
+                            advance(k);
+                          }));
 }
 
 void Agent::look_for_save(const Key& k, Live& l) {
@@ -208,33 +208,34 @@
   const fs::path dir = places_.task(k);
   fs::remove_all(dir);
   fs::create_directories(dir / "save");
-  artifacts_.get_name(client_protocol::checkpoint_name(k.task()),
-                  reply<artifacts::Outcome, artifacts::Store::Named>(
-                      [this, k, dir, of = guard(k)](artifacts::Outcome o, artifacts::Store::Named n) {
-                        Live* it = of();
-                        if (!it) return;
-                        if (o == artifacts::Outcome::absent) {
-                          it->step = Live::Step::launch;
-                          return advance(k);
-                        }
-                        auto j = nlohmann::json::parse(n.value, nullptr, false);
-                        if (o != artifacts::Outcome::ok || !j.is_object()) return later(*it);
-                        it->busy = true;
-                        artifacts_.get_file(j.value("hash", ""), dir / "save.tar",
-                                        reply<artifacts::Outcome>([this, k, of](artifacts::Outcome got) {
-                                          Live* me = of();
-                                          if (!me) return;
-                                          if (got == artifacts::Outcome::later) return later(*me);
-                                          if (got == artifacts::Outcome::ok) {
-                                            me->step = Live::Step::unpack;
-                                          } else {
-                                            // Better from the beginning than from something else.
-                                            log::error("checkpoint is lost or damaged", about(k));
-                                            me->step = Live::Step::launch;
-                                          }
-                                          advance(k);
-                                        }));
-                      }));
+  artifacts_.get_name(
+      client_protocol::checkpoint_name(k.task()),
+      reply<artifacts::Outcome, artifacts::Store::Named>(
+          [this, k, dir, of = guard(k)](artifacts::Outcome o, artifacts::Store::Named n) {
+            Live* it = of();
+            if (!it) return;
+            if (o == artifacts::Outcome::absent) {
+              it->step = Live::Step::launch;
+              return advance(k);
+            }
+            auto j = nlohmann::json::parse(n.value, nullptr, false);
+            if (o != artifacts::Outcome::ok || !j.is_object()) return later(*it);
+            it->busy = true;
+            artifacts_.get_file(j.value("hash", ""), dir / "save.tar",
+                                reply<artifacts::Outcome>([this, k, of](artifacts::Outcome got) {
+                                  Live* me = of();
+                                  if (!me) return;
+                                  if (got == artifacts::Outcome::later) return later(*me);
+                                  if (got == artifacts::Outcome::ok) {
+                                    me->step = Live::Step::unpack;
+                                  } else {
+                                    // Better from the beginning than from something else.
+                                    log::error("checkpoint is lost or damaged", about(k));
+                                    me->step = Live::Step::launch;
+                                  }
+                                  advance(k);
+                                }));
+          }));
 }
 
 void Agent::unpack_save(const Key& k, Live& l) {
@@ -332,13 +333,13 @@
 void Agent::watch(const Key& k, Live& l) {
   const fs::path dir = places_.task(k);
   if (l.process) {
-    // A shepherd that is held up (stopped, above all) does not keep a task that has to go.
+    // A supervisor that is held up (stopped, above all) does not keep a task that has to go.
     if (l.gone_by && boot_now() > *l.gone_by) signal_process(l.process, SIGKILL);
     if (attempts_.attempts.at(k).saves) upload_save(k, l);
     return;
   }
   if (fs::exists(dir / "end.json")) return dead(k);
-  // The lock tells whether its shepherd lives, whatever has become of process numbers.
+  // The lock tells whether its supervisor lives, whatever has become of process numbers.
   fs::create_directories(dir);
   if (auto lock = try_lock(dir / "lock")) {
     // None, and none that comes late will start it: its order is taken away under the lock.
@@ -387,7 +388,7 @@
   fs::remove_all(places_.task(k), ignored);
 }
 
-// Its shepherd is gone, and with it every process of the task.
+// Its supervisor is gone, and with it every process of the task.
 void Agent::dead(const Key& k) {
   auto it = attempts_.attempts.find(k);
   if (it == attempts_.attempts.end() || it->second.phase != Phase::launched) return;
@@ -409,7 +410,7 @@
   fields["ran_s"] = end.ran_s;
   fields["why"] = end.why == wire::ExitReason::done      ? "done"
                   : end.why == wire::ExitReason::stopped ? "stopped"
-                                                  : "error";
+                                                         : "error";
   fields["reason"] = end.reason;
   log::info("task ended", fields);
   AttemptTable next = attempts_;
@@ -423,17 +424,17 @@
   advance(k);
 }
 
-// What has ended is put into the depot before it is reported.
+// What has ended is put into the artifact store before it is reported.
 void Agent::store(const Key& k, Live& l) {
   const fs::path dir = places_.task(k);
   if (!l.end) {
     try {
       l.end = decode_end(artifacts::read_whole(dir / "end.json"));
     } catch (const wire::Malformed&) {
-      // Its shepherd was lost, and the agent after that: what it was found to be is on record.
+      // Its supervisor was lost, and the agent after that: what it was found to be is on record.
       wire::ExitReason why = attempts_.attempts.at(k).exit_reason;
-      l.end = End{why == wire::ExitReason::done ? wire::ExitReason::error : why, 0, "its shepherd was lost",
-                  highest_kept(dir)};
+      l.end = End{why == wire::ExitReason::done ? wire::ExitReason::error : why, 0,
+                  "its shepherd was lost", highest_kept(dir)};
     }
   }
   if (l.end->why != wire::ExitReason::done) {
@@ -451,8 +452,8 @@
   for (auto [file, hash] : {std::pair("stdout", &l.out), std::pair("stderr", &l.err)}) {
     if (hash->has_value()) continue;
     l.busy = true;
-    artifacts_.put_file(dir / file,
-                    reply<artifacts::Outcome, std::string>(
+    artifacts_.put_file(
+        dir / file, reply<artifacts::Outcome, std::string>(
                         [this, k, hash, of = guard(k)](artifacts::Outcome o, std::string h) {
                           Live* me = of();
                           if (!me) return;
@@ -464,19 +465,20 @@
     return;
   }
   client_protocol::TaskResult r{k.attempt, settings_.machine, l.end->exit, l.end->reason, *l.out,
-                    *l.err,    l.end->ran_s};
+                                *l.err,    l.end->ran_s};
   l.busy = true;
   artifacts_.put_name(client_protocol::result_name(k.task()), {client_protocol::encode_result(r)},
-                  reply<artifacts::Outcome, artifacts::Store::Named>(
-                      [this, k, of = guard(k)](artifacts::Outcome o, artifacts::Store::Named) {
-                        Live* me = of();
-                        if (!me) return;
-                        if (o == artifacts::Outcome::later) return later(*me);
-                        // Refused: an earlier attempt's result got there after all, and is the one.
-                        AttemptTable next = attempts_;
-                        next.exited(k, wire::ExitReason::done);
-                        if (!commit(next, "exited")) later(*me);
-                      }));
+                      reply<artifacts::Outcome, artifacts::Store::Named>(
+                          [this, k, of = guard(k)](artifacts::Outcome o, artifacts::Store::Named) {
+                            Live* me = of();
+                            if (!me) return;
+                            if (o == artifacts::Outcome::later) return later(*me);
+                            // Refused: an earlier attempt's result got there after all, and is the
+                            // one.
+                            AttemptTable next = attempts_;
+                            next.exited(k, wire::ExitReason::done);
+                            if (!commit(next, "exited")) later(*me);
+                          }));
 }
 
 void Agent::upload_save(const Key& k, Live& l) {
@@ -504,8 +506,9 @@
   l.packer.reset();
   l.busy = true;
   artifacts_.put_file(
-      dir / "kept.tar", reply<artifacts::Outcome, std::string>([this, k, n, dir, of = guard(k)](
-                                                               artifacts::Outcome o, std::string hash) {
+      dir / "kept.tar",
+      reply<artifacts::Outcome, std::string>([this, k, n, dir, of = guard(k)](artifacts::Outcome o,
+                                                                              std::string hash) {
         Live* me = of();
         if (!me) return;
         if (o != artifacts::Outcome::ok) return later(*me);
--- a/src/agent/attempt_table.cpp
+++ b/src/agent/attempt_table.cpp
@@ -16,7 +16,7 @@
 }
 
 std::vector<Effect> AttemptTable::execute(const std::vector<wire::Command>& commands,
-                               std::vector<std::string>* refused) {
+                                          std::vector<std::string>* refused) {
   std::vector<Effect> out;
   for (const auto& c : commands) {
     Key k{c.task.job, c.task.index, c.attempt};
@@ -35,7 +35,8 @@
   return out;
 }
 
-void AttemptTable::start(const Key& k, std::vector<Effect>& out, std::vector<std::string>* refused) {
+void AttemptTable::start(const Key& k, std::vector<Effect>& out,
+                         std::vector<std::string>* refused) {
   if (find(k)) return;
   // Attempts of a task only go up (docs/safety.md, "attempts unique"): a lower one is a command
   // that was held back on the way until after its own end.
@@ -71,8 +72,8 @@
       return;
     case Phase::accepted:
     case Phase::ended:
-      // No process is there. What is on its way to the depot may still get there; the task's next
-      // attempt then finds it and is done at once.
+      // No process is there. What is on its way to the artifact store may still get there; the
+      // task's next attempt then finds it and is done at once.
       a->phase = Phase::exited;
       a->exit_reason = wire::ExitReason::stopped;
       out.push_back({Effect::Kind::abandon, k});
@@ -107,7 +108,7 @@
 }
 
 bool AttemptTable::described(const Key& k, const Resources& needs, bool saves, double save_s,
-                     const Resources& machine) {
+                             const Resources& machine) {
   Attempt* a = find(k);
   if (!a) return false;
   Resources used = needs;
@@ -165,7 +166,8 @@
         break;
       case Phase::ended:
         // It holds its place until its result is safe: `done` is never taken back.
-        t.state = a.exit_reason == wire::ExitReason::stopped ? wire::TaskState::saving : wire::TaskState::running;
+        t.state = a.exit_reason == wire::ExitReason::stopped ? wire::TaskState::saving
+                                                             : wire::TaskState::running;
         break;
       case Phase::exited:
         t.state = wire::TaskState::exited;
--- a/src/agent/attempt_table.h
+++ b/src/agent/attempt_table.h
@@ -1,6 +1,7 @@
-// What a worker knows and decides: its session, the highest token, the attempts it holds and what
-// each command does to them. No I/O: the agent writes a changed book to its record before it acts
-// on the effects, and reports only what the record holds. Source of every rule: PROTOCOL, "Workers
+// What a worker knows and decides: its incarnation, the highest token, the attempts it holds and
+// what each command does to them. No I/O: the agent writes a changed book to its record before it
+// acts on the effects, and reports only what the record holds. Source of every rule: PROTOCOL,
+// "Workers
 // -> controller nodes".
 #pragma once
 #include <compare>
@@ -33,8 +34,8 @@
 enum class Phase : std::uint8_t {
   accepted,  // there is no process and never was one
   launched,  // there may be one
-  ended,     // there is none any more; its result or checkpoint is being put into the depot
-  exited,    // as reported
+  ended,   // there is none any more; its result or checkpoint is being put into the artifact store
+  exited,  // as reported
 };
 
 struct Attempt {
@@ -43,7 +44,7 @@
   bool saving = false;    // and allowed to save first
   wire::ExitReason exit_reason = wire::ExitReason::none;
   bool checkpointed = false;
-  Resources needs;          // once its description is known
+  Resources needs;     // once its description is known
   double save_s = 0;   // time it needs to save
   bool saves = false;  // it has checkpoints
   friend bool operator==(const Attempt&, const Attempt&) = default;
@@ -63,19 +64,20 @@
   // Every message's `seq` is below this; it is on record before the first of a block is used.
   std::uint64_t reserved = 0;
   std::map<Key, Attempt> attempts;
-  // The highest attempt of each task that was forgotten in this session, oldest first and bounded.
-  // A start that comes after its own reap would run the task once more for nobody.
+  // The highest attempt of each task that was forgotten in this incarnation, oldest first and
+  // bounded. A start that comes after its own reap would run the task once more for nobody.
   std::deque<std::pair<std::string, std::uint64_t>> acknowledged;
 
   // Whether an answer with this token may be acted on at all.
   bool accepts(std::optional<std::uint64_t> t) const { return t && *t >= token; }
   // The commands in order; `refused` gets a line for each that could not mean anything.
   std::vector<Effect> execute(const std::vector<wire::Command>& commands,
-                           std::vector<std::string>* refused = nullptr);
+                              std::vector<std::string>* refused = nullptr);
 
   // The description has come: whether the machine has room for it beside what it holds.
   // If not, the attempt is exited.
-  bool described(const Key& k, const Resources& needs, bool saves, double save_s, const Resources& machine);
+  bool described(const Key& k, const Resources& needs, bool saves, double save_s,
+                 const Resources& machine);
   void launched(const Key& k);
   // Its processes are gone.
   void ended(const Key& k, wire::ExitReason why, bool kept);
--- a/src/agent/image_cache.cpp
+++ b/src/agent/image_cache.cpp
@@ -15,10 +15,10 @@
 constexpr std::uint64_t kMostUnpacked = std::uint64_t{1} << 40;
 }  // namespace
 
-ImageCache::ImageCache(actor::Loop& loop, artifacts::Client& depot, fs::path dir, double cache_gb,
-               std::function<void()> changed)
+ImageCache::ImageCache(actor::Loop& loop, artifacts::Client& artifacts, fs::path dir,
+                       double cache_gb, std::function<void()> changed)
     : Actor(loop),
-      artifacts_(depot),
+      artifacts_(artifacts),
       dir_(std::move(dir)),
       cache_gb_(cache_gb),
       changed_(std::move(changed)) {
@@ -43,8 +43,9 @@
     fetches_.erase(it);
     return State::bad;
   }
-  artifacts_.get_file(hash, tar(hash),
-                  reply<artifacts::Outcome>([this, hash](artifacts::Outcome o) { arrived(hash, o); }));
+  artifacts_.get_file(
+      hash, tar(hash),
+      reply<artifacts::Outcome>([this, hash](artifacts::Outcome o) { arrived(hash, o); }));
   return State::coming;
 }
 
@@ -61,7 +62,7 @@
     case artifacts::Outcome::ok:
       return unpack(hash);
     case artifacts::Outcome::later:
-      // The depot is away: whoever still wants it asks again.
+      // The artifact store is away: whoever still wants it asks again.
       fetches_.erase(it);
       return;
     case artifacts::Outcome::absent:
--- a/src/agent/image_cache.h
+++ b/src/agent/image_cache.h
@@ -17,11 +17,12 @@
 class ImageCache : public actor::Actor {
  public:
   enum class State { ready, coming, bad };
-  ImageCache(actor::Loop& loop, artifacts::Client& depot, std::filesystem::path dir, double cache_gb,
-         std::function<void()> changed);
+  ImageCache(actor::Loop& loop, artifacts::Client& artifacts, std::filesystem::path dir,
+             double cache_gb, std::function<void()> changed);
 
-  // Asked again whenever something has changed, by each task that needs it. `bad`: what the depot
-  // has under this hash is damaged, absent or no image; `why` says it, and asking later tries anew.
+  // Asked again whenever something has changed, by each task that needs it. `bad`: what the
+  // artifact store has under this hash is damaged, absent or no image; `why` says it, and asking
+  // later tries anew.
   State want(const std::string& hash, std::string& why);
   // Which images tasks wait for or use; others are given up, or let go when the cache is full.
   void keep(const std::set<std::string>& used);
--- a/src/agent/lease_file.cpp
+++ b/src/agent/lease_file.cpp
@@ -12,8 +12,8 @@
 
 namespace shunttrail::agent {
 
-// Version 1. Each word is written alone. A renewal touches the time only: a shepherd that looked in
-// between and saw no session would kill its task. Between two sessions there is none.
+// Version 1. Each word is written alone. A renewal touches the time only: a supervisor that looked
+// in between and saw no incarnation would kill its task. Between two incarnations there is none.
 struct LeaseFile::Layout {
   std::atomic<std::uint64_t> version, session;
   std::atomic<std::int64_t> until_ns;
--- a/src/agent/lease_file.h
+++ b/src/agent/lease_file.h
@@ -1,6 +1,6 @@
-// The lease as the agent and all its shepherds see it: one page of memory on a file. The agent
-// writes it, the shepherds only read; it outlives the agent, and a shepherd that reads it needs no
-// answer from anybody to know that its task has to go.
+// The lease as the agent and all its supervisors see it: one page of memory on a file. The agent
+// writes it, the supervisors only read; it outlives the agent, and a supervisor that reads it needs
+// no answer from anybody to know that its task has to go.
 #pragma once
 #include <cstdint>
 #include <filesystem>
@@ -10,7 +10,7 @@
 class LeaseFile {
  public:
   enum class Open { read, write };
-  // Throws std::system_error. A page that is absent is made with no session.
+  // Throws std::system_error. A page that is absent is made with no incarnation.
   LeaseFile(const std::filesystem::path& file, Open how);
   ~LeaseFile();
   LeaseFile(const LeaseFile&) = delete;
--- a/src/agent/processes.h
+++ b/src/agent/processes.h
@@ -44,7 +44,7 @@
 // has waited for them, so their numbers can't be another's.
 std::vector<pid_t> children_of(pid_t parent);
 
-// The variable by which every process of a task, and its shepherd, is known.
+// The variable by which every process of a task, and its supervisor, is known.
 inline constexpr const char* kTaskDirVariable = "SHUNT_TASK_DIR";
 // Kills each process whose environment names a task directory that is `below` or lies below it,
 // again and again until a look finds none. False: some did not go within `tries` looks.
--- a/src/agent/task_supervisor.cpp
+++ b/src/agent/task_supervisor.cpp
@@ -60,7 +60,7 @@
   return json{{"format", End::kFormat},
               {"why", e.why == wire::ExitReason::done      ? "done"
                       : e.why == wire::ExitReason::stopped ? "stopped"
-                                                    : "error"},
+                                                           : "error"},
               {"exit", e.exit},
               {"reason", e.reason},
               {"kept", e.kept},
@@ -110,7 +110,7 @@
     timer_ = Fd(::timerfd_create(CLOCK_BOOTTIME, TFD_CLOEXEC | TFD_NONBLOCK));
     Identity me = identity_of(::getpid());
     artifacts::write_whole(dir_ / "shepherd.json",
-                       json{{"pid", me.pid}, {"start", me.start}, {"boot", me.boot}}.dump());
+                           json{{"pid", me.pid}, {"start", me.start}, {"boot", me.boot}}.dump());
     kept_ = highest_kept(dir_);
     began_ = boot_now();
     if (lease_over()) return finish({wire::ExitReason::error, 0, "the lease had run out", kept_});
@@ -172,7 +172,7 @@
     if (task_ < 0) return std::string("fork: ") + std::strerror(errno);
     if (task_ == 0) {
       ::setsid();
-      // If the shepherd is killed, nobody keeps the lease: the task goes with it.
+      // If the supervisor is killed, nobody keeps the lease: the task goes with it.
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);
       if (::getppid() != parent) ::_exit(127);
       auto limit = [](auto what, std::uint64_t most) {
@@ -318,7 +318,7 @@
     }
   }
 
-  // Its session's processes, and whatever became the shepherd's child by losing its parent.
+  // Its incarnation's processes, and whatever became the supervisor's child by losing its parent.
   void kill_all() {
     while (true) {
       if (task_ > 0) ::kill(-task_, SIGKILL);
--- a/src/agent/task_supervisor.h
+++ b/src/agent/task_supervisor.h
@@ -1,12 +1,12 @@
-// The shepherd: a small process of its own for each task. It starts the task, keeps the lease,
+// The supervisor: a small process of its own for each task. It starts the task, keeps the lease,
 // passes the stop signal on, ends whatever the task has left, and writes down how it ended. It goes
 // on when the agent dies, hangs or is replaced; the two speak through files of the task's
 // directory.
 //
-//   lock           held by the shepherd as long as it lives
+//   lock           held by the supervisor as long as it lives
 //   order.json     what to run; taken away by an agent that has given this attempt up, so that a
-//                  shepherd that comes late finds nothing to start
-//   shepherd.json  its identity
+//                  supervisor that comes late finds nothing to start
+//   supervisor.json  its identity
 //   stop.json      how to stop; a SIGUSR1 asks it to look
 //   end.json       how the task ended: there only when none of its processes is left
 //   work/          the task's working directory
@@ -59,7 +59,7 @@
 // The highest N of the directory's kept-N; 0: there is none.
 std::uint64_t highest_kept(const std::filesystem::path& dir);
 
-// The whole life of a shepherd process for this directory; its exit status.
+// The whole life of a supervisor process for this directory; its exit status.
 int run_task_supervisor(const std::filesystem::path& dir, const std::filesystem::path& lease_page);
 
 }  // namespace shunttrail::agent
--- a/src/artifacts/archive.cpp
+++ b/src/artifacts/archive.cpp
@@ -168,4 +168,4 @@
   return false;
 }
 
-}  // namespace shunttrail::depot
+}  // namespace shunttrail::artifacts
--- a/src/artifacts/archive.h
+++ b/src/artifacts/archive.h
@@ -39,4 +39,4 @@
   std::unique_ptr<State> s_;
 };
 
-}  // namespace shunttrail::depot
+}  // namespace shunttrail::artifacts
--- a/src/artifacts/client.cpp
+++ b/src/artifacts/client.cpp
@@ -43,7 +43,8 @@
   Done done;
 };
 
-Client::Client(actor::Loop& loop, const config::Endpoint& depot) : http_(loop, depot, 4, 4096) {}
+Client::Client(actor::Loop& loop, const config::Endpoint& artifacts)
+    : http_(loop, artifacts, 4, 4096) {}
 
 void Client::put_file(fs::path file, HashDone done) {
   auto u = std::make_shared<Upload>();
@@ -114,7 +115,7 @@
                     return pull(d);
                   }
                   d->out.close();
-                  // Damaged on the way or in the depot: never shown under its name.
+                  // Damaged on the way or in the artifact store: never shown under its name.
                   if (d->hasher.hex() != d->hash) return end(Outcome::refused);
                   std::error_code failed;
                   if (d->out) fs::rename(d->aside, d->to, failed);
@@ -142,4 +143,4 @@
                 });
 }
 
-}  // namespace shunttrail::depot
+}  // namespace shunttrail::artifacts
--- a/src/artifacts/client.h
+++ b/src/artifacts/client.h
@@ -1,5 +1,6 @@
-// The depot as its users see it. Every call ends in exactly one answer, given from the event loop;
-// what failed for a reason that may pass says so (`later`), and may be asked again as it was.
+// The artifact store as its users see it. Every call ends in exactly one answer, given from the
+// event loop; what failed for a reason that may pass says so (`later`), and may be asked again as
+// it was.
 #pragma once
 #include <filesystem>
 #include <functional>
@@ -14,13 +15,13 @@
 enum class Outcome {
   ok,
   absent,   // no such blob or name
-  refused,  // the depot has something else there, or the content does not match its hash
-  later,    // no answer, or the depot's disk is full
+  refused,  // the artifact store has something else there, or the content does not match its hash
+  later,    // no answer, or the artifact store's disk is full
 };
 
 class Client {
  public:
-  Client(actor::Loop& loop, const config::Endpoint& depot);
+  Client(actor::Loop& loop, const config::Endpoint& artifacts);
 
   using HashDone = std::function<void(Outcome, std::string hash)>;
   // A file's bytes as a blob. The file must not change meanwhile.
@@ -41,4 +42,4 @@
   net::Client http_;
 };
 
-}  // namespace shunttrail::depot
+}  // namespace shunttrail::artifacts
--- a/src/artifacts/server.cpp
+++ b/src/artifacts/server.cpp
@@ -77,4 +77,4 @@
   return {409, encode_named(*store_.get_name(name)), 0};
 }
 
-}  // namespace shunttrail::depot
+}  // namespace shunttrail::artifacts
--- a/src/artifacts/server.h
+++ b/src/artifacts/server.h
@@ -1,12 +1,13 @@
-// The depot over HTTP: job descriptions, images, checkpoints, outputs and results, kept outside the
-// machines that use them.
+// The artifact store over HTTP: job descriptions, images, checkpoints, outputs and results, kept
+// outside the machines that use them.
 //
-//   POST /depot/parts/UPLOAD?at=N     some bytes; 200 {"size":N}, also where it did not match
-//   POST /depot/blobs/HASH?from=UPLOAD  the upload becomes the blob: 200, or 422 for another hash
-//   GET  /depot/blobs/HASH?at=N       up to 1 MiB from there, empty at the end; 404
-//   POST /depot/names/NAME            {"value":...,"version":V}; 201, 200 if the same is there,
+//   POST /artifact store/parts/UPLOAD?at=N     some bytes; 200 {"size":N}, also where it did not
+//   match POST /artifact store/blobs/HASH?from=UPLOAD  the upload becomes the blob: 200, or 422 for
+//   another hash GET  /artifact store/blobs/HASH?at=N       up to 1 MiB from there, empty at the
+//   end; 404 POST /artifact store/names/NAME            {"value":...,"version":V}; 201, 200 if the
+//   same is there,
 //                                     409 with what is there
-//   GET  /depot/names/NAME            {"value":...,"version":V}, or 404
+//   GET  /artifact store/names/NAME            {"value":...,"version":V}, or 404
 //
 // 400: malformed; 507: the disk is full or fails, nothing was changed.
 #pragma once
@@ -31,4 +32,4 @@
   net::Server http_;
 };
 
-}  // namespace shunttrail::depot
+}  // namespace shunttrail::artifacts
--- a/src/artifacts/store.cpp
+++ b/src/artifacts/store.cpp
@@ -236,4 +236,4 @@
   return n;
 }
 
-}  // namespace shunttrail::depot
+}  // namespace shunttrail::artifacts
--- a/src/artifacts/store.h
+++ b/src/artifacts/store.h
@@ -1,4 +1,5 @@
-// The depot's directory: content-addressed blobs, and names that point at small JSON values.
+// The artifact store's directory: content-addressed blobs, and names that point at small JSON
+// values.
 //
 // A blob is found by the BLAKE2b-256 hash of its bytes (libsodium); it becomes visible in one
 // rename, after its bytes and its hash have been checked and synced. A name is written whole or not
@@ -78,4 +79,4 @@
 std::string encode_named(const Store::Named& n);
 std::optional<Store::Named> decode_named(std::string_view text);
 
-}  // namespace shunttrail::depot
+}  // namespace shunttrail::artifacts
--- a/src/chain/bandit.h
+++ b/src/chain/bandit.h
@@ -1,5 +1,5 @@
 // One learner: three arms, their latest costs by context (DESIGN points 1, 5; paper 3.1, 3.3).
-// Pure: the random numbers are handed in.
+// Free of I/O: the random numbers are handed in.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -16,13 +16,13 @@
 
 // What a learner sees, packed into buckets.
 struct Context {
-  std::uint16_t job_class = 0;     // dense index of the job's class
-  std::uint8_t size = 0;     // bucket of the share of a machine that the task takes
-  std::uint8_t waiting = 0;  // 0: room now; else bucket of the waiting count
-  bool warm = false;         // the machine has, or is fetching, the image
+  std::uint16_t job_class = 0;  // dense index of the job's class
+  std::uint8_t size = 0;        // bucket of the share of a machine that the task takes
+  std::uint8_t waiting = 0;     // 0: room now; else bucket of the waiting count
+  bool warm = false;            // the machine has, or is fetching, the image
   std::uint64_t key() const {
-    return std::uint64_t{job_class} << 24 | std::uint64_t{size} << 16 | std::uint64_t{waiting} << 8 |
-           (warm ? 1 : 0);
+    return std::uint64_t{job_class} << 24 | std::uint64_t{size} << 16 |
+           std::uint64_t{waiting} << 8 | (warm ? 1 : 0);
   }
 };
 
--- a/src/chain/walk.h
+++ b/src/chain/walk.h
@@ -33,7 +33,9 @@
     return fresh;
   }
   // Its kind was there, be it warm or cold.
-  bool both(const Candidate& s) const { return (seen_ & bits(s, true)) && (seen_ & bits(s, false)); }
+  bool both(const Candidate& s) const {
+    return (seen_ & bits(s, true)) && (seen_ & bits(s, false));
+  }
 
  private:
   static std::uint64_t bits(const Candidate& s, bool warm) {
--- a/src/chaos/attempts.cpp
+++ b/src/chaos/attempts.cpp
@@ -78,4 +78,4 @@
   return last;
 }
 
-}  // namespace shunttrail::checker
+}  // namespace shunttrail::chaos
--- a/src/chaos/attempts.h
+++ b/src/chaos/attempts.h
@@ -39,4 +39,4 @@
   std::uint64_t begins_ = 0, ends_ = 0;
 };
 
-}  // namespace shunttrail::checker
+}  // namespace shunttrail::chaos
--- a/src/chaos/chaos_run.cpp
+++ b/src/chaos/chaos_run.cpp
@@ -13,9 +13,9 @@
 #include <sstream>
 
 #include "agent/processes.h"
+#include "artifacts/store.h"
 #include "chaos/attempts.h"
 #include "cli/service_client.h"
-#include "artifacts/store.h"
 
 namespace shunttrail::chaos {
 namespace fs = std::filesystem;
@@ -67,8 +67,8 @@
       int err = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
       ::dup2(out[1], 1);
       ::dup2(err, 2);
-      ::execl(program.c_str(), "shunttrail-local", "--dir", home.c_str(), "--settings", settings.c_str(),
-              nullptr);
+      ::execl(program.c_str(), "shunttrail-local", "--dir", home.c_str(), "--settings",
+              settings.c_str(), nullptr);
       ::_exit(127);
     }
     write_end = agent::Fd();
@@ -100,8 +100,8 @@
     std::error_code gone;
     for (const auto& m : fs::directory_iterator(plan_.dir / "set" / "machines", gone))
       for (const auto& t : fs::directory_iterator(m.path() / "tasks", gone)) {
-        auto j =
-            nlohmann::json::parse(artifacts::read_whole(t.path() / "shepherd.json"), nullptr, false);
+        auto j = nlohmann::json::parse(artifacts::read_whole(t.path() / "shepherd.json"), nullptr,
+                                       false);
         if (!j.is_object() || fs::exists(t.path() / "end.json", gone)) continue;
         agent::Identity id{j.value("pid", 0), j.value("start", std::uint64_t{0}),
                            j.value("boot", "")};
@@ -157,9 +157,10 @@
     if (p.kill_every_s > 0 && now >= next_kill) {
       next_kill = now + p.kill_every_s * draw(0.5, 1.5);
       double kind = draw(0, 1);
-      auto [from, count] = kind < 0.5   ? std::pair(set.of("shunttrail-agent"), &out.agents_killed)
-                           : kind < 0.8 ? std::pair(set.supervisors(), &out.supervisors_killed)
-                                        : std::pair(set.of("shunttrail-controller"), &out.controllers_killed);
+      auto [from, count] =
+          kind < 0.5   ? std::pair(set.of("shunttrail-agent"), &out.agents_killed)
+          : kind < 0.8 ? std::pair(set.supervisors(), &out.supervisors_killed)
+                       : std::pair(set.of("shunttrail-controller"), &out.controllers_killed);
       if (!from.empty()) {
         ::kill(from[rng() % from.size()], SIGKILL);
         ++*count;
@@ -173,7 +174,8 @@
         used[a] = c;
         out.agent_mb = std::max(out.agent_mb, resident_mb(a));
       }
-      for (pid_t s : set.supervisors()) out.supervisor_mb = std::max(out.supervisor_mb, resident_mb(s));
+      for (pid_t s : set.supervisors())
+        out.supervisor_mb = std::max(out.supervisor_mb, resident_mb(s));
     }
     for (const auto& [id, n] : expected) {
       if (seen.contains(id)) continue;
@@ -235,4 +237,4 @@
       .dump(1);
 }
 
-}  // namespace shunttrail::checker
+}  // namespace shunttrail::chaos
--- a/src/chaos/chaos_run.h
+++ b/src/chaos/chaos_run.h
@@ -1,4 +1,4 @@
-// A trial on one machine: the embedded set runs stand-in tasks while its agents, shepherds and
+// A trial on one machine: the embedded set runs emulator tasks while its agents, supervisors and
 // controllers are killed at random; then every task's history is checked.
 #pragma once
 #include <cstdint>
@@ -22,13 +22,13 @@
   std::uint64_t begins = 0, ends = 0;
   std::uint64_t agents_killed = 0, supervisors_killed = 0, controllers_killed = 0;
   double took_s = 0;
-  double seen_p50_s = 0, seen_p99_s = 0;  // from a job's last end to `done` seen by its user
-  double agent_cpu_s = 0;                 // of all agents
-  double agent_mb = 0, supervisor_mb = 0;   // the largest resident set seen
-  std::uint64_t left_behind = 0;          // processes after the set has ended
+  double seen_p50_s = 0, seen_p99_s = 0;   // from a job's last end to `done` seen by its user
+  double agent_cpu_s = 0;                  // of all agents
+  double agent_mb = 0, supervisor_mb = 0;  // the largest resident set seen
+  std::uint64_t left_behind = 0;           // processes after the set has ended
 };
 
 ChaosResult run(const ChaosPlan& p);
 std::string to_json(const ChaosResult& o);
 
-}  // namespace shunttrail::checker
+}  // namespace shunttrail::chaos
--- a/src/cli/service_client.cpp
+++ b/src/cli/service_client.cpp
@@ -61,7 +61,8 @@
   }
 }
 
-net::Result ServiceClient::once(const char* method, const std::string& path, const std::string& body) {
+net::Result ServiceClient::once(const char* method, const std::string& path,
+                                const std::string& body) {
   net::Result out;
   wait<net::Result>(
       [&](std::function<void(net::Result)> done) {
@@ -81,7 +82,8 @@
   while (!over) loop_.run();
 }
 
-net::Result ServiceClient::insist(const char* method, const std::string& path, const std::string& body) {
+net::Result ServiceClient::insist(const char* method, const std::string& path,
+                                  const std::string& body) {
   double until = actor::steady_now() + kInsistFor;
   while (true) {
     net::Result r = once(method, path, body);
@@ -97,7 +99,9 @@
   artifacts::Outcome outcome = ask([&] {
     artifacts::Outcome got = artifacts::Outcome::later;
     wait<artifacts::Outcome, artifacts::Store::Named>(
-        [&](auto done) { artifacts_.put_name(client_protocol::description_name(d.job.id), {text}, done); },
+        [&](auto done) {
+          artifacts_.put_name(client_protocol::description_name(d.job.id), {text}, done);
+        },
         [&](artifacts::Outcome o, artifacts::Store::Named) { got = o; });
     return got;
   });
@@ -138,11 +142,12 @@
   artifacts::Store::Named out;
   artifacts::Outcome outcome = ask([&] {
     artifacts::Outcome got = artifacts::Outcome::later;
-    wait<artifacts::Outcome, artifacts::Store::Named>([&](auto done) { artifacts_.get_name(name, done); },
-                                              [&](artifacts::Outcome o, artifacts::Store::Named n) {
-                                                got = o;
-                                                out = std::move(n);
-                                              });
+    wait<artifacts::Outcome, artifacts::Store::Named>(
+        [&](auto done) { artifacts_.get_name(name, done); },
+        [&](artifacts::Outcome o, artifacts::Store::Named n) {
+          got = o;
+          out = std::move(n);
+        });
     return got;
   });
   if (outcome == artifacts::Outcome::refused) throw RequestFailed(name + ": refused by the depot");
@@ -165,7 +170,7 @@
   return ask([&] {
            artifacts::Outcome got = artifacts::Outcome::later;
            wait<artifacts::Outcome>([&](auto done) { artifacts_.get_file(hash, file, done); },
-                                [&](artifacts::Outcome o) { got = o; });
+                                    [&](artifacts::Outcome o) { got = o; });
            return got;
          }) == artifacts::Outcome::ok;
 }
@@ -175,10 +180,10 @@
   artifacts::Outcome outcome = ask([&] {
     artifacts::Outcome got = artifacts::Outcome::later;
     wait<artifacts::Outcome, std::string>([&](auto done) { artifacts_.put_file(file, done); },
-                                      [&](artifacts::Outcome o, std::string h) {
-                                        got = o;
-                                        hash = std::move(h);
-                                      });
+                                          [&](artifacts::Outcome o, std::string h) {
+                                            got = o;
+                                            hash = std::move(h);
+                                          });
     return got;
   });
   if (outcome != artifacts::Outcome::ok) throw RequestFailed(file + ": cannot be read");
@@ -194,4 +199,4 @@
   return id;
 }
 
-}  // namespace shunttrail::ctl
+}  // namespace shunttrail::cli
--- a/src/cli/service_client.h
+++ b/src/cli/service_client.h
@@ -1,5 +1,5 @@
 // The service as a user's program sees it: PROTOCOL, "Users -> controller nodes", retries included,
-// and the depot behind the same address. Calls wait for their answers.
+// and the artifact store behind the same address. Calls wait for their answers.
 #pragma once
 #include <functional>
 #include <optional>
@@ -8,8 +8,8 @@
 
 #include "actor/loop.h"
 #include "artifacts/client.h"
-#include "client_protocol/job_description.h"
 #include "client_protocol/client_protocol.h"
+#include "client_protocol/job_description.h"
 #include "net/http.h"
 
 namespace shunttrail::cli {
@@ -24,8 +24,8 @@
   // "http://HOST:PORT" or "HOST:PORT"; throws Failed for anything else.
   explicit ServiceClient(const std::string& url);
 
-  // Puts the description into the depot, then submits; the same id until one answer is final.
-  // Returns the job's state.
+  // Puts the description into the artifact store, then submits; the same id until one answer is
+  // final. Returns the job's state.
   client_protocol::JobAnswer submit(const client_protocol::JobDescription& d);
   std::optional<client_protocol::JobAnswer> status(const std::string& id);  // nothing: no such job
   client_protocol::JobAnswer withdraw(const std::string& id);
@@ -49,7 +49,7 @@
   // Waits for a call that ends in one callback of these arguments.
   template <class... A, class Call, class Then>
   void wait(Call call, Then then);
-  // Asks the depot again for up to a minute, as long as it answers `later`.
+  // Asks the artifact store again for up to a minute, as long as it answers `later`.
   artifacts::Outcome ask(const std::function<artifacts::Outcome()>& once);
   std::optional<artifacts::Store::Named> named(const std::string& name);
 
@@ -62,4 +62,4 @@
 // A job id that nobody else makes: the time and chance.
 std::string fresh_id();
 
-}  // namespace shunttrail::ctl
+}  // namespace shunttrail::cli
--- a/src/client_protocol/client_protocol.cpp
+++ b/src/client_protocol/client_protocol.cpp
@@ -57,7 +57,7 @@
   }
   json j = {{"engine", r.machine},    {"address", r.addr},        {"stock", r.type},
             {"yard", r.zone},         {"borrowed_stock", r.spot}, {"shift", r.incarnation},
-            {"waybill", r.sequence},       {"staff", r.token},         {"recall_s", nullptr},
+            {"waybill", r.sequence},  {"staff", r.token},         {"recall_s", nullptr},
             {"cars", std::move(cars)}};
   if (r.notice_s) j["recall_s"] = *r.notice_s;
   return j.dump();
@@ -161,7 +161,8 @@
     Transaction t;
     if (const json* v = find(j, "guards")) {
       if (!v->is_array()) throw Malformed("guards is not a list");
-      for (const json& g : *v) t.preconditions.emplace_back(key(need(g, "k"), "k"), whole(g, "stamp"));
+      for (const json& g : *v)
+        t.preconditions.emplace_back(key(need(g, "k"), "k"), whole(g, "stamp"));
     }
     if (const json* v = find(j, "writes")) {
       if (!v->is_array()) throw Malformed("writes is not a list");
@@ -189,10 +190,10 @@
     return ms;
   });
 }
-std::string encode_entry(const std::string& key, const std::string& value, std::uint64_t stamp,
-                         std::uint64_t lease) {
-  std::string s =
-      "{\"k\":" + json(key).dump() + ",\"value\":" + value + ",\"stamp\":" + std::to_string(stamp);
+std::string encode_entry(const std::string& key, const std::string& value,
+                         std::uint64_t mod_revision, std::uint64_t lease) {
+  std::string s = "{\"k\":" + json(key).dump() + ",\"value\":" + value +
+                  ",\"stamp\":" + std::to_string(mod_revision);
   if (lease) s += ",\"block\":" + std::to_string(lease);
   return s + "}";
 }
@@ -223,4 +224,4 @@
 std::string encode_revision(std::uint64_t revision) { return json{{"ledger", revision}}.dump(); }
 std::string encode_lease(std::uint64_t lease) { return json{{"block", lease}}.dump(); }
 
-}  // namespace shunttrail::far
+}  // namespace shunttrail::client_protocol
--- a/src/client_protocol/client_protocol.h
+++ b/src/client_protocol/client_protocol.h
@@ -50,12 +50,12 @@
 wire::Transaction decode_transaction(std::string_view body);
 std::uint64_t decode_life_ms(std::string_view body);
 // `value` is JSON text already.
-std::string encode_entry(const std::string& key, const std::string& value, std::uint64_t stamp,
-                         std::uint64_t lease);
+std::string encode_entry(const std::string& key, const std::string& value,
+                         std::uint64_t mod_revision, std::uint64_t lease);
 std::string encode_watch(std::uint64_t revision, const std::vector<wire::Event>& events);
 std::string encode_page(const std::vector<std::string>& entries, bool more, std::uint64_t revision);
 std::string encode_failed(const std::vector<std::string>& keys, std::uint64_t revision);
 std::string encode_revision(std::uint64_t revision);
 std::string encode_lease(std::uint64_t lease);
 
-}  // namespace shunttrail::far
+}  // namespace shunttrail::client_protocol
--- a/src/client_protocol/job_description.cpp
+++ b/src/client_protocol/job_description.cpp
@@ -81,4 +81,4 @@
   });
 }
 
-}  // namespace shunttrail::far
+}  // namespace shunttrail::client_protocol
--- a/src/client_protocol/job_description.h
+++ b/src/client_protocol/job_description.h
@@ -1,5 +1,5 @@
-// A job's description in the depot, under "jobs/ID": what its tasks run. Users write it once,
-// before they submit the job; workers read it when they are told to start one of its tasks.
+// A job's description in the artifact store, under "jobs/ID": what its tasks run. Users write it
+// once, before they submit the job; workers read it when they are told to start one of its tasks.
 #pragma once
 #include <map>
 #include <string>
@@ -23,7 +23,7 @@
 std::string encode_description(const JobDescription& d);
 JobDescription decode_description(std::string_view body);
 
-// Names in the depot.
+// Names in the artifact store.
 inline std::string description_name(const std::string& job) { return "jobs/" + job; }
 inline std::string result_name(const wire::TaskId& t) {
   return "results/" + t.job + "/" + std::to_string(t.index);
@@ -45,4 +45,4 @@
 std::string encode_result(const TaskResult& r);
 TaskResult decode_result(std::string_view body);
 
-}  // namespace shunttrail::far
+}  // namespace shunttrail::client_protocol
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -65,7 +65,7 @@
   // A cancellation it has not heard of must still end in time, and its last 200 keeps a lease
   // alive for lease_s more.
   double staleness_bound_s() const;
-  // After a takeover, silence of a machine for this long proves that its session has ended.
+  // After a takeover, silence of a machine for this long proves that its incarnation has ended.
   double fencing_wait_s() const { return staleness_bound_s() + lease_s + 2.0; }
 };
 
@@ -79,8 +79,8 @@
   double idle_start_s = 1.0;  // first k, before the floor at boot time
   double idle_cap = 8.0;      // k never grows beyond this many boot times
   double wait_weight = 1.0;  // price of a standard task's waiting, in rents of the cheapest machine
-  double late_weight = 60.0;  // fine for a missed deadline, in seconds of that rent
-  double node_lease_s = 8.0;        // life of the key that shows this node alive
+  double late_weight = 60.0;     // fine for a missed deadline, in seconds of that rent
+  double node_lease_s = 8.0;     // life of the key that shows this node alive
   double response_hold_s = 0.3;  // a report's answer waits this long for its commit
   bool relay = false;  // reports of workers that cannot reach their owner are passed on to it
 };
--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -1,7 +1,7 @@
 #include "controller/cloud_manager.h"
 
-#include "controller/membership.h"
 #include "controller/inventory.h"
+#include "controller/membership.h"
 
 namespace shunttrail::controller {
 namespace {
@@ -16,11 +16,12 @@
 
 CloudManager::CloudManager(actor::Loop& loop, ControllerComponents& parts)
     : Actor(loop), components_(parts), client_(loop, parts.settings) {
-  // Whoever deleted it, what has left the roster is gone: a late copy of its last reports must not
-  // bring it back.
+  // Whoever deleted it, what has left the inventory is gone: a late copy of its last reports must
+  // not bring it back.
   components_.state_store->listen(reply<Changes>([this](Changes changes) {
     for (const auto& c : *changes)
-      if (c.kind == state::Change::machine_gone && !components_.state_store->cache().machine(c.name))
+      if (c.kind == state::Change::machine_gone &&
+          !components_.state_store->cache().machine(c.name))
         removed_[c.name] = loop_.now();
   }));
 }
@@ -71,7 +72,8 @@
   const int shards = components_.settings.shards();
   int to_return = -1;
   for (int i = 0; i < shards && !deleting_ && to_return < 0; ++i)
-    if (int k = (next_to_return_ + i) % shards; components_.shard_controller(k).scheduler()) to_return = k;
+    if (int k = (next_to_return_ + i) % shards; components_.shard_controller(k).scheduler())
+      to_return = k;
   if (to_return >= 0) {
     deleting_ = true;
     next_to_return_ = to_return + 1;
@@ -79,9 +81,11 @@
   for (int k = 0; k < shards; ++k) {
     const bool returns = k == to_return;
     if (components_.shard_controller(k).scheduler())
-      components_.shard_controller(k).cloud_requests(returns, reply<ShardController::CloudRequests>([this, k, returns](ShardController::CloudRequests w) {
-                               execute(k, std::move(w), returns);
-                             }));
+      components_.shard_controller(k).cloud_requests(
+          returns, reply<ShardController::CloudRequests>(
+                       [this, k, returns](ShardController::CloudRequests w) {
+                         execute(k, std::move(w), returns);
+                       }));
   }
 }
 
@@ -94,23 +98,25 @@
   }
   for (const auto& r : w.scale_out) {
     // The name holds the first hold's id, which no other process has, and a counter.
-    std::string charter =
-        "c-" + std::to_string(components_.membership->process_id()) + "-" + std::to_string(++charters_);
-    client_.rent(charter, catalogue_.types[r.tier / 2].spec.name, components_.settings.zones[r.zone],
-                 r.tier % 2, static_cast<int>(r.machines.size()),
-                 reply<cloud::RentResult>([this, shard, born = w.opened_under, r](cloud::RentResult got) {
-                   ShardController& runner = components_.shard_controller(shard);
-                   if (got.kind == cloud::RentResult::rented)
-                     runner.rented(born, r, std::move(got.machines));
-                   else
-                     runner.rent_refused(born, r, got.kind == cloud::RentResult::no_capacity);
-                 }));
+    std::string charter = "c-" + std::to_string(components_.membership->process_id()) + "-" +
+                          std::to_string(++charters_);
+    client_.rent(
+        charter, catalogue_.types[r.tier / 2].spec.name, components_.settings.zones[r.zone],
+        r.tier % 2, static_cast<int>(r.machines.size()),
+        reply<cloud::RentResult>([this, shard, born = w.opened_under, r](cloud::RentResult got) {
+          ShardController& runner = components_.shard_controller(shard);
+          if (got.kind == cloud::RentResult::rented)
+            runner.rented(born, r, std::move(got.machines));
+          else
+            runner.rent_refused(born, r, got.kind == cloud::RentResult::no_capacity);
+        }));
   }
 }
 
 void CloudManager::return_machines(int shard, std::uint64_t born, std::vector<std::string> back) {
   if (back.size() > kDeleteMost) {
-    components_.shard_controller(shard).deleted(born, {back.begin() + kDeleteMost, back.end()}, false);
+    components_.shard_controller(shard).deleted(born, {back.begin() + kDeleteMost, back.end()},
+                                                false);
     back.resize(kDeleteMost);
   }
   client_.remove(back, reply<bool>([this, shard, born, back](bool ok) {
@@ -157,7 +163,8 @@
   }
   if (!components_.shard_controller(0).scheduler() || removed_.contains(m.name)) return;
   double since = unknown_since_.try_emplace(m.name, now).first->second;
-  if (now - since > kUnknownFor) components_.inventory->adopt_orphan({m.name, m.type, m.zone, m.spot, 0, 0, 0});
+  if (now - since > kUnknownFor)
+    components_.inventory->adopt_orphan({m.name, m.type, m.zone, m.spot, 0, 0, 0});
 }
 
 // Once listed, a machine stays listed until it is gone; but lists come out of order, so it takes
@@ -185,4 +192,4 @@
   list_at_ = loop_.now() + std::max(kListGap, pages / share);
 }
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/cloud_manager.h
+++ b/src/controller/cloud_manager.h
@@ -1,5 +1,5 @@
 // What the cloud is asked for: types, rents, returns, and the list. Its faults are met here: the
-// runners learn what was rented, refused and deleted, and nothing of calls that failed.
+// shard controllers learn what was rented, refused and deleted, and nothing of calls that failed.
 #pragma once
 #include <map>
 #include <set>
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "cloud/cloud.h"
-#include "scheduler/shard_scheduler.h"
 #include "controller/components.h"
 #include "controller/shard_controller.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace shunttrail::controller {
 
@@ -56,4 +56,4 @@
   std::map<std::string, int> missing_;
 };
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/components.h
+++ b/src/controller/components.h
@@ -11,14 +11,14 @@
 namespace shunttrail::controller {
 
 class StateStore;       // the state service as this node knows it
-class SchemaManager;      // the active state level, and whether this build may serve
-class Membership;  // the key that shows this node alive, and who owns what
-class JobResults;    // how jobs ended, and jobs that await others
-class CloudManager;       // types, rents, returns, the list
-class Inventory;      // which shard a machine belongs to
+class SchemaManager;    // the active state level, and whether this build may serve
+class Membership;       // the key that shows this node alive, and who owns what
+class JobResults;       // how jobs ended, and jobs that await others
+class CloudManager;     // types, rents, returns, the list
+class Inventory;        // which shard a machine belongs to
 class PeerGossip;       // what the other controllers say
-class HeartbeatRelay;       // workers by way of a sibling
-class ShardController;      // one shard, while this node owns it
+class HeartbeatRelay;   // workers by way of a sibling
+class ShardController;  // one shard, while this node owns it
 
 struct ControllerComponents {
   const config::Settings& settings;
@@ -34,7 +34,9 @@
   HeartbeatRelay* heartbeat_relay = nullptr;
   std::vector<std::unique_ptr<ShardController>> shard_controllers{};  // by shard
 
-  ShardController& shard_controller(int shard) const { return *shard_controllers[static_cast<std::size_t>(shard)]; }
+  ShardController& shard_controller(int shard) const {
+    return *shard_controllers[static_cast<std::size_t>(shard)];
+  }
 };
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -29,7 +29,8 @@
       worker_api_(loop, components_),
       timer_(loop, [this] { post([this] { tick(); }); }),
       public_server_(loop, s.front, kBodyMost, [this](net::ExchangePtr ex) { serve_public(ex); }),
-      internal_server_(loop, s.internal, kPassedMost, [this](net::ExchangePtr ex) { serve_internal(ex); }) {
+      internal_server_(loop, s.internal, kPassedMost,
+                       [this](net::ExchangePtr ex) { serve_internal(ex); }) {
   components_.schema = &schema_;
   components_.job_results = &job_results_;
   components_.membership = &membership_;
@@ -38,7 +39,8 @@
   components_.peer_gossip = &peer_gossip_;
   components_.heartbeat_relay = &heartbeat_relay_;
   for (int k = 0; k < s.shards(); ++k)
-    components_.shard_controllers.push_back(std::make_unique<ShardController>(loop, components_, k));
+    components_.shard_controllers.push_back(
+        std::make_unique<ShardController>(loop, components_, k));
   post([this] { tick(); });
 }
 
@@ -64,7 +66,8 @@
       "state service: {} answered 429, {:.1f} s waited, {:.1f} changes a second, {} queued; "
       "{} jobs wait for others, {} made ready, {} ended with them",
       cost.refused, cost.waited_s, cost.write_rate, state_client_.queued(),
-      state_store_.cache().waiting().size(), job_results_.made_ready(), job_results_.ended_with_others());
+      state_store_.cache().waiting().size(), job_results_.made_ready(),
+      job_results_.ended_with_others());
   spdlog::info("levels {}", schema_.describe());
   spdlog::info("links {}", heartbeat_relay_.describe());
 }
@@ -79,7 +82,8 @@
 void Controller::serve_internal(const net::ExchangePtr& ex) {
   if (ex->path == "/peer/beat" && ex->post) return peer_gossip_.handle_request(ex);
   if (ex->path == "/peer/report" && ex->post)
-    return heartbeat_relay_.handle_relayed(ex, [this](net::ExchangePtr passed) { worker_api_.handle_heartbeat(passed, true); });
+    return heartbeat_relay_.handle_relayed(
+        ex, [this](net::ExchangePtr passed) { worker_api_.handle_heartbeat(passed, true); });
   if (ex->path == "/links" && !ex->post) return ex->send({200, heartbeat_relay_.describe(), 0});
   if (ex->path == "/metrics" && !ex->post) return ex->send({200, metrics(), 0});
   if (ex->path == "/levels") return schema_.handle_request(ex);
@@ -89,8 +93,8 @@
 std::string Controller::metrics() const {
   const auto cost = state_client_.cost();
   const state::StateCache& world = state_store_.cache();
-  std::uint64_t garbage =
-      worker_api_.malformed() + peer_gossip_.malformed() + heartbeat_relay_.malformed() + world.malformed();
+  std::uint64_t garbage = worker_api_.malformed() + peer_gossip_.malformed() +
+                          heartbeat_relay_.malformed() + world.malformed();
   for (const auto& r : components_.shard_controllers) garbage += r->malformed();
   nlohmann::json j = {{"node", components_.settings.node},
                       {"revision", world.revision()},
@@ -114,4 +118,4 @@
   return j.dump();
 }
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -5,13 +5,13 @@
 #include "actor/loop.h"
 #include "config/settings.h"
 #include "controller/cloud_manager.h"
-#include "controller/schema_manager.h"
-#include "controller/membership.h"
-#include "controller/job_results.h"
 #include "controller/components.h"
-#include "controller/peer_gossip.h"
 #include "controller/heartbeat_relay.h"
 #include "controller/inventory.h"
+#include "controller/job_results.h"
+#include "controller/membership.h"
+#include "controller/peer_gossip.h"
+#include "controller/schema_manager.h"
 #include "controller/shard_controller.h"
 #include "controller/state_store.h"
 #include "controller/user_api.h"
@@ -25,7 +25,7 @@
  public:
   Controller(actor::Loop& loop, const config::Settings& s, const config::Tuning& t,
              schema::Build build = schema::current_build());
-  // This node owns the shard, and its desk is open.
+  // This node owns the shard, and its scheduler is open.
   bool leads(int shard) const { return components_.shard_controller(shard).scheduler() != nullptr; }
 
  private:
@@ -53,4 +53,4 @@
   net::Server public_server_, internal_server_;
 };
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -22,19 +22,20 @@
   }
 }
 
-void HeartbeatRelay::route_heartbeat(net::ExchangePtr ex, std::string machine, relay::RelayRoutes::Order order, int zone,
-                   int owner) {
+void HeartbeatRelay::route_heartbeat(net::ExchangePtr ex, std::string machine,
+                                     relay::RelayRoutes::Order order, int zone, int owner) {
   post([this, ex, machine = std::move(machine), order, zone, owner] {
     decide(ex, machine, order, zone, owner);
   });
 }
 
 void HeartbeatRelay::decide(const net::ExchangePtr& ex, const std::string& machine,
-                   relay::RelayRoutes::Order order, int zone, int owner) {
+                            relay::RelayRoutes::Order order, int zone, int owner) {
   const bool other = owner >= 0 && owner != components_.settings.self;
   const std::string to = other ? components_.settings.nodes[static_cast<std::size_t>(owner)] : "";
   auto way = relay::Decision::redirect;
-  if (other && components_.tuning.relay) way = routes_.decide(machine, order, zone, owner, loop_.now());
+  if (other && components_.tuning.relay)
+    way = routes_.decide(machine, order, zone, owner, loop_.now());
   switch (way) {
     case relay::Decision::redirect:
       return ex->send({421, wire::encode_redirect(to), 0});
@@ -57,7 +58,8 @@
                          // 404, 400: a build that takes no reports from siblings, or none of this
                          // version.
                          if (r.status == 404 || r.status == 400) {
-                           spdlog::info("{} takes no reports passed on", components_.settings.nodes[n]);
+                           spdlog::info("{} takes no reports passed on",
+                                        components_.settings.nodes[n]);
                            routes_.unavailable(owner, now);
                          }
                          if (r.status == 200 || r.status == 421)
@@ -67,7 +69,8 @@
                        }));
 }
 
-void HeartbeatRelay::handle_relayed(const net::ExchangePtr& ex, const std::function<void(net::ExchangePtr)>& then) {
+void HeartbeatRelay::handle_relayed(const net::ExchangePtr& ex,
+                                    const std::function<void(net::ExchangePtr)>& then) {
   auto p = peer::decode_relayed(ex->body, components_.settings.shards());
   if (!p) {
     ++malformed_;
@@ -83,13 +86,14 @@
   const double now = loop_.now();
   json cut = json::array(), siblings = json::array();
   for (const auto& [key, d] : routes_.open())
-    cut.push_back({{"to", components_.settings.nodes[static_cast<std::size_t>(key.first)]},
-                   {"workers_in",
-                    key.second < 0 ? std::string()
-                                   : components_.settings.zones[static_cast<std::size_t>(key.second)]},
-                   {"state", "cut"},
-                   {"since_s", now - d.since},
-                   {"by", components_.settings.node}});
+    cut.push_back(
+        {{"to", components_.settings.nodes[static_cast<std::size_t>(key.first)]},
+         {"workers_in", key.second < 0
+                            ? std::string()
+                            : components_.settings.zones[static_cast<std::size_t>(key.second)]},
+         {"state", "cut"},
+         {"since_s", now - d.since},
+         {"by", components_.settings.node}});
   for (std::size_t n = 0; n < counts_.size(); ++n) {
     const Count& c = counts_[n];
     if (clients_[n])
@@ -105,4 +109,4 @@
       .dump();
 }
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/heartbeat_relay.h
+++ b/src/controller/heartbeat_relay.h
@@ -9,8 +9,8 @@
 
 #include "controller/components.h"
 #include "controller/state_store.h"
-#include "relay/relay_routes.h"
 #include "net/http.h"
+#include "relay/relay_routes.h"
 
 namespace shunttrail::controller {
 
@@ -20,10 +20,11 @@
 
   // A report of a machine in this zone, whose shard node `owner` (-1: nobody) owns. Redirected,
   // passed on, or refused.
-  void route_heartbeat(net::ExchangePtr ex, std::string machine, relay::RelayRoutes::Order order, int zone,
-              int owner);
+  void route_heartbeat(net::ExchangePtr ex, std::string machine, relay::RelayRoutes::Order order,
+                       int zone, int owner);
   // From a sibling: `then` is handed the report, in an exchange that answers the sibling.
-  void handle_relayed(const net::ExchangePtr& ex, const std::function<void(net::ExchangePtr)>& then);
+  void handle_relayed(const net::ExchangePtr& ex,
+                      const std::function<void(net::ExchangePtr)>& then);
 
   struct Count {
     std::uint64_t relayed = 0, unanswered = 0, taken = 0;
@@ -32,8 +33,8 @@
   std::uint64_t malformed() const { return malformed_; }
 
  private:
-  void decide(const net::ExchangePtr& ex, const std::string& machine, relay::RelayRoutes::Order order,
-              int zone, int owner);
+  void decide(const net::ExchangePtr& ex, const std::string& machine,
+              relay::RelayRoutes::Order order, int zone, int owner);
   void relay_to(const net::ExchangePtr& ex, int owner);
 
   ControllerComponents& components_;
@@ -43,4 +44,4 @@
   std::uint64_t malformed_ = 0;
 };
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/inventory.cpp
+++ b/src/controller/inventory.cpp
@@ -6,8 +6,8 @@
 #include <set>
 
 #include "controller/cloud_manager.h"
-#include "controller/schema_manager.h"
 #include "controller/membership.h"
+#include "controller/schema_manager.h"
 #include "controller/shard_controller.h"
 
 namespace shunttrail::controller {
@@ -16,7 +16,8 @@
 constexpr int kUneven = 4;  // a shard with so many more machines than another takes no more
 }  // namespace
 
-Inventory::Inventory(actor::Loop& loop, ControllerComponents& parts) : Actor(loop), components_(parts) {}
+Inventory::Inventory(actor::Loop& loop, ControllerComponents& parts)
+    : Actor(loop), components_(parts) {}
 
 void Inventory::tick() {
   post([this] { write_next(); });
@@ -27,7 +28,8 @@
 void Inventory::drop(std::string machine) {
   post([this, machine = std::move(machine)] {
     pending_changes_.insert_or_assign(
-        machine, scheduler::InventoryChange{scheduler::InventoryChange::drop, {machine, {}, {}, false, 0, 0, 0}, 0});
+        machine, scheduler::InventoryChange{
+                     scheduler::InventoryChange::drop, {machine, {}, {}, false, 0, 0, 0}, 0});
   });
 }
 
@@ -55,7 +57,9 @@
 }
 
 void Inventory::write_next() {
-  if (!components_.state_store->loaded() || commit_in_flight_ || loop_.now() < retry_after_ || !components_.schema->may_serve()) return;
+  if (!components_.state_store->loaded() || commit_in_flight_ || loop_.now() < retry_after_ ||
+      !components_.schema->may_serve())
+    return;
   collect_changes();
   wire::Transaction t;
   const std::string tag = components_.membership->tag('m', ++tags_);
@@ -76,14 +80,14 @@
   }
   if (t.ops.empty()) return;
   commit_in_flight_ = true;
-  components_.state_store->resolve_unknown_commit(std::move(t), urgency, 3,
-                       reply<state::CommitResult>([this](state::CommitResult c) {
-                         commit_in_flight_ = false;
-                         // Lost a race, or not known: what was read since decides anew. Nodes that
-                         // race for a page come back at different times.
-                         if (c.kind != state::CommitResult::applied)
-                           retry_after_ = loop_.now() + 0.1 * (1 + components_.settings.self);
-                       }));
+  components_.state_store->resolve_unknown_commit(
+      std::move(t), urgency, 3, reply<state::CommitResult>([this](state::CommitResult c) {
+        commit_in_flight_ = false;
+        // Lost a race, or not known: what was read since decides anew. Nodes that
+        // race for a page come back at different times.
+        if (c.kind != state::CommitResult::applied)
+          retry_after_ = loop_.now() + 0.1 * (1 + components_.settings.self);
+      }));
 }
 
 void Inventory::collect_changes() {
@@ -105,7 +109,7 @@
 
 // Wishes for one page's machines; what is over by now is forgotten. True if something is left.
 bool Inventory::apply_changes(shard::InventoryPage& here, const std::vector<std::string>& names,
-                       Preconditions& owners) {
+                              Preconditions& owners) {
   bool changed = false;
   for (const auto& name : names) {
     const scheduler::InventoryChange& w = pending_changes_.at(name);
@@ -121,8 +125,9 @@
         if (!over) here.drop(name);
         break;
       case scheduler::InventoryChange::transfer: {
-        // Only its shard's owner gives a machine away, and only while it is the owner. The desk is
-        // asked now: the one that wished it may be closed, and its successor have work there.
+        // Only its shard's owner gives a machine away, and only while it is the owner. The
+        // scheduler is asked now: the one that wished it may be closed, and its successor have work
+        // there.
         over = !m || m->shard >= components_.settings.shards();
         if (over) break;
         const scheduler::ShardScheduler* giver = components_.shard_controller(m->shard).scheduler();
@@ -146,9 +151,10 @@
 }
 
 // Puts a page's changes into the transaction, if there is room for them.
-void Inventory::append_page(wire::Transaction& t, shard::InventoryPage& here, Preconditions owners, const state::TransactionLimits& size,
-                 const std::string& tag) {
-  here.record_ages([this](const std::string& name) { return components_.cloud_manager->rented_at(name); });
+void Inventory::append_page(wire::Transaction& t, shard::InventoryPage& here, Preconditions owners,
+                            const state::TransactionLimits& size, const std::string& tag) {
+  here.record_ages(
+      [this](const std::string& name) { return components_.cloud_manager->rented_at(name); });
   wire::Transaction mine = here.changes(size.value_bytes, tag);
   for (auto& g : owners) mine.preconditions.push_back(std::move(g));
   std::erase_if(mine.preconditions, [&](const auto& g) {
@@ -166,7 +172,8 @@
 
 // Pages that stand in another form than the active level's. Each transaction brings a few over; one
 // that fails, or whose node dies, leaves them as they were.
-void Inventory::convert(wire::Transaction& t, const state::TransactionLimits& size, const std::string& tag) {
+void Inventory::convert(wire::Transaction& t, const state::TransactionLimits& size,
+                        const std::string& tag) {
   const state::StateCache& world = components_.state_store->cache();
   std::set<int> bases;  // parts of a page come over together
   for (int page : world.inventory_to_convert()) {
@@ -178,4 +185,4 @@
   }
 }
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/inventory.h
+++ b/src/controller/inventory.h
@@ -1,12 +1,13 @@
-// The roster: which shard each machine belongs to. Its pages are shared by all nodes, so every
-// write is guarded by its page's stamp, and what failed is decided anew from what is there then.
+// The inventory: which shard each machine belongs to. Its pages are shared by all nodes, so every
+// write is conditional on its page's revision, and what failed is decided anew from what is there
+// then.
 #pragma once
 #include <map>
 #include <string>
 
-#include "scheduler/shard_scheduler.h"
 #include "controller/components.h"
 #include "controller/state_store.h"
+#include "scheduler/shard_scheduler.h"
 #include "shard/inventory_page.h"
 
 namespace shunttrail::controller {
@@ -25,9 +26,10 @@
   using Preconditions = std::vector<std::pair<std::string, std::uint64_t>>;
   void write_next();
   void collect_changes();
-  bool apply_changes(shard::InventoryPage& here, const std::vector<std::string>& names, Preconditions& owners);
-  void append_page(wire::Transaction& t, shard::InventoryPage& here, Preconditions owners, const state::TransactionLimits& size,
-           const std::string& tag);
+  bool apply_changes(shard::InventoryPage& here, const std::vector<std::string>& names,
+                     Preconditions& owners);
+  void append_page(wire::Transaction& t, shard::InventoryPage& here, Preconditions owners,
+                   const state::TransactionLimits& size, const std::string& tag);
   void convert(wire::Transaction& t, const state::TransactionLimits& size, const std::string& tag);
 
   ControllerComponents& components_;
@@ -37,4 +39,4 @@
   std::uint64_t tags_ = 0;
 };
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/job_results.cpp
+++ b/src/controller/job_results.cpp
@@ -2,8 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
-#include "controller/schema_manager.h"
 #include "controller/membership.h"
+#include "controller/schema_manager.h"
 #include "controller/shard_controller.h"
 
 namespace shunttrail::controller {
@@ -66,7 +66,8 @@
   while (auto next = reader_.next()) {
     const std::string key = state::job_result_key(next->id);
     components_.state_client.get(
-        next->range ? wire::keys_path(state::kJobResults, jobs::ResultReader::key_before(key)) : "/kv/" + key,
+        next->range ? wire::keys_path(state::kJobResults, jobs::ResultReader::key_before(key))
+                    : "/kv/" + key,
         state::RequestPriority::user, reply<net::Result>([this, ask = *next](net::Result r) {
           read_answered(ask, r);
           this->read_next();
@@ -117,7 +118,8 @@
 
 // By message, and not read from another actor's turn: what the cache has told this actor comes
 // before what is asked of it. A job below a cancelled one must not be called queued again.
-void JobResults::dependency_states(std::vector<std::string> ids, std::function<void(DependencyStates)> then) {
+void JobResults::dependency_states(std::vector<std::string> ids,
+                                   std::function<void(DependencyStates)> then) {
   post([this, ids = std::move(ids), then = std::move(then)] {
     DependencyStates out;
     for (const auto& id : ids) out.of.push_back(dependencies_.state_of(id, &out.missing));
@@ -157,7 +159,8 @@
     int team = j ? components_.settings.team_index(j->record.spec.team) : -1;
     if (team < 0) continue;
     jobs::EffectivePriority u = dependencies_.effective_priority(id, j->record);
-    components_.shard_controller(components_.settings.team_shard[team]).set_effective_priority(id, u.priority, now + (u.due - wall));
+    components_.shard_controller(components_.settings.team_shard[team])
+        .set_effective_priority(id, u.priority, now + (u.due - wall));
   }
 }
 
@@ -169,7 +172,8 @@
   double now = loop_.now();
   double since = move_since_.try_emplace(id, now).first->second;
   int team = components_.settings.team_index(j->record.spec.team);
-  if (team >= 0 && components_.shard_controller(components_.settings.team_shard[team]).scheduler()) return true;
+  if (team >= 0 && components_.shard_controller(components_.settings.team_shard[team]).scheduler())
+    return true;
   return now - since > kOwnersTime + components_.settings.self;
 }
 
@@ -188,7 +192,8 @@
         schedule_advance();
       });
     }
-  if (!store.fresh(components_.settings.staleness_bound_s()) || !components_.schema->may_serve()) return;
+  if (!store.fresh(components_.settings.staleness_bound_s()) || !components_.schema->may_serve())
+    return;
   move_waiting(true);
   move_waiting(false);
   if (move_since_.size() > 2 * (dependencies_.ready().size() + dependencies_.doomed().size()) + 16)
@@ -200,25 +205,27 @@
   TransitionWriter& mover = ready ? ready_writer_ : cancelled_writer_;
   if (mover.in_flight || loop_.now() < mover.not_before) return;
   jobs::StateTransitions m =
-      jobs::state_transitions(components_.state_store->cache(), dependencies_, ready, components_.state_client.limits().transaction_limits(),
-                  loop_.wall_now(), components_.membership->tag('j', ++tags_),
-                  [this](const std::string& id) { return may_move(id); });
+      jobs::state_transitions(components_.state_store->cache(), dependencies_, ready,
+                              components_.state_client.limits().transaction_limits(),
+                              loop_.wall_now(), components_.membership->tag('j', ++tags_),
+                              [this](const std::string& id) { return may_move(id); });
   if (m.txn.ops.empty()) return;
   mover.in_flight = true;
   const std::size_t jobs = m.txn.ops.size() / 2;
-  components_.state_store->resolve_unknown_commit(std::move(m.txn), ready ? state::RequestPriority::work : state::RequestPriority::sweep, 3,
-                       reply<state::CommitResult>([this, jobs, finals = std::move(m.results),
-                                                   &mover](state::CommitResult c) {
-                         mover.in_flight = false;
-                         if (c.kind == state::CommitResult::applied) {
-                           mover.moved += jobs;
-                           for (const auto& [id, f] : finals) remember(id, f);
-                         } else {
-                           // Lost a race, or not known: what was read since decides anew.
-                           mover.not_before = loop_.now() + kMoveGap;
-                         }
-                         schedule_advance();
-                       }));
-}
-
-}  // namespace shunttrail::front
+  components_.state_store->resolve_unknown_commit(
+      std::move(m.txn), ready ? state::RequestPriority::work : state::RequestPriority::sweep, 3,
+      reply<state::CommitResult>(
+          [this, jobs, finals = std::move(m.results), &mover](state::CommitResult c) {
+            mover.in_flight = false;
+            if (c.kind == state::CommitResult::applied) {
+              mover.moved += jobs;
+              for (const auto& [id, f] : finals) remember(id, f);
+            } else {
+              // Lost a race, or not known: what was read since decides anew.
+              mover.not_before = loop_.now() + kMoveGap;
+            }
+            schedule_advance();
+          }));
+}
+
+}  // namespace shunttrail::controller
--- a/src/controller/job_results.h
+++ b/src/controller/job_results.h
@@ -11,8 +11,8 @@
 
 #include "controller/components.h"
 #include "controller/state_store.h"
-#include "jobs/result_reader.h"
 #include "jobs/dependency_graph.h"
+#include "jobs/result_reader.h"
 
 namespace shunttrail::controller {
 
@@ -73,4 +73,4 @@
   actor::Timer advance_timer_;
 };
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/membership.h
+++ b/src/controller/membership.h
@@ -15,7 +15,8 @@
  public:
   Membership(actor::Loop& loop, ControllerComponents& parts);
   void tick();
-  // Somebody has news of an owner that the cache may not have yet: the runners look again.
+  // Somebody has news of an owner that the cache may not have yet: the shard controllers look
+  // again.
   void reconsider();
 
   const shard::LeaderElection& election() const { return election_; }
@@ -35,9 +36,9 @@
   ControllerComponents& components_;
   shard::LeaderElection election_;
   std::uint64_t node_lease_ = 0, process_id_ = 0;
-  std::uint64_t own_key_revision_ = 0;  // the stamp of the node key that this process wrote
+  std::uint64_t own_key_revision_ = 0;  // the revision of the node key that this process wrote
   bool lease_busy_ = false, registering_ = false;
   double renew_at_ = 0, displaced_after_ = 0;
 };
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/peer_gossip.cpp
+++ b/src/controller/peer_gossip.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 
 #include "controller/cloud_manager.h"
-#include "controller/schema_manager.h"
 #include "controller/membership.h"
+#include "controller/schema_manager.h"
 #include "controller/shard_controller.h"
 
 namespace shunttrail::controller {
@@ -38,7 +38,9 @@
   post([this, ex] { take_heartbeat(ex); });
 }
 
-bool PeerGossip::another_serves() const { return peer::another_serves(peer_status_, started_at_, loop_.now()); }
+bool PeerGossip::another_serves() const {
+  return peer::another_serves(peer_status_, started_at_, loop_.now());
+}
 
 void PeerGossip::take_heartbeat(const net::ExchangePtr& ex) {
   const int shards = components_.settings.shards();
@@ -56,7 +58,9 @@
     const scheduler::ShardScheduler* d = components_.shard_controller(k).scheduler();
     newer |= d && b->tokens[k] > d->token();
   }
-  if (newer) components_.state_store->linearizable_read(reply<bool>([this](bool) { components_.membership->reconsider(); }));
+  if (newer)
+    components_.state_store->linearizable_read(
+        reply<bool>([this](bool) { components_.membership->reconsider(); }));
   ex->send({200, "{}", 0});
 }
 
@@ -94,12 +98,12 @@
     all.push_back(l.load);
   }
   for (int k = 0; k < components_.settings.shards(); ++k) {
-    const scheduler::ShardScheduler* desk = components_.shard_controller(k).scheduler();
-    if (!desk || now < transferred_at_[k] + kGiveGap) continue;
+    const scheduler::ShardScheduler* scheduler = components_.shard_controller(k).scheduler();
+    if (!scheduler || now < transferred_at_[k] + kGiveGap) continue;
     transferred_at_[k] = now;
     // What is marked to go already is part of what there is to give, in every owner's eyes: else
     // each would see less than there is, and promise once more what another has promised.
-    const double pledged = desk->transferring();
+    const double pledged = scheduler->transferring();
     auto gifts = shard::transfers(all, k);
     for (int to = 0; to < components_.settings.shards(); ++to)
       if (const int n = gifts[static_cast<std::size_t>(to)]; to != k && (n > 0 || pledged > 0))
@@ -115,7 +119,8 @@
   for (const auto& [id, j] : world.jobs()) {
     const wire::JobSpec& spec = j.record.spec;
     const int team = components_.settings.team_index(spec.team);
-    if (team < 0 || components_.settings.team_shard[static_cast<std::size_t>(team)] != shard) continue;
+    if (team < 0 || components_.settings.team_shard[static_cast<std::size_t>(team)] != shard)
+      continue;
     const auto p = world.progress(j, jobs::kTasksPerChunk);
     if (p.done + p.placed >= spec.tasks) continue;
     const auto need = jobs::Resources::of(spec.cpus, spec.gpus, spec.mem_gb);
@@ -126,4 +131,4 @@
   return out;
 }
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/peer_gossip.h
+++ b/src/controller/peer_gossip.h
@@ -31,7 +31,7 @@
 
   ControllerComponents& components_;
   std::vector<std::unique_ptr<net::Client>> clients_;  // by node; none: this one
-  std::vector<peer::PeerStatus> peer_status_;                       // by node
+  std::vector<peer::PeerStatus> peer_status_;          // by node
   struct ShardLoadReport {
     double at = -1e9;
     shard::Load load;
@@ -43,4 +43,4 @@
   std::uint64_t malformed_ = 0;
 };
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/schema_manager.cpp
+++ b/src/controller/schema_manager.cpp
@@ -61,7 +61,8 @@
     if (!why.empty()) spdlog::error("this node serves nothing: {}", why);
     logged_refusal_ = std::move(why);
   }
-  rollout_status_ = schema::rollout_status(v, components_.settings.nodes, build_, w.all_converted());
+  rollout_status_ =
+      schema::rollout_status(v, components_.settings.nodes, build_, w.all_converted());
   std::map<std::pair<std::string, std::string>, double> held;
   for (const auto& o : rollout_status_.blocked_by) {
     auto was = held_since_.find({o.by, o.reason});
@@ -70,7 +71,8 @@
       spdlog::info("levels: {} is active; held by {}, which {}", v.record.active, o.by, o.reason);
   }
   held_since_ = std::move(held);
-  if (rollout_status_.step.kind == schema::Step::none || v.record.active != step_from_) step_since_ = 0;
+  if (rollout_status_.step.kind == schema::Step::none || v.record.active != step_from_)
+    step_since_ = 0;
   step_from_ = v.record.active;
   if (rollout_status_.step.kind != schema::Step::none && step_since_ == 0) {
     step_since_ = now;
@@ -80,21 +82,23 @@
 
 void SchemaManager::step() {
   const double now = loop_.now();
-  if (commit_in_flight_ || step_since_ == 0 || !components_.state_store->fresh(kFresh) || !components_.membership->process_id() ||
+  if (commit_in_flight_ || step_since_ == 0 || !components_.state_store->fresh(kFresh) ||
+      !components_.membership->process_id() ||
       now < step_since_ + kTurnOfNode * components_.settings.self)
     return;
   const schema::VersionRecord to = rollout_status_.step.record;
   commit_in_flight_ = true;
   step_since_ = 0;
-  components_.state_store->resolve_unknown_commit(schema::commit_of(rollout_status_.step, components_.membership->tag('l', ++tags_)),
-                       state::RequestPriority::safety, 3,
-                       reply<state::CommitResult>([this, to](state::CommitResult r) {
-                         commit_in_flight_ = false;
-                         if (r.kind == state::CommitResult::applied)
-                           spdlog::info("levels: {} is active, {} to {} may stand", to.active,
-                                        to.lowest, to.highest);
-                         evaluate();
-                       }));
+  components_.state_store->resolve_unknown_commit(
+      schema::commit_of(rollout_status_.step, components_.membership->tag('l', ++tags_)),
+      state::RequestPriority::safety, 3,
+      reply<state::CommitResult>([this, to](state::CommitResult r) {
+        commit_in_flight_ = false;
+        if (r.kind == state::CommitResult::applied)
+          spdlog::info("levels: {} is active, {} to {} may stand", to.active, to.lowest,
+                       to.highest);
+        evaluate();
+      }));
 }
 
 void SchemaManager::handle_order(const net::ExchangePtr& ex) {
@@ -153,4 +157,4 @@
   return out.dump();
 }
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/schema_manager.h
+++ b/src/controller/schema_manager.h
@@ -7,8 +7,8 @@
 
 #include "controller/components.h"
 #include "controller/state_store.h"
-#include "schema/schema.h"
 #include "net/http.h"
+#include "schema/schema.h"
 
 namespace shunttrail::controller {
 
@@ -35,11 +35,11 @@
   const schema::Build build_;
   schema::RolloutStatus rollout_status_;
   std::map<std::pair<std::string, std::string>, double> held_since_;
-  std::string logged_refusal_;       // of this build's refusal, in the log
-  double step_since_ = 0;  // 0: there is no step to be made
-  int step_from_ = -1;     // the level that it is made from
+  std::string logged_refusal_;  // of this build's refusal, in the log
+  double step_since_ = 0;       // 0: there is no step to be made
+  int step_from_ = -1;          // the level that it is made from
   bool commit_in_flight_ = false;
   std::uint64_t tags_ = 0;
 };
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/shard_controller.cpp
+++ b/src/controller/shard_controller.cpp
@@ -1,12 +1,12 @@
-// One shard at this node: ownership, and what changes in the cache mean to its desk.
+// One shard at this node: ownership, and what changes in the cache mean to its scheduler.
 #include "controller/shard_controller.h"
 
 #include <spdlog/spdlog.h>
 
 #include "controller/cloud_manager.h"
-#include "controller/schema_manager.h"
-#include "controller/membership.h"
 #include "controller/job_results.h"
+#include "controller/membership.h"
+#include "controller/schema_manager.h"
 
 namespace shunttrail::controller {
 namespace {
@@ -41,9 +41,9 @@
     schedule_pass();
   });
 }
-void ShardController::transfer(scheduler::MachineTransfer gift) {
-  post([this, gift = std::move(gift)] {
-    if (scheduler_) scheduler_->transfer(gift);
+void ShardController::transfer(scheduler::MachineTransfer transfer) {
+  post([this, transfer = std::move(transfer)] {
+    if (scheduler_) scheduler_->transfer(transfer);
     schedule_pass();
   });
 }
@@ -61,14 +61,16 @@
     then(std::move(w));
   });
 }
-void ShardController::rented(std::uint64_t born, scheduler::ScaleOutRequest w, std::vector<std::string> machines) {
+void ShardController::rented(std::uint64_t born, scheduler::ScaleOutRequest w,
+                             std::vector<std::string> machines) {
   post([this, born, w = std::move(w), machines = std::move(machines)] {
-    // Machines rented for a desk that is closed report, and are adopted.
+    // Machines rented for a scheduler that is closed report, and are adopted.
     if (is_current(born)) scheduler_->rented(w, machines, loop_.now());
     schedule_pass();
   });
 }
-void ShardController::rent_refused(std::uint64_t born, scheduler::ScaleOutRequest w, bool no_capacity) {
+void ShardController::rent_refused(std::uint64_t born, scheduler::ScaleOutRequest w,
+                                   bool no_capacity) {
   post([this, born, w = std::move(w), no_capacity] {
     if (is_current(born)) scheduler_->rent_refused(w, 0, no_capacity, loop_.now());
     schedule_pass();
@@ -105,12 +107,14 @@
 void ShardController::add_job(const std::string& id, const state::JobEntry& j, int team) {
   const double now = loop_.now(), wall = loop_.wall_now();
   scheduler_->job_added(j.record, team, components_.state_store->cache().done(id), now, wall);
-  jobs::EffectivePriority u = components_.job_results->dependencies().effective_priority(id, j.record);
+  jobs::EffectivePriority u =
+      components_.job_results->dependencies().effective_priority(id, j.record);
   scheduler_->set_effective_priority(id, u.priority, now + (u.due - wall));
 }
 void ShardController::add_machine(const wire::MachineRecord& m) {
   scheduler_->machine_known(m, loop_.now());
-  if (const std::string* a = components_.cloud_manager->address(m.name)) scheduler_->set_machine_address(m.name, *a);
+  if (const std::string* a = components_.cloud_manager->address(m.name))
+    scheduler_->set_machine_address(m.name, *a);
 }
 void ShardController::lose_machine(const std::string& name) {
   scheduler_->machine_moved(name, loop_.now());
@@ -144,8 +148,8 @@
         break;
       }
       case state::Change::machine_gone:
-        // Only what the cloud has deleted leaves the roster, or what has gone on to another part of
-        // its page: such a machine is still there, and so are its tasks.
+        // Only what the cloud has deleted leaves the inventory, or what has gone on to another part
+        // of its page: such a machine is still there, and so are its tasks.
         if (!world.machine(c.name)) lose_machine(c.name);
         break;
       default:
@@ -174,7 +178,8 @@
       close_scheduler();
   }
   if (leadership_in_flight_ || !store.fresh(components_.settings.staleness_bound_s())) return;
-  shard::LeadershipMove m = components_.membership->election().decide(world, shard_, now, last_closed_token_);
+  shard::LeadershipMove m =
+      components_.membership->election().decide(world, shard_, now, last_closed_token_);
   if (m.kind == shard::LeadershipMove::none) return;
   if (m.kind == shard::LeadershipMove::lead) {
     if (!scheduler_) open_scheduler(m.token);
@@ -186,44 +191,49 @@
     close_scheduler();
   }
   const std::string& node =
-      components_.settings.nodes[m.kind == shard::LeadershipMove::take ? components_.settings.self : m.to];
+      components_.settings
+          .nodes[m.kind == shard::LeadershipMove::take ? components_.settings.self : m.to];
   wire::Transaction t;
   t.preconditions = m.preconditions;
   t.ops.push_back(
       {state::leader_key(shard_), wire::encode_record(wire::LeaderRecord{node, next_tag()}), 0});
-  spdlog::info("shard {}: {} -> {}", shard_, m.kind == shard::LeadershipMove::take ? "take" : "hand over",
-               node);
+  spdlog::info("shard {}: {} -> {}", shard_,
+               m.kind == shard::LeadershipMove::take ? "take" : "hand over", node);
   commit_leadership(std::move(t));
 }
 
 // Lost a race, or not known: nothing is done before the state service has been read again. The
-// owner's stamp tells; should the commit be applied later still, the guard on that stamp keeps it
-// from undoing anything newer.
+// owner's revision tells; should the commit be applied later still, the guard on that revision
+// keeps it from undoing anything newer.
 void ShardController::commit_leadership(wire::Transaction t) {
   leadership_in_flight_ = true;
-  components_.state_store->resolve_unknown_commit(std::move(t), state::RequestPriority::safety, 3,
-                       reply<state::CommitResult>([this](state::CommitResult r) {
-                         leadership_in_flight_ = false;
-                         // The token is acted on once all before it has been read.
-                         if (r.kind == state::CommitResult::applied)
-                           components_.state_store->linearizable_read(reply<bool>([this](bool) { decide_leadership(); }));
-                         else
-                           decide_leadership();
-                       }));
+  components_.state_store->resolve_unknown_commit(
+      std::move(t), state::RequestPriority::safety, 3,
+      reply<state::CommitResult>([this](state::CommitResult r) {
+        leadership_in_flight_ = false;
+        // The token is acted on once all before it has been read.
+        if (r.kind == state::CommitResult::applied)
+          components_.state_store->linearizable_read(
+              reply<bool>([this](bool) { decide_leadership(); }));
+        else
+          decide_leadership();
+      }));
 }
 
 void ShardController::open_scheduler(std::uint64_t token) {
   const double now = loop_.now();
   const state::StateCache& world = components_.state_store->cache();
-  scheduler_ = std::make_unique<scheduler::ShardScheduler>(components_.settings, components_.tuning, components_.cloud_manager->catalogue(),
-                                        shard_, token, now, token * 2654435761u + 17);
+  scheduler_ = std::make_unique<scheduler::ShardScheduler>(
+      components_.settings, components_.tuning, components_.cloud_manager->catalogue(), shard_,
+      token, now, token * 2654435761u + 17);
   for (const auto& [id, j] : world.jobs()) {
     int team = components_.settings.team_index(j.record.spec.team);
     if (team >= 0 && components_.settings.team_shard[team] == shard_) add_job(id, j, team);
   }
   for (const auto& [name, m] : world.machines())
     if (m.shard == shard_) add_machine(m);
-  for (const auto& [n, sheet] : world.placement_pages(shard_)) scheduler_->recover_page(n, sheet, now);
+  for (const auto& [n, page] : world.placement_pages(shard_))
+    scheduler_->recover_page(n, page, now);
   spdlog::info("shard {}: acting under token {} {}", shard_, token, scheduler_->summary());
   scheduler_->tick(now);
   schedule_pass();
@@ -244,8 +254,9 @@
   token_commit_tag_ = next_tag();
   wire::Transaction t;
   t.preconditions.emplace_back(state::leader_key(shard_), scheduler_->token());
-  t.ops.push_back({state::leader_key(shard_),
-                   wire::encode_record(wire::LeaderRecord{components_.settings.node, token_commit_tag_}), 0});
+  t.ops.push_back(
+      {state::leader_key(shard_),
+       wire::encode_record(wire::LeaderRecord{components_.settings.node, token_commit_tag_}), 0});
   spdlog::info("shard {}: raising token {}", shard_, scheduler_->token());
   commit_leadership(std::move(t));
 }
@@ -267,4 +278,4 @@
   if (scheduler_ && scheduler_->scheduling_due()) schedule_pass();
 }
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/shard_controller.h
+++ b/src/controller/shard_controller.h
@@ -1,5 +1,6 @@
-// One shard at this node: the moves of its ownership, and, while this node owns it, its desk with
-// the transactions that the desk asks for, the answers that wait for them, and direct orders.
+// One shard at this node: the moves of its ownership, and, while this node owns it, its scheduler
+// with the transactions that the scheduler asks for, the answers that wait for them, and direct
+// orders.
 #pragma once
 #include <map>
 #include <memory>
@@ -7,10 +8,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "scheduler/shard_scheduler.h"
 #include "controller/components.h"
 #include "controller/state_store.h"
 #include "net/pool.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace shunttrail::controller {
 
@@ -29,10 +30,10 @@
   void take_heartbeat(net::ExchangePtr ex, wire::Heartbeat r, bool passed_on = false);
   void set_effective_priority(std::string job, wire::Priority priority, double due);
   // Another shard lacks machines.
-  void transfer(scheduler::MachineTransfer gift);
+  void transfer(scheduler::MachineTransfer transfer);
 
-  // What the cloud is to be asked for. Answers name the desk by the token it was opened under: for
-  // another one they come too late.
+  // What the cloud is to be asked for. Answers name the scheduler by the token it was opened under:
+  // for another one they come too late.
   struct CloudRequests {
     std::uint64_t opened_under = 0;
     std::vector<std::string> machines_to_return;
@@ -50,7 +51,9 @@
     net::ExchangePtr exchange;
     double until = 0;
   };
-  bool is_current(std::uint64_t born) const { return scheduler_ && scheduler_->opened_under() == born; }
+  bool is_current(std::uint64_t born) const {
+    return scheduler_ && scheduler_->opened_under() == born;
+  }
   void changed(const std::vector<state::Change>& changes);
   void decide_leadership();
   void commit_leadership(wire::Transaction t);
@@ -78,14 +81,15 @@
   ControllerComponents& components_;
   const int shard_;
   std::unique_ptr<scheduler::ShardScheduler> scheduler_;
-  std::uint64_t last_closed_token_ = 0;  // the latest token whose desk was closed here
-  bool leadership_in_flight_ = false;      // an ownership commit is out
-  bool transaction_unresolved_ = false;   // the transaction's fate is not known yet
-  wire::Transaction transaction_;            // kept for that
+  std::uint64_t last_closed_token_ = 0;  // the latest token whose scheduler was closed here
+  bool leadership_in_flight_ = false;    // an ownership commit is out
+  bool transaction_unresolved_ = false;  // the transaction's fate is not known yet
+  wire::Transaction transaction_;        // kept for that
   std::string transaction_tag_;
   double next_commit_at_ = 0;
-  std::string token_commit_tag_;             // of the commit that raises the desk's own token
-  std::map<std::string, HeldResponse> held_responses_;  // by machine: answers that wait for a commit
+  std::string token_commit_tag_;  // of the commit that raises the scheduler's own token
+  std::map<std::string, HeldResponse>
+      held_responses_;  // by machine: answers that wait for a commit
   // By machine: until when it counts as cut off from this node. No direct order is sent there,
   // which would hold up the start that its report's answer can bring.
   std::unordered_map<std::string, double> unreachable_until_;
@@ -95,4 +99,4 @@
   actor::Timer pass_timer_;
 };
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/shard_controller_commits.cpp
+++ b/src/controller/shard_controller_commits.cpp
@@ -1,10 +1,11 @@
-// One shard at this node: reports and their answers, direct orders, and the desk's transactions.
+// One shard at this node: reports and their answers, direct orders, and the scheduler's
+// transactions.
 #include <spdlog/spdlog.h>
 
 #include <cstdlib>
 
-#include "controller/membership.h"
 #include "controller/job_results.h"
+#include "controller/membership.h"
 #include "controller/shard_controller.h"
 
 namespace shunttrail::controller {
@@ -42,12 +43,13 @@
   if (r.token > scheduler_->token()) {
     // It has obeyed a newer owner than this node knows of, or came from another shard whose token
     // is higher. Look again before acting; if this node still is the owner, it raises its token.
-    components_.state_store->linearizable_read(reply<bool>([this, name = r.machine, seen = r.token](bool ok) {
-      decide_leadership();
-      if (ok && scheduler_ && scheduler_->has_machine(name) && seen > scheduler_->token() &&
-          seen <= components_.state_store->cache().revision())
-        scheduler_->saw_higher_token();
-    }));
+    components_.state_store->linearizable_read(
+        reply<bool>([this, name = r.machine, seen = r.token](bool ok) {
+          decide_leadership();
+          if (ok && scheduler_ && scheduler_->has_machine(name) && seen > scheduler_->token() &&
+              seen <= components_.state_store->cache().revision())
+            scheduler_->saw_higher_token();
+        }));
     return ex->send({421, "{}", 0});
   }
   auto heard = scheduler_->take_heartbeat(r, now);
@@ -58,7 +60,10 @@
     return ex->send(
         scheduler_->has_unacknowledged_start(r.machine)
             ? net::Answer{503, "{}", 0}
-            : net::Answer{200, wire::encode_heartbeat_response(scheduler_->token(), scheduler_->stop_commands(r.machine)), 0});
+            : net::Answer{200,
+                          wire::encode_heartbeat_response(scheduler_->token(),
+                                                          scheduler_->stop_commands(r.machine)),
+                          0});
   if (auto h = held_responses_.find(r.machine); h != held_responses_.end()) {
     h->second.exchange->send({503, "{}", 0});
     held_responses_.erase(h);
@@ -74,7 +79,8 @@
   // A cancelled task that may still be started there must not find a lease that this answer has
   // renewed: not before the token is raised, or the order answered.
   if (scheduler_->has_unacknowledged_start(machine)) return ex->send({503, "{}", 0});
-  auto commands = scheduler_->commands_for(machine, components_.state_store->fresh(kStartFresh), loop_.now());
+  auto commands =
+      scheduler_->commands_for(machine, components_.state_store->fresh(kStartFresh), loop_.now());
   ex->send({200, wire::encode_heartbeat_response(scheduler_->token(), commands), 0});
 }
 
@@ -96,11 +102,14 @@
   if (!scheduler_ || leadership_in_flight_) return;
   auto skip = [&](const std::string& name) {
     auto b = unreachable_until_.find(name);
-    return held_responses_.contains(name) || (b != unreachable_until_.end() && b->second > loop_.now());
+    return held_responses_.contains(name) ||
+           (b != unreachable_until_.end() && b->second > loop_.now());
   };
-  for (auto& d : scheduler_->direct_commands(components_.state_store->fresh(kStartFresh), skip, loop_.now())) {
+  for (auto& d : scheduler_->direct_commands(components_.state_store->fresh(kStartFresh), skip,
+                                             loop_.now())) {
     net::Client& c = worker(d.machine, d.addr);
-    c.request("POST", "/orders", wire::encode_direct_commands(scheduler_->token(), d.incarnation, d.commands),
+    c.request("POST", "/orders",
+              wire::encode_direct_commands(scheduler_->token(), d.incarnation, d.commands),
               kDirectWithin, reply<net::Result>([this, d](net::Result r) {
                 if (!scheduler_ || !scheduler_->has_machine(d.machine)) return;
                 scheduler_->direct_commands_done(d, r.status);
@@ -124,12 +133,13 @@
     worker(p.machine, p.addr)
         .request("GET", "/status", "", kProbeWithin,
                  reply<net::Result>([this, born = scheduler_->opened_under(), p](net::Result r) {
-                   if (is_current(born)) scheduler_->probe_done(p.machine, r.status == 200, loop_.now());
+                   if (is_current(born))
+                     scheduler_->probe_done(p.machine, r.status == 200, loop_.now());
                  }));
 }
 
-// All desks here share a quarter of the sockets: one controller that holds every shard still has
-// them for every worker's report and every user.
+// All schedulers here share a quarter of the sockets: one controller that holds every shard still
+// has them for every worker's report and every user.
 net::Client& ShardController::worker(const std::string& machine, const std::string& addr) {
   std::size_t desks = 0;
   for (const auto& r : components_.shard_controllers) desks += r->scheduler() != nullptr;
@@ -156,8 +166,8 @@
     transaction_unresolved_ = false;
   } else {
     if (scheduler_->transaction_in_flight()) return;
-    // A token is raised between transactions: a busy desk would never be without one, and machines
-    // that came from another shard would stand idle until it was.
+    // A token is raised between transactions: a busy scheduler would never be without one, and
+    // machines that came from another shard would stand idle until it was.
     if (scheduler_->needs_new_token(now)) return decide_leadership();
     // Not before it can be sent: urgent starts would wait behind a transaction that waits for the
     // rate, and twice as many would be made.
@@ -166,7 +176,8 @@
     if (budget < state::kLeastWrites) return schedule_pass();
     size.ops = std::min(size.ops, budget);
     transaction_tag_ = next_tag();
-    auto t = scheduler_->next_transaction(components_.state_store->cache(), size, transaction_tag_, now);
+    auto t =
+        scheduler_->next_transaction(components_.state_store->cache(), size, transaction_tag_, now);
     if (!t) return;
     transaction_ = std::move(*t);
   }
@@ -175,7 +186,8 @@
   components_.state_store->commit(
       transaction_, state::RequestPriority::work, kTxnWithin,
       reply<state::CommitResult>([this, born = scheduler_->opened_under()](state::CommitResult r) {
-        if (is_current(born) && scheduler_->transaction_in_flight()) transaction_done(born, std::move(r));
+        if (is_current(born) && scheduler_->transaction_in_flight())
+          transaction_done(born, std::move(r));
       }));
 }
 
@@ -192,7 +204,8 @@
     case state::CommitResult::too_large:
       return resolve_transaction(born);
     default:
-      // Not executed, or no answer. The same transaction again: its guards let it be applied once.
+      // Not executed, or no answer. The same transaction again: its preconditions let it be applied
+      // once.
       return retry_later();
   }
 }
@@ -207,17 +220,21 @@
   std::string key = set ? set->key : transaction_.ops.front().key;
   bool dropped = !set;
   components_.state_client.get(
-      "/kv/" + key, state::RequestPriority::work, reply<net::Result>([this, born, dropped](net::Result g) {
+      "/kv/" + key, state::RequestPriority::work,
+      reply<net::Result>([this, born, dropped](net::Result g) {
         if (!is_current(born) || !scheduler_->transaction_in_flight()) return;
         if (g.status == 404) return transaction_resolved(false);
         try {
           if (g.status != 200) throw wire::Malformed("no answer");
           wire::Event e = wire::decode_key(g.body);
-          bool ours = !dropped && e.value && e.value->find("\"" + transaction_tag_ + "\"") != std::string::npos;
+          bool ours = !dropped && e.value &&
+                      e.value->find("\"" + transaction_tag_ + "\"") != std::string::npos;
           if (!ours) return transaction_resolved(false);
-          components_.state_store->apply_commit(transaction_, e.mod_revision, reply<>([this, born] {
-                                if (is_current(born) && scheduler_->transaction_in_flight()) transaction_resolved(true);
-                              }));
+          components_.state_store->apply_commit(
+              transaction_, e.mod_revision, reply<>([this, born] {
+                if (is_current(born) && scheduler_->transaction_in_flight())
+                  transaction_resolved(true);
+              }));
         } catch (const wire::Malformed&) {
           retry_later();
         }
@@ -230,18 +247,20 @@
     scheduler_->transaction_applied(loop_.now());
     for (const auto& op : t.ops)
       if (op.key.starts_with("fin/") && op.value)
-        components_.job_results->result_written(op.key.substr(4), wire::decode_job_result(*op.value));
+        components_.job_results->result_written(op.key.substr(4),
+                                                wire::decode_job_result(*op.value));
     flush_held_responses();
     commit_next();
     return;
   }
   // Before the next try, what made it fail has to be known.
-  components_.state_store->linearizable_read(reply<bool>([this, born = scheduler_->opened_under()](bool ok) {
-    if (!is_current(born) || !scheduler_->transaction_in_flight()) return;
-    if (!ok) return retry_later();
-    scheduler_->transaction_failed(loop_.now());
-    commit_next();
-  }));
+  components_.state_store->linearizable_read(
+      reply<bool>([this, born = scheduler_->opened_under()](bool ok) {
+        if (!is_current(born) || !scheduler_->transaction_in_flight()) return;
+        if (!ok) return retry_later();
+        scheduler_->transaction_failed(loop_.now());
+        commit_next();
+      }));
 }
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/state_store.cpp
+++ b/src/controller/state_store.cpp
@@ -17,7 +17,9 @@
       watch_timer_(loop, [this] { post([this] { watch_loop(); }); }),
       read_timer_(loop, [this] { post([this] { start_linearizable_read(); }); }) {}
 
-bool StateStore::fresh(double within) const { return loaded_ && loop_.now() - last_read_at_ < within; }
+bool StateStore::fresh(double within) const {
+  return loaded_ && loop_.now() - last_read_at_ < within;
+}
 
 void StateStore::tick() {
   post([this] {
@@ -39,7 +41,7 @@
 }
 // `began`: the first page. What is known of its keys is as old as that, and S counts from there.
 void StateStore::load(double began, std::string after, std::uint64_t revision,
-                 std::vector<wire::Event> items) {
+                      std::vector<wire::Event> items) {
   client_.get(
       wire::keys_path(state::kRoot, after), state::RequestPriority::safety,
       reply<net::Result>([this, began, revision, items = std::move(items)](net::Result r) mutable {
@@ -162,7 +164,7 @@
 }
 
 void StateStore::commit(wire::Transaction t, state::RequestPriority u, double give_up_s,
-                   std::function<void(state::CommitResult)> done) {
+                        std::function<void(state::CommitResult)> done) {
   auto events = events_of(t);
   client_.commit(std::move(t), u, give_up_s,
                  reply<state::CommitResult>([this, events = std::move(events),
@@ -172,19 +174,21 @@
                  }));
 }
 
-void StateStore::apply_commit(const wire::Transaction& t, std::uint64_t revision, std::function<void()> done) {
+void StateStore::apply_commit(const wire::Transaction& t, std::uint64_t revision,
+                              std::function<void()> done) {
   post([this, events = events_of(t), revision, done = std::move(done)] {
     applied(events, revision);
     done();
   });
 }
 
-void StateStore::resolve_unknown_commit(wire::Transaction t, state::RequestPriority u, double give_up_s,
-                   std::function<void(state::CommitResult)> done) {
+void StateStore::resolve_unknown_commit(wire::Transaction t, state::RequestPriority u,
+                                        double give_up_s,
+                                        std::function<void(state::CommitResult)> done) {
   commit(std::move(t), u, give_up_s, [this, done = std::move(done)](state::CommitResult r) {
     if (r.kind == state::CommitResult::applied) return done(std::move(r));
     wait_for_read([r = std::move(r), done](bool) { done(r); });
   });
 }
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/state_store.h
+++ b/src/controller/state_store.h
@@ -39,7 +39,7 @@
   // As commit; one that was not carried out, or perhaps not, is followed by a read, so that what is
   // decided next is decided by what is there.
   void resolve_unknown_commit(wire::Transaction t, state::RequestPriority u, double give_up_s,
-              std::function<void(state::CommitResult)> done);
+                              std::function<void(state::CommitResult)> done);
 
  private:
   void reload();
@@ -63,4 +63,4 @@
   actor::Timer watch_timer_, read_timer_;
 };
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -5,10 +5,10 @@
 #include <set>
 
 #include "controller/cloud_manager.h"
-#include "controller/schema_manager.h"
-#include "controller/membership.h"
 #include "controller/job_results.h"
+#include "controller/membership.h"
 #include "controller/peer_gossip.h"
+#include "controller/schema_manager.h"
 
 namespace shunttrail::controller {
 namespace {
@@ -52,7 +52,8 @@
 
 // Taking this node out helps only if another one can serve.
 void UserApi::answer_health(const ExchangePtr& ex) {
-  bool ok = components_.state_store->fresh(kServingFresh) || !components_.peer_gossip->another_serves();
+  bool ok =
+      components_.state_store->fresh(kServingFresh) || !components_.peer_gossip->another_serves();
   ex->send(ok ? net::Answer{200, "{}", 0} : unavailable());
 }
 
@@ -86,32 +87,35 @@
 // The state of a job, from a read that began after the request came. `unknown` runs if the state
 // service has never heard of it. This is the one place where a job's state is worked out.
 void UserApi::answer_state(const ExchangePtr& ex, const std::string& id, bool counts,
-                         const std::function<void()>& unknown, int tries) {
+                           const std::function<void()>& unknown, int tries) {
   // What is final stays so, and needs no fresh read.
   if (const auto* f = components_.job_results->final(id)) return answer_result(ex, id, *f, counts);
   if (tries == 0) return ex->send(unavailable());
-  components_.state_store->linearizable_read(reply<bool>([this, ex, id, counts, unknown, tries](bool ok) {
-    if (!ok) return ex->send(unavailable());
-    const state::StateCache& world = components_.state_store->cache();
-    if (const auto* j = world.job(id)) {
-      auto [done, running] = world.progress(*j, jobs::kTasksPerChunk);
-      auto s = running ? wire::JobState::running : wire::JobState::queued;
-      return ex->send({200, wire::encode_job_state(id, s, done, running, counts), 0});
-    }
-    if (world.waiting(id)) return answer_waiting(ex, id, counts, unknown, tries);
-    // Not live at the barrier: it is over already, or nobody knows it.
-    components_.job_results->lookup(
-        id, reply<JobResults::LookupResult>([this, ex, id, counts, unknown](JobResults::LookupResult found) {
-          if (found == JobResults::LookupResult::no) return unknown();
-          const auto* f = components_.job_results->final(id);
-          if (found == JobResults::LookupResult::unread || !f) return ex->send(unavailable());
-          answer_result(ex, id, *f, counts);
-        }));
-  }));
+  components_.state_store->linearizable_read(
+      reply<bool>([this, ex, id, counts, unknown, tries](bool ok) {
+        if (!ok) return ex->send(unavailable());
+        const state::StateCache& world = components_.state_store->cache();
+        if (const auto* j = world.job(id)) {
+          auto [done, running] = world.progress(*j, jobs::kTasksPerChunk);
+          auto s = running ? wire::JobState::running : wire::JobState::queued;
+          return ex->send({200, wire::encode_job_state(id, s, done, running, counts), 0});
+        }
+        if (world.waiting(id)) return answer_waiting(ex, id, counts, unknown, tries);
+        // Not live at the linearizable read: it is over already, or nobody knows it.
+        components_.job_results->lookup(
+            id, reply<JobResults::LookupResult>(
+                    [this, ex, id, counts, unknown](JobResults::LookupResult found) {
+                      if (found == JobResults::LookupResult::no) return unknown();
+                      const auto* f = components_.job_results->final(id);
+                      if (found == JobResults::LookupResult::unread || !f)
+                        return ex->send(unavailable());
+                      answer_result(ex, id, *f, counts);
+                    }));
+      }));
 }
 
-void UserApi::answer_result(const ExchangePtr& ex, const std::string& id, const wire::JobResultRecord& f,
-                         bool counts) {
+void UserApi::answer_result(const ExchangePtr& ex, const std::string& id,
+                            const wire::JobResultRecord& f, bool counts) {
   auto s = f.cancelled ? wire::JobState::cancelled : wire::JobState::done;
   ex->send({200, wire::encode_job_state(id, s, f.cancelled ? 0 : f.tasks, 0, counts), 0});
 }
@@ -119,11 +123,11 @@
 // It follows from those before it, whoever owns its shard and however far its own record is
 // behind: a job below a cancelled one has never started.
 void UserApi::answer_waiting(const ExchangePtr& ex, const std::string& id, bool counts,
-                           const std::function<void()>& unknown, int tries) {
+                             const std::function<void()>& unknown, int tries) {
   using Standing = jobs::DependencyGraph::DependencyState;
   components_.job_results->dependency_states(
-      {id},
-      reply<JobResults::DependencyStates>([this, ex, id, counts, unknown, tries](JobResults::DependencyStates s) {
+      {id}, reply<JobResults::DependencyStates>([this, ex, id, counts, unknown,
+                                                 tries](JobResults::DependencyStates s) {
         if (s.of[0] == Standing::unread)
           return components_.job_results->lookup_all(
               std::move(s.missing), reply<bool>([this, ex, id, counts, unknown, tries](bool read) {
@@ -214,7 +218,8 @@
   const std::string& id = r.spec.id;
   wire::JobResultRecord f;
   wire::Transaction t;
-  t.preconditions = {{state::job_key(id), 0}, {state::waiting_key(id), 0}, {state::job_result_key(id), 0}};
+  t.preconditions = {
+      {state::job_key(id), 0}, {state::waiting_key(id), 0}, {state::job_result_key(id), 0}};
   if (cancelled) {
     // A job that it names is cancelled: so is this one, from the start.
     f = wire::cancelled_record(r.spec, next_tag());
@@ -226,7 +231,8 @@
   const std::size_t size = t.ops[0].value->size();
   // Another node may have accepted it under another body an instant ago.
   auto too_long = [this, ex, id] {
-    answer_state(ex, id, false, [ex] { ex->send(error_response(400, "the job's description is too long")); });
+    answer_state(ex, id, false,
+                 [ex] { ex->send(error_response(400, "the job's description is too long")); });
   };
   if (size > components_.state_client.limits().transaction_limits().value_bytes) return too_long();
   components_.state_store->commit(
@@ -241,7 +247,8 @@
           case state::CommitResult::precondition_failed:
             return answer_state(ex, id, false, [ex] { ex->send(unavailable()); });
           case state::CommitResult::too_large:
-            if (size > components_.state_client.limits().transaction_limits().value_bytes) return too_long();
+            if (size > components_.state_client.limits().transaction_limits().value_bytes)
+              return too_long();
             [[fallthrough]];
           default:
             ++refused_;
@@ -259,23 +266,27 @@
     if (world.job(id)) return cancel(ex, id, tries);
     if (!world.waiting(id)) return cancel_completed(ex, id);
     components_.job_results->dependency_states(
-        {id}, reply<JobResults::DependencyStates>([this, ex, id, tries](JobResults::DependencyStates s) {
+        {id},
+        reply<JobResults::DependencyStates>([this, ex, id, tries](JobResults::DependencyStates s) {
           // Cancelled already, with one before it.
-          if (s.of[0] == jobs::DependencyGraph::DependencyState::cancelled) return cancelled(ex, id);
+          if (s.of[0] == jobs::DependencyGraph::DependencyState::cancelled)
+            return cancelled(ex, id);
           cancel(ex, id, tries);
         }));
   }));
 }
 
-// Not live at the barrier: it is over, or nobody knows it. One that is accepted just now is called
-// unknown, and not queued: that is no answer to a cancellation.
+// Not live at the linearizable read: it is over, or nobody knows it. One that is accepted just now
+// is called unknown, and not queued: that is no answer to a cancellation.
 void UserApi::cancel_completed(const ExchangePtr& ex, const std::string& id) {
-  components_.job_results->lookup(id, reply<JobResults::LookupResult>([this, ex, id](JobResults::LookupResult found) {
-                          if (found == JobResults::LookupResult::no) return ex->send(error_response(404, "no such job"));
-                          const auto* f = components_.job_results->final(id);
-                          if (found == JobResults::LookupResult::unread || !f) return ex->send(unavailable());
-                          answer_result(ex, id, *f, false);
-                        }));
+  components_.job_results->lookup(
+      id, reply<JobResults::LookupResult>([this, ex, id](JobResults::LookupResult found) {
+        if (found == JobResults::LookupResult::no)
+          return ex->send(error_response(404, "no such job"));
+        const auto* f = components_.job_results->final(id);
+        if (found == JobResults::LookupResult::unread || !f) return ex->send(unavailable());
+        answer_result(ex, id, *f, false);
+      }));
 }
 void UserApi::cancelled(const ExchangePtr& ex, const std::string& id) {
   ex->send({200, wire::encode_job_state(id, wire::JobState::cancelled, 0, 0, false), 0});
@@ -293,17 +304,18 @@
   t.preconditions = {{key, j->mod_revision}, {state::job_result_key(id), 0}};
   t.ops.push_back({key, std::nullopt, 0});
   t.ops.push_back({state::job_result_key(id), wire::encode_record(f), 0});
-  components_.state_store->commit(std::move(t), state::RequestPriority::user, kSubmitWait,
-                       reply<state::CommitResult>([this, ex, id, f, tries](state::CommitResult c) {
-                         if (c.kind == state::CommitResult::applied) {
-                           components_.job_results->result_written(id, f);
-                           cancelled(ex, id);
-                         } else if (c.kind == state::CommitResult::precondition_failed) {
-                           cancel_request(ex, id, tries - 1);
-                         } else {
-                           ex->send(unavailable());
-                         }
-                       }));
+  components_.state_store->commit(
+      std::move(t), state::RequestPriority::user, kSubmitWait,
+      reply<state::CommitResult>([this, ex, id, f, tries](state::CommitResult c) {
+        if (c.kind == state::CommitResult::applied) {
+          components_.job_results->result_written(id, f);
+          cancelled(ex, id);
+        } else if (c.kind == state::CommitResult::precondition_failed) {
+          cancel_request(ex, id, tries - 1);
+        } else {
+          ex->send(unavailable());
+        }
+      }));
 }
 
 // A team's live jobs, in id order.
@@ -353,7 +365,8 @@
 }
 
 void UserApi::answer_team(const ExchangePtr& ex, const std::string& name,
-                        const std::vector<TeamJob>& list, const JobResults::DependencyStates& s, bool more) {
+                          const std::vector<TeamJob>& list, const JobResults::DependencyStates& s,
+                          bool more) {
   nlohmann::json runs = nlohmann::json::array();
   std::size_t waiting = 0;
   for (const TeamJob& l : list) {
@@ -361,8 +374,10 @@
     if (l.waits) {
       auto standing = s.of[waiting++];
       // What was called cancelled must not be called queued: not before it has been read.
-      if (standing == jobs::DependencyGraph::DependencyState::unread) return ex->send(unavailable());
-      if (standing == jobs::DependencyGraph::DependencyState::cancelled) state = wire::JobState::cancelled;
+      if (standing == jobs::DependencyGraph::DependencyState::unread)
+        return ex->send(unavailable());
+      if (standing == jobs::DependencyGraph::DependencyState::cancelled)
+        state = wire::JobState::cancelled;
     }
     runs.push_back({{"uid", l.spec.id},
                     {"consist", l.spec.job_class},
@@ -376,4 +391,4 @@
   ex->send({200, body.dump(), 0});
 }
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "controller/job_results.h"
 #include "controller/components.h"
+#include "controller/job_results.h"
 #include "controller/state_store.h"
 #include "net/http.h"
 #include "wire/types.h"
@@ -33,8 +33,8 @@
                     const std::function<void()>& unknown, int tries = 3);
   void answer_waiting(const ExchangePtr& ex, const std::string& id, bool counts,
                       const std::function<void()>& unknown, int tries);
-  static void answer_result(const ExchangePtr& ex, const std::string& id, const wire::JobResultRecord& f,
-                           bool counts);
+  static void answer_result(const ExchangePtr& ex, const std::string& id,
+                            const wire::JobResultRecord& f, bool counts);
   // A job of a team's view.
   struct TeamJob {
     wire::JobSpec spec;
@@ -42,7 +42,8 @@
     state::StateCache::Progress progress;
   };
   static void answer_team(const ExchangePtr& ex, const std::string& name,
-                          const std::vector<TeamJob>& list, const JobResults::DependencyStates& s, bool more);
+                          const std::vector<TeamJob>& list, const JobResults::DependencyStates& s,
+                          bool more);
   void check_dependencies(const ExchangePtr& ex, wire::JobRecord r, int look);
   void accept(const ExchangePtr& ex, const wire::JobRecord& r, bool cancelled);
   void answer_health(const ExchangePtr& ex);
@@ -53,4 +54,4 @@
   std::uint64_t submissions_ = 0, refused_ = 0, tags_ = 0;
 };
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/controller/worker_api.h
+++ b/src/controller/worker_api.h
@@ -1,4 +1,4 @@
-// What workers report: each report goes to the runner of its machine's shard.
+// What workers report: each report goes to the shard controller of its machine's shard.
 #pragma once
 #include "controller/components.h"
 #include "controller/state_store.h"
@@ -23,4 +23,4 @@
   std::uint64_t malformed_ = 0;
 };
 
-}  // namespace shunttrail::front
+}  // namespace shunttrail::controller
--- a/src/emulators/cloud.cpp
+++ b/src/emulators/cloud.cpp
@@ -10,8 +10,9 @@
 namespace shunttrail::emulators {
 using nlohmann::json;
 
-CloudEmulator::CloudEmulator(actor::Loop& loop, const config::Endpoint& at, std::vector<EmulatedMachineType> types,
-             double rps, std::filesystem::path file, Power power, unsigned seed)
+CloudEmulator::CloudEmulator(actor::Loop& loop, const config::Endpoint& at,
+                             std::vector<EmulatedMachineType> types, double rps,
+                             std::filesystem::path file, Power power, unsigned seed)
     : Actor(loop),
       types_(std::move(types)),
       rps_(rps),
@@ -179,4 +180,4 @@
   }
 }
 
-}  // namespace shunttrail::standins
+}  // namespace shunttrail::emulators
--- a/src/emulators/cloud.h
+++ b/src/emulators/cloud.h
@@ -1,4 +1,4 @@
-// A stand-in for the cloud: PROTOCOL, "Controller nodes -> cloud". Its machines are whatever
+// A emulator for the cloud: PROTOCOL, "Controller nodes -> cloud". Its machines are whatever
 // `Power` switches on and off; rentals and the answers to named requests are kept in a file.
 #pragma once
 #include <deque>
@@ -35,8 +35,9 @@
     std::function<void(std::vector<std::string>, std::function<void()>)> off;  // then all are gone
   };
   // Without a file nothing is kept. `seed` draws the boot times.
-  CloudEmulator(actor::Loop& loop, const config::Endpoint& at, std::vector<EmulatedMachineType> types, double rps,
-        std::filesystem::path file, Power power, unsigned seed = std::random_device{}());
+  CloudEmulator(actor::Loop& loop, const config::Endpoint& at,
+                std::vector<EmulatedMachineType> types, double rps, std::filesystem::path file,
+                Power power, unsigned seed = std::random_device{}());
 
   const std::map<std::string, Machine>& machines() const { return machines_; }
   // From now on rentals are refused (or not any more), as when the cloud has nothing to give.
@@ -76,4 +77,4 @@
   net::Server http_;
 };
 
-}  // namespace shunttrail::standins
+}  // namespace shunttrail::emulators
--- a/src/emulators/state.cpp
+++ b/src/emulators/state.cpp
@@ -28,7 +28,8 @@
 }
 }  // namespace
 
-StateServiceEmulator::StateServiceEmulator(actor::Loop& loop, const config::Endpoint& at, fs::path log)
+StateServiceEmulator::StateServiceEmulator(actor::Loop& loop, const config::Endpoint& at,
+                                           fs::path log)
     : Actor(loop),
       log_(std::move(log)),
       timer_(loop,
@@ -80,7 +81,10 @@
 net::Answer StateServiceEmulator::get(const std::string& key) {
   auto it = keys_.find(key);
   if (it == keys_.end()) return {404, client_protocol::encode_revision(revision_), 0};
-  return {200, client_protocol::encode_entry(key, it->second.value, it->second.mod_revision, it->second.lease), 0};
+  return {200,
+          client_protocol::encode_entry(key, it->second.value, it->second.mod_revision,
+                                        it->second.lease),
+          0};
 }
 
 net::Answer StateServiceEmulator::page(const std::string& query) {
@@ -94,8 +98,8 @@
     if (entries.size() >= limit || (bytes > 0 && bytes + it->second.value.size() > kPageBytes))
       return {200, client_protocol::encode_page(entries, true, revision_), 0};
     bytes += it->second.value.size();
-    entries.push_back(
-        client_protocol::encode_entry(it->first, it->second.value, it->second.mod_revision, it->second.lease));
+    entries.push_back(client_protocol::encode_entry(it->first, it->second.value,
+                                                    it->second.mod_revision, it->second.lease));
   }
   return {200, client_protocol::encode_page(entries, false, revision_), 0};
 }
@@ -107,9 +111,9 @@
   for (const auto& op : t.ops)
     if (op.lease && !leases_.contains(op.lease)) return {400, "{\"error\":\"no such lease\"}", 0};
   std::vector<std::string> failed;
-  for (const auto& [key, stamp] : t.preconditions) {
+  for (const auto& [key, mod_revision] : t.preconditions) {
     auto it = keys_.find(key);
-    if ((it == keys_.end() ? 0 : it->second.mod_revision) != stamp) failed.push_back(key);
+    if ((it == keys_.end() ? 0 : it->second.mod_revision) != mod_revision) failed.push_back(key);
   }
   if (!failed.empty()) return {409, client_protocol::encode_failed(failed, revision_), 0};
   if (t.ops.empty()) return {200, client_protocol::encode_revision(revision_), 0};
@@ -150,10 +154,12 @@
   });
 }
 
-std::string StateServiceEmulator::changes(const std::string& prefix, std::uint64_t after, bool& any) const {
+std::string StateServiceEmulator::changes(const std::string& prefix, std::uint64_t after,
+                                          bool& any) const {
   std::vector<wire::Event> out;
-  auto from = std::upper_bound(recent_.begin(), recent_.end(), after,
-                               [](std::uint64_t r, const wire::Event& e) { return r < e.mod_revision; });
+  auto from =
+      std::upper_bound(recent_.begin(), recent_.end(), after,
+                       [](std::uint64_t r, const wire::Event& e) { return r < e.mod_revision; });
   for (auto it = from; it != recent_.end(); ++it)
     if (it->key.starts_with(prefix)) out.push_back(*it);
   any = !out.empty();
@@ -288,10 +294,10 @@
   for (const auto& [id, l] : leases_)
     out << "\n" << json{{"hold", id}, {"life_s", l.life_s}}.dump();
   for (const auto& [k, e] : keys_)
-    out << "\n{\"k\":" << json(k).dump() << ",\"value\":" << e.value << ",\"stamp\":" << e.mod_revision
-        << ",\"lease\":" << e.lease << "}";
+    out << "\n{\"k\":" << json(k).dump() << ",\"value\":" << e.value
+        << ",\"stamp\":" << e.mod_revision << ",\"lease\":" << e.lease << "}";
   write(out.str());
   fs::rename(aside, log_);
 }
 
-}  // namespace shunttrail::standins
+}  // namespace shunttrail::emulators
--- a/src/emulators/state.h
+++ b/src/emulators/state.h
@@ -1,4 +1,4 @@
-// A stand-in for the state service, for sets on one machine: PROTOCOL, "Controller nodes -> state
+// A emulator for the state service, for sets on one machine: PROTOCOL, "Controller nodes -> state
 // service". What it holds is in one log of JSON lines, synced before an answer;
 // a torn last line is what nobody was told of. Written anew at each start.
 #pragma once
@@ -72,4 +72,4 @@
   net::Server http_;
 };
 
-}  // namespace shunttrail::standins
+}  // namespace shunttrail::emulators
--- a/src/emulators/worker.cpp
+++ b/src/emulators/worker.cpp
@@ -5,8 +5,8 @@
 namespace shunttrail::emulators {
 
 using wire::Command;
-using wire::TaskState;
 using wire::ExitReason;
+using wire::TaskState;
 
 namespace {
 constexpr double kPatience = 4;    // for the answer to a report
@@ -14,7 +14,8 @@
 constexpr double kLeastGap = 0.5;  // between two reports
 }  // namespace
 
-WorkerEmulator::WorkerEmulator(actor::Loop& loop, Settings s, Describe describe, unsigned seed, Watched watched)
+WorkerEmulator::WorkerEmulator(actor::Loop& loop, Settings s, Describe describe, unsigned seed,
+                               Watched watched)
     : Actor(loop),
       s_(std::move(s)),
       describe_(std::move(describe)),
@@ -58,7 +59,8 @@
   out_ = true;
   again_ = false;
   sent_at_ = loop_.now();
-  nodes_[node_]->request("POST", "/agent/beat", client_protocol::encode_heartbeat(state()), kPatience,
+  nodes_[node_]->request("POST", "/agent/beat", client_protocol::encode_heartbeat(state()),
+                         kPatience,
                          reply<net::Result>([this, sent = sent_at_, of = session_](net::Result r) {
                            answered(sent, of, r);
                          }));
@@ -148,7 +150,8 @@
       start(c);
     } else if (c.op == Command::Op::stop && t != tasks_.end() && t->state != TaskState::exited) {
       stop(*t, c.grace_s);
-    } else if (c.op == Command::Op::acknowledge && t != tasks_.end() && t->state == TaskState::exited) {
+    } else if (c.op == Command::Op::acknowledge && t != tasks_.end() &&
+               t->state == TaskState::exited) {
       watched_.acknowledged(*t);
       tasks_.erase(t);
       changed();
@@ -234,4 +237,4 @@
   arm();
 }
 
-}  // namespace shunttrail::standins
+}  // namespace shunttrail::emulators
--- a/src/emulators/worker.h
+++ b/src/emulators/worker.h
@@ -1,4 +1,4 @@
-// A stand-in for a worker: PROTOCOL, "Workers -> controller nodes" and "Controller nodes ->
+// A emulator for a worker: PROTOCOL, "Workers -> controller nodes" and "Controller nodes ->
 // workers". Its tasks are clocks: an image that takes so long to come, a run time, and the time
 // that it takes to save. Whatever it is woken by, it looks at its lease first.
 #pragma once
@@ -91,4 +91,4 @@
   net::Server http_;
 };
 
-}  // namespace shunttrail::standins
+}  // namespace shunttrail::emulators
--- a/src/jobs/dependency_graph.cpp
+++ b/src/jobs/dependency_graph.cpp
@@ -108,7 +108,8 @@
   if (it == index_.end() && !waits) return;  // nothing awaits it, and it awaits nothing
   int n = node(id);
   if (waits) {
-    if (at(n).kind != Node::waiting || !at(n).dependencies.empty() || waits->record.spec.dependencies.empty()) {
+    if (at(n).kind != Node::waiting || !at(n).dependencies.empty() ||
+        waits->record.spec.dependencies.empty()) {
       if (at(n).dependencies.empty() && waits->record.spec.dependencies.empty()) ready_.insert(id);
       return;
     }
@@ -192,8 +193,8 @@
   }
 }
 
-DependencyGraph::DependencyState DependencyGraph::state_of(const std::string& id,
-                                        std::vector<std::string>* missing) const {
+DependencyGraph::DependencyState DependencyGraph::state_of(
+    const std::string& id, std::vector<std::string>* missing) const {
   auto it = index_.find(id);
   if (it == index_.end()) return DependencyState::queued;
   if (at(it->second).doomed) return DependencyState::cancelled;
@@ -214,7 +215,8 @@
   return out;
 }
 
-EffectivePriority DependencyGraph::effective_priority(const std::string& id, const wire::JobRecord& own) const {
+EffectivePriority DependencyGraph::effective_priority(const std::string& id,
+                                                      const wire::JobRecord& own) const {
   auto it = index_.find(id);
   return it == index_.end() ? own_of(own) : at(it->second).effective;
 }
@@ -225,9 +227,10 @@
   return out;
 }
 
-StateTransitions state_transitions(const state::StateCache& world, const DependencyGraph& p, bool ready, const state::TransactionLimits& size,
-            double wall_now, const std::string& tag,
-            const std::function<bool(const std::string&)>& mine) {
+StateTransitions state_transitions(const state::StateCache& world, const DependencyGraph& p,
+                                   bool ready, const state::TransactionLimits& size,
+                                   double wall_now, const std::string& tag,
+                                   const std::function<bool(const std::string&)>& mine) {
   StateTransitions out;
   wire::Transaction& t = out.txn;
   for (const auto& id : ready ? p.ready() : p.doomed()) {
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -1,6 +1,7 @@
 // Jobs that await others: which are ready, which are over because one before them was cancelled,
 // and how urgent each job is for the sake of those that need it. Kept up by changes, by work lists.
-// Pure: what the state service holds is read from the cache, and final records are handed in.
+// Free of I/O: what the state service holds is read from the cache, and final records are handed
+// in.
 #pragma once
 #include <deque>
 #include <functional>
@@ -43,7 +44,8 @@
   // What a waiting job is called. `unread`: some final record has to be read first, those are put
   // into `missing`.
   enum class DependencyState { queued, cancelled, unread };
-  DependencyState state_of(const std::string& id, std::vector<std::string>* missing = nullptr) const;
+  DependencyState state_of(const std::string& id,
+                           std::vector<std::string>* missing = nullptr) const;
 
   EffectivePriority effective_priority(const std::string& id, const wire::JobRecord& own) const;
   // Jobs whose urgency has changed since the last call.
@@ -54,7 +56,7 @@
     std::string id;
     enum Kind { absent, waiting, live, done, cancelled } kind = absent;
     bool doomed = false;
-    std::size_t unfinished = 0;             // awaited jobs that are not known to be done
+    std::size_t unfinished = 0;                 // awaited jobs that are not known to be done
     std::vector<int> dependencies, dependents;  // needed: by the waiting jobs that await it
     EffectivePriority own, effective;
     double run_s = 0;
@@ -85,8 +87,9 @@
   wire::Transaction txn;
   std::vector<std::pair<std::string, wire::JobResultRecord>> results;
 };
-StateTransitions state_transitions(const state::StateCache& world, const DependencyGraph& p, bool ready, const state::TransactionLimits& size,
-            double wall_now, const std::string& tag,
-            const std::function<bool(const std::string&)>& mine);
+StateTransitions state_transitions(const state::StateCache& world, const DependencyGraph& p,
+                                   bool ready, const state::TransactionLimits& size,
+                                   double wall_now, const std::string& tag,
+                                   const std::function<bool(const std::string&)>& mine);
 
 }  // namespace shunttrail::jobs
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,4 +1,4 @@
-// A live job as its shard's owner sees it. Pure.
+// A live job as its shard's owner sees it. Free of I/O.
 #pragma once
 #include <cstdint>
 #include <limits>
@@ -74,9 +74,9 @@
   void set_persisted(std::uint32_t c, const std::vector<bool>& bits);
   bool dirty(std::uint32_t c) const;
   std::set<std::uint32_t> dirty_chunks;
-  double dirty_since = 0;                   // of the oldest result that is not persisted
+  double dirty_since = 0;                  // of the oldest result that is not persisted
   std::map<std::uint32_t, int> done_page;  // where each chunk was written last
-  std::uint32_t queued = 0;                 // of its tasks, on machines' waiting lists
+  std::uint32_t queued = 0;                // of its tasks, on machines' waiting lists
 
   // Placements that may exist, by task and by zone.
   std::vector<std::uint8_t> placements;
--- a/src/jobs/result_reader.cpp
+++ b/src/jobs/result_reader.cpp
@@ -26,7 +26,7 @@
   if (waiting_.size() >= kRangeFrom) {
     if (range_out_) return std::nullopt;
     // Were each range to begin with the oldest question, one that went back a little each time
-    // would answer one question a read (docs/incidents/meetings-2.md).
+    // would answer one question a read (docs/incidents/fault combinations-2.md).
     auto at = waiting_.upper_bound(last_read_);
     if (at == waiting_.end()) at = waiting_.begin();
     range_out_ = true;
--- a/src/jobs/result_reader.h
+++ b/src/jobs/result_reader.h
@@ -1,7 +1,7 @@
 // Final records that answers wait for. One alone is read by its key, in order of age; where many
 // wait, ranges of keys answer hundreds at once, each going on where the last one ended, round and
 // round: whoever waits is through within one round, whatever the order in which jobs are asked
-// about (docs/design.md, "Answers about jobs that are over"). Pure.
+// about (docs/design.md, "Answers about jobs that are over"). Free of I/O.
 #pragma once
 #include <cstdint>
 #include <deque>
--- a/src/local_cluster/children.cpp
+++ b/src/local_cluster/children.cpp
@@ -146,4 +146,4 @@
   return out;
 }
 
-}  // namespace shunttrail::local
+}  // namespace shunttrail::local_cluster
--- a/src/local_cluster/children.h
+++ b/src/local_cluster/children.h
@@ -49,4 +49,4 @@
   actor::EventPtr ended_;
 };
 
-}  // namespace shunttrail::local
+}  // namespace shunttrail::local_cluster
--- a/src/local_cluster/load_balancer.cpp
+++ b/src/local_cluster/load_balancer.cpp
@@ -24,12 +24,12 @@
 }
 }  // namespace
 
-LoadBalancer::LoadBalancer(actor::Loop& loop, const config::Endpoint& at, std::vector<Backend> controllers,
-           const config::Endpoint& depot)
+LoadBalancer::LoadBalancer(actor::Loop& loop, const config::Endpoint& at,
+                           std::vector<Backend> controllers, const config::Endpoint& artifacts)
     : Actor(loop),
       controllers_(std::move(controllers)),
       states_(controllers_.size()),
-      artifacts_(depot),
+      artifacts_(artifacts),
       timer_(loop, [this] {
         probe();
         timer_.after(kProbeEvery);
@@ -215,4 +215,4 @@
   post([this, id] { connections_.erase(id); });
 }
 
-}  // namespace shunttrail::local
+}  // namespace shunttrail::local_cluster
--- a/src/local_cluster/load_balancer.h
+++ b/src/local_cluster/load_balancer.h
@@ -1,6 +1,7 @@
 // The set's front door: one address for users. Like the load balancer of PROTOCOL it chooses a
 // healthy controller for each connection and never changes what passes; of the first request it
-// only looks at the path, since the depot and the operators' figures are behind the same address.
+// only looks at the path, since the artifact store and the operators' figures are behind the same
+// address.
 #pragma once
 #include <event2/bufferevent.h>
 #include <event2/listener.h>
@@ -21,7 +22,7 @@
     config::Endpoint front, internal;
   };
   LoadBalancer(actor::Loop& loop, const config::Endpoint& at, std::vector<Backend> controllers,
-       const config::Endpoint& depot);
+               const config::Endpoint& artifacts);
   ~LoadBalancer() override;
   bool healthy() const;  // some controller is
 
@@ -68,4 +69,4 @@
   actor::Timer timer_;
 };
 
-}  // namespace shunttrail::local
+}  // namespace shunttrail::local_cluster
--- a/src/local_cluster/local_cluster.cpp
+++ b/src/local_cluster/local_cluster.cpp
@@ -40,7 +40,8 @@
 }  // namespace
 
 LocalCluster::LocalCluster(actor::Loop& loop, Settings s, fs::path dir, const fs::path& programs,
-                   const fs::path& self, std::uint16_t port, std::function<void(std::string)> ready)
+                           const fs::path& self, std::uint16_t port,
+                           std::function<void(std::string)> ready)
     : Actor(loop),
       settings_(std::move(s)),
       dir_(fs::absolute(std::move(dir))),
@@ -75,8 +76,8 @@
   cloud_ = std::make_unique<emulators::CloudEmulator>(
       loop, cloud_at_, settings_.types, settings_.cloud_rps, dir_ / "cloud.json",
       emulators::CloudEmulator::Power{[this] { return text(take_address()); },
-                             [this](const auto& m) { power_on(m); },
-                             [this](auto names, auto done) { power_off(names, done); }});
+                                      [this](const auto& m) { power_on(m); },
+                                      [this](auto names, auto done) { power_off(names, done); }});
   std::vector<LoadBalancer::Backend> backends;
   for (const auto& p : places_) backends.push_back({p.front, p.internal});
   load_balancer_ = std::make_unique<LoadBalancer>(loop, front_, std::move(backends), artifacts_at_);
@@ -95,7 +96,9 @@
   throw std::runtime_error("no free port is left");
 }
 
-fs::path LocalCluster::machine_dir(const std::string& name) const { return dir_ / "machines" / name; }
+fs::path LocalCluster::machine_dir(const std::string& name) const {
+  return dir_ / "machines" / name;
+}
 
 void LocalCluster::power_on(const emulators::CloudEmulator::Machine& m) {
   if (ending_) return;
@@ -122,12 +125,13 @@
       if (!fs::exists(machine_dir(name))) return over(0);
       children_.once(
           "end-" + name,
-          {(programs_ / "shunttrail-agent").string(), "end", "--dir", machine_dir(name).string()}, over);
+          {(programs_ / "shunttrail-agent").string(), "end", "--dir", machine_dir(name).string()},
+          over);
     });
   }
 }
 
-// Whether users can be served: a controller is up, and the depot is.
+// Whether users can be served: a controller is up, and the artifact store is.
 void LocalCluster::look() {
   if (ending_ || !ready_) return;
   if (!load_balancer_->healthy()) return timer_.after(0.1);
@@ -157,4 +161,4 @@
     });
 }
 
-}  // namespace shunttrail::local
+}  // namespace shunttrail::local_cluster
--- a/src/local_cluster/local_cluster.h
+++ b/src/local_cluster/local_cluster.h
@@ -1,6 +1,6 @@
-// The whole service on one machine: controllers, a depot, a state service and a cloud whose
-// machines are agents, all of them processes of this one. State stays in its directory; a second
-// start goes on with it.
+// The whole service on one machine: controllers, a artifact store, a state service and a cloud
+// whose machines are agents, all of them processes of this one. State stays in its directory; a
+// second start goes on with it.
 #pragma once
 #include <filesystem>
 #include <functional>
@@ -10,21 +10,21 @@
 
 #include "actor/loop.h"
 #include "agent/processes.h"
+#include "emulators/cloud.h"
 #include "local_cluster/children.h"
 #include "local_cluster/load_balancer.h"
 #include "local_cluster/settings.h"
-#include "emulators/cloud.h"
 
 namespace shunttrail::local_cluster {
 
 class LocalCluster : public actor::Actor {
  public:
   // `programs`: where shunttrail and shunt-agent are. `self`: this program, which also serves as
-  // the state service and the depot. Throws std::runtime_error: another set has the directory, or
-  // an address cannot be had.
+  // the state service and the artifact store. Throws std::runtime_error: another set has the
+  // directory, or an address cannot be had.
   LocalCluster(actor::Loop& loop, Settings s, std::filesystem::path dir,
-           const std::filesystem::path& programs, const std::filesystem::path& self,
-           std::uint16_t port, std::function<void(std::string url)> ready);
+               const std::filesystem::path& programs, const std::filesystem::path& self,
+               std::uint16_t port, std::function<void(std::string url)> ready);
 
   // Ends every process and every task, in an order that loses nothing; `gone` runs then.
   void end(std::function<void()> gone);
@@ -55,4 +55,4 @@
   actor::Timer timer_;
 };
 
-}  // namespace shunttrail::local
+}  // namespace shunttrail::local_cluster
--- a/src/local_cluster/settings.cpp
+++ b/src/local_cluster/settings.cpp
@@ -74,8 +74,8 @@
 
 std::string text(const Endpoint& e) { return e.host + ":" + std::to_string(e.port); }
 
-std::string controller_settings(const Settings& s, const std::vector<AgentPlace>& all, std::size_t self,
-                                const Endpoint& state, const Endpoint& cloud) {
+std::string controller_settings(const Settings& s, const std::vector<AgentPlace>& all,
+                                std::size_t self, const Endpoint& state, const Endpoint& cloud) {
   using nlohmann::json;
   json siblings = json::array(), teams = json::array();
   for (std::size_t i = 0; i < all.size(); ++i)
@@ -109,7 +109,7 @@
 }
 
 std::string agent_settings(const Settings& s, const std::vector<AgentPlace>& all,
-                           const emulators::CloudEmulator::Machine& m, const Endpoint& depot) {
+                           const emulators::CloudEmulator::Machine& m, const Endpoint& artifacts) {
   pugi::xml_document doc;
   pugi::xml_node root = doc.append_child("shunt-agent");
   auto put = [&](const char* name, const std::string& value) {
@@ -140,7 +140,7 @@
     n.append_attribute("name").set_value(c.name.c_str());
     n.append_attribute("address").set_value(text(c.front).c_str());
   }
-  put("depot", text(depot));
+  put("depot", text(artifacts));
   put("cache-gb", number(s.cache_gb));
   put("disk-reserve-mb", number(s.disk_reserve_mb));
   put("file-mb", number(s.file_mb));
@@ -149,4 +149,4 @@
   return out.str();
 }
 
-}  // namespace shunttrail::local
+}  // namespace shunttrail::local_cluster
--- a/src/local_cluster/settings.h
+++ b/src/local_cluster/settings.h
@@ -26,12 +26,14 @@
   config::Endpoint front, internal;
 };
 // What a controller is started with: the platform's JSON file.
-std::string controller_settings(const Settings& s, const std::vector<AgentPlace>& all, std::size_t self,
-                                const config::Endpoint& state, const config::Endpoint& cloud);
+std::string controller_settings(const Settings& s, const std::vector<AgentPlace>& all,
+                                std::size_t self, const config::Endpoint& state,
+                                const config::Endpoint& cloud);
 // What a machine's agent is started with: its XML file.
 std::string agent_settings(const Settings& s, const std::vector<AgentPlace>& all,
-                           const emulators::CloudEmulator::Machine& m, const config::Endpoint& depot);
+                           const emulators::CloudEmulator::Machine& m,
+                           const config::Endpoint& artifacts);
 
 std::string text(const config::Endpoint& e);
 
-}  // namespace shunttrail::local
+}  // namespace shunttrail::local_cluster
--- a/src/pbs/job.h
+++ b/src/pbs/job.h
@@ -1,5 +1,5 @@
 // From a script's directives to the one job that the core knows: the same submission that a native
-// user would make, so that nothing downstream can tell by which door it came. Pure.
+// user would make, so that nothing downstream can tell by which door it came. Free of I/O.
 #pragma once
 #include <optional>
 #include <string>
--- a/src/pbs/script.h
+++ b/src/pbs/script.h
@@ -1,6 +1,6 @@
 // The directives of a PBS job script, as qsub(1B) has them: the leading block of lines that begin
-// with the prefix, each holding options as on a command line. Pure: text in, directives or faults
-// out, and every fault of the script at once.
+// with the prefix, each holding options as on a command line. Free of I/O: text in, directives or
+// faults out, and every fault of the script at once.
 #pragma once
 #include <cstddef>
 #include <string>
--- a/src/peer/peer.cpp
+++ b/src/peer/peer.cpp
@@ -59,7 +59,8 @@
     cereal::PortableBinaryInputArchive a(in);
     std::uint64_t length = 0;
     a(p.version, p.node, length);
-    if (p.version != RelayedHeartbeat{}.version || length != bytes.size() - kHead) return std::nullopt;
+    if (p.version != RelayedHeartbeat{}.version || length != bytes.size() - kHead)
+      return std::nullopt;
   } catch (const std::exception&) {
     return std::nullopt;
   }
--- a/src/relay/relay_routes.cpp
+++ b/src/relay/relay_routes.cpp
@@ -20,12 +20,14 @@
   std::erase_if(open_, [&](const auto& d) { return now - d.second.used_at > kUnused; });
 }
 
-Decision RelayRoutes::decide(const std::string& machine, Order order, int zone, int owner, double now) {
+Decision RelayRoutes::decide(const std::string& machine, Order order, int zone, int owner,
+                             double now) {
   forget(now);
   if (auto c = unavailable_until_.find(owner); c != unavailable_until_.end() && now < c->second)
     return Decision::redirect;
   auto quiet = silent_until_.find(owner);
-  const Decision pass = quiet != silent_until_.end() && now < quiet->second ? Decision::refuse : Decision::relay;
+  const Decision pass =
+      quiet != silent_until_.end() && now < quiet->second ? Decision::refuse : Decision::relay;
   auto at = open_.find({owner, zone});
   if (at == open_.end()) {
     auto was = sent_.find(machine);
@@ -72,4 +74,4 @@
   std::erase_if(open_, [&](const auto& d) { return d.first.first == owner; });
 }
 
-}  // namespace shunttrail::links
+}  // namespace shunttrail::relay
--- a/src/relay/relay_routes.h
+++ b/src/relay/relay_routes.h
@@ -1,7 +1,8 @@
 // Links between workers and controllers that are cut while others stand: a worker that was sent to
 // its shard's owner and comes back has not reached it. Then this node passes reports on to the
-// owner by itself, until a worker that is sent there on trial stays away. Pure. Nothing rests on
-// what is concluded here: a report passed on is a report, and a wrong guess costs time only.
+// owner by itself, until a worker that is sent there on trial stays away. Free of I/O. Nothing
+// rests on what is concluded here: a report passed on is a report, and a wrong guess costs time
+// only.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -21,8 +22,8 @@
  public:
   // A report of a machine in this zone has come here, whose shard node `owner` owns. Times in
   // seconds.
-  // `order`: the report's session and sequence. A copy that comes late shows nothing: only a report
-  // that is newer than the one that was sent away tells that its worker has come back.
+  // `order`: the report's incarnation and sequence. A copy that comes late shows nothing: only a
+  // report that is newer than the one that was sent away tells that its worker has come back.
   using Order = std::pair<std::uint64_t, std::uint64_t>;
   Decision decide(const std::string& machine, Order order, int zone, int owner, double now);
   // Whether the owner answered what was passed on.
@@ -31,8 +32,8 @@
   void unavailable(int owner, double now);
   struct Route {
     double since = 0;
-    double probe_at = 0;  // when the next worker is sent to the owner on trial
-    double probe_interval = 0;       // between two trials that fail
+    double probe_at = 0;        // when the next worker is sent to the owner on trial
+    double probe_interval = 0;  // between two trials that fail
     std::string probing;
     Order probe_order{};  // the report that was sent there
     double sent_at = 0;
@@ -57,4 +58,4 @@
   double forgotten_at_ = 0;
 };
 
-}  // namespace shunttrail::links
+}  // namespace shunttrail::relay
--- a/src/scheduler/failure_detector.cpp
+++ b/src/scheduler/failure_detector.cpp
@@ -19,7 +19,8 @@
 }
 // Where reports are far apart a machine is asked in between as well.
 bool FailureDetector::suspected(const Machine& m, double now) const {
-  return now - std::max(m.last_heartbeat, m.known_alive_at) > std::min(kQuiet, 0.6 * context_.settings.heartbeat_s);
+  return now - std::max(m.last_heartbeat, m.known_alive_at) >
+         std::min(kQuiet, 0.6 * context_.settings.heartbeat_s);
 }
 
 // The zone's machines are heard, by and large. Where most are silent at once a network is cut, or
@@ -29,14 +30,16 @@
   for (const auto& [n, m] : machines_.all()) {
     if (m->state != Machine::up || m->zone != zone || m->lost) continue;
     ++all;
-    heard += !m->unanswered && m->losing_responses < kLostResponsesBeforeSuspicion && !silent(*m, now);
+    heard +=
+        !m->unanswered && m->losing_responses < kLostResponsesBeforeSuspicion && !silent(*m, now);
   }
   return heard > 0 && 2 * heard >= all;
 }
 
 void FailureDetector::heartbeat_received(Machine& m, bool answer_lost, double now) {
   m.losing_responses = answer_lost ? m.losing_responses + 1 : std::max(0, m.losing_responses - 1);
-  if (m.losing_responses >= kLostResponsesBeforeSuspicion) Machines::avoid(m, now + 1.5 * context_.settings.heartbeat_s);
+  if (m.losing_responses >= kLostResponsesBeforeSuspicion)
+    Machines::avoid(m, now + 1.5 * context_.settings.heartbeat_s);
 }
 
 std::vector<Probe> FailureDetector::probes(double now) {
@@ -50,7 +53,8 @@
     const bool replicas =
         std::any_of(m->tasks.placements.begin(), m->tasks.placements.end(),
                     [](const Placement& p) { return p.job->spec.service && !p.released; });
-    if (m->losing_responses < kLostResponsesBeforeSuspicion && !(replicas && suspected(*m, now))) continue;
+    if (m->losing_responses < kLostResponsesBeforeSuspicion && !(replicas && suspected(*m, now)))
+      continue;
     m->probe_out = true;
     ++busy;
     out.push_back({m->name, m->addr});
@@ -63,7 +67,7 @@
   m.probe_after = now + kGap;
   const auto zone = static_cast<std::size_t>(m.zone);
   if (yes) {
-    // If its reports do not come here, that is for the detours to mend.
+    // If its reports do not come here, that is for the relay routes to mend.
     m.unanswered = m.losing_responses = 0;
     m.known_alive_at = zone_heard_at_[zone] = now;
     return false;
@@ -81,4 +85,4 @@
   return true;
 }
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/failure_detector.h
+++ b/src/scheduler/failure_detector.h
@@ -1,12 +1,12 @@
 // Machines with replicas that have gone silent: whether they are dead is found out by asking them,
 // long before silence alone is a proof. One that is given up on is deleted, and the deletion's
-// answer is the proof that its tasks are gone (docs/safety.md). Pure.
+// answer is the proof that its tasks are gone (docs/safety.md). Free of I/O.
 #pragma once
 #include <string>
 #include <vector>
 
-#include "scheduler/shard_context.h"
 #include "scheduler/machines.h"
+#include "scheduler/shard_context.h"
 
 namespace shunttrail::scheduler {
 
@@ -36,8 +36,8 @@
 
   ShardContext& context_;
   Machines& machines_;
-  std::vector<double> zone_heard_at_;   // by zone: when a machine there answered last
-  std::vector<double> given_up_at_;  // when, lately
+  std::vector<double> zone_heard_at_;  // by zone: when a machine there answered last
+  std::vector<double> given_up_at_;    // when, lately
 };
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/machine_catalogue.cpp
+++ b/src/scheduler/machine_catalogue.cpp
@@ -48,4 +48,4 @@
   return (tier % 2 ? t.spot_price : t.price) / 3600.0;
 }
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/machine_catalogue.h
+++ b/src/scheduler/machine_catalogue.h
@@ -1,4 +1,4 @@
-// Machine types as the cloud lists them. Pure.
+// Machine types as the cloud lists them. Free of I/O.
 #pragma once
 #include <string>
 #include <vector>
@@ -32,4 +32,4 @@
   bool empty() const { return types.empty(); }
 };
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/machine_queue.h
+++ b/src/scheduler/machine_queue.h
@@ -11,12 +11,12 @@
 
 struct MachineQueue {
   std::array<std::uint16_t, wire::kPriorities + 1> tasks_by_band{};  // by band
-  std::vector<QueuedTask> tasks;                                    // in order of service
+  std::vector<QueuedTask> tasks;                                     // in order of service
   double idle_capacity_since = -1;  // it has had room for something that waits; -1: it has not
   // A reservation: nothing but this task is placed here until there is room for it. It holds as
-  // long as the task is on this list (Waiting::reserved).
+  // long as the task is on this list (TaskQueues::is_reserved).
   std::optional<ServiceOrder> reserved_for;
   double reserved_at = -1e9;
 };
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/machines.cpp
+++ b/src/scheduler/machines.cpp
@@ -5,8 +5,8 @@
 
 namespace shunttrail::scheduler {
 
-using jobs::Resources;
 using jobs::Job;
+using jobs::Resources;
 
 namespace {
 constexpr std::size_t kImagesKept = 8;  // where a type does not tell its cache
@@ -115,7 +115,8 @@
 
 // ---- what is heard of it
 
-bool Machines::heartbeat_received(Machine& m, const wire::Heartbeat& r, bool new_session, double now) {
+bool Machines::heartbeat_received(Machine& m, const wire::Heartbeat& r, bool new_session,
+                                  double now) {
   m.addr = r.addr;
   m.last_heartbeat = now;
   if (m.losing_responses < kLostResponsesBeforeSuspicion) m.unanswered = 0;
@@ -207,7 +208,8 @@
   return m;
 }
 
-std::vector<ScaleOutRequest> Machines::scale_out_requests(double now, std::vector<Machine*>& barred) {
+std::vector<ScaleOutRequest> Machines::scale_out_requests(double now,
+                                                          std::vector<Machine*>& barred) {
   std::map<std::pair<int, int>, ScaleOutRequest> groups;
   for (auto& [n, m] : all_) {
     if (m->state != Machine::ordered || m->announced) continue;
@@ -284,7 +286,8 @@
 std::vector<std::string> Machines::machines_to_return() {
   std::vector<std::string> out;
   for (auto& [n, m] : all_) {
-    if (!m->leaving || m->returning || m->name.empty() || (m->transfer_to >= 0 && !m->lost)) continue;
+    if (!m->leaving || m->returning || m->name.empty() || (m->transfer_to >= 0 && !m->lost))
+      continue;
     // Tasks of a machine that answers are let finish; a lost machine's are not waited for.
     bool running = false;
     for (const Placement& p : m->tasks.placements) running |= !p.acknowledging;
@@ -308,7 +311,7 @@
 }
 
 // Work goes on where a machine was to leave and is not wanted any more. Only one that is not empty
-// may stay: of an empty one the roster's commit may be on its way.
+// may stay: of an empty one the inventory's commit may be on its way.
 void Machines::keep(Machine& m) {
   if (m.transfer_to < 0 || m.lost || m.returning || m.tasks.placements.empty()) return;
   m.transfer_to = -1;
@@ -320,16 +323,18 @@
 // over a surplus would leave hardly any machine idle. A machine with a replica is not promised: it
 // would stand half empty for as long as the service runs. Those that take most of what waits there
 // go first.
-std::vector<Machine*> Machines::transfer(const MachineTransfer& gift) {
-  double left = gift.amount;
+std::vector<Machine*> Machines::transfer(const MachineTransfer& transfer) {
+  double left = transfer.amount;
   std::vector<Machine*> out, mine;
   auto units = [&](const Machine& m) { return context_.catalogue.units(m.type); };
   for (auto& [n, m] : all_) {
-    if (m->transfer_to != gift.to || m->type < 0) continue;
+    if (m->transfer_to != transfer.to || m->type < 0) continue;
     if (left < units(*m)) keep(*m);
-    if (m->transfer_to == gift.to) left -= units(*m);
+    if (m->transfer_to == transfer.to) left -= units(*m);
   }
-  auto useful = [&](const Machine& m) { return gift.useful[static_cast<std::size_t>(m.tier())]; };
+  auto useful = [&](const Machine& m) {
+    return transfer.useful[static_cast<std::size_t>(m.tier())];
+  };
   for (auto& [n, m] : all_) {
     if (m->state != Machine::up || !m->in_inventory || m->leaving || m->draining || m->type < 0 ||
         units(*m) > left + 1e-9 || useful(*m) <= 0 || m->queue.reserved_for)
@@ -345,7 +350,7 @@
   for (Machine* m : mine) {
     if (units(*m) > left + 1e-9) continue;
     m->leaving = true;
-    m->transfer_to = gift.to;
+    m->transfer_to = transfer.to;
     left -= units(*m);
     out.push_back(m);
   }
@@ -354,7 +359,8 @@
 
 namespace {
 bool can_go(const Machine& m) {
-  return m.transfer_to >= 0 && m.in_inventory && m.tasks.placements.empty() && m.queue.tasks.empty();
+  return m.transfer_to >= 0 && m.in_inventory && m.tasks.placements.empty() &&
+         m.queue.tasks.empty();
 }
 }  // namespace
 
@@ -363,7 +369,8 @@
   return m && can_go(*m) ? m->transfer_to : -1;
 }
 
-std::vector<InventoryChange> Machines::inventory_changes(std::uint64_t token, const Asked& asked) const {
+std::vector<InventoryChange> Machines::inventory_changes(std::uint64_t token,
+                                                         const Asked& asked) const {
   std::vector<InventoryChange> out;
   for (const auto& [n, m] : all_) {
     if (m->name.empty() || m->type < 0 || m->zone < 0) continue;
@@ -387,4 +394,4 @@
   return sum;
 }
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/machines.h
+++ b/src/scheduler/machines.h
@@ -1,4 +1,5 @@
-// The machines of a shard: which there are, what they can take, and how they come and go. Pure.
+// The machines of a shard: which there are, what they can take, and how they come and go. Free of
+// I/O.
 #pragma once
 #include <functional>
 #include <map>
@@ -9,9 +10,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "scheduler/shard_context.h"
-#include "scheduler/placement.h"
 #include "scheduler/machine_queue.h"
+#include "scheduler/placement.h"
+#include "scheduler/shard_context.h"
 #include "shard/balance.h"
 #include "wire/types.h"
 
@@ -29,15 +30,15 @@
   double avoid_until = 0;
   MachineQueue queue;
   MachineTasks tasks;
-  jobs::Resources reserved;    // kept free for urgent work
-  std::vector<int> images;  // as cached, the latest used last
+  jobs::Resources reserved;  // kept free for urgent work
+  std::vector<int> images;   // as cached, the latest used last
 
   std::string name, addr;
-  bool announced = false;    // ordered: the request is out
-  bool in_inventory = false;  // the roster holds it: only then may anything be placed on it
+  bool announced = false;     // ordered: the request is out
+  bool in_inventory = false;  // the inventory holds it: only then may anything be placed on it
   bool returning = false;
-  int transfer_to = -1;    // the shard that it goes to once it is empty
-  bool lost = false;  // not coming back: its tasks are not waited for
+  int transfer_to = -1;  // the shard that it goes to once it is empty
+  bool lost = false;     // not coming back: its tasks are not waited for
   std::optional<double> notice_s;
   double rented_at = 0, last_heartbeat = 0, last_answer = 0, idle_since = 0;
   double newest_task_at = -1e9;  // when what was heard last came
@@ -53,7 +54,9 @@
   double probe_after = 0, known_alive_at = 0;  // when it answered it last
   int tier() const { return 2 * type + (spot ? 1 : 0); }
   // Something may be placed here, as far as the machine itself goes.
-  bool accepts_work(double now) const { return state == up && !leaving && !draining && avoid_until <= now; }
+  bool accepts_work(double now) const {
+    return state == up && !leaving && !draining && avoid_until <= now;
+  }
 };
 
 // So many reports in a row that show no answer: it is asked whether it hears anything at all.
@@ -64,7 +67,7 @@
   std::vector<int> machines;  // ordered machines, by number
 };
 
-// A change of the roster that the desk asks for.
+// A change of the inventory that the scheduler asks for.
 struct InventoryChange {
   enum Kind { add, transfer, drop } kind = add;
   wire::MachineRecord machine;
@@ -90,7 +93,7 @@
   bool contains(const std::string& name) const { return by_name_.contains(name); }
   std::size_t named() const { return by_name_.size(); }
 
-  // The roster holds it under this shard. True if it is new here.
+  // The inventory holds it under this shard. True if it is new here.
   bool known(const wire::MachineRecord& r, double now);
   // Nothing is on it, and nothing waits for it.
   void erase(int number);
@@ -126,14 +129,16 @@
   // Grouped; `barred`: orders where the cloud has just said that it has none.
   std::vector<ScaleOutRequest> scale_out_requests(double now, std::vector<Machine*>& barred);
   // The numbers of orders that came to nothing.
-  std::vector<int> rented(const ScaleOutRequest& w, const std::vector<std::string>& names, double now);
-  std::vector<int> refused(const ScaleOutRequest& w, std::size_t from, bool no_capacity, double now);
+  std::vector<int> rented(const ScaleOutRequest& w, const std::vector<std::string>& names,
+                          double now);
+  std::vector<int> refused(const ScaleOutRequest& w, std::size_t from, bool no_capacity,
+                           double now);
   std::vector<std::string> machines_to_return();
   void return_failed(const std::string& name);
 
   // Machines that another shard lacks, marked to go there once they are empty: so much in all, what
   // is marked already included. What is marked beyond that stays, unless it is empty already.
-  std::vector<Machine*> transfer(const MachineTransfer& gift);
+  std::vector<Machine*> transfer(const MachineTransfer& transfer);
   double transferring() const;  // marked to go, in machines of the first type
   using Asked = std::function<bool(const std::string& machine, InventoryChange::Kind, int shard)>;
   std::vector<InventoryChange> inventory_changes(std::uint64_t token, const Asked& asked) const;
@@ -162,4 +167,4 @@
 // What a task takes of a machine of this size, the greater share of the two.
 double share_of(const jobs::Resources& a, const jobs::Resources& one);
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -18,8 +18,9 @@
   bool recovered = false;  // an earlier owner may have sent it; no proof seen yet
   bool sent = false;
   std::uint64_t sent_incarnation = 0, sent_sequence = 0;
-  bool sent_directly = false;      // sent by a direct order, not in a report's answer
-  std::uint64_t unacknowledged_token = 0;  // the token of a direct order that may still be on its way
+  bool sent_directly = false;  // sent by a direct order, not in a report's answer
+  std::uint64_t unacknowledged_token =
+      0;  // the token of a direct order that may still be on its way
   bool seen = false;
   bool released = false;  // known not to run, now or later
   bool acknowledging = false;
@@ -45,4 +46,4 @@
   std::vector<wire::TaskStatus> unknown_tasks;  // reported, but no placement of ours
 };
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/placement_commands.cpp
+++ b/src/scheduler/placement_commands.cpp
@@ -7,12 +7,13 @@
 
 using jobs::Job;
 using wire::Command;
-using wire::TaskState;
 using wire::ExitReason;
+using wire::TaskState;
 
 namespace {
-constexpr double kRaiseGap = 1;        // between two raises of the token
-constexpr double kLooseRaiseGap = 10;  // for the sake of something loose that keeps no lease back
+constexpr double kRaiseGap = 1;  // between two raises of the token
+constexpr double kLooseRaiseGap =
+    10;  // for the sake of something unacknowledged that keeps no lease back
 // Time to save for what can.
 double stop_grace(const Job& j) { return j.spec.checkpoint_s > 0 ? j.spec.save_s + 1 : 0; }
 wire::TaskId id(const Placement& p) { return {p.job->spec.id, p.task}; }
@@ -92,7 +93,8 @@
       continue;
     }
     auto j = context_.jobs.find(t.task.job);
-    if (t.exit_reason != ExitReason::done || j == context_.jobs.end() || j->second->persisted(t.task.index))
+    if (t.exit_reason != ExitReason::done || j == context_.jobs.end() ||
+        j->second->persisted(t.task.index))
       out.push_back({Command::Op::acknowledge, t.task, t.attempt, 0});
   }
   return out;
@@ -111,9 +113,8 @@
   direct_due_.push_back(m.number);
 }
 
-std::vector<DirectCommands> Placements::direct_commands(bool fresh,
-                                              const std::function<bool(const std::string&)>& skip,
-                                              double now) {
+std::vector<DirectCommands> Placements::direct_commands(
+    bool fresh, const std::function<bool(const std::string&)>& skip, double now) {
   std::vector<DirectCommands> out;
   if (!fresh) return out;
   std::vector<int> due;
@@ -122,9 +123,10 @@
     Machine* m = machines_.at(n);
     if (!m) continue;
     m->tasks.direct_due = false;
-    if (m->tasks.needs_resync && !m->tasks.direct_in_flight && now >= m->tasks.resync_at && !m->addr.empty()) {
+    if (m->tasks.needs_resync && !m->tasks.direct_in_flight && now >= m->tasks.resync_at &&
+        !m->addr.empty()) {
       // An order without commands: it shows the worker our token, so that no earlier owner's
-      // command is carried out any more, and its answer shows what is there. The session is a
+      // command is carried out any more, and its answer shows what is there. The incarnation is a
       // guess at first; a 409 tells it.
       m->tasks.direct_in_flight = true;
       m->tasks.resync_at = now + 1;
@@ -193,13 +195,14 @@
     // Its answer may still settle it.
     if (m->tasks.direct_in_flight) continue;
     for (const Placement& p : m->tasks.placements)
-      if (may_start_late(p) || (long_ago && p.unacknowledged_token == token_ && (p.released || p.job->over)))
+      if (may_start_late(p) ||
+          (long_ago && p.unacknowledged_token == token_ && (p.released || p.job->over)))
         return true;
   }
   return false;
 }
 
-// The same desk under a higher token: what it knows stays, and what an older token of its own
+// The same scheduler under a higher token: what it knows stays, and what an older token of its own
 // left on the way can no longer be carried out by a worker that has seen the new one.
 void Placements::advance_token(std::uint64_t token, double now) {
   token_ = token;
@@ -208,4 +211,4 @@
   saw_higher_token_ = false;
 }
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
