--- a/src/scheduler/placement_store.cpp
+++ b/src/scheduler/placement_store.cpp
@@ -9,9 +9,9 @@
 using jobs::JobPtr;
 
 namespace {
-// Of a shard. A start's cost is what its sheet still holds beside it: with few sheets nearly all
-// that runs is written again and again, and at the large size they are full, so that starts queue
-// for the little room that three of them have left.
+// Of a shard. A start's cost is what its placement page still holds beside it: with few placement
+// pages nearly all that runs is written again and again, and at the large size they are full, so
+// that starts queue for the little room that three of them have left.
 constexpr std::size_t kSheets = 256;
 constexpr double kDoneWait = 3.0;          // results wait so long for starts to share a change with
 constexpr std::size_t kSheetBytes = 5800;  // never longer, though values may be
@@ -29,11 +29,11 @@
 PlacementStore::PlacementStore(ShardContext& common, Machines& machines, Placements& placements)
     : context_(common), machines_(machines), placements_(placements), pages_(kSheets) {}
 
-void PlacementStore::recover_page(int sheet, const wire::PlacementPageRecord& r, double now) {
-  if (sheet < 0) return;
-  if (static_cast<std::size_t>(sheet) >= pages_.size())
-    pages_.resize(static_cast<std::size_t>(sheet) + 1);
-  PlacementPage& mine = pages_[static_cast<std::size_t>(sheet)];
+void PlacementStore::recover_page(int page, const wire::PlacementPageRecord& r, double now) {
+  if (page < 0) return;
+  if (static_cast<std::size_t>(page) >= pages_.size())
+    pages_.resize(static_cast<std::size_t>(page) + 1);
+  PlacementPage& mine = pages_[static_cast<std::size_t>(page)];
   for (const auto& g : r.jobs) {
     JobPtr j;
     if (auto it = context_.jobs.find(g.job); it != context_.jobs.end()) {
@@ -47,7 +47,7 @@
         auto [known, fresh] = largest_recovered_.try_emplace({g.job, c}, tasks);
         if (!fresh && known->second >= tasks) continue;
         known->second = tasks;
-        j->done_page[c] = sheet;
+        j->done_page[c] = page;
       }
     } else {
       // The job is over, but its tasks may still be there: they count until proven gone.
@@ -63,7 +63,7 @@
       j->pending.clear();
     }
     for (const auto& at : g.placements) {
-      // A machine that the roster does not hold under this shard has been deleted, or was empty
+      // A machine that the inventory does not hold under this shard has been deleted, or was empty
       // when it moved away: nothing of ours can be on it.
       Machine* m = machines_.find(at.machine);
       if (!m) continue;
@@ -86,12 +86,15 @@
   }
 }
 
-// Writes a sheet anew: what it holds and still matters, and as many of the starts and results as
-// it has room for. Its length is counted from above. False if there was room for nothing.
-bool PlacementStore::fill_page(int index, const state::StateCache& w, const state::TransactionLimits& size,
-                  std::vector<PersistedPlacement>& starts, Chunks& dirty, const std::string& tag, wire::Transaction& t,
-                  PendingTransaction& out) {
-  PlacementPage& sheet = pages_[static_cast<std::size_t>(index)];
+// Writes a placement page anew: what it holds and still matters, and as many of the starts and
+// results as it has room for. Its length is counted from above. False if there was room for
+// nothing.
+bool PlacementStore::fill_page(int index, const state::StateCache& w,
+                               const state::TransactionLimits& size,
+                               std::vector<PersistedPlacement>& starts, Chunks& dirty,
+                               const std::string& tag, wire::Transaction& t,
+                               PendingTransaction& out) {
+  PlacementPage& page = pages_[static_cast<std::size_t>(index)];
   const std::size_t limit = std::min(kSheetBytes, size.value_bytes) - 64;
   const std::size_t max_guards = size.preconditions - 2;
   wire::PlacementPageRecord r;
@@ -102,7 +105,7 @@
   std::map<std::string, std::size_t> groups;  // by job: a job that is over may have several stubs
   std::set<int> machines;
   std::uint64_t base = placements_.token() << 20;
-  for (const PersistedPlacement& h : sheet.placements) base = std::min(base, h.attempt);
+  for (const PersistedPlacement& h : page.placements) base = std::min(base, h.attempt);
 
   auto header = [&](const JobPtr& j) -> std::size_t {
     if (groups.contains(j->spec.id)) return 0;
@@ -133,17 +136,17 @@
     write.done.emplace_back(j, c, std::move(bits));
   };
 
-  for (const PersistedPlacement& h : sheet.placements) {
+  for (const PersistedPlacement& h : page.placements) {
     bytes += place_bytes(h);
     put(h);
   }
-  for (const auto& [j, c] : sheet.done) {
+  for (const auto& [j, c] : page.done) {
     bytes += done_bytes(j, c);
     put_done(j, c);
   }
   // Written when values could be larger. It stays as it is, so that no placement is unrecorded for
   // a moment, until enough of what it holds is over; results that it holds and that have grown
-  // since go to another sheet.
+  // since go to another placement page.
   if (bytes > limit) return false;
   const std::string key = state::placement_page_key(context_.shard, index);
   bool added = false;
@@ -153,8 +156,8 @@
     std::size_t more = place_bytes(h);
     if (bytes + more > limit) break;
     std::string jk = state::job_key(h.job->spec.id);
-    bool guarded =
-        std::any_of(t.preconditions.begin(), t.preconditions.end(), [&](const auto& g) { return g.first == jk; });
+    bool guarded = std::any_of(t.preconditions.begin(), t.preconditions.end(),
+                               [&](const auto& g) { return g.first == jk; });
     if (!guarded) {
       if (t.preconditions.size() + 2 > max_guards) break;
       t.preconditions.emplace_back(jk, w.mod_revision(jk));
@@ -167,7 +170,7 @@
   starts.erase(starts.begin(), starts.begin() + static_cast<long>(taken));
   std::erase_if(dirty, [&](const auto& d) {
     auto at_sheet = d.first->done_page.find(d.second);
-    // Written just now, with what the sheet held already.
+    // Written just now, with what the placement page held already.
     bool here = at_sheet != d.first->done_page.end() && at_sheet->second == index;
     if (!here) {
       std::size_t more = done_bytes(d.first, d.second);
@@ -192,16 +195,17 @@
   return true;
 }
 
-std::optional<wire::Transaction> PlacementStore::next_transaction(const state::StateCache& w, const state::TransactionLimits& size,
-                                      const std::string& tag, double now) {
+std::optional<wire::Transaction> PlacementStore::next_transaction(
+    const state::StateCache& w, const state::TransactionLimits& size, const std::string& tag,
+    double now) {
   if (pending_) return std::nullopt;
   wire::Transaction t;
   PendingTransaction out;
   const std::size_t ops = size.ops;
-  // Ends of jobs leave a change to the sheets where there is one to leave.
+  // Ends of jobs leave a change to the placement pages where there is one to leave.
   const std::size_t final_ops = ops > 2 ? 3 : 2;
-  // Every key written is guarded by its own stamp, so that a transaction that is applied late,
-  // or a second time, cannot be: and by the owner's, so that nobody else's is overwritten.
+  // Every key written is conditional on its own revision, so that a transaction that is applied
+  // late, or a second time, cannot be: and by the owner's, so that nobody else's is overwritten.
   t.preconditions.emplace_back(state::leader_key(context_.shard), placements_.token());
 
   Chunks dirty;
@@ -228,12 +232,14 @@
   }
   std::vector<PersistedPlacement> starts = planned(w);
   if (!starts.empty() || due) {
-    // The emptiest sheets first, by what still matters: counted with what does not, the sheets
-    // written least would seem the fullest, and starts would queue for the others.
+    // The emptiest placement pages first, by what still matters: counted with what does not, the
+    // placement pages written least would seem the fullest, and starts would queue for the others.
     prune();
     std::vector<std::size_t> order(pages_.size());
     for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
-    auto load = [&](std::size_t i) { return pages_[i].placements.size() + 4 * pages_[i].done.size(); };
+    auto load = [&](std::size_t i) {
+      return pages_[i].placements.size() + 4 * pages_[i].done.size();
+    };
     std::stable_sort(order.begin(), order.end(),
                      [&](std::size_t a, std::size_t b) { return load(a) < load(b); });
     std::size_t used = 0;
@@ -266,7 +272,9 @@
         starts.push_back({n, p.job, p.task, p.attempt});
   }
   std::stable_sort(starts.begin(), starts.end(),
-                   [](const PersistedPlacement& a, const PersistedPlacement& b) { return a.job->priority_band() < b.job->priority_band(); });
+                   [](const PersistedPlacement& a, const PersistedPlacement& b) {
+                     return a.job->priority_band() < b.job->priority_band();
+                   });
   return starts;
 }
 
@@ -275,9 +283,9 @@
   PendingTransaction out = std::move(*pending_);
   pending_.reset();
   for (auto& write : out.writes) {
-    PlacementPage& sheet = pages_[static_cast<std::size_t>(write.page)];
+    PlacementPage& page = pages_[static_cast<std::size_t>(write.page)];
     for (const PersistedPlacement& h : write.starts) {
-      sheet.placements.push_back(h);
+      page.placements.push_back(h);
       Placement* p = placements_.find(h);
       if (!p || p->phase != Phase::committing) continue;
       p->phase = Phase::committed;
@@ -289,7 +297,7 @@
       auto [it, fresh] = j->done_page.try_emplace(c, write.page);
       if (!fresh && it->second == write.page) continue;
       it->second = write.page;
-      sheet.done.emplace_back(j, c);
+      page.done.emplace_back(j, c);
     }
   }
   return std::move(out.ended_jobs);
@@ -307,4 +315,4 @@
     }
 }
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/placement_store.h
+++ b/src/scheduler/placement_store.h
@@ -1,5 +1,6 @@
-// What a shard keeps in the state service: placements and finished tasks, in sheets that many
-// starts share, and the ends of its jobs. At most one transaction is out at a time. Pure.
+// What a shard keeps in the state service: placements and finished tasks, in placement pages that
+// many starts share, and the ends of its jobs. At most one transaction is out at a time. Free of
+// I/O.
 #pragma once
 #include <map>
 #include <optional>
@@ -8,8 +9,8 @@
 #include <utility>
 #include <vector>
 
-#include "scheduler/shard_context.h"
 #include "scheduler/placements.h"
+#include "scheduler/shard_context.h"
 #include "state/limits.h"
 #include "state/state_cache.h"
 
@@ -19,18 +20,19 @@
  public:
   PlacementStore(ShardContext& common, Machines& machines, Placements& placements);
 
-  // A sheet of the shard as a takeover found it: all its placements may exist.
-  void recover_page(int sheet, const wire::PlacementPageRecord& r, double now);
+  // A placement page of the shard as a takeover found it: all its placements may exist.
+  void recover_page(int page, const wire::PlacementPageRecord& r, double now);
 
-  std::optional<wire::Transaction> next_transaction(const state::StateCache& w, const state::TransactionLimits& size,
-                                const std::string& tag, double now);
+  std::optional<wire::Transaction> next_transaction(const state::StateCache& w,
+                                                    const state::TransactionLimits& size,
+                                                    const std::string& tag, double now);
   // The jobs that it has ended.
   std::vector<std::string> transaction_applied(double now);
   void transaction_failed(double now);
   bool transaction_in_flight() const { return pending_.has_value(); }
 
  private:
-  // What a sheet holds as far as it still matters.
+  // What a placement page holds as far as it still matters.
   struct PlacementPage {
     std::vector<PersistedPlacement> placements;
     std::vector<std::pair<jobs::JobPtr, std::uint32_t>> done;  // job and chunk
@@ -47,8 +49,9 @@
   using Chunks = std::vector<std::pair<jobs::JobPtr, std::uint32_t>>;
   void prune();
   std::vector<PersistedPlacement> planned(const state::StateCache& w) const;
-  bool fill_page(int sheet, const state::StateCache& w, const state::TransactionLimits& size, std::vector<PersistedPlacement>& starts,
-            Chunks& dirty, const std::string& tag, wire::Transaction& t, PendingTransaction& out);
+  bool fill_page(int page, const state::StateCache& w, const state::TransactionLimits& size,
+                 std::vector<PersistedPlacement>& starts, Chunks& dirty, const std::string& tag,
+                 wire::Transaction& t, PendingTransaction& out);
 
   ShardContext& context_;
   Machines& machines_;
@@ -59,4 +62,4 @@
   std::optional<PendingTransaction> pending_;
 };
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/placements.cpp
+++ b/src/scheduler/placements.cpp
@@ -7,8 +7,8 @@
 
 using jobs::Job;
 using jobs::JobPtr;
-using wire::TaskState;
 using wire::ExitReason;
+using wire::TaskState;
 
 namespace {
 const double kPriorityWeight[wire::kPriorities] = {8, 4, 1, 0.5};
@@ -156,15 +156,16 @@
 // lease alive.
 void Placements::lease_expired(Machine& m, double now) {
   const auto& s = context_.settings;
-  double proof =
-      std::max(m.last_answer + s.lease_s + 2, m.tasks.token_seen ? 0.0 : opened_at_ + s.fencing_wait_s());
+  double proof = std::max(m.last_answer + s.lease_s + 2,
+                          m.tasks.token_seen ? 0.0 : opened_at_ + s.fencing_wait_s());
   if (now <= proof) return;
   for (Placement& p : m.tasks.placements) {
     if (p.phase == Phase::committing) continue;
     if (!p.released) ++context_.counters.lost;
     release(m, p, now, true);
   }
-  std::erase_if(m.tasks.placements, [](const Placement& p) { return p.phase != Phase::committing; });
+  std::erase_if(m.tasks.placements,
+                [](const Placement& p) { return p.phase != Phase::committing; });
 }
 
 void Placements::task_done(const JobPtr& j, std::uint32_t task, double now) {
@@ -211,7 +212,8 @@
 
 // ---- reports
 
-void Placements::heartbeat_received(Machine& m, const wire::Heartbeat& r, bool to_direct, double now) {
+void Placements::heartbeat_received(Machine& m, const wire::Heartbeat& r, bool to_direct,
+                                    double now) {
   MachineTasks& here = m.tasks;
   here.incarnation = r.incarnation;
   here.sequence = r.sequence;
@@ -240,7 +242,8 @@
     shown[i] = true;
     Placement& p = here.placements[i];
     p.seen = true;
-    // Proven not to run, and it does: whatever started it again, it is stopped like a stranger's.
+    // Proven not to run, and it does: whatever started it again, it is stopped like a unknown
+    // task's.
     if (p.released && t.state != TaskState::exited) here.unknown_tasks.push_back(t);
     if (p.state != TaskState::exited || !p.released) {
       p.state = t.state;
@@ -284,7 +287,8 @@
     } else if (p.recovered && (under_us || p.released)) {
       release(m, p, now, true);
       erase[i] = true;
-    } else if (p.job->over && !p.recovered && p.phase == Phase::committed && is_acknowledged(m, p)) {
+    } else if (p.job->over && !p.recovered && p.phase == Phase::committed &&
+               is_acknowledged(m, p)) {
       release(m, p, now, false);  // not there, nothing on its way, and none will be sent
       erase[i] = true;
     }
@@ -294,4 +298,4 @@
   machines_.note_idle(m, now);
 }
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/placements.h
+++ b/src/scheduler/placements.h
@@ -1,5 +1,5 @@
 // Placements and their proofs: what may run where, from the moment it is planned until it is proven
-// not to run, now or later; and the commands that start, stop and reap it. Pure.
+// not to run, now or later; and the commands that start, stop and reap it. Free of I/O.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -7,8 +7,8 @@
 #include <utility>
 #include <vector>
 
-#include "scheduler/shard_context.h"
 #include "scheduler/machines.h"
+#include "scheduler/shard_context.h"
 #include "state/state_cache.h"
 #include "wire/types.h"
 
@@ -21,7 +21,7 @@
   std::vector<wire::Command> commands;
 };
 
-// A placement as a sheet holds it.
+// A placement as a placement page holds it.
 struct PersistedPlacement {
   int machine = 0;
   jobs::JobPtr job;
@@ -42,7 +42,7 @@
   void place(Machine& m, QueuedTask item);
   // To make room for more urgent work.
   void stop(Machine& m, Placement& p);
-  // An earlier owner's placement, as a sheet says: it may exist.
+  // An earlier owner's placement, as a placement page says: it may exist.
   void recover_placement(Machine& m, const PersistedPlacement& h, double now);
   // Its job is over: what was only planned never was.
   void drop_planned(Machine& m, const jobs::JobPtr& j, double now);
@@ -80,16 +80,17 @@
   bool has_unacknowledged_start(const Machine& m) const;
 
   // Starts for machines that are not about to be answered. A direct order may be carried out as
-  // late as its token and session hold, so an attempt sent that way is `loose` until an answer
-  // comes: it is not reaped, nor given up, before the worker has seen a higher token.
-  std::vector<DirectCommands> direct_commands(bool fresh, const std::function<bool(const std::string&)>& skip,
-                                    double now);
+  // late as its token and incarnation hold, so an attempt sent that way is `unacknowledged` until
+  // an answer comes: it is not reaped, nor given up, before the worker has seen a higher token.
+  std::vector<DirectCommands> direct_commands(bool fresh,
+                                              const std::function<bool(const std::string&)>& skip,
+                                              double now);
   void direct_commands_done(const DirectCommands& d, int status);
   void note_direct_due(Machine& m);
 
   // A machine of ours has seen a higher token under another shard.
   void saw_higher_token() { saw_higher_token_ = true; }
-  // True when a higher token would settle something loose, or let a machine in.
+  // True when a higher token would settle something unacknowledged, or let a machine in.
   bool needs_new_token(double now) const;
   void advance_token(std::uint64_t token, double now);
 
@@ -119,4 +120,4 @@
   std::vector<int> direct_due_;
 };
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/queued_task.h
+++ b/src/scheduler/queued_task.h
@@ -20,7 +20,9 @@
   std::vector<chain::Step> chain_steps;
   bool rented = false;
   ServiceOrder service_order() const { return {priority_band, order}; }
-  static bool before(const QueuedTask& a, const QueuedTask& b) { return a.service_order() < b.service_order(); }
+  static bool before(const QueuedTask& a, const QueuedTask& b) {
+    return a.service_order() < b.service_order();
+  }
 };
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/replica_consolidation.cpp
+++ b/src/scheduler/replica_consolidation.cpp
@@ -4,8 +4,8 @@
 
 namespace shunttrail::scheduler {
 
-using jobs::Resources;
 using jobs::Job;
+using jobs::Resources;
 using wire::TaskState;
 
 namespace {
@@ -19,7 +19,8 @@
 }  // namespace
 
 double ReplicaConsolidation::saving(const Machine& m, double now) const {
-  if (!m.accepts_work(now) || !m.in_inventory || m.type < 0 || m.tasks.placements.empty() || !m.queue.tasks.empty())
+  if (!m.accepts_work(now) || !m.in_inventory || m.type < 0 || m.tasks.placements.empty() ||
+      !m.queue.tasks.empty())
     return 0;
   const auto full = context_.catalogue.types[static_cast<std::size_t>(m.type)].room.cpus;
   if (static_cast<double>(m.tasks.used.cpus) > kMostUsed * static_cast<double>(full)) return 0;
@@ -37,9 +38,9 @@
     const Job& j = *p.job;
     bool found = false;
     for (const auto& [n, to] : machines_.all()) {
-      if (to.get() == &m || !to->accepts_work(now) || !to->in_inventory || to->tasks.placements.empty() ||
-          !to->queue.tasks.empty() || !machines_.type_ok(j, to->type, to->spot) ||
-          !Machines::warm(*to, j.image))
+      if (to.get() == &m || !to->accepts_work(now) || !to->in_inventory ||
+          to->tasks.placements.empty() || !to->queue.tasks.empty() ||
+          !machines_.type_ok(j, to->type, to->spot) || !Machines::warm(*to, j.image))
         continue;
       if (to->tasks.used.cpus <= m.tasks.used.cpus && context_.catalogue.rate(to->tier()) >= rate)
         continue;
@@ -85,4 +86,4 @@
   }
 }
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/replica_consolidation.h
+++ b/src/scheduler/replica_consolidation.h
@@ -1,12 +1,12 @@
 // Replicas left on many machines that stand nearly empty are moved together, and what is emptied is
-// given back (PROTOCOL, Preemption: a task may be stopped to drain a machine). Pure.
+// given back (PROTOCOL, Preemption: a task may be stopped to drain a machine). Free of I/O.
 #pragma once
 #include <map>
 #include <utility>
 
-#include "scheduler/shard_context.h"
 #include "scheduler/machines.h"
 #include "scheduler/placements.h"
+#include "scheduler/shard_context.h"
 
 namespace shunttrail::scheduler {
 
@@ -36,4 +36,4 @@
   double moves_ = 0;  // that may be made now
 };
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/shard_context.h
+++ b/src/scheduler/shard_context.h
@@ -1,5 +1,5 @@
-// What the parts of a desk share: settings, the shard's jobs, counters, and the note that there is
-// something to do.
+// What the parts of a scheduler share: settings, the shard's jobs, counters, and the note that
+// there is something to do.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "scheduler/machine_catalogue.h"
 #include "jobs/job.h"
+#include "scheduler/machine_catalogue.h"
 
 namespace shunttrail::scheduler {
 
@@ -36,4 +36,4 @@
   }
 };
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -5,9 +5,9 @@
 
 namespace shunttrail::scheduler {
 
-using jobs::Resources;
 using jobs::Job;
 using jobs::JobPtr;
+using jobs::Resources;
 using wire::TaskState;
 
 namespace {
@@ -15,8 +15,9 @@
 constexpr double kLookAgain = 1;    // at work that has no place, though nothing has happened
 }  // namespace
 
-ShardScheduler::ShardScheduler(const config::Settings& s, const config::Tuning& t, const MachineCatalogue& c, int shard,
-           std::uint64_t token, double now, std::uint64_t seed)
+ShardScheduler::ShardScheduler(const config::Settings& s, const config::Tuning& t,
+                               const MachineCatalogue& c, int shard, std::uint64_t token,
+                               double now, std::uint64_t seed)
     : context_{s, t, c, shard},
       opened_under_(token),
       opened_at_(now),
@@ -32,12 +33,13 @@
 // ---- jobs
 
 void ShardScheduler::job_added(const wire::JobRecord& r, int team,
-                     const std::map<std::uint32_t, state::Intervals>& done, double now,
-                     double wall_now) {
+                               const std::map<std::uint32_t, state::Intervals>& done, double now,
+                               double wall_now) {
   if (context_.jobs.contains(r.spec.id) || team < 0) return;
-  auto cls = classes_.try_emplace(r.spec.job_class, static_cast<int>(classes_.size())).first->second;
-  auto j = std::make_shared<Job>(r, team, cls, static_cast<int>(context_.settings.zones.size()), now,
-                                 wall_now);
+  auto cls =
+      classes_.try_emplace(r.spec.job_class, static_cast<int>(classes_.size())).first->second;
+  auto j = std::make_shared<Job>(r, team, cls, static_cast<int>(context_.settings.zones.size()),
+                                 now, wall_now);
   j->image = images_.try_emplace(r.spec.image, static_cast<int>(images_.size())).first->second;
   context_.image_gb.resize(images_.size());
   context_.image_gb[static_cast<std::size_t>(j->image)] = r.spec.image_gb;
@@ -62,7 +64,8 @@
   context_.scheduling_due = true;
 }
 
-void ShardScheduler::set_effective_priority(const std::string& id, wire::Priority priority, double due) {
+void ShardScheduler::set_effective_priority(const std::string& id, wire::Priority priority,
+                                            double due) {
   auto it = context_.jobs.find(id);
   if (it == context_.jobs.end()) return;
   const JobPtr j = it->second;
@@ -110,14 +113,16 @@
   for (Machine* m : barred) queues_.requeue_all(*m);
   return out;
 }
-void ShardScheduler::rented(const ScaleOutRequest& w, const std::vector<std::string>& names, double now) {
+void ShardScheduler::rented(const ScaleOutRequest& w, const std::vector<std::string>& names,
+                            double now) {
   for (int n : machines_.rented(w, names, now)) remove_machine(n, now);
 }
-void ShardScheduler::rent_refused(const ScaleOutRequest& w, std::size_t from, bool no_capacity, double now) {
+void ShardScheduler::rent_refused(const ScaleOutRequest& w, std::size_t from, bool no_capacity,
+                                  double now) {
   for (int n : machines_.refused(w, from, no_capacity, now)) remove_machine(n, now);
 }
-void ShardScheduler::transfer(const MachineTransfer& gift) {
-  for (Machine* m : machines_.transfer(gift)) queues_.requeue_all(*m);
+void ShardScheduler::transfer(const MachineTransfer& transfer) {
+  for (Machine* m : machines_.transfer(transfer)) queues_.requeue_all(*m);
 }
 
 void ShardScheduler::give_up_machine(Machine& m) {
@@ -136,21 +141,24 @@
   // than a list can be old. Whether this owner has ever heard it does not matter: one that was
   // taken just before a takeover would hold its tasks until the fence is over.
   const auto& s = context_.settings;
-  if (unlisted && now - m->last_heartbeat < std::max(2 * s.heartbeat_s, 3 * s.list_lag_s + 2)) return;
+  if (unlisted && now - m->last_heartbeat < std::max(2 * s.heartbeat_s, 3 * s.list_lag_s + 2))
+    return;
   give_up_machine(*m);
   queues_.requeue_all(*m);
 }
 
 // ---- reports
 
-ShardScheduler::HeartbeatResult ShardScheduler::take_heartbeat(const wire::Heartbeat& r, double now, bool to_direct) {
+ShardScheduler::HeartbeatResult ShardScheduler::take_heartbeat(const wire::Heartbeat& r, double now,
+                                                               bool to_direct) {
   Machine* m = machines_.find(r.machine);
   if (!m) return HeartbeatResult::unknown;
   if (!Placements::is_newer(*m, r)) {
     ++context_.counters.stale_heartbeats;
     // A copy that comes late is answered to nobody: it renews no lease, and must not put off the
     // proof by silence. What was overtaken on its way is waited for no longer than a worker waits.
-    if (r.incarnation != m->tasks.incarnation || now - m->newest_task_at > kWorkerWaits) return HeartbeatResult::unknown;
+    if (r.incarnation != m->tasks.incarnation || now - m->newest_task_at > kWorkerWaits)
+      return HeartbeatResult::unknown;
     m->last_answer = now;
     return HeartbeatResult::older;
   }
@@ -159,18 +167,21 @@
   m->newest_task_at = now;
   const bool new_session = r.incarnation != m->tasks.incarnation;
   // Answered within a lease, and the lease is over all the same.
-  const bool in_vain =
-      new_session && m->tasks.incarnation != 0 && now - m->last_answer < context_.settings.lease_s / 2;
+  const bool in_vain = new_session && m->tasks.incarnation != 0 &&
+                       now - m->last_answer < context_.settings.lease_s / 2;
   m->start_lost = false;
   if (machines_.heartbeat_received(*m, r, new_session, now)) queues_.requeue_all(*m);
   placements_.heartbeat_received(*m, r, to_direct, now);
-  if (!to_direct) failure_detector_.heartbeat_received(*m, in_vain || r.token < m->answered_token || m->start_lost, now);
+  if (!to_direct)
+    failure_detector_.heartbeat_received(
+        *m, in_vain || r.token < m->answered_token || m->start_lost, now);
   for (const auto& [j, task] : placements_.take_finished()) queues_.drop_task(j, task);
   queues_.serve_machine(*m, now);
   return HeartbeatResult::fresh;
 }
 
-std::vector<wire::Command> ShardScheduler::commands_for(const std::string& name, bool fresh, double now) {
+std::vector<wire::Command> ShardScheduler::commands_for(const std::string& name, bool fresh,
+                                                        double now) {
   Machine* m = machines_.find(name);
   if (!m) return {};
   m->last_answer = now;
@@ -206,8 +217,9 @@
   // Pauses end with time alone: the cloud's after a refusal, a machine's, a job's. A shard without
   // machines hears nothing that would stir it, and its work stood still for good.
   if (now - last_pass_at_ >= kLookAgain)
-    context_.scheduling_due |= std::any_of(context_.jobs.begin(), context_.jobs.end(),
-                                   [](const auto& j) { return !j.second->pending.empty(); });
+    context_.scheduling_due |=
+        std::any_of(context_.jobs.begin(), context_.jobs.end(),
+                    [](const auto& j) { return !j.second->pending.empty(); });
   if (now - last_requeue_at_ >= kLookAgain) {
     last_requeue_at_ = now;
     queues_.requeue_blocked(now);
@@ -287,12 +299,12 @@
   std::size_t planned = 0, unsent = 0, unseen = 0, fetching = 0, running = 0, over = 0;
   for (const auto& [n, m] : machines_.all())
     for (const Placement& p : m->tasks.placements)
-      (p.released                                ? over
-       : p.phase != Phase::committed             ? planned
+      (p.released                                 ? over
+       : p.phase != Phase::committed              ? planned
        : p.seen && p.state == TaskState::fetching ? fetching
-       : p.seen                                  ? running
-       : p.sent                                  ? unseen
-                                                 : unsent)++;
+       : p.seen                                   ? running
+       : p.sent                                   ? unseen
+                                                  : unsent)++;
   std::size_t idle = 0;
   for (const auto& [n, m] : machines_.all()) idle += m->was_idle;
   double capacity = 0, used = 0;  // vcpus of machines that are up
@@ -338,4 +350,4 @@
       .dump();
 }
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -1,7 +1,8 @@
-// The desk of one shard: its jobs, machines, placements and waiting lists, for as long as this
-// node owns it under one token. Pure: time, random numbers, messages and commit results are
+// The scheduler of one shard: its jobs, machines, placements and waiting lists, for as long as this
+// node owns it under one token. Free of I/O: time, random numbers, messages and commit results are
 // handed in, and what is to be sent is handed out. The parts own their state (machines.h,
-// placements.h, sheets.h, waiting.h); the desk takes what comes to those whom it concerns.
+// placements.h, placement pages.h, waiting.h); the scheduler takes what comes to those whom it
+// concerns.
 #pragma once
 #include <functional>
 #include <map>
@@ -10,14 +11,14 @@
 #include <unordered_map>
 #include <vector>
 
-#include "scheduler/shard_context.h"
 #include "scheduler/failure_detector.h"
 #include "scheduler/machines.h"
-#include "scheduler/replica_consolidation.h"
-#include "scheduler/placements.h"
-#include "scheduler/urgent_headroom.h"
 #include "scheduler/placement_store.h"
+#include "scheduler/placements.h"
+#include "scheduler/replica_consolidation.h"
+#include "scheduler/shard_context.h"
 #include "scheduler/task_queues.h"
+#include "scheduler/urgent_headroom.h"
 #include "shard/balance.h"
 #include "state/limits.h"
 #include "state/state_cache.h"
@@ -27,11 +28,11 @@
 
 class ShardScheduler {
  public:
-  ShardScheduler(const config::Settings& s, const config::Tuning& t, const MachineCatalogue& c, int shard,
-       std::uint64_t token, double now, std::uint64_t seed);
+  ShardScheduler(const config::Settings& s, const config::Tuning& t, const MachineCatalogue& c,
+                 int shard, std::uint64_t token, double now, std::uint64_t seed);
 
   std::uint64_t token() const { return placements_.token(); }
-  // The token it was opened under: names this desk through all raises.
+  // The token it was opened under: names this scheduler through all raises.
   std::uint64_t opened_under() const { return opened_under_; }
   void saw_higher_token() { placements_.saw_higher_token(); }
   int shard() const { return context_.shard; }
@@ -44,15 +45,15 @@
   // Jobs that need it have come, or gone.
   void set_effective_priority(const std::string& id, wire::Priority priority, double due);
   void machine_known(const wire::MachineRecord& r, double now);
-  // A sheet of the shard as the takeover found it: all its placements may exist.
-  void recover_page(int sheet, const wire::PlacementPageRecord& r, double now) {
-    placement_store_.recover_page(sheet, r, now);
+  // A placement page of the shard as the takeover found it: all its placements may exist.
+  void recover_page(int page, const wire::PlacementPageRecord& r, double now) {
+    placement_store_.recover_page(page, r, now);
   }
   // The machine is proven deleted, or belongs to another shard.
   void machine_gone(const std::string& name, double now);
   void machine_moved(const std::string& name, double now);
   void set_machine_address(const std::string& name, const std::string& addr);
-  // But for those that the roster's actor has already.
+  // But for those that the inventory's actor has already.
   std::vector<InventoryChange> inventory_changes(const Machines::Asked& asked = [](auto&&...) {
     return false;
   }) const {
@@ -61,7 +62,7 @@
   int transfer_target(const std::string& name) const { return machines_.transfer_target(name); }
   bool has_machine(const std::string& name) const { return machines_.contains(name); }
 
-  // A worker's report, or the body of an answer to a direct order (Placements::heard).
+  // A worker's report, or the body of an answer to a direct order (Placements::heartbeat_received).
   enum class HeartbeatResult { fresh, older, unknown };
   HeartbeatResult take_heartbeat(const wire::Heartbeat& r, double now, bool to_direct = false);
   std::vector<wire::Command> commands_for(const std::string& machine, bool fresh, double now);
@@ -69,14 +70,17 @@
   bool awaits_commit(const std::string& machine);
   // What ends work that is not wanted: for a report that has been overtaken.
   std::vector<wire::Command> stop_commands(const std::string& machine) const;
-  // No answer may renew this machine's lease under the present token: Placements::unsettled.
+  // No answer may renew this machine's lease under the present token: Placements::unacknowledged.
   bool has_unacknowledged_start(const std::string& machine) const;
 
-  std::vector<DirectCommands> direct_commands(bool fresh, const std::function<bool(const std::string&)>& skip,
-                                    double now) {
+  std::vector<DirectCommands> direct_commands(bool fresh,
+                                              const std::function<bool(const std::string&)>& skip,
+                                              double now) {
     return placements_.direct_commands(fresh, skip, now);
   }
-  void direct_commands_done(const DirectCommands& d, int status) { placements_.direct_commands_done(d, status); }
+  void direct_commands_done(const DirectCommands& d, int status) {
+    placements_.direct_commands_done(d, status);
+  }
   // Silent machines to be asked whether they live, and whether they did.
   std::vector<Probe> probes(double now) { return failure_detector_.probes(now); }
   void probe_done(const std::string& machine, bool answered, double now);
@@ -84,8 +88,9 @@
   void advance_token(std::uint64_t token, double now) { placements_.advance_token(token, now); }
 
   // Group commit: at most one transaction is out at a time.
-  std::optional<wire::Transaction> next_transaction(const state::StateCache& w, const state::TransactionLimits& size,
-                                    const std::string& tag, double now) {
+  std::optional<wire::Transaction> next_transaction(const state::StateCache& w,
+                                                    const state::TransactionLimits& size,
+                                                    const std::string& tag, double now) {
     return placement_store_.next_transaction(w, size, tag, now);
   }
   void transaction_applied(double now);
@@ -110,7 +115,7 @@
   // What this shard has, is entitled to and could use.
   shard::Load load(double now) const;
   // Another shard lacks machines.
-  void transfer(const MachineTransfer& gift);
+  void transfer(const MachineTransfer& transfer);
   double transferring() const { return machines_.transferring(); }
   std::size_t machine_count() const { return machines_.named(); }
   const Counters& counters() const { return context_.counters; }
@@ -136,4 +141,4 @@
   double last_pass_at_ = -1e9, last_requeue_at_ = -1e9;
 };
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/task_queues.cpp
+++ b/src/scheduler/task_queues.cpp
@@ -7,9 +7,9 @@
 
 namespace shunttrail::scheduler {
 
-using jobs::Resources;
 using jobs::Job;
 using jobs::JobPtr;
+using jobs::Resources;
 using wire::TaskState;
 
 namespace {
@@ -24,7 +24,8 @@
 constexpr std::size_t kFillsPerLook = 4;  // machines: each looks at all that waits
 }  // namespace
 
-TaskQueues::TaskQueues(ShardContext& common, Machines& machines, Placements& placements, std::uint64_t seed)
+TaskQueues::TaskQueues(ShardContext& common, Machines& machines, Placements& placements,
+                       std::uint64_t seed)
     : context_(common),
       machines_(machines),
       placements_(placements),
@@ -131,7 +132,8 @@
 // ---- the chain
 
 // Where the task may go: at machines with room only, or at every machine.
-std::vector<chain::Tier> TaskQueues::candidate_tiers(const QueuedTask& item, bool room_only, double now) {
+std::vector<chain::Tier> TaskQueues::candidate_tiers(const QueuedTask& item, bool room_only,
+                                                     double now) {
   const Job& j = *item.job;
   std::vector<chain::Tier> tiers;
   for (int id : context_.catalogue.tier_order) {
@@ -169,8 +171,9 @@
 // Nothing to pass to lies behind the last seat, so it stands for itself; so does the last warm one,
 // should cold ones be barred.
 void TaskQueues::add_tier_end(chain::Tier& t, const TierScan& look) const {
-  bool warm = look.room_only && std::any_of(t.candidates.begin(), t.candidates.end(),
-                                            [](const chain::Candidate& s) { return s.context.warm; });
+  bool warm =
+      look.room_only && std::any_of(t.candidates.begin(), t.candidates.end(),
+                                    [](const chain::Candidate& s) { return s.context.warm; });
   bool last = true;
   const auto& all = machines_.all();
   for (auto it = all.rbegin(); it != all.rend() && (last || warm); ++it) {
@@ -180,17 +183,18 @@
     if (!s || !(last || s->context.warm)) continue;
     last = false;
     warm &= !s->context.warm;
-    auto at =
-        std::lower_bound(t.candidates.begin(), t.candidates.end(), s->machine,
-                         [](const chain::Candidate& x, int machine) { return x.machine < machine; });
-    if (at == t.candidates.end() || at->machine != s->machine) t.candidates.insert(at, std::move(*s));
+    auto at = std::lower_bound(
+        t.candidates.begin(), t.candidates.end(), s->machine,
+        [](const chain::Candidate& x, int machine) { return x.machine < machine; });
+    if (at == t.candidates.end() || at->machine != s->machine)
+      t.candidates.insert(at, std::move(*s));
   }
 }
 
 // A machine that is up, as the task finds it. None: the task cannot go there, or would find there
 // what it has `seen`.
 std::optional<chain::Candidate> TaskQueues::candidate(const Machine& m, const TierScan& look,
-                                         chain::Kinds* seen) const {
+                                                      chain::Kinds* seen) const {
   if (is_reserved(m)) return std::nullopt;
   // Accept is split by band (paper 3.1, query scheduling): a task joins the list of its job's band,
   // and only what is ahead of it there counts.
@@ -283,8 +287,9 @@
 }
 
 bool TaskQueues::is_empty() const {
-  return queued_tasks_.empty() && std::all_of(context_.jobs.begin(), context_.jobs.end(),
-                                     [](const auto& j) { return j.second->pending.empty(); });
+  return queued_tasks_.empty() &&
+         std::all_of(context_.jobs.begin(), context_.jobs.end(),
+                     [](const auto& j) { return j.second->pending.empty(); });
 }
 
 // Jobs with tasks that are yet to enter the chain, in the order in which they do: the more urgent
@@ -295,7 +300,8 @@
     if (!j->pending.empty() && j->not_before <= now) order.push_back(j);
   std::sort(order.begin(), order.end(), [](const JobPtr& a, const JobPtr& b) {
     if (a->priority_band() != b->priority_band()) return a->priority_band() < b->priority_band();
-    return is_ranked(a->priority_band()) ? a->latest_start() < b->latest_start() : a->since < b->since;
+    return is_ranked(a->priority_band()) ? a->latest_start() < b->latest_start()
+                                         : a->since < b->since;
   });
   return order;
 }
@@ -328,7 +334,8 @@
   std::set<Shape> crowded;
   for (const JobPtr& j : pending_jobs(now)) {
     bool plain = !j->spec.types && !j->spec.zone && !j->spec.same_zone && !j->spec.anti_affinity;
-    Shape shape{j->need.cpus, j->need.gpus, j->need.mem, j->job_class, j->spec.spot, j->priority_band()};
+    Shape shape{j->need.cpus, j->need.gpus, j->need.mem,
+                j->job_class, j->spec.spot, j->priority_band()};
     if (plain && stalled.contains(shape)) continue;
     while (!j->pending.empty() && walks < kWalksPerTurn) {
       // A team at its limit gets no Accept and no rent.
@@ -433,7 +440,8 @@
     machines_.reused(m, now);
     placements_.place(m, std::move(item));
   };
-  for (auto next = queued_tasks_.begin(); next != queued_tasks_.end() && any_fits(machines_.room(m));) {
+  for (auto next = queued_tasks_.begin();
+       next != queued_tasks_.end() && any_fits(machines_.room(m));) {
     const auto [key, number] = *next++;
     Machine& from = *machines_.at(number);
     auto it = find_queued(from, key);
@@ -475,7 +483,8 @@
     // Counted again at the last moment, over every recorded placement: the limit is a rule.
     // The list is first come, first served to the letter: small tasks that slipped past a large
     // one would keep it waiting for as long as they keep coming.
-    if (!j.need.fits(is_reserved(m) ? machines_.room(m) : machines_.room(m, it.priority_band))) break;
+    if (!j.need.fits(is_reserved(m) ? machines_.room(m) : machines_.room(m, it.priority_band)))
+      break;
     if (!within_quota(j, false) || (j.spec.gang && j.in_round.contains(it.task))) {
       ++i;
       continue;
@@ -533,7 +542,8 @@
 // Before the machine's own list is through, only more urgent ones do: else room would go to low
 // work here while urgent tasks wait on machines that are full.
 void TaskQueues::pull_urgent(Machine& m, double now) {
-  if (!m.accepts_work(now) || !m.in_inventory || is_reserved(m) || !any_fits(machines_.room(m))) return;
+  if (!m.accepts_work(now) || !m.in_inventory || is_reserved(m) || !any_fits(machines_.room(m)))
+    return;
   std::size_t walks = 0;
   const Job* misfit = nullptr;  // the same job's next task would not fit either
   auto next = queued_tasks_.begin();
@@ -564,4 +574,4 @@
   }
 }
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/task_queues.h
+++ b/src/scheduler/task_queues.h
@@ -1,14 +1,14 @@
-// Waiting lists and the chain: how tasks enter it, wait on machines' lists, and are placed. Pure:
-// the random numbers come from the seed.
+// Waiting lists and the chain: how tasks enter it, wait on machines' lists, and are placed. Free of
+// I/O: the random numbers come from the seed.
 #pragma once
 #include <map>
 #include <optional>
 #include <tuple>
 #include <vector>
 
-#include "scheduler/shard_context.h"
 #include "scheduler/machines.h"
 #include "scheduler/placements.h"
+#include "scheduler/shard_context.h"
 
 namespace shunttrail::scheduler {
 
@@ -69,15 +69,18 @@
   };
   std::vector<chain::Tier> candidate_tiers(const QueuedTask& item, bool room_only, double now);
   void add_tier_end(chain::Tier& t, const TierScan& look) const;
-  std::optional<chain::Candidate> candidate(const Machine& m, const TierScan& look, chain::Kinds* seen) const;
+  std::optional<chain::Candidate> candidate(const Machine& m, const TierScan& look,
+                                            chain::Kinds* seen) const;
   void enqueue(Machine& m, QueuedTask item);
-  static std::vector<QueuedTask>::iterator find_queued(Machine& m, const ServiceOrder& key);  // end: not on its list
+  static std::vector<QueuedTask>::iterator find_queued(
+      Machine& m, const ServiceOrder& key);  // end: not on its list
   QueuedTask dequeue(Machine& m, std::vector<QueuedTask>::iterator item);
   void place_queued(Machine& m, double now, std::optional<ServiceOrder> up_to = std::nullopt);
   void preempt(Machine& m, double now);
   void pull_urgent(Machine& m, double now);
   void update_guarantees();
-  void count_queued(Machine& m, const QueuedTask& i, bool yes);  // keeps the counts of waiting tasks
+  void count_queued(Machine& m, const QueuedTask& i,
+                    bool yes);  // keeps the counts of waiting tasks
   bool within_quota(const jobs::Job& j, bool with_waiting) const;
   static bool is_ranked(int band);
   std::uint64_t rank_of(const jobs::Job& j, int band);  // among those of its band
@@ -105,4 +108,4 @@
   double guarantees_updated_at_ = -1e9;
 };
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/task_queues_reservations.cpp
+++ b/src/scheduler/task_queues_reservations.cpp
@@ -8,9 +8,9 @@
 
 namespace shunttrail::scheduler {
 
-using jobs::Resources;
 using jobs::Job;
 using jobs::JobPtr;
+using jobs::Resources;
 
 namespace {
 constexpr double kOverdue = 75;  // a job has waited so long, and none of its tasks has begun
@@ -139,8 +139,8 @@
     Machine* best = nullptr;
     double soonest = kHeldFor;
     for (const auto& [n, m] : machines_.all()) {
-      if (!m->accepts_work(now) || !m->in_inventory || !machines_.usable(*m, *j, now) || is_reserved(*m) ||
-          now - m->queue.reserved_at < kHeldFor + kPause ||
+      if (!m->accepts_work(now) || !m->in_inventory || !machines_.usable(*m, *j, now) ||
+          is_reserved(*m) || now - m->queue.reserved_at < kHeldFor + kPause ||
           (m->queue.idle_capacity_since >= 0 && now - m->queue.idle_capacity_since > kRoomBeside) ||
           share_of(j->need, context_.catalogue.types[m->type].room) < kLarge)
         continue;
@@ -157,4 +157,4 @@
   }
 }
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/urgent_headroom.cpp
+++ b/src/scheduler/urgent_headroom.cpp
@@ -5,8 +5,8 @@
 
 namespace shunttrail::scheduler {
 
-using jobs::Resources;
 using jobs::JobPtr;
+using jobs::Resources;
 
 namespace {
 constexpr double kGap = 1;               // between two looks
@@ -70,4 +70,4 @@
   }
 }
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/urgent_headroom.h
+++ b/src/scheduler/urgent_headroom.h
@@ -1,14 +1,15 @@
 // Room kept free for urgent work: a little of the shard, on machines that urgent jobs may use, so
-// that one can start at once while everything else is full. Pure.
+// that one can start at once while everything else is full. Free of I/O.
 #pragma once
-#include "scheduler/shard_context.h"
 #include "scheduler/machines.h"
+#include "scheduler/shard_context.h"
 
 namespace shunttrail::scheduler {
 
 class UrgentHeadroom {
  public:
-  UrgentHeadroom(ShardContext& common, Machines& machines) : context_(common), machines_(machines) {}
+  UrgentHeadroom(ShardContext& common, Machines& machines)
+      : context_(common), machines_(machines) {}
   // Chooses anew which machines keep room (Machine::reserved).
   void update(double now);
 
@@ -21,4 +22,4 @@
   double updated_at_ = -1e9;
 };
 
-}  // namespace shunttrail::fleet
+}  // namespace shunttrail::scheduler
--- a/src/schema/codec.cpp
+++ b/src/schema/codec.cpp
@@ -34,8 +34,9 @@
   return wire::of_value(e, [](const json& j) {
     if (!j.is_object()) throw Malformed("not an object");
     only(j, {"level", "lowest", "highest", "w"});
-    VersionRecord r{level(wire::need(j, "level"), "level"), level(wire::need(j, "lowest"), "lowest"),
-             level(wire::need(j, "highest"), "highest"), wire::text(j, "w")};
+    VersionRecord r{level(wire::need(j, "level"), "level"),
+                    level(wire::need(j, "lowest"), "lowest"),
+                    level(wire::need(j, "highest"), "highest"), wire::text(j, "w")};
     if (r.active < r.lowest || r.active > r.highest) throw Malformed("level is out of its range");
     return r;
   });
@@ -105,4 +106,4 @@
   });
 }
 
-}  // namespace shunttrail::levels
+}  // namespace shunttrail::schema
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -44,8 +44,8 @@
 
 // Guards that make a change of the level hold only while every node can do with what may stand
 // then: each is registered, with the key that was read, or is declared gone and is not there.
-void members_can(const StoredView& v, const std::vector<std::string>& names, int from, int to, bool all,
-                 std::optional<int> writes, RolloutStatus& out) {
+void members_can(const StoredView& v, const std::vector<std::string>& names, int from, int to,
+                 bool all, std::optional<int> writes, RolloutStatus& out) {
   for (std::size_t n = 0; n < names.size(); ++n) {
     const StoredView::Member& m = v.members[n];
     const bool gone = v.orders.gone.contains(names[n]);
@@ -69,8 +69,8 @@
 
 }  // namespace
 
-RolloutStatus rollout_status(const StoredView& v, const std::vector<std::string>& names, const Build& own,
-                bool converted) {
+RolloutStatus rollout_status(const StoredView& v, const std::vector<std::string>& names,
+                             const Build& own, bool converted) {
   RolloutStatus out;
   if (!v.unreadable.empty()) {
     out.blocked_by.push_back({"record", v.unreadable});
@@ -128,15 +128,17 @@
   return {s.preconditions, {{kActiveKey, encode(to), 0}}};
 }
 
-std::optional<wire::Transaction> enroll(const StoredView& v, const std::string& node, std::uint64_t boot,
-                                const Build& b, std::uint64_t hold) {
+std::optional<wire::Transaction> enroll(const StoredView& v, const std::string& node,
+                                        std::uint64_t boot, const Build& b, std::uint64_t hold) {
   if (!refusal(v, b).empty()) return std::nullopt;
-  return wire::Transaction{{{kActiveKey, v.mod_revision}}, {{"st/n/" + node, encode_member(boot, b), hold}}};
+  return wire::Transaction{{{kActiveKey, v.mod_revision}},
+                           {{"st/n/" + node, encode_member(boot, b), hold}}};
 }
 
 wire::Transaction commit_of(const StoredView& v, Orders after, const std::string& tag) {
   after.tag = tag;
-  return {{{kOrdersKey, v.orders_revision}, {kActiveKey, v.mod_revision}}, {{kOrdersKey, encode(after), 0}}};
+  return {{{kOrdersKey, v.orders_revision}, {kActiveKey, v.mod_revision}},
+          {{kOrdersKey, encode(after), 0}}};
 }
 
 std::string refused(const StoredView& v, const std::vector<std::string>& names, const Order& o) {
@@ -145,7 +147,8 @@
   switch (o.kind) {
     case Order::hold:
       for (int n = v.record.active; n > o.version; --n)
-        if (!can_downgrade(n)) return "hold: " + version_text(n) + " is active and cannot be lowered";
+        if (!can_downgrade(n))
+          return "hold: " + version_text(n) + " is active and cannot be lowered";
       return {};
     case Order::release:
       return {};
@@ -182,4 +185,4 @@
   return after;
 }
 
-}  // namespace shunttrail::levels
+}  // namespace shunttrail::schema
--- a/src/schema/schema.h
+++ b/src/schema/schema.h
@@ -1,7 +1,7 @@
 // State levels: which forms of what is kept in the state service are in use. A rollout brings
 // builds that know a new form to the nodes one by one; the form begins when every node has such a
-// build, and never before. Pure: what the state service holds is handed in, and commits are handed
-// out.
+// build, and never before. Free of I/O: what the state service holds is handed in, and commits are
+// handed out.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -39,7 +39,7 @@
 
 // A behaviour that changes what is stored, by the level that switches it on.
 enum class Feature {
-  machine_ages,  // the roster tells when each machine was rented
+  machine_ages,  // the inventory tells when each machine was rented
 };
 int version_of(Feature f);
 
@@ -53,8 +53,8 @@
 };
 // What the operators have ordered, st/l/orders.
 struct Orders {
-  std::optional<int> max_version;     // the active level is at most this
-  std::set<std::string> gone;  // nodes that are not waited for
+  std::optional<int> max_version;  // the active level is at most this
+  std::set<std::string> gone;      // nodes that are not waited for
   std::string tag;
   friend bool operator==(const Orders&, const Orders&) = default;
 };
@@ -76,7 +76,7 @@
 struct StoredView {
   VersionRecord record;
   std::uint64_t mod_revision = 0;  // of the record; 0: there is none
-  std::string unreadable;   // why the record cannot be read; empty: it can
+  std::string unreadable;          // why the record cannot be read; empty: it can
   Orders orders;
   std::uint64_t orders_revision = 0;
   bool orders_unreadable = false;
@@ -90,11 +90,12 @@
 // Why a build must not serve beside this state; empty: it may.
 std::string refusal(const StoredView& v, const Build& b);
 
-// Asked once a transaction: which forms it is to be written in. The record's stamp goes into its
-// guards, so that it fails if the level has changed since.
+// Asked once a transaction: which forms it is to be written in. The record's revision goes into its
+// preconditions, so that it fails if the level has changed since.
 class FeatureGate {
  public:
-  explicit FeatureGate(const StoredView& v) : version_(v.record.active), mod_revision_(v.mod_revision) {}
+  explicit FeatureGate(const StoredView& v)
+      : version_(v.record.active), mod_revision_(v.mod_revision) {}
   bool on(Feature f) const { return version_ >= version_of(f); }
   int version() const { return version_; }
   std::pair<std::string, std::uint64_t> precondition() const { return {kActiveKey, mod_revision_}; }
@@ -122,22 +123,22 @@
 };
 // `names`: of the nodes, by index. `converted`: everything that the cache holds, read in full, has
 // the active level's form.
-RolloutStatus rollout_status(const StoredView& v, const std::vector<std::string>& names, const Build& own,
-                bool converted);
+RolloutStatus rollout_status(const StoredView& v, const std::vector<std::string>& names,
+                             const Build& own, bool converted);
 
 // A step as a transaction.
 wire::Transaction commit_of(const Step& s, const std::string& tag);
 
 // A node's registration under its hold. The record by which its build was found fit is among the
-// guards: were the level raised in between, it would be registered beside state that it cannot
-// read. None: its build must not serve.
-std::optional<wire::Transaction> enroll(const StoredView& v, const std::string& node, std::uint64_t boot,
-                                const Build& b, std::uint64_t hold);
+// preconditions: were the level raised in between, it would be registered beside state that it
+// cannot read. None: its build must not serve.
+std::optional<wire::Transaction> enroll(const StoredView& v, const std::string& node,
+                                        std::uint64_t boot, const Build& b, std::uint64_t hold);
 
 // An operator's order, applied to the orders as they stand. `refused` says why not; empty: taken.
 struct Order {
   enum Kind { hold, release, gone, here } kind = hold;
-  int version = 0;     // hold
+  int version = 0;   // hold
   std::string node;  // gone, here
 };
 // Throws wire::Malformed, naming the field.
@@ -147,4 +148,4 @@
 Orders with(const Orders& before, const Order& o);
 wire::Transaction commit_of(const StoredView& v, Orders after, const std::string& tag);
 
-}  // namespace shunttrail::levels
+}  // namespace shunttrail::schema
--- a/src/shard/balance.cpp
+++ b/src/shard/balance.cpp
@@ -37,7 +37,7 @@
     excess += spare[k];
     lack += wanted[k];
   }
-  // By giver and receiver. All owners work all of it out alike, since they know the same loads.
+  // By giver and receiver. All leaders work all of it out alike, since they know the same loads.
   std::vector<std::vector<int>> out(n, std::vector<int>(n, 0));
   auto left = [&](std::size_t g) {
     double c = loads[g].capacity;
--- a/src/shard/balance.h
+++ b/src/shard/balance.h
@@ -1,5 +1,5 @@
 // How machines are shared out among the shards: from what each has, is entitled to and could use.
-// Pure.
+// Free of I/O.
 #pragma once
 #include <vector>
 
--- a/src/shard/inventory_page.cpp
+++ b/src/shard/inventory_page.cpp
@@ -99,7 +99,8 @@
          0});
   }
   if (parts_.size() == begun && begun < static_cast<std::size_t>(state::kInventoryParts)) {
-    const std::string next = state::inventory_key(state::inventory_part(page_, static_cast<int>(begun)));
+    const std::string next =
+        state::inventory_key(state::inventory_part(page_, static_cast<int>(begun)));
     t.preconditions.emplace_back(next, 0);
   }
   return t;
--- a/src/shard/inventory_page.h
+++ b/src/shard/inventory_page.h
@@ -1,5 +1,5 @@
-// A page of the roster as a set of machines, kept in one value or in several parts, in the form of
-// the active state level. Pure.
+// A page of the inventory as a set of machines, kept in one value or in several parts, in the form
+// of the active state level. Free of I/O.
 #pragma once
 #include <functional>
 #include <string>
--- a/src/shard/leader_election.cpp
+++ b/src/shard/leader_election.cpp
@@ -23,28 +23,31 @@
   }
 }
 
-LeadershipMove LeaderElection::decide(const state::StateCache& w, int shard, double now, std::uint64_t spent) const {
+LeadershipMove LeaderElection::decide(const state::StateCache& w, int shard, double now,
+                                      std::uint64_t spent) const {
   LeadershipMove m;
   const int self = settings_.self, home = shard, size = settings_.shards();
   if (!registered_ || !w.node_revision(self)) return m;
   const state::LeaderEntry& o = w.leader(shard);
   const std::string key = state::leader_key(shard);
-  const std::uint64_t stamp = w.mod_revision(key);
+  const std::uint64_t mod_revision = w.mod_revision(key);
   auto take = [&] {
     m.kind = LeadershipMove::take;
-    m.preconditions.emplace_back(key, stamp);
+    m.preconditions.emplace_back(key, mod_revision);
   };
   if (o.node == self) {
     if (o.mod_revision < registered_ || spent == o.mod_revision || !o.tag.starts_with(process_)) {
-      // A former self's, one whose desk is closed, or handed over: ours by our own commit first.
+      // A former self's, one whose scheduler is closed, or handed over: ours by our own commit
+      // first.
       take();
     } else if (w.revision() < o.mod_revision) {
       // Our own commit is known before what came just before it has been read: an earlier owner's
-      // last placements may be missing. A desk opened without them would start their tasks again.
+      // last placements may be missing. A scheduler opened without them would start their tasks
+      // again.
     } else if (home != self && seen_since_[home] >= 0 && now - seen_since_[home] > kSettled) {
       m.kind = LeadershipMove::hand_over;
       m.to = home;
-      m.preconditions.emplace_back(key, stamp);
+      m.preconditions.emplace_back(key, mod_revision);
       // A node that has just gone must not be given a shard.
       m.preconditions.emplace_back(state::node_key(settings_.nodes[home]), w.node_revision(home));
     } else {
--- a/src/shard/leader_election.h
+++ b/src/shard/leader_election.h
@@ -1,4 +1,4 @@
-// Who owns which shard, decided from what the state service says. Pure.
+// Who owns which shard, decided from what the state service says. Free of I/O.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -14,7 +14,7 @@
   enum Kind { none, lead, take, hand_over } kind = none;
   int to = -1;              // hand_over
   std::uint64_t token = 0;  // act
-  // take, hand_over: the commit's guards
+  // take, hand_over: the commit's preconditions
   std::vector<std::pair<std::string, std::uint64_t>> preconditions;
 };
 
@@ -25,15 +25,16 @@
   // `process`: what all its tags begin with, and no other process's. A token is acted on only by
   // the process whose own commit gave it: a former self that stood still, or whose commits came
   // late, has the same node's name. Empty: tags are not looked at.
-  void registered(std::uint64_t stamp, std::string process = {}) {
-    if (!registered_) registered_ = stamp;
+  void registered(std::uint64_t mod_revision, std::string process = {}) {
+    if (!registered_) registered_ = mod_revision;
     process_ = std::move(process);
   }
   void observe(const state::StateCache& w, double now);
-  // `spent`: the latest token whose desk this process has closed. The desk's attempts and its
-  // knowledge of what is in flight went with it, so the token must not be acted on again: it is
+  // `spent`: the latest token whose scheduler this process has closed. The scheduler's attempts and
+  // its knowledge of what is in flight went with it, so the token must not be acted on again: it is
   // reclaimed under a new one.
-  LeadershipMove decide(const state::StateCache& w, int shard, double now, std::uint64_t spent) const;
+  LeadershipMove decide(const state::StateCache& w, int shard, double now,
+                        std::uint64_t spent) const;
 
  private:
   const config::Settings& settings_;
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -84,8 +84,9 @@
   Node& n = nodes_[static_cast<std::size_t>(node)];
   if (n.controller) return;
   // Steady clocks drift apart by as much as the protocol allows.
-  n.host = std::make_unique<Host>(sim_, base_.nodes[static_cast<std::size_t>(node)],
-                                  1 + (node % 3 - 1) * 0.00025, (node % 3 - 1) * options_.wall_off_s);
+  n.host =
+      std::make_unique<Host>(sim_, base_.nodes[static_cast<std::size_t>(node)],
+                             1 + (node % 3 - 1) * 0.00025, (node % 3 - 1) * options_.wall_off_s);
   n.settings = base_;
   n.settings.node = n.host->name();
   n.settings.self = node;
@@ -126,14 +127,15 @@
                                                            : j->second.run_s * (1 + t.index % 3);
         const wire::JobSpec& spec = j->second.spec;
         return emulators::WorkerEmulator::Work{spec.cpus, spec.image_gb, run, spec.checkpoint_s,
-                                      spec.save_s};
+                                               spec.save_s};
       },
       static_cast<unsigned>(sim_.rng()()),
-      emulators::WorkerEmulator::Watched{[this](const emulators::WorkerEmulator& w, const emulators::WorkerEmulator::Task& t,
-                                       wire::TaskState was) { moved(w, t, was); },
-                                [this](const emulators::WorkerEmulator::Task& t) {
-                                  if (t.why == wire::ExitReason::done) acknowledged_.insert(name_of(t.id));
-                                }});
+      emulators::WorkerEmulator::Watched{
+          [this](const emulators::WorkerEmulator& w, const emulators::WorkerEmulator::Task& t,
+                 wire::TaskState was) { moved(w, t, was); },
+          [this](const emulators::WorkerEmulator::Task& t) {
+            if (t.why == wire::ExitReason::done) acknowledged_.insert(name_of(t.id));
+          }});
   machines_.push_back(std::move(machine));
 }
 
@@ -162,4 +164,4 @@
   cloud_->refuse_in(zone, none_for_s);
 }
 
-}  // namespace shunttrail::rehearsal
+}  // namespace shunttrail::simulation
--- a/src/simulation/simulated_cluster.h
+++ b/src/simulation/simulated_cluster.h
@@ -1,5 +1,5 @@
-// A whole set in simulated time: the library's own controllers, the stand-ins for the state
-// service, the cloud and the workers, and users who submit, ask and cancel, with the troubles that
+// A whole set in simulated time: the library's own controllers, the emulators for the state
+// service, the cloud and the workers, and users who submit, ask and cancel, with the faults that
 // a test orders. The rules of the protocol are checked as it goes; they know nothing of the
 // controllers' state, only what is on the machines and what users were told.
 #pragma once
@@ -12,10 +12,10 @@
 
 #include "config/settings.h"
 #include "controller/controller.h"
-#include "simulation/simulation.h"
 #include "emulators/cloud.h"
 #include "emulators/state.h"
 #include "emulators/worker.h"
+#include "simulation/simulation.h"
 
 namespace shunttrail::simulation {
 
@@ -29,7 +29,7 @@
   // What the controllers are told instead: for tests that show that the rules are checked.
   double told_cancel_s = 0;
   double heartbeat_copies = 0;  // the share of reports of which a copy comes again, 2 to 60 s later
-  double late_writes = 0;    // the share of transactions that get no answer and come 2 to 12 s late
+  double late_writes = 0;  // the share of transactions that get no answer and come 2 to 12 s late
   double copies_for_next = 0;  // the share of reports of which a copy is kept for the next leader
   double slow_links_s = 0;     // all that is sent takes up to this long, one way; 0: it does not
   double quick_boots_s = 0;    // new machines are up within this; 0: within some seconds
@@ -115,7 +115,7 @@
   };
   const AfterCancel& after_cancel() const { return after_cancel_; }
 
-  // ---- troubles; a node is named by its number, a machine too
+  // ---- faults; a node is named by its number, a machine too
 
   void outage(double for_s);
   void refuse(int node, double for_s);  // by the state service alone
@@ -131,7 +131,8 @@
   void freeze(int node, double for_s);
   void freeze_after(int node, std::uint64_t turns, double for_s);  // between two of its turns
   void lose_responses(int machine, double for_s);  // its reports arrive, answers and orders do not
-  void cut_heartbeats(int machine, double for_s);  // it reaches no controller; direct orders and answers pass
+  void cut_heartbeats(int machine,
+                      double for_s);  // it reaches no controller; direct orders and answers pass
   void hang(int machine, double for_s);
   // Again and again, each within its lease, with a moment or a few turns in between.
   void hang_in_chains(int machine, int times);
@@ -143,9 +144,9 @@
   // A task of it could begin on a machine that is empty or holds its own team's work only: one with
   // another team's may be another shard's, and moves only when it is empty (KNOWN-RED.txt).
   bool room_for(const std::string& job) const;
-  std::string room() const;    // by machine: zone, vcpus in use and in all, tasks; for messages
+  std::string room() const;     // by machine: zone, vcpus in use and in all, tasks; for messages
   int leader(int shard) const;  // the first node that does; -1: none
-  bool leads(int node, int shard) const;           // its desk for the shard is open
+  bool leads(int node, int shard) const;          // its scheduler for the shard is open
   int busiest();                                  // of the nodes that own a shard
   int machine_at(const std::string& host) const;  // -1: none is there
   int machines() const { return static_cast<int>(machines_.size()); }
@@ -175,7 +176,8 @@
     std::string name;
     std::unique_ptr<Host> host;
     std::unique_ptr<emulators::WorkerEmulator> worker;
-    double responses_lost_until = 0, heartbeats_cut_until = 0, held_until = 0, answers_held_until = 0, hung_until = 0;
+    double responses_lost_until = 0, heartbeats_cut_until = 0, held_until = 0,
+           answers_held_until = 0, hung_until = 0;
     std::string zone;
   };
   struct Until {
@@ -204,12 +206,13 @@
   void poll(const std::string& id);
   enum class Asked { state, submission, cancellation };
   void answered(const std::string& id, const net::Result& r, double asked_at,
-            Asked what = Asked::state);
+                Asked what = Asked::state);
   void task_done(const std::string& id);
   void look_on(const std::string& id, int step, double until);
   bool some(double share) { return share > 0 && sim_.chance(share); }
   bool cancelled_by_users(const std::string& id) const;  // itself, or what it awaits
-  void moved(const emulators::WorkerEmulator& w, const emulators::WorkerEmulator::Task& t, wire::TaskState was);
+  void moved(const emulators::WorkerEmulator& w, const emulators::WorkerEmulator::Task& t,
+             wire::TaskState was);
   void check();
   double cpus_of(const std::string& type) const;
   bool wants_room(const Job& j) const;
@@ -236,7 +239,7 @@
   double slow_until_ = 0, slow_s_ = 0, cloud_until_ = 0;
   std::map<std::string, Job> jobs_;
   std::set<std::string> results_;                        // tasks that have completed, somewhere
-  std::set<std::string> acknowledged_;                         // whose result has been let go after that
+  std::set<std::string> acknowledged_;                   // whose result has been let go after that
   std::map<std::uint64_t, net::Network::Handle> asked_;  // questions that are out
   std::vector<std::string> broken_;
   double faults_over_since_ = -1, room_seen_at_ = 0;
@@ -249,4 +252,4 @@
   std::uint64_t close_questions_ = 0, ends_met_ = 0, answers_lost_ = 0;
 };
 
-}  // namespace shunttrail::rehearsal
+}  // namespace shunttrail::simulation
--- a/src/simulation/simulated_cluster_network.cpp
+++ b/src/simulation/simulated_cluster_network.cpp
@@ -1,4 +1,4 @@
-// What becomes of requests between the hosts of a set, and the troubles that a test orders.
+// What becomes of requests between the hosts of a set, and the faults that a test orders.
 #include <algorithm>
 #include <utility>
 
@@ -121,7 +121,7 @@
       });
 }
 
-// ---- troubles
+// ---- faults
 
 void SimulatedCluster::outage(double for_s) {
   state_->outage(true);
@@ -252,6 +252,8 @@
     if (leads(n, shard)) return n;
   return -1;
 }
-int SimulatedCluster::busiest() { return std::max(0, leader(sim_.chance(0.5) ? 0 : base_.team_shard[1])); }
+int SimulatedCluster::busiest() {
+  return std::max(0, leader(sim_.chance(0.5) ? 0 : base_.team_shard[1]));
+}
 
-}  // namespace shunttrail::rehearsal
+}  // namespace shunttrail::simulation
--- a/src/simulation/simulated_cluster_rules.cpp
+++ b/src/simulation/simulated_cluster_rules.cpp
@@ -8,7 +8,7 @@
 using wire::TaskState;
 
 namespace {
-constexpr double kNeglected = 90;  // waiting beside room, once troubles are over
+constexpr double kNeglected = 90;  // waiting beside room, once faults are over
 constexpr double kRoomLook = 1;    // between two looks at the room
 
 bool type_ok(const wire::JobSpec& s, const emulators::WorkerEmulator::Settings& at) {
@@ -21,7 +21,8 @@
   broken_.push_back("at " + std::to_string(sim_.now()) + ": " + what);
 }
 
-void SimulatedCluster::moved(const emulators::WorkerEmulator& w, const emulators::WorkerEmulator::Task& t, TaskState was) {
+void SimulatedCluster::moved(const emulators::WorkerEmulator& w,
+                             const emulators::WorkerEmulator::Task& t, TaskState was) {
   const std::string name = name_of(t.id);
   const double told = jobs_[t.id.job].told_cancelled;
   if (t.state == TaskState::fetching) {
@@ -34,7 +35,8 @@
   saves_ += t.state == TaskState::saving;
   // As it leaves: between two looks at the machines, too.
   if (was == TaskState::running || was == TaskState::saving) check_cancelled(t);
-  if (t.state == TaskState::exited && t.why == wire::ExitReason::done && results_.insert(name).second)
+  if (t.state == TaskState::exited && t.why == wire::ExitReason::done &&
+      results_.insert(name).second)
     task_done(t.id.job);
   if (t.state != TaskState::running) return;
   begun_.try_emplace(t.id.job, sim_.now());
@@ -163,7 +165,8 @@
       ++by_zone[t.id.job][m->worker->settings().zone];
       placed.insert(name_of(t.id));
     }
-    const double unreached = std::max({m->responses_lost_until, m->heartbeats_cut_until, m->held_until, m->hung_until});
+    const double unreached =
+        std::max({m->responses_lost_until, m->heartbeats_cut_until, m->held_until, m->hung_until});
     if (unreached <= sim_.now()) rooms.push_back(r);
   }
   std::map<std::pair<std::string, std::string>, double> beside;
@@ -213,4 +216,4 @@
   beside_room_ = std::move(beside);
 }
 
-}  // namespace shunttrail::rehearsal
+}  // namespace shunttrail::simulation
--- a/src/simulation/simulated_cluster_users.cpp
+++ b/src/simulation/simulated_cluster_users.cpp
@@ -18,8 +18,9 @@
 constexpr int kSubmitEvery = 6;      // so many questions of theirs, one submission
 }  // namespace
 
-void SimulatedCluster::ask(int node, const char* method, const std::string& path, const std::string& body,
-              double within_s, std::function<void(net::Result)> done) {
+void SimulatedCluster::ask(int node, const char* method, const std::string& path,
+                           const std::string& body, double within_s,
+                           std::function<void(net::Result)> done) {
   const std::uint64_t n = ++questions_;
   asked_[n] =
       users_host_->request({base_.nodes[static_cast<std::size_t>(node)], 80}, method, path, body,
@@ -124,7 +125,9 @@
   return wire::encode_job(spec);
 }
 
-void SimulatedCluster::ask_all_repeatedly(const std::string& id) { look_on(id, 0, sim_.now() + kClosely); }
+void SimulatedCluster::ask_all_repeatedly(const std::string& id) {
+  look_on(id, 0, sim_.now() + kClosely);
+}
 void SimulatedCluster::look_on(const std::string& id, int step, double until) {
   if (sim_.now() > until) return;
   ++close_questions_;
@@ -164,7 +167,8 @@
 
 // Rules: forgotten, invented, not_done, went_back. All answers about a job, of all nodes, are one
 // register: what a question asked after an answer is told is never older than that answer.
-void SimulatedCluster::answered(const std::string& id, const net::Result& r, double asked_at, Asked what) {
+void SimulatedCluster::answered(const std::string& id, const net::Result& r, double asked_at,
+                                Asked what) {
   auto known = jobs_.find(id);
   if (known == jobs_.end()) {
     if (r.status == 200) broke("invented: " + id);
@@ -234,4 +238,4 @@
   pass(kForgotten + kPollGap + kPollWithin);
 }
 
-}  // namespace shunttrail::rehearsal
+}  // namespace shunttrail::simulation
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -150,4 +150,4 @@
   return flight;
 }
 
-}  // namespace shunttrail::rehearsal
+}  // namespace shunttrail::simulation
--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -127,4 +127,4 @@
   std::map<std::string, Listener> listeners_;  // by address
 };
 
-}  // namespace shunttrail::rehearsal
+}  // namespace shunttrail::simulation
--- a/src/state/client.h
+++ b/src/state/client.h
@@ -41,7 +41,14 @@
 struct CommitResult {
   // unknown: no answer; it may have been carried out, or may yet be.
   // too_large: refused for its size; sent unchanged it would be refused again.
-  enum Kind { applied, precondition_failed, not_executed, unknown, no_lease, too_large } kind = unknown;
+  enum Kind {
+    applied,
+    precondition_failed,
+    not_executed,
+    unknown,
+    no_lease,
+    too_large
+  } kind = unknown;
   std::uint64_t revision = 0;
   std::vector<std::string> failed;
 };
@@ -51,10 +58,12 @@
   Client(actor::Loop& loop, const config::Settings& s);
   // Ownership of the callback's thread of control: each runs in the asker's mailbox if it was
   // made by Actor::reply.
-  void commit(wire::Transaction t, RequestPriority u, double give_up_s, std::function<void(CommitResult)> done);
+  void commit(wire::Transaction t, RequestPriority u, double give_up_s,
+              std::function<void(CommitResult)> done);
   void watch(std::uint64_t after, int block_ms, std::function<void(net::Result)> done);
   void get(std::string path, RequestPriority u, std::function<void(net::Result)> done);
-  void post(std::string path, std::string body, RequestPriority u, std::function<void(net::Result)> done);
+  void post(std::string path, std::string body, RequestPriority u,
+            std::function<void(net::Result)> done);
   std::size_t queued() const;
   // So many changes could be sent at once, as far as the rates go. What is made only then holds all
   // that has come up to that moment: made earlier, it would wait here while more comes.
--- a/src/state/limits.cpp
+++ b/src/state/limits.cpp
@@ -16,7 +16,7 @@
     : present_{bytes(s.state_limits.value_kb), static_cast<std::size_t>(s.state_limits.txn_ops),
                4 * static_cast<std::size_t>(s.state_limits.txn_ops)},
       transaction_limits_{std::min(present_.value_bytes, bytes(s.state_next.value_kb)),
-            std::min(present_.ops, static_cast<std::size_t>(s.state_next.txn_ops))} {}
+                          std::min(present_.ops, static_cast<std::size_t>(s.state_next.txn_ops))} {}
 
 void Limits::too_large(std::size_t longest_value, std::size_t ops) {
   ++refusals_;
@@ -27,8 +27,10 @@
   }
   // Which of the two it was is not said.
   if (longest_value <= transaction_limits_.value_bytes)
-    transaction_limits_.value_bytes = std::min(transaction_limits_.value_bytes, std::max(kLeastValue, longest_value * 3 / 4));
-  if (ops <= transaction_limits_.ops) transaction_limits_.ops = std::min(transaction_limits_.ops, std::max(kLeastOps, ops * 3 / 4));
+    transaction_limits_.value_bytes =
+        std::min(transaction_limits_.value_bytes, std::max(kLeastValue, longest_value * 3 / 4));
+  if (ops <= transaction_limits_.ops)
+    transaction_limits_.ops = std::min(transaction_limits_.ops, std::max(kLeastOps, ops * 3 / 4));
 }
 
 double AdaptiveRate::rate(double now) {
--- a/src/state/limits.h
+++ b/src/state/limits.h
@@ -1,5 +1,5 @@
 // What the state service takes: as the settings say, as they say that it will be, and as it has
-// shown. Pure.
+// shown. Free of I/O.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -18,8 +18,10 @@
   explicit Limits(const config::Settings& s);
   // For everything that can be written small: nothing may rely on a larger size staying, so what
   // is announced for later holds from the start.
-  TransactionLimits transaction_limits() const { return {transaction_limits_.value_bytes, transaction_limits_.ops, 4 * transaction_limits_.ops}; }
-  // For what another version may still have to read in its present form (roster pages), until a
+  TransactionLimits transaction_limits() const {
+    return {transaction_limits_.value_bytes, transaction_limits_.ops, 4 * transaction_limits_.ops};
+  }
+  // For what another version may still have to read in its present form (inventory pages), until a
   // smaller limit has shown itself.
   TransactionLimits present() const { return shown_ ? transaction_limits() : present_; }
   // A transaction of this size was refused as too large. Limits may have fallen further than
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -23,12 +23,13 @@
 constexpr int kPart = 1 << 26;  // beyond every page's number
 int inventory_part(int page, int part) { return page + part * kPart; }
 int inventory_base(int part) { return part % kPart; }
-std::string placement_page_key(int shard, int sheet) {
-  return "st/a/" + std::to_string(shard) + "/" + std::to_string(sheet);
+std::string placement_page_key(int shard, int page) {
+  return "st/a/" + std::to_string(shard) + "/" + std::to_string(page);
 }
 std::string job_result_key(const std::string& id) { return kJobResults + id; }
 
-StateCache::StateCache(const config::Settings& s) : settings_(s), placement_pages_(s.shards()), leaders_(s.shards()) {
+StateCache::StateCache(const config::Settings& s)
+    : settings_(s), placement_pages_(s.shards()), leaders_(s.shards()) {
   schema_.members.resize(static_cast<std::size_t>(s.shards()));
 }
 
@@ -55,21 +56,22 @@
   return out;
 }
 
-void StateCache::for_each_job_placements(const std::string& id,
-                      const std::function<void(const wire::JobPlacements&)>& f) const {
+void StateCache::for_each_job_placements(
+    const std::string& id, const std::function<void(const wire::JobPlacements&)>& f) const {
   auto known = pages_of_job_.find(id);
   if (known == pages_of_job_.end()) return;
-  for (const auto& [shard, sheet] : known->second)
-    for (const auto& g : placement_pages_[static_cast<std::size_t>(shard)].at(sheet).jobs)
+  for (const auto& [shard, page] : known->second)
+    for (const auto& g : placement_pages_[static_cast<std::size_t>(shard)].at(page).jobs)
       if (g.job == id) {
         f(g);
         break;
       }
 }
-void StateCache::put_placement_page(int shard, int sheet, std::optional<wire::PlacementPageRecord> r) {
+void StateCache::put_placement_page(int shard, int page,
+                                    std::optional<wire::PlacementPageRecord> r) {
   auto& all = placement_pages_[static_cast<std::size_t>(shard)];
-  const std::pair at(shard, sheet);
-  if (auto old = all.find(sheet); old != all.end()) {
+  const std::pair at(shard, page);
+  if (auto old = all.find(page); old != all.end()) {
     for (const auto& g : old->second.jobs)
       if (auto of = pages_of_job_.find(g.job); of != pages_of_job_.end()) {
         of->second.erase(at);
@@ -79,7 +81,7 @@
   }
   if (!r) return;
   for (const auto& g : r->jobs) pages_of_job_[g.job].insert(at);
-  all.emplace(sheet, std::move(*r));
+  all.emplace(page, std::move(*r));
 }
 std::map<std::uint32_t, Intervals> StateCache::done(const std::string& id) const {
   std::map<std::uint32_t, Intervals> out;
@@ -130,13 +132,15 @@
 }
 
 void StateCache::replace(std::uint64_t revision, const std::vector<wire::Event>& items,
-                    std::vector<Change>& changes) {
+                         std::vector<Change>& changes) {
   if (revision < revision_) return;
   std::set<std::string> here;
   for (const auto& e : items) {
     here.insert(e.key);
     // Dropped by a commit that was answered while the pages were read: its page is older news.
-    if (auto tomb = tombstones_.find(e.key); tomb != tombstones_.end() && tomb->second >= e.mod_revision) continue;
+    if (auto tomb = tombstones_.find(e.key);
+        tomb != tombstones_.end() && tomb->second >= e.mod_revision)
+      continue;
     if (mod_revision(e.key) < e.mod_revision) {
       revisions_[e.key] = e.mod_revision;
       set(e, changes);
@@ -182,9 +186,9 @@
         auto slash = rest.find('/');
         int shard = std::atoi(rest.c_str());
         if (slash == std::string::npos || shard < 0 || shard >= settings_.shards()) break;
-        put_placement_page(
-            shard, std::atoi(rest.c_str() + slash + 1),
-            wire::decode_placement_page(e, [&](const std::string& t) { return settings_.team_index(t); }));
+        put_placement_page(shard, std::atoi(rest.c_str() + slash + 1),
+                           wire::decode_placement_page(
+                               e, [&](const std::string& t) { return settings_.team_index(t); }));
         break;
       }
       case 'o': {
@@ -206,7 +210,7 @@
         break;
     }
   } catch (const wire::Malformed&) {
-    // A value nobody here wrote. The key's stamp is kept, its meaning is not guessed.
+    // A value nobody here wrote. The key's revision is kept, its meaning is not guessed.
     ++malformed_;
   }
 }
@@ -299,8 +303,9 @@
   }
 }
 
-// A page of the roster as it is now: only what differs is news.
-void StateCache::inventory(int page, std::vector<wire::MachineRecord> now, std::vector<Change>& changes) {
+// A page of the inventory as it is now: only what differs is news.
+void StateCache::inventory(int page, std::vector<wire::MachineRecord> now,
+                           std::vector<Change>& changes) {
   std::vector<std::string> names;
   for (auto& m : now) {
     names.push_back(m.name);
--- a/src/state/state_cache.h
+++ b/src/state/state_cache.h
@@ -1,4 +1,4 @@
-// The cache of everything under the root prefix of the state service, typed. Pure.
+// The cache of everything under the root prefix of the state service, typed. Free of I/O.
 #pragma once
 #include <array>
 #include <functional>
@@ -30,7 +30,7 @@
 inline constexpr int kInventoryParts = 16;
 int inventory_part(int page, int part);  // part 0: the page itself
 int inventory_base(int part);            // the page that it is a part of
-std::string placement_page_key(int shard, int sheet);
+std::string placement_page_key(int shard, int page);
 std::string job_result_key(const std::string& id);
 
 struct JobEntry {
@@ -83,7 +83,7 @@
     return schema_.members[static_cast<std::size_t>(node)].mod_revision;
   }
   const schema::StoredView& schema() const { return schema_; }
-  // The form that roster pages are to be written in, by the active level.
+  // The form that inventory pages are to be written in, by the active level.
   int inventory_form() const;
   // Of what stands, the share that has the active level's form.
   double converted() const;
@@ -98,10 +98,14 @@
   const std::set<int>& inventory_pages(int form) const {
     return pages_by_form_[static_cast<std::size_t>(form)];
   }
-  const std::set<int>& inventory_to_convert() const { return inventory_pages(1 - inventory_form()); }
-  const std::map<int, wire::PlacementPageRecord>& placement_pages(int shard) const { return placement_pages_[shard]; }
-  // A job's finished intervals by chunk, relative to the chunk's start: all that any sheet holds,
-  // since what is done stays so. They may overlap.
+  const std::set<int>& inventory_to_convert() const {
+    return inventory_pages(1 - inventory_form());
+  }
+  const std::map<int, wire::PlacementPageRecord>& placement_pages(int shard) const {
+    return placement_pages_[shard];
+  }
+  // A job's finished intervals by chunk, relative to the chunk's start: all that any placement page
+  // holds, since what is done stays so. They may overlap.
   std::map<std::uint32_t, Intervals> done(const std::string& id) const;
   // For display: tasks done, and tasks placed that are not.
   struct Progress {
@@ -124,10 +128,12 @@
   std::map<int, std::vector<std::string>> pages_;  // machines by page, or part of one
   std::unordered_map<std::string, int> page_of_;
   std::vector<std::map<int, wire::PlacementPageRecord>> placement_pages_;
-  // Every sheet's part about the job: thousands of sheets are not looked through for each poll.
-  void for_each_job_placements(const std::string& id, const std::function<void(const wire::JobPlacements&)>& f) const;
-  void put_placement_page(int shard, int sheet, std::optional<wire::PlacementPageRecord> r);
-  // By job: shard and sheet of each that names it, in that order.
+  // Every placement page's part about the job: thousands of placement pages are not looked through
+  // for each poll.
+  void for_each_job_placements(const std::string& id,
+                               const std::function<void(const wire::JobPlacements&)>& f) const;
+  void put_placement_page(int shard, int page, std::optional<wire::PlacementPageRecord> r);
+  // By job: shard and placement page of each that names it, in that order.
   std::unordered_map<std::string, std::set<std::pair<int, int>>> pages_of_job_;
   void inventory(int page, std::vector<wire::MachineRecord> now, std::vector<Change>& changes);
   void schema_set(const wire::Event& e);
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -170,8 +170,9 @@
         t.state = k < 4 ? static_cast<TaskState>(k) : TaskState::running;
         if (t.state == TaskState::exited) {
           static const std::map<std::string, ExitReason> whys = {
-              {"done", ExitReason::done},          {"stopped", ExitReason::stopped}, {"error", ExitReason::error},
-              {"full", ExitReason::no_room},       {"in_use", ExitReason::busy},     {"unknown", ExitReason::unknown},
+              {"done", ExitReason::done},          {"stopped", ExitReason::stopped},
+              {"error", ExitReason::error},        {"full", ExitReason::no_room},
+              {"in_use", ExitReason::busy},        {"unknown", ExitReason::unknown},
               {"mates_gone", ExitReason::stopped}, {"alone", ExitReason::stopped}};
           auto it = whys.find(text_or(c, "stop_cause", "error"));
           t.exit_reason = it == whys.end() ? ExitReason::error : it->second;
@@ -212,7 +213,7 @@
   return json{{"staff", token}, {"orders", commands_json(commands)}}.dump();
 }
 std::string encode_direct_commands(std::uint64_t token, std::uint64_t session,
-                          const std::vector<Command>& commands) {
+                                   const std::vector<Command>& commands) {
   return json{{"staff", token}, {"shift", session}, {"orders", commands_json(commands)}}.dump();
 }
 
@@ -521,7 +522,7 @@
           auto task = as_whole((*l)[i + 1], "l");
           if (m >= machines.size() || task > 100000) throw Malformed("a placement is bad");
           out.placements.push_back({as_text(machines[m], "m"), static_cast<std::uint32_t>(task),
-                                base + as_whole((*l)[i + 2], "l")});
+                                    base + as_whole((*l)[i + 2], "l")});
         }
       }
       if (const json* d = find(g, "d")) {
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -29,9 +29,9 @@
 // Workers
 Heartbeat decode_heartbeat(std::string_view body);
 std::string encode_heartbeat_response(std::uint64_t token, const std::vector<Command>& commands);
-// Straight to a worker: the session must match as well.
+// Straight to a worker: the incarnation must match as well.
 std::string encode_direct_commands(std::uint64_t token, std::uint64_t session,
-                          const std::vector<Command>& commands);
+                                   const std::vector<Command>& commands);
 std::string encode_redirect(const std::string& node);
 
 // Cloud
--- a/src/wire/types.h
+++ b/src/wire/types.h
@@ -24,7 +24,8 @@
   bool same_zone = false, anti_affinity = false, spot = false;
   double estimate_s = 0, checkpoint_s = 0, save_s = 0;
   std::optional<double> deadline_s;
-  std::vector<std::string> dependencies;  // jobs that have to be done before any task of this one starts
+  std::vector<std::string>
+      dependencies;  // jobs that have to be done before any task of this one starts
 };
 
 enum class JobState { queued, running, done, cancelled };
@@ -142,7 +143,7 @@
   std::vector<PersistedPlacement> placements;
   std::vector<std::pair<std::uint32_t, Intervals>> done;
 };
-// A sheet holds placements on many machines, so that many starts share one change.
+// A placement page holds placements on many machines, so that many starts share one change.
 struct PlacementPageRecord {
   std::string tag;
   std::vector<JobPlacements> jobs;
--- a/tests/agent_attempt_table_test.cpp
+++ b/tests/agent_attempt_table_test.cpp
@@ -1,5 +1,5 @@
 // The agent's decisions and its record, without processes: generated commands, kills and recoveries
-// against a plain model; formats; archives; the depot's store.
+// against a plain model; formats; archives; the artifact store's store.
 #include <archive.h>
 #include <archive_entry.h>
 #include <gtest/gtest.h>
@@ -13,16 +13,16 @@
 #include <set>
 #include <thread>
 
+#include "agent/agent_journal.h"
 #include "agent/attempt_table.h"
 #include "agent/lease_file.h"
 #include "agent/processes.h"
-#include "agent/agent_journal.h"
 #include "agent/settings.h"
 #include "agent/task_supervisor.h"
 #include "artifacts/archive.h"
 #include "artifacts/store.h"
-#include "client_protocol/job_description.h"
 #include "client_protocol/client_protocol.h"
+#include "client_protocol/job_description.h"
 
 namespace shunttrail::test {
 namespace {
@@ -32,8 +32,8 @@
 using agent::Key;
 using agent::Phase;
 using wire::Command;
-using wire::TaskState;
 using wire::ExitReason;
+using wire::TaskState;
 
 struct TempDir {
   fs::path path;
@@ -78,7 +78,7 @@
   }
 };
 
-RC_GTEST_PROP(AgentBook, CommandsEndsAndKillsAsTheModelHasThem, ()) {
+RC_GTEST_PROP(AttemptTable, CommandsEndsAndKillsAsTheModelHasThem, ()) {
   TempDir dir;
   auto record = std::make_unique<agent::Record>(dir.path / "r.db", [](const std::string&) {});
   Book book;
@@ -143,7 +143,7 @@
 
 // A process killed before a step is committed leaves the old book, after it the new one: never
 // anything in between.
-TEST(AgentRecord, AKillAroundAStepLeavesOneSideOfIt) {
+TEST(AgentJournal, AKillAroundAStepLeavesOneSideOfIt) {
   struct Killed {};
   for (bool after : {false, true}) {
     TempDir dir;
@@ -162,7 +162,7 @@
   }
 }
 
-TEST(AgentRecord, RefusesWhatIsNotItsOwn) {
+TEST(AgentJournal, RefusesWhatIsNotItsOwn) {
   TempDir dir;
   auto nothing = [](const std::string&) {};
   EXPECT_EQ(agent::Record(dir.path / "r.db", nothing).load("m"), std::nullopt);
@@ -178,7 +178,7 @@
 }
 
 // Guard: a start that the network held back until after its own reap ran the task once more.
-TEST(AgentBook, AStartAfterItsReapDoesNothing) {
+TEST(AttemptTable, AStartAfterItsReapDoesNothing) {
   Book b;
   auto first = b.obey({make(Command::Op::start, kA)});
   ASSERT_EQ(first.size(), 1u);
@@ -198,7 +198,7 @@
   EXPECT_EQ(b.tasks().size(), 1u);
 }
 
-TEST(AgentBook, SavesOnlyWithTimeEnoughAndASecondHaltEndsIt) {
+TEST(AttemptTable, SavesOnlyWithTimeEnoughAndASecondHaltEndsIt) {
   Book b;
   b.obey({make(Command::Op::start, kA)});
   ASSERT_TRUE(b.described(kA, {1, 0, 1}, true, 4, {4, 0, 8}));
@@ -215,7 +215,7 @@
   EXPECT_EQ(b.tasks().size(), 1u);
 }
 
-TEST(AgentBook, RoomCountsWhatIsFetchedAndTokensGoUpOnly) {
+TEST(AttemptTable, RoomCountsWhatIsFetchedAndTokensGoUpOnly) {
   Book b;
   const agent::Room machine{4, 0, 8};
   const Key other{"run-100002", 0, 1};
@@ -251,8 +251,8 @@
                std::system_error);
 }
 
-// Guard: each renewal showed no session for a moment, and a shepherd that looked then killed its
-// task.
+// Guard: each renewal showed no incarnation for a moment, and a supervisor that looked then killed
+// its task.
 TEST(AgentLease, ARenewalIsNeverSeenAsTheEndOfTheSession) {
   TempDir dir;
   agent::LeasePage writer(dir.path / "lease", agent::LeasePage::Open::write);
@@ -288,7 +288,7 @@
 }
 
 TEST(FarCodec, OrdersAreRefusedOneByOneAndTheEnvelopeWhole) {
-  auto o = far::decode_orders(
+  auto o = client_protocol::decode_orders(
       R"({"staff":41,"shift":2,"later":1,"orders":[
         {"order":"start","car":"run-000412/4","departure":2},
         {"order":"dance","car":"run-000412/4","departure":2},
@@ -302,8 +302,8 @@
   EXPECT_EQ(o.refused.size(), 4u);
   for (const char* bad :
        {"", "[]", "{\"staff\":-1}", "{\"staff\":1.5}", "{\"orders\":{}}", "{\"a\":"})
-    EXPECT_THROW(far::decode_orders(bad), wire::Malformed) << bad;
-  EXPECT_FALSE(far::decode_orders("{}").token);
+    EXPECT_THROW(client_protocol::decode_orders(bad), wire::Malformed) << bad;
+  EXPECT_FALSE(client_protocol::decode_orders("{}").token);
 }
 
 RC_GTEST_PROP(FarCodec, ReportsArriveAsTheyWereSent, ()) {
@@ -319,13 +319,14 @@
   if (*rc::gen::arbitrary<bool>()) r.notice_s = *rc::gen::inRange(0, 1000);
   for (int n = *rc::gen::inRange(0, 8); n > 0; --n) {
     auto state = static_cast<RunState>(*rc::gen::inRange(0, 4));
-    auto why = state == TaskState::exited ? static_cast<Why>(*rc::gen::inRange(1, 7)) : ExitReason::none;
+    auto why =
+        state == TaskState::exited ? static_cast<Why>(*rc::gen::inRange(1, 7)) : ExitReason::none;
     r.tasks.push_back({{"run-" + std::to_string(100000 + n), static_cast<std::uint32_t>(n)},
                        *rc::gen::arbitrary<std::uint64_t>(),
                        state,
                        why});
   }
-  auto back = wire::decode_report(far::encode_report(r));
+  auto back = wire::decode_report(client_protocol::encode_report(r));
   RC_ASSERT(back.seq == r.seq && back.token == r.token && back.session == r.session);
   RC_ASSERT(back.notice_s == r.notice_s && back.spot == r.spot);
   RC_ASSERT(back.tasks.size() == r.tasks.size());
@@ -339,15 +340,15 @@
 TEST(FarCodec, GoldenDescriptionResultOrderAndEnd) {
   const std::string text =
       R"({"command":["sh","-c","echo"],"env":{"A":"b"},"job":{"borrowed_stock":true,"cards":0.0,"cars":3,"consist":"c","couple_s":1.0,"crew":"t","haul":"batch","manifest":"img","mem_gb":2.0,"milepost_s":30.0,"precedence":"high","run_s":60.0,"same_place":false,"scatter":false,"size_gb":0.0,"uid":"run-000412","vcpus":1.0},"limit_s":90.0,"retry_exits":[75]})";
-  auto d = far::decode_description(text);
+  auto d = client_protocol::decode_description(text);
   EXPECT_EQ(d.job.tasks, 3u);
   EXPECT_EQ(d.limit_s, 90);
-  EXPECT_EQ(far::encode_description(d), text);
+  EXPECT_EQ(client_protocol::encode_description(d), text);
   for (const char* bad : {R"({"job":{}})", R"({"command":["a"]})", R"({"job":1,"command":["a"]})"})
-    EXPECT_THROW(far::decode_description(bad), wire::Malformed) << bad;
+    EXPECT_THROW(client_protocol::decode_description(bad), wire::Malformed) << bad;
   auto without = text;
   without.replace(without.find("\"sh\""), 4, "\"\"");
-  EXPECT_THROW(far::decode_description(without), wire::Malformed);
+  EXPECT_THROW(client_protocol::decode_description(without), wire::Malformed);
   const std::string end =
       R"({"exit":3,"format":1,"kept":2,"ran_s":1.5,"reason":"r","saved":true,"why":"stopped"})";
   EXPECT_EQ(agent::encode(agent::decode_end(end)), end);
@@ -400,7 +401,7 @@
 }
 
 void unpack(const fs::path& tar, const fs::path& dir, std::uint64_t most = 1 << 20) {
-  depot::Unpacker u(tar, dir, most);
+  artifacts::Unpacker u(tar, dir, most);
   while (!u.step()) {
   }
 }
@@ -412,7 +413,7 @@
   std::ofstream(t.path / "in" / "run.sh") << "#!/bin/sh\n";
   fs::permissions(t.path / "in" / "run.sh", fs::perms(0755));
   fs::create_symlink("/etc/passwd", t.path / "in" / "link");
-  depot::Packer p(t.path / "in", t.path / "a.tar");
+  artifacts::Packer p(t.path / "in", t.path / "a.tar");
   int steps = 0;
   while (!p.step()) ++steps;
   EXPECT_GT(steps, 3);  // never all at once
@@ -421,29 +422,29 @@
   EXPECT_NE(fs::status(t.path / "out" / "run.sh").permissions() & fs::perms::owner_exec,
             fs::perms::none);
   EXPECT_FALSE(fs::exists(fs::symlink_status(t.path / "out" / "link")));
-  EXPECT_THROW(unpack(t.path / "a.tar", t.path / "small", 1000), depot::BadArchive);
+  EXPECT_THROW(unpack(t.path / "a.tar", t.path / "small", 1000), artifacts::BadArchive);
   for (auto [name, type, link] : {std::tuple("../out", AE_IFREG, (const char*)nullptr),
                                   {"/tmp/abs", AE_IFREG, nullptr},
                                   {"a/../../b", AE_IFREG, nullptr},
                                   {"l", AE_IFLNK, "/etc"},
                                   {"f", AE_IFIFO, nullptr}})
     EXPECT_THROW(unpack(write_tar(t.path / "bad.tar", name, type, link), t.path / "bad"),
-                 depot::BadArchive)
+                 artifacts::BadArchive)
         << name;
   std::ofstream(t.path / "torn.tar") << "no archive at all, but some bytes that stand in its place";
-  EXPECT_THROW(unpack(t.path / "torn.tar", t.path / "torn"), depot::BadArchive);
+  EXPECT_THROW(unpack(t.path / "torn.tar", t.path / "torn"), artifacts::BadArchive);
 }
 
 TEST(DepotStore, ShowsABlobOnlyWholeAndANameByItsRule) {
   TempDir t;
-  const std::string bytes(300000, 'q'), hash = depot::hash_of(bytes);
+  const std::string bytes(300000, 'q'), hash = artifacts::hash_of(bytes);
   {
-    depot::Store s(t.path);
+    artifacts::Store s(t.path);
     EXPECT_EQ(s.add_part("aaaaaaaa", 0, std::string_view(bytes).substr(0, 1000)), 1000u);
     EXPECT_EQ(s.add_part("aaaaaaaa", 0, bytes), 1000u);  // repeated: nothing is added
     EXPECT_FALSE(s.has(hash));
   }
-  depot::Store s(t.path);  // a restart in the middle of an upload
+  artifacts::Store s(t.path);  // a restart in the middle of an upload
   EXPECT_FALSE(s.has(hash));
   EXPECT_EQ(s.add_part("aaaaaaaa", 1000, std::string_view(bytes).substr(1000)), 300000u);
   EXPECT_TRUE(s.finish("aaaaaaaa", hash));
@@ -451,9 +452,9 @@
   EXPECT_EQ(*s.read(hash, 299999, 100), "q");
   EXPECT_EQ(*s.read(hash, 300000, 100), "");
   s.add_part("bbbbbbbb", 0, "other");
-  EXPECT_FALSE(s.finish("bbbbbbbb", depot::hash_of("another")));
-  EXPECT_FALSE(s.has(depot::hash_of("other")));
-  using Put = depot::Store::Put;
+  EXPECT_FALSE(s.finish("bbbbbbbb", artifacts::hash_of("another")));
+  EXPECT_FALSE(s.has(artifacts::hash_of("other")));
+  using Put = artifacts::Store::Put;
   EXPECT_EQ(s.put_name("jobs/run-1", {"{\"a\":1}"}), Put::created);
   EXPECT_EQ(s.put_name("jobs/run-1", {"{\"a\":1}"}), Put::same);
   EXPECT_EQ(s.put_name("jobs/run-1", {"{\"a\":2}"}), Put::refused);
@@ -463,7 +464,7 @@
   EXPECT_EQ(s.put_name("saves/run-1/0", {"4", 6, 0}), Put::created);
   EXPECT_EQ(s.get_name("saves/run-1/0")->value, "4");
   for (const char* bad : {"", "a//b", "../a", "a/../b", "/a", "a b", "a/."})
-    EXPECT_THROW(s.get_name(bad), depot::BadRequest) << bad;
+    EXPECT_THROW(s.get_name(bad), artifacts::BadRequest) << bad;
 }
 
 }  // namespace
--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -1,4 +1,4 @@
-// The agent as a process, with shepherds and tasks as processes: killed, stopped, cut off and
+// The agent as a process, with supervisors and tasks as processes: killed, stopped, cut off and
 // brought back. Nothing here depends on how long anything takes, beyond leases that are to run out.
 #include <sys/resource.h>
 
@@ -24,7 +24,7 @@
     }
     // Also what is reaped is on record: one more report after the end.
     return rig.tasks[id].done > 0 && killed && rig.last.tasks.empty();
-  })) << depot::read_whole(rig.dir / "agent.log");
+  })) << artifacts::read_whole(rig.dir / "agent.log");
   EXPECT_EQ(rig.tasks[id].done, 1);
   EXPECT_EQ(rig.tasks[id].lost, 0);
   EXPECT_EQ(rig.last.session, 1u);
@@ -55,7 +55,7 @@
   EXPECT_EQ(rig.logged("begin"), 1);
 }
 
-// Guard: with the agent dead, only the shepherd knows that the lease is over.
+// Guard: with the agent dead, only the supervisor knows that the lease is over.
 TEST(AgentProcess, TheLeaseIsKeptWhileTheAgentIsDeadAndTheNextSessionBegins) {
   Rig rig(3);
   std::string id = rig.add("sleep 1000");
@@ -88,8 +88,8 @@
   EXPECT_EQ(rig.logged("overlap"), 0);
 }
 
-// Guard: the next session was begun while a task of the last one was still there, because the lease
-// was over on paper and its shepherd stood still.
+// Guard: the next incarnation was begun while a task of the last one was still there, because the
+// lease was over on paper and its supervisor stood still.
 TEST(AgentProcess, ASessionBeginsOnlyWhenTheLastOnesTasksAreGone) {
   Rig rig(3);
   std::string id = rig.add("sleep 1000");
@@ -97,7 +97,7 @@
   ASSERT_TRUE(rig.until_logged("begin"));
   ASSERT_TRUE(rig.until([&] { return rig.last.tasks.size() == 1; }));
   auto j = nlohmann::json::parse(
-      depot::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
+      artifacts::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
   ::kill(j["pid"].get<pid_t>(), SIGSTOP);
   rig.kill_agent();
   double until = agent::LeasePage(rig.dir / "m" / "lease", agent::LeasePage::Open::read).until();
@@ -114,11 +114,12 @@
   std::ofstream(rig.dir / "m") << "a file";
   rig.start();
   ASSERT_TRUE(rig.until([&] { return rig.agent_ended(); }));
-  EXPECT_NE(depot::read_whole(rig.dir / "agent.log").find("agent cannot go on"), std::string::npos);
+  EXPECT_NE(artifacts::read_whole(rig.dir / "agent.log").find("agent cannot go on"),
+            std::string::npos);
 }
 
-// A shepherd that is killed takes the task with it, and the agent ends what the task had put into
-// sessions of its own.
+// A supervisor that is killed takes the task with it, and the agent ends what the task had put into
+// incarnations of its own.
 TEST(AgentProcess, AShepherdIsKilledAndNothingOfItsTaskStays) {
   Rig rig;
   std::string id = rig.add("[ $SHUNT_ATTEMPT = 2 ] && exit 0; setsid sleep 1000 & echo forked >> " +
@@ -126,7 +127,7 @@
   rig.start();
   ASSERT_TRUE(rig.until_logged("forked"));
   auto j = nlohmann::json::parse(
-      depot::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
+      artifacts::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
   ::kill(j["pid"].get<pid_t>(), SIGKILL);
   ASSERT_TRUE(rig.until_done(id));
   EXPECT_EQ(rig.tasks[id].failed, 1);
@@ -150,14 +151,14 @@
   EXPECT_TRUE(rig.nothing_left_of(id));
 }
 
-// A shepherd that stands still is not waited for: a cancelled task has to be gone in time.
+// A supervisor that stands still is not waited for: a cancelled task has to be gone in time.
 TEST(AgentProcess, AHaltDoesNotWaitForAShepherdThatStandsStill) {
   Rig rig;
   std::string id = rig.add("sleep 1000");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
   auto j = nlohmann::json::parse(
-      depot::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
+      artifacts::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
   ::kill(j["pid"].get<pid_t>(), SIGSTOP);
   rig.tasks[id].cancelled = true;
   ASSERT_TRUE(rig.until([&] { return rig.tasks[id].failed == 1; }));
@@ -177,9 +178,10 @@
   ASSERT_TRUE(rig.until_logged("ready"));
   rig.tasks[id].cancelled = true;
   ASSERT_TRUE(rig.until([&] { return rig.tasks[id].failed == 1; }));
-  EXPECT_EQ(rig.tasks[id].why, std::to_string(static_cast<int>(wire::ExitReason::stopped)) + "kept");
+  EXPECT_EQ(rig.tasks[id].why,
+            std::to_string(static_cast<int>(wire::ExitReason::stopped)) + "kept");
   rig.tasks[id].cancelled = false;
-  ASSERT_TRUE(rig.until_done(id)) << depot::read_whole(rig.dir / "agent.log");
+  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_whole(rig.dir / "agent.log");
   EXPECT_EQ(rig.logged("from 0"), 1);
   EXPECT_EQ(rig.logged("from 7"), 1);
 }
@@ -197,16 +199,16 @@
               1);
   rig.start();
   ASSERT_TRUE(rig.until([&] {
-    auto n = depot::Store(rig.dir / "depot").get_name(far::save_name({id, 0}));
+    auto n = artifacts::Store(rig.dir / "depot").get_name(client_protocol::save_name({id, 0}));
     return n && n->part == 2;
-  })) << depot::read_whole(rig.dir / "agent.log");
+  })) << artifacts::read_whole(rig.dir / "agent.log");
   rig.kill_agent();
   ASSERT_TRUE(agent::end_all({rig.dir / "m"}));  // as when its power fails
   fs::remove_all(rig.dir / "m");
   rig.tasks[id].attempt = 2;
   rig.tasks[id].sent = false;
   rig.start();
-  ASSERT_TRUE(rig.until_done(id)) << depot::read_whole(rig.dir / "agent.log");
+  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_whole(rig.dir / "agent.log");
   EXPECT_EQ(rig.logged("from 2"), 1);
 }
 
@@ -226,15 +228,15 @@
   std::ofstream(rig.dir / "go");
   ASSERT_TRUE(rig.until_logged("saved"));
   auto j = nlohmann::json::parse(
-      depot::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
+      artifacts::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
   ::kill(j["pid"].get<pid_t>(), SIGKILL);
   ASSERT_TRUE(rig.until([&] {
-    return depot::read_whole(rig.dir / "agent.log").find("task ended") != std::string::npos;
+    return artifacts::read_whole(rig.dir / "agent.log").find("task ended") != std::string::npos;
   }));
   rig.kill_agent();
   rig.start();
   rig.open_depot();
-  ASSERT_TRUE(rig.until_done(id)) << depot::read_whole(rig.dir / "agent.log");
+  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_whole(rig.dir / "agent.log");
   EXPECT_EQ(rig.tasks[id].failed, 1);
   EXPECT_EQ(rig.logged("from 1"), 1);
 }
@@ -250,7 +252,7 @@
   ASSERT_TRUE(rig.until_logged("begin"));
   fs::create_directories(rig.dir / "m" / "tasks" / (id + ".0.1") / "kept.tar");
   std::ofstream(rig.dir / "go");
-  ASSERT_TRUE(rig.until_done(id)) << depot::read_whole(rig.dir / "agent.log");
+  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_whole(rig.dir / "agent.log");
   EXPECT_EQ(rig.tasks[id].failed, 0);
 }
 
@@ -271,9 +273,9 @@
   EXPECT_EQ(rig.last.tasks.at(0).state, wire::TaskState::running);
   rig.open_depot();
   ASSERT_TRUE(rig.until_done(id));
-  auto r = far::decode_result(
-      depot::Store(rig.dir / "depot").get_name(far::result_name({id, 0}))->value);
-  EXPECT_EQ(*depot::Store(rig.dir / "depot").read(r.out, 0, 100), "the result\n");
+  auto r = client_protocol::decode_result(
+      artifacts::Store(rig.dir / "depot").get_name(client_protocol::result_name({id, 0}))->value);
+  EXPECT_EQ(*artifacts::Store(rig.dir / "depot").read(r.out, 0, 100), "the result\n");
   EXPECT_EQ(rig.logged("begin"), 1);
 }
 
@@ -307,10 +309,10 @@
   EXPECT_EQ(rig.tasks[first].done, 0);
   EXPECT_EQ(rig.logged("begin"), 1);
   ASSERT_EQ(::prlimit(rig.pid, RLIMIT_FSIZE, &all, nullptr), 0);
-  ASSERT_TRUE(rig.until_done(first)) << depot::read_whole(rig.dir / "agent.log");
+  ASSERT_TRUE(rig.until_done(first)) << artifacts::read_whole(rig.dir / "agent.log");
   ASSERT_TRUE(rig.until_done(second));
   EXPECT_EQ(rig.logged("begin"), 2);
-  EXPECT_NE(depot::read_whole(rig.dir / "agent.log").find("record can be written again"),
+  EXPECT_NE(artifacts::read_whole(rig.dir / "agent.log").find("record can be written again"),
             std::string::npos);
 }
 
@@ -320,8 +322,8 @@
   rig.start();
   ASSERT_TRUE(rig.until_done(loud));
   ASSERT_TRUE(rig.until_done(quiet));
-  auto r = far::decode_result(
-      depot::Store(rig.dir / "depot").get_name(far::result_name({loud, 0}))->value);
+  auto r = client_protocol::decode_result(
+      artifacts::Store(rig.dir / "depot").get_name(client_protocol::result_name({loud, 0}))->value);
   EXPECT_NE(r.exit, 0);
 }
 
@@ -329,17 +331,17 @@
   Rig rig;
   fs::create_directories(rig.dir / "image");
   std::ofstream(rig.dir / "image" / "words") << "from the image\n";
-  depot::Packer p(rig.dir / "image", rig.dir / "image.tar");
+  artifacts::Packer p(rig.dir / "image", rig.dir / "image.tar");
   while (!p.step()) {
   }
-  depot::Store store(rig.dir / "depot");
+  artifacts::Store store(rig.dir / "depot");
   auto put = [&](const std::string& bytes, const char* upload) {
-    std::string hash = depot::hash_of(bytes);
+    std::string hash = artifacts::hash_of(bytes);
     store.add_part(upload, 0, bytes);
     EXPECT_TRUE(store.finish(upload, hash));
     return hash;
   };
-  std::string hash = put(depot::read_whole(rig.dir / "image.tar"), "aaaaaaaa");
+  std::string hash = put(artifacts::read_whole(rig.dir / "image.tar"), "aaaaaaaa");
   std::string torn = put("these bytes are no archive, whatever their hash may be", "bbbbbbbb");
   std::string damaged = put("something", "cccccccc");
   std::ofstream(rig.dir / "depot" / "blobs" / damaged.substr(0, 2) / damaged) << "something else";
--- a/tests/agent_rig.h
+++ b/tests/agent_rig.h
@@ -1,4 +1,5 @@
-// Real agents on loopback, with a depot and a controller's stand-in in the test's own loop.
+// Real agents on loopback, with a artifact store and a controller's emulator in the test's own
+// loop.
 #pragma once
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -18,8 +19,8 @@
 #include "agent/agent.h"
 #include "artifacts/server.h"
 #include "artifacts/store.h"
-#include "client_protocol/job_description.h"
 #include "client_protocol/client_protocol.h"
+#include "client_protocol/job_description.h"
 #include "net/http.h"
 
 namespace shunttrail::test {
@@ -45,9 +46,9 @@
 class Rig {
  public:
   struct Task {
-    std::uint64_t attempt = 0, session = 0;  // what was last asked for, and in which session
+    std::uint64_t attempt = 0, session = 0;  // what was last asked for, and in which incarnation
     bool sent = false, wanted = true, cancelled = false;
-    int done = 0, failed = 0, lost = 0;  // final answers, other ends, ends with a session
+    int done = 0, failed = 0, lost = 0;  // final answers, other ends, ends with a incarnation
     std::string why;
   };
 
@@ -81,8 +82,8 @@
       if (!kill_at.empty()) ::setenv("SHUNT_KILL_AT", kill_at.c_str(), 1);
       int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
       ::dup2(out, 2);
-      ::execl(SHUNTTRAIL_AGENT, "shunttrail-agent", "--settings", settings.c_str(), "--dir", home.c_str(),
-              nullptr);
+      ::execl(SHUNTTRAIL_AGENT, "shunttrail-agent", "--settings", settings.c_str(), "--dir",
+              home.c_str(), nullptr);
       ::_exit(127);
     }
   }
@@ -97,11 +98,13 @@
     pid = 0;
   }
 
-  void open_depot() { depot_ = std::make_unique<depot::Server>(loop, depot_at_, dir / "depot"); }
+  void open_depot() {
+    depot_ = std::make_unique<artifacts::Server>(loop, depot_at_, dir / "depot");
+  }
   void close_depot() { depot_.reset(); }
   void open_controller() {
     controller_ = std::make_unique<net::Server>(loop, controller_at_, 64 * 1024,
-                                                [this](net::ExchangePtr ex) { beat(ex); });
+                                                [this](net::ExchangePtr ex) { heartbeat(ex); });
   }
   void close_controller() { controller_.reset(); }
 
@@ -109,7 +112,7 @@
   // attempt of its own, stand in the log.
   std::string add(const std::string& script, double save_every_s = 0,
                   const std::string& image = "") {
-    far::Description d;
+    client_protocol::Description d;
     std::string id = "run-" + std::to_string(100001 + jobs_++);
     d.job.id = id;
     d.job.cls = "c";
@@ -126,13 +129,14 @@
                      "; echo begin $SHUNT_JOB $SHUNT_ATTEMPT >> " + log().string() + "; " + script +
                      "; e=$?; echo end $SHUNT_JOB $SHUNT_ATTEMPT >> " + log().string() +
                      "; exit $e"};
-    depot::Store(dir / "depot").put_name(far::description_name(id), {far::encode_description(d)});
+    artifacts::Store(dir / "depot")
+        .put_name(client_protocol::description_name(id), {client_protocol::encode_description(d)});
     tasks[id].attempt = 1;
     return id;
   }
   fs::path log() const { return dir / "log"; }
   int logged(const std::string& word) const {
-    std::istringstream in(depot::read_whole(log()));
+    std::istringstream in(artifacts::read_whole(log()));
     int n = 0;
     for (std::string line; std::getline(in, line);) n += line.starts_with(word);
     return n;
@@ -186,7 +190,7 @@
  private:
   // A controller in a few lines: what is wanted is started until it is seen, what has exited is
   // reaped, and what did not get done is tried once more.
-  void beat(net::ExchangePtr ex) {
+  void heartbeat(net::ExchangePtr ex) {
     last = wire::decode_report(ex->body);
     ++reports;
     std::vector<wire::Command> commands;
@@ -229,7 +233,7 @@
   std::string more_;
   int jobs_ = 0;
   config::Endpoint depot_at_ = free_endpoint(), controller_at_ = free_endpoint();
-  std::unique_ptr<depot::Server> depot_;
+  std::unique_ptr<artifacts::Server> depot_;
   std::unique_ptr<net::Server> controller_;
 };
 
--- a/tests/chain_test.cpp
+++ b/tests/chain_test.cpp
@@ -89,7 +89,7 @@
   Outcome o = walk(t, rng);
   EXPECT_EQ(o.kind, Outcome::accepted);
   EXPECT_EQ(o.machine, 1);
-  EXPECT_EQ(o.trail.size(), 1u);
+  EXPECT_EQ(o.steps.size(), 1u);
 }
 
 TEST(Walk, BarredAcceptPassesOnAndRentsAtTheEnd) {
@@ -99,7 +99,7 @@
   t[0].end = {TierEnd::rent, 0};
   Outcome o = walk(t, rng);
   EXPECT_EQ(o.kind, Outcome::rented);
-  EXPECT_EQ(o.trail.size(), 2u);
+  EXPECT_EQ(o.steps.size(), 2u);
   t[0].end = {TierEnd::join, 9};
   o = walk(t, rng);
   EXPECT_EQ(o.kind, Outcome::joined);
@@ -129,8 +129,8 @@
   Outcome o = walk(t, rng);
   EXPECT_EQ(o.kind, Outcome::accepted);
   EXPECT_EQ(o.machine, 2);
-  ASSERT_EQ(o.trail.size(), 2u);
-  EXPECT_EQ(o.trail[0].arm, Arm::down);
+  ASSERT_EQ(o.steps.size(), 2u);
+  EXPECT_EQ(o.steps[0].arm, Arm::down);
 }
 
 // Walks through a fleet of hundreds took a quarter of a controller's time, most of it for seats
@@ -170,7 +170,7 @@
     EXPECT_EQ(a.kind, b.kind);
     EXPECT_EQ(a.tier, b.tier);
     EXPECT_EQ(a.machine, b.machine);
-    EXPECT_EQ(a.trail.size(), b.trail.size());
+    EXPECT_EQ(a.steps.size(), b.steps.size());
     EXPECT_EQ(one(), other());
   }
 }
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -56,8 +56,8 @@
     wire::FinalRecord f;
     f.cancelled = cancelled;
     const std::string key =
-        store.stamp(state::job_key(job)) ? state::job_key(job) : state::waiting_key(job);
-    if (!store.stamp(key)) return;
+        store.mod_revision(state::job_key(job)) ? state::job_key(job) : state::waiting_key(job);
+    if (!store.mod_revision(key)) return;
     store.commit(
         {{}, {{key, std::nullopt, 0}, {state::final_key(job), wire::encode_record(f), 0}}});
   }
@@ -102,7 +102,7 @@
   }
 };
 
-RC_GTEST_PROP(Pipelines, FollowTheModel, ()) {
+RC_GTEST_PROP(DependencyGraph, FollowTheModel, ()) {
   View v;
   int next = 0;
   auto steps = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(rc::gen::tuple(
@@ -126,7 +126,7 @@
     } else if (what < 7 && next) {
       const std::string job = View::id(a % next);
       // Only what may run can be done; anything that is not over can be cancelled.
-      if (v.store.stamp(state::job_key(job)))
+      if (v.store.mod_revision(state::job_key(job)))
         v.end(job, what == 4);
       else if (what == 4)
         v.end(job, true);
@@ -158,7 +158,7 @@
 }
 
 // A key that is gone proves nothing: the job may have been cancelled.
-TEST(Pipelines, OnlyAFinalRecordProvesThatAJobIsDone) {
+TEST(DependencyGraph, OnlyAFinalRecordProvesThatAJobIsDone) {
   View v;
   v.submit(0, {});
   v.submit(1, {0});
@@ -174,8 +174,8 @@
 }
 
 // A copy of a move that comes late, after the job was moved by another node and is over, or was
-// withdrawn, changes nothing: each of its guards is enough for that.
-TEST(Pipelines, ALateMoveIsRefusedByEachOfItsGuards) {
+// withdrawn, changes nothing: each of its preconditions is enough for that.
+TEST(DependencyGraph, ALateMoveIsRefusedByEachOfItsGuards) {
   for (bool withdrawn : {true, false}) {
     View v;
     v.submit(0, {});
@@ -191,14 +191,14 @@
     if (!withdrawn) v.move(true);
     v.end(View::id(1), withdrawn);
     std::size_t refusing = 0;
-    for (const auto& g : m.txn.guards) refusing += v.store.stamp(g.first) != g.second;
+    for (const auto& g : m.txn.guards) refusing += v.store.mod_revision(g.first) != g.second;
     EXPECT_EQ(refusing, 2u);  // the waiting key, and the final record
     EXPECT_FALSE(v.store.commit(m.txn));
   }
 }
 
 // Deep and wide at once, without recursion, and in transactions of four changes.
-TEST(Pipelines, ACancelledRootTakesThousandsWithIt) {
+TEST(DependencyGraph, ACancelledRootTakesThousandsWithIt) {
   View v;
   v.submit(0, {});
   constexpr int kDeep = 3000;
@@ -219,7 +219,7 @@
 }
 
 // The deadline of the last job leaves room for the path to it, and goes when that job goes.
-TEST(Pipelines, UrgencyComesAndGoesWithWhatNeedsAJob) {
+TEST(DependencyGraph, UrgencyComesAndGoesWithWhatNeedsAJob) {
   View v;
   v.submit(0, {});
   v.submit(1, {0});
--- a/tests/emulators.h
+++ b/tests/emulators.h
@@ -30,8 +30,8 @@
   return s;
 }
 
-inline fleet::Catalogue make_catalogue(const config::Settings& s) {
-  fleet::Catalogue c;
+inline scheduler::Catalogue make_catalogue(const config::Settings& s) {
+  scheduler::Catalogue c;
   c.load({{"t4", 4, 0, 16, 0.4, 0.1, 10, {"a", "b"}}}, s);
   return c;
 }
@@ -49,14 +49,14 @@
   return r;
 }
 
-// A roster page as a node would write it, with these machines added to what is there, in the form
-// of a state level.
+// A inventory page as a node would write it, with these machines added to what is there, in the
+// form of a state level.
 inline wire::Txn roster_txn(const state::World& w, const std::vector<wire::MachineRecord>& add,
                             int form = 0) {
   std::map<int, std::vector<wire::MachineRecord>> pages;
   for (const auto& m : add) {
     int page = state::roster_page(m.name);
-    if (!pages.contains(page)) pages[page] = w.roster(page);
+    if (!pages.contains(page)) pages[page] = w.inventory(page);
     pages[page].push_back(m);
   }
   wire::Txn t;
@@ -66,23 +66,23 @@
   return t;
 }
 
-// The state service: commits with guards, and the log that watches read.
+// The state service: commits with preconditions, and the log that watches read.
 struct Store {
   struct Entry {
     std::string value;
-    std::uint64_t stamp;
+    std::uint64_t mod_revision;
   };
   std::map<std::string, Entry> keys;
   std::vector<wire::Event> log;
   std::uint64_t revision = 0;
 
-  std::uint64_t stamp(const std::string& k) const {
+  std::uint64_t mod_revision(const std::string& k) const {
     auto it = keys.find(k);
-    return it == keys.end() ? 0 : it->second.stamp;
+    return it == keys.end() ? 0 : it->second.mod_revision;
   }
   std::optional<std::uint64_t> commit(const wire::Txn& t) {
     for (const auto& [k, s] : t.guards)
-      if (stamp(k) != s) return std::nullopt;
+      if (mod_revision(k) != s) return std::nullopt;
     ++revision;
     for (const auto& op : t.ops) {
       if (op.value)
@@ -95,12 +95,12 @@
   }
   void read(state::World& w, std::vector<state::Change>& changes) const {
     for (const auto& e : log)
-      if (e.stamp > w.revision()) w.apply(e, changes);
+      if (e.mod_revision > w.revision()) w.apply(e, changes);
     w.advance(revision);
   }
 };
 
-// A worker: token, session, lease and tasks as the protocol has them.
+// A worker: token, incarnation, lease and tasks as the protocol has them.
 struct Worker {
   struct Task {
     wire::TaskId id;
@@ -151,7 +151,8 @@
                  k.state != wire::TaskState::exited;
         });
         double run = 2 + static_cast<double>(rng() % 400) / 10.0;
-        tasks.push_back({c.task, c.attempt, busy ? wire::TaskState::exited : wire::TaskState::running,
+        tasks.push_back({c.task, c.attempt,
+                         busy ? wire::TaskState::exited : wire::TaskState::running,
                          busy ? wire::ExitReason::busy : wire::ExitReason::none, now + run});
       } else if (c.op == wire::Command::Op::stop && it != tasks.end() &&
                  it->state != wire::TaskState::exited) {
--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -1,4 +1,4 @@
-// What the tests of meetings share: jobs, troubles by name, and drawn histories.
+// What the tests of fault combinations share: jobs, faults by name, and drawn histories.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -13,8 +13,8 @@
 
 namespace shunttrail::test {
 
-using rehearsal::Scale;
-using rehearsal::Set;
+using simulation::Scale;
+using simulation::Set;
 
 inline wire::JobSpec spec(const std::string& team, std::uint32_t tasks, double cpus = 1) {
   wire::JobSpec s;
@@ -30,7 +30,7 @@
   return s;
 }
 
-// ---- troubles by name
+// ---- faults by name
 
 struct Trouble {
   const char* name;
@@ -265,7 +265,7 @@
   return out;
 }
 
-// Two or three troubles begin within a few seconds of each other, twice, while users submit, ask
+// Two or three faults begin within a few seconds of each other, twice, while users submit, ask
 // and cancel; then it is quiet, and every accepted job has to be known everywhere, and to be over.
 // `named` are always among them.
 inline Played play(unsigned seed, const std::vector<std::string>& named = {}) {
--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -10,8 +10,8 @@
 #include <set>
 
 #include "client_protocol/client_protocol.h"
-#include "schema/schema.h"
 #include "fault_combinations.h"
+#include "schema/schema.h"
 
 namespace shunttrail::test {
 namespace {
@@ -46,7 +46,7 @@
 
  private:
   Set& set_;
-  rehearsal::Host host_;
+  simulation::Host host_;
 };
 
 // ---- histories of short jobs, with users who ask, repeat and cancel
@@ -61,7 +61,7 @@
 
 using Tweak = std::function<void(Set&)>;
 
-// Jobs come for a minute and a half, most of one to three short tasks; troubles begin within the
+// Jobs come for a minute and a half, most of one to three short tasks; faults begin within the
 // first; then it is quiet, and every accepted job has to be known everywhere, and to be over.
 Users play_users(unsigned seed, const Tweak& tweak, const std::vector<std::string>& named) {
   Scale scale;
@@ -90,7 +90,7 @@
     if (sim.chance(0.15)) set.cancel(jobs[sim.rng()() % jobs.size()]);
     set.pass(sim.draw(0.2, 4));
   }
-  set.pass(60);  // the longest trouble is over
+  set.pass(60);  // the longest fault is over
   Users out;
   set.scale().late_writes = set.scale().report_copies = set.scale().lost_answers = 0;
   set.scale().close_looks = set.scale().meet_ends = set.scale().cancel_at_once = 0;
@@ -107,9 +107,9 @@
   }
   set.pass(60);
   const net::Result level =
-      Asker(set).ask(config::Endpoint{"state", 1}, "GET", std::string("/kv/") + levels::kActiveKey);
+      Asker(set).ask(config::Endpoint{"state", 1}, "GET", std::string("/kv/") + schema::kActiveKey);
   if (level.status == 200) {
-    const auto record = levels::decode_record(wire::decode_key(level.body));
+    const auto record = schema::decode_record(wire::decode_key(level.body));
     out.level_settled = record.active > 0 && record.settled();
   }
   out.broken = set.broken();
@@ -190,13 +190,13 @@
 
 // ---- lost answers, by kind of transaction
 
-// By what it writes and guards: docs/safety.md, "Writes that are carried out late".
+// By what it writes and preconditions: docs/safety.md, "Writes that are carried out late".
 std::string kind_of(const std::string& body) {
-  const wire::Txn t = far::decode_txn(body);
+  const wire::Txn t = client_protocol::decode_txn(body);
   std::map<std::string, int> sets, drops, guards;
   for (const auto& op : t.ops)
     ++(op.value ? sets : drops)[op.key.substr(0, op.key.starts_with("st/") ? 5 : 4)];
-  for (const auto& [key, stamp] : t.guards) ++guards[key.substr(0, 5)];
+  for (const auto& [key, mod_revision] : t.guards) ++guards[key.substr(0, 5)];
   auto node_guard = [&](bool there) {
     return std::any_of(t.guards.begin(), t.guards.end(), [&](const auto& g) {
       return g.first.starts_with("st/n/") && (g.second != 0) == there;
@@ -286,12 +286,12 @@
     set.pass(15);
     std::set<std::string> named;
     std::size_t waited = 0;
-    sim.way = [way = sim.way, &set, &sim, &named, &waited](const rehearsal::Request& r) {
+    sim.way = [way = sim.way, &set, &sim, &named, &waited](const simulation::Request& r) {
       if (r.path != "/commit") return way(r);
       const std::string kind = kind_of(r.body);
       waited += r.body.find("\"needs\"") != std::string::npos;
       if (kind == "end")
-        for (const auto& op : far::decode_txn(r.body).ops) {
+        for (const auto& op : client_protocol::decode_txn(r.body).ops) {
           if (!op.key.starts_with("fin/")) continue;
           const std::string ending = op.key.substr(4);
           if (!set.jobs().at(ending).spec.awaits.empty() || !named.insert(ending).second) continue;
@@ -560,7 +560,7 @@
 
 // A cancellation is answered by an outcome, also one that comes beside the submission itself.
 TEST_F(OddRequests, ACancellationBesideTheSubmission) {
-  set.sim().way = [way = set.sim().way, this](const rehearsal::Request& r) {
+  set.sim().way = [way = set.sim().way, this](const simulation::Request& r) {
     auto w = way(r);
     if (r.path == "/v2/runs") w.there_s += set.sim().draw(0, 0.03);
     return w;
@@ -598,7 +598,7 @@
     for (const char* body : {"{}", "", "[]", "no JSON"}) {
       const net::Result r = user.ask(n, "POST", "/v2/runs/" + id + "/withdraw", body);
       EXPECT_EQ(r.status, 200);
-      EXPECT_EQ(far::decode_job_state(r.body).state, wire::JobState::done);
+      EXPECT_EQ(client_protocol::decode_job_state(r.body).state, wire::JobState::done);
     }
   }
   EXPECT_EQ(set.broken(), std::vector<std::string>{});
--- a/tests/fault_combinations_cancel_test.cpp
+++ b/tests/fault_combinations_cancel_test.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 // A start sent directly is held on its way while its job is cancelled and the worker goes on
-// reporting: it can be carried out as late as token and session hold. The token cannot be raised,
-// since no such commit is taken, and none of the worker's reports gets through once the start has
-// come.
+// reporting: it can be carried out as late as token and incarnation hold. The token cannot be
+// raised, since no such commit is taken, and none of the worker's reports gets through once the
+// start has come.
 struct HeldStart {
   Set set;
   double held_from = -1, told = -1, mute_from = 1e18;
@@ -28,7 +28,7 @@
     // Something runs on every machine, so that they are there, and report now and then only.
     for (int i = 0; i < 6; ++i) set.submit(spec(i % 2 ? "red" : "blue", 1), 200);
     set.pass(20);
-    set.sim().way = [this, way = set.sim().way, raises](const rehearsal::Request& r) {
+    set.sim().way = [this, way = set.sim().way, raises](const simulation::Request& r) {
       auto w = way(r);
       if (r.path == "/agent/beat" && set.now() >= mute_from) w.arrives = false;
       if (r.path == "/commit" && held_from >= 0 && !raises &&
@@ -89,7 +89,7 @@
     set.kill(0, 0.3);
     std::map<std::string, double> greeted;  // when each machine's answer to an order left
     std::map<std::string, int> answered;
-    sim.way = [&, way = sim.way](const rehearsal::Request& r) {
+    sim.way = [&, way = sim.way](const simulation::Request& r) {
       auto w = way(r);
       if (r.path == "/agent/beat" && set.now() >= goes_on) {
         w.there_s = 0.8;
@@ -99,7 +99,7 @@
       if (r.path == "/orders" && set.now() >= goes_on && greeted.contains(r.to)) w.arrives = false;
       return w;
     };
-    sim.hold_answer = [&, hold = sim.hold_answer](const rehearsal::Request& r) {
+    sim.hold_answer = [&, hold = sim.hold_answer](const simulation::Request& r) {
       if (r.path == "/orders" && set.now() >= goes_on) greeted[r.to] = set.now();
       if (r.path == "/agent/beat" && set.now() >= goes_on && answered[r.from]++ == 0)
         overtaken += greeted.contains(r.from);
--- a/tests/fault_combinations_emulators_test.cpp
+++ b/tests/fault_combinations_emulators_test.cpp
@@ -1,4 +1,4 @@
-// The stand-in worker by itself, as the protocol has workers: saving, hangs and leases.
+// The emulator worker by itself, as the protocol has workers: saving, hangs and leases.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,17 +8,17 @@
 #include <vector>
 
 #include "client_protocol/client_protocol.h"
-#include "simulation/simulation.h"
 #include "emulators/state.h"
 #include "emulators/worker.h"
+#include "simulation/simulation.h"
 #include "wire/codec.h"
 
 namespace shunttrail::test {
 namespace {
 
-using rehearsal::Host;
-using rehearsal::Simulation;
-using standins::Worker;
+using emulators::Worker;
+using simulation::Host;
+using simulation::Simulation;
 using wire::Command;
 using wire::TaskState;
 
@@ -112,7 +112,7 @@
 }
 
 // Orders that came while it hung, its due tasks, its lease and its report come in any order as it
-// goes on; nothing of a lease that is over is run, and no start for its session is taken.
+// goes on; nothing of a lease that is over is run, and no start for its incarnation is taken.
 TEST(StandInWorker, NothingSurvivesALeaseThatIsOver) {
   for (unsigned seed = 1; seed <= 40; ++seed) {
     Bench b(seed);
@@ -170,7 +170,7 @@
 TEST(StandInState, RefusesAboveItsRates) {
   Simulation sim(1);
   Host service(sim, "state"), user(sim, "node-0");
-  standins::State state(service.loop(), {"state", 1}, "");
+  emulators::State state(service.loop(), {"state", 1}, "");
   state.limit(10, 4);
   std::vector<int> gets, writes;
   std::vector<net::Network::Handle> out;
--- a/tests/fault_combinations_held_test.cpp
+++ b/tests/fault_combinations_held_test.cpp
@@ -12,7 +12,7 @@
 // A start that is sent straight to a machine as it begins to hang, and whose job is cancelled at
 // once. The machine goes on within its lease for a moment, in which it reports what it had, is
 // answered, and takes the start; and it hangs again within the lease that this answer has renewed.
-TEST(Meetings, AStartHeldByAMachineThatHangsTwiceIsGoneInTime) {
+TEST(FaultCombinations, AStartHeldByAMachineThatHangsTwiceIsGoneInTime) {
   int hung = 0, obeyed_late = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
@@ -22,7 +22,7 @@
     std::map<std::string, double> reported;  // when each machine last sent a report
     std::string job;
     bool done = false;
-    set.sim().way = [&, way = set.sim().way](const rehearsal::Request& r) {
+    set.sim().way = [&, way = set.sim().way](const simulation::Request& r) {
       if (r.path == "/agent/beat") reported[r.from] = set.now();
       if (done || job.empty() || r.path != "/orders" || r.body.find(job + "/") == std::string::npos)
         return way(r);
@@ -50,7 +50,7 @@
 
 // The same on its way: the start arrives some seconds late, while the machine reports as ever, and
 // the machine then hangs once, within the lease that its last report has earned.
-TEST(Meetings, AStartHeldOnItsWayToAMachineThatThenHangsIsGoneInTime) {
+TEST(FaultCombinations, AStartHeldOnItsWayToAMachineThatThenHangsIsGoneInTime) {
   int held = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
@@ -62,7 +62,7 @@
     std::map<std::string, double> reported;  // when each machine last sent a report
     std::string job;
     bool done = false;
-    set.sim().way = [&, way = set.sim().way](const rehearsal::Request& r) {
+    set.sim().way = [&, way = set.sim().way](const simulation::Request& r) {
       if (r.path == "/agent/beat") reported[r.from] = set.now();
       if (done || job.empty() || r.path != "/orders" || r.body.find(job + "/") == std::string::npos)
         return way(r);
--- a/tests/fault_combinations_limits_test.cpp
+++ b/tests/fault_combinations_limits_test.cpp
@@ -12,22 +12,23 @@
 namespace {
 
 const char* const kTeam[] = {"red", "blue", "green", "white"};
-constexpr double kLongest = 80;  // of all troubles here, counted from the last that begins
+constexpr double kLongest = 80;  // of all faults here, counted from the last that begins
 constexpr double kCalm = 420;    // until all is over that can be
 
 using Strings = std::vector<std::string>;
 
-// SHUNTTRAIL_HISTORIES=FIRST-LAST plays these seeds of each meeting instead.
+// SHUNTTRAIL_HISTORIES=FIRST-LAST plays these seeds of each fault combination instead.
 void each_seed(const std::function<void(unsigned)>& play) {
   unsigned first = 1, last = 25;
-  if (const char* more = std::getenv("SHUNTTRAIL_HISTORIES")) std::sscanf(more, "%u-%u", &first, &last);
+  if (const char* more = std::getenv("SHUNTTRAIL_HISTORIES"))
+    std::sscanf(more, "%u-%u", &first, &last);
   for (unsigned seed = first; seed <= last; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     play(seed);
   }
 }
 
-// Nothing troubles the set any more: all jobs end, users are answered, and no machine stays rented
+// Nothing faults the set any more: all jobs end, users are answered, and no machine stays rented
 // without work.
 void calm_down(Set& set) {
   set.scale().late_writes = set.scale().lost_answers = set.scale().slow_links_s = 0;
@@ -193,7 +194,7 @@
   expect_limits(true);
 }
 
-// Once the troubles are over, room is given again: nothing waits beside it for 90 s.
+// Once the faults are over, room is given again: nothing waits beside it for 90 s.
 TEST(Limits, RoomIsGivenAgainOnceTheTroublesAreOver) {
   each_seed([&](unsigned seed) {
     for (const bool leader_first : {false, true}) {
--- a/tests/fault_combinations_state_test.cpp
+++ b/tests/fault_combinations_state_test.cpp
@@ -10,21 +10,21 @@
 
 // A state service whose pages come slowly, and which answers nothing but them.
 struct SlowPages {
-  rehearsal::Simulation sim{1};
-  rehearsal::Host node{sim, "node-0"}, service{sim, "state"};
+  simulation::Simulation sim{1};
+  simulation::Host node{sim, "node-0"}, service{sim, "state"};
   config::Settings s;
   std::vector<double> pages_at;  // when each was asked for
   int pages = 5;
   std::unique_ptr<state::Client> client;
-  std::unique_ptr<front::Store> store;
+  std::unique_ptr<controller::Store> store;
   std::unique_ptr<net::Server> server;
 
   SlowPages() {
     s.nodes = {"node-0"};
     s.node = "node-0";
     s.state = {"state", 1};
-    sim.way = [](const rehearsal::Request&) {
-      rehearsal::Way w;
+    sim.way = [](const simulation::Request&) {
+      simulation::Way w;
       w.there_s = w.back_s = 0.8;
       return w;
     };
@@ -34,12 +34,13 @@
           pages_at.push_back(sim.now() - 0.8);
           const int n = static_cast<int>(pages_at.size());
           ex->send({200,
-                    far::encode_page({far::encode_entry("st/x/" + std::to_string(n), "{}", 4, 0)},
-                                     n < pages, 9),
+                    client_protocol::encode_page(
+                        {client_protocol::encode_entry("st/x/" + std::to_string(n), "{}", 4, 0)},
+                        n < pages, 9),
                     0});
         });
     client = std::make_unique<state::Client>(node.loop(), s);
-    store = std::make_unique<front::Store>(node.loop(), s, *client);
+    store = std::make_unique<controller::Store>(node.loop(), s, *client);
   }
 };
 
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -16,7 +16,7 @@
   return true;
 }();
 
-TEST(Meetings, ACalmSetRunsEverything) {
+TEST(FaultCombinations, ACalmSetRunsEverything) {
   Set set(1, Scale{});
   set.pass(15);
   for (int i = 0; i < 6; ++i) set.submit(spec(i % 2 ? "red" : "blue", 5), 10);
@@ -31,9 +31,10 @@
   EXPECT_EQ(set.leases_lost(), 0u);
 }
 
-// The meeting that broke most: the state service refuses the leading controller alone, another one
-// confirms cancellations, and then it is down for all for longer than cancel_s, while the workers
-// go on reporting to the leader. `told_cancel_s`: what the controllers take cancel_s for.
+// The fault combination that broke most: the state service refuses the leading controller alone,
+// another one confirms cancellations, and then it is down for all for longer than cancel_s, while
+// the workers go on reporting to the leader. `told_cancel_s`: what the controllers take cancel_s
+// for.
 struct Gap {
   Set set;
   int cancelled = 0;
@@ -74,7 +75,7 @@
   }
 };
 
-TEST(Meetings, CancelledThroughAnotherWhileTheLeaderAloneIsRefusedThenDownForAll) {
+TEST(FaultCombinations, CancelledThroughAnotherWhileTheLeaderAloneIsRefusedThenDownForAll) {
   int cancelled = 0;
   for (unsigned seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE(seed);
@@ -88,7 +89,7 @@
 
 // The bound S is what holds it: without it, or with one too long by the lease, the rule is broken
 // and the check sees it.
-TEST(Meetings, WithoutTheBoundOnStaleOwnersTheRuleBreaks) {
+TEST(FaultCombinations, WithoutTheBoundOnStaleOwnersTheRuleBreaks) {
   for (double too_much : {1e6, 26.5}) {
     int broken = 0;
     for (unsigned seed = 1; seed <= 20; ++seed) {
@@ -103,7 +104,7 @@
 // stands still between that read and its next turn, whichever that is. The new owner reaches none
 // of its machines and cannot delete them: it has the proof by silence alone, which what the old one
 // answers when it goes on must not outlast.
-TEST(Meetings, AnOwnerThatStandsStillJustAsItLearnsOfItsSuccessorRenewsNoLease) {
+TEST(FaultCombinations, AnOwnerThatStandsStillJustAsItLearnsOfItsSuccessorRenewsNoLease) {
   int taken_over = 0, begun_anew = 0;
   for (std::uint64_t turn = 1; turn <= 30; ++turn)
     for (double cut_s : {13.5, 14.5, 15.5}) {
@@ -122,7 +123,7 @@
       const int there = set.machines();
       const double until = set.now() + 100;
       set.sim().way = [way = set.sim().way, &set, successor, there,
-                       until](const rehearsal::Request& r) {
+                       until](const simulation::Request& r) {
         auto w = way(r);
         if (set.now() > until) return w;
         if (r.path == "/rentals/delete") w.refused = 503;
@@ -138,7 +139,7 @@
       // The first read that tells of the successor is on its way back.
       auto read = std::make_shared<bool>(false);
       set.sim().hold_answer = [hold = set.sim().hold_answer, &set, read, old,
-                               turn](const rehearsal::Request& r) {
+                               turn](const simulation::Request& r) {
         const double held = hold(r);
         if (!*read && held >= 0 && r.from == "node-" + std::to_string(old) &&
             r.path.starts_with("/watch")) {
@@ -156,7 +157,7 @@
   EXPECT_GT(begun_anew, 20);
 }
 
-// The meetings that the operators named, each with others beside it.
+// The fault combinations that the operators named, each with others beside it.
 struct Named {
   const char* name;
   std::vector<std::string> troubles;
@@ -219,9 +220,9 @@
               {"refused alone with cancellations, then out"}}),
     [](const auto& i) { return std::string(i.param.name); });
 
-// What the new troubles are for takes place in them: tasks save, and cancelled ones are on machines
+// What the new faults are for takes place in them: tasks save, and cancelled ones are on machines
 // for long.
-TEST(Meetings, TasksSaveAndCancelledOnesOutlastTheirConfirmation) {
+TEST(FaultCombinations, TasksSaveAndCancelledOnesOutlastTheirConfirmation) {
   std::uint64_t saves = 0;
   double longest = 0;
   for (unsigned seed = 1; seed <= 8; ++seed) {
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -1,4 +1,4 @@
-// Generated histories over the desk, the placements and the takeover: two controllers that may
+// Generated histories over the scheduler, the placements and the takeover: two controllers that may
 // both believe they own the shard, commits that are lost, unanswered or applied late, reports and
 // answers that are lost, repeated or held back, cancellations, expired leases, lost machines. The
 // protocol's rules are checked after every step.
@@ -6,8 +6,8 @@
 
 #include <functional>
 
-#include "jobs/dependency_graph.h"
 #include "emulators.h"
+#include "jobs/dependency_graph.h"
 
 namespace shunttrail::test {
 namespace {
@@ -18,7 +18,7 @@
   jobs::Pipelines pipelines{world};
   // The version that knows no jobs that await others: it reads past their keys and moves none.
   bool old = false;
-  std::unique_ptr<fleet::Desk> desk;
+  std::unique_ptr<scheduler::Desk> scheduler;
   double fresh = 0;
   bool cut = false;  // from the state service alone
   std::optional<wire::Txn> txn;
@@ -56,7 +56,7 @@
     workers_.push_back(w);
   }
 
-  // What was deleted leaves the roster sooner or later.
+  // What was deleted leaves the inventory sooner or later.
   void leave_roster() {
     state::World w(s_);
     std::vector<state::Change> changes;
@@ -65,7 +65,7 @@
     for (const auto& name : deleted_) pages[state::roster_page(name)] = {};
     wire::Txn t;
     for (auto& [page, left] : pages) {
-      for (const auto& m : w.roster(page))
+      for (const auto& m : w.inventory(page))
         if (!deleted_.contains(m.name)) left.push_back(m);
       t.ops.push_back(
           {state::roster_key(page),
@@ -80,22 +80,22 @@
     std::vector<state::Change> changes;
     store_.read(n.world, changes);
     n.fresh = now_;
-    if (n.desk && n.world.owner(0).stamp != n.desk->token()) close(n);
+    if (n.scheduler && n.world.owner(0).mod_revision != n.scheduler->token()) close(n);
     for (const auto& ch : changes) {
       if (ch.kind <= state::Change::waiting_gone) n.pipelines.note(ch.name);
-      if (!n.desk) continue;
+      if (!n.scheduler) continue;
       if (ch.kind == state::Change::job_set && n.world.job(ch.name))
-        n.desk->job_added(n.world.job(ch.name)->record, 0, n.world.done(ch.name), now_, now_);
-      if (ch.kind == state::Change::job_gone) n.desk->job_gone(ch.name, now_);
+        n.scheduler->job_added(n.world.job(ch.name)->record, 0, n.world.done(ch.name), now_, now_);
+      if (ch.kind == state::Change::job_gone) n.scheduler->job_gone(ch.name, now_);
       if (ch.kind == state::Change::machine_set && n.world.machine(ch.name))
-        n.desk->machine_known(*n.world.machine(ch.name), now_);
+        n.scheduler->machine_known(*n.world.machine(ch.name), now_);
       if (ch.kind == state::Change::machine_gone && !n.world.machine(ch.name))
-        n.desk->machine_moved(ch.name, now_);
+        n.scheduler->machine_moved(ch.name, now_);
     }
     for (const auto& id : n.pipelines.take_changed())
-      if (n.desk && !n.old && n.world.job(id)) {
+      if (n.scheduler && !n.old && n.world.job(id)) {
         auto u = n.pipelines.urgency(id, n.world.job(id)->record);
-        n.desk->job_urgency(id, u.priority, u.due);
+        n.scheduler->job_urgency(id, u.priority, u.due);
       }
     // What has been read in full: no job below one that is cancelled is called queued.
     if (n.old) return;
@@ -137,7 +137,7 @@
     }
   }
   void close(Node& n) {
-    n.desk.reset();
+    n.scheduler.reset();
     n.txn.reset();
   }
   void take(int i) {
@@ -147,27 +147,27 @@
     // The upgrade: a process comes back new, or, if it dies before its turn, old.
     n.old = now_ < 150 && chance(0.5);
     wire::Txn t;
-    t.guards.emplace_back(state::owner_key(0), n.world.stamp(state::owner_key(0)));
+    t.guards.emplace_back(state::owner_key(0), n.world.mod_revision(state::owner_key(0)));
     t.ops.push_back(
         {state::owner_key(0), wire::encode_record(wire::OwnerRecord{s_.nodes[i], "x"}), 0});
     if (!store_.commit(t)) return;
     close(n);
     std::vector<state::Change> changes;
     store_.read(n.world, changes);
-    n.desk =
-        std::make_unique<fleet::Desk>(s_, tuning_, c_, 0, n.world.owner(0).stamp, now_, rng_());
+    n.scheduler = std::make_unique<scheduler::Desk>(s_, tuning_, c_, 0,
+                                                    n.world.owner(0).mod_revision, now_, rng_());
     for (const auto& [id, j] : n.world.jobs())
-      n.desk->job_added(j.record, 0, n.world.done(id), now_, now_);
-    for (const auto& [name, m] : n.world.machines()) n.desk->machine_known(m, now_);
-    for (const auto& [k, sheet] : n.world.sheets(0)) n.desk->inherit(k, sheet, now_);
+      n.scheduler->job_added(j.record, 0, n.world.done(id), now_, now_);
+    for (const auto& [name, m] : n.world.machines()) n.scheduler->machine_known(m, now_);
+    for (const auto& [k, page] : n.world.pages(0)) n.scheduler->inherit(k, page, now_);
   }
   // As the controller does it: the same transaction is repeated until its fate is known.
   void pump(Node& n) {
-    if (!n.desk || n.cut) return;
+    if (!n.scheduler || n.cut) return;
     if (!n.txn) {
       n.tag = "t" + std::to_string(++tags_);
-      n.desk->turn(now_);
-      n.txn = n.desk->next_txn(n.world, size_, n.tag, now_);
+      n.scheduler->turn(now_);
+      n.txn = n.scheduler->next_txn(n.world, size_, n.tag, now_);
       if (!n.txn) return;
     }
     if (chance(0.1)) return;  // lost on the way, or refused
@@ -178,50 +178,51 @@
     auto rev = store_.commit(*n.txn);
     if (chance(0.1)) return;  // carried out, no answer
     bool applied = rev.has_value();
-    std::uint64_t stamp = rev.value_or(0);
+    std::uint64_t mod_revision = rev.value_or(0);
     if (!applied)
       for (const auto& op : n.txn->ops)
-        if (op.value && store_.stamp(op.key) &&
+        if (op.value && store_.mod_revision(op.key) &&
             store_.keys[op.key].value.find("\"" + n.tag + "\"") != std::string::npos) {
           applied = true;
-          stamp = store_.stamp(op.key);
+          mod_revision = store_.mod_revision(op.key);
         }
     if (applied) {
       wire::Txn t = *n.txn;
       n.txn.reset();
-      n.desk->txn_applied(now_);
+      n.scheduler->txn_applied(now_);
       std::vector<state::Change> changes;
-      for (const auto& op : t.ops) n.world.apply({op.key, op.value, stamp}, changes);
+      for (const auto& op : t.ops) n.world.apply({op.key, op.value, mod_revision}, changes);
       sync(n);
     } else {
       sync(n);
-      if (!n.desk) return;
+      if (!n.scheduler) return;
       n.txn.reset();
-      n.desk->txn_failed(now_);
+      n.scheduler->txn_failed(now_);
     }
   }
 
   // Direct orders: carried out at once, lost, or held back and carried out much later if token
-  // and session still match; and their answers may be lost.
+  // and incarnation still match; and their answers may be lost.
   void direct(Node& n) {
-    for (auto& d : n.desk->direct_orders(
+    for (auto& d : n.scheduler->direct_orders(
              now_ - n.fresh < 5, [](const std::string&) { return false; }, now_)) {
       if (chance(0.15)) {
         if (chance(0.7))
-          loose_.push_back({now_ + static_cast<double>(rng_() % 90), n.desk->token(), d});
-        n.desk->direct_done(d, 0);
+          loose_.push_back({now_ + static_cast<double>(rng_() % 90), n.scheduler->token(), d});
+        n.scheduler->direct_done(d, 0);
         continue;
       }
-      auto body = order(n.desk->token(), d);
+      auto body = order(n.scheduler->token(), d);
       if (!body || chance(0.1)) {
-        n.desk->direct_done(d, 0);
+        n.scheduler->direct_done(d, 0);
         continue;
       }
-      n.desk->direct_done(d, body->first);
-      n.desk->report(body->second, now_, true);
+      n.scheduler->direct_done(d, body->first);
+      n.scheduler->report(body->second, now_, true);
     }
   }
-  std::optional<std::pair<int, wire::Report>> order(std::uint64_t token, const fleet::Direct& d) {
+  std::optional<std::pair<int, wire::Report>> order(std::uint64_t token,
+                                                    const scheduler::Direct& d) {
     auto it = std::find_if(workers_.begin(), workers_.end(),
                            [&](const Worker& w) { return w.name == d.machine; });
     if (it == workers_.end()) return std::nullopt;
@@ -234,27 +235,28 @@
   }
   void raise(Node& n) {
     wire::Txn t;
-    t.guards.emplace_back(state::owner_key(0), n.desk->token());
+    t.guards.emplace_back(state::owner_key(0), n.scheduler->token());
     t.ops.push_back(
         {state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", "raise"}), 0});
     auto rev = store_.commit(t);
     if (!rev) return;
-    n.desk->raise(*rev, now_);
+    n.scheduler->raise(*rev, now_);
     ++raises_;
     sync(n);
   }
 
   void deliver(int target, const wire::Report& r, Worker* answer_to, double sent) {
     Node& n = *nodes_[target];
-    if (!n.desk || now_ - n.fresh >= s_.stale_s() || r.token > n.desk->token() ||
-        !n.desk->has_machine(r.machine) || n.desk->report(r, now_) == fleet::Desk::Heard::unknown) {
+    if (!n.scheduler || now_ - n.fresh >= s_.stale_s() || r.token > n.scheduler->token() ||
+        !n.scheduler->has_machine(r.machine) ||
+        n.scheduler->report(r, now_) == scheduler::Desk::Heard::unknown) {
       if (answer_to) answer_to->target = 1 - target;
       return;
     }
     pump(n);
-    if (!n.desk) return;
-    auto commands = n.desk->orders(r.machine, now_ - n.fresh < 5, now_);
-    std::uint64_t token = n.desk->token();
+    if (!n.scheduler) return;
+    auto commands = n.scheduler->orders(r.machine, now_ - n.fresh < 5, now_);
+    std::uint64_t token = n.scheduler->token();
     if (!answer_to || chance(0.1)) return;  // the answer is lost
     std::vector<wire::TaskId> before;
     if (!answer_to->obey(token, commands, r.session, sent, now_, rng_)) return;
@@ -266,7 +268,7 @@
       if (n->cut && chance(0.02)) n->cut = false;
     if (chance(0.01)) close(*nodes_[rng_() % 2]);  // killed
     bool owned = false;
-    for (auto& n : nodes_) owned |= n->desk && !n->cut;
+    for (auto& n : nodes_) owned |= n->scheduler && !n->cut;
     if (!owned && chance(0.2)) take(static_cast<int>(rng_() % 2));
     if (chance(0.01)) take(static_cast<int>(rng_() % 2));  // far too early, which must be safe
     for (std::size_t i = 0; i < late_.size();)
@@ -325,37 +327,38 @@
       wire::FinalRecord f;
       f.cancelled = true;
       const std::string key =
-          store_.stamp(state::waiting_key(id)) ? state::waiting_key(id) : state::job_key(id);
+          store_.mod_revision(state::waiting_key(id)) ? state::waiting_key(id) : state::job_key(id);
       wire::Txn t;
-      t.guards = {{key, store_.stamp(key)}, {state::final_key(id), 0}};
+      t.guards = {{key, store_.mod_revision(key)}, {state::final_key(id), 0}};
       t.ops.push_back({key, std::nullopt, 0});
       t.ops.push_back({state::final_key(id), wire::encode_record(f), 0});
-      if (store_.stamp(key) && store_.commit(t)) cancelled_[id] = now_;
+      if (store_.mod_revision(key) && store_.commit(t)) cancelled_[id] = now_;
     }
 
     for (auto& n : nodes_) {
       if (chance(0.8)) sync(*n);
       move_waiting(*n);
-      if (!n->desk) continue;
-      n->desk->tick(now_);
+      if (!n->scheduler) continue;
+      n->scheduler->tick(now_);
       pump(*n);
-      if (n->desk) direct(*n);
-      if (n->desk && !n->cut && !n->txn && n->desk->wants_raise(now_)) raise(*n);
-      if (n->desk && now_ - n->fresh < 5)
-        for (const auto& p : n->desk->probes(now_))
-          n->desk->probed(p.machine,
-                          chance(0.8) && std::any_of(workers_.begin(), workers_.end(),
-                                                     [&](auto& w) { return w.name == p.machine; }),
-                          now_);
-      if (!n->desk) continue;
-      for (auto& w : n->desk->rent_wishes(now_)) n->desk->refused(w, 0, true, now_);
-      for (auto& name : n->desk->returns()) {
+      if (n->scheduler) direct(*n);
+      if (n->scheduler && !n->cut && !n->txn && n->scheduler->wants_raise(now_)) raise(*n);
+      if (n->scheduler && now_ - n->fresh < 5)
+        for (const auto& p : n->scheduler->probes(now_))
+          n->scheduler->probed(
+              p.machine,
+              chance(0.8) && std::any_of(workers_.begin(), workers_.end(),
+                                         [&](auto& w) { return w.name == p.machine; }),
+              now_);
+      if (!n->scheduler) continue;
+      for (auto& w : n->scheduler->rent_wishes(now_)) n->scheduler->refused(w, 0, true, now_);
+      for (auto& name : n->scheduler->returns()) {
         if (chance(0.5)) {
-          n->desk->return_failed(name);
+          n->scheduler->return_failed(name);
           continue;
         }
         std::erase_if(workers_, [&](const Worker& w) { return w.name == name; });
-        n->desk->machine_gone(name, now_);
+        n->scheduler->machine_gone(name, now_);
         deleted_.insert(name);
       }
     }
@@ -451,7 +454,7 @@
   struct LooseOrder {
     double at;
     std::uint64_t token;
-    fleet::Direct direct;
+    scheduler::Direct direct;
   };
   std::vector<LooseOrder> loose_;
   std::set<std::string> deleted_;
@@ -460,7 +463,7 @@
   std::mt19937 rng_;
   config::Settings s_;
   config::Tuning tuning_;
-  fleet::Catalogue c_;
+  scheduler::Catalogue c_;
   Store store_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<Worker> workers_;
--- a/tests/local_cluster_test.cpp
+++ b/tests/local_cluster_test.cpp
@@ -35,7 +35,8 @@
   }
   void start() {
     const std::string home = dir / "set",
-                      settings = std::string(SHUNTTRAIL_SOURCE) + "/deploy/local.xml", log = dir / "log";
+                      settings = std::string(SHUNTTRAIL_SOURCE) + "/deploy/local.xml",
+                      log = dir / "log";
     int out[2];
     ASSERT_EQ(::pipe(out), 0);
     pid = ::fork();
@@ -45,8 +46,8 @@
       ::dup2(err, 2);
       ::close(out[0]);
       ::close(out[1]);
-      ::execl(SHUNTTRAIL_LOCAL, "shunttrail-local", "--dir", home.c_str(), "--settings", settings.c_str(),
-              nullptr);
+      ::execl(SHUNTTRAIL_LOCAL, "shunttrail-local", "--dir", home.c_str(), "--settings",
+              settings.c_str(), nullptr);
       ::_exit(127);
     }
     ::close(out[1]);
@@ -66,8 +67,8 @@
   }
   // shuntctl with these words: its exit status and what it printed.
   std::pair<int, std::string> ctl(const std::string& words) const {
-    const std::string command = std::string(SHUNTTRAIL_CTL) + " --server " + url + " " + words + " 2>>" +
-                                (dir / "ctl.err").string();
+    const std::string command = std::string(SHUNTTRAIL_CTL) + " --server " + url + " " + words +
+                                " 2>>" + (dir / "ctl.err").string();
     FILE* f = ::popen(command.c_str(), "r");
     std::string out;
     char b[4096];
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -8,10 +8,10 @@
 
 #include "controller/heartbeat_relay.h"
 #include "controller/shard_controller.h"
-#include "relay/relay_routes.h"
+#include "emulators.h"
 #include "loopback.h"
 #include "peer/peer.h"
-#include "emulators.h"
+#include "relay/relay_routes.h"
 
 namespace shunttrail::test {
 namespace {
@@ -25,7 +25,7 @@
   return {1, ++seq};
 }
 
-TEST(Detours, AWorkerThatComesBackOpensOneForItsZoneAlone) {
+TEST(RelayRoutes, AWorkerThatComesBackOpensOneForItsZoneAlone) {
   Detours d;
   EXPECT_EQ(d.way("m-1", order(), 0, 2, 10), Way::redirect);
   EXPECT_EQ(d.way("m-2", order(), 0, 2, 11), Way::redirect);
@@ -37,7 +37,7 @@
   EXPECT_EQ(d.way("m-4", order(), 1, 2, 40), Way::redirect);
 }
 
-TEST(Detours, TrialsEndItOnceAWorkerStaysAway) {
+TEST(RelayRoutes, TrialsEndItOnceAWorkerStaysAway) {
   Detours d;
   d.way("m-1", order(), 0, 2, 10);
   d.way("m-1", order(), 0, 2, 15);
@@ -51,7 +51,7 @@
   EXPECT_TRUE(d.open().empty());
 }
 
-TEST(Detours, AnOwnerThatDoesNotAnswerIsNotAskedAtOnceAgain) {
+TEST(RelayRoutes, AnOwnerThatDoesNotAnswerIsNotAskedAtOnceAgain) {
   Detours d;
   d.way("m-1", order(), 0, 2, 10);
   EXPECT_EQ(d.way("m-1", order(), 0, 2, 15), Way::relay);
@@ -68,7 +68,7 @@
 
 // Copies of reports come late: one that had been sent away before looked like a worker that had
 // come back, and every report of its zone took a hop.
-TEST(Detours, ACopyOpensNothingAndEndsNoTrial) {
+TEST(RelayRoutes, ACopyOpensNothingAndEndsNoTrial) {
   Detours d;
   EXPECT_EQ(d.way("m-1", {1, 7}, 0, 2, 10), Way::redirect);
   EXPECT_EQ(d.way("m-1", {1, 7}, 0, 2, 12), Way::redirect);
@@ -76,13 +76,13 @@
   EXPECT_TRUE(d.open().empty());
   EXPECT_EQ(d.way("m-1", {1, 8}, 0, 2, 14), Way::relay);
   EXPECT_EQ(d.way("m-2", {4, 1}, 0, 2, 18.5), Way::redirect);  // on trial
-  EXPECT_EQ(d.way("m-2", {3, 9}, 0, 2, 19), Way::relay);       // a copy of an earlier session
+  EXPECT_EQ(d.way("m-2", {3, 9}, 0, 2, 19), Way::relay);       // a copy of an earlier incarnation
   EXPECT_EQ(d.open().begin()->second.on_trial, "m-2");
-  EXPECT_EQ(d.way("m-2", {5, 1}, 0, 2, 20), Way::relay);  // itself, in a new session
+  EXPECT_EQ(d.way("m-2", {5, 1}, 0, 2, 20), Way::relay);  // itself, in a new incarnation
   EXPECT_EQ(d.open().begin()->second.on_trial, "");
 }
 
-TEST(Detours, WhatNobodyComesByIsForgotten) {
+TEST(RelayRoutes, WhatNobodyComesByIsForgotten) {
   Detours d;
   for (int i = 0; i < 500; ++i) d.way("m-" + std::to_string(i), order(), 0, 2, 10);
   d.way("m-1", order(), 0, 2, 12);
@@ -162,7 +162,7 @@
 
 // Two controllers in turn lost the workers for a minute: 304 to 1,636 tasks were killed by their
 // lease in a day.
-TEST(Detours, NoLeaseIsLostWhileASiblingIsReachedAndAllGoHomeAfterwards) {
+TEST(RelayRoutes, NoLeaseIsLostWhileASiblingIsReachedAndAllGoHomeAfterwards) {
   int without = 0;
   for (unsigned seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE(seed);
@@ -178,7 +178,7 @@
 
 // Whatever comes in whatever order: nothing is passed on before a worker has come back, and what is
 // remembered stays in proportion to what came lately.
-RC_GTEST_PROP(Detours, AnythingMayCome, ()) {
+RC_GTEST_PROP(RelayRoutes, AnythingMayCome, ()) {
   auto steps = *rc::gen::container<std::vector<std::tuple<int, int, int, int>>>(
       200, rc::gen::tuple(rc::gen::inRange(0, 12), rc::gen::inRange(-1, 2), rc::gen::inRange(0, 3),
                           rc::gen::inRange(0, 40)));
@@ -216,7 +216,7 @@
   std::string other = bytes;
   other[1] = 2;
   EXPECT_FALSE(peer::decode_passed(other, 3));
-  // A beat is no report, and a report no beat.
+  // A heartbeat is no report, and a report no heartbeat.
   EXPECT_FALSE(peer::decode(bytes, 3));
 }
 RC_GTEST_PROP(Passed, GarbageIsRefused, (std::string bytes, std::string report)) {
@@ -236,8 +236,8 @@
   std::vector<net::ExchangePtr> held;
   std::vector<std::string> reports;
   std::unique_ptr<state::Client> client;
-  std::unique_ptr<front::Parts> parts;
-  std::unique_ptr<front::Relay> relay;
+  std::unique_ptr<controller::Parts> parts;
+  std::unique_ptr<controller::Relay> relay;
   std::unique_ptr<net::Server> front, owner;
   std::unique_ptr<net::Client> worker;
 
@@ -245,8 +245,8 @@
     t.relay = true;
     s.peers.push_back({s.nodes[2], "b", {"127.0.0.1", owner_port}});
     client = std::make_unique<state::Client>(loop, s);
-    parts.reset(new front::Parts{s, t, *client});
-    relay = std::make_unique<front::Relay>(loop, *parts);
+    parts.reset(new controller::Parts{s, t, *client});
+    relay = std::make_unique<controller::Relay>(loop, *parts);
     front = std::make_unique<net::Server>(
         loop, config::Endpoint{"127.0.0.1", front_port}, 64 * 1024,
         [this](net::ExchangePtr ex) { relay->report(ex, "m-1", order(), 0, 2); });
--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -7,8 +7,8 @@
 #include <functional>
 #include <random>
 
-#include "shard/leader_election.h"
 #include "emulators.h"
+#include "shard/leader_election.h"
 
 namespace shunttrail::test {
 namespace {
@@ -106,7 +106,7 @@
     return std::any_of(live_.begin(), live_.end(), [&](const auto& p) {
       return p->acts[static_cast<std::size_t>(shard)] != 0 &&
              p->acts[static_cast<std::size_t>(shard)] ==
-                 service_.store.stamp(state::owner_key(shard));
+                 service_.store.mod_revision(state::owner_key(shard));
     });
   }
   bool all_served() const {
@@ -177,7 +177,7 @@
     for (const auto& p : std::vector<ProcessPtr>(live_)) run(p);
   }
 
-  // As Membership and Runner do it.
+  // As Membership and ShardController do it.
   void run(const ProcessPtr& p) {
     if (now_ < p->read_at) return;
     read(*p);
@@ -216,7 +216,7 @@
     });
   }
   void enroll(const ProcessPtr& p) {
-    auto t = levels::enroll(p->world->levels(), p->settings.node, p->boot, levels::here(), p->hold);
+    auto t = schema::enroll(p->world->levels(), p->settings.node, p->boot, schema::here(), p->hold);
     if (!t) return;
     p->registering = true;
     commit(p, *t, [this, p](std::optional<std::uint64_t> revision) {
@@ -228,7 +228,7 @@
   }
   void decide(const ProcessPtr& p, int shard) {
     const auto k = static_cast<std::size_t>(shard);
-    if (p->acts[k] && p->world->owner(shard).stamp != p->acts[k]) {
+    if (p->acts[k] && p->world->owner(shard).mod_revision != p->acts[k]) {
       p->spent[k] = p->acts[k];
       p->acts[k] = 0;
     }
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -1,4 +1,4 @@
-// One desk with its state service and its workers, on small cases: services beside arrays.
+// One scheduler with its state service and its workers, on small cases: services beside arrays.
 #pragma once
 #include "emulators.h"
 
@@ -11,10 +11,10 @@
  public:
   config::Settings s = make_settings(1);
   config::Tuning t;
-  fleet::Catalogue c = make_catalogue(s);
+  scheduler::Catalogue c = make_catalogue(s);
   Store store;
   state::World w{s};
-  std::unique_ptr<fleet::Desk> desk;
+  std::unique_ptr<scheduler::Desk> scheduler;
   std::map<std::string, Worker> workers;
   std::mt19937 rng{5};
 
@@ -29,10 +29,10 @@
     store.commit(
         {{}, {{state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", "x"}), 0}}});
     read();
-    desk = std::make_unique<fleet::Desk>(s, t, c, 0, w.owner(0).stamp, now, 7);
-    for (const auto& [id, j] : w.jobs()) desk->job_added(j.record, 0, w.done(id), now, now);
-    for (const auto& [name, m] : w.machines()) desk->machine_known(m, now);
-    for (const auto& [k, sheet] : w.sheets(0)) desk->inherit(k, sheet, now);
+    scheduler = std::make_unique<scheduler::Desk>(s, t, c, 0, w.owner(0).mod_revision, now, 7);
+    for (const auto& [id, j] : w.jobs()) scheduler->job_added(j.record, 0, w.done(id), now, now);
+    for (const auto& [name, m] : w.machines()) scheduler->machine_known(m, now);
+    for (const auto& [k, page] : w.pages(0)) scheduler->inherit(k, page, now);
   }
   void read() {
     std::vector<state::Change> ch;
@@ -42,8 +42,8 @@
     wire::MachineRecord r{name, "t4", zone, false, 0, 0};
     store.commit(roster_txn(w, {r}));
     read();
-    desk->machine_known(r, now);
-    desk->machine_addr(name, "10.0.0.1:1");
+    scheduler->machine_known(r, now);
+    scheduler->machine_addr(name, "10.0.0.1:1");
     Worker k;
     k.name = name;
     k.zone = zone;
@@ -65,28 +65,28 @@
     r.submitted_at = now;
     store.commit({{}, {{state::job_key(r.spec.id), wire::encode_record(r), 0}}});
     read();
-    desk->job_added(r, 0, {}, now, now);
+    scheduler->job_added(r, 0, {}, now, now);
     return r;
   }
   void commit(double now) {
-    desk->turn(now);
-    while (auto txn = desk->next_txn(w, state::Room{}, "t", now)) {
-      if (!store.commit(*txn)) return desk->txn_failed(now);
+    scheduler->turn(now);
+    while (auto txn = scheduler->next_txn(w, state::Room{}, "t", now)) {
+      if (!store.commit(*txn)) return scheduler->txn_failed(now);
       read();
-      desk->txn_applied(now);
+      scheduler->txn_applied(now);
     }
   }
-  // `deaf`: the answer does not get there.
-  fleet::Desk::Heard report(const std::string& name, double now, bool deaf = false) {
+  // `losing responses`: the answer does not get there.
+  scheduler::Desk::Heard report(const std::string& name, double now, bool deaf = false) {
     Worker& k = workers.at(name);
     k.lease(now, s.lease_s);
     auto r = k.report();
     r.spot = false;
-    auto heard = desk->report(r, now);
-    if (heard != fleet::Desk::Heard::fresh) return heard;
+    auto heard = scheduler->report(r, now);
+    if (heard != scheduler::Desk::Heard::fresh) return heard;
     commit(now);
-    auto commands = desk->orders(name, true, now);
-    if (!deaf) k.obey(desk->token(), commands, r.session, now, now, rng);
+    auto commands = scheduler->orders(name, true, now);
+    if (!deaf) k.obey(scheduler->token(), commands, r.session, now, now, rng);
     return heard;
   }
   void all_report(double now, const std::set<std::string>& but = {}) {
@@ -119,9 +119,9 @@
           task.state = TaskState::exited, task.why = wire::ExitReason::done;
       }
     all_report(now);
-    desk->tick(now);
+    scheduler->tick(now);
     commit(now);
-    for (const auto& r : desk->rent_wishes(now)) desk->refused(r, 0, true, now);
+    for (const auto& r : scheduler->rent_wishes(now)) scheduler->refused(r, 0, true, now);
   }
   void end(const std::string& name, const std::string& job) {
     for (auto& k : workers.at(name).tasks)
@@ -129,8 +129,8 @@
   }
   // Each is asked; the dead do not answer.
   std::size_t probe(double now, const std::set<std::string>& dead) {
-    auto list = desk->probes(now);
-    for (const auto& p : list) desk->probed(p.machine, !dead.contains(p.machine), now + 0.1);
+    auto list = scheduler->probes(now);
+    for (const auto& p : list) scheduler->probed(p.machine, !dead.contains(p.machine), now + 0.1);
     return list.size();
   }
 };
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -36,15 +36,15 @@
       if (now_ == 40) desk_.reset(), txn_.reset();  // killed, a commit perhaps under way
       if (now_ == 46) take();
       step();
-      if (store_.stamp(state::final_key("run-100001")) &&
-          store_.stamp(state::final_key("run-100002")))
+      if (store_.mod_revision(state::final_key("run-100001")) &&
+          store_.mod_revision(state::final_key("run-100002")))
         return;
     }
   }
   double now() const { return now_; }
   std::size_t changes() const { return changes_; }
   std::size_t longest() const { return longest_; }
-  bool over() const { return store_.stamp(state::final_key("run-100001")) != 0; }
+  bool over() const { return store_.mod_revision(state::final_key("run-100001")) != 0; }
 
   static constexpr int kMachines = 250;
 
@@ -61,11 +61,12 @@
     store_.commit(
         {{}, {{state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", "x"}), 0}}});
     sync();
-    desk_ = std::make_unique<fleet::Desk>(s_, tuning_, c_, 0, world_.owner(0).stamp, now_, rng_());
+    desk_ = std::make_unique<scheduler::Desk>(s_, tuning_, c_, 0, world_.owner(0).mod_revision,
+                                              now_, rng_());
     for (const auto& [id, j] : world_.jobs())
       desk_->job_added(j.record, 0, world_.done(id), now_, now_);
     for (const auto& [name, m] : world_.machines()) desk_->machine_known(m, now_);
-    for (const auto& [k, sheet] : world_.sheets(0)) desk_->inherit(k, sheet, now_);
+    for (const auto& [k, page] : world_.pages(0)) desk_->inherit(k, page, now_);
   }
   // Two commits a second at most, as a controller's share of a slow state service.
   void commits() {
@@ -103,7 +104,8 @@
         }
       if (!desk_ || !chance(0.4) || chance(0.05)) continue;  // not yet, or lost
       auto r = w.report();
-      if (r.token > desk_->token() || desk_->report(r, now_) != fleet::Desk::Heard::fresh) continue;
+      if (r.token > desk_->token() || desk_->report(r, now_) != scheduler::Desk::Heard::fresh)
+        continue;
       auto commands = desk_->orders(w.name, true, now_);
       if (!chance(0.05)) w.obey(desk_->token(), commands, r.session, now_, now_, rng_);
     }
@@ -121,7 +123,7 @@
       }
     ASSERT_LE(cpus, 900 + 1e-9) << "quota at " << now_;
     for (const auto& [id, spec] : jobs_)
-      if (store_.stamp(state::final_key(id))) {
+      if (store_.mod_revision(state::final_key(id))) {
         for (std::uint32_t i = 0; i < spec.tasks; ++i)
           ASSERT_TRUE(done_.contains(id + "/" + std::to_string(i))) << "not_done";
       }
@@ -130,10 +132,10 @@
   std::mt19937 rng_;
   config::Settings s_;
   config::Tuning tuning_;
-  fleet::Catalogue c_;
+  scheduler::Catalogue c_;
   Store store_;
   state::World world_{s_};
-  std::unique_ptr<fleet::Desk> desk_;
+  std::unique_ptr<scheduler::Desk> desk_;
   std::optional<wire::Txn> txn_;
   std::vector<Worker> workers_;
   std::map<std::string, wire::JobSpec> jobs_;
--- a/tests/schema_test.cpp
+++ b/tests/schema_test.cpp
@@ -7,16 +7,16 @@
 
 #include <random>
 
-#include "shard/inventory_page.h"
 #include "emulators.h"
+#include "shard/inventory_page.h"
 
 namespace shunttrail::test {
 namespace {
 
-using levels::Build;
-using levels::Record;
-using levels::Step;
-using levels::View;
+using schema::Build;
+using schema::Record;
+using schema::Step;
+using schema::View;
 
 wire::Event event(const std::string& value) { return {"", value, 0}; }
 
@@ -30,15 +30,15 @@
 const std::string kRosterOf1 =
     R"({"m":{"m-000007":["g8","b",0,0,0],"m-000231":["g8","a",1,2,431],"m-000232":["g8","a",1,2,431]},"t":[1733000000,[35,null,0]],"w":"railhead-1.9.2"})";
 
-TEST(Levels, StoredFormsAreTheRecordedOnes) {
-  Record r = levels::decode_record(event(kRecord));
+TEST(Schema, StoredFormsAreTheRecordedOnes) {
+  Record r = schema::decode_record(event(kRecord));
   EXPECT_EQ(r, (Record{1, 0, 1, "railhead-0.9.l1"}));
-  EXPECT_EQ(levels::encode(r), kRecord);
-  auto o = levels::decode_orders(event(kOrders));
-  EXPECT_EQ(o, (levels::Orders{1, {"railhead-2"}, "railhead-0.9.l2"}));
-  EXPECT_EQ(levels::encode(o), kOrders);
-  EXPECT_EQ(levels::decode_member(event(kMember)), (Build{0, 1, 1}));
-  EXPECT_EQ(levels::encode_member(9, {0, 1, 1}), kMember);
+  EXPECT_EQ(schema::encode(r), kRecord);
+  auto o = schema::decode_orders(event(kOrders));
+  EXPECT_EQ(o, (schema::Orders{1, {"railhead-2"}, "railhead-0.9.l2"}));
+  EXPECT_EQ(schema::encode(o), kOrders);
+  EXPECT_EQ(schema::decode_member(event(kMember)), (Build{0, 1, 1}));
+  EXPECT_EQ(schema::encode_member(9, {0, 1, 1}), kMember);
   for (const auto& text : {kRosterOf0, kRosterOf1}) {
     auto page = wire::decode_roster(event(text));
     EXPECT_EQ(page.form, text == kRosterOf1);
@@ -49,18 +49,18 @@
 }
 
 // Builds of level 0 that come back read past what is new, and drop it when they write.
-TEST(Levels, ABuildOfLevel0ReadsTheNewPageAsItsOwn) {
+TEST(Schema, ABuildOfLevel0ReadsTheNewPageAsItsOwn) {
   std::string as_read = kRosterOf1;
   const std::string news = R"("t":[1733000000,[35,null,0]],)";
   as_read.erase(as_read.find(news), news.size());
   EXPECT_EQ(as_read, kRosterOf0);
   // It registers without a word about levels; of node keys it reads only that they are there.
-  EXPECT_EQ(levels::decode_member(event(R"({"boot":9})")), Build{});
-  EXPECT_EQ(levels::decode_member(event(R"({"boot":9,"levels":[1]})")), Build{});
-  EXPECT_EQ(levels::decode_member(event(R"({"boot":9,"levels":[2,1,1]})")), Build{});
+  EXPECT_EQ(schema::decode_member(event(R"({"boot":9})")), Build{});
+  EXPECT_EQ(schema::decode_member(event(R"({"boot":9,"levels":[1]})")), Build{});
+  EXPECT_EQ(schema::decode_member(event(R"({"boot":9,"levels":[2,1,1]})")), Build{});
 }
 
-TEST(Levels, ARecordThatCannotBeReadStopsTheNodeAndSaysWhy) {
+TEST(Schema, ARecordThatCannotBeReadStopsTheNodeAndSaysWhy) {
   config::Settings s = make_settings();
   const std::vector<std::pair<std::string, std::string>> bad = {
       {R"({"highest":1,"level":1,"lowest":0,"w":"x","more":1})", "more is not a known field"},
@@ -72,21 +72,21 @@
   for (const auto& [text, why] : bad) {
     state::World w(s);
     std::vector<state::Change> ch;
-    w.apply({levels::kActiveKey, text, 5}, ch);
-    EXPECT_EQ(levels::refusal(w.levels(), levels::here()),
+    w.apply({schema::kActiveKey, text, 5}, ch);
+    EXPECT_EQ(schema::refusal(w.levels(), schema::here()),
               "the level record cannot be read: " + why);
     ASSERT_EQ(ch.size(), 1u);
-    auto out = levels::outlook(w.levels(), s.nodes, levels::here(), true);
+    auto out = schema::rollout_status(w.levels(), s.nodes, schema::here(), true);
     EXPECT_EQ(out.step.kind, Step::none);
     EXPECT_EQ(out.held_by.at(0).by, "record");
-    w.apply({levels::kActiveKey, std::nullopt, 6}, ch);
-    EXPECT_EQ(levels::refusal(w.levels(), levels::here()), "");
+    w.apply({schema::kActiveKey, std::nullopt, 6}, ch);
+    EXPECT_EQ(schema::refusal(w.levels(), schema::here()), "");
   }
   View v;
   v.record = {1, 0, 1, "x"};
-  EXPECT_EQ(levels::refusal(v, {0, 0, 0}), "state of level 0 to 1 stands, this build reads 0");
-  EXPECT_EQ(levels::refusal(v, {1, 2, 2}), "state of level 0 to 1 stands, this build reads 1 to 2");
-  EXPECT_EQ(levels::refusal(v, {0, 1, 1}), "");
+  EXPECT_EQ(schema::refusal(v, {0, 0, 0}), "state of level 0 to 1 stands, this build reads 0");
+  EXPECT_EQ(schema::refusal(v, {1, 2, 2}), "state of level 0 to 1 stands, this build reads 1 to 2");
+  EXPECT_EQ(schema::refusal(v, {0, 1, 1}), "");
 }
 
 // ---- what holds a level back
@@ -98,8 +98,8 @@
     v.members.resize(3);
     for (std::size_t n = 0; n < 3; ++n) v.members[n] = {10 + n, {0, 1, 1}};
   }
-  levels::Outlook look(bool converted = true, Build own = {0, 1, 1}) const {
-    return levels::outlook(v, names, own, converted);
+  schema::Outlook look(bool converted = true, Build own = {0, 1, 1}) const {
+    return schema::rollout_status(v, names, own, converted);
   }
   std::string held() const {
     std::string all;
@@ -108,7 +108,7 @@
   }
 };
 
-TEST(Levels, ARaiseNeedsEveryNodeAndItsGuardsNameThemAll) {
+TEST(Schema, ARaiseNeedsEveryNodeAndItsGuardsNameThemAll) {
   Three t;
   auto s = t.look().step;
   ASSERT_EQ(s.kind, Step::raise);
@@ -120,7 +120,7 @@
   EXPECT_EQ(t.held(), "b cannot read level 1; ");
   t.v.members[1].build = {0, 1, 0};
   EXPECT_EQ(t.held(), "b does not write level 1 yet; ");
-  t.v.members[1].stamp = 0;
+  t.v.members[1].mod_revision = 0;
   EXPECT_EQ(t.held(), "b is not there; ");
   EXPECT_EQ(t.look().step.kind, Step::none);
   EXPECT_TRUE(t.look().step.guards.empty());
@@ -139,10 +139,10 @@
   EXPECT_EQ(t.held(), "orders cannot be read; ");
 }
 
-TEST(Levels, OneLevelAtATimeAndTheWayBack) {
+TEST(Schema, OneLevelAtATimeAndTheWayBack) {
   Three t;
   t.v.record = {1, 0, 1, "x"};
-  t.v.stamp = 40;
+  t.v.mod_revision = 40;
   for (auto& m : t.v.members) m.build = {0, 2, 2};
   EXPECT_EQ(t.look(false, {0, 2, 2}).held_by.at(0).by, "conversion");
   auto s = t.look(true, {0, 2, 2}).step;
@@ -160,17 +160,17 @@
   t.v.members[2].build = {1, 2, 2};
   auto held = t.look(true, {0, 2, 2});
   EXPECT_EQ(held.step.kind, Step::none);
-  EXPECT_EQ(held.held_by.at(0), (levels::Obstacle{"c", "cannot read level 0"}));
+  EXPECT_EQ(held.held_by.at(0), (schema::Obstacle{"c", "cannot read level 0"}));
   // A level that this build does not know cannot be lowered by it.
   t.v.record = {2, 2, 2, "x"};
   EXPECT_EQ(t.look(true, {0, 2, 2}).held_by.at(0).by, "orders");
 }
 
-TEST(Levels, OrdersAreCheckedAndRepeatingThemIsHarmless) {
+TEST(Schema, OrdersAreCheckedAndRepeatingThemIsHarmless) {
   Three t;
   auto refused = [&](const std::string& body) {
     try {
-      return levels::refused(t.v, t.names, levels::decode_order(body));
+      return schema::refused(t.v, t.names, schema::decode_order(body));
     } catch (const wire::Malformed& e) {
       return std::string(e.what());
     }
@@ -182,16 +182,16 @@
   EXPECT_EQ(refused(R"({"level":1})"), "level is not a known field");
   EXPECT_EQ(refused(R"({"gone":"d"})"), "gone: d is none of the nodes");
   EXPECT_EQ(refused(R"({"gone":"a"})"), "gone: a is there");
-  t.v.members[0].stamp = 0;
+  t.v.members[0].mod_revision = 0;
   EXPECT_EQ(refused(R"({"gone":"a"})"), "");
   t.v.record = {2, 2, 2, "x"};
   EXPECT_EQ(refused(R"({"hold":1})"), "hold: level 2 is active and cannot be lowered");
   for (const auto& body :
        {R"({"hold":1})", R"({"hold":null})", R"({"gone":"a"})", R"({"here":"a"})"}) {
-    levels::Order o = levels::decode_order(body);
-    EXPECT_EQ(levels::encode(o), body);
-    auto once = levels::with(t.v.orders, o);
-    EXPECT_EQ(levels::with(once, o), once);
+    schema::Order o = schema::decode_order(body);
+    EXPECT_EQ(schema::encode(o), body);
+    auto once = schema::with(t.v.orders, o);
+    EXPECT_EQ(schema::with(once, o), once);
   }
 }
 
@@ -199,7 +199,7 @@
 
 // Limits that have fallen since a page was written: it is parted on its way to the new form, and at
 // no moment is a machine unrecorded or recorded twice. And the way back.
-TEST(Levels, ConversionPartsWhatHasBecomeTooLongAndGoesBothWays) {
+TEST(Schema, ConversionPartsWhatHasBecomeTooLongAndGoesBothWays) {
   config::Settings s = make_settings();
   Store store;
   state::World w(s);
@@ -210,7 +210,7 @@
                      true, 0, 123456, 1733000000.0 + i});
   store.commit(roster_txn(w, fleet));
   auto level = [&](const Record& r) {
-    store.commit({{}, {{levels::kActiveKey, levels::encode(r), 0}}});
+    store.commit({{}, {{schema::kActiveKey, schema::encode(r), 0}}});
     store.read(w, ch);
   };
   auto convert = [&] {
@@ -222,7 +222,7 @@
       page.know_ages([](const std::string&) { return 1733000500.0; });
       wire::Txn t = page.changes(900, "t");
       ASSERT_TRUE(store.commit(t));
-      // The same once more, or late: its guards let it be applied once.
+      // The same once more, or late: its preconditions let it be applied once.
       EXPECT_FALSE(store.commit(t));
       store.read(w, ch);
       EXPECT_EQ(w.machines().size(), fleet.size());
@@ -246,23 +246,23 @@
 
 // A watch that is too old has everything read anew: the level and the orders as they are then, what
 // was there before and is not any more included.
-TEST(Levels, ReadAnewTheLevelIsWhatStandsNow) {
+TEST(Schema, ReadAnewTheLevelIsWhatStandsNow) {
   config::Settings s = make_settings();
   state::World w(s);
   std::vector<state::Change> ch;
-  w.apply({levels::kOrdersKey, kOrders, 3}, ch);
-  w.apply({levels::kActiveKey, kRecord, 5}, ch);
+  w.apply({schema::kOrdersKey, kOrders, 3}, ch);
+  w.apply({schema::kActiveKey, kRecord, 5}, ch);
   w.apply({state::node_key("node-1"), kMember, 6}, ch);
   w.advance(6);
   EXPECT_EQ(w.levels().record.active, 1);
   EXPECT_EQ(w.levels().members[1].build, (Build{0, 1, 1}));
-  w.replace(40, {{levels::kActiveKey, R"({"highest":2,"level":2,"lowest":2,"w":"x"})", 30}}, ch);
+  w.replace(40, {{schema::kActiveKey, R"({"highest":2,"level":2,"lowest":2,"w":"x"})", 30}}, ch);
   EXPECT_EQ(w.levels().record.active, 2);
-  EXPECT_EQ(w.levels().stamp, 30u);
-  EXPECT_EQ(w.levels().orders, levels::Orders{});
+  EXPECT_EQ(w.levels().mod_revision, 30u);
+  EXPECT_EQ(w.levels().orders, schema::Orders{});
   EXPECT_EQ(w.levels().orders_stamp, 0u);
   EXPECT_EQ(w.node_stamp(1), 0u);
-  EXPECT_NE(levels::refusal(w.levels(), levels::here()), "");
+  EXPECT_NE(schema::refusal(w.levels(), schema::here()), "");
 }
 
 // ---- rollouts
@@ -318,11 +318,11 @@
       store_.commit({{}, {{state::node_key(s_.nodes[n]), std::nullopt, 0}}});
       start(n, 3, false);
     }
-    store_.commit({{}, {{levels::kOrdersKey, std::nullopt, 0}}});
+    store_.commit({{}, {{schema::kOrdersKey, std::nullopt, 0}}});
     for (int i = 0; i < 60; ++i)
       for (int n = 0; n < kNodes; ++n) {
         read(nodes_[static_cast<std::size_t>(n)]);
-        if (!store_.stamp(state::node_key(s_.nodes[n]))) enroll(n, 1);
+        if (!store_.mod_revision(state::node_key(s_.nodes[n]))) enroll(n, 1);
         step(n, 1);
         convert(n, 1);
       }
@@ -339,8 +339,8 @@
   };
 
   Record record() const {
-    auto it = store_.keys.find(levels::kActiveKey);
-    return it == store_.keys.end() ? Record{} : levels::decode_record(event(it->second.value));
+    auto it = store_.keys.find(schema::kActiveKey);
+    return it == store_.keys.end() ? Record{} : schema::decode_record(event(it->second.value));
   }
   void start(int n, int build, bool legacy) {
     Node& me = nodes_[static_cast<std::size_t>(n)];
@@ -353,7 +353,7 @@
     store_.read(*me.world, ch);
   }
   bool serves(const Node& me) const {
-    return me.up && (me.legacy || levels::refusal(me.world->levels(), me.build).empty());
+    return me.up && (me.legacy || schema::refusal(me.world->levels(), me.build).empty());
   }
 
   // Applied now, lost, or applied late.
@@ -401,9 +401,9 @@
   // gone and not there.
   void raised(const Record& to, const std::map<std::string, Store::Entry>& keys) {
     ++raises_;
-    auto orders = keys.find(levels::kOrdersKey);
-    levels::Orders o;
-    if (orders != keys.end()) o = levels::decode_orders(event(orders->second.value));
+    auto orders = keys.find(schema::kOrdersKey);
+    schema::Orders o;
+    if (orders != keys.end()) o = schema::decode_orders(event(orders->second.value));
     if (o.most) RC_ASSERT(to.active <= *o.most);
     for (const auto& name : s_.nodes) {
       auto key = keys.find(state::node_key(name));
@@ -411,7 +411,7 @@
         RC_ASSERT(o.gone.contains(name));
         continue;
       }
-      Build b = levels::decode_member(event(key->second.value));
+      Build b = schema::decode_member(event(key->second.value));
       RC_ASSERT(b.reads(to.lowest, to.highest));
       RC_ASSERT(b.writes >= to.active);
     }
@@ -429,7 +429,7 @@
     if (!serves(me)) return;
     wire::Txn t{{}, {{state::node_key(s_.nodes[n]), R"({"boot":1})", 0}}};
     if (!me.legacy) {
-      auto enrolled = levels::enroll(me.world->levels(), s_.nodes[n], 1, me.build, 0);
+      auto enrolled = schema::enroll(me.world->levels(), s_.nodes[n], 1, me.build, 0);
       RC_ASSERT(enrolled.has_value());
       t = *enrolled;
     }
@@ -439,8 +439,8 @@
     Node& me = nodes_[static_cast<std::size_t>(n)];
     if (!me.up || me.legacy) return;
     const auto& w = *me.world;
-    auto out = levels::outlook(w.levels(), s_.nodes, me.build, w.all_converted());
-    if (out.step.kind != Step::none) commit(levels::commit_of(out.step, "t"), me, arg);
+    auto out = schema::rollout_status(w.levels(), s_.nodes, me.build, w.all_converted());
+    if (out.step.kind != Step::none) commit(schema::commit_of(out.step, "t"), me, arg);
   }
   void write(int n, int arg) {
     Node& me = nodes_[static_cast<std::size_t>(n)];
@@ -450,10 +450,11 @@
     if (me.legacy) {
       const int page = state::roster_page(name);
       const std::string key = state::roster_key(page);
-      wire::RosterRecord r{"t", me.world->roster(page), 0};
+      wire::RosterRecord r{"t", me.world->inventory(page), 0};
       std::erase_if(r.machines, [&](const auto& x) { return x.name == name; });
       r.machines.push_back(m);
-      return commit({{{key, me.world->stamp(key)}}, {{key, wire::encode_record(r), 0}}}, me, arg);
+      return commit({{{key, me.world->mod_revision(key)}}, {{key, wire::encode_record(r), 0}}}, me,
+                    arg);
     }
     shard::RosterPage page(*me.world, state::roster_page(name));
     page.set(m);
@@ -473,13 +474,13 @@
   void order(int n, int arg) {
     Node& me = nodes_[static_cast<std::size_t>(n)];
     if (!serves(me) || me.legacy) return;
-    levels::Order o;
-    o.kind = static_cast<levels::Order::Kind>(arg % 4);
+    schema::Order o;
+    o.kind = static_cast<schema::Order::Kind>(arg % 4);
     o.level = arg % 3;
     o.node = s_.nodes[static_cast<std::size_t>(arg / 4 % kNodes)];
     const auto& v = me.world->levels();
-    if (!levels::refused(v, s_.nodes, o).empty()) return;
-    commit(levels::commit_of(v, levels::with(v.orders, o), "t"), me, arg);
+    if (!schema::refused(v, s_.nodes, o).empty()) return;
+    commit(schema::commit_of(v, schema::with(v.orders, o), "t"), me, arg);
   }
 
   config::Settings s_;
@@ -490,7 +491,7 @@
   int raises_ = 0;
 };
 
-RC_GTEST_PROP(Levels, RolloutsOfMixedBuildsActivateExactlyWhenAllHaveIt, (unsigned seed)) {
+RC_GTEST_PROP(Schema, RolloutsOfMixedBuildsActivateExactlyWhenAllHaveIt, (unsigned seed)) {
   std::mt19937 rng(seed);
   int raises = 0;
   for (int i = 0; i < 20; ++i) {
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -1,5 +1,5 @@
-// Services beside arrays on one desk: what a deployment with both showed. Each guards against a
-// failure that was seen there (docs/incidents/guimaraes-montagem-1.md).
+// Services beside arrays on one scheduler: what a deployment with both showed. Each preconditions
+// against a failure that was seen there (docs/incidents/guimaraes-montagem-1.md).
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -27,25 +27,25 @@
   d.end("m-1", filler.spec.id);
   for (double now = 4; now < 40; now += 2) {
     d.all_report(now);
-    d.desk->tick(now);
+    d.scheduler->tick(now);
     ASSERT_EQ(d.on("m-1") + d.on("m-2"), 3u) << "moved at " << now << ", before it had settled";
   }
   // The fuller one stays; the other's replica is stopped, and starts again there.
   for (double now = 40; now < 240; now += 1) {
-    d.desk->tick(now);
+    d.scheduler->tick(now);
     d.commit(now);
-    for (auto& o : d.desk->direct_orders(
+    for (auto& o : d.scheduler->direct_orders(
              true, [](const auto&) { return false; }, now)) {
       Worker& k = d.workers.at(o.machine);
-      k.obey(d.desk->token(), o.commands, k.session, -1e9, now, d.rng);
-      d.desk->direct_done(o, 200);
-      d.desk->report(k.report(), now, true);
+      k.obey(d.scheduler->token(), o.commands, k.session, -1e9, now, d.rng);
+      d.scheduler->direct_done(o, 200);
+      d.scheduler->report(k.report(), now, true);
     }
     d.all_report(now + 0.5);
   }
   EXPECT_EQ(d.on("m-2"), 3u);
   EXPECT_EQ(d.on("m-1"), 0u);
-  EXPECT_EQ(d.desk->returns(), std::vector<std::string>{"m-1"});
+  EXPECT_EQ(d.scheduler->returns(), std::vector<std::string>{"m-1"});
 }
 
 TEST(Packing, WhatHasJustStartedIsNotMovedAgain) {
@@ -67,14 +67,14 @@
   // Room enough for its replica, and moves enough in hand, from the first look on.
   for (double now = 6; now < 40; now += 2) {
     d.all_report(now);
-    d.desk->tick(now);
-    ASSERT_EQ(d.desk->counters().emptied, 0u) << "at " << now;
+    d.scheduler->tick(now);
+    ASSERT_EQ(d.scheduler->counters().emptied, 0u) << "at " << now;
   }
   for (double now = 40; now < 50; now += 2) {
     d.all_report(now);
-    d.desk->tick(now);
+    d.scheduler->tick(now);
   }
-  EXPECT_EQ(d.desk->counters().emptied, 1u);
+  EXPECT_EQ(d.scheduler->counters().emptied, 1u);
 }
 
 // Replicas on a machine that died waited 65 s for the proof by silence.
@@ -89,9 +89,9 @@
   double gone = 0;
   for (double now = 6; now < 20 && !gone; now += 0.25) {
     if (static_cast<int>(now * 4) % 40 == 0) d.all_report(now, dead);
-    d.desk->tick(now);
+    d.scheduler->tick(now);
     d.probe(now, dead);
-    for (const auto& name : d.desk->returns()) {
+    for (const auto& name : d.scheduler->returns()) {
       EXPECT_EQ(name, "m-1");
       gone = now;
     }
@@ -99,11 +99,11 @@
   EXPECT_GT(gone, 6);
   EXPECT_LT(gone, 6 + d.s.lease_s / 2);
   // Nothing of it runs elsewhere before the deletion is answered.
-  EXPECT_EQ(d.desk->load(gone).capacity, 3);
+  EXPECT_EQ(d.scheduler->load(gone).capacity, 3);
   d.machine("m-5", gone);
   d.all_report(gone, dead);
   EXPECT_EQ(d.on("m-5"), 0u);
-  d.desk->machine_gone("m-1", gone);
+  d.scheduler->machine_gone("m-1", gone);
   d.commit(gone);
   d.all_report(gone + 1, dead);
   EXPECT_EQ(d.on("m-5"), 4u);
@@ -124,7 +124,7 @@
     if (static_cast<int>(now * 2) % 20 == 0) d.all_report(now, zone_a);
     d.probe(now, zone_a);
   }
-  EXPECT_TRUE(d.desk->returns().empty());
+  EXPECT_TRUE(d.scheduler->returns().empty());
   // All are heard again; then nine of the twenty of a zone are dead at once.
   d.all_report(16);
   for (const auto& name : zone_a)
@@ -133,7 +133,7 @@
     if (static_cast<int>(now * 4) % 40 == 0) d.all_report(now, few);
     d.probe(now, few);
   }
-  auto back = d.desk->returns();
+  auto back = d.scheduler->returns();
   EXPECT_EQ(back.size(), 6u);  // 15% of 40 within a lease
   for (const auto& name : back) EXPECT_TRUE(few.contains(name));
 }
@@ -154,7 +154,7 @@
     d.probe(now, dead);
   }
   // What died before that shows is deleted: one, at the most, since all go silent together.
-  EXPECT_LE(d.desk->returns().size(), 1u);
+  EXPECT_LE(d.scheduler->returns().size(), 1u);
 }
 
 // A machine whose reports arrive and whose answers do not looked alive for ever; every start on it
@@ -172,7 +172,7 @@
   for (const char* m : {"m-2", "m-3"}) d.report(m, 6);
   EXPECT_FALSE(d.probe(6.1, {"m-1"}) == 0);
   d.probe(7, {"m-1"});
-  EXPECT_EQ(d.desk->returns(), std::vector<std::string>{"m-1"});
+  EXPECT_EQ(d.scheduler->returns(), std::vector<std::string>{"m-1"});
   EXPECT_EQ(d.on("m-1"), 0u);
 }
 TEST(Doubts, AMachineThatHearsAgainIsTakenBack) {
@@ -186,11 +186,11 @@
   for (double now = 2; now < 6; now += 1) d.report("m-1", now, true);
   EXPECT_EQ(d.probe(6.1, {}), 1u);
   for (double now = 12; now < 40; now += 2) {
-    d.desk->tick(now);
+    d.scheduler->tick(now);
     d.all_report(now);
     d.probe(now, {});
   }
-  EXPECT_TRUE(d.desk->returns().empty());
+  EXPECT_TRUE(d.scheduler->returns().empty());
   EXPECT_EQ(d.on("m-1") + d.on("m-2"), 2u);
 }
 
@@ -203,17 +203,18 @@
   d.all_report(1);
   ASSERT_EQ(d.on("m-1"), 1u);
   auto copy = d.workers.at("m-1").report();
-  d.desk->report(copy, 2);
-  d.desk->orders("m-1", true, 2);
+  d.scheduler->report(copy, 2);
+  d.scheduler->orders("m-1", true, 2);
   d.machine("m-2", 2);
   double again = 0;
   for (double now = 3; now < 90 && !again; now += 1) {
-    const auto heard = d.desk->report(copy, now);
-    EXPECT_EQ(heard, now - 2 <= 4 ? fleet::Desk::Heard::older : fleet::Desk::Heard::unknown);
+    const auto heard = d.scheduler->report(copy, now);
+    EXPECT_EQ(heard,
+              now - 2 <= 4 ? scheduler::Desk::Heard::older : scheduler::Desk::Heard::unknown);
     d.report("m-2", now);
     d.report("m-2", now + 0.1);
-    d.desk->tick(now);
-    if (d.desk->counters().lost) again = now;
+    d.scheduler->tick(now);
+    if (d.scheduler->counters().lost) again = now;
   }
   // It is over a lease and two reports after the last that was heard of it, copies or not, and not
   // before every lease that an answer may have renewed is over.
@@ -228,22 +229,22 @@
   d.job(1, 400, 4, false, 0);
   d.commit(0);
   std::size_t first = 0;
-  for (const auto& w : d.desk->rent_wishes(0)) {
+  for (const auto& w : d.scheduler->rent_wishes(0)) {
     first += w.machines.size();
-    d.desk->refused(w, 0, true, 0);
+    d.scheduler->refused(w, 0, true, 0);
   }
   EXPECT_GE(first, 50u);
   // Each tier and zone is tried once in full.
   for (double now = 0.5; now < 40; now += 0.5) {
-    d.desk->tick(now);
-    d.desk->turn(now);
+    d.scheduler->tick(now);
+    d.scheduler->turn(now);
     std::size_t wished = 0;
-    for (const auto& w : d.desk->rent_wishes(now)) {
+    for (const auto& w : d.scheduler->rent_wishes(now)) {
       if (now > 5) {
         EXPECT_LE(w.machines.size(), 2u);
         wished += w.machines.size();
       }
-      d.desk->refused(w, 0, true, now);
+      d.scheduler->refused(w, 0, true, now);
     }
     EXPECT_LE(wished, 8u);  // two tiers, two zones
   }
@@ -251,14 +252,14 @@
   std::size_t most = 0;
   int n = 0;
   for (double now = 60; now < 80; now += 0.5) {
-    d.desk->tick(now);
-    d.desk->turn(now);
-    for (const auto& w : d.desk->rent_wishes(now)) {
+    d.scheduler->tick(now);
+    d.scheduler->turn(now);
+    for (const auto& w : d.scheduler->rent_wishes(now)) {
       std::vector<std::string> names;
       for (std::size_t i = 0; i < w.machines.size(); ++i)
         names.push_back("m-" + std::to_string(5000 + n++));
       most = std::max(most, names.size());
-      d.desk->rented(w, names, now);
+      d.scheduler->rented(w, names, now);
     }
   }
   EXPECT_GE(most, 32u);
@@ -290,7 +291,7 @@
   for (int i = 0; i < 60; ++i) d.machine("m-" + std::to_string(100 + i), 0, i % 2 ? "a" : "b");
   d.job(1, 3, 1, true, 0);
   d.all_report(1);
-  d.desk->tick(2);
+  d.scheduler->tick(2);
   d.job(2, 300, 1, false, 2);
   for (int k = 0; k < 4; ++k) d.all_report(3 + k);
   std::size_t running = 0;
@@ -309,7 +310,7 @@
 
 // Asked about in the worst order, the youngest first, each range held one question more and no
 // other: 1,000 questions took 1,000 reads.
-TEST(FinalReads, TheOrderOfTheQuestionsDoesNotMatter) {
+TEST(ResultReader, TheOrderOfTheQuestionsDoesNotMatter) {
   using jobs::FinalReads;
   for (const int step : {1, -1, 7, -7, 331}) {
     SCOPED_TRACE(step);
@@ -337,7 +338,7 @@
 
 // Each question had a read of its own, served within three seconds or not at all: with thousands of
 // jobs over and many asked about, every answer came too late for its user.
-RC_GTEST_PROP(FinalReads, EveryQuestionIsAnsweredWithinFewReadsAndTruly, ()) {
+RC_GTEST_PROP(ResultReader, EveryQuestionIsAnsweredWithinFewReadsAndTruly, ()) {
   using jobs::FinalReads;
   using jobs::Found;
   FinalReads reads;
@@ -383,7 +384,7 @@
     else
       carry_out(a, seen);
   }
-  // The troubles are over: what still waits is through after as many reads as the records fill.
+  // The faults are over: what still waits is through after as many reads as the records fill.
   int rounds = 0;
   for (; !out.empty() || reads.waiting(); ++rounds) {
     while (auto a = reads.next()) out.emplace_back(*a, there);
