--- a/tests/shard_scheduler_test.cpp
+++ b/tests/shard_scheduler_test.cpp
@@ -1,4 +1,4 @@
-// The desk on small cases: each guards against a failure that was seen.
+// The scheduler on small cases: each preconditions against a failure that was seen.
 #include <gtest/gtest.h>
 
 #include "emulators.h"
@@ -9,10 +9,10 @@
 struct OneDesk {
   config::Settings s = make_settings(1);
   config::Tuning t;
-  fleet::Catalogue c = make_catalogue(s);
+  scheduler::Catalogue c = make_catalogue(s);
   Store store;
   state::World w{s};
-  std::unique_ptr<fleet::Desk> desk;
+  std::unique_ptr<scheduler::Desk> scheduler;
   std::uint64_t seq = 0;
   std::vector<wire::Txn> made;  // and carried out
 
@@ -22,7 +22,7 @@
         {state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", "x"}), 0});
     store.commit(own);
     read();
-    desk = std::make_unique<fleet::Desk>(s, t, c, 0, w.owner(0).stamp, 0, 7);
+    scheduler = std::make_unique<scheduler::Desk>(s, t, c, 0, w.owner(0).mod_revision, 0, 7);
   }
   void read() {
     std::vector<state::Change> ch;
@@ -32,28 +32,28 @@
     wire::MachineRecord r{name, "t4", "a", false, 0, 0};
     store.commit(roster_txn(w, {r}));
     read();
-    desk->machine_known(r, 0);
+    scheduler->machine_known(r, 0);
   }
   void job(const wire::JobRecord& r) {
     wire::Txn txn;
     txn.ops.push_back({state::job_key(r.spec.id), wire::encode_record(r), 0});
     store.commit(txn);
     read();
-    desk->job_added(r, 0, {}, 0, 0);
+    scheduler->job_added(r, 0, {}, 0, 0);
   }
   void commit(double now) {
-    desk->turn(now);
-    while (auto txn = desk->next_txn(w, state::Room{}, "t", now)) {
+    scheduler->turn(now);
+    while (auto txn = scheduler->next_txn(w, state::Room{}, "t", now)) {
       bool ok = store.commit(*txn).has_value();
       if (ok) made.push_back(*txn);
       read();
-      ok ? desk->txn_applied(now) : desk->txn_failed(now);
+      ok ? scheduler->txn_applied(now) : scheduler->txn_failed(now);
       if (!ok) return;
     }
   }
-  std::vector<wire::Command> beat(const std::string& name, double now,
-                                  std::vector<wire::TaskReport> tasks = {},
-                                  std::uint64_t session = 1) {
+  std::vector<wire::Command> heartbeat(const std::string& name, double now,
+                                       std::vector<wire::TaskReport> tasks = {},
+                                       std::uint64_t session = 1) {
     wire::Report r;
     r.machine = name;
     r.addr = "10.0.0.1:1";
@@ -61,29 +61,29 @@
     r.zone = "a";
     r.session = session;
     r.seq = ++seq;
-    r.token = desk->token();
+    r.token = scheduler->token();
     r.tasks = std::move(tasks);
-    desk->report(r, now);
+    scheduler->report(r, now);
     commit(now);
-    return desk->orders(name, true, now);
+    return scheduler->orders(name, true, now);
   }
 };
 
 // A gang whose tasks carried attempts of their own gathered for ever: workers match mates by it.
-TEST(Desk, AGangSharesItsAttemptAndChangesItTogether) {
+TEST(ShardScheduler, AGangSharesItsAttemptAndChangesItTogether) {
   OneDesk d;
   d.machine("m-1");
   auto r = make_job(1, 3, 1);
   r.spec.gang = true;
   d.job(r);
-  auto first = d.beat("m-1", 1);
+  auto first = d.heartbeat("m-1", 1);
   ASSERT_EQ(first.size(), 3u);
   for (const auto& c : first) EXPECT_EQ(c.attempt, first[0].attempt);
   std::vector<wire::TaskReport> gone;
   for (const auto& c : first)
     gone.push_back({c.task, c.attempt, wire::TaskState::exited, wire::ExitReason::stopped});
-  d.beat("m-1", 2, gone);
-  auto second = d.beat("m-1", 3);
+  d.heartbeat("m-1", 2, gone);
+  auto second = d.heartbeat("m-1", 3);
   std::set<std::uint64_t> attempts;
   for (const auto& c : second)
     if (c.op == wire::Command::Op::start) attempts.insert(c.attempt);
@@ -92,25 +92,25 @@
 }
 
 // Idle room stood beside waiting tasks: a task must take it, whatever the learners say.
-TEST(Desk, ATaskNeitherWaitsNorRentsWhileAMachineHasRoom) {
+TEST(ShardScheduler, ATaskNeitherWaitsNorRentsWhileAMachineHasRoom) {
   OneDesk d;
   d.machine("m-1");
   d.machine("m-2");
-  d.beat("m-1", 1);
-  d.beat("m-2", 1);
+  d.heartbeat("m-1", 1);
+  d.heartbeat("m-2", 1);
   for (int i = 0; i < 4; ++i) d.job(make_job(i, 2, 1));
-  d.desk->turn(2);
-  EXPECT_TRUE(d.desk->rent_wishes(2).empty());
-  std::size_t starts = d.beat("m-1", 3).size() + d.beat("m-2", 3).size();
+  d.scheduler->turn(2);
+  EXPECT_TRUE(d.scheduler->rent_wishes(2).empty());
+  std::size_t starts = d.heartbeat("m-1", 3).size() + d.heartbeat("m-2", 3).size();
   EXPECT_EQ(starts, 8u);
 }
 
 // A result that was reaped before it was persisted would be run again after a crash.
-TEST(Desk, AResultIsReapedOnlyOnceItIsPersisted) {
+TEST(ShardScheduler, AResultIsReapedOnlyOnceItIsPersisted) {
   OneDesk d;
   d.machine("m-1");
   d.job(make_job(1, 2, 1));
-  auto starts = d.beat("m-1", 1);
+  auto starts = d.heartbeat("m-1", 1);
   ASSERT_EQ(starts.size(), 2u);
   wire::Report r;
   r.machine = "m-1";
@@ -118,37 +118,37 @@
   r.zone = "a";
   r.session = 1;
   r.seq = ++d.seq;
-  r.token = d.desk->token();
+  r.token = d.scheduler->token();
   r.tasks = {{starts[0].task, starts[0].attempt, wire::TaskState::exited, wire::ExitReason::done},
              {starts[1].task, starts[1].attempt, wire::TaskState::running, wire::ExitReason::none}};
-  d.desk->report(r, 2);
-  EXPECT_TRUE(d.desk->orders("m-1", true, 2).empty());
+  d.scheduler->report(r, 2);
+  EXPECT_TRUE(d.scheduler->orders("m-1", true, 2).empty());
   d.commit(2);
-  EXPECT_TRUE(d.desk->orders("m-1", true, 2).empty());  // waits a little for starts to go with
+  EXPECT_TRUE(d.scheduler->orders("m-1", true, 2).empty());  // waits a little for starts to go with
   d.commit(6);
-  auto after = d.desk->orders("m-1", true, 6);
+  auto after = d.scheduler->orders("m-1", true, 6);
   ASSERT_EQ(after.size(), 1u);
   EXPECT_EQ(after[0].op, wire::Command::Op::forget);
 }
 
-// A chunk's results move to another sheet as they grow, and an older copy stays behind. An owner
-// that took the older copy for the one that counts dropped the newer one with the next change of
-// its sheet: after one more takeover, finished tasks that had been reaped ran again.
-TEST(Desk, FinishedTasksStayOnRecordWhicheverSheetHoldsTheNewestCopy) {
+// A chunk's results move to another placement page as they grow, and an older copy stays behind. An
+// owner that took the older copy for the one that counts dropped the newer one with the next change
+// of its placement page: after one more takeover, finished tasks that had been reaped ran again.
+TEST(ShardScheduler, FinishedTasksStayOnRecordWhicheverSheetHoldsTheNewestCopy) {
   for (int newest : {3, 5}) {
     SCOPED_TRACE(newest);
     OneDesk d;
     const int older = 8 - newest;
     auto r = make_job(1, 4, 1);
-    // Every other sheet holds more, so that these two are written first.
+    // Every other placement page holds more, so that these two are written first.
     std::vector<wire::JobRecord> fillers;
     for (int i = 0; i < 6; ++i) fillers.push_back(make_job(10 + i, 100000, 1));
     wire::Txn txn;
     for (const auto& j : fillers)
       txn.ops.push_back({state::job_key(j.spec.id), wire::encode_record(j), 0});
     txn.ops.push_back({state::job_key(r.spec.id), wire::encode_record(r), 0});
-    auto put = [&](int sheet, std::vector<wire::SheetJob> jobs) {
-      txn.ops.push_back({state::sheet_key(0, sheet),
+    auto put = [&](int page, std::vector<wire::SheetJob> jobs) {
+      txn.ops.push_back({state::sheet_key(0, page),
                          wire::encode_record(wire::SheetRecord{"0", std::move(jobs)},
                                              [](int) { return std::string("red"); }),
                          0});
@@ -158,46 +158,46 @@
       g.done.emplace_back(chunk, std::move(done));
       return g;
     };
-    for (int sheet = 0; sheet < 256; ++sheet) {
-      if (sheet == newest) put(sheet, {of(r, 0, {{0, 2}})});
-      if (sheet == older) put(sheet, {of(r, 0, {{0, 0}})});
-      if (sheet == newest || sheet == older) continue;
-      const std::uint32_t chunk = static_cast<std::uint32_t>(sheet % 128);
-      const std::size_t first = sheet < 128 ? 0 : 3;
-      put(sheet, {of(fillers[first], chunk, {{0, 0}}), of(fillers[first + 1], chunk, {{0, 0}}),
-                  of(fillers[first + 2], chunk, {{0, 0}})});
+    for (int page = 0; page < 256; ++page) {
+      if (page == newest) put(page, {of(r, 0, {{0, 2}})});
+      if (page == older) put(page, {of(r, 0, {{0, 0}})});
+      if (page == newest || page == older) continue;
+      const std::uint32_t chunk = static_cast<std::uint32_t>(page % 128);
+      const std::size_t first = page < 128 ? 0 : 3;
+      put(page, {of(fillers[first], chunk, {{0, 0}}), of(fillers[first + 1], chunk, {{0, 0}}),
+                 of(fillers[first + 2], chunk, {{0, 0}})});
     }
     d.store.commit(txn);
     // The takeover.
     d.read();
     d.machine("m-1");
     for (const auto& [id, j] : d.w.jobs())
-      if (id == r.spec.id) d.desk->job_added(j.record, 0, d.w.done(id), 0, 0);
-    for (const auto& j : fillers) d.desk->job_added(j, 0, d.w.done(j.spec.id), 0, 0);
-    for (const auto& [n, sheet] : d.w.sheets(0)) d.desk->inherit(n, sheet, 0);
-    // Whatever starts next is written into the emptiest sheets.
-    for (int i = 0; i < 4; ++i) d.beat("m-1", 1 + i);
+      if (id == r.spec.id) d.scheduler->job_added(j.record, 0, d.w.done(id), 0, 0);
+    for (const auto& j : fillers) d.scheduler->job_added(j, 0, d.w.done(j.spec.id), 0, 0);
+    for (const auto& [n, page] : d.w.pages(0)) d.scheduler->inherit(n, page, 0);
+    // Whatever starts next is written into the emptiest placement pages.
+    for (int i = 0; i < 4; ++i) d.heartbeat("m-1", 1 + i);
     std::set<std::uint32_t> done;
     for (const auto& [chunk, list] : d.w.done(r.spec.id))
       for (auto [a, b] : list)
         for (std::uint32_t t = a; t <= b; ++t) done.insert(t);
     EXPECT_EQ(done, (std::set<std::uint32_t>{0, 1, 2}));
-    EXPECT_NE(d.w.sheets(0).at(newest).tag + d.w.sheets(0).at(older).tag, "00");
+    EXPECT_NE(d.w.pages(0).at(newest).tag + d.w.pages(0).at(older).tag, "00");
   }
 }
 
 // The cloud had none; nothing else happened in the shard, which had no machine: it never asked
 // again.
-TEST(Desk, WorkIsTriedAgainAfterARefusalThoughNothingStirs) {
+TEST(ShardScheduler, WorkIsTriedAgainAfterARefusalThoughNothingStirs) {
   OneDesk d;
   d.job(make_job(1, 2, 1));
   double asked = -1;  // last
   for (double now = 0; now < 60; now += 0.2) {
-    d.desk->tick(now);
-    if (d.desk->stirred()) d.desk->turn(now);
-    for (const auto& w : d.desk->rent_wishes(now)) {
+    d.scheduler->tick(now);
+    if (d.scheduler->stirred()) d.scheduler->turn(now);
+    for (const auto& w : d.scheduler->rent_wishes(now)) {
       asked = now;
-      d.desk->refused(w, 0, true, now);
+      d.scheduler->refused(w, 0, true, now);
     }
   }
   EXPECT_GT(asked, 40);
@@ -205,28 +205,28 @@
 
 // A task was accepted by a machine full of replicas while the cloud had none, and stood there for
 // good.
-TEST(Desk, ATaskDoesNotWaitForAServicesEndOnceAMachineCanBeHad) {
+TEST(ShardScheduler, ATaskDoesNotWaitForAServicesEndOnceAMachineCanBeHad) {
   OneDesk d;
   d.machine("m-1");
   auto service = make_job(1, 2, 2);
   service.spec.service = true;
   d.job(service);
   std::vector<wire::TaskReport> running;
-  for (const auto& c : d.beat("m-1", 1))
+  for (const auto& c : d.heartbeat("m-1", 1))
     running.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
   ASSERT_EQ(running.size(), 2u);
-  d.beat("m-1", 2, running);
+  d.heartbeat("m-1", 2, running);
   d.job(make_job(2, 1, 1));
   double asked = -1;  // last
   bool waited = false;
   for (double now = 2; now < 60; now += 0.2) {
-    if (static_cast<int>(now * 5) % 15 == 0) d.beat("m-1", now, running);
-    d.desk->tick(now);
-    if (d.desk->stirred()) d.desk->turn(now);
-    waited |= d.desk->summary().find("\"waiting\":1") != std::string::npos;
-    for (const auto& w : d.desk->rent_wishes(now)) {
+    if (static_cast<int>(now * 5) % 15 == 0) d.heartbeat("m-1", now, running);
+    d.scheduler->tick(now);
+    if (d.scheduler->stirred()) d.scheduler->turn(now);
+    waited |= d.scheduler->summary().find("\"waiting\":1") != std::string::npos;
+    for (const auto& w : d.scheduler->rent_wishes(now)) {
       asked = now;
-      d.desk->refused(w, 0, true, now);
+      d.scheduler->refused(w, 0, true, now);
     }
   }
   EXPECT_TRUE(waited);
@@ -235,29 +235,29 @@
 
 // A list is served in order: a small task stood behind a large one, beside room that it fitted, for
 // as long as the large one waited. It does not wait there for 90 s, and does not slip past at once.
-TEST(Desk, ATaskBehindOneThatDoesNotFitTakesTheRoomThatIsLeftOver) {
+TEST(ShardScheduler, ATaskBehindOneThatDoesNotFitTakesTheRoomThatIsLeftOver) {
   OneDesk d;
   d.machine("m-1");
   d.job(make_job(1, 1, 3));
   std::vector<wire::TaskReport> running;
-  for (const auto& c : d.beat("m-1", 1))
+  for (const auto& c : d.heartbeat("m-1", 1))
     running.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
   ASSERT_EQ(running.size(), 1u);
-  d.beat("m-1", 2, running);
+  d.heartbeat("m-1", 2, running);
   auto large = make_job(2, 1, 2), small = make_job(3, 1, 1);
   large.spec.priority = wire::Priority::high;
   d.job(large);
   double added = -1, started = -1;
   for (double now = 3; now < 200 && started < 0; now += 1) {
-    d.desk->tick(now);
-    for (const auto& w : d.desk->rent_wishes(now)) d.desk->refused(w, 0, true, now);
-    for (const auto& c : d.beat("m-1", now, running))
+    d.scheduler->tick(now);
+    for (const auto& w : d.scheduler->rent_wishes(now)) d.scheduler->refused(w, 0, true, now);
+    for (const auto& c : d.heartbeat("m-1", now, running))
       if (c.op == wire::Command::Op::start) {
         EXPECT_EQ(c.task.job, small.spec.id);
         started = now;
       }
     // Once the large one stands on the list of this machine, and not of one that is ordered.
-    const std::string told = d.desk->summary();
+    const std::string told = d.scheduler->summary();
     if (added < 0 && told.find("\"waiting\":1") != std::string::npos &&
         told.find("\"ordered\":0") != std::string::npos) {
       d.job(small);
@@ -269,8 +269,8 @@
   EXPECT_LT(started, added + 90);
 }
 
-// Whatever a desk has written, a copy of it that comes later is not carried out once more.
-TEST(Desk, ACopyOfATransactionIsNeverCarriedOutAgain) {
+// Whatever a scheduler has written, a copy of it that comes later is not carried out once more.
+TEST(ShardScheduler, ACopyOfATransactionIsNeverCarriedOutAgain) {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE(seed);
     std::mt19937 rng(seed);
@@ -283,7 +283,7 @@
       for (auto& [name, tasks] : there) {
         for (auto& t : tasks)
           if (rng() % 5 == 0) t.state = wire::TaskState::exited, t.why = wire::ExitReason::done;
-        for (const auto& c : d.beat(name, now, tasks)) {
+        for (const auto& c : d.heartbeat(name, now, tasks)) {
           std::erase_if(tasks, [&](const auto& t) {
             return c.op == wire::Command::Op::forget && t.attempt == c.attempt;
           });
@@ -303,39 +303,40 @@
 // What an earlier owner's last answer, given S after the takeover at the latest, can have kept
 // alive is not given up before that lease is over, though its machine says nothing and is not
 // deleted.
-TEST(Desk, SilenceProvesNothingBeforeTheEarlierOwnersLastLeaseIsOver) {
+TEST(ShardScheduler, SilenceProvesNothingBeforeTheEarlierOwnersLastLeaseIsOver) {
   OneDesk d;
   d.machine("m-1");
   d.machine("m-2");
   d.job(make_job(1, 1, 1));
   wire::SheetJob g{"run-100001", 0, 1, 0, 1, {{"m-1", 0, 7}}, {}};
-  d.desk->inherit(0, {"x", {g}}, 0);
+  d.scheduler->inherit(0, {"x", {g}}, 0);
   double given_up = -1;
   for (double now = 1; now < 100 && given_up < 0; now += 1) {
-    d.beat("m-2", now);
-    d.desk->tick(now);
-    if (d.desk->summary().find("\"lost\":0") == std::string::npos) given_up = now;
+    d.heartbeat("m-2", now);
+    d.scheduler->tick(now);
+    if (d.scheduler->summary().find("\"lost\":0") == std::string::npos) given_up = now;
   }
   EXPECT_GE(given_up, d.s.stale_s() + d.s.lease_s);
 }
 
 // A direct order was held up and taken for lost, then carried out, and then the machine's lease
 // ended: its task counted as running for good.
-TEST(Desk, ATaskOfALateDirectOrderIsGivenUpWithItsSession) {
+TEST(ShardScheduler, ATaskOfALateDirectOrderIsGivenUpWithItsSession) {
   OneDesk d;
   d.machine("m-1");
-  d.beat("m-1", 1);
+  d.heartbeat("m-1", 1);
   d.job(make_job(1, 1, 1));
-  d.desk->tick(2);
+  d.scheduler->tick(2);
   d.commit(2);
-  auto direct = d.desk->direct_orders(
+  auto direct = d.scheduler->direct_orders(
       true, [](const std::string&) { return false; }, 2);
   ASSERT_EQ(direct.size(), 1u);
   ASSERT_EQ(direct[0].commands.size(), 1u);
-  d.desk->direct_done(direct[0], 0);
+  d.scheduler->direct_done(direct[0], 0);
   const auto& start = direct[0].commands[0];
-  d.beat("m-1", 5, {{start.task, start.attempt, wire::TaskState::running, wire::ExitReason::none}});
-  auto again = d.beat("m-1", 40, {}, 2);
+  d.heartbeat("m-1", 5,
+              {{start.task, start.attempt, wire::TaskState::running, wire::ExitReason::none}});
+  auto again = d.heartbeat("m-1", 40, {}, 2);
   ASSERT_EQ(again.size(), 1u);
   EXPECT_EQ(again[0].op, wire::Command::Op::start);
   EXPECT_GT(again[0].attempt, start.attempt);
@@ -343,84 +344,84 @@
 
 // A direct start without an answer, of a job that is cancelled by now: no answer renews that
 // machine's lease under the token that the start would be carried out under.
-TEST(Desk, ALeaseIsNotRenewedWhileACancelledTaskMayStillBeStarted) {
+TEST(ShardScheduler, ALeaseIsNotRenewedWhileACancelledTaskMayStillBeStarted) {
   OneDesk d;
   d.machine("m-1");
-  d.beat("m-1", 1);
+  d.heartbeat("m-1", 1);
   d.job(make_job(1, 1, 1));
-  d.desk->tick(2);
+  d.scheduler->tick(2);
   d.commit(2);
-  auto direct = d.desk->direct_orders(
+  auto direct = d.scheduler->direct_orders(
       true, [](const std::string&) { return false; }, 2);
   ASSERT_EQ(direct.size(), 1u);
-  EXPECT_FALSE(d.desk->unsettled("m-1"));
-  d.desk->job_gone(make_job(1, 1, 1).spec.id, 3);
+  EXPECT_FALSE(d.scheduler->unsettled("m-1"));
+  d.scheduler->job_gone(make_job(1, 1, 1).spec.id, 3);
   // Its answer may still settle it.
-  EXPECT_TRUE(d.desk->unsettled("m-1"));
-  EXPECT_FALSE(d.desk->wants_raise(3));
-  d.desk->direct_done(direct[0], 0);
-  d.beat("m-1", 4);
-  EXPECT_TRUE(d.desk->unsettled("m-1"));
-  EXPECT_TRUE(d.desk->wants_raise(4));
+  EXPECT_TRUE(d.scheduler->unsettled("m-1"));
+  EXPECT_FALSE(d.scheduler->wants_raise(3));
+  d.scheduler->direct_done(direct[0], 0);
+  d.heartbeat("m-1", 4);
+  EXPECT_TRUE(d.scheduler->unsettled("m-1"));
+  EXPECT_TRUE(d.scheduler->wants_raise(4));
   wire::Txn raise;
   raise.ops.push_back(
       {state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", "r"}), 0});
-  const std::uint64_t before = d.desk->token();
-  d.desk->raise(*d.store.commit(raise), 4.1);
+  const std::uint64_t before = d.scheduler->token();
+  d.scheduler->raise(*d.store.commit(raise), 4.1);
   d.read();
-  EXPECT_FALSE(d.desk->unsettled("m-1"));
-  EXPECT_GT(d.desk->token(), before);
-  EXPECT_FALSE(d.desk->wants_raise(20));
+  EXPECT_FALSE(d.scheduler->unsettled("m-1"));
+  EXPECT_GT(d.scheduler->token(), before);
+  EXPECT_FALSE(d.scheduler->wants_raise(20));
   // The next one that needs it does not wait for ten seconds.
-  d.beat("m-1", 5);
+  d.heartbeat("m-1", 5);
   d.job(make_job(2, 1, 1));
-  d.desk->tick(6);
+  d.scheduler->tick(6);
   d.commit(6);
-  direct = d.desk->direct_orders(
+  direct = d.scheduler->direct_orders(
       true, [](const std::string&) { return false; }, 6);
   ASSERT_EQ(direct.size(), 1u);
-  d.desk->direct_done(direct[0], 0);
-  EXPECT_FALSE(d.desk->wants_raise(6.5));
-  d.desk->job_gone(make_job(2, 1, 1).spec.id, 6.5);
-  EXPECT_TRUE(d.desk->wants_raise(6.5));
+  d.scheduler->direct_done(direct[0], 0);
+  EXPECT_FALSE(d.scheduler->wants_raise(6.5));
+  d.scheduler->job_gone(make_job(2, 1, 1).spec.id, 6.5);
+  EXPECT_TRUE(d.scheduler->wants_raise(6.5));
 }
-TEST(Desk, AnAnswerSettlesACancelledStart) {
+TEST(ShardScheduler, AnAnswerSettlesACancelledStart) {
   for (int status : {200, 409}) {
     OneDesk d;
     d.machine("m-1");
-    d.beat("m-1", 1);
+    d.heartbeat("m-1", 1);
     d.job(make_job(1, 1, 1));
-    d.desk->tick(2);
+    d.scheduler->tick(2);
     d.commit(2);
-    auto direct = d.desk->direct_orders(
+    auto direct = d.scheduler->direct_orders(
         true, [](const std::string&) { return false; }, 2);
     ASSERT_EQ(direct.size(), 1u);
-    d.desk->job_gone(make_job(1, 1, 1).spec.id, 3);
-    d.desk->direct_done(direct[0], status);
-    EXPECT_FALSE(d.desk->unsettled("m-1")) << status;
-    EXPECT_FALSE(d.desk->wants_raise(30)) << status;
+    d.scheduler->job_gone(make_job(1, 1, 1).spec.id, 3);
+    d.scheduler->direct_done(direct[0], status);
+    EXPECT_FALSE(d.scheduler->unsettled("m-1")) << status;
+    EXPECT_FALSE(d.scheduler->wants_raise(30)) << status;
   }
 }
 
 // What runs of a cancelled job is told so at once, also on a machine whose reports do not come, and
 // by the answer to a report that has been overtaken.
-TEST(Desk, ACancelledJobsTasksAreStoppedWithoutWaitingForAReport) {
+TEST(ShardScheduler, ACancelledJobsTasksAreStoppedWithoutWaitingForAReport) {
   OneDesk d;
   d.machine("m-1");
   d.job(make_job(1, 2, 1));
   d.job(make_job(2, 1, 1));
-  auto starts = d.beat("m-1", 1);
+  auto starts = d.heartbeat("m-1", 1);
   ASSERT_EQ(starts.size(), 3u);
   std::vector<wire::TaskReport> running;
   for (const auto& c : starts)
     running.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
-  d.beat("m-1", 2, running);
-  d.desk->machine_addr("m-1", "10.0.0.1:1");
+  d.heartbeat("m-1", 2, running);
+  d.scheduler->machine_addr("m-1", "10.0.0.1:1");
   const auto none = [](const std::string&) { return false; };
-  EXPECT_TRUE(d.desk->direct_orders(true, none, 14).empty());
+  EXPECT_TRUE(d.scheduler->direct_orders(true, none, 14).empty());
   const std::string gone = make_job(1, 2, 1).spec.id;
-  d.desk->job_gone(gone, 14);
-  auto direct = d.desk->direct_orders(true, none, 14);
+  d.scheduler->job_gone(gone, 14);
+  auto direct = d.scheduler->direct_orders(true, none, 14);
   ASSERT_EQ(direct.size(), 1u);
   auto all_of_it = [&](const std::vector<wire::Command>& commands) {
     ASSERT_EQ(commands.size(), 2u);
@@ -431,169 +432,171 @@
     }
   };
   all_of_it(direct[0].commands);
-  all_of_it(d.desk->stops("m-1"));
-  d.desk->direct_done(direct[0], 0);
-  EXPECT_TRUE(d.desk->direct_orders(true, none, 15).empty());  // told once; answers tell it again
-  all_of_it(d.beat("m-1", 16, running));
+  all_of_it(d.scheduler->stops("m-1"));
+  d.scheduler->direct_done(direct[0], 0);
+  EXPECT_TRUE(
+      d.scheduler->direct_orders(true, none, 15).empty());  // told once; answers tell it again
+  all_of_it(d.heartbeat("m-1", 16, running));
 }
 
 // An end is an end: should a machine show the same attempt running after it, it is stopped.
-TEST(Desk, AnAttemptThatRunsAfterItsEndIsStopped) {
+TEST(ShardScheduler, AnAttemptThatRunsAfterItsEndIsStopped) {
   OneDesk d;
   d.machine("m-1");
   d.job(make_job(1, 1, 1));
-  auto starts = d.beat("m-1", 1);
+  auto starts = d.heartbeat("m-1", 1);
   ASSERT_EQ(starts.size(), 1u);
   const auto& c = starts[0];
-  d.beat("m-1", 2, {{c.task, c.attempt, wire::TaskState::exited, wire::ExitReason::done}});
+  d.heartbeat("m-1", 2, {{c.task, c.attempt, wire::TaskState::exited, wire::ExitReason::done}});
   bool stopped = false;
-  for (const auto& o :
-       d.beat("m-1", 3, {{c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none}}))
+  for (const auto& o : d.heartbeat(
+           "m-1", 3, {{c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none}}))
     stopped |= o.op == wire::Command::Op::stop && o.attempt == c.attempt;
   EXPECT_TRUE(stopped);
 }
 
 // A direct start without an answer may be carried out later: not reaped before a higher token.
-TEST(Desk, ALooseAttemptIsReapedOnlyUnderAHigherToken) {
+TEST(ShardScheduler, ALooseAttemptIsReapedOnlyUnderAHigherToken) {
   OneDesk d;
   d.machine("m-1");
-  d.beat("m-1", 1);
+  d.heartbeat("m-1", 1);
   d.job(make_job(1, 1, 1));
-  d.desk->tick(2);
+  d.scheduler->tick(2);
   d.commit(2);
-  auto direct = d.desk->direct_orders(
+  auto direct = d.scheduler->direct_orders(
       true, [](const std::string&) { return false; }, 2);
   ASSERT_EQ(direct.size(), 1u);
   auto c = direct[0].commands.at(0);
-  d.desk->direct_done(direct[0], 0);
+  d.scheduler->direct_done(direct[0], 0);
   std::vector<wire::TaskReport> failed = {
       {c.task, c.attempt, wire::TaskState::exited, wire::ExitReason::error}};
-  for (const auto& o : d.beat("m-1", 3, failed)) EXPECT_NE(o.op, wire::Command::Op::forget);
-  EXPECT_TRUE(d.desk->wants_raise(30));
+  for (const auto& o : d.heartbeat("m-1", 3, failed)) EXPECT_NE(o.op, wire::Command::Op::forget);
+  EXPECT_TRUE(d.scheduler->wants_raise(30));
   wire::Txn raise;
   raise.ops.push_back(
       {state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", "r"}), 0});
-  d.desk->raise(*d.store.commit(raise), 30);
+  d.scheduler->raise(*d.store.commit(raise), 30);
   d.read();
   bool reaped = false;
-  for (const auto& o : d.beat("m-1", 31, failed)) reaped |= o.op == wire::Command::Op::forget;
+  for (const auto& o : d.heartbeat("m-1", 31, failed)) reaped |= o.op == wire::Command::Op::forget;
   EXPECT_TRUE(reaped);
 }
 
 // An earlier owner's start may still be on its way to a worker that has not seen our token: a
 // report without the task proves nothing before that. Giving it up would run the task twice.
-TEST(Desk, AnEarlierOwnersPlacementIsGivenUpOnlyUnderOurToken) {
+TEST(ShardScheduler, AnEarlierOwnersPlacementIsGivenUpOnlyUnderOurToken) {
   OneDesk d;
   auto r = make_job(1, 1, 1);
   d.machine("m-1");
   d.machine("m-2");
   d.job(r);
-  d.desk->inherit(0, {"t", {{r.spec.id, 0, 1, 0, 1, {{"m-1", 0, 5}}, {}}}}, 0);
-  d.beat("m-2", 1);
+  d.scheduler->inherit(0, {"t", {{r.spec.id, 0, 1, 0, 1, {{"m-1", 0, 5}}, {}}}}, 0);
+  d.heartbeat("m-2", 1);
   wire::Report old;
   old.machine = "m-1";
   old.type = "t4";
   old.zone = "a";
   old.session = 1;
   old.seq = ++d.seq;
-  old.token = d.desk->token() - 1;
-  d.desk->report(old, 2);
+  old.token = d.scheduler->token() - 1;
+  d.scheduler->report(old, 2);
   d.commit(2);
-  EXPECT_TRUE(d.beat("m-2", 3).empty());
-  EXPECT_TRUE(d.desk->orders("m-1", true, 3).empty());
-  std::size_t starts = d.beat("m-1", 4).size() + d.beat("m-2", 5).size();
+  EXPECT_TRUE(d.heartbeat("m-2", 3).empty());
+  EXPECT_TRUE(d.scheduler->orders("m-1", true, 3).empty());
+  std::size_t starts = d.heartbeat("m-1", 4).size() + d.heartbeat("m-2", 5).size();
   EXPECT_EQ(starts, 1u);
 }
 
 // A machine that goes to another shard is empty.
-TEST(Desk, OnlyAnEmptyMachineIsGiven) {
+TEST(ShardScheduler, OnlyAnEmptyMachineIsGiven) {
   OneDesk d;
   d.machine("m-1");
   d.machine("m-2");
   d.job(make_job(1, 1, 1));
-  d.beat("m-1", 1);
-  d.beat("m-2", 1);
-  d.desk->give({5, 1, {1, 1}});
-  auto wishes = d.desk->roster_wishes();
+  d.heartbeat("m-1", 1);
+  d.heartbeat("m-2", 1);
+  d.scheduler->give({5, 1, {1, 1}});
+  auto wishes = d.scheduler->roster_wishes();
   ASSERT_EQ(wishes.size(), 1u);
-  EXPECT_EQ(wishes[0].kind, fleet::RosterWish::give);
+  EXPECT_EQ(wishes[0].kind, scheduler::RosterWish::give);
   EXPECT_EQ(wishes[0].machine.shard, 5);
   std::set<std::string> busy;
-  for (const auto& [n, sheet] : d.w.sheets(0))
-    for (const auto& g : sheet.jobs)
+  for (const auto& [n, page] : d.w.pages(0))
+    for (const auto& g : page.jobs)
       for (const auto& p : g.places) busy.insert(p.machine);
   EXPECT_EQ(busy.size(), 1u);
   EXPECT_FALSE(busy.contains(wishes[0].machine.name));
-  d.desk->machine_moved(wishes[0].machine.name, 2);
-  EXPECT_EQ(d.desk->machine_count(), 1u);
+  d.scheduler->machine_moved(wishes[0].machine.name, 2);
+  EXPECT_EQ(d.scheduler->machine_count(), 1u);
 }
 
-// A wish to give a machine away waited while its desk was closed and opened again under another
-// token; the new desk had work there by the time the wish was carried out. The desk is asked again.
-TEST(Desk, AWishToGiveOutlivesItsDeskButIsNotCarriedOut) {
+// A wish to give a machine away waited while its scheduler was closed and opened again under
+// another token; the new scheduler had work there by the time the wish was carried out. The
+// scheduler is asked again.
+TEST(ShardScheduler, AWishToGiveOutlivesItsDeskButIsNotCarriedOut) {
   OneDesk d;
   d.machine("m-1");
-  d.beat("m-1", 1);
-  d.desk->give({5, 1, {1, 1}});
-  EXPECT_EQ(d.desk->roster_wishes().size(), 1u);
-  EXPECT_EQ(d.desk->gives("m-1"), 5);
-  EXPECT_EQ(d.desk->gives("m-2"), -1);
-  // What the roster's actor has already is not handed out again.
+  d.heartbeat("m-1", 1);
+  d.scheduler->give({5, 1, {1, 1}});
+  EXPECT_EQ(d.scheduler->roster_wishes().size(), 1u);
+  EXPECT_EQ(d.scheduler->gives("m-1"), 5);
+  EXPECT_EQ(d.scheduler->gives("m-2"), -1);
+  // What the inventory's actor has already is not handed out again.
   EXPECT_TRUE(
-      d.desk
-          ->roster_wishes([](const std::string& name, fleet::RosterWish::Kind kind, int shard) {
-            return name == "m-1" && kind == fleet::RosterWish::give && shard == 5;
+      d.scheduler
+          ->roster_wishes([](const std::string& name, scheduler::RosterWish::Kind kind, int shard) {
+            return name == "m-1" && kind == scheduler::RosterWish::give && shard == 5;
           })
           .empty());
-  d.desk = std::make_unique<fleet::Desk>(d.s, d.t, d.c, 0, d.desk->token(), 2, 8);
-  d.desk->machine_known(*d.w.machine("m-1"), 2);
-  EXPECT_EQ(d.desk->gives("m-1"), -1);
+  d.scheduler = std::make_unique<scheduler::Desk>(d.s, d.t, d.c, 0, d.scheduler->token(), 2, 8);
+  d.scheduler->machine_known(*d.w.machine("m-1"), 2);
+  EXPECT_EQ(d.scheduler->gives("m-1"), -1);
   d.job(make_job(1, 1, 1));
-  d.beat("m-1", 2);
-  d.desk->give({5, 1, {1, 1}});  // marked, but not empty
-  EXPECT_EQ(d.desk->gives("m-1"), -1);
+  d.heartbeat("m-1", 2);
+  d.scheduler->give({5, 1, {1, 1}});  // marked, but not empty
+  EXPECT_EQ(d.scheduler->gives("m-1"), -1);
 }
 
 // Services were promised along with their machines, which stood half empty for minutes, closed to
 // new work: guimaraes-montagem had 4,000 vcpus like that. And a promise outlived the lack.
-TEST(Desk, AMachineWithAReplicaIsNotPromisedAndAPromiseNotWantedIsTakenBack) {
+TEST(ShardScheduler, AMachineWithAReplicaIsNotPromisedAndAPromiseNotWantedIsTakenBack) {
   OneDesk d;
   d.machine("m-1");
   auto service = make_job(1, 1, 1);
   service.spec.service = true;
   d.job(service);
-  d.beat("m-1", 1);
+  d.heartbeat("m-1", 1);
   d.commit(1);
   d.machine("m-2");
-  d.beat("m-2", 2);
+  d.heartbeat("m-2", 2);
   auto array = make_job(2, 1, 4);
   d.job(array);
   d.commit(2);
-  d.desk->give({5, 2, {1, 1}});
-  EXPECT_EQ(d.desk->pledged(), 1);  // m-2 alone, once its task is over
+  d.scheduler->give({5, 2, {1, 1}});
+  EXPECT_EQ(d.scheduler->pledged(), 1);  // m-2 alone, once its task is over
   // Until then it counts here: else every other owner would see one less than there is.
-  EXPECT_EQ(d.desk->load(2).capacity, 2);
-  d.desk->give({5, 0, {1, 1}});
-  EXPECT_EQ(d.desk->pledged(), 0);
-  EXPECT_EQ(d.desk->load(2).capacity, 2);
+  EXPECT_EQ(d.scheduler->load(2).capacity, 2);
+  d.scheduler->give({5, 0, {1, 1}});
+  EXPECT_EQ(d.scheduler->pledged(), 0);
+  EXPECT_EQ(d.scheduler->load(2).capacity, 2);
   // What nothing there could use is not given.
   d.machine("m-3");
-  d.beat("m-3", 3);
-  d.desk->give({5, 1, {0, 0}});
-  EXPECT_EQ(d.desk->pledged(), 0);
+  d.heartbeat("m-3", 3);
+  d.scheduler->give({5, 1, {0, 0}});
+  EXPECT_EQ(d.scheduler->pledged(), 0);
   // An empty one may be on its way already: it is not taken back.
-  d.desk->give({5, 1, {1, 1}});
-  EXPECT_EQ(d.desk->gives("m-3"), 5);
-  d.desk->give({5, 0, {1, 1}});
-  EXPECT_EQ(d.desk->gives("m-3"), 5);
-  EXPECT_EQ(d.desk->load(3).capacity, 3);
-  d.desk->machine_moved("m-3", 4);
-  EXPECT_EQ(d.desk->load(4).capacity, 2);
-  EXPECT_EQ(d.desk->pledged(), 0);
+  d.scheduler->give({5, 1, {1, 1}});
+  EXPECT_EQ(d.scheduler->gives("m-3"), 5);
+  d.scheduler->give({5, 0, {1, 1}});
+  EXPECT_EQ(d.scheduler->gives("m-3"), 5);
+  EXPECT_EQ(d.scheduler->load(3).capacity, 3);
+  d.scheduler->machine_moved("m-3", 4);
+  EXPECT_EQ(d.scheduler->load(4).capacity, 2);
+  EXPECT_EQ(d.scheduler->pledged(), 0);
 }
 
 // Gifts were counted in machines: eight of the largest went for what two would have done.
-TEST(Desk, GiftsAreCountedInWhatFitsNotInMachines) {
+TEST(ShardScheduler, GiftsAreCountedInWhatFitsNotInMachines) {
   OneDesk d;
   d.c.load({{"t4", 4, 0, 16, 0.4, 0.1, 10, {"a", "b"}}, {"t16", 16, 0, 64, 1.6, 0.4, 10, {"a"}}},
            d.s);
@@ -603,7 +606,7 @@
     wire::MachineRecord m{name, type, "a", false, 0, 0};
     d.store.commit(roster_txn(d.w, {m}));
     d.read();
-    d.desk->machine_known(m, 0);
+    d.scheduler->machine_known(m, 0);
     wire::Report r;
     r.machine = name;
     r.addr = "10.0.0.1:1";
@@ -611,19 +614,20 @@
     r.zone = "a";
     r.session = 1;
     r.seq = ++seq;
-    r.token = d.desk->token();
-    d.desk->report(r, 1);
+    r.token = d.scheduler->token();
+    d.scheduler->report(r, 1);
   }
-  EXPECT_EQ(d.desk->load(1).capacity, 13);
-  d.desk->give({5, 3, {1, 1, 1, 1}});
-  EXPECT_EQ(d.desk->pledged(), 1);
-  d.desk->give({5, 9, {1, 1, 1, 1}});
-  EXPECT_EQ(d.desk->pledged(), 9);
+  EXPECT_EQ(d.scheduler->load(1).capacity, 13);
+  d.scheduler->give({5, 3, {1, 1, 1, 1}});
+  EXPECT_EQ(d.scheduler->pledged(), 1);
+  d.scheduler->give({5, 9, {1, 1, 1, 1}});
+  EXPECT_EQ(d.scheduler->pledged(), 9);
 }
 
 // A grown deployment starts far more tasks a second than the state service takes changes: one
-// change must carry the starts of many machines, and a sheet must stay within the value's limit.
-TEST(Desk, ManyStartsShareAChangeAndSheetsStayWithinTheLimit) {
+// change must carry the starts of many machines, and a placement page must stay within the value's
+// limit.
+TEST(ShardScheduler, ManyStartsShareAChangeAndSheetsStayWithinTheLimit) {
   OneDesk d;
   std::vector<wire::MachineRecord> fleet;
   for (int i = 0; i < 200; ++i)
@@ -632,36 +636,37 @@
   d.store.commit(roster_txn(d.w, fleet));
   d.read();
   for (const auto& m : fleet) {
-    d.desk->machine_known(m, 0);
-    wire::Report r{m.name, "10.0.0.1:1", "t4", "a", false, 1, ++d.seq, d.desk->token(), {}, {}};
-    d.desk->report(r, 1);
+    d.scheduler->machine_known(m, 0);
+    wire::Report r{m.name,  "10.0.0.1:1",         "t4", "a", false, 1,
+                   ++d.seq, d.scheduler->token(), {},   {}};
+    d.scheduler->report(r, 1);
   }
   d.job(make_job(1, 3000, 1));
   std::uint64_t before = d.store.revision;
-  d.desk->turn(1);
-  d.desk->turn(1);
-  d.desk->turn(1);
+  d.scheduler->turn(1);
+  d.scheduler->turn(1);
+  d.scheduler->turn(1);
   std::size_t changes = 0;
-  while (auto txn = d.desk->next_txn(d.w, state::Room{}, "t", 1)) {
+  while (auto txn = d.scheduler->next_txn(d.w, state::Room{}, "t", 1)) {
     changes += txn->ops.size();
     EXPECT_LE(txn->ops.size(), static_cast<std::size_t>(d.s.state_limits.txn_ops));
     EXPECT_LE(txn->guards.size(), static_cast<std::size_t>(d.s.state_limits.txn_ops) * 4);
     for (const auto& op : txn->ops) EXPECT_LE(op.value->size(), 4096u);
     ASSERT_TRUE(d.store.commit(*txn));
     d.read();
-    d.desk->txn_applied(1);
+    d.scheduler->txn_applied(1);
   }
   EXPECT_GT(d.store.revision, before);
   EXPECT_LE(changes, 12u);
   std::size_t placed = 0;
-  for (const auto& [n, sheet] : d.w.sheets(0))
-    for (const auto& g : sheet.jobs) placed += g.places.size();
+  for (const auto& [n, page] : d.w.pages(0))
+    for (const auto& g : page.jobs) placed += g.places.size();
   EXPECT_EQ(placed, 800u);
 }
 
-// After minutes of work every sheet holds things long over. Starts queued by thousands for the few
-// sheets that seemed empty, since the others were never looked into.
-TEST(Desk, WhatIsOverTakesNoRoomInSheets) {
+// After minutes of work every placement page holds things long over. Starts queued by thousands for
+// the few placement pages that seemed empty, since the others were never looked into.
+TEST(ShardScheduler, WhatIsOverTakesNoRoomInSheets) {
   OneDesk d;
   d.s.teams[0].cpus_max = 1e6;
   std::vector<wire::MachineRecord> fleet;
@@ -669,7 +674,7 @@
     fleet.push_back({"m-" + std::to_string(100000 + i), "t4", "a", false, 0, 0});
   d.store.commit(roster_txn(d.w, fleet));
   d.read();
-  for (const auto& m : fleet) d.desk->machine_known(m, 0);
+  for (const auto& m : fleet) d.scheduler->machine_known(m, 0);
   std::map<std::string, std::vector<wire::TaskReport>> there;
   double now = 1;
   std::size_t worst = 0;
@@ -680,26 +685,28 @@
       for (auto& t : tasks)  // one in forty runs for long
         if (t.task.index % 40 || t.attempt % 23 == 0)
           t.state = wire::TaskState::exited, t.why = wire::ExitReason::done;
-      wire::Report r{m.name,  "10.0.0.1:1",    "t4", "a",  false, 1,
-                     ++d.seq, d.desk->token(), {},   tasks};
-      d.desk->report(r, now);
+      wire::Report r{m.name,  "10.0.0.1:1",         "t4", "a",  false, 1,
+                     ++d.seq, d.scheduler->token(), {},   tasks};
+      d.scheduler->report(r, now);
     }
-    d.desk->turn(now);
+    d.scheduler->turn(now);
     std::size_t changes = 0;
-    while (auto txn = d.desk->next_txn(d.w, state::Room{}, "t", now)) {
+    while (auto txn = d.scheduler->next_txn(d.w, state::Room{}, "t", now)) {
       for (const auto& op : txn->ops) changes += op.key.starts_with("st/a/");
       ASSERT_TRUE(d.store.commit(*txn));
       std::vector<state::Change> ch;
       d.store.read(d.w, ch);
-      d.desk->txn_applied(now);
+      d.scheduler->txn_applied(now);
     }
     worst = std::max(worst, changes);
     for (const auto& m : fleet) {
-      ASSERT_FALSE(d.desk->awaits_commit(m.name)) << "round " << round;
-      std::erase_if(there[m.name], [](const auto& t) { return t.state == wire::TaskState::exited; });
-      for (const auto& c : d.desk->orders(m.name, true, now))
+      ASSERT_FALSE(d.scheduler->awaits_commit(m.name)) << "round " << round;
+      std::erase_if(there[m.name],
+                    [](const auto& t) { return t.state == wire::TaskState::exited; });
+      for (const auto& c : d.scheduler->orders(m.name, true, now))
         if (c.op == wire::Command::Op::start)
-          there[m.name].push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
+          there[m.name].push_back(
+              {c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
     }
   }
   EXPECT_LE(worst, 6u);
@@ -707,7 +714,7 @@
 
 // Freed room went to idle work on that machine's own list while urgent tasks waited on other, full
 // machines: on a full fleet of hundreds they waited for minutes.
-TEST(Desk, RoomGoesToUrgentTasksThatWaitElsewhereFirst) {
+TEST(ShardScheduler, RoomGoesToUrgentTasksThatWaitElsewhereFirst) {
   OneDesk d;
   d.s.teams[0].cpus_max = 1e6;
   auto task_of = [](const wire::Command& c) {
@@ -716,28 +723,28 @@
   std::map<std::string, std::vector<wire::TaskReport>> there;
   for (std::string name : {"m-1", "m-2"}) {
     d.machine(name);
-    d.beat(name, 1);
+    d.heartbeat(name, 1);
   }
   auto low = make_job(1, 30, 1);
   low.spec.priority = wire::Priority::idle;
   d.job(low);
   for (std::string name : {"m-1", "m-2"}) {
-    for (const auto& c : d.beat(name, 2)) there[name].push_back(task_of(c));
+    for (const auto& c : d.heartbeat(name, 2)) there[name].push_back(task_of(c));
     ASSERT_EQ(there[name].size(), 4u);
-    d.beat(name, 3, there[name]);
+    d.heartbeat(name, 3, there[name]);
   }
-  for (const auto& w : d.desk->rent_wishes(3)) d.desk->refused(w, 0, true, 3);
-  d.desk->turn(3);
+  for (const auto& w : d.scheduler->rent_wishes(3)) d.scheduler->refused(w, 0, true, 3);
+  d.scheduler->turn(3);
   auto urgent = make_job(2, 4, 1);
   urgent.spec.priority = wire::Priority::high;
   d.job(urgent);
-  d.desk->turn(20);
+  d.scheduler->turn(20);
   // Whichever machine the urgent tasks joined, room on either goes to them.
   std::size_t started = 0;
   for (std::string name : {"m-1", "m-2"}) {
     there[name][0].state = there[name][1].state = wire::TaskState::exited;
     there[name][0].why = there[name][1].why = wire::ExitReason::done;
-    for (const auto& c : d.beat(name, 21, there[name]))
+    for (const auto& c : d.heartbeat(name, 21, there[name]))
       if (c.op == wire::Command::Op::start) {
         EXPECT_EQ(c.task.job, urgent.spec.id);
         ++started;
@@ -747,19 +754,20 @@
 }
 
 // A team's guarantee waited behind work that another team had borrowed the machines for.
-TEST(Desk, GuaranteedWorkGoesBeforeWhatOthersBorrow) {
+TEST(ShardScheduler, GuaranteedWorkGoesBeforeWhatOthersBorrow) {
   OneDesk d;
   d.s.teams = {{"red", 1, 100, 0, 0}, {"blue", 4, 100, 0, 0}};
-  d.desk = std::make_unique<fleet::Desk>(d.s, d.t, d.c, 0, d.w.owner(0).stamp, 0, 7);
+  d.scheduler =
+      std::make_unique<scheduler::Desk>(d.s, d.t, d.c, 0, d.w.owner(0).mod_revision, 0, 7);
   d.machine("m-1");
-  d.beat("m-1", 1);
+  d.heartbeat("m-1", 1);
   d.job(make_job(1, 12, 1));  // red, far beyond its guarantee
-  auto first = d.beat("m-1", 2);
+  auto first = d.heartbeat("m-1", 2);
   ASSERT_EQ(first.size(), 4u);
   std::vector<wire::TaskReport> there;
   for (const auto& c : first)
     there.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
-  d.beat("m-1", 3, there);
+  d.heartbeat("m-1", 3, there);
   auto blue = make_job(2, 2, 1);
   blue.spec.team = "blue";
   blue.spec.priority = wire::Priority::idle;
@@ -767,17 +775,17 @@
   txn.ops.push_back({state::job_key(blue.spec.id), wire::encode_record(blue), 0});
   d.store.commit(txn);
   d.read();
-  d.desk->job_added(blue, 1, {}, 3, 3);
+  d.scheduler->job_added(blue, 1, {}, 3, 3);
   // Nothing can be rented: the tasks wait on the only machine. What has hardly begun is stopped.
-  d.desk->turn(3);
-  for (const auto& w : d.desk->rent_wishes(3)) d.desk->refused(w, 0, true, 3);
-  d.desk->turn(3);
+  d.scheduler->turn(3);
+  for (const auto& w : d.scheduler->rent_wishes(3)) d.scheduler->refused(w, 0, true, 3);
+  d.scheduler->turn(3);
   std::size_t stops = 0;
-  for (const auto& c : d.beat("m-1", 4, there)) stops += c.op == wire::Command::Op::stop;
+  for (const auto& c : d.heartbeat("m-1", 4, there)) stops += c.op == wire::Command::Op::stop;
   EXPECT_EQ(stops, 2u);
   there[0].state = there[1].state = wire::TaskState::exited;
   there[0].why = there[1].why = wire::ExitReason::stopped;
-  for (const auto& c : d.beat("m-1", 5, there))
+  for (const auto& c : d.heartbeat("m-1", 5, there))
     if (c.op == wire::Command::Op::start) {
       EXPECT_EQ(c.task.job, blue.spec.id);
     }
@@ -785,62 +793,65 @@
 
 // A machine that was being emptied for another shard kept starts that it was never sent: it was
 // never empty, and the tasks never ran.
-TEST(Desk, AMachineThatLeavesLetsGoOfWhatItWasNotSent) {
+TEST(ShardScheduler, AMachineThatLeavesLetsGoOfWhatItWasNotSent) {
   OneDesk d;
   d.machine("m-1");
-  d.beat("m-1", 1);
+  d.heartbeat("m-1", 1);
   d.job(make_job(1, 2, 1));
   d.commit(2);
-  d.desk->give({1, 1, {1, 1}});
-  EXPECT_TRUE(d.beat("m-1", 3).empty());
-  auto wishes = d.desk->roster_wishes();
+  d.scheduler->give({1, 1, {1, 1}});
+  EXPECT_TRUE(d.heartbeat("m-1", 3).empty());
+  auto wishes = d.scheduler->roster_wishes();
   ASSERT_EQ(wishes.size(), 1u);
-  EXPECT_EQ(wishes[0].kind, fleet::RosterWish::give);
+  EXPECT_EQ(wishes[0].kind, scheduler::RosterWish::give);
   d.machine("m-2");
-  EXPECT_EQ(d.beat("m-2", 4).size(), 2u);
+  EXPECT_EQ(d.heartbeat("m-2", 4).size(), 2u);
 }
 
-// Nothing may be placed on a machine that the roster does not hold: a new owner would not look
+// Nothing may be placed on a machine that the inventory does not hold: a new owner would not look
 // for it there.
-TEST(Desk, NothingIsPlacedOnAMachineBeforeTheRosterHoldsIt) {
+TEST(ShardScheduler, NothingIsPlacedOnAMachineBeforeTheRosterHoldsIt) {
   OneDesk d;
   d.job(make_job(1, 1, 1));
-  d.desk->turn(1);
-  auto wishes = d.desk->rent_wishes(1);
+  d.scheduler->turn(1);
+  auto wishes = d.scheduler->rent_wishes(1);
   ASSERT_EQ(wishes.size(), 1u);
-  d.desk->rented(wishes[0], {"m-7"}, 1);
-  EXPECT_TRUE(d.beat("m-7", 2).empty());
-  EXPECT_TRUE(d.w.sheets(0).empty());
-  auto add = d.desk->roster_wishes();
+  d.scheduler->rented(wishes[0], {"m-7"}, 1);
+  EXPECT_TRUE(d.heartbeat("m-7", 2).empty());
+  EXPECT_TRUE(d.w.pages(0).empty());
+  auto add = d.scheduler->roster_wishes();
   ASSERT_EQ(add.size(), 1u);
-  d.desk->machine_known(add[0].machine, 3);
-  EXPECT_EQ(d.beat("m-7", 4).size(), 1u);
+  d.scheduler->machine_known(add[0].machine, 3);
+  EXPECT_EQ(d.heartbeat("m-7", 4).size(), 1u);
 }
 
 // Bridge checks and rush jobs waited a second or two for images that lay ready on other machines
 // with room: the learners are told the cost of whole runs, in which that hardly shows.
-TEST(Desk, AMachineWithRoomAndTheImageGoesBeforeOneThatWouldFetchIt) {
+TEST(ShardScheduler, AMachineWithRoomAndTheImageGoesBeforeOneThatWouldFetchIt) {
   OneDesk d;
   d.s.teams[0].cpus_max = 100;
   for (int i = 0; i < 6; ++i) d.machine("m-" + std::to_string(i));
-  for (int i = 0; i < 6; ++i) d.beat("m-" + std::to_string(i), 1);
+  for (int i = 0; i < 6; ++i) d.heartbeat("m-" + std::to_string(i), 1);
   // Others fill the first five, so that one task fetches the image on the last.
   auto fill = make_job(1, 5, 4);
   fill.spec.image = "other";
   d.job(fill);
   std::map<std::string, std::vector<wire::Command>> there;
-  for (int i = 0; i < 6; ++i) there["m-" + std::to_string(i)] = d.beat("m-" + std::to_string(i), 2);
+  for (int i = 0; i < 6; ++i)
+    there["m-" + std::to_string(i)] = d.heartbeat("m-" + std::to_string(i), 2);
   d.job(make_job(2, 1, 1));
   std::string warm;
   for (auto& [name, c] : there)
     if (c.empty()) warm = name;
   ASSERT_FALSE(warm.empty());
-  auto c = d.beat(warm, 3);
+  auto c = d.heartbeat(warm, 3);
   ASSERT_EQ(c.size(), 1u);
-  d.beat(warm, 4, {{c[0].task, c[0].attempt, wire::TaskState::running, wire::ExitReason::none}});
+  d.heartbeat(warm, 4,
+              {{c[0].task, c[0].attempt, wire::TaskState::running, wire::ExitReason::none}});
   for (const auto& [name, o] : there)
     if (!o.empty())
-      d.beat(name, 5, {{o[0].task, o[0].attempt, wire::TaskState::exited, wire::ExitReason::done}});
+      d.heartbeat(name, 5,
+                  {{o[0].task, o[0].attempt, wire::TaskState::exited, wire::ExitReason::done}});
   for (int n = 3; n < 6; ++n) {
     auto r = make_job(n, 1, 1);
     r.spec.priority = wire::Priority::high;
@@ -848,8 +859,8 @@
   }
   d.commit(6);
   std::size_t on_it = 0;
-  for (const auto& [n, sheet] : d.w.sheets(0))
-    for (const auto& g : sheet.jobs)
+  for (const auto& [n, page] : d.w.pages(0))
+    for (const auto& g : page.jobs)
       for (const auto& p : g.places) on_it += p.machine == warm;
   EXPECT_EQ(on_it, 4u);
 }
--- a/tests/shard_test.cpp
+++ b/tests/shard_test.cpp
@@ -1,12 +1,12 @@
 // The sharing out of machines among shards.
-#include "shard/balance.h"
-
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
 #include <cmath>
 #include <numeric>
 
+#include "shard/balance.h"
+
 namespace shunttrail::test {
 namespace {
 using shard::Load;
@@ -46,9 +46,9 @@
   EXPECT_EQ(shard::gifts({{1, 1, 1}, {0, 1, 1}}, 0)[1], 0);
 }
 
-// Whatever the loads, each gift brings the shards nearer to their goals, but for the first machine
-// of a shard that has work; what each owner gives, all together, is all that moves: shared out
-// again, with the same work, nothing goes on or back. Beyond its goal nobody gives, nor gets, a
+// Whatever the loads, each transfer brings the shards nearer to their goals, but for the first
+// machine of a shard that has work; what each owner gives, all together, is all that moves: shared
+// out again, with the same work, nothing goes on or back. Beyond its goal nobody gives, nor gets, a
 // whole machine.
 RC_GTEST_PROP(Balance, MachinesDoNotGoToAndFro, ()) {
   const int n = *rc::gen::inRange(2, 6);
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -2,15 +2,15 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "shard/leader_election.h"
 #include "emulators.h"
+#include "shard/leader_election.h"
 
 namespace shunttrail::test {
 namespace {
 
 // Own writes are applied when answered, before or after the watch brings them; whatever the
 // order, the cache ends as the store is, and a job that has gone does not come back on the way.
-RC_GTEST_PROP(World, EndsAsTheStoreWhateverTheOrder, ()) {
+RC_GTEST_PROP(StateCache, EndsAsTheStoreWhateverTheOrder, ()) {
   config::Settings s = make_settings();
   Store store;
   state::World w(s);
@@ -23,7 +23,7 @@
     wire::Txn t;
     if (what < 4 && !gone.contains(id))
       t.ops.push_back({state::job_key(id), wire::encode_record(make_job(what % 4, 2, 1)), 0});
-    else if (what < 8 && store.stamp(state::job_key(id))) {
+    else if (what < 8 && store.mod_revision(state::job_key(id))) {
       t.ops.push_back({state::job_key(id), std::nullopt, 0});
       gone.insert(id);
     }
@@ -40,18 +40,18 @@
   // Seen one event at a time, no job that was known to be gone is live again.
   std::set<std::string> known_gone;
   for (const auto& id : gone)
-    if (!w.job(id) && !store.stamp(state::job_key(id))) known_gone.insert(id);
+    if (!w.job(id) && !store.mod_revision(state::job_key(id))) known_gone.insert(id);
   store.read(w, changes);
   for (const auto& id : gone) RC_ASSERT(!w.job(id));
-  for (const auto& [k, e] : store.keys) RC_ASSERT(w.stamp(k) == e.stamp);
+  for (const auto& [k, e] : store.keys) RC_ASSERT(w.mod_revision(k) == e.mod_revision);
   state::World fresh(s);
   std::vector<wire::Event> items;
-  for (const auto& [k, e] : store.keys) items.push_back({k, e.value, e.stamp});
+  for (const auto& [k, e] : store.keys) items.push_back({k, e.value, e.mod_revision});
   fresh.replace(store.revision, items, changes);
   RC_ASSERT(fresh.jobs().size() == w.jobs().size());
 }
 
-TEST(World, AnOlderSetDoesNotReviveADroppedJob) {
+TEST(StateCache, AnOlderSetDoesNotReviveADroppedJob) {
   config::Settings s = make_settings();
   state::World w(s);
   std::vector<state::Change> ch;
@@ -68,7 +68,7 @@
 // answered and before the watch goes on from the first page's: the cache still ends as the store,
 // and a job that was known to be gone is not live in between. (A job whose cancellation was
 // answered during the reading came back for good: the watch's drop was taken for old news.)
-RC_GTEST_PROP(World, EndsAsTheStoreWhenAllIsReadAnewMeanwhile, ()) {
+RC_GTEST_PROP(StateCache, EndsAsTheStoreWhenAllIsReadAnewMeanwhile, ()) {
   config::Settings s = make_settings();
   Store store;
   state::World w(s);
@@ -78,7 +78,7 @@
   auto step = [&](int what, bool own) {
     const int n = what % 6;
     wire::Txn t;
-    if (store.stamp(key(n)))
+    if (store.mod_revision(key(n)))
       t.ops.push_back({key(n), std::nullopt, 0});
     else if (used.insert(n).second)  // a job's key is set once
       t.ops.push_back({key(n), wire::encode_record(make_job(n, 2, 1)), 0});
@@ -100,13 +100,14 @@
   const std::uint64_t first = store.revision;
   for (int page = 0; page < 3; ++page) {
     for (int n = 2 * page; n < 2 * page + 2; ++n)
-      if (store.stamp(key(n)))
-        items.push_back({key(n), store.keys[key(n)].value, store.stamp(key(n))});
+      if (store.mod_revision(key(n)))
+        items.push_back({key(n), store.keys[key(n)].value, store.mod_revision(key(n))});
     for (auto [what, own] : steps()) step(what, own);
   }
   std::set<std::string> gone;
   for (int n : used)
-    if (std::string id = "run-" + std::to_string(100000 + n); !w.job(id) && !store.stamp(key(n)))
+    if (std::string id = "run-" + std::to_string(100000 + n);
+        !w.job(id) && !store.mod_revision(key(n)))
       gone.insert(id);
   const bool knew_all = w.revision() >= first;
   w.replace(first, items, changes);
@@ -114,12 +115,12 @@
     for (const auto& id : gone) RC_ASSERT(!w.job(id));
   store.read(w, changes);
   for (int n = 0; n < 6; ++n) {
-    RC_ASSERT(w.stamp(key(n)) == store.stamp(key(n)));
+    RC_ASSERT(w.mod_revision(key(n)) == store.mod_revision(key(n)));
     RC_ASSERT((w.job("run-" + std::to_string(100000 + n)) != nullptr) ==
-              (store.stamp(key(n)) != 0));
+              (store.mod_revision(key(n)) != 0));
   }
 }
-TEST(World, AJobThatGoesWhileAllIsReadAnewStaysGone) {
+TEST(StateCache, AJobThatGoesWhileAllIsReadAnewStaysGone) {
   config::Settings s = make_settings();
   state::World w(s);
   std::vector<state::Change> ch;
@@ -133,7 +134,7 @@
   w.apply({key, std::nullopt, 9}, ch);
   w.advance(9);
   EXPECT_EQ(w.job("run-100000"), nullptr);
-  EXPECT_EQ(w.stamp(key), 0u);
+  EXPECT_EQ(w.mod_revision(key), 0u);
 }
 
 struct Cluster {
@@ -150,7 +151,7 @@
 // Nodes come, go and decide in any order, on caches of any age. Every commit that is let through
 // gives a higher token, and a node acts on a token only while no higher one was granted, as far
 // as it has read.
-RC_GTEST_PROP(Ownership, TokensRiseAndOneNodeHoldsEach, ()) {
+RC_GTEST_PROP(LeaderElection, TokensRiseAndOneNodeHoldsEach, ()) {
   Cluster c;
   std::vector<config::Settings> settings;
   for (int n = 0; n < 3; ++n) {
@@ -193,8 +194,9 @@
       t.guards = m.guards;
       t.ops.push_back(
           {state::owner_key(k), wire::encode_record(wire::OwnerRecord{c.base.nodes[to], ""}), 0});
-      bool owner_gone = worlds[n].owner(k).node < 0 || worlds[n].owner(k).node == n ||
-                        !c.store.stamp(state::node_key(c.base.nodes[worlds[n].owner(k).node]));
+      bool owner_gone =
+          worlds[n].owner(k).node < 0 || worlds[n].owner(k).node == n ||
+          !c.store.mod_revision(state::node_key(c.base.nodes[worlds[n].owner(k).node]));
       if (auto rev = c.store.commit(t)) {
         RC_ASSERT(owner_gone);  // never from a node whose key was there
         bool rises = granted.empty() || granted.rbegin()->first < *rev;
@@ -207,7 +209,7 @@
 
 // A grown day saw a task started twice: the new owner knew of its own commit before it had read
 // the old owner's last placements, which were committed just before.
-TEST(Ownership, ATokenIsActedOnOnlyOnceAllBeforeItHasBeenRead) {
+TEST(LeaderElection, ATokenIsActedOnOnlyOnceAllBeforeItHasBeenRead) {
   config::Settings s = make_settings(1);
   state::World w(s);
   Store store;
@@ -231,7 +233,7 @@
   EXPECT_NE(w.job("run-100000"), nullptr);
 }
 
-TEST(Ownership, ATokenWhoseDeskWasClosedIsReclaimed) {
+TEST(LeaderElection, ATokenWhoseDeskWasClosedIsReclaimed) {
   config::Settings s = make_settings(1);
   state::World w(s);
   Store store;
@@ -247,7 +249,7 @@
   store.read(w, ch);
   o.observe(w, 1);
   EXPECT_EQ(o.decide(w, 0, 1, 0).kind, shard::Move::act);
-  EXPECT_EQ(o.decide(w, 0, 1, w.owner(0).stamp).kind, shard::Move::take);
+  EXPECT_EQ(o.decide(w, 0, 1, w.owner(0).mod_revision).kind, shard::Move::take);
 }
 
 }  // namespace
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -4,9 +4,9 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
+#include "emulators.h"
 #include "peer/peer.h"
 #include "shard/inventory_page.h"
-#include "emulators.h"
 
 namespace shunttrail::test {
 namespace {
@@ -64,14 +64,14 @@
 
 TEST(Upgrade, SheetsAndRosterPagesAreThoseOfTheVersionInProduction) {
   auto names = [](int t) { return std::string(t ? "red" : "vision"); };
-  auto sheet = wire::decode_sheet(event(kSheet), [](const std::string& t) { return t == "red"; });
-  ASSERT_EQ(sheet.jobs.size(), 2u);
-  EXPECT_EQ(sheet.jobs[0].places.size(), 2u);
-  EXPECT_EQ(sheet.jobs[0].places[1].attempt, (5u << 20) + 9);
-  EXPECT_EQ(wire::encode_record(sheet, names), kSheet);
-  auto roster = wire::decode_roster(event(kRoster));
-  ASSERT_EQ(roster.machines.size(), 2u);
-  EXPECT_EQ(wire::encode_record(roster), kRoster);
+  auto page = wire::decode_sheet(event(kSheet), [](const std::string& t) { return t == "red"; });
+  ASSERT_EQ(page.jobs.size(), 2u);
+  EXPECT_EQ(page.jobs[0].places.size(), 2u);
+  EXPECT_EQ(page.jobs[0].places[1].attempt, (5u << 20) + 9);
+  EXPECT_EQ(wire::encode_record(page, names), kSheet);
+  auto inventory = wire::decode_roster(event(kRoster));
+  ASSERT_EQ(inventory.machines.size(), 2u);
+  EXPECT_EQ(wire::encode_record(inventory), kRoster);
 }
 
 TEST(Upgrade, BeatsAndRedirectsAreThoseOfTheVersionInProduction) {
@@ -83,7 +83,7 @@
   EXPECT_EQ(b->node, 2);
   EXPECT_EQ(b->tokens[2], 431u);
   EXPECT_EQ(b->loads[0].entitled, 250u);
-  // The other version checks a beat's number and its exact length.
+  // The other version checks a heartbeat's number and its exact length.
   EXPECT_EQ(peer::encode(*b), bytes);
   EXPECT_EQ(wire::encode_redirect("railhead-2"), R"({"dispatcher":"railhead-2"})");
 }
@@ -96,7 +96,8 @@
   EXPECT_EQ(state::roster_key(state::roster_page("odd")), "st/m/16777263");
   EXPECT_EQ(state::sheet_key(1, 47), "st/a/1/47");
   EXPECT_EQ(state::final_key("run-000412"), "fin/run-000412");
-  // A letter that the version in production has no word for: it keeps the stamp and reads past it.
+  // A letter that the version in production has no word for: it keeps the revision and reads past
+  // it.
   EXPECT_EQ(state::waiting_key("run-000412"), "st/w/run-000412");
 }
 
@@ -138,7 +139,7 @@
   s.state_next.value_kb = 2;
   s.state_next.txn_ops = 4;
   state::Limits l(s);
-  EXPECT_EQ(l.present().value_bytes, 4096u);  // roster pages, as the other version reads them
+  EXPECT_EQ(l.present().value_bytes, 4096u);  // inventory pages, as the other version reads them
   l.too_large(3000, 6);
   EXPECT_EQ(l.present().value_bytes, 2048u);
   EXPECT_EQ(l.room().ops, 4u);
@@ -164,9 +165,9 @@
   EXPECT_GT(p.rate(602), 4);  // never to a standstill
 }
 
-// A roster page too long for one new value is parted, and at no moment is a machine unrecorded or
-// recorded twice: whatever of several nodes' changes come through.
-RC_GTEST_PROP(Roster, PartedPagesHoldEveryMachineOnce, ()) {
+// A inventory page too long for one new value is parted, and at no moment is a machine unrecorded
+// or recorded twice: whatever of several nodes' changes come through.
+RC_GTEST_PROP(InventoryPage, PartedPagesHoldEveryMachineOnce, ()) {
   config::Settings s = make_settings();
   Store store;
   std::map<std::string, int> truth;
@@ -223,7 +224,7 @@
 
 // Two nodes that do not know of the same limits yet enter one machine at the same time: one into
 // the page itself, the other into a new part of it. Only one may come through.
-TEST(Roster, TheNextPartIsGuarded) {
+TEST(InventoryPage, TheNextPartIsGuarded) {
   config::Settings s = make_settings();
   Store store;
   state::World w(s);
@@ -247,13 +248,14 @@
   EXPECT_FALSE(store.commit(one));
 }
 
-// A sheet written when values could be larger stays as it is until what it holds is over, and new
-// starts go elsewhere: no value is longer than what is taken now, nothing that is held is lost.
+// A placement page written when values could be larger stays as it is until what it holds is over,
+// and new starts go elsewhere: no value is longer than what is taken now, nothing that is held is
+// lost.
 TEST(Limits, SheetsTooLongForANewValueAreLeftAlone) {
   config::Settings s = make_settings(1);
   s.teams[0].cpus_max = 100000;
   config::Tuning tuning;
-  fleet::Catalogue c = make_catalogue(s);
+  scheduler::Catalogue c = make_catalogue(s);
   Store store;
   state::World w(s);
   store.commit(
@@ -267,7 +269,7 @@
   auto job = make_job(1, 2400, 1);
   store.commit({{}, {{state::job_key(job.spec.id), wire::encode_record(job), 0}}});
   store.read(w, ch);
-  fleet::Desk d(s, tuning, c, 0, w.owner(0).stamp, 0, 7);
+  scheduler::Desk d(s, tuning, c, 0, w.owner(0).mod_revision, 0, 7);
   d.job_added(job, 0, {}, 0, 0);
   for (const auto& m : machines) d.machine_known(m, 0);
   double now = 1;
@@ -286,7 +288,7 @@
     }
     return n;
   };
-  auto beat = [&](int from, int to) {
+  auto heartbeat = [&](int from, int to) {
     for (int i = from; i < to; ++i) {
       wire::Report r{machines[static_cast<std::size_t>(i)].name,
                      "10.0.0.1:1",
@@ -303,20 +305,21 @@
   };
   auto places = [&] {
     std::set<std::uint32_t> tasks;
-    for (const auto& [n, sheet] : w.sheets(0))
-      for (const auto& g : sheet.jobs)
+    for (const auto& [n, page] : w.pages(0))
+      for (const auto& g : page.jobs)
         for (const auto& p : g.places) EXPECT_TRUE(tasks.insert(p.task).second);
     return tasks.size();
   };
-  beat(0, 400);
+  heartbeat(0, 400);
   commit({4096, 12});
   std::size_t before = places();
   EXPECT_EQ(before, 1600u);
-  // Results come, are written, and grow: beside a full sheet, and after the limits have fallen.
+  // Results come, are written, and grow: beside a full placement page, and after the limits have
+  // fallen.
   auto done = [&](int from, int to, std::uint64_t seq) {
     std::map<std::string, std::vector<wire::TaskReport>> on;
-    for (const auto& [n, sheet] : w.sheets(0))
-      for (const auto& g : sheet.jobs)
+    for (const auto& [n, page] : w.pages(0))
+      for (const auto& g : page.jobs)
         for (const auto& p : g.places)
           on[p.machine].push_back(
               {{g.job, p.task}, p.attempt, wire::TaskState::exited, wire::ExitReason::done});
@@ -326,13 +329,13 @@
     }
   };
   done(0, 40, 2);
-  beat(400, 520);
+  heartbeat(400, 520);
   commit({4096, 12});
   std::size_t held = places();
   done(40, 80, 2);
-  beat(520, 600);
+  heartbeat(520, 600);
   EXPECT_GT(commit({1024, 2, 8}), 1u);
-  // Every result that a desk would let a worker forget is recorded, and every placement left.
+  // Every result that a scheduler would let a worker forget is recorded, and every placement left.
   EXPECT_GE(places() + 80, 2400u - 80);
   EXPECT_GT(held, 1500u);
   std::set<std::uint32_t> finished;
@@ -342,13 +345,13 @@
   EXPECT_EQ(finished.size(), 80u);
 }
 
-// A takeover finds every sheet too long for what a value may hold by now: none of them is written,
-// a further one is begun, and what is recorded stays recorded.
+// A takeover finds every placement page too long for what a value may hold by now: none of them is
+// written, a further one is begun, and what is recorded stays recorded.
 TEST(Limits, WhereEverySheetIsTooLongAFurtherOneIsBegun) {
   config::Settings s = make_settings(1);
   s.teams[0].cpus_max = 100000;
   config::Tuning tuning;
-  fleet::Catalogue c = make_catalogue(s);
+  scheduler::Catalogue c = make_catalogue(s);
   Store store;
   state::World w(s);
   auto job = make_job(1, 1000, 1);
@@ -357,22 +360,22 @@
                  {state::job_key(job.spec.id), wire::encode_record(job), 0}}});
   auto names = [&](int team) { return s.teams[static_cast<std::size_t>(team)].name; };
   std::vector<wire::MachineRecord> machines;
-  for (int sheet = 0; sheet < 48; ++sheet) {
+  for (int page = 0; page < 48; ++page) {
     wire::SheetRecord r{"t", {{job.spec.id, 0, 1, 0, 1, {}, {}}}};
     for (std::uint32_t i = 0; i < 6; ++i) {
       std::string name = "m-" + std::string(190, 'x') + std::to_string(machines.size());
       machines.push_back({name, "t4", "a", true, 0, 0});
       r.jobs[0].places.push_back({name, static_cast<std::uint32_t>(machines.size()), 7});
     }
-    if (sheet == 0) r.jobs[0].done = {{0, {{0, 0}}}};
-    store.commit({{}, {{state::sheet_key(0, sheet), wire::encode_record(r, names), 0}}});
+    if (page == 0) r.jobs[0].done = {{0, {{0, 0}}}};
+    store.commit({{}, {{state::sheet_key(0, page), wire::encode_record(r, names), 0}}});
   }
   std::vector<state::Change> ch;
   store.read(w, ch);
-  fleet::Desk d(s, tuning, c, 0, w.owner(0).stamp, 0, 7);
+  scheduler::Desk d(s, tuning, c, 0, w.owner(0).mod_revision, 0, 7);
   d.job_added(job, 0, w.done(job.spec.id), 0, 0);
   for (const auto& m : machines) d.machine_known(m, 0);
-  for (const auto& [n, sheet] : w.sheets(0)) d.inherit(n, sheet, 0);
+  for (const auto& [n, page] : w.pages(0)) d.inherit(n, page, 0);
   wire::Report r{machines[0].name,
                  "10.0.0.1:1",
                  "t4",
@@ -380,7 +383,7 @@
                  true,
                  1,
                  1,
-                 w.owner(0).stamp,
+                 w.owner(0).mod_revision,
                  std::nullopt,
                  {{{job.spec.id, 1}, 7, wire::TaskState::exited, wire::ExitReason::done}}};
   d.report(r, 1);
