--- a/src/rehearsal/set.h
+++ b/src/rehearsal/set.h
@@ -65,6 +65,7 @@
   void pass(double seconds);
   double now() const { return sim_.now(); }
   Simulation& sim() { return sim_; }
+  std::uint64_t digest() const { return sim_.digest(); }  // of the history so far
   const Scale& scale() const { return scale_; }
   Scale& scale() { return scale_; }  // shares may change as it goes
 
--- a/src/rehearsal/simulation.cpp
+++ b/src/rehearsal/simulation.cpp
@@ -11,6 +11,28 @@
 std::string text(const config::Endpoint& at) { return at.host + ":" + std::to_string(at.port); }
 }  // namespace
 
+// ---- the digest of the history
+
+void Simulation::record(Step step, const Request& request) {
+  digest_.add_number(static_cast<std::uint64_t>(step));
+  digest_.add_double(now_);
+  digest_.add_text(request.from);
+  digest_.add_text(request.to);
+  digest_.add_text(request.method);
+  digest_.add_text(request.path);
+  digest_.add_text(request.body);
+}
+
+void Simulation::record_answer(const Request& request, const net::Answer& answer) {
+  digest_.add_number(static_cast<std::uint64_t>(Step::answer_given));
+  digest_.add_double(now_);
+  digest_.add_text(request.from);
+  digest_.add_text(request.to);
+  digest_.add_number(static_cast<std::uint64_t>(answer.status));
+  digest_.add_text(answer.body);
+  digest_.add_double(answer.retry_after_s);
+}
+
 // ---- time
 
 void Simulation::at(double when, std::function<void()> fn) {
@@ -88,19 +110,25 @@
 
 // To whoever listens there when it arrives; nobody: as a connection that is refused.
 void Simulation::deliver(const std::shared_ptr<Request>& r, const std::string& to,
-                         const std::function<void(const net::Answer&)>& reply) {
+                         const std::function<void(const net::Answer&)>& pass_on) {
+  auto reply = [this, r, pass_on](const net::Answer& a) {
+    record_answer(*r, a);
+    pass_on(a);
+  };
   auto l = listeners_.find(to);
   if (l == listeners_.end() || l->second.handler.expired()) return reply({0, "", 0});
   const auto handler = l->second.handler;
   const std::weak_ptr<Host::Life> life = l->second.host->life_;
   // The exchange is made in the host's own turn: one that is frozen, or ends before, has seen
   // nothing.
-  auto take = std::make_shared<std::function<void()>>([handler, r, reply, life] {
-    if (auto h = handler.lock())
-      (*h)(std::make_shared<net::Exchange>(r->method, r->path, r->body,
-                                           [reply, life](const net::Answer& a) {
-                                             if (!life.expired()) reply(a);
-                                           }));
+  auto take = std::make_shared<std::function<void()>>([this, handler, r, reply, life] {
+    auto h = handler.lock();
+    if (!h) return;
+    record(Step::request_delivered, *r);
+    (*h)(std::make_shared<net::Exchange>(r->method, r->path, r->body,
+                                         [reply, life](const net::Answer& a) {
+                                           if (!life.expired()) reply(a);
+                                         }));
   });
   push({now_, ++orders_, take, {}, life, true});
 }
@@ -111,6 +139,7 @@
   Simulation& sim = sim_;
   auto r = std::make_shared<Request>(
       Request{name_, to.host, std::move(method), std::move(path), std::move(body)});
+  sim.record(Simulation::Step::request_sent, *r);
   const Way way = sim.way ? sim.way(*r) : Way{};
   // The first of an answer and the timeout; neither once the asker has let go.
   struct Flight {
@@ -133,7 +162,9 @@
     sim.push({sim.now() + after, ++sim.orders_, fn, {}, life, true});
   };
   if (way.refused) {
-    arrive(way.there_s + way.back_s, {way.refused, "{\"error\":\"trouble\"}", 0});
+    const net::Answer refusal{way.refused, "{\"error\":\"trouble\"}", 0};
+    sim.record_answer(*r, refusal);
+    arrive(way.there_s + way.back_s, {refusal.status, refusal.body, refusal.retry_after_s});
     return flight;
   }
   auto reply = [&sim, r, way, arrive](const net::Answer& a) {
--- a/src/rehearsal/simulation.h
+++ b/src/rehearsal/simulation.h
@@ -14,6 +14,7 @@
 
 #include "actor/loop.h"
 #include "net/http.h"
+#include "rehearsal/history_digest.h"
 
 namespace shunt::rehearsal {
 
@@ -95,6 +96,11 @@
   // A request that nobody waits for: a copy from somewhere on the way.
   void send_copy(Request r, const config::Endpoint& to);
 
+  // Identifies the history so far: a hash of every request, as it is sent and as the receiving host
+  // takes it, and of every answer as it is given, each with its simulated time, in order. Equal
+  // digests mean the same history; keeping it draws no random numbers and reorders no events.
+  std::uint64_t digest() const { return digest_.value(); }
+
   // Asked as each request leaves. None: nothing is ever lost.
   std::function<Way(const Request&)> way;
   // Asked as its answer leaves: seconds that it is held up, or below 0: it is lost.
@@ -115,14 +121,19 @@
     Host* host;
     std::weak_ptr<net::Network::Handler> handler;
   };
+  // What is recorded in the digest. The values are hashed: changing one changes every digest.
+  enum class Step : std::uint64_t { request_sent = 1, request_delivered = 2, answer_given = 3 };
+  void record(Step step, const Request& request);
+  void record_answer(const Request& request, const net::Answer& answer);
   void push(Event e) { queue_.push(std::move(e)); }
   void hold(Event e, const Host::Life& life);
   void deliver(const std::shared_ptr<Request>& r, const std::string& to,
-               const std::function<void(const net::Answer&)>& reply);
+               const std::function<void(const net::Answer&)>& pass_on);
 
   double now_ = 0;
   std::uint64_t orders_ = 0;
   std::mt19937 rng_;
+  HistoryDigest digest_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
   std::map<std::string, Listener> listeners_;  // by address
 };
--- a/tests/meetings.h
+++ b/tests/meetings.h
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
+#include <cstdint>
 #include <functional>
 #include <random>
 #include <set>
@@ -228,6 +229,7 @@
   std::vector<std::string> unfinished;  // and what they are
   std::uint64_t begun_again = 0, saves = 0;
   Set::AfterCancel after_cancel;
+  std::uint64_t digest = 0;  // of the whole history, see Simulation::digest
 };
 
 // For a share of the seeds any settings that are accepted, and rates near what a set needs.
@@ -351,6 +353,7 @@
   out.saves = set.saves();
   if (!out.unfinished.empty()) out.unfinished.push_back("room: " + room);
   out.after_cancel = set.after_cancel();
+  out.digest = set.digest();
   return out;
 }
 
--- /dev/null
+++ b/tests/meetings_digest_test.cpp
@@ -0,0 +1,98 @@
+// The digest of a simulated history: the same for the same seed, another for another seed.
+#include <gtest/gtest.h>
+
+#include "meetings.h"
+#include "rehearsal/history_digest.h"
+
+namespace shunt::test {
+namespace {
+
+using rehearsal::HistoryDigest;
+
+std::uint64_t digest_of_bytes(std::string_view bytes) {
+  HistoryDigest digest;
+  digest.add_bytes(bytes);
+  return digest.value();
+}
+
+// Published values of 64-bit FNV-1a.
+TEST(HistoryDigest, IsFnv1a) {
+  EXPECT_EQ(digest_of_bytes(""), 0xcbf29ce484222325u);
+  EXPECT_EQ(digest_of_bytes("a"), 0xaf63dc4c8601ec8cu);
+  EXPECT_EQ(digest_of_bytes("foobar"), 0x85944171f73967e8u);
+}
+
+TEST(HistoryDigest, NumbersAreEightBytesLeastSignificantFirst) {
+  HistoryDigest digest;
+  digest.add_number(0x6867666564636261);
+  EXPECT_EQ(digest.value(), digest_of_bytes("abcdefgh"));
+}
+
+TEST(HistoryDigest, DoublesDifferInTheirLastBit) {
+  HistoryDigest sum, literal;
+  sum.add_double(0.1 + 0.2);
+  literal.add_double(0.3);
+  EXPECT_NE(sum.value(), literal.value());
+}
+
+TEST(HistoryDigest, TextsDifferByWhereTheyAreSplit) {
+  HistoryDigest one, other;
+  one.add_text("ab");
+  one.add_text("c");
+  other.add_text("a");
+  other.add_text("bc");
+  EXPECT_NE(one.value(), other.value());
+}
+
+TEST(MeetingsDigest, TheSameSeedGivesTheSameHistory) {
+  for (unsigned seed : {1u, 2u, 3u}) EXPECT_EQ(play(seed).digest, play(seed).digest) << seed;
+}
+
+TEST(MeetingsDigest, AnotherSeedGivesAnotherHistory) {
+  std::set<std::uint64_t> digests;
+  for (unsigned seed = 1; seed <= 5; ++seed) digests.insert(play(seed).digest);
+  EXPECT_EQ(digests.size(), 5u);
+}
+
+TEST(MeetingsDigest, ANamedTroubleChangesTheHistory) {
+  EXPECT_NE(play(1).digest, play(1, {"cloud down"}).digest);
+}
+
+// The two exchanges below differ in one thing each; the digest has to see it.
+struct OneExchange {
+  double at_s = 1;
+  std::string path = "/x", body = "question";
+  net::Answer answer{200, "answer", 0};
+
+  std::uint64_t digest() const {
+    rehearsal::Simulation simulation(1);
+    rehearsal::Host server(simulation, "server"), client(simulation, "client");
+    const config::Endpoint endpoint{"server", 80};
+    const auto listening =
+        server.listen(endpoint, [this](const net::ExchangePtr& e) { e->send(answer); });
+    net::Network::Handle asked;
+    simulation.at(at_s, [&] {
+      asked = client.request(endpoint, "POST", path, body, 5, [](const net::Result&) {});
+    });
+    simulation.run_until(10);
+    return simulation.digest();
+  }
+};
+
+TEST(SimulationDigest, SeesWhatIsAskedAndWhatIsAnsweredAndWhen) {
+  const std::uint64_t plain = OneExchange{}.digest();
+  EXPECT_EQ(OneExchange{}.digest(), plain);
+  OneExchange later, other_path, other_body, other_status, other_answer, other_retry;
+  later.at_s = 1.0000001;
+  other_path.path = "/y";
+  other_body.body = "Question";
+  other_status.answer.status = 201;
+  other_answer.answer.body = "Answer";
+  other_retry.answer.retry_after_s = 1;
+  for (const OneExchange& other :
+       {later, other_path, other_body, other_status, other_answer, other_retry})
+    EXPECT_NE(other.digest(), plain);
+}
+
+}  // namespace
+}  // namespace shunt::test
