--- a/src/simulation/simulated_cluster.h
+++ b/src/simulation/simulated_cluster.h
@@ -65,6 +65,7 @@
   void pass(double seconds);
   double now() const { return sim_.now(); }
   Simulation& sim() { return sim_; }
+  std::uint64_t digest() const { return sim_.digest(); }  // of the history so far
   const ClusterOptions& options() const { return options_; }
   ClusterOptions& options() { return options_; }  // shares may change as it goes
 
