--- a/src/simulation/history_digest.h
+++ b/src/simulation/history_digest.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace shunt::rehearsal {
+namespace shunttrail::simulation {
 
 // An incremental 64-bit FNV-1a hash (http://www.isthe.com/chongo/tech/comp/fnv/). Not
 // cryptographic. The value depends on what is added and in which order, not on the platform's byte
@@ -49,4 +49,4 @@
   std::uint64_t value_ = kOffsetBasis;
 };
 
-}  // namespace shunt::rehearsal
+}  // namespace shunttrail::simulation
--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -14,7 +14,7 @@
 
 #include "actor/loop.h"
 #include "net/http.h"
-#include "rehearsal/history_digest.h"
+#include "simulation/history_digest.h"
 
 namespace shunttrail::simulation {
 
--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -14,8 +14,8 @@
 
 namespace shunttrail::test {
 
-using simulation::Scale;
-using simulation::Set;
+using simulation::ClusterOptions;
+using simulation::SimulatedCluster;
 
 inline wire::JobSpec spec(const std::string& team, std::uint32_t tasks, double cpus = 1) {
   wire::JobSpec s;
@@ -35,14 +35,18 @@
 
 struct Trouble {
   const char* name;
-  std::function<void(Set&)> begin;
+  std::function<void(SimulatedCluster&)> begin;
 };
 
-inline int some_machine(Set& s) { return static_cast<int>(s.sim().rng()() % s.machines()); }
-inline int some_node(Set& s) { return static_cast<int>(s.sim().rng()() % s.scale().controllers); }
+inline int some_machine(SimulatedCluster& s) {
+  return static_cast<int>(s.sim().rng()() % s.machines());
+}
+inline int some_node(SimulatedCluster& s) {
+  return static_cast<int>(s.sim().rng()() % s.scale().controllers);
+}
 
 // Cancels this share of the jobs that are not over, through any controllers.
-inline std::vector<std::string> cancel_some(Set& s, double share) {
+inline std::vector<std::string> cancel_some(SimulatedCluster& s, double share) {
   std::vector<std::string> out;
   for (const auto& [id, j] : s.jobs())
     if (j.accepted && !j.cancel_asked && j.told_done < 0 && s.sim().chance(share))
@@ -51,7 +55,7 @@
   return out;
 }
 // Work of the highest band, which others make room for.
-inline void submit_urgent(Set& s, int jobs) {
+inline void submit_urgent(SimulatedCluster& s, int jobs) {
   for (int i = 0; i < jobs; ++i) {
     wire::JobSpec urgent = spec(i % 2 ? "red" : "blue", 2, 2);
     urgent.priority = wire::Priority::critical;
@@ -62,86 +66,97 @@
 inline const std::vector<Trouble>& troubles() {
   static const std::vector<Trouble> all = {
       {"late reports",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          s.scale().report_copies = 0.4;
          s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.scale().report_copies = 0; });
        }},
       {"late writes",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          s.scale().late_writes = s.sim().draw(0.1, 0.5);
          s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.scale().late_writes = 0; });
        }},
       {"slow state service",
-       [](Set& s) { s.slow_state(s.sim().draw(0.2, 2.5), s.sim().draw(10, 40)); }},
-      {"leader refused alone", [](Set& s) { s.refuse(s.busiest(), s.sim().draw(3, 40)); }},
-      {"outage", [](Set& s) { s.outage(s.sim().draw(3, 70)); }},
+       [](SimulatedCluster& s) { s.slow_state(s.sim().draw(0.2, 2.5), s.sim().draw(10, 40)); }},
+      {"leader refused alone",
+       [](SimulatedCluster& s) { s.refuse(s.busiest(), s.sim().draw(3, 40)); }},
+      {"outage", [](SimulatedCluster& s) { s.outage(s.sim().draw(3, 70)); }},
       {"leader cut from state",
-       [](Set& s) { s.cut(s.busiest(), Set::state, s.sim().draw(3, 60)); }},
+       [](SimulatedCluster& s) {
+         s.cut(s.busiest(), SimulatedCluster::state, s.sim().draw(3, 60));
+       }},
       {"leader cut from state and peers",
-       [](Set& s) { s.cut(s.busiest(), Set::state | Set::peers, s.sim().draw(3, 60)); }},
+       [](SimulatedCluster& s) {
+         s.cut(s.busiest(), SimulatedCluster::state | SimulatedCluster::peers, s.sim().draw(3, 60));
+       }},
       {"leader cut from workers",
-       [](Set& s) { s.cut(s.busiest(), Set::workers, s.sim().draw(3, 60)); }},
+       [](SimulatedCluster& s) {
+         s.cut(s.busiest(), SimulatedCluster::workers, s.sim().draw(3, 60));
+       }},
       {"leader cut from all",
-       [](Set& s) {
-         s.cut(s.busiest(), Set::state | Set::peers | Set::workers, s.sim().draw(3, 60));
+       [](SimulatedCluster& s) {
+         s.cut(s.busiest(),
+               SimulatedCluster::state | SimulatedCluster::peers | SimulatedCluster::workers,
+               s.sim().draw(3, 60));
        }},
       {"machines deaf",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          for (int i = 0; i < 3; ++i) s.deaf(some_machine(s), s.sim().draw(5, 60));
        }},
       {"machines hang",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          for (int i = 0; i < 2; ++i) s.hang(some_machine(s), s.sim().draw(2, 40));
        }},
       {"direct orders held",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          for (int i = 0; i < 3; ++i) s.hold_orders(some_machine(s), s.sim().draw(3, 60));
        }},
-      {"leader ends", [](Set& s) { s.kill(s.busiest(), s.sim().draw(0.05, 15)); }},
+      {"leader ends", [](SimulatedCluster& s) { s.kill(s.busiest(), s.sim().draw(0.05, 15)); }},
       {"all end",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          for (int n = 0; n < s.scale().controllers; ++n) s.kill(n, s.sim().draw(0.05, 10));
        }},
       {"roll and back",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          double at = s.now();
          for (int n = 0; n < s.scale().controllers; ++n)
            s.sim().at(at += s.sim().draw(0.1, 3), [&s, n] { s.kill(n, 0.2); });
        }},
-      {"a node stands still", [](Set& s) { s.freeze(some_node(s), s.sim().draw(1, 35)); }},
-      {"leader stands still", [](Set& s) { s.freeze(s.busiest(), s.sim().draw(1, 35)); }},
+      {"a node stands still",
+       [](SimulatedCluster& s) { s.freeze(some_node(s), s.sim().draw(1, 35)); }},
+      {"leader stands still",
+       [](SimulatedCluster& s) { s.freeze(s.busiest(), s.sim().draw(1, 35)); }},
       {"leader stands still between two turns",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          s.freeze_after(s.busiest(), 1 + s.sim().rng()() % 3000, s.sim().draw(1, 30));
        }},
-      {"cloud down", [](Set& s) { s.cloud_outage(s.sim().draw(20, 120)); }},
-      {"a machine dies", [](Set& s) { s.kill_machine(some_machine(s)); }},
+      {"cloud down", [](SimulatedCluster& s) { s.cloud_outage(s.sim().draw(20, 120)); }},
+      {"a machine dies", [](SimulatedCluster& s) { s.kill_machine(some_machine(s)); }},
       {"machines mute",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          for (int i = 0; i < 3; ++i) s.mute(some_machine(s), s.sim().draw(5, 60));
        }},
       {"machines hang for long",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          const double longest = s.scale().cancel_s + 25;
          for (int i = 0; i < 3; ++i) s.hang(some_machine(s), s.sim().draw(5, longest));
        }},
       {"machines hang in chains",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          for (int i = 0; i < 3; ++i)
            s.hang_in_chains(some_machine(s), 2 + static_cast<int>(s.sim().rng()() % 4));
        }},
       {"writes answered by nothing but done",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          s.scale().lost_answers = s.sim().draw(0.1, 0.6);
          s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.scale().lost_answers = 0; });
        }},
       {"reports kept for the next leader",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          s.scale().copies_for_next = s.sim().draw(0.1, 0.5);
          s.sim().at(s.now() + s.sim().draw(20, 90), [&s] { s.scale().copies_for_next = 0; });
        }},
       {"many cancelled and their machines hang",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          std::vector<std::string> jobs = cancel_some(s, s.sim().draw(0.4, 0.9));
          int left = 8;
          for (const auto& id : jobs)
@@ -159,32 +174,34 @@
            }
        }},
       {"others make room and are cancelled",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          submit_urgent(s, 6);
          s.sim().at(s.now() + s.sim().draw(2, 15), [&s] { cancel_some(s, 0.5); });
        }},
       {"spot machines are taken",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          for (int i = 0; i < 2; ++i)
            s.take_machine(some_machine(s), s.sim().chance(0.2) ? 0 : s.sim().draw(10, 30));
        }},
       {"a zone cut with its controller",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          s.cut_zone(s.sim().chance(0.5) ? "a" : "b", s.scale().lease_s + s.sim().draw(1, 30));
        }},
       {"all away for longer than the lease",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          for (int n = 0; n < s.scale().controllers; ++n)
            s.kill(n, s.scale().lease_s + s.sim().draw(1, 15));
        }},
       {"leaders change ten times",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          for (int i = 0; i < 10; ++i)
            s.sim().at(s.now() + 12 * i + s.sim().draw(0, 8), [&s] {
              if (s.sim().chance(0.6))
                s.kill(s.busiest(), s.sim().draw(0.05, 8));
              else
-               s.cut(s.busiest(), Set::state | (s.sim().chance(0.5) ? Set::peers : 0), 11);
+               s.cut(s.busiest(),
+                     SimulatedCluster::state | (s.sim().chance(0.5) ? SimulatedCluster::peers : 0),
+                     11);
            });
          if (s.sim().chance(0.5)) {
            const double for_s = s.sim().draw(5, 60);
@@ -192,20 +209,20 @@
          }
        }},
       {"slow links",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          s.scale().slow_links_s = s.sim().draw(0.2, 1);
          s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.scale().slow_links_s = 0; });
        }},
       {"new machines up at once",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          s.scale().quick_boots_s = s.sim().draw(0.3, 2);
          s.sim().at(s.now() + 90, [&s] { s.scale().quick_boots_s = 0; });
          for (int i = 0; i < 2; ++i) s.kill_machine(some_machine(s));
        }},
       {"orders held and reports passed on",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          const double for_s = s.sim().draw(10, 100);
-         s.cut(s.busiest(), Set::reports, for_s);
+         s.cut(s.busiest(), SimulatedCluster::reports, for_s);
          for (int m = 0; m < s.machines(); ++m) {
            if (s.sim().chance(0.7)) s.hold_orders(m, for_s * s.sim().draw(0.5, 1.5));
            if (s.sim().chance(0.5)) s.hold_direct_answers(m, for_s * s.sim().draw(0.5, 1.5));
@@ -213,7 +230,7 @@
          s.sim().at(s.now() + s.sim().draw(0, 10), [&s] { cancel_some(s, 0.4); });
        }},
       {"refused alone with cancellations, then out",
-       [](Set& s) {
+       [](SimulatedCluster& s) {
          const double out_s = s.scale().cancel_s + s.sim().draw(2, 25);
          s.refuse(s.busiest(), 1 + s.sim().draw(0, out_s + 10));
          cancel_some(s, 0.7);
@@ -228,17 +245,17 @@
   std::size_t done = 0;
   std::vector<std::string> unfinished;  // and what they are
   std::uint64_t begun_again = 0, saves = 0;
-  Set::AfterCancel after_cancel;
+  SimulatedCluster::AfterCancel after_cancel;
   std::uint64_t digest = 0;  // of the whole history, see Simulation::digest
 };
 
 // For a share of the seeds any settings that are accepted, and rates near what a set needs.
-inline Scale drawn_scale(unsigned seed) {
+inline ClusterOptions drawn_scale(unsigned seed) {
   std::mt19937 rng(seed * 7919u + 17);
   auto draw = [&](double from, double to) {
     return std::uniform_real_distribution<>(from, to)(rng);
   };
-  Scale s;
+  ClusterOptions s;
   s.controllers = 2 + static_cast<int>(seed % 4);
   s.machines = 4 + static_cast<int>(seed % 5);
   if (draw(0, 1) < 0.4) {
@@ -254,7 +271,7 @@
   return s;
 }
 
-inline std::string describe(const Set& set, const Set::Job& j) {
+inline std::string describe(const SimulatedCluster& set, const SimulatedCluster::Job& j) {
   const wire::JobSpec& s = j.spec;
   std::string out =
       s.id + ": " + s.team + ", band " + std::to_string(static_cast<int>(s.priority)) + ", " +
@@ -271,7 +288,7 @@
 // and cancel; then it is quiet, and every accepted job has to be known everywhere, and to be over.
 // `named` are always among them.
 inline Played play(unsigned seed, const std::vector<std::string>& named = {}) {
-  Set set(seed, drawn_scale(seed));
+  SimulatedCluster set(seed, drawn_scale(seed));
   auto& sim = set.sim();
   Played out;
   set.pass(12);
@@ -329,7 +346,7 @@
   set.pass(420);
   set.ask_all();
   const std::string room = set.room();
-  auto over = [](const Set::Job& j) {
+  auto over = [](const SimulatedCluster::Job& j) {
     return j.spec.service || !j.accepted || j.told_done >= 0 || j.told_cancelled >= 0;
   };
   // Replicas run to the end of a history, and may hold all that the cloud has in a zone until then.
@@ -366,7 +383,7 @@
 inline void expect_whole(unsigned first, unsigned last,
                          const std::vector<std::string>& named = {}) {
   std::size_t done = 0;
-  Set::AfterCancel latest;
+  SimulatedCluster::AfterCancel latest;
   for (unsigned seed = first; seed <= last; ++seed) {
     Played p = play(seed, named);
     EXPECT_EQ(p.broken, std::vector<std::string>{}) << "seed " << seed << ": " << text(p.names);
--- a/tests/fault_combinations_digest_test.cpp
+++ b/tests/fault_combinations_digest_test.cpp
@@ -1,13 +1,13 @@
 // The digest of a simulated history: the same for the same seed, another for another seed.
 #include <gtest/gtest.h>
 
-#include "meetings.h"
-#include "rehearsal/history_digest.h"
+#include "fault_combinations.h"
+#include "simulation/history_digest.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
-using rehearsal::HistoryDigest;
+using simulation::HistoryDigest;
 
 std::uint64_t digest_of_bytes(std::string_view bytes) {
   HistoryDigest digest;
@@ -65,8 +65,8 @@
   net::Answer answer{200, "answer", 0};
 
   std::uint64_t digest() const {
-    rehearsal::Simulation simulation(1);
-    rehearsal::Host server(simulation, "server"), client(simulation, "client");
+    simulation::Simulation simulation(1);
+    simulation::Host server(simulation, "server"), client(simulation, "client");
     const config::Endpoint endpoint{"server", 80};
     const auto listening =
         server.listen(endpoint, [this](const net::ExchangePtr& e) { e->send(answer); });
@@ -95,4 +95,4 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
--- a/tests/history_digests_main.cpp
+++ b/tests/history_digests_main.cpp
@@ -8,9 +8,9 @@
 #include <optional>
 #include <string>
 
-#include "meetings.h"
+#include "fault_combinations.h"
 
-namespace shunt::test {
+namespace shunttrail::test {
 namespace {
 
 constexpr int kUsageError = 2;
@@ -59,6 +59,6 @@
 }
 
 }  // namespace
-}  // namespace shunt::test
+}  // namespace shunttrail::test
 
-int main(int argc, char** argv) { return shunt::test::run(argc, argv); }
+int main(int argc, char** argv) { return shunttrail::test::run(argc, argv); }
