--- a/src/chain/bandit.h
+++ b/src/chain/bandit.h
@@ -16,10 +16,12 @@
 
 // What a learner sees, packed into buckets.
 struct Context {
-  std::uint16_t job_class = 0;  // dense index of the job's class
-  std::uint8_t size = 0;        // bucket of the share of a machine that the task takes
-  std::uint8_t waiting = 0;     // 0: room now; else bucket of the waiting count
-  bool warm = false;            // the machine has, or is fetching, the image
+  // Dense index of the job's class, of those that this leader has seen. Grows with the users'
+  // classes, not with machines; beyond 65,536 of them, two share what is learned.
+  std::uint16_t job_class = 0;
+  std::uint8_t size = 0;     // bucket of the share of a machine that the task takes
+  std::uint8_t waiting = 0;  // 0: room now; else bucket of the waiting count
+  bool warm = false;         // the machine has, or is fetching, the image
   std::uint64_t key() const {
     return std::uint64_t{job_class} << 24 | std::uint64_t{size} << 16 |
            std::uint64_t{waiting} << 8 | (warm ? 1 : 0);
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -4,17 +4,21 @@
 namespace {
 constexpr double kTimeout = 5;
 constexpr int kTries = 6;
+// Bounded by the rate of calls in the settings, not by machines: a shard has one rent out for each
+// tier and zone, of up to 50 machines, and a node one deletion of up to 100 and one page of the
+// list. What finds the queue full fails, and is wished for again.
+constexpr std::size_t kConnections = 6, kQueued = 64;
 }  // namespace
 
 Client::Client(actor::Loop& loop, const config::Settings& s)
     : Actor(loop),
-      http_(loop, s.cloud, 6, 64),
+      http_(loop, s.cloud, kConnections, kQueued),
       calls_(s.cloud_rps / s.shards(), loop.now(), 2),
       timer_(loop, [this] { pump(); }) {}
 
 void Client::submit(Call c, bool urgent) {
   auto& q = urgent ? urgent_ : other_;
-  if (q.size() >= 64) {
+  if (q.size() >= kQueued) {
     c.done({});
     return;
   }
--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -11,6 +11,7 @@
 constexpr double kListShare = 0.2;    // of this node's cloud calls that go into the list
 constexpr double kUnknownFor = 20;    // a listed machine without a record is adopted after this
 constexpr double kRemovedKept = 600;  // late reports of deleted machines are refused this long
+// Machines a deletion; the rest goes with the next. 4,000 that leave at once take 40 calls.
 constexpr std::size_t kDeleteMost = 100;
 }  // namespace
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -8,6 +8,8 @@
 namespace {
 constexpr double kTick = 0.2;
 constexpr double kLogGap = 10;
+// A request's body, as the protocol has it. Of these, a heartbeat grows with the machine: its 64
+// running tasks and as many ended ones take about 100 bytes each.
 constexpr std::size_t kBodyMost = 64 * 1024;
 constexpr std::size_t kPassedMost = kBodyMost + 64;  // a report, with what a sibling puts before it
 }  // namespace
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -2,6 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
 #include <nlohmann/json.hpp>
 
 #include "peer/peer.h"
@@ -9,8 +10,19 @@
 
 namespace shunttrail::controller {
 namespace {
-constexpr double kWithin = 2.5;   // of the 4 s that a worker waits
-constexpr std::size_t kOut = 48;  // reports on their way to one sibling; none wait for that
+constexpr double kWithin = 2.5;  // of the 4 s that a worker waits
+// Heartbeats on their way to one sibling; none wait for that, and one too many counts as a sibling
+// that does not answer. The siblings share a quarter of the sockets: with 2,000 of them, 250 each.
+// Of 4,000 machines that are cut off from one leader of all shards, each of two siblings gets 667
+// heartbeats a second at 3 s between them, and has 200 of them out if each waits for a commit
+// (Tuning::reply_hold_s).
+constexpr std::size_t kOutLeast = 48;
+constexpr std::size_t kShareOfSockets = 4;
+
+std::size_t most_out(const config::Settings& s) {
+  const std::size_t siblings = std::max<std::size_t>(1, s.peers.size());
+  return std::max(kOutLeast, static_cast<std::size_t>(s.max_sockets) / kShareOfSockets / siblings);
+}
 }  // namespace
 
 HeartbeatRelay::HeartbeatRelay(actor::Loop& loop, ControllerComponents& parts)
@@ -18,7 +30,8 @@
   for (const auto& n : components_.settings.nodes) {
     clients_.emplace_back();
     for (const auto& p : components_.settings.peers)
-      if (p.node == n) clients_.back() = std::make_unique<net::Client>(loop, p.addr, kOut, 0);
+      if (p.node == n)
+        clients_.back() = std::make_unique<net::Client>(loop, p.addr, most_out(components_.settings), 0);
   }
 }
 
--- a/src/controller/inventory.cpp
+++ b/src/controller/inventory.cpp
@@ -12,6 +12,8 @@
 
 namespace shunttrail::controller {
 namespace {
+// Of one transaction; what is left goes with the next. With 32 machines a page, 4,000 new machines
+// take 125 pages in 21 transactions.
 constexpr std::size_t kPagesPerTxn = 6;
 constexpr int kUneven = 4;  // a shard with so many more machines than another takes no more
 }  // namespace
--- a/src/controller/job_results.cpp
+++ b/src/controller/job_results.cpp
@@ -8,6 +8,8 @@
 
 namespace shunttrail::controller {
 namespace {
+// A cache of the latest ends of jobs: one that is not in it is read from the state service, so more
+// jobs cost reads and lose nothing.
 constexpr std::size_t kFinalsKept = 4000;
 constexpr std::size_t kReadsOut = 6;  // final records that are read ahead at the same time
 constexpr double kReadGap = 0.2;      // after a read that failed
--- a/src/controller/shard_controller_commits.cpp
+++ b/src/controller/shard_controller_commits.cpp
@@ -14,9 +14,11 @@
 constexpr double kRetry = 0.3;      // before a transaction whose fate is not known is sent again
 constexpr double kStartFresh = 5;   // a start needs a read of the state service at most this old
 constexpr double kTxnWithin = 5;    // a transaction that could not be sent by then is made anew
-constexpr std::size_t kDirectShare = 4;  // of the sockets, one in so many is for direct orders
-constexpr double kDirectWithin = 2;      // for an answer to a direct order
-constexpr double kProbeWithin = 1;       // for a machine's state
+// Of the sockets, one in so many is for direct orders and probes: connections to 500 machines of
+// 2,000 sockets. Beyond that an idle one is closed for the next machine.
+constexpr std::size_t kDirectShare = 4;
+constexpr double kDirectWithin = 2;  // for an answer to a direct order
+constexpr double kProbeWithin = 1;   // for a machine's state
 }  // namespace
 
 // ---- reports
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -33,7 +33,8 @@
   }
 };
 
-// Tasks of one chunk of a job's finished set; a chunk's worst case stays below 4 KiB.
+// Tasks of one chunk of a job's finished set; a chunk's worst case, 128 intervals of 8 bytes, stays
+// below 4 KiB. The largest job, of 100,000 tasks, has 391 chunks.
 inline constexpr std::uint32_t kTasksPerChunk = 256;
 
 class Job {
@@ -78,8 +79,10 @@
   std::map<std::uint32_t, int> done_page;  // where each chunk was written last
   std::uint32_t queued = 0;                // of its tasks, on machines' waiting lists
 
-  // Placements that may exist, by task and by zone.
-  std::vector<std::uint8_t> placements;
+  // Placements that may exist, by task and by zone. A task has one at the most in each sheet of its
+  // shard, and many only where as many sheets that hold earlier ones have not been written since:
+  // 16 bits hold more than a shard has sheets (fleet/sheets.cpp).
+  std::vector<std::uint16_t> placements;
   std::vector<std::uint32_t> in_zone;
   std::uint32_t placed = 0;
   // Tasks with no placement and not in the chain.
--- a/src/jobs/result_reader.cpp
+++ b/src/jobs/result_reader.cpp
@@ -4,7 +4,10 @@
 
 namespace shunttrail::jobs {
 namespace {
-constexpr std::size_t kMost = 8192;    // jobs that wait
+// Jobs that wait for an answer. Grows with the users' questions a second, not with machines: a
+// range read answers up to 1,000 of them, so they wait for one round of reads, and one more
+// question is answered "not known now" and asked again.
+constexpr std::size_t kMost = 8192;
 constexpr std::size_t kSingles = 6;    // reads of single records at the same time
 constexpr std::size_t kRangeFrom = 8;  // jobs that wait, from which on a range is read
 }  // namespace
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -2,7 +2,8 @@
 
 namespace shunttrail::net {
 namespace {
-constexpr std::size_t kQueued = 4;  // requests that wait for one server's connection
+constexpr std::size_t kQueued = 4;  // of one machine's, whatever the fleet's size: requests that
+                                    // wait for one server's connection
 }  // namespace
 
 Client& Pool::at(const std::string& name, const config::Endpoint& to, std::size_t most) {
--- a/src/scheduler/failure_detector.cpp
+++ b/src/scheduler/failure_detector.cpp
@@ -5,7 +5,12 @@
 namespace shunttrail::scheduler {
 
 namespace {
-constexpr std::size_t kProbesOut = 24;       // at the same time
+// Probes at the same time: one for so many machines of the shard, 24 at least. Every machine with
+// replicas is asked once between two heartbeats (quiet), the first ones first, and one that does
+// not answer keeps its place for a second. At 24, of 4,000 machines the last ones were never asked;
+// at 333, five looks a second ask 1,665, and 1,333 report, at 3 s between heartbeats.
+constexpr std::size_t kMachinesPerProbe = 12;
+constexpr std::size_t kProbesLeast = 24;
 constexpr int kUnanswered = 2;               // probes in a row, before a machine is given up on
 constexpr double kGap = 0.2;                 // between two probes of a machine
 constexpr double kQuiet = 3;                 // a machine not heard for so long is asked
@@ -44,9 +49,10 @@
 
 std::vector<Probe> FailureDetector::probes(double now) {
   std::vector<Probe> out;
+  const std::size_t most = std::max(kProbesLeast, machines_.named() / kMachinesPerProbe);
   std::size_t busy = 0;
   for (const auto& [n, m] : machines_.all()) {
-    if (busy >= kProbesOut) break;
+    if (busy >= most) break;
     busy += m->probe_out;
     if (m->probe_out || m->lost || m->zone < 0 || m->addr.empty() || m->probe_after > now) continue;
     // Arrays lose little by waiting for the proof by silence, and a machine that hangs may go on.
--- a/src/scheduler/machines.cpp
+++ b/src/scheduler/machines.cpp
@@ -11,7 +11,9 @@
 namespace {
 constexpr std::size_t kImagesKept = 8;  // where a type does not tell its cache
 constexpr double kRefusedFor = 15;      // before asking again where the cloud had none
-constexpr std::size_t kRentMost = 50;   // machines a request
+// Machines a request, as the protocol has it. A tier and zone has one request out: 4,000 machines
+// take 80 of them, of which a node makes about two a second.
+constexpr std::size_t kRentMost = 50;
 constexpr std::size_t kGrantLeast = 2;  // machines ordered where the cloud has refused; grows
 constexpr std::size_t kFaulty = 2;      // jobs that a machine at fault has failed
 constexpr double kFaultPause = 5;       // before a machine that failed a task gets another
--- a/src/scheduler/placements.cpp
+++ b/src/scheduler/placements.cpp
@@ -24,6 +24,8 @@
     : context_(common),
       machines_(machines),
       token_(token),
+      // A million attempts under one token. Tokens are revisions of the state service: whoever
+      // comes next has a higher one by every commit since, and a commit starts a few hundred tasks.
       next_attempt_(token << 20),
       opened_at_(now),
       used_(common.settings.teams.size()) {}
--- a/src/scheduler/replica_consolidation.cpp
+++ b/src/scheduler/replica_consolidation.cpp
@@ -13,7 +13,9 @@
 // A move costs a replica less than half a second; each is moved once in so many seconds on average
 // at the most, so that moving takes about a thousandth of their time.
 constexpr double kMovedEvery = 300;
-constexpr double kMovesKept = 30;  // that may be made at once after a quiet time
+// Moves that may be made at once after a quiet time, of the whole shard; a machine with more
+// replicas than that is not emptied.
+constexpr double kMovesKept = 30;
 constexpr double kSettled = 40;    // a replica that has just started is not moved again
 constexpr double kMostUsed = 0.5;  // of its vcpus, for a machine to be emptied
 }  // namespace
--- a/src/scheduler/task_queues.cpp
+++ b/src/scheduler/task_queues.cpp
@@ -14,6 +14,8 @@
 
 namespace {
 constexpr double kLittleWork = 8;  // what cannot save is stopped only before it has done more
+// These bound how long one turn keeps all else waiting, since each walk looks at every machine;
+// what is left goes on with the next turn, heartbeat or look. 256,000 tasks are 640 turns.
 constexpr std::size_t kWalksPerTurn = 400;
 constexpr std::size_t kPullsPerReport = 32;
 constexpr std::size_t kMovesPerLook = 32;
@@ -21,7 +23,10 @@
 constexpr double kPatience = 60;  // of a task on a list, where a machine can be had
 // A machine has had room for something that waits for so long, and nothing has come of it.
 constexpr double kLeftOver = 75;
-constexpr std::size_t kFillsPerLook = 4;  // machines: each looks at all that waits
+// Machines a look, of which there is one a second: each looks at all that waits. A rate, not a
+// bound; where more than 60 have room left over at once, the last of them wait for longer than 90
+// s.
+constexpr std::size_t kFillsPerLook = 4;
 }  // namespace
 
 TaskQueues::TaskQueues(ShardContext& common, Machines& machines, Placements& placements,
@@ -41,6 +46,8 @@
   constexpr double kOrigin = 1e6;  // earlier than any start, before this process as well
   const auto ms =
       static_cast<std::uint64_t>((std::max(j.latest_start(), -kOrigin) + kOrigin) * 1e3);
+  // Two tasks of a job get the same order only if both wait and 16.7 million others came in
+  // between: lists of 4,000 machines hold some ten thousand.
   return ms << 24 | (n & 0xffffff);
 }
 
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -5,6 +5,15 @@
 namespace shunttrail::state {
 
 namespace {
+// Connections, and calls that wait for one. The rates of the settings bound both, whatever the
+// fleet's size: of 80 requests a second, a third of them here, 12 connections carry 27 a second
+// though each takes 0.4 s. Watches block, and have theirs.
+constexpr std::size_t kConnections = 12, kWaiting = 256;
+constexpr std::size_t kWatches = 2, kWatchesWaiting = 4;
+// Calls that wait for the rate, of each urgency: those of 19 s at 27 a second, and each gives up
+// sooner. Fleets send few: a shard has one transaction out at a time, the roster one.
+constexpr std::size_t kQueued = 512;
+
 // Less urgent calls leave some of the burst for the more urgent ones.
 double spare(const TokenBucket& b, RequestPriority u, double part) {
   return b.cap() * part * static_cast<int>(u);
@@ -25,8 +34,8 @@
 
 Client::Client(actor::Loop& loop, const config::Settings& s)
     : Actor(loop),
-      http_(loop, s.state, 12, 256),
-      watch_http_(loop, s.state, 2, 4),
+      http_(loop, s.state, kConnections, kWaiting),
+      watch_http_(loop, s.state, kWatches, kWatchesWaiting),
       limits_(s),
       request_pace_(s.state_limits.rps / s.shards(), s.state_next.rps / s.shards()),
       write_pace_(s.state_limits.write_rps / s.shards(), s.state_next.write_rps / s.shards()),
@@ -73,7 +82,7 @@
 
 void Client::submit(Call c, RequestPriority u) {
   auto& q = queues_[static_cast<int>(u)];
-  if (q.size() >= 512) {
+  if (q.size() >= kQueued) {
     c.done({503, {}});  // never sent: as good as refused
     return;
   }
--- a/src/state/limits.h
+++ b/src/state/limits.h
@@ -8,7 +8,8 @@
 
 namespace shunttrail::state {
 
-// The size of one transaction.
+// The size of one transaction, by the settings; four conditions for each change, as the protocol
+// has it. More work takes more transactions: the fleet's size changes none of these.
 struct TransactionLimits {
   std::size_t value_bytes = 4096, ops = 12, preconditions = 48;
 };
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -12,6 +12,8 @@
 std::string waiting_key(const std::string& id) { return "st/w/" + id; }
 std::string inventory_key(int page) { return "st/m/" + std::to_string(page); }
 int inventory_page(const std::string& machine) {
+  // Numbers of up to 8 digits make 3.1 million pages at the most, which lie before those of the
+  // other names, and all lie before the first further part (kPart).
   constexpr int kPage = 32, kOdd = 1 << 24;
   auto digits = machine.find_last_not_of("0123456789") + 1;
   if (digits < machine.size() && machine.size() - digits < 9)
--- a/src/state/state_cache.h
+++ b/src/state/state_cache.h
@@ -26,7 +26,9 @@
 std::string waiting_key(const std::string& id);
 std::string inventory_key(int page);
 int inventory_page(const std::string& machine);  // machines rented together share a page
-// A page too long for one value has further parts, each under a key of its own.
+// A page too long for one value has further parts, each under a key of its own. A record takes up
+// to about 80 bytes: pages by number hold 32, and 64 pages share the machines whose names do not
+// end in a number, 63 each of 4,000: two parts at 4 KiB, and six of the sixteen at 1 KiB.
 inline constexpr int kInventoryParts = 16;
 int inventory_part(int page, int part);  // part 0: the page itself
 int inventory_base(int part);            // the page that it is a part of
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -262,6 +262,7 @@
   return json{{"engines", machines}}.dump();
 }
 std::string machines_path(const std::string& after) {
+  // As many as the protocol allows; 4,000 machines are 8 pages.
   return "/rentals?limit=500" + (after.empty() ? "" : "&after=" + escape(after));
 }
 MachineList decode_machines(std::string_view body) {
@@ -360,6 +361,7 @@
   });
 }
 std::string keys_path(const std::string& prefix, const std::string& after) {
+  // As many as the protocol allows (and 512 KiB): page follows page until there are no more.
   return "/kv?starts=" + prefix + "&limit=1000" + (after.empty() ? "" : "&after=" + after);
 }
 KeyPage decode_keys(std::string_view body) {
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -306,6 +306,28 @@
   EXPECT_EQ(p.report("three").status, 503);  // at once: it is not asked again so soon
   EXPECT_EQ(p.held.size(), 1u);
 }
+// With room for 48, the others of a whole zone that was cut off were refused, and the sibling taken
+// for one that does not answer.
+TEST(Relay, HeartbeatsOfAWholeZoneAreOutAtTheSameTime) {
+  constexpr std::size_t kReports = 120;
+  Pass p;
+  EXPECT_EQ(p.report("one").status, 421);
+  p.owner_says = 0;  // holds them, as for a commit
+  net::Client zone(p.loop, config::Endpoint{"127.0.0.1", p.front_port}, kReports, 0);
+  std::size_t answered = 0, taken = 0;
+  for (std::size_t i = 0; i < kReports; ++i)
+    zone.request("POST", "/agent/beat", "more", 4, [&](net::Result r) {
+      ++answered;
+      taken += r.status == 200;
+    });
+  turn_until(
+      p.loop, [&] { return p.held.size() + answered == kReports; }, 200000);
+  EXPECT_EQ(p.held.size(), kReports);
+  for (auto& ex : p.held) ex->send({200, R"({"staff":5,"orders":[]})", 0});
+  turn_until(
+      p.loop, [&] { return answered == kReports; }, 200000);
+  EXPECT_EQ(taken, kReports);
+}
 TEST(Relay, SwitchedOffItOnlyRedirects) {
   Pass p;
   p.t.relay = false;
