--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -31,7 +31,8 @@
     clients_.emplace_back();
     for (const auto& p : components_.settings.peers)
       if (p.node == n)
-        clients_.back() = std::make_unique<net::Client>(loop, p.addr, most_out(components_.settings), 0);
+        clients_.back() =
+            std::make_unique<net::Client>(loop, p.addr, most_out(components_.settings), 0);
   }
 }
 
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -79,9 +79,10 @@
   std::map<std::uint32_t, int> done_page;  // where each chunk was written last
   std::uint32_t queued = 0;                // of its tasks, on machines' waiting lists
 
-  // Placements that may exist, by task and by zone. A task has one at the most in each sheet of its
-  // shard, and many only where as many sheets that hold earlier ones have not been written since:
-  // 16 bits hold more than a shard has sheets (fleet/sheets.cpp).
+  // Placements that may exist, by task and by zone. A task has one at the most in each placement
+  // page of its shard, and many only where as many placement pages that hold earlier ones have not
+  // been written since: 16 bits hold more than a shard has placement pages (fleet/placement
+  // pages.cpp).
   std::vector<std::uint16_t> placements;
   std::vector<std::uint32_t> in_zone;
   std::uint32_t placed = 0;
--- a/src/scheduler/placement_store.cpp
+++ b/src/scheduler/placement_store.cpp
@@ -9,16 +9,16 @@
 using jobs::JobPtr;
 
 namespace {
-// Of a shard, to begin with. A start's cost is what its sheet still holds beside it: with few
-// sheets nearly all that runs is written again and again, and at the large size they are full, so
-// that starts queue for the little room that three of them have left.
+// Of a shard, to begin with. A start's cost is what its placement page still holds beside it: with
+// few placement pages nearly all that runs is written again and again, and at the large size they
+// are full, so that starts queue for the little room that three of them have left.
 constexpr std::size_t kSheets = 256;
 // Of a shard, at the most: bounds the placements that may exist at a time. A placement takes about
 // 30 bytes (task, attempt, name of the machine), and 150 where its job has no other one in the
-// sheet. For the 256,000 placements of 4,000 machines of 64 vcpus, all in one shard, that is 2,000
-// sheets of 4 KiB, or 10,000 where each task is a job of its own; of values of 1 KiB, the least
-// that they may shrink to, 9,000 and 43,000. Sheets are added one by one as the others are full. A
-// build with a smaller limit reads and rewrites whatever number it finds.
+// placement page. For the 256,000 placements of 4,000 machines of 64 vcpus, all in one shard, that
+// is 2,000 placement pages of 4 KiB, or 10,000 where each task is a job of its own; of values of 1
+// KiB, the least that they may shrink to, 9,000 and 43,000. Placement pages are added one by one as
+// the others are full. A build with a smaller limit reads and rewrites whatever number it finds.
 constexpr std::size_t kSheetsMost = 49152;
 constexpr double kDoneWait = 3.0;          // results wait so long for starts to share a change with
 constexpr std::size_t kSheetBytes = 5800;  // never longer, though values may be
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kConnections = 12, kWaiting = 256;
 constexpr std::size_t kWatches = 2, kWatchesWaiting = 4;
 // Calls that wait for the rate, of each urgency: those of 19 s at 27 a second, and each gives up
-// sooner. Fleets send few: a shard has one transaction out at a time, the roster one.
+// sooner. Fleets send few: a shard has one transaction out at a time, the inventory one.
 constexpr std::size_t kQueued = 512;
 
 // Less urgent calls leave some of the burst for the more urgent ones.
--- a/tests/agent_golden_test.cpp
+++ b/tests/agent_golden_test.cpp
@@ -1,6 +1,6 @@
 // Golden values of what is beside the controllers: what workers, users, the cloud and the state
-// service say, and what the agent, the depot and the one-machine set keep on disk. Descriptions,
-// orders and ends of tasks are in agent_book_test.cpp.
+// service say, and what the agent, the artifact store and the one-machine set keep on disk.
+// Descriptions, orders and ends of tasks are in agent_book_test.cpp.
 #include <gtest/gtest.h>
 #include <sqlite3.h>
 
@@ -8,23 +8,23 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "agent/lease_file.h"
 #include "agent/agent_journal.h"
+#include "agent/lease_file.h"
 #include "agent/settings.h"
 #include "agent/task_supervisor.h"
 #include "artifacts/store.h"
-#include "client_protocol/job_description.h"
 #include "client_protocol/client_protocol.h"
-#include "local_cluster/settings.h"
-#include "loopback.h"
+#include "client_protocol/job_description.h"
 #include "emulators/cloud.h"
 #include "emulators/state.h"
+#include "local_cluster/settings.h"
+#include "loopback.h"
 
 namespace shunttrail::test {
 namespace {
 namespace fs = std::filesystem;
-using wire::RunState;
-using wire::Why;
+using wire::TaskState;
+using wire::ExitReason;
 
 class AgentGolden : public ::testing::Test {
  protected:
@@ -42,7 +42,7 @@
 };
 
 TEST_F(AgentGolden, ReportsOfWorkers) {
-  const std::tuple<RunState, Why, bool, const char*> rows[] = {
+  const std::tuple<TaskState, ExitReason, bool, const char*> rows[] = {
       {TaskState::fetching, ExitReason::none, false, R"("pulling")"},
       {TaskState::running, ExitReason::none, false, R"("running")"},
       {TaskState::saving, ExitReason::none, false, R"("flushing")"},
@@ -78,7 +78,8 @@
   auto o = client_protocol::decode_heartbeat_response("{" + list + R"(,"shift":2,"staff":41})");
   EXPECT_TRUE(o.refused.empty());
   EXPECT_EQ(o.session, 2u);
-  EXPECT_EQ(wire::encode_heartbeat_response(o.token.value_or(0), o.commands), "{" + list + R"(,"staff":41})");
+  EXPECT_EQ(wire::encode_heartbeat_response(o.token.value_or(0), o.commands),
+            "{" + list + R"(,"staff":41})");
   EXPECT_EQ(client_protocol::redirect_of(R"({"dispatcher":"railhead-2"})"), "railhead-2");
   EXPECT_EQ(client_protocol::redirect_of("{}"), "");
   for (const char* state : {"queued", "running", "done", "cancelled"}) {
@@ -112,7 +113,8 @@
   EXPECT_EQ(client_protocol::decode_life_ms(R"({"life_ms":5000})"), 5000u);
   const std::string entry = R"({"k":"a/b","value":{"x":1},"stamp":412,"block":7})";
   EXPECT_EQ(client_protocol::encode_entry("a/b", R"({"x":1})", 412, 7), entry);
-  EXPECT_EQ(client_protocol::encode_page({entry, client_protocol::encode_entry("c", "2", 3, 0)}, true, 431),
+  EXPECT_EQ(client_protocol::encode_page({entry, client_protocol::encode_entry("c", "2", 3, 0)},
+                                         true, 431),
             R"({"entries":[)" + entry +
                 R"(,{"k":"c","value":2,"stamp":3}],"has_next":true,"ledger":431})");
   EXPECT_EQ(
@@ -149,9 +151,11 @@
   using agent::Phase;
   book.attempts = {
       {{"run-7", 0, 5}, {Phase::accepted, false, false, ExitReason::none, false, {}, 0, false}},
-      {{"run-7", 1, 6}, {Phase::launched, true, true, ExitReason::none, false, {2, 1, 4.5}, 3, true}},
+      {{"run-7", 1, 6},
+       {Phase::launched, true, true, ExitReason::none, false, {2, 1, 4.5}, 3, true}},
       {{"run-7", 2, 7}, {Phase::ended, false, false, ExitReason::done, false, {1, 0, 1}, 0, false}},
-      {{"run-8", 0, 8}, {Phase::exited, true, false, ExitReason::unknown, true, {1, 0, 1}, 0, false}}};
+      {{"run-8", 0, 8},
+       {Phase::exited, true, false, ExitReason::unknown, true, {1, 0, 1}, 0, false}}};
   book.acknowledged = {{"run-6/0", 4}, {"run-5/1", 9}};
   auto nothing = [](const std::string&) {};
   {
@@ -193,19 +197,20 @@
   sqlite3_close(db);
 }
 
-// Version 1, little-endian: version, session, and until in nanoseconds; the rest of the page is 0.
-TEST_F(AgentGolden, LeasePage) {
-  using agent::LeasePage;
+// Version 1, little-endian: version, incarnation, and until in nanoseconds; the rest of the page is
+// 0.
+TEST_F(AgentGolden, LeaseFile) {
+  using agent::LeaseFile;
   const std::string words(
       "\1\0\0\0\0\0\0\0"
       "\3\0\0\0\0\0\0\0"
       "\0\xf9\x67\x62\x1e\0\0\0",
       24);  // 130.5 s
   const std::string page = words + std::string(4096 - words.size(), '\0');
-  { LeaseFile(dir_ / "lease", LeasePage::Open::write).set(3, 130.5); }
+  { LeaseFile(dir_ / "lease", LeaseFile::Open::write).set(3, 130.5); }
   EXPECT_EQ(read("lease"), page);
   put("other", page);
-  LeasePage reader(dir_ / "other", LeasePage::Open::read);
+  LeaseFile reader(dir_ / "other", LeaseFile::Open::read);
   EXPECT_EQ(reader.session(), 3u);
   EXPECT_EQ(reader.until(), 130.5);
 }
@@ -286,8 +291,9 @@
   s.zones = {"a"};
   s.teams = {{"red", 4, 8, 0, 1}};
   s.types = {{{"t4", 4, 0.5, 16, 0.4, 0.1, 1, {"a"}}, 5}};
-  const std::vector<local_cluster::AgentPlace> all = {{"node-0", "a", {"127.0.0.1", 1}, {"127.0.0.1", 2}},
-                                         {"node-1", "a", {"127.0.0.1", 3}, {"127.0.0.1", 4}}};
+  const std::vector<local_cluster::AgentPlace> all = {
+      {"node-0", "a", {"127.0.0.1", 1}, {"127.0.0.1", 2}},
+      {"node-1", "a", {"127.0.0.1", 3}, {"127.0.0.1", 4}}};
   const std::string controller =
       local_cluster::controller_settings(s, all, 0, {"127.0.0.1", 5}, {"127.0.0.1", 6});
   EXPECT_EQ(nlohmann::json::parse(controller).dump(1), controller);
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -1,9 +1,10 @@
 // Fleets of 4,000 machines, in one shard and over three, without a network: placing, the commit of
-// every placement, recovery by a new leader from the stored sheets, and rosters that change.
+// every placement, recovery by a new leader from the stored placement pages, and rosters that
+// change.
 #include <gtest/gtest.h>
 
-#include "shard/inventory_page.h"
 #include "emulators.h"
+#include "shard/inventory_page.h"
 
 namespace shunttrail::test {
 namespace {
@@ -64,7 +65,7 @@
     return world.leader(shard).mod_revision;
   }
 
-  // Entered into the roster as nodes do it, and removed from it.
+  // Entered into the inventory as nodes do it, and removed from it.
   void enter(const std::vector<wire::MachineRecord>& records) {
     std::map<int, std::vector<wire::MachineRecord>> pages;
     for (const auto& r : records) pages[state::inventory_page(r.name)].push_back(r);
@@ -96,7 +97,8 @@
     }
     enter(records);
     for (const auto& r : records)
-      if (auto& desk = desks[static_cast<std::size_t>(r.shard)]) desk->machine_known(r, now);
+      if (auto& scheduler = desks[static_cast<std::size_t>(r.shard)])
+        scheduler->machine_known(r, now);
   }
 
   void submit(int shard, int number, std::uint32_t tasks, double cpus) {
@@ -108,21 +110,23 @@
   void submit(int shard, const wire::JobRecord& r) {
     carry_out({{}, {{state::job_key(r.spec.id), wire::encode_record(r), 0}}});
     tasks_of[r.spec.id] = r.spec.tasks;
-    if (auto& desk = desks[static_cast<std::size_t>(shard)])
-      desk->job_added(r, shard, {}, now, now);
+    if (auto& scheduler = desks[static_cast<std::size_t>(shard)])
+      scheduler->job_added(r, shard, {}, now, now);
   }
 
   // A new leader, from what is stored.
   void take(int shard) {
     const std::uint64_t token = own(shard);
-    auto& desk = desks[static_cast<std::size_t>(shard)];
-    desk = std::make_unique<scheduler::ShardScheduler>(settings, tuning, catalogue, shard, token, now, 7);
+    auto& scheduler = desks[static_cast<std::size_t>(shard)];
+    scheduler = std::make_unique<scheduler::ShardScheduler>(settings, tuning, catalogue, shard,
+                                                            token, now, 7);
     for (const auto& [id, j] : world.jobs())
       if (const int team = settings.team_index(j.record.spec.team); team == shard)
-        desk->job_added(j.record, team, world.done(id), now, now);
+        scheduler->job_added(j.record, team, world.done(id), now, now);
     for (const auto& [name, m] : world.machines())
-      if (m.shard == shard) desk->machine_known(m, now);
-    for (const auto& [number, sheet] : world.placement_pages(shard)) desk->recover_page(number, sheet, now);
+      if (m.shard == shard) scheduler->machine_known(m, now);
+    for (const auto& [number, page] : world.placement_pages(shard))
+      scheduler->recover_page(number, page, now);
   }
   void take_all() {
     for (int k = 0; k < settings.shards(); ++k) take(k);
@@ -130,14 +134,14 @@
 
   // Places all that has room, and commits every placement.
   void settle(int shard) {
-    scheduler::ShardScheduler& desk = *desks[static_cast<std::size_t>(shard)];
+    scheduler::ShardScheduler& scheduler = *desks[static_cast<std::size_t>(shard)];
     do {
-      desk.run_scheduling_pass(now);
-      while (auto txn = desk.next_transaction(world, state::TransactionLimits{}, "t", now)) {
+      scheduler.run_scheduling_pass(now);
+      while (auto txn = scheduler.next_transaction(world, state::TransactionLimits{}, "t", now)) {
         carry_out(*txn);
-        desk.transaction_applied(now);
+        scheduler.transaction_applied(now);
       }
-    } while (desk.scheduling_due());
+    } while (scheduler.scheduling_due());
   }
   void settle_all() {
     for (int k = 0; k < settings.shards(); ++k) settle(k);
@@ -148,9 +152,11 @@
   void report(Worker& k) {
     auto r = k.report();
     r.spot = false;
-    scheduler::ShardScheduler& desk = leader_of(k.name);
-    ASSERT_EQ(desk.take_heartbeat(r, now), scheduler::ShardScheduler::HeartbeatResult::fresh) << k.name;
-    k.obey(desk.token(), desk.commands_for(k.name, true, now), r.incarnation, now, now, rng);
+    scheduler::ShardScheduler& scheduler = leader_of(k.name);
+    ASSERT_EQ(scheduler.take_heartbeat(r, now), scheduler::ShardScheduler::HeartbeatResult::fresh)
+        << k.name;
+    k.obey(scheduler.token(), scheduler.commands_for(k.name, true, now), r.incarnation, now, now,
+           rng);
   }
   void all_report() {
     now += settings.heartbeat_s;
@@ -173,12 +179,12 @@
     }
     return out;
   }
-  // As the sheets have it: what runs stands in one of its own shard's.
+  // As the placement pages have it: what runs stands in one of its own shard's.
   std::map<Task, Run> stored() {
     std::map<Task, Run> out;
     for (int k = 0; k < settings.shards(); ++k)
-      for (const auto& [number, sheet] : world.placement_pages(k))
-        for (const auto& g : sheet.jobs)
+      for (const auto& [number, page] : world.placement_pages(k))
+        for (const auto& g : page.jobs)
           for (const auto& p : g.placements)
             if (auto m = world.machine(p.machine); m && m->shard == k)
               out[{g.job, p.task}] = {p.machine, p.attempt};
@@ -228,7 +234,7 @@
   std::set<std::string> gone;
   while (gone.size() < 100)
     gone.insert(machine_name(static_cast<int>(c.rng() % static_cast<unsigned>(kMachines))));
-  for (auto& desk : c.desks) desk.reset();
+  for (auto& scheduler : c.desks) scheduler.reset();
   for (const auto& name : gone) c.strike(name);
   c.add_machines(kMachines, 100);
   c.take_all();
@@ -256,9 +262,9 @@
   }
   ASSERT_EQ(deleted.size(), 50u);
   for (const auto& name : deleted) {
-    scheduler::ShardScheduler& desk = c.leader_of(name);
+    scheduler::ShardScheduler& scheduler = c.leader_of(name);
     c.strike(name);
-    desk.machine_gone(name, c.now);
+    scheduler.machine_gone(name, c.now);
   }
   if (shards > 1) {
     ASSERT_EQ(moved.size(), 50u);
@@ -287,12 +293,13 @@
 
 TEST(LargeFleet, ThreeShardsLoseNoTaskAndRunNoneTwice) { lives_through_changes(3); }
 
-// One shard's tasks on every vcpu of 4,000 machines of 64, in sheets as full as 4 KiB allow. The
-// new leader knows them all, and has sheets for more: at 512 it could not commit another start.
+// One shard's tasks on every vcpu of 4,000 machines of 64, in placement pages as full as 4 KiB
+// allow. The new leader knows them all, and has placement pages for more: at 512 it could not
+// commit another start.
 TEST(LargeFleet, AShardWith256000RunningTasksIsRecoveredAndStartsMore) {
   constexpr int kCpus = 64;
   constexpr std::uint32_t kJobs = 4, kTasks = kMachines * kCpus / kJobs;
-  // What a sheet of 4 KiB takes, as fleet::Sheets counts it.
+  // What a placement page of 4 KiB takes, as fleet::Placement pages counts it.
   constexpr std::size_t kSheetRoom = kValueBytes - 64, kHeader = 96 + 10 + 6;
   Cluster c(1, kCpus);
   c.add_machines(0, kMachines);
@@ -300,7 +307,7 @@
   for (std::uint32_t j = 0; j < kJobs; ++j) c.submit(0, static_cast<int>(j), kTasks, 1);
 
   // Task after task on the next machine, as they are strewn once many have come and gone.
-  std::vector<wire::PlacementPageRecord> sheets;
+  std::vector<wire::PlacementPageRecord> pages;
   std::size_t bytes = kValueBytes;
   for (int n = 0; n < kMachines * kCpus; ++n) {
     const std::string job = make_job(n % static_cast<int>(kJobs), 1, 1).spec.id;
@@ -311,23 +318,23 @@
         first_attempt + 1 + static_cast<std::uint64_t>(n) * 7919 % (kMachines * kCpus);
     const std::size_t more = 6 + std::to_string(task).size() + 6 + machine.size() + 3;
     if (bytes + more > kSheetRoom) {
-      sheets.push_back({"t", {}});
+      pages.push_back({"t", {}});
       for (std::uint32_t j = 0; j < kJobs; ++j)
-        sheets.back().jobs.push_back(
+        pages.back().jobs.push_back(
             {make_job(static_cast<int>(j), 1, 1).spec.id, 0, 1, 0, 1, {}, {}});
       bytes = 48 + 1 + kJobs * kHeader;
     }
     bytes += more;
-    sheets.back().jobs[static_cast<std::size_t>(n) % kJobs].placements.push_back(
+    pages.back().jobs[static_cast<std::size_t>(n) % kJobs].placements.push_back(
         {machine, task, attempt});
     c.workers.at(machine).tasks.push_back(
         {{job, task}, attempt, wire::TaskState::running, wire::ExitReason::none, 1e9});
   }
-  ASSERT_GT(sheets.size(), 512u);
-  for (std::size_t i = 0; i < sheets.size(); ++i)
+  ASSERT_GT(pages.size(), 512u);
+  for (std::size_t i = 0; i < pages.size(); ++i)
     c.carry_out({{},
                  {{state::placement_page_key(0, static_cast<int>(i)),
-                   wire::encode_record(sheets[i], [](int) { return std::string("team-0"); }), 0}}});
+                   wire::encode_record(pages[i], [](int) { return std::string("team-0"); }), 0}}});
 
   c.take(0);
   c.all_report();
@@ -335,7 +342,8 @@
   EXPECT_EQ(c.stored().size(), std::size_t{kMachines} * kCpus);
   EXPECT_NE(c.desks[0]->summary().find("\"running\":256000"), std::string::npos)
       << c.desks[0]->summary();
-  // Nothing of it is started again, and what comes beside it is: more than the last sheet takes.
+  // Nothing of it is started again, and what comes beside it is: more than the last placement page
+  // takes.
   constexpr int kMore = 4;
   c.add_machines(kMachines, kMore);
   const std::uint32_t more_tasks = kMore * kCpus;
@@ -351,11 +359,12 @@
     for (const auto& t : c.workers.at(machine_name(n)).tasks)
       started += t.id.job == make_job(100, 1, 1).spec.id;
   EXPECT_EQ(started, more_tasks);
-  EXPECT_GT(c.world.placement_pages(0).size(), sheets.size());
+  EXPECT_GT(c.world.placement_pages(0).size(), pages.size());
 }
 
-// A task that 4,000 machines have turned away stands in as many sheets that have not been written
-// since. A new leader starts it again once each of the copies is proven gone, and not before.
+// A task that 4,000 machines have turned away stands in as many placement pages that have not been
+// written since. A new leader starts it again once each of the copies is proven gone, and not
+// before.
 TEST(LargeFleet, ATaskWithACopyOnEveryMachineIsStartedOnceAllAreProvenGone) {
   Cluster c(1, 4);
   c.add_machines(0, kMachines);
@@ -363,12 +372,12 @@
   c.submit(0, 1, 1, 1);
   const std::string job = make_job(1, 1, 1).spec.id;
   for (int n = 0; n < kMachines; ++n) {
-    wire::PlacementPageRecord sheet{"t", {{job, 0, 1, 0, 1, {}, {}}}};
-    sheet.jobs[0].placements.push_back(
+    wire::PlacementPageRecord page{"t", {{job, 0, 1, 0, 1, {}, {}}}};
+    page.jobs[0].placements.push_back(
         {machine_name(n), 0, first_attempt + 1 + static_cast<std::uint64_t>(n)});
     c.carry_out({{},
                  {{state::placement_page_key(0, n),
-                   wire::encode_record(sheet, [](int) { return std::string("team-0"); }), 0}}});
+                   wire::encode_record(page, [](int) { return std::string("team-0"); }), 0}}});
   }
   c.take(0);
   std::size_t proven = 0;
@@ -399,7 +408,7 @@
   c.all_report();
   c.all_report();
   ASSERT_EQ(c.running().size(), std::size_t{kMachines});
-  scheduler::ShardScheduler& desk = *c.desks[0];
+  scheduler::ShardScheduler& scheduler = *c.desks[0];
   const std::string dead = machine_name(kMachines - 1);
   // Ticks of a fifth of a second; heartbeats are spread evenly. Who lives answers at once, the dead
   // one keeps its probe for a second.
@@ -412,16 +421,16 @@
     for (auto& [name, k] : c.workers)
       if (n++ % kTicks == tick % kTicks && name != dead) c.report(k);
     if (probe_ends >= 0 && c.now >= probe_ends) {
-      desk.probe_done(dead, false, c.now);
+      scheduler.probe_done(dead, false, c.now);
       probe_ends = -1;
     }
-    for (const auto& p : desk.probes(c.now)) {
+    for (const auto& p : scheduler.probes(c.now)) {
       if (p.machine == dead)
         probe_ends = c.now + 1;
       else
-        desk.probe_done(p.machine, true, c.now);
+        scheduler.probe_done(p.machine, true, c.now);
     }
-    for (const auto& name : desk.machines_to_return())
+    for (const auto& name : scheduler.machines_to_return())
       if (name == dead) given_up_at = c.now;
   }
   ASSERT_GE(given_up_at, 0) << "not before its lease was over";
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -1,6 +1,6 @@
 // Golden values: the exact bytes of what leaves a controller and of what it stores, and how they
 // are read back. Recorded from the code before its codecs were restructured. Records, keys and
-// beats that an earlier release wrote are in upgrade_test.cpp, those of the state levels in
+// heartbeats that an earlier release wrote are in upgrade_test.cpp, those of the state levels in
 // levels_test.cpp, reports passed on in links_test.cpp, what workers and the agent write in
 // agent_golden_test.cpp.
 #include <gtest/gtest.h>
@@ -43,7 +43,8 @@
   EXPECT_EQ(std::tie(s.image, s.image_gb, s.mem_gb, s.gpus, s.estimate_s, s.checkpoint_s, s.save_s),
             std::make_tuple("img-07", 6.2, 64.5, 1.0, 240.0, 30.0, 4.0));
   const wire::JobSpec plain = wire::decode_job(kPlainJob);
-  EXPECT_TRUE(plain.service && plain.anti_affinity && !plain.types && !plain.zone && !plain.deadline_s);
+  EXPECT_TRUE(plain.service && plain.anti_affinity && !plain.types && !plain.zone &&
+              !plain.deadline_s);
   EXPECT_EQ(plain.priority, wire::Priority::idle);
 }
 
@@ -74,8 +75,8 @@
   EXPECT_EQ(wire::encode_record(wire::cancelled_record(r.spec, "n.7.u3")),
             R"({"n":1,"s":"cancelled","team":"red","w":"n.7.u3"})");
   const std::string empty = R"({"b":0,"j":{},"m":[],"w":"n.7.1"})";
-  const auto sheet = wire::decode_placement_page(event(empty), [](const std::string&) { return 0; });
-  EXPECT_EQ(wire::encode_record(sheet, [](int) { return std::string(); }), empty);
+  const auto page = wire::decode_placement_page(event(empty), [](const std::string&) { return 0; });
+  EXPECT_EQ(wire::encode_record(page, [](int) { return std::string(); }), empty);
 }
 
 // Each state and each cause that a worker may report, and what this version has no word for.
@@ -89,7 +90,8 @@
       R"(],"engine":"m-000231","recall_s":25.5,"shift":1,"staff":41,"stock":"g8","waybill":88,"yard":"a"})");
   EXPECT_EQ(std::tie(r.machine, r.addr, r.type, r.zone),
             std::make_tuple("m-000231", "10.1.0.232:9000", "g8", "a"));
-  EXPECT_EQ(std::tie(r.spot, r.incarnation, r.sequence, r.token), std::make_tuple(true, 1u, 88u, 41u));
+  EXPECT_EQ(std::tie(r.spot, r.incarnation, r.sequence, r.token),
+            std::make_tuple(true, 1u, 88u, 41u));
   EXPECT_EQ(r.notice_s, 25.5);
   ASSERT_EQ(r.tasks.size(), 3u);
   EXPECT_EQ(r.tasks[0].task.job, "run-000412");
@@ -130,7 +132,8 @@
   const std::string list =
       R"("orders":[{"car":"run-000412/4","departure":2,"order":"start"},{"brake_s":10.0,"car":"run-000377/1","departure":1,"order":"halt"},{"car":"run-000398/0","departure":1,"order":"reap"}])";
   EXPECT_EQ(wire::encode_heartbeat_response(41, commands), "{" + list + R"(,"staff":41})");
-  EXPECT_EQ(wire::encode_direct_commands(41, 2, commands), "{" + list + R"(,"shift":2,"staff":41})");
+  EXPECT_EQ(wire::encode_direct_commands(41, 2, commands),
+            "{" + list + R"(,"shift":2,"staff":41})");
   EXPECT_EQ(wire::encode_heartbeat_response(0, {}), R"({"orders":[],"staff":0})");
   EXPECT_EQ(wire::encode_redirect(""), "{}");
 }
@@ -159,8 +162,9 @@
 }
 
 TEST(WireGolden, StateService) {
-  const wire::Transaction t{{{"a/b", 0}, {"st/\"", 18446744073709551615u}},
-                    {{"a/b", R"({"x":[1]})", 7}, {"c/9", "{}", 0}, {"c/d", std::nullopt, 0}}};
+  const wire::Transaction t{
+      {{"a/b", 0}, {"st/\"", 18446744073709551615u}},
+      {{"a/b", R"({"x":[1]})", 7}, {"c/9", "{}", 0}, {"c/d", std::nullopt, 0}}};
   EXPECT_EQ(
       wire::encode_transaction(t),
       R"({"guards":[{"k":"a/b","stamp":0},{"k":"st/\"","stamp":18446744073709551615}],"writes":[{"set":"a/b","value":{"x":[1]},"block":7},{"set":"c/9","value":{}},{"drop":"c/d"}]})");
@@ -240,7 +244,8 @@
            R"({"stock_types":[{"name":"t4","vcpus":4,"cards":0,"mem_gb":16,"hourly":0.4,"market_price":0.1,"startup_s":10,"yards":["a","b"]}]})",
            0});
     });
-    controller_ = std::make_unique<controller::Controller>(loop_, s_, tuning_, schema::current_build());
+    controller_ =
+        std::make_unique<controller::Controller>(loop_, s_, tuning_, schema::current_build());
     front_ = std::make_unique<net::Client>(loop_, s_.front, 1, 4);
     internal_ = std::make_unique<net::Client>(loop_, s_.internal, 1, 4);
     // It has read the state service and the machine types when it can tell what never runs.
@@ -344,7 +349,7 @@
   d.job(1, 6, 1, false, 0);
   d.all_report(1);
   std::string keys;
-  for (const auto& [key, value] : nlohmann::json::parse(d.desk->summary()).items()) {
+  for (const auto& [key, value] : nlohmann::json::parse(d.scheduler->summary()).items()) {
     EXPECT_TRUE(value.is_number()) << key;
     keys += key + " ";
   }
