--- /dev/null
+++ b/src/scheduler/chain_walk.cpp
@@ -0,0 +1,148 @@
+#include "scheduler/chain_walk.h"
+
+#include <algorithm>
+
+namespace shunttrail::scheduler {
+
+using jobs::Resources;
+
+namespace {
+
+bool is_cold(const chain::Candidate& candidate) { return !candidate.context.warm; }
+
+// Where a machine with room has the image, those that would have to fetch it are barred too: an
+// urgent task on a cold machine waits for a second or two, and learners that are told the cost of a
+// whole run hardly see that.
+void bar_cold_candidates(std::vector<chain::Tier>& tiers) {
+  const bool all_cold = std::all_of(tiers.begin(), tiers.end(), [](const chain::Tier& tier) {
+    return std::all_of(tier.candidates.begin(), tier.candidates.end(), is_cold);
+  });
+  if (all_cold) return;
+  for (chain::Tier& tier : tiers) std::erase_if(tier.candidates, is_cold);
+  std::erase_if(tiers, [](const chain::Tier& tier) { return tier.candidates.empty(); });
+}
+
+}  // namespace
+
+ChainWalk::Result ChainWalk::walk(const QueuedTask& task, Room room, double now) {
+  Result result;
+  std::vector<chain::Tier> reachable;
+  // Machines with room come first, since they bar all others.
+  if (room == Room::unknown) {
+    reachable = tiers(task, Scope::machines_with_room, now);
+    result.found_no_room = reachable.empty();
+    bar_cold_candidates(reachable);
+  }
+  if (reachable.empty()) reachable = tiers(task, Scope::all_machines, now);
+  result.outcome = chain::walk(reachable, rng_);
+  return result;
+}
+
+std::vector<chain::Tier> ChainWalk::tiers(const QueuedTask& task, Scope scope, double now) {
+  std::vector<chain::Tier> reachable;
+  for (const int id : context_.catalogue.tier_order) {
+    if (!machines_.type_ok(*task.job, id / 2, id % 2)) continue;
+    chain::Tier tier = scan_tier(id, make_scan(task, id, scope, now));
+    if (!tier.candidates.empty() || tier.end.kind != chain::TierEnd::none)
+      reachable.push_back(std::move(tier));
+  }
+  return reachable;
+}
+
+ChainWalk::TierScan ChainWalk::make_scan(const QueuedTask& task, int tier, Scope scope,
+                                         double now) {
+  const jobs::Job& job = *task.job;
+  const Resources& capacity = context_.catalogue.types[static_cast<std::size_t>(tier / 2)].room;
+  TierScan scan{job, task.priority_band, scope, now, capacity, nullptr, 0, {}};
+  scan.learner = &learners_.try_emplace(tier, context_.tuning.ring).first->second;
+  scan.size = chain::size_bucket(share_of(job.need, capacity));
+  for (std::size_t zone = 0; zone < context_.settings.zones.size(); ++zone)
+    scan.zone_allowed.push_back(machines_.zone_ok(job, static_cast<int>(zone)));
+  return scan;
+}
+
+chain::Tier ChainWalk::scan_tier(int id, const TierScan& scan) const {
+  const bool may_wait = scan.scope == Scope::all_machines;
+  chain::Tier tier;
+  tier.id = id;
+  chain::Kinds seen;
+  for (const auto& [number, machine] : machines_.all()) {
+    if (machine->tier() != id) continue;
+    if (machine->state == Machine::up) {
+      if (auto found = candidate(*machine, scan, &seen))
+        tier.candidates.push_back(std::move(*found));
+    } else if (may_wait && tier.end.kind == chain::TierEnd::none && can_join_rent(*machine, scan)) {
+      tier.end = {chain::TierEnd::join, number};
+    }
+  }
+  if (may_wait && tier.end.kind == chain::TierEnd::none &&
+      machines_.pick_zone(scan.job, id, scan.now) >= 0)
+    tier.end = {chain::TierEnd::rent, 0};
+  if (tier.end.kind == chain::TierEnd::none && !tier.candidates.empty())
+    add_last_candidates(tier, scan);
+  return tier;
+}
+
+// A pending rent takes what fits an empty machine.
+bool ChainWalk::can_join_rent(const Machine& machine, const TierScan& scan) const {
+  if (!machines_.usable(machine, scan.job, scan.now)) return false;
+  Resources taken = machine.tasks.used;
+  for (const QueuedTask& task : machine.queue.tasks) taken += task.job->need;
+  return scan.job.need.fits(scan.machine_capacity - taken);
+}
+
+// A machine that is up, as the task finds it. None: the task cannot go there, or would find the
+// same there as on a machine in `seen`.
+std::optional<chain::Candidate> ChainWalk::candidate(const Machine& machine, const TierScan& scan,
+                                                     chain::Kinds* seen) const {
+  if (queues_.is_reserved(machine)) return std::nullopt;
+  const bool room_only = scan.scope == Scope::machines_with_room;
+  const bool has_room = scan.job.need.fits(machines_.room(machine, scan.priority_band));
+  if (room_only && !has_room) return std::nullopt;
+  // Accept is split by band (paper 3.1, query scheduling): a task joins the queue of its job's
+  // band, and only what is ahead of it there counts.
+  std::size_t ahead = 0;
+  for (int band = 0; band <= scan.priority_band; ++band)
+    ahead += machine.queue.tasks_by_band[static_cast<std::size_t>(band)];
+  if (room_only && ahead) return std::nullopt;
+  chain::Candidate found;
+  found.context.waiting = chain::waiting_bucket(has_room, ahead);
+  found.may_accept = static_cast<int>(ahead) <= context_.tuning.waiting_bar;
+  found.empty = machine.tasks.placements.empty() && machine.queue.tasks.empty();
+  // The image cache is searched last: hundreds of machines are of a kind that is there already.
+  if (seen && seen->both(found)) return std::nullopt;
+  if (machine.leaving || machine.draining || machine.avoid_until > scan.now || machine.zone < 0 ||
+      !scan.zone_allowed[static_cast<std::size_t>(machine.zone)])
+    return std::nullopt;
+  found.context.warm = Machines::warm(machine, scan.job.image);
+  if (seen && !seen->add(found)) return std::nullopt;
+  found.machine = machine.number;
+  found.learner = scan.learner;
+  found.context.job_class = static_cast<std::uint16_t>(scan.job.job_class);
+  found.context.size = scan.size;
+  return found;
+}
+
+// Past the last machine of a tier without an end there is nothing to pass to, so that machine is a
+// candidate by itself and not by its kind. So is the last warm one, since cold ones may be barred.
+void ChainWalk::add_last_candidates(chain::Tier& tier, const TierScan& scan) const {
+  bool need_warm = scan.scope == Scope::machines_with_room &&
+                   !std::all_of(tier.candidates.begin(), tier.candidates.end(), is_cold);
+  bool need_last = true;
+  const auto& all = machines_.all();
+  for (auto it = all.rbegin(); it != all.rend() && (need_last || need_warm); ++it) {
+    const Machine& machine = *it->second;
+    if (machine.tier() != tier.id || machine.state != Machine::up) continue;
+    auto found = candidate(machine, scan, nullptr);
+    if (!found || !(need_last || found->context.warm)) continue;
+    need_last = false;
+    need_warm &= !found->context.warm;
+    const auto position = std::lower_bound(
+        tier.candidates.begin(), tier.candidates.end(), found->machine,
+        [](const chain::Candidate& other, int number) { return other.machine < number; });
+    if (position == tier.candidates.end() || position->machine != found->machine)
+      tier.candidates.insert(position, std::move(*found));
+  }
+}
+
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/machine_queue.h
+++ b/src/scheduler/machine_queue.h
@@ -1,4 +1,5 @@
-// What waits for a machine. Waiting alone changes it.
+// The queue of one machine: the tasks that wait for room on it. Only TaskQueues, Backfill and
+// Reservations change it.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -9,13 +10,19 @@
 
 namespace shunttrail::scheduler {
 
+/// Tasks that wait for one machine, and the reservation on it.
 struct MachineQueue {
-  std::array<std::uint16_t, wire::kPriorities + 1> tasks_by_band{};  // by band
-  std::vector<QueuedTask> tasks;                                     // in order of service
-  double idle_capacity_since = -1;  // it has had room for something that waits; -1: it has not
-  // A reservation: nothing but this task is placed here until there is room for it. It holds as
-  // long as the task is on this list (TaskQueues::is_reserved).
+  /// Number of waiting tasks by priority band.
+  std::array<std::uint16_t, wire::kPriorities + 1> tasks_by_band{};
+  /// In order of service.
+  std::vector<QueuedTask> tasks;
+  /// Steady time since which the machine has had room for some waiting task of the shard, in
+  /// seconds; -1: it has none.
+  double idle_capacity_since = -1;
+  /// The task that the machine is reserved for: nothing else is placed here until there is room
+  /// for it. Valid as long as the task is in this queue (TaskQueues::is_reserved).
   std::optional<ServiceOrder> reserved_for;
+  /// Steady time of the latest reservation, in seconds.
   double reserved_at = -1e9;
 };
 
--- /dev/null
+++ b/src/scheduler/reservations.cpp
@@ -0,0 +1,201 @@
+#include "scheduler/reservations.h"
+
+#include <algorithm>
+#include <limits>
+#include <tuple>
+#include <utility>
+
+#include "scheduler/reservation_limits.h"
+
+namespace shunttrail::scheduler {
+
+using jobs::Job;
+using jobs::JobPtr;
+using jobs::Resources;
+
+namespace {
+/// A job is overdue once it has waited for so long and none of its tasks has begun.
+constexpr double kOverdueAfterS = 75;
+constexpr double kUrgentOverdueAfterS = 45;
+/// From then on a job goes before more urgent ones.
+constexpr double kFirstAfterS = 150;
+/// Share of a machine from which on a task is large: what is smaller finds room without.
+constexpr double kLargeShare = 0.4;
+/// A machine with idle room for so long backfills first: nothing waits beside room for as long as
+/// backfill and a reservation take together.
+constexpr double kMaxIdleCapacityS = 20;
+/// One in so many of a shard's machines is reserved at a time, but one at least.
+constexpr std::size_t kMachinesPerReservation = 32;
+constexpr std::size_t kMachinesPerUrgentReservation = 3;
+/// Counted, in seconds, for a replica that has to move, so that a machine without one comes first.
+constexpr double kReplicaMoveS = 20;
+/// Left of a task that runs for longer than was estimated, in seconds.
+constexpr double kMinTimeLeftS = 5;
+
+bool is_urgent(const Job& job) { return job.priority_band() < Job::kGuaranteed; }
+
+double time_left(const Placement& placement, double now) {
+  if (placement.job->spec.service) return kReplicaMoveS;
+  const double estimate_s = placement.job->spec.estimate_s;
+  if (placement.started <= 0) return estimate_s;
+  return std::max(kMinTimeLeftS, estimate_s - (now - placement.started));
+}
+
+/// Room that becomes free.
+struct Release {
+  double in_s = 0;
+  Resources need;
+};
+}  // namespace
+
+// ---- which jobs
+
+bool Reservations::is_large(const Job& job) const {
+  const auto& types = context_.catalogue.types;
+  return std::any_of(types.begin(), types.end(), [&](const MachineCatalogue::Type& type) {
+    return job.need.fits(type.room) && share_of(job.need, type.room) >= kLargeShare;
+  });
+}
+
+bool Reservations::is_overdue(const Job& job, double now) const {
+  if (job.placed || job.done_count() || job.not_before > now) return false;
+  const bool waits = job.queued || !job.pending.empty();
+  return waits && now - job.since > (is_urgent(job) ? kUrgentOverdueAfterS : kOverdueAfterS);
+}
+
+// The longest-waiting first once they have waited for very long, the more urgent before that.
+std::vector<JobPtr> Reservations::overdue_jobs(double now) const {
+  std::vector<JobPtr> found;
+  for (const auto& [id, job] : context_.jobs)
+    if (is_overdue(*job, now) && is_large(*job)) found.push_back(job);
+  const auto rank = [&](const JobPtr& job) {
+    const bool first = now - job->since > kFirstAfterS;
+    return std::tuple(!first, first ? 0 : job->priority_band(), job->since);
+  };
+  std::sort(found.begin(), found.end(),
+            [&](const JobPtr& a, const JobPtr& b) { return rank(a) < rank(b); });
+  return found;
+}
+
+// ---- which machine
+
+bool Reservations::can_be_reserved(const Machine& machine, const Job& job, double now) const {
+  if (!machine.accepts_work(now) || !machine.in_inventory) return false;
+  if (!machines_.usable(machine, job, now) || queues_.is_reserved(machine)) return false;
+  const MachineQueue& queue = machine.queue;
+  if (now - queue.reserved_at < kReservationDurationS + kReservationPauseS) return false;
+  if (queue.idle_capacity_since >= 0 && now - queue.idle_capacity_since > kMaxIdleCapacityS)
+    return false;
+  const auto& type = context_.catalogue.types[static_cast<std::size_t>(machine.type)];
+  return share_of(job.need, type.room) >= kLargeShare;
+}
+
+// Seconds until the machine has room for one task, if nothing more begins there. Infinite: never.
+double Reservations::time_until_room(const Machine& machine, const Job& job, double now) const {
+  Resources room = machines_.room(machine);
+  if (job.need.fits(room)) return 0;
+  std::vector<Release> releases;
+  for (const Placement& placement : machine.tasks.placements)
+    if (!placement.released) releases.push_back({time_left(placement, now), placement.job->need});
+  std::sort(releases.begin(), releases.end(),
+            [](const Release& a, const Release& b) { return a.in_s < b.in_s; });
+  for (const Release& release : releases) {
+    room += release.need;
+    if (job.need.fits(room)) return release.in_s;
+  }
+  return std::numeric_limits<double>::infinity();
+}
+
+// Null: none has room before a reservation would end.
+Machine* Reservations::machine_with_room_soonest(const Job& job, double now) const {
+  Machine* best = nullptr;
+  double soonest_s = kReservationDurationS;
+  for (const auto& [number, machine] : machines_.all()) {
+    if (!can_be_reserved(*machine, job, now)) continue;
+    const double in_s = time_until_room(*machine, job, now);
+    if (in_s >= soonest_s) continue;
+    soonest_s = in_s;
+    best = machine.get();
+  }
+  return best;
+}
+
+// ---- reserving
+
+// One of the job's tasks that have yet to enter the chain, else the first of its queued ones.
+std::optional<QueuedTask> Reservations::take_task(const JobPtr& job, double now) {
+  if (!job->pending.empty()) return queues_.take_pending(job, now);
+  const auto& tasks = queues_.tasks();
+  const auto queued = std::find_if(tasks.begin(), tasks.end(), [&](const auto& entry) {
+    return TaskQueues::find(*machines_.at(entry.second), entry.first)->job == job;
+  });
+  if (queued == tasks.end()) return std::nullopt;
+  Machine& from = *machines_.at(queued->second);
+  QueuedTask task = queues_.dequeue(from, TaskQueues::find(from, queued->first));
+  machines_.note_idle(from, now);
+  return task;
+}
+
+void Reservations::reserve(Machine& machine, const JobPtr& job, double now) {
+  std::optional<QueuedTask> task = take_task(job, now);
+  if (!task) return;
+  task->clear_chain();
+  machines_.reused(machine, now);
+  queues_.requeue_all(machine);
+  machine.queue.reserved_for = task->service_order();
+  machine.queue.reserved_at = now;
+  queues_.enqueue(machine, std::move(*task));
+  move_replicas(machine, *job);
+  service_.place_queued(machine, now);
+  preemption_.make_room(machine, now);
+}
+
+// Replicas have no end: as many of them move as make room together with what does end.
+void Reservations::move_replicas(Machine& machine, const Job& job) {
+  Resources room = machines_.room(machine);
+  for (const Placement& placement : machine.tasks.placements)
+    if (!placement.released && (!placement.job->spec.service || placement.preempted))
+      room += placement.job->need;
+  for (Placement& placement : machine.tasks.placements) {
+    if (job.need.fits(room)) break;
+    if (placement.released || !placement.job->spec.service || placement.preempted) continue;
+    room += placement.job->need;
+    placements_.stop(machine, placement);
+  }
+}
+
+Reservations::Active Reservations::expire(double now) {
+  quota_.expire_reservations(now);
+  Active active;
+  std::size_t machines_up = 0;
+  for (const auto& [number, machine] : machines_.all()) {
+    if (machine->state == Machine::up) ++machines_up;
+    MachineQueue& queue = machine->queue;
+    if (!queues_.is_reserved(*machine) || now - queue.reserved_at > kReservationDurationS ||
+        !machine->accepts_work(now))
+      queue.reserved_for.reset();
+    else
+      active.jobs.insert(TaskQueues::find(*machine, *queue.reserved_for)->job);
+  }
+  active.limit = std::max<std::size_t>(1, machines_up / kMachinesPerReservation);
+  active.urgent_limit = std::max<std::size_t>(1, machines_up / kMachinesPerUrgentReservation);
+  return active;
+}
+
+void Reservations::run(double now) {
+  Active active = expire(now);
+  for (const JobPtr& job : overdue_jobs(now)) {
+    const std::size_t limit = is_urgent(*job) ? active.urgent_limit : active.limit;
+    if (active.jobs.size() >= limit || active.jobs.contains(job)) continue;
+    Machine* machine = machine_with_room_soonest(*job, now);
+    if (!machine) continue;
+    if (!quota_.allows(*job, TeamQuota::Counted::placed)) {
+      quota_.reserve(job, now);
+      continue;
+    }
+    reserve(*machine, job, now);
+    active.jobs.insert(job);
+  }
+}
+
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -24,7 +24,14 @@
       machines_(context_),
       placements_(context_, machines_, token, now),
       placement_store_(context_, machines_, placements_),
-      queues_(context_, machines_, placements_, seed),
+      quota_(context_, placements_),
+      queues_(context_, machines_, quota_),
+      chain_walk_(context_, machines_, queues_, seed),
+      queue_service_(context_, machines_, placements_, queues_, quota_),
+      preemption_(machines_, placements_, queues_, quota_),
+      admission_(context_, machines_, queues_, quota_, chain_walk_, queue_service_, preemption_),
+      reservations_(context_, machines_, placements_, queues_, quota_, queue_service_, preemption_),
+      backfill_(context_, machines_, placements_, queues_, quota_, queue_service_),
       consolidation_(context_, machines_, placements_),
       failure_detector_(context_, machines_),
       urgent_headroom_(context_, machines_),
@@ -176,7 +183,7 @@
     failure_detector_.heartbeat_received(
         *m, in_vain || r.token < m->answered_token || m->start_lost, now);
   for (const auto& [j, task] : placements_.take_finished()) queues_.drop_task(j, task);
-  queues_.serve_machine(*m, now);
+  admission_.serve_machine(*m, now);
   return HeartbeatResult::fresh;
 }
 
@@ -210,7 +217,7 @@
 void ShardScheduler::run_scheduling_pass(double now) {
   context_.scheduling_due = false;
   last_pass_at_ = now;
-  queues_.admit_pending(now);
+  admission_.admit_pending(now);
 }
 
 void ShardScheduler::tick(double now) {
@@ -222,9 +229,9 @@
                     [](const auto& j) { return !j.second->pending.empty(); });
   if (now - last_requeue_at_ >= kLookAgain) {
     last_requeue_at_ = now;
-    queues_.requeue_blocked(now);
-    queues_.make_reservations(now);
-    queues_.backfill_idle_capacity(now);
+    admission_.requeue_blocked(now);
+    reservations_.run(now);
+    backfill_.run(now);
   }
   const bool hear = now - last_heartbeat_at_ < 2 * context_.settings.heartbeat_s;
   std::vector<int> withdrawn;
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -11,13 +11,20 @@
 #include <unordered_map>
 #include <vector>
 
+#include "scheduler/admission.h"
+#include "scheduler/backfill.h"
+#include "scheduler/chain_walk.h"
 #include "scheduler/failure_detector.h"
 #include "scheduler/machines.h"
 #include "scheduler/placement_store.h"
 #include "scheduler/placements.h"
+#include "scheduler/preemption.h"
+#include "scheduler/queue_service.h"
 #include "scheduler/replica_consolidation.h"
+#include "scheduler/reservations.h"
 #include "scheduler/shard_context.h"
 #include "scheduler/task_queues.h"
+#include "scheduler/team_quota.h"
 #include "scheduler/urgent_headroom.h"
 #include "shard/balance.h"
 #include "state/limits.h"
@@ -132,7 +139,14 @@
   Machines machines_;
   Placements placements_;
   PlacementStore placement_store_;
+  TeamQuota quota_;
   TaskQueues queues_;
+  ChainWalk chain_walk_;
+  QueueService queue_service_;
+  Preemption preemption_;
+  Admission admission_;
+  Reservations reservations_;
+  Backfill backfill_;
   ReplicaConsolidation consolidation_;
   FailureDetector failure_detector_;
   UrgentHeadroom urgent_headroom_;
