--- /dev/null
+++ b/src/scheduler/heartbeat_processor.h
@@ -0,0 +1,73 @@
+// What a worker's heartbeat proves about the tasks on its machine: which placements run, which have
+// ended, and which are not there and never will be (PROTOCOL, Heartbeats; docs/safety.md). Free of
+// I/O.
+#pragma once
+#include <cstdint>
+#include <utility>
+#include <vector>
+
+#include "scheduler/machines.h"
+#include "scheduler/placements.h"
+#include "scheduler/shard_context.h"
+#include "scheduler/token_policy.h"
+#include "wire/types.h"
+
+namespace shunttrail::scheduler {
+
+/// Where a heartbeat comes from.
+enum class HeartbeatSource : std::uint8_t {
+  worker,  // sent by the worker of itself
+  /// The body of a response to direct commands. It proves no absence: the response to an earlier
+  /// heartbeat may still be on its way to the worker.
+  direct_response,
+};
+
+/// A task that is done.
+struct FinishedTask {
+  jobs::JobPtr job;
+  std::uint32_t task = 0;
+};
+
+/// Updates the placements of a machine from its heartbeats.
+class HeartbeatProcessor {
+ public:
+  HeartbeatProcessor(ShardContext& context, Machines& machines, Placements& placements,
+                     const TokenPolicy& token_policy)
+      : context_(context),
+        machines_(machines),
+        placements_(placements),
+        token_policy_(token_policy) {}
+
+  /// False: the heartbeat is not newer than the newest one so far.
+  [[nodiscard]] static bool is_newer(const Machine& machine, const wire::Heartbeat& heartbeat) {
+    return std::pair(heartbeat.incarnation, heartbeat.sequence) >
+           std::pair(machine.tasks.incarnation, machine.tasks.sequence);
+  }
+  /// Takes a heartbeat that is newer.
+  void heartbeat_received(Machine& machine, const wire::Heartbeat& heartbeat,
+                          HeartbeatSource source, double now);
+  /// Tasks found done since the last call that may wait in a queue for another attempt.
+  [[nodiscard]] std::vector<FinishedTask> take_finished() {
+    return std::exchange(finished_tasks_, {});
+  }
+
+ private:
+  void update(Machine& machine, Placement& placement, const wire::TaskStatus& status, double now);
+  void unknown_task(Machine& machine, const wire::TaskStatus& status, double now);
+  void absent(Machine& machine, const std::vector<bool>& shown, const wire::Heartbeat& heartbeat,
+              HeartbeatSource source, double now);
+  bool release_if_absent(Machine& machine, Placement& placement, const wire::Heartbeat& heartbeat,
+                         HeartbeatSource source, double now);
+  void exited(Machine& machine, Placement& placement, double now);
+  void task_succeeded(Machine& machine, Placement& placement, double now);
+  void task_failed(Machine& machine, Placement& placement, double now);
+  void mark_done(const jobs::JobPtr& job, std::uint32_t task, double now);
+
+  ShardContext& context_;
+  Machines& machines_;
+  Placements& placements_;
+  const TokenPolicy& token_policy_;
+  std::vector<FinishedTask> finished_tasks_;
+};
+
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/placement_store.cpp
+++ b/src/scheduler/placement_store.cpp
@@ -26,8 +26,13 @@
 }
 }  // namespace
 
-PlacementStore::PlacementStore(ShardContext& common, Machines& machines, Placements& placements)
-    : context_(common), machines_(machines), placements_(placements), pages_(kSheets) {}
+PlacementStore::PlacementStore(ShardContext& common, Machines& machines, Placements& placements,
+                               const TokenPolicy& token_policy)
+    : context_(common),
+      machines_(machines),
+      placements_(placements),
+      token_policy_(token_policy),
+      pages_(kSheets) {}
 
 void PlacementStore::recover_page(int page, const wire::PlacementPageRecord& r, double now) {
   if (page < 0) return;
@@ -104,7 +109,7 @@
   std::size_t bytes = 48 + tag.size();
   std::map<std::string, std::size_t> groups;  // by job: a job that is over may have several stubs
   std::set<int> machines;
-  std::uint64_t base = placements_.token() << 20;
+  std::uint64_t base = token_policy_.token() << 20;
   for (const PersistedPlacement& h : page.placements) base = std::min(base, h.attempt);
 
   auto header = [&](const JobPtr& j) -> std::size_t {
@@ -206,7 +211,7 @@
   const std::size_t final_ops = ops > 2 ? 3 : 2;
   // Every key written is conditional on its own revision, so that a transaction that is applied
   // late, or a second time, cannot be: and by the owner's, so that nobody else's is overwritten.
-  t.preconditions.emplace_back(state::leader_key(context_.shard), placements_.token());
+  t.preconditions.emplace_back(state::leader_key(context_.shard), token_policy_.token());
 
   Chunks dirty;
   bool due = false;
--- a/src/scheduler/placement_store.h
+++ b/src/scheduler/placement_store.h
@@ -18,7 +18,8 @@
 
 class PlacementStore {
  public:
-  PlacementStore(ShardContext& common, Machines& machines, Placements& placements);
+  PlacementStore(ShardContext& common, Machines& machines, Placements& placements,
+                 const TokenPolicy& token_policy);
 
   // A placement page of the shard as a takeover found it: all its placements may exist.
   void recover_page(int page, const wire::PlacementPageRecord& r, double now);
@@ -56,6 +57,7 @@
   ShardContext& context_;
   Machines& machines_;
   Placements& placements_;
+  const TokenPolicy& token_policy_;
   std::vector<PlacementPage> pages_;
   // By job and chunk: how many tasks the largest copy shows that has been inherited.
   std::map<std::pair<std::string, std::uint32_t>, std::uint64_t> largest_recovered_;
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -22,8 +22,11 @@
       opened_under_(token),
       opened_at_(now),
       machines_(context_),
-      placements_(context_, machines_, token, now),
-      placement_store_(context_, machines_, placements_),
+      token_policy_(machines_, token),
+      placements_(context_, machines_, token_policy_, now),
+      heartbeat_processor_(context_, machines_, placements_, token_policy_),
+      worker_commands_(context_, machines_, placements_, token_policy_),
+      placement_store_(context_, machines_, placements_, token_policy_),
       quota_(context_, placements_),
       queues_(context_, machines_, quota_),
       chain_walk_(context_, machines_, queues_, seed),
@@ -91,7 +94,7 @@
 
 void ShardScheduler::machine_known(const wire::MachineRecord& r, double now) {
   // It has come from a shard whose token was higher: its worker would drop our answers.
-  if (machines_.known(r, now) && r.token > token()) placements_.saw_higher_token();
+  if (machines_.known(r, now) && r.token > token()) token_policy_.saw_higher_token();
 }
 void ShardScheduler::set_machine_address(const std::string& name, const std::string& addr) {
   if (Machine* m = machines_.find(name)) m->addr = addr;
@@ -160,7 +163,7 @@
                                                                bool to_direct) {
   Machine* m = machines_.find(r.machine);
   if (!m) return HeartbeatResult::unknown;
-  if (!Placements::is_newer(*m, r)) {
+  if (!HeartbeatProcessor::is_newer(*m, r)) {
     ++context_.counters.stale_heartbeats;
     // A copy that comes late is answered to nobody: it renews no lease, and must not put off the
     // proof by silence. What was overtaken on its way is waited for no longer than a worker waits.
@@ -178,11 +181,12 @@
                        now - m->last_answer < context_.settings.lease_s / 2;
   m->start_lost = false;
   if (machines_.heartbeat_received(*m, r, new_session, now)) queues_.requeue_all(*m);
-  placements_.heartbeat_received(*m, r, to_direct, now);
+  heartbeat_processor_.heartbeat_received(
+      *m, r, to_direct ? HeartbeatSource::direct_response : HeartbeatSource::worker, now);
   if (!to_direct)
     failure_detector_.heartbeat_received(
         *m, in_vain || r.token < m->answered_token || m->start_lost, now);
-  for (const auto& [j, task] : placements_.take_finished()) queues_.drop_task(j, task);
+  for (const auto& [j, task] : heartbeat_processor_.take_finished()) queues_.drop_task(j, task);
   admission_.serve_machine(*m, now);
   return HeartbeatResult::fresh;
 }
@@ -193,19 +197,24 @@
   if (!m) return {};
   m->last_answer = now;
   m->answered_token = token();
-  return placements_.commands_for(*m, fresh, now);
+  return worker_commands_.commands_for(*m, fresh, now);
 }
 std::vector<wire::Command> ShardScheduler::stop_commands(const std::string& name) const {
   const Machine* m = machines_.find(name);
-  return m ? placements_.stop_commands(*m) : std::vector<wire::Command>{};
+  return m ? worker_commands_.stop_commands(*m) : std::vector<wire::Command>{};
 }
 bool ShardScheduler::has_unacknowledged_start(const std::string& name) const {
   const Machine* m = machines_.find(name);
-  return m && placements_.has_unacknowledged_start(*m);
+  return m && worker_commands_.has_unacknowledged_start(*m);
 }
 bool ShardScheduler::awaits_commit(const std::string& name) {
   const Machine* m = machines_.find(name);
-  return m && Placements::awaits_commit(*m);
+  return m && WorkerCommands::awaits_commit(*m);
+}
+
+void ShardScheduler::advance_token(std::uint64_t token, double now) {
+  token_policy_.advance(token, now);
+  placements_.token_advanced();
 }
 
 void ShardScheduler::transaction_applied(double now) {
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -15,6 +15,7 @@
 #include "scheduler/backfill.h"
 #include "scheduler/chain_walk.h"
 #include "scheduler/failure_detector.h"
+#include "scheduler/heartbeat_processor.h"
 #include "scheduler/machines.h"
 #include "scheduler/placement_store.h"
 #include "scheduler/placements.h"
@@ -25,7 +26,9 @@
 #include "scheduler/shard_context.h"
 #include "scheduler/task_queues.h"
 #include "scheduler/team_quota.h"
+#include "scheduler/token_policy.h"
 #include "scheduler/urgent_headroom.h"
+#include "scheduler/worker_commands.h"
 #include "shard/balance.h"
 #include "state/limits.h"
 #include "state/state_cache.h"
@@ -38,10 +41,10 @@
   ShardScheduler(const config::Settings& s, const config::Tuning& t, const MachineCatalogue& c,
                  int shard, std::uint64_t token, double now, std::uint64_t seed);
 
-  std::uint64_t token() const { return placements_.token(); }
+  std::uint64_t token() const { return token_policy_.token(); }
   // The token it was opened under: names this scheduler through all raises.
   std::uint64_t opened_under() const { return opened_under_; }
-  void saw_higher_token() { placements_.saw_higher_token(); }
+  void saw_higher_token() { token_policy_.saw_higher_token(); }
   int shard() const { return context_.shard; }
 
   // The shard's durable state, at the takeover and as it changes.
@@ -83,16 +86,16 @@
   std::vector<DirectCommands> direct_commands(bool fresh,
                                               const std::function<bool(const std::string&)>& skip,
                                               double now) {
-    return placements_.direct_commands(fresh, skip, now);
+    return worker_commands_.direct_commands(fresh, skip, now);
   }
   void direct_commands_done(const DirectCommands& d, int status) {
-    placements_.direct_commands_done(d, status);
+    worker_commands_.direct_commands_done(d, status);
   }
   // Silent machines to be asked whether they live, and whether they did.
   std::vector<Probe> probes(double now) { return failure_detector_.probes(now); }
   void probe_done(const std::string& machine, bool answered, double now);
-  bool needs_new_token(double now) const { return placements_.needs_new_token(now); }
-  void advance_token(std::uint64_t token, double now) { placements_.advance_token(token, now); }
+  bool needs_new_token(double now) const { return token_policy_.needs_new_token(now); }
+  void advance_token(std::uint64_t token, double now);
 
   // Group commit: at most one transaction is out at a time.
   std::optional<wire::Transaction> next_transaction(const state::StateCache& w,
@@ -137,7 +140,10 @@
   const std::uint64_t opened_under_;
   const double opened_at_;
   Machines machines_;
+  TokenPolicy token_policy_;
   Placements placements_;
+  HeartbeatProcessor heartbeat_processor_;
+  WorkerCommands worker_commands_;
   PlacementStore placement_store_;
   TeamQuota quota_;
   TaskQueues queues_;
--- /dev/null
+++ b/src/scheduler/token_policy.cpp
@@ -0,0 +1,40 @@
+#include "scheduler/token_policy.h"
+
+namespace shunttrail::scheduler {
+
+namespace {
+/// Shortest time between two advances of the token.
+constexpr double kMinAdvanceIntervalS = 1;
+/// The same for an unacknowledged command that keeps no lease from being renewed.
+constexpr double kMinUnurgentAdvanceIntervalS = 10;
+}  // namespace
+
+bool TokenPolicy::may_start_late(const Placement& placement) const {
+  return placement.unacknowledged_token == token_ && placement.job->over && !placement.seen &&
+         !placement.released;
+}
+
+bool TokenPolicy::needs_new_token(double now) const {
+  if (now - advanced_at_ <= kMinAdvanceIntervalS) return false;
+  if (saw_higher_token_) return true;
+  const bool long_ago = now - advanced_at_ >= kMinUnurgentAdvanceIntervalS;
+  for (const auto& [number, machine] : machines_.all()) {
+    // The response to a direct command may still settle it.
+    if (machine->tasks.direct_in_flight) continue;
+    for (const Placement& placement : machine->tasks.placements) {
+      if (may_start_late(placement)) return true;
+      const bool unacknowledged = placement.unacknowledged_token == token_;
+      const bool unwanted = placement.released || placement.job->over;
+      if (long_ago && unacknowledged && unwanted) return true;
+    }
+  }
+  return false;
+}
+
+void TokenPolicy::advance(std::uint64_t token, double now) {
+  token_ = token;
+  advanced_at_ = now;
+  saw_higher_token_ = false;
+}
+
+}  // namespace shunttrail::scheduler
--- /dev/null
+++ b/src/scheduler/worker_commands.cpp
@@ -0,0 +1,247 @@
+#include "scheduler/worker_commands.h"
+
+#include <algorithm>
+
+namespace shunttrail::scheduler {
+
+using jobs::Job;
+using wire::Command;
+using wire::ExitReason;
+using wire::TaskState;
+
+namespace {
+constexpr int kHttpOk = 200;
+constexpr int kHttpConflict = 409;
+/// Added, in seconds, to the time that a task needs to save its progress.
+constexpr double kSaveMarginS = 1;
+/// Pause, in seconds, between two resync requests to a worker.
+constexpr double kResyncIntervalS = 1;
+
+// Time, in seconds, for what can save its progress before it is stopped.
+double stop_grace(const Job& job) {
+  return job.spec.checkpoint_s > 0 ? job.spec.save_s + kSaveMarginS : 0;
+}
+
+Command command(Command::Op op, const Placement& placement, double grace_s = 0) {
+  return {op, {placement.job->spec.id, placement.task}, placement.attempt, grace_s};
+}
+
+// The placement's job is over, and it may be there, or get there: also what no heartbeat has shown
+// yet, since a direct start that is on its way may come before the response that this is for.
+bool must_end(const Placement& placement) {
+  return placement.job->over && !placement.released &&
+         (placement.seen || placement.sent || placement.unacknowledged_token ||
+          placement.recovered);
+}
+}  // namespace
+
+// ---- heartbeats' responses
+
+std::vector<Command> WorkerCommands::stop_commands(const Machine& machine) const {
+  std::vector<Command> out;
+  for (const Placement& placement : machine.tasks.placements)
+    if (must_end(placement)) out.push_back(command(Command::Op::stop, placement));
+  for (const wire::TaskStatus& status : machine.tasks.unknown_tasks)
+    if (status.state != TaskState::exited)
+      out.push_back({Command::Op::stop, status.task, status.attempt, 0});
+  return out;
+}
+
+bool WorkerCommands::has_unacknowledged_start(const Machine& machine) const {
+  return std::any_of(
+      machine.tasks.placements.begin(), machine.tasks.placements.end(),
+      [this](const Placement& placement) { return token_policy_.may_start_late(placement); });
+}
+
+bool WorkerCommands::awaits_commit(const Machine& machine) {
+  return std::any_of(
+      machine.tasks.placements.begin(), machine.tasks.placements.end(),
+      [](const Placement& placement) { return placement.phase != Phase::committed; });
+}
+
+std::vector<Command> WorkerCommands::commands_for(Machine& machine, bool fresh, double now) {
+  Response response;
+  for (Placement& placement : machine.tasks.placements)
+    add_command(machine, placement, fresh, now, response);
+  if (response.dropped_unsent) drop_unsent(machine, now);
+  add_unknown_tasks(machine, response.commands);
+  return std::move(response.commands);
+}
+
+// A result is kept by the worker until it is persisted; what failed or was stopped is not kept.
+bool WorkerCommands::is_result_kept(const Placement& placement) const {
+  return placement.exit_reason == ExitReason::done && !placement.job->over &&
+         !placement.job->persisted(placement.task);
+}
+
+// The machine is about to be taken: what can save its progress does so while there is time.
+bool WorkerCommands::must_save_now(const Machine& machine, const Placement& placement) const {
+  if (!placement.seen || placement.state != TaskState::running || !machine.notice_s) return false;
+  const wire::JobSpec& spec = placement.job->spec;
+  return spec.checkpoint_s > 0 &&
+         *machine.notice_s < spec.save_s + 2 * context_.settings.heartbeat_s;
+}
+
+void WorkerCommands::add_command(Machine& machine, Placement& placement, bool fresh, double now,
+                                 Response& response) {
+  std::vector<Command>& commands = response.commands;
+  if (placement.released) {
+    if (!is_result_kept(placement) && placement.seen && placement.state == TaskState::exited &&
+        TokenPolicy::is_acknowledged(machine, placement)) {
+      placement.acknowledging = true;
+      commands.push_back(command(Command::Op::acknowledge, placement));
+    }
+    return;
+  }
+  if (placement.job->over || placement.job->done(placement.task)) {
+    if (must_end(placement) || placement.seen)
+      commands.push_back(command(Command::Op::stop, placement));
+    return;
+  }
+  const bool may_start = placement.phase == Phase::committed && !placement.seen &&
+                         !placement.recovered && !placement.sent;
+  if (may_start) {
+    add_start(machine, placement, fresh, now, response);
+    return;
+  }
+  if (placement.preempted && placement.seen && placement.state != TaskState::saving) {
+    placement.stop_sent = true;
+    commands.push_back(command(Command::Op::stop, placement, stop_grace(*placement.job)));
+    return;
+  }
+  if (must_save_now(machine, placement))
+    commands.push_back(command(Command::Op::stop, placement, stop_grace(*placement.job)));
+}
+
+void WorkerCommands::add_start(Machine& machine, Placement& placement, bool fresh, double now,
+                               Response& response) {
+  if (!fresh) return;
+  if (machine.leaving && !placement.unacknowledged_token) {
+    // Never sent, and it will not be: the task need not wait for this machine, nor the machine for
+    // the task. (A direct copy may still be on its way: that one is sent here as well.)
+    placements_.release(machine, placement, now);
+    response.dropped_unsent = true;
+    return;
+  }
+  placement.sent = true;
+  note_sent(machine, placement);
+  response.commands.push_back(command(Command::Op::start, placement));
+}
+
+void WorkerCommands::note_sent(const Machine& machine, Placement& placement) {
+  placement.sent_incarnation = machine.tasks.incarnation;
+  placement.sent_sequence = machine.tasks.sequence;
+  ++context_.counters.starts;
+}
+
+void WorkerCommands::drop_unsent(Machine& machine, double now) {
+  std::erase_if(machine.tasks.placements, [](const Placement& placement) {
+    return placement.released && !placement.seen && !placement.sent && !placement.recovered &&
+           !placement.unacknowledged_token;
+  });
+  machines_.note_idle(machine, now);
+}
+
+// Unknown tasks are stopped. Their results are acknowledged once they are persisted.
+void WorkerCommands::add_unknown_tasks(const Machine& machine,
+                                       std::vector<Command>& commands) const {
+  for (const wire::TaskStatus& status : machine.tasks.unknown_tasks) {
+    if (status.state != TaskState::exited) {
+      commands.push_back({Command::Op::stop, status.task, status.attempt, 0});
+      continue;
+    }
+    const auto job = context_.jobs.find(status.task.job);
+    if (status.exit_reason != ExitReason::done || job == context_.jobs.end() ||
+        job->second->persisted(status.task.index))
+      commands.push_back({Command::Op::acknowledge, status.task, status.attempt, 0});
+  }
+}
+
+// ---- direct commands
+
+std::vector<DirectCommands> WorkerCommands::direct_commands(
+    bool fresh, const std::function<bool(const std::string&)>& skip, double now) {
+  std::vector<DirectCommands> out;
+  if (!fresh) return out;
+  for (const int number : placements_.take_direct_due()) {
+    Machine* machine = machines_.at(number);
+    if (!machine) continue;
+    MachineTasks& tasks = machine->tasks;
+    tasks.direct_due = false;
+    if (tasks.needs_resync && !tasks.direct_in_flight && now >= tasks.resync_at &&
+        !machine->addr.empty()) {
+      out.push_back(resync_request(*machine, now));
+      continue;
+    }
+    if (machine->state != Machine::up || tasks.direct_in_flight ||
+        tasks.token > token_policy_.token() || machine->addr.empty() || skip(machine->name))
+      continue;
+    const bool silent = now - machine->last_heartbeat > 2 * context_.settings.heartbeat_s;
+    DirectCommands direct{machine->name, machine->addr, tasks.incarnation, {}};
+    for (Placement& placement : tasks.placements)
+      add_direct_command(*machine, placement, silent, direct.commands);
+    if (direct.commands.empty()) continue;
+    tasks.direct_in_flight = true;
+    out.push_back(std::move(direct));
+  }
+  return out;
+}
+
+// Without commands: it shows the worker our token, so that no earlier owner's command is carried
+// out any more, and its response shows what is there. The incarnation is a guess at first; a 409
+// tells it.
+DirectCommands WorkerCommands::resync_request(Machine& machine, double now) {
+  machine.tasks.direct_in_flight = true;
+  machine.tasks.resync_at = now + kResyncIntervalS;
+  const auto incarnation = std::max<std::uint64_t>(machine.tasks.incarnation, 1);
+  return {machine.name, machine.addr, incarnation, {}};
+}
+
+void WorkerCommands::add_direct_command(Machine& machine, Placement& placement, bool silent,
+                                        std::vector<Command>& commands) {
+  const bool running = placement.seen && !placement.released;
+  // A machine that reports to nobody may still get this, and one that hangs finds it when it goes
+  // on.
+  if (placement.job->over && running && !placement.end_sent) {
+    placement.end_sent = true;
+    commands.push_back(command(Command::Op::stop, placement));
+    return;
+  }
+  if (silent) return;
+  // A late copy of a stop does no harm: it names the attempt.
+  if (placement.preempted && !placement.stop_sent && running) {
+    placement.stop_sent = true;
+    commands.push_back(command(Command::Op::stop, placement, stop_grace(*placement.job)));
+    return;
+  }
+  const bool wanted = !machine.leaving && !placement.released && !placement.job->over &&
+                      !placement.job->done(placement.task);
+  const bool unsent = placement.phase == Phase::committed && !placement.seen &&
+                      !placement.recovered && !placement.sent && !placement.unacknowledged_token;
+  if (!wanted || !unsent) return;
+  placement.sent = placement.sent_directly = true;
+  placement.unacknowledged_token = token_policy_.token();
+  note_sent(machine, placement);
+  ++context_.counters.direct;
+  commands.push_back(command(Command::Op::start, placement));
+}
+
+void WorkerCommands::direct_commands_done(const DirectCommands& sent, int status) {
+  Machine* machine = machines_.find(sent.machine);
+  if (!machine) return;
+  machine->tasks.direct_in_flight = false;
+  placements_.note_direct_due(*machine);
+  if (status == kHttpConflict) machine->tasks.resync_at = 0;
+  for (const Command& command : sent.commands) {
+    if (command.op != Command::Op::start) continue;
+    for (Placement& placement : machine->tasks.placements) {
+      if (placement.attempt != command.attempt) continue;
+      // OK: carried out. Conflict: nothing was. Anything else: perhaps, and perhaps later; it is
+      // sent again in a heartbeat's response, where a second copy has no effect.
+      if (status == kHttpOk || status == kHttpConflict) placement.unacknowledged_token = 0;
+      if (status != kHttpOk && !placement.seen) placement.sent = placement.sent_directly = false;
+    }
+  }
+}
+
+}  // namespace shunttrail::scheduler
