--- a/src/scheduler/placement_store.cpp
+++ b/src/scheduler/placement_store.cpp
@@ -1,280 +1,273 @@
 #include "scheduler/placement_store.h"
 
 #include <algorithm>
-#include <map>
-#include <set>
+#include <numeric>
+#include <utility>
 
 namespace shunttrail::scheduler {
 
 using jobs::JobPtr;
 
 namespace {
-// Of a shard. A start's cost is what its placement page still holds beside it: with few placement
-// pages nearly all that runs is written again and again, and at the large size they are full, so
-// that starts queue for the little room that three of them have left.
-constexpr std::size_t kSheets = 256;
-constexpr double kDoneWait = 3.0;          // results wait so long for starts to share a change with
-constexpr std::size_t kSheetBytes = 5800;  // never longer, though values may be
-constexpr std::size_t kSheetsPerTxn = 3;
-constexpr std::size_t kSheetsMost = 512;
-constexpr std::size_t kFinalsPerTxn = 4;
-
-std::size_t digits(std::uint64_t n) {
-  std::size_t d = 1;
-  while (n >= 10) n /= 10, ++d;
-  return d;
-}
+/// Pages of a shard. A start's cost is what its page still holds beside it: with few pages nearly
+/// all that runs is written again and again, and at the large size they are full, so that starts
+/// queue for the little room that three of them have left.
+constexpr std::size_t kInitialPages = 256;
+constexpr std::size_t kMaxPages = 512;
+/// A page is never longer, in bytes, though values may be.
+constexpr std::size_t kMaxPageBytes = 5800;
+/// Kept free in a page, since its length is only estimated.
+constexpr std::size_t kPageMarginBytes = 64;
+constexpr std::size_t kMaxPagesPerTransaction = 3;
+constexpr std::size_t kMaxEndedJobsPerTransaction = 4;
+/// Preconditions that a start may need: on its job, and on its page.
+constexpr std::size_t kPreconditionsPerStart = 2;
+/// Preconditions of a transaction that starts leave free for its other pages.
+constexpr std::size_t kReservedPreconditions = 2;
+/// Results wait so long for starts to share a transaction with.
+constexpr double kMaxResultDelayS = 3.0;
+/// Operations of a transaction that a job's end takes.
+constexpr std::size_t kJobEndOps = 2;
 }  // namespace
 
-PlacementStore::PlacementStore(ShardContext& common, Machines& machines, Placements& placements,
+PlacementStore::PlacementStore(ShardContext& context, Machines& machines, Placements& placements,
                                const TokenPolicy& token_policy)
-    : context_(common),
+    : context_(context),
       machines_(machines),
       placements_(placements),
       token_policy_(token_policy),
-      pages_(kSheets) {}
+      pages_(kInitialPages) {}
 
-void PlacementStore::recover_page(int page, const wire::PlacementPageRecord& r, double now) {
-  if (page < 0) return;
-  if (static_cast<std::size_t>(page) >= pages_.size())
-    pages_.resize(static_cast<std::size_t>(page) + 1);
-  PlacementPage& mine = pages_[static_cast<std::size_t>(page)];
-  for (const auto& g : r.jobs) {
-    JobPtr j;
-    if (auto it = context_.jobs.find(g.job); it != context_.jobs.end()) {
-      j = it->second;
-      for (const auto& [c, list] : g.done) {
-        mine.done.emplace_back(j, c);
-        // Older copies stay behind where a chunk has moved on. The largest is the newest, since
-        // what is done stays so; with another one taken for it, the newest would be dropped.
-        std::uint64_t tasks = 0;
-        for (auto [a, b] : list) tasks += b - a + 1;
-        auto [known, fresh] = largest_recovered_.try_emplace({g.job, c}, tasks);
-        if (!fresh && known->second >= tasks) continue;
-        known->second = tasks;
-        j->done_page[c] = page;
-      }
-    } else {
-      // The job is over, but its tasks may still be there: they count until proven gone.
-      wire::JobRecord stub;
-      stub.spec.id = g.job;
-      stub.spec.tasks = 1;
-      stub.spec.cpus = g.cpus;
-      stub.spec.gpus = g.gpus;
-      stub.spec.mem_gb = g.mem_gb;
-      j = std::make_shared<jobs::Job>(stub, g.team, 0,
-                                      static_cast<int>(context_.settings.zones.size()), now, 0);
-      j->over = true;
-      j->pending.clear();
-    }
-    for (const auto& at : g.placements) {
+// ---- takeover
+
+void PlacementStore::recover_page(int number, const wire::PlacementPageRecord& record, double now) {
+  if (number < 0) return;
+  const auto index = static_cast<std::size_t>(number);
+  if (index >= pages_.size()) pages_.resize(index + 1);
+  PlacementPage& page = pages_[index];
+  for (const wire::JobPlacements& stored : record.jobs) {
+    const auto known = context_.jobs.find(stored.job);
+    const bool is_open = known != context_.jobs.end();
+    const JobPtr job = is_open ? known->second : ended_job(stored, now);
+    if (is_open) recover_results(index, job, stored);
+    for (const auto& placement : stored.placements) {
       // A machine that the inventory does not hold under this shard has been deleted, or was empty
       // when it moved away: nothing of ours can be on it.
-      Machine* m = machines_.find(at.machine);
-      if (!m) continue;
-      mine.placements.push_back({m->number, j, at.task, at.attempt});
-      placements_.recover_placement(*m, mine.placements.back(), now);
+      Machine* machine = machines_.find(placement.machine);
+      if (!machine) continue;
+      page.placements.push_back({machine->number, job, placement.task, placement.attempt});
+      placements_.recover_placement(*machine, page.placements.back(), now);
     }
   }
 }
 
+// Older copies stay behind where a chunk has moved on. The largest is the newest, since what is
+// done stays so; with another one taken for it, the newest would be dropped.
+void PlacementStore::recover_results(std::size_t page, const JobPtr& job,
+                                     const wire::JobPlacements& stored) {
+  for (const auto& [chunk, intervals] : stored.done) {
+    pages_[page].results.push_back({job, chunk});
+    std::uint64_t tasks = 0;
+    for (const auto& [first, last] : intervals) tasks += last - first + 1;
+    const auto [largest, added] = largest_recovered_.try_emplace({stored.job, chunk}, tasks);
+    if (!added && largest->second >= tasks) continue;
+    largest->second = tasks;
+    job->done_page[chunk] = static_cast<int>(page);
+  }
+}
+
+// The job is over, but its tasks may still be there: they count until proven gone.
+JobPtr PlacementStore::ended_job(const wire::JobPlacements& stored, double now) const {
+  wire::JobRecord record;
+  record.spec.id = stored.job;
+  record.spec.tasks = 1;
+  record.spec.cpus = stored.cpus;
+  record.spec.gpus = stored.gpus;
+  record.spec.mem_gb = stored.mem_gb;
+  const int zones = static_cast<int>(context_.settings.zones.size());
+  auto job = std::make_shared<jobs::Job>(record, stored.team, 0, zones, now, 0);
+  job->over = true;
+  job->pending.clear();
+  return job;
+}
+
+// ---- pages
+
 // What is proven gone, or is written elsewhere by now, need not be carried on.
 void PlacementStore::prune() {
   for (std::size_t i = 0; i < pages_.size(); ++i) {
-    std::erase_if(pages_[i].placements, [&](const PersistedPlacement& h) {
-      const Placement* p = placements_.find(h);
-      return !p || p->released;
+    std::erase_if(pages_[i].placements, [&](const PersistedPlacement& persisted) {
+      const Placement* placement = placements_.find(persisted);
+      return !placement || placement->released;
     });
-    std::erase_if(pages_[i].done, [&](const auto& d) {
-      return d.first->over || d.first->done_page[d.second] != static_cast<int>(i);
+    std::erase_if(pages_[i].results, [&](const ResultChunk& result) {
+      return result.job->over || result.job->done_page[result.chunk] != static_cast<int>(i);
     });
   }
 }
 
-// Writes a placement page anew: what it holds and still matters, and as many of the starts and
-// results as it has room for. Its length is counted from above. False if there was room for
-// nothing.
-bool PlacementStore::fill_page(int index, const state::StateCache& w,
-                               const state::TransactionLimits& size,
-                               std::vector<PersistedPlacement>& starts, Chunks& dirty,
-                               const std::string& tag, wire::Transaction& t,
-                               PendingTransaction& out) {
-  PlacementPage& page = pages_[static_cast<std::size_t>(index)];
-  const std::size_t limit = std::min(kSheetBytes, size.value_bytes) - 64;
-  const std::size_t max_guards = size.preconditions - 2;
-  wire::PlacementPageRecord r;
-  r.tag = tag;
-  PendingTransaction::Write write;
-  write.page = index;
-  std::size_t bytes = 48 + tag.size();
-  std::map<std::string, std::size_t> groups;  // by job: a job that is over may have several stubs
-  std::set<int> machines;
-  std::uint64_t base = token_policy_.token() << 20;
-  for (const PersistedPlacement& h : page.placements) base = std::min(base, h.attempt);
+// Attempts are stored as differences from the page's oldest one, or from those of our token.
+std::uint64_t PlacementStore::oldest_attempt(const PlacementPage& page) const {
+  std::uint64_t oldest = first_attempt(token_policy_.token());
+  for (const PersistedPlacement& placement : page.placements)
+    oldest = std::min(oldest, placement.attempt);
+  return oldest;
+}
 
-  auto header = [&](const JobPtr& j) -> std::size_t {
-    if (groups.contains(j->spec.id)) return 0;
-    return 96 + j->spec.id.size() +
-           (j->team >= 0 ? context_.settings.teams[j->team].name.size() : 0);
-  };
-  auto group = [&](const JobPtr& j) -> wire::JobPlacements& {
-    auto [it, fresh] = groups.try_emplace(j->spec.id, r.jobs.size());
-    if (fresh)
-      r.jobs.push_back({j->spec.id, j->team, j->spec.cpus, j->spec.gpus, j->spec.mem_gb, {}, {}});
-    return r.jobs[it->second];
-  };
-  auto place_bytes = [&](const PersistedPlacement& h) {
-    std::size_t n = 6 + digits(h.task) + digits(h.attempt - base) + header(h.job);
-    if (!machines.contains(h.machine)) n += machines_.at(h.machine)->name.size() + 3;
-    return n;
-  };
-  auto put = [&](const PersistedPlacement& h) {
-    group(h.job).placements.push_back({machines_.at(h.machine)->name, h.task, h.attempt});
-    machines.insert(h.machine);
-  };
-  auto done_bytes = [&](const JobPtr& j, std::uint32_t c) {
-    return 16 + 8 * wire::intervals(j->chunk(c)).size() + header(j);
-  };
-  auto put_done = [&](const JobPtr& j, std::uint32_t c) {
-    auto bits = j->chunk(c);
-    group(j).done.emplace_back(c, wire::intervals(bits));
-    write.done.emplace_back(j, c, std::move(bits));
-  };
+// Starts need their job to be there still. False: the transaction has no room for that.
+bool PlacementStore::add_precondition(Draft& draft, const jobs::Job& job) const {
+  auto& preconditions = draft.transaction.preconditions;
+  const std::string key = state::job_key(job.spec.id);
+  const bool known = std::any_of(preconditions.begin(), preconditions.end(),
+                                 [&](const auto& entry) { return entry.first == key; });
+  if (known) return true;
+  const std::size_t limit = draft.limits.preconditions - kReservedPreconditions;
+  if (preconditions.size() + kPreconditionsPerStart > limit) return false;
+  preconditions.emplace_back(key, draft.cache.mod_revision(key));
+  return true;
+}
 
-  for (const PersistedPlacement& h : page.placements) {
-    bytes += place_bytes(h);
-    put(h);
-  }
-  for (const auto& [j, c] : page.done) {
-    bytes += done_bytes(j, c);
-    put_done(j, c);
-  }
-  // Written when values could be larger. It stays as it is, so that no placement is unrecorded for
-  // a moment, until enough of what it holds is over; results that it holds and that have grown
-  // since go to another placement page.
-  if (bytes > limit) return false;
-  const std::string key = state::placement_page_key(context_.shard, index);
-  bool added = false;
+// As many of the starts, in their order, as the page and the transaction have room for.
+void PlacementStore::add_starts(Draft& draft, PageBuilder& builder, PageWrite& write) const {
+  std::vector<PersistedPlacement>& starts = draft.starts;
   std::size_t taken = 0;
   for (; taken < starts.size(); ++taken) {
-    const PersistedPlacement& h = starts[taken];
-    std::size_t more = place_bytes(h);
-    if (bytes + more > limit) break;
-    std::string jk = state::job_key(h.job->spec.id);
-    bool guarded = std::any_of(t.preconditions.begin(), t.preconditions.end(),
-                               [&](const auto& g) { return g.first == jk; });
-    if (!guarded) {
-      if (t.preconditions.size() + 2 > max_guards) break;
-      t.preconditions.emplace_back(jk, w.mod_revision(jk));
-    }
-    bytes += more;
-    put(h);
-    write.starts.push_back(h);
-    added = true;
+    const PersistedPlacement& start = starts[taken];
+    if (!builder.fits(start)) break;
+    if (!add_precondition(draft, *start.job)) break;
+    builder.add(start);
+    write.starts.push_back(start);
   }
   starts.erase(starts.begin(), starts.begin() + static_cast<long>(taken));
-  std::erase_if(dirty, [&](const auto& d) {
-    auto at_sheet = d.first->done_page.find(d.second);
-    // Written just now, with what the placement page held already.
-    bool here = at_sheet != d.first->done_page.end() && at_sheet->second == index;
-    if (!here) {
-      std::size_t more = done_bytes(d.first, d.second);
-      if (bytes + more > limit) return false;
-      bytes += more;
-      put_done(d.first, d.second);
-    }
-    added = true;
+}
+
+void PlacementStore::add_result(const ResultChunk& result, PageBuilder& builder, PageWrite& write) {
+  builder.add(result);
+  write.results.push_back({result, result.job->chunk(result.chunk)});
+}
+
+// As many of the results as the page has room for. True: some are written.
+bool PlacementStore::add_results(Draft& draft, PageBuilder& builder, PageWrite& write) const {
+  const std::size_t before = draft.results.size();
+  std::erase_if(draft.results, [&](const ResultChunk& result) {
+    const auto page = result.job->done_page.find(result.chunk);
+    // Written just now, with what the page held already.
+    if (page != result.job->done_page.end() && static_cast<std::size_t>(page->second) == write.page)
+      return true;
+    if (!builder.fits(result)) return false;
+    add_result(result, builder, write);
     return true;
   });
-  if (!added) return false;
-  t.preconditions.emplace_back(key, w.mod_revision(key));
-  t.ops.push_back({key,
-                   wire::encode_record(r,
-                                       [&](int team) {
-                                         return team >= 0 ? context_.settings.teams[team].name
-                                                          : std::string("-");
-                                       }),
-                   0});
-  for (const PersistedPlacement& h : write.starts) placements_.find(h)->phase = Phase::committing;
-  out.writes.push_back(std::move(write));
+  return draft.results.size() < before;
+}
+
+// Writes a page anew: what it holds and still matters, and as many of the starts and results as it
+// has room for. False: there was room for nothing.
+bool PlacementStore::write_page(std::size_t index, Draft& draft) {
+  const PlacementPage& page = pages_[index];
+  const std::size_t max_bytes =
+      std::min(kMaxPageBytes, draft.limits.value_bytes) - kPageMarginBytes;
+  PageBuilder builder(context_, machines_, draft.tag, oldest_attempt(page), max_bytes);
+  PageWrite write;
+  write.page = index;
+  for (const PersistedPlacement& placement : page.placements) builder.add(placement);
+  for (const ResultChunk& result : page.results) add_result(result, builder, write);
+  // Written when values could be larger. It stays as it is, so that no placement is unrecorded for
+  // a moment, until enough of what it holds is over; results that it holds and that have grown
+  // since go to another page.
+  if (builder.is_too_long()) return false;
+  add_starts(draft, builder, write);
+  const bool results_added = add_results(draft, builder, write);
+  if (write.starts.empty() && !results_added) return false;
+
+  const std::string key = state::placement_page_key(context_.shard, static_cast<int>(index));
+  const auto team_name = [&](int team) {
+    return team >= 0 ? context_.settings.teams[static_cast<std::size_t>(team)].name
+                     : std::string("-");
+  };
+  draft.transaction.preconditions.emplace_back(key, draft.cache.mod_revision(key));
+  draft.transaction.ops.push_back({key, wire::encode_record(builder.record(), team_name), 0});
+  for (const PersistedPlacement& start : write.starts)
+    placements_.find(start)->phase = Phase::committing;
+  draft.pending.writes.push_back(std::move(write));
   return true;
 }
 
-std::optional<wire::Transaction> PlacementStore::next_transaction(
-    const state::StateCache& w, const state::TransactionLimits& size, const std::string& tag,
-    double now) {
-  if (pending_) return std::nullopt;
-  wire::Transaction t;
-  PendingTransaction out;
-  const std::size_t ops = size.ops;
-  // Ends of jobs leave a change to the placement pages where there is one to leave.
-  const std::size_t final_ops = ops > 2 ? 3 : 2;
-  // Every key written is conditional on its own revision, so that a transaction that is applied
-  // late, or a second time, cannot be: and by the owner's, so that nobody else's is overwritten.
-  t.preconditions.emplace_back(state::leader_key(context_.shard), token_policy_.token());
+// By what still matters: counted with what does not, the pages written least would seem the
+// fullest, and starts would queue for the others.
+std::vector<std::size_t> PlacementStore::emptiest_first() const {
+  std::vector<std::size_t> order(pages_.size());
+  std::iota(order.begin(), order.end(), std::size_t{0});
+  std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
+    return pages_[a].load() < pages_[b].load();
+  });
+  return order;
+}
 
-  Chunks dirty;
-  bool due = false;
-  for (auto& [id, j] : context_.jobs) {
-    if (j->complete()) {
-      if (!w.job(id)) continue;
-      if (out.ended_jobs.size() >= kFinalsPerTxn || t.ops.size() + final_ops > ops) continue;
-      wire::JobResultRecord f;
-      f.tasks = j->spec.tasks;
-      f.team = j->spec.team;
-      f.tag = tag;
-      const std::string jk = state::job_key(id);
-      t.preconditions.emplace_back(jk, w.mod_revision(jk));
-      t.preconditions.emplace_back(state::job_result_key(id), 0);
-      t.ops.push_back({jk, std::nullopt, 0});
-      t.ops.push_back({state::job_result_key(id), wire::encode_record(f), 0});
-      out.ended_jobs.push_back(id);
-      continue;
-    }
-    if (j->dirty_chunks.empty() || !w.job(id)) continue;
-    due |= now - j->dirty_since > kDoneWait;
-    for (std::uint32_t c : j->dirty_chunks) dirty.emplace_back(j, c);
+void PlacementStore::write_pages(Draft& draft) {
+  prune();
+  const std::size_t max_ops = draft.limits.ops;
+  const auto& ops = draft.transaction.ops;
+  std::size_t written = 0;
+  for (const std::size_t index : emptiest_first()) {
+    if (written >= kMaxPagesPerTransaction || ops.size() >= max_ops) break;
+    // Results go along with starts; only those that have waited take writes of their own.
+    const bool results_can_wait = written && !draft.results_due;
+    if (draft.starts.empty() && (draft.results.empty() || results_can_wait)) break;
+    if (write_page(index, draft)) ++written;
   }
-  std::vector<PersistedPlacement> starts = planned(w);
-  if (!starts.empty() || due) {
-    // The emptiest placement pages first, by what still matters: counted with what does not, the
-    // placement pages written least would seem the fullest, and starts would queue for the others.
-    prune();
-    std::vector<std::size_t> order(pages_.size());
-    for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
-    auto load = [&](std::size_t i) {
-      return pages_[i].placements.size() + 4 * pages_[i].done.size();
-    };
-    std::stable_sort(order.begin(), order.end(),
-                     [&](std::size_t a, std::size_t b) { return load(a) < load(b); });
-    std::size_t used = 0;
-    for (std::size_t i : order) {
-      // Results ride along with starts; only those that have waited take changes of their own.
-      if (used >= kSheetsPerTxn || t.ops.size() >= ops) break;
-      if (starts.empty() && (dirty.empty() || (used && !due))) break;
-      used += fill_page(static_cast<int>(i), w, size, starts, dirty, tag, t, out);
-    }
-    // All full, or too long for what a value may hold by now: one more.
-    if (!used && t.ops.size() < ops && (!starts.empty() || !dirty.empty()) &&
-        pages_.size() < kSheetsMost) {
-      pages_.emplace_back();
-      fill_page(static_cast<int>(pages_.size()) - 1, w, size, starts, dirty, tag, t, out);
+  // All full, or too long for what a value may hold by now: one more.
+  const bool something_left = !draft.starts.empty() || !draft.results.empty();
+  if (!written && ops.size() < max_ops && something_left && pages_.size() < kMaxPages) {
+    pages_.emplace_back();
+    write_page(pages_.size() - 1, draft);
+  }
+}
+
+// ---- transactions
+
+void PlacementStore::end_job(Draft& draft, const jobs::Job& job) const {
+  wire::Transaction& transaction = draft.transaction;
+  // A job's end leaves an operation to the pages where there is one to leave.
+  const std::size_t ops_needed = draft.limits.ops > kJobEndOps ? kJobEndOps + 1 : kJobEndOps;
+  if (draft.pending.ended_jobs.size() >= kMaxEndedJobsPerTransaction) return;
+  if (transaction.ops.size() + ops_needed > draft.limits.ops) return;
+  wire::JobResultRecord result;
+  result.tasks = job.spec.tasks;
+  result.team = job.spec.team;
+  result.tag = draft.tag;
+  const std::string job_key = state::job_key(job.spec.id);
+  const std::string result_key = state::job_result_key(job.spec.id);
+  transaction.preconditions.emplace_back(job_key, draft.cache.mod_revision(job_key));
+  transaction.preconditions.emplace_back(result_key, 0);
+  transaction.ops.push_back({job_key, std::nullopt, 0});
+  transaction.ops.push_back({result_key, wire::encode_record(result), 0});
+  draft.pending.ended_jobs.push_back(job.spec.id);
+}
+
+// Ends jobs that are complete, and collects the results of the others.
+void PlacementStore::add_jobs(Draft& draft, double now) const {
+  for (const auto& [id, job] : context_.jobs) {
+    if (job->complete()) {
+      if (draft.cache.job(id)) end_job(draft, *job);
+      continue;
     }
+    if (job->dirty_chunks.empty() || !draft.cache.job(id)) continue;
+    draft.results_due |= now - job->dirty_since > kMaxResultDelayS;
+    for (const std::uint32_t chunk : job->dirty_chunks) draft.results.push_back({job, chunk});
   }
-  if (t.ops.empty()) return std::nullopt;
-  ++context_.counters.commits;
-  pending_ = std::move(out);
-  return t;
 }
 
 // What is to be started, the more urgent first.
-std::vector<PersistedPlacement> PlacementStore::planned(const state::StateCache& w) const {
+std::vector<PersistedPlacement> PlacementStore::planned(const state::StateCache& cache) const {
   std::vector<PersistedPlacement> starts;
-  for (const auto& [n, m] : machines_.all()) {
-    if (!m->in_inventory) continue;
-    for (const Placement& p : m->tasks.placements)
-      if (p.phase == Phase::planned && !p.released && !p.job->over && w.job(p.job->spec.id))
-        starts.push_back({n, p.job, p.task, p.attempt});
+  for (const auto& [number, machine] : machines_.all()) {
+    if (!machine->in_inventory) continue;
+    for (const Placement& placement : machine->tasks.placements) {
+      if (placement.phase != Phase::planned || placement.released || placement.job->over) continue;
+      if (!cache.job(placement.job->spec.id)) continue;
+      starts.push_back({number, placement.job, placement.task, placement.attempt});
+    }
   }
   std::stable_sort(starts.begin(), starts.end(),
                    [](const PersistedPlacement& a, const PersistedPlacement& b) {
@@ -283,40 +276,69 @@
   return starts;
 }
 
+std::optional<wire::Transaction> PlacementStore::next_transaction(
+    const state::StateCache& cache, const state::TransactionLimits& limits, const std::string& tag,
+    double now) {
+  if (pending_) return std::nullopt;
+  Draft draft{cache, limits, tag};
+  // Every key written is conditional on its own revision, so that a transaction that is applied
+  // late, or a second time, cannot be: and by the owner's, so that nobody else's is overwritten.
+  draft.transaction.preconditions.emplace_back(state::leader_key(context_.shard),
+                                               token_policy_.token());
+  add_jobs(draft, now);
+  draft.starts = planned(cache);
+  if (!draft.starts.empty() || draft.results_due) write_pages(draft);
+  if (draft.transaction.ops.empty()) return std::nullopt;
+  ++context_.counters.commits;
+  pending_ = std::move(draft.pending);
+  return std::move(draft.transaction);
+}
+
+void PlacementStore::starts_committed(PlacementPage& page, const PageWrite& write) {
+  for (const PersistedPlacement& start : write.starts) {
+    page.placements.push_back(start);
+    Placement* placement = placements_.find(start);
+    if (!placement || placement->phase != Phase::committing) continue;
+    placement->phase = Phase::committed;
+    placements_.note_direct_due(*machines_.at(start.machine));
+  }
+}
+
+void PlacementStore::results_committed(PlacementPage& page, const PageWrite& write, double now) {
+  const int number = static_cast<int>(write.page);
+  for (const WrittenResult& written : write.results) {
+    const auto& [job, chunk] = written.result;
+    job->set_persisted(chunk, written.done);
+    job->dirty_since = now;
+    const auto [entry, added] = job->done_page.try_emplace(chunk, number);
+    if (!added && entry->second == number) continue;
+    entry->second = number;
+    page.results.push_back(written.result);
+  }
+}
+
 std::vector<std::string> PlacementStore::transaction_applied(double now) {
   if (!pending_) return {};
-  PendingTransaction out = std::move(*pending_);
+  PendingTransaction applied = std::move(*pending_);
   pending_.reset();
-  for (auto& write : out.writes) {
-    PlacementPage& page = pages_[static_cast<std::size_t>(write.page)];
-    for (const PersistedPlacement& h : write.starts) {
-      page.placements.push_back(h);
-      Placement* p = placements_.find(h);
-      if (!p || p->phase != Phase::committing) continue;
-      p->phase = Phase::committed;
-      placements_.note_direct_due(*machines_.at(h.machine));
-    }
-    for (auto& [j, c, bits] : write.done) {
-      j->set_persisted(c, bits);
-      j->dirty_since = now;
-      auto [it, fresh] = j->done_page.try_emplace(c, write.page);
-      if (!fresh && it->second == write.page) continue;
-      it->second = write.page;
-      page.done.emplace_back(j, c);
-    }
+  for (const PageWrite& write : applied.writes) {
+    PlacementPage& page = pages_[write.page];
+    starts_committed(page, write);
+    results_committed(page, write, now);
   }
-  return std::move(out.ended_jobs);
+  return std::move(applied.ended_jobs);
 }
 
 void PlacementStore::transaction_failed(double now) {
   if (!pending_) return;
   ++context_.counters.commit_failures;
-  PendingTransaction out = std::move(*pending_);
+  const PendingTransaction failed = std::move(*pending_);
   pending_.reset();
-  for (const auto& write : out.writes)
-    for (const PersistedPlacement& h : write.starts) {
-      Placement* p = placements_.find(h);
-      if (p && p->phase == Phase::committing) placements_.undo(*machines_.at(h.machine), *p, now);
+  for (const PageWrite& write : failed.writes)
+    for (const PersistedPlacement& start : write.starts) {
+      Placement* placement = placements_.find(start);
+      if (placement && placement->phase == Phase::committing)
+        placements_.undo(*machines_.at(start.machine), *placement, now);
     }
 }
 
--- a/src/scheduler/placement_store.h
+++ b/src/scheduler/placement_store.h
@@ -1,65 +1,97 @@
-// What a shard keeps in the state service: placements and finished tasks, in placement pages that
-// many starts share, and the ends of its jobs. At most one transaction is out at a time. Free of
-// I/O.
+// What a shard keeps in the state service: its placements and finished tasks, in pages that many
+// starts share, and the results of its jobs. At most one transaction is in flight. Free of I/O.
 #pragma once
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
-#include <tuple>
 #include <utility>
 #include <vector>
 
+#include "scheduler/placement_page.h"
 #include "scheduler/placements.h"
 #include "scheduler/shard_context.h"
+#include "scheduler/token_policy.h"
 #include "state/limits.h"
 #include "state/state_cache.h"
 
 namespace shunttrail::scheduler {
 
+/// Groups what is to be stored into transactions, and applies their outcome to the placements.
 class PlacementStore {
  public:
-  PlacementStore(ShardContext& common, Machines& machines, Placements& placements,
+  PlacementStore(ShardContext& context, Machines& machines, Placements& placements,
                  const TokenPolicy& token_policy);
 
-  // A placement page of the shard as a takeover found it: all its placements may exist.
-  void recover_page(int page, const wire::PlacementPageRecord& r, double now);
+  /// Takes over a page of the shard as it was found: all its placements may exist.
+  void recover_page(int page, const wire::PlacementPageRecord& record, double now);
 
-  std::optional<wire::Transaction> next_transaction(const state::StateCache& w,
-                                                    const state::TransactionLimits& size,
-                                                    const std::string& tag, double now);
-  // The jobs that it has ended.
-  std::vector<std::string> transaction_applied(double now);
+  /// The next transaction; none while one is in flight or there is nothing to store.
+  [[nodiscard]] std::optional<wire::Transaction> next_transaction(
+      const state::StateCache& cache, const state::TransactionLimits& limits,
+      const std::string& tag, double now);
+  /// The transaction in flight has been applied. Returns the jobs that it has ended.
+  [[nodiscard]] std::vector<std::string> transaction_applied(double now);
+  /// The transaction in flight has not been applied, and will not be.
   void transaction_failed(double now);
-  bool transaction_in_flight() const { return pending_.has_value(); }
+  [[nodiscard]] bool transaction_in_flight() const { return pending_.has_value(); }
 
  private:
-  // What a placement page holds as far as it still matters.
-  struct PlacementPage {
-    std::vector<PersistedPlacement> placements;
-    std::vector<std::pair<jobs::JobPtr, std::uint32_t>> done;  // job and chunk
+  /// A chunk of results as it is being written.
+  struct WrittenResult {
+    ResultChunk result;
+    std::vector<bool> done;  // by task of the chunk
+  };
+  struct PageWrite {
+    std::size_t page = 0;
+    std::vector<PersistedPlacement> starts;
+    std::vector<WrittenResult> results;
   };
   struct PendingTransaction {
-    struct Write {
-      int page = 0;
-      std::vector<PersistedPlacement> starts;
-      std::vector<std::tuple<jobs::JobPtr, std::uint32_t, std::vector<bool>>> done;
-    };
-    std::vector<Write> writes;
+    std::vector<PageWrite> writes;
     std::vector<std::string> ended_jobs;
   };
-  using Chunks = std::vector<std::pair<jobs::JobPtr, std::uint32_t>>;
+  /// A transaction while it is being put together.
+  struct Draft {
+    const state::StateCache& cache;
+    const state::TransactionLimits& limits;
+    const std::string& tag;
+    wire::Transaction transaction{};
+    PendingTransaction pending{};
+    /// What is still to be written.
+    std::vector<PersistedPlacement> starts{};
+    std::vector<ResultChunk> results{};
+    /// Some results have waited for long.
+    bool results_due = false;
+  };
+
+  void recover_results(std::size_t page, const jobs::JobPtr& job,
+                       const wire::JobPlacements& stored);
+  jobs::JobPtr ended_job(const wire::JobPlacements& stored, double now) const;
+
+  void add_jobs(Draft& draft, double now) const;
+  void end_job(Draft& draft, const jobs::Job& job) const;
+  std::vector<PersistedPlacement> planned(const state::StateCache& cache) const;
+
   void prune();
-  std::vector<PersistedPlacement> planned(const state::StateCache& w) const;
-  bool fill_page(int page, const state::StateCache& w, const state::TransactionLimits& size,
-                 std::vector<PersistedPlacement>& starts, Chunks& dirty, const std::string& tag,
-                 wire::Transaction& t, PendingTransaction& out);
+  std::vector<std::size_t> emptiest_first() const;
+  void write_pages(Draft& draft);
+  bool write_page(std::size_t index, Draft& draft);
+  std::uint64_t oldest_attempt(const PlacementPage& page) const;
+  bool add_precondition(Draft& draft, const jobs::Job& job) const;
+  void add_starts(Draft& draft, PageBuilder& builder, PageWrite& write) const;
+  bool add_results(Draft& draft, PageBuilder& builder, PageWrite& write) const;
+  static void add_result(const ResultChunk& result, PageBuilder& builder, PageWrite& write);
+
+  void starts_committed(PlacementPage& page, const PageWrite& write);
+  void results_committed(PlacementPage& page, const PageWrite& write, double now);
 
   ShardContext& context_;
   Machines& machines_;
   Placements& placements_;
   const TokenPolicy& token_policy_;
   std::vector<PlacementPage> pages_;
-  // By job and chunk: how many tasks the largest copy shows that has been inherited.
+  // By job and chunk: how many tasks the largest copy shows that has been recovered.
   std::map<std::pair<std::string, std::uint32_t>, std::uint64_t> largest_recovered_;
   std::optional<PendingTransaction> pending_;
 };
--- a/src/scheduler/placements.cpp
+++ b/src/scheduler/placements.cpp
@@ -8,9 +8,6 @@
 using jobs::JobPtr;
 
 namespace {
-/// Attempts are numbered upwards from the token shifted by so many bits: those of a later owner
-/// are higher.
-constexpr int kAttemptBits = 20;
 /// Added to a lease, in seconds, before silence counts as a proof.
 constexpr double kLeaseMarginS = 2;
 }  // namespace
@@ -20,11 +17,11 @@
     : context_(context),
       machines_(machines),
       token_policy_(token_policy),
-      last_attempt_(token_policy.token() << kAttemptBits),
+      last_attempt_(first_attempt(token_policy.token())),
       opened_at_(now),
       used_(context.settings.teams.size()) {}
 
-void Placements::token_advanced() { last_attempt_ = token_policy_.token() << kAttemptBits; }
+void Placements::token_advanced() { last_attempt_ = first_attempt(token_policy_.token()); }
 
 Placement* Placements::find(const PersistedPlacement& persisted) {
   Machine* machine = machines_.at(persisted.machine);
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -1,8 +1,6 @@
-// The scheduler of one shard: its jobs, machines, placements and waiting lists, for as long as this
-// node owns it under one token. Free of I/O: time, random numbers, messages and commit results are
-// handed in, and what is to be sent is handed out. The parts own their state (machines.h,
-// placements.h, placement pages.h, waiting.h); the scheduler takes what comes to those whom it
-// concerns.
+// The scheduler of one shard, for as long as this node owns the shard: passes events to the parts
+// that they concern, and collects what is to be sent. Free of I/O: time, random numbers, messages
+// and commit results are handed in, and what is to be sent is handed out.
 #pragma once
 #include <functional>
 #include <map>
@@ -36,105 +34,160 @@
 
 namespace shunttrail::scheduler {
 
+/// Jobs, machines, placements and queues of a shard. Each part owns its state. Times are steady, in
+/// seconds, unless they are said to be wall-clock times.
 class ShardScheduler {
  public:
-  ShardScheduler(const config::Settings& s, const config::Tuning& t, const MachineCatalogue& c,
-                 int shard, std::uint64_t token, double now, std::uint64_t seed);
+  /// What has become of a heartbeat.
+  enum class HeartbeatResult {
+    fresh,
+    older,    // overtaken by a newer one: answered with what ends work, and nothing else
+    unknown,  // not to be answered
+  };
 
-  std::uint64_t token() const { return token_policy_.token(); }
-  // The token it was opened under: names this scheduler through all raises.
-  std::uint64_t opened_under() const { return opened_under_; }
+  ShardScheduler(const config::Settings& settings, const config::Tuning& tuning,
+                 const MachineCatalogue& catalogue, int shard, std::uint64_t token, double now,
+                 std::uint64_t seed);
+
+  [[nodiscard]] int shard() const { return context_.shard; }
+  [[nodiscard]] std::uint64_t token() const { return token_policy_.token(); }
+  /// The token it was opened under: names this scheduler however often the token is advanced.
+  [[nodiscard]] std::uint64_t opened_under() const { return opened_under_; }
   void saw_higher_token() { token_policy_.saw_higher_token(); }
-  int shard() const { return context_.shard; }
+  /// TokenPolicy::needs_new_token
+  [[nodiscard]] bool needs_new_token(double now) const {
+    return token_policy_.needs_new_token(now);
+  }
+  /// The same scheduler goes on under a higher token: what it knows stays.
+  void advance_token(std::uint64_t token, double now);
 
-  // The shard's durable state, at the takeover and as it changes.
-  void job_added(const wire::JobRecord& r, int team,
+  // ---- the shard's durable state, at the takeover and as it changes
+
+  /// A job is there. `done`: its persisted results by chunk; `wall_now`: wall-clock time. Ignored
+  /// if it is known, or its team is not (negative).
+  void job_added(const wire::JobRecord& record, int team,
                  const std::map<std::uint32_t, state::Intervals>& done, double now,
                  double wall_now);
+  /// The job is over: completed or cancelled.
   void job_gone(const std::string& id, double now);
-  // Jobs that need it have come, or gone.
+  /// Jobs that depend on this one have come, or gone. `due`: steady time.
   void set_effective_priority(const std::string& id, wire::Priority priority, double due);
-  void machine_known(const wire::MachineRecord& r, double now);
-  // A placement page of the shard as the takeover found it: all its placements may exist.
-  void recover_page(int page, const wire::PlacementPageRecord& r, double now) {
-    placement_store_.recover_page(page, r, now);
+  /// A page of the shard as the takeover found it: all its placements may exist.
+  void recover_page(int page, const wire::PlacementPageRecord& record, double now) {
+    placement_store_.recover_page(page, record, now);
   }
-  // The machine is proven deleted, or belongs to another shard.
+
+  /// The inventory holds the machine under this shard.
+  void machine_known(const wire::MachineRecord& record, double now);
+  /// The machine is proven deleted.
   void machine_gone(const std::string& name, double now);
+  /// The machine belongs to another shard.
   void machine_moved(const std::string& name, double now);
   void set_machine_address(const std::string& name, const std::string& addr);
-  // But for those that the inventory's actor has already.
-  std::vector<InventoryChange> inventory_changes(const Machines::Asked& asked = [](auto&&...) {
-    return false;
-  }) const {
+  /// Changes that the inventory needs, but for those that it has been asked for already.
+  [[nodiscard]] std::vector<InventoryChange> inventory_changes(
+      const Machines::Asked& asked = [](auto&&...) { return false; }) const {
     return machines_.inventory_changes(token(), asked);
   }
-  int transfer_target(const std::string& name) const { return machines_.transfer_target(name); }
-  bool has_machine(const std::string& name) const { return machines_.contains(name); }
-
-  // A worker's report, or the body of an answer to a direct order (Placements::heartbeat_received).
-  enum class HeartbeatResult { fresh, older, unknown };
-  HeartbeatResult take_heartbeat(const wire::Heartbeat& r, double now, bool to_direct = false);
-  std::vector<wire::Command> commands_for(const std::string& machine, bool fresh, double now);
-  // True while an answer would be worth waiting for a commit.
-  bool awaits_commit(const std::string& machine);
-  // What ends work that is not wanted: for a report that has been overtaken.
-  std::vector<wire::Command> stop_commands(const std::string& machine) const;
-  // No answer may renew this machine's lease under the present token: Placements::unacknowledged.
-  bool has_unacknowledged_start(const std::string& machine) const;
-
-  std::vector<DirectCommands> direct_commands(bool fresh,
-                                              const std::function<bool(const std::string&)>& skip,
-                                              double now) {
+  /// Machines::transfer_target
+  [[nodiscard]] int transfer_target(const std::string& name) const {
+    return machines_.transfer_target(name);
+  }
+  [[nodiscard]] bool has_machine(const std::string& name) const { return machines_.contains(name); }
+  [[nodiscard]] std::size_t machine_count() const { return machines_.named(); }
+
+  // ---- workers
+
+  /// A worker's heartbeat, or the body of a response to direct commands (HeartbeatSource).
+  HeartbeatResult take_heartbeat(const wire::Heartbeat& heartbeat, double now,
+                                 bool to_direct = false);
+  /// WorkerCommands::commands_for
+  [[nodiscard]] std::vector<wire::Command> commands_for(const std::string& machine, bool fresh,
+                                                        double now);
+  /// A response would be worth waiting for a commit.
+  [[nodiscard]] bool awaits_commit(const std::string& machine);
+  /// For a heartbeat that has been overtaken: only what ends unwanted work.
+  [[nodiscard]] std::vector<wire::Command> stop_commands(const std::string& machine) const;
+  /// No response may renew this machine's lease under the present token
+  /// (WorkerCommands::has_unacknowledged_start).
+  [[nodiscard]] bool has_unacknowledged_start(const std::string& machine) const;
+  /// WorkerCommands::direct_commands
+  [[nodiscard]] std::vector<DirectCommands> direct_commands(
+      bool fresh, const std::function<bool(const std::string&)>& skip, double now) {
     return worker_commands_.direct_commands(fresh, skip, now);
   }
-  void direct_commands_done(const DirectCommands& d, int status) {
-    worker_commands_.direct_commands_done(d, status);
+  /// The HTTP status that direct commands were answered with.
+  void direct_commands_done(const DirectCommands& sent, int status) {
+    worker_commands_.direct_commands_done(sent, status);
   }
-  // Silent machines to be asked whether they live, and whether they did.
-  std::vector<Probe> probes(double now) { return failure_detector_.probes(now); }
+  /// Silent machines to be asked whether they are alive; each is answered by probe_done.
+  [[nodiscard]] std::vector<Probe> probes(double now) { return failure_detector_.probes(now); }
   void probe_done(const std::string& machine, bool answered, double now);
-  bool needs_new_token(double now) const { return token_policy_.needs_new_token(now); }
-  void advance_token(std::uint64_t token, double now);
 
-  // Group commit: at most one transaction is out at a time.
-  std::optional<wire::Transaction> next_transaction(const state::StateCache& w,
-                                                    const state::TransactionLimits& size,
-                                                    const std::string& tag, double now) {
-    return placement_store_.next_transaction(w, size, tag, now);
+  // ---- group commit
+
+  /// The next transaction; at most one is in flight at a time.
+  [[nodiscard]] std::optional<wire::Transaction> next_transaction(
+      const state::StateCache& cache, const state::TransactionLimits& limits,
+      const std::string& tag, double now) {
+    return placement_store_.next_transaction(cache, limits, tag, now);
   }
   void transaction_applied(double now);
   void transaction_failed(double now) { placement_store_.transaction_failed(now); }
-  bool transaction_in_flight() const { return placement_store_.transaction_in_flight(); }
+  [[nodiscard]] bool transaction_in_flight() const {
+    return placement_store_.transaction_in_flight();
+  }
+
+  // ---- time
 
+  /// What time alone brings: silence, pauses that end, idle machines.
   void tick(double now);
-  // What became possible since the last turn: waiting work enters the chain. Reports only note
-  // that there is something to do, so that a thousand of them cost one turn.
-  bool scheduling_due() const { return context_.scheduling_due; }
+  /// Something became possible since the last pass. Heartbeats only note that, so that a thousand
+  /// of them cost one pass.
+  [[nodiscard]] bool scheduling_due() const { return context_.scheduling_due; }
+  /// Waiting work enters the chain.
   void run_scheduling_pass(double now);
-  // Machines to rent, grouped; each is handed out once and answered by rented/refused.
-  std::vector<ScaleOutRequest> scale_out_requests(double now);
-  void rented(const ScaleOutRequest& w, const std::vector<std::string>& names, double now);
-  void rent_refused(const ScaleOutRequest& w, std::size_t from, bool no_capacity, double now);
-  // Machines to give back: idle, never up, failed, lost. Handed out once; machine_gone follows.
-  std::vector<std::string> machines_to_return() { return machines_.machines_to_return(); }
+
+  // ---- the cloud
+
+  /// Machines to rent, grouped; each is handed out once and answered by rented or rent_refused.
+  [[nodiscard]] std::vector<ScaleOutRequest> scale_out_requests(double now);
+  void rented(const ScaleOutRequest& request, const std::vector<std::string>& names, double now);
+  /// The machines from index `from` on were not rented.
+  void rent_refused(const ScaleOutRequest& request, std::size_t from, bool no_capacity, double now);
+  /// Machines to give back: idle, never up, failed, lost. Handed out once; machine_gone or
+  /// return_failed follows.
+  [[nodiscard]] std::vector<std::string> machines_to_return() {
+    return machines_.machines_to_return();
+  }
   void return_failed(const std::string& name) { machines_.return_failed(name); }
-  // The cloud says that it stopped by itself, or does not list it any more (`unlisted`).
+  /// The cloud says that the machine stopped by itself, or does not list it any more (`unlisted`).
   void machine_failed(const std::string& name, bool unlisted, double now);
 
-  // What this shard has, is entitled to and could use.
-  shard::Load load(double now) const;
-  // Another shard lacks machines.
+  // ---- other shards
+
+  /// What this shard has, is entitled to and could use, in machines of the first type.
+  [[nodiscard]] shard::Load load(double now) const;
+  /// Another shard lacks machines.
   void transfer(const MachineTransfer& transfer);
-  double transferring() const { return machines_.transferring(); }
-  std::size_t machine_count() const { return machines_.named(); }
-  const Counters& counters() const { return context_.counters; }
-  std::string summary() const;
+  /// Marked to go to other shards, in machines of the first type.
+  [[nodiscard]] double transferring() const { return machines_.transferring(); }
+
+  // ---- for operators
+
+  [[nodiscard]] const Counters& counters() const { return context_.counters; }
+  /// As JSON (shard_summary).
+  [[nodiscard]] std::string summary() const;
 
  private:
   void remove_machine(int number, double now);
-  void update_machine(Machine& m, bool hear, double now);
-  void give_up_machine(Machine& m);
+  void check_machines(double now);
+  void check_machine(Machine& machine, bool others_heard, double now);
+  void check_booting(Machine& machine, double now);
+  void check_silence(Machine& machine, bool others_heard, double now);
+  void give_up_machine(Machine& machine);
+  HeartbeatResult take_older_heartbeat(Machine& machine, const wire::Heartbeat& heartbeat,
+                                       double now);
 
   ShardContext context_;
   const std::uint64_t opened_under_;
@@ -156,7 +209,9 @@
   ReplicaConsolidation consolidation_;
   FailureDetector failure_detector_;
   UrgentHeadroom urgent_headroom_;
-  std::unordered_map<std::string, int> classes_, images_;  // names to dense indices
+  // Names to dense indices.
+  std::unordered_map<std::string, int> classes_, images_;
+  // Steady times, in seconds.
   double last_heartbeat_at_ = 0;
   double last_pass_at_ = -1e9, last_requeue_at_ = -1e9;
 };
--- /dev/null
+++ b/src/scheduler/shard_summary.cpp
@@ -0,0 +1,92 @@
+#include "scheduler/shard_summary.h"
+
+#include <nlohmann/json.hpp>
+
+namespace shunttrail::scheduler {
+
+using nlohmann::json;
+using wire::TaskState;
+
+namespace {
+constexpr double kMicroCpusPerCpu = 1e6;
+
+struct MachineCounts {
+  std::size_t ordered = 0, booting = 0, up = 0, idle = 0;
+  double capacity = 0, used = 0;  // vcpus of machines that are up
+};
+
+struct TaskCounts {
+  std::size_t placed = 0, queued = 0, pending = 0;
+  // How far the placements are on their way.
+  std::size_t planned = 0, unsent = 0, unseen = 0, fetching = 0, running = 0, over = 0;
+};
+
+void count(const Machine& machine, const MachineCatalogue& catalogue, MachineCounts& counts) {
+  if (machine.state == Machine::ordered)
+    ++counts.ordered;
+  else if (machine.state == Machine::booting)
+    ++counts.booting;
+  else
+    ++counts.up;
+  if (machine.was_idle) ++counts.idle;
+  if (machine.state != Machine::up || machine.type < 0) return;
+  const auto& type = catalogue.types[static_cast<std::size_t>(machine.type)];
+  counts.capacity += static_cast<double>(type.room.cpus) / kMicroCpusPerCpu;
+  counts.used += static_cast<double>(machine.tasks.used.cpus) / kMicroCpusPerCpu;
+}
+
+void count(const Placement& placement, TaskCounts& counts) {
+  ++counts.placed;
+  if (placement.released)
+    ++counts.over;
+  else if (placement.phase != Phase::committed)
+    ++counts.planned;
+  else if (placement.seen)
+    ++(placement.state == TaskState::fetching ? counts.fetching : counts.running);
+  else
+    ++(placement.sent ? counts.unseen : counts.unsent);
+}
+
+json machines_json(const MachineCounts& counts) {
+  return {{"ordered", counts.ordered}, {"booting", counts.booting},   {"up", counts.up},
+          {"idle", counts.idle},       {"capacity", counts.capacity}, {"used", counts.used}};
+}
+
+json tasks_json(const TaskCounts& counts) {
+  return {{"placed", counts.placed}, {"planned", counts.planned},   {"unsent", counts.unsent},
+          {"unseen", counts.unseen}, {"fetching", counts.fetching}, {"running", counts.running},
+          {"over", counts.over},     {"waiting", counts.queued},    {"pending", counts.pending}};
+}
+
+json counters_json(const Counters& counters) {
+  return {{"starts", counters.starts},     {"direct", counters.direct},
+          {"dones", counters.dones},       {"errors", counters.errors},
+          {"lost", counters.lost},         {"rents", counters.rents},
+          {"given", counters.transferred}, {"preempted", counters.preempted},
+          {"refused", counters.refused},   {"returns", counters.returns},
+          {"replaced", counters.replaced}, {"emptied", counters.consolidated},
+          {"commits", counters.commits},   {"commit_failures", counters.commit_failures}};
+}
+}  // namespace
+
+std::string shard_summary(const ShardContext& context, const Machines& machines,
+                          std::uint64_t token) {
+  MachineCounts machine_counts;
+  TaskCounts task_counts;
+  for (const auto& [number, machine] : machines.all()) {
+    count(*machine, context.catalogue, machine_counts);
+    for (const Placement& placement : machine->tasks.placements) count(placement, task_counts);
+    task_counts.queued += machine->queue.tasks.size();
+  }
+  for (const auto& [id, job] : context.jobs) task_counts.pending += job->pending.size();
+  json summary{{"shard", context.shard},
+               {"token", token},
+               {"jobs", context.jobs.size()},
+               {"k", machines.waits()}};
+  summary.update(machines_json(machine_counts));
+  summary.update(tasks_json(task_counts));
+  summary.update(counters_json(context.counters));
+  return summary.dump();
+}
+
+}  // namespace shunttrail::scheduler
--- /dev/null
+++ b/src/scheduler/shard_summary.h
@@ -0,0 +1,14 @@
+// A shard's numbers for the log and for operators, as JSON.
+#pragma once
+#include <string>
+
+#include "scheduler/machines.h"
+#include "scheduler/shard_context.h"
+
+namespace shunttrail::scheduler {
+
+/// Counts the shard's machines, placements and jobs. The names are listed in docs/architecture.md.
+[[nodiscard]] std::string shard_summary(const ShardContext& context, const Machines& machines,
+                                        std::uint64_t token);
+
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/token_policy.h
+++ b/src/scheduler/token_policy.h
@@ -7,6 +7,12 @@
 
 namespace shunttrail::scheduler {
 
+/// Attempts under a token are numbered upwards from this one: a later owner's are higher.
+[[nodiscard]] constexpr std::uint64_t first_attempt(std::uint64_t token) {
+  constexpr int kAttemptBits = 20;
+  return token << kAttemptBits;
+}
+
 /// Holds the token, and decides when to ask for a new one. A worker that has seen a higher token
 /// carries out no command under a lower one.
 class TokenPolicy {
