--- a/src/chain/walk.cpp
+++ b/src/chain/walk.cpp
@@ -1,71 +1,108 @@
 #include "chain/walk.h"
 
 #include <algorithm>
-#include <tuple>
+#include <optional>
 
 namespace shunttrail::chain {
 
-Outcome walk(const std::vector<Tier>& tiers, Rng& rng) {
-  Outcome out;
-  const Candidate* fallback = nullptr;
-  int fallback_tier = 0;
-  std::size_t fallback_step = 0;
-  std::vector<std::pair<std::tuple<Bandit*, std::uint64_t, std::array<bool, kArms>>, Arm>> drawn;
-  for (std::size_t t = 0; t < tiers.size(); ++t) {
-    const Tier& tier = tiers[t];
-    bool down_there = t + 1 < tiers.size();
-    bool went_down = false;
+namespace {
+
+/// A decision that was drawn in this walk: equal questions get the same answer.
+struct Draw {
+  Bandit* learner;
+  std::uint64_t context_key;
+  AllowedArms allowed;
+  Arm arm;
+};
+
+/// Where a candidate was that could have accepted.
+struct Fallback {
+  const Candidate* candidate;
+  int tier;
+  std::size_t step;  // number of steps before it
+};
+
+class Walker {
+ public:
+  Walker(const std::vector<Tier>& tiers, Rng& rng) : tiers_(tiers), rng_(rng) {}
+
+  Outcome run() {
+    for (std::size_t i = 0; i < tiers_.size(); ++i)
+      if (walk_tier(tiers_[i], i + 1 < tiers_.size())) return std::move(outcome_);
+    take_fallback();
+    return std::move(outcome_);
+  }
+
+ private:
+  // True: the walk ends in this tier.
+  bool walk_tier(const Tier& tier, bool has_next_tier) {
     for (std::size_t i = 0; i < tier.candidates.size(); ++i) {
-      const Candidate& s = tier.candidates[i];
-      bool last = i + 1 == tier.candidates.size();
-      std::array<bool, kArms> allowed{s.may_accept, !s.empty, down_there};
+      const Candidate& candidate = tier.candidates[i];
+      const bool is_last = i + 1 == tier.candidates.size();
       // Past the last machine there must be something to pass to.
-      if (last && tier.end.kind == TierEnd::none) allowed[1] = false;
-      if (!allowed[0] && !allowed[1] && !allowed[2]) continue;
-      const auto key = std::tuple(s.learner, s.context.key(), allowed);
-      auto known = std::find_if(drawn.begin(), drawn.end(),
-                                [&](const auto& d) { return std::get<0>(d) == key; });
-      Arm a =
-          known != drawn.end() ? std::get<1>(*known) : s.learner->choose(s.context, allowed, rng);
-      if (s.may_accept && !fallback) {
-        fallback = &s;
-        fallback_tier = tier.id;
-        fallback_step = out.steps.size();
-      }
-      // A decision drawn once is recorded once.
-      if (known == drawn.end()) {
-        drawn.emplace_back(key, a);
-        out.steps.push_back({s.learner, s.context, a});
-      }
-      if (a == Arm::accept) {
-        out.kind = Outcome::accepted;
-        out.tier = tier.id;
-        out.machine = s.machine;
-        return out;
-      }
-      if (a == Arm::down) {
-        went_down = true;
-        break;
+      const bool may_pass = !candidate.empty && !(is_last && tier.end.kind == TierEnd::none);
+      const AllowedArms allowed{candidate.may_accept, may_pass, has_next_tier};
+      if (std::none_of(allowed.begin(), allowed.end(), [](bool arm) { return arm; })) continue;
+      switch (decide(candidate, allowed, tier.id)) {
+        case Arm::accept:
+          end(Outcome::accepted, tier.id, candidate.machine);
+          return true;
+        case Arm::down:
+          return false;
+        case Arm::pass:
+          break;
       }
     }
-    if (went_down) continue;
-    if (tier.end.kind != TierEnd::none) {
-      out.kind = tier.end.kind == TierEnd::join ? Outcome::joined : Outcome::rented;
-      out.tier = tier.id;
-      out.machine = tier.end.machine;
-      return out;
+    if (tier.end.kind == TierEnd::none) return false;
+    end(tier.end.kind == TierEnd::join ? Outcome::joined : Outcome::rented, tier.id,
+        tier.end.machine);
+    return true;
+  }
+
+  // A decision that is drawn once is recorded once.
+  Arm decide(const Candidate& candidate, const AllowedArms& allowed, int tier) {
+    const std::uint64_t context_key = candidate.context.key();
+    const auto known = std::find_if(draws_.begin(), draws_.end(), [&](const Draw& draw) {
+      return draw.learner == candidate.learner && draw.context_key == context_key &&
+             draw.allowed == allowed;
+    });
+    const Arm arm = known != draws_.end()
+                        ? known->arm
+                        : candidate.learner->choose(candidate.context, allowed, rng_);
+    if (candidate.may_accept && !fallback_)
+      fallback_ = Fallback{&candidate, tier, outcome_.steps.size()};
+    if (known == draws_.end()) {
+      draws_.push_back({candidate.learner, context_key, allowed, arm});
+      outcome_.steps.push_back({candidate.learner, candidate.context, arm});
     }
+    return arm;
+  }
+
+  // Every arm led to an end where nothing can be rented: the first machine that could have accepted
+  // takes the task, so that a walk still ends at an Accept (paper 3.1).
+  void take_fallback() {
+    if (!fallback_) return;
+    const Candidate& candidate = *fallback_->candidate;
+    outcome_.steps.resize(fallback_->step);
+    outcome_.steps.push_back({candidate.learner, candidate.context, Arm::accept});
+    end(Outcome::accepted, fallback_->tier, candidate.machine);
   }
-  // Every arm led to an end where nothing can be rented: the first machine that could have
-  // accepted takes the task, so that a walk still ends at an Accept (paper 3.1).
-  if (fallback) {
-    out.steps.resize(fallback_step);
-    out.steps.push_back({fallback->learner, fallback->context, Arm::accept});
-    out.kind = Outcome::accepted;
-    out.tier = fallback_tier;
-    out.machine = fallback->machine;
+
+  void end(Outcome::Kind kind, int tier, int machine) {
+    outcome_.kind = kind;
+    outcome_.tier = tier;
+    outcome_.machine = machine;
   }
-  return out;
-}
+
+  const std::vector<Tier>& tiers_;
+  Rng& rng_;
+  Outcome outcome_;
+  std::vector<Draw> draws_;
+  std::optional<Fallback> fallback_;
+};
+
+}  // namespace
+
+Outcome walk(const std::vector<Tier>& tiers, Rng& rng) { return Walker(tiers, rng).run(); }
 
 }  // namespace shunttrail::chain
--- a/src/scheduler/failure_detector.cpp
+++ b/src/scheduler/failure_detector.cpp
@@ -5,82 +5,119 @@
 namespace shunttrail::scheduler {
 
 namespace {
-constexpr std::size_t kProbesOut = 24;       // at the same time
-constexpr int kUnanswered = 2;               // probes in a row, before a machine is given up on
-constexpr double kGap = 0.2;                 // between two probes of a machine
-constexpr double kQuiet = 3;                 // a machine not heard for so long is asked
-constexpr double kReached = 4;               // another one of its zone has answered so lately
-constexpr double kShare = 0.15, kLeast = 3;  // of the machines, given up on within a lease
+constexpr std::size_t kMaxProbesInFlight = 24;
+/// Unanswered probes in a row before a machine is given up on.
+constexpr int kUnansweredBeforeFailure = 2;
+/// Pause, in seconds, between two probes of a machine.
+constexpr double kProbeIntervalS = 0.2;
+/// A machine that has not been heard for so long is suspected.
+constexpr double kSilenceBeforeSuspicionS = 3;
+/// The same, in intervals between heartbeats, where those are short.
+constexpr double kSilentHeartbeatsBeforeSuspicion = 0.6;
+/// Workers report after a heartbeat interval, give or take a quarter; and a second on the way.
+constexpr double kMaxHeartbeatJitter = 1.25;
+constexpr double kHeartbeatMarginS = 1;
+/// How long a machine that loses responses gets no new work, in intervals between heartbeats.
+constexpr double kAvoidHeartbeats = 1.5;
+/// Another machine of the zone must have answered a probe so lately.
+constexpr double kZoneHeardWithinS = 4;
+/// Machines given up on within a lease: this share of the shard's, but some at least.
+constexpr double kMaxFailedShare = 0.15;
+constexpr double kMinFailedLimit = 3;
 }  // namespace
 
-// Workers report every report_s, give or take a quarter.
-bool FailureDetector::silent(const Machine& m, double now) const {
-  return now - m.last_heartbeat > 1.25 * context_.settings.heartbeat_s + 1;
+bool FailureDetector::is_silent(const Machine& machine, double now) const {
+  return now - machine.last_heartbeat >
+         kMaxHeartbeatJitter * context_.settings.heartbeat_s + kHeartbeatMarginS;
 }
-// Where reports are far apart a machine is asked in between as well.
-bool FailureDetector::suspected(const Machine& m, double now) const {
-  return now - std::max(m.last_heartbeat, m.known_alive_at) >
-         std::min(kQuiet, 0.6 * context_.settings.heartbeat_s);
+
+// Where heartbeats are far apart a machine is asked in between as well.
+bool FailureDetector::is_suspected(const Machine& machine, double now) const {
+  const double max_silence_s = std::min(
+      kSilenceBeforeSuspicionS, kSilentHeartbeatsBeforeSuspicion * context_.settings.heartbeat_s);
+  return now - std::max(machine.last_heartbeat, machine.known_alive_at) > max_silence_s;
+}
+
+bool FailureDetector::loses_responses(const Machine& machine) {
+  return machine.losing_responses >= kLostResponsesBeforeSuspicion;
 }
 
-// The zone's machines are heard, by and large. Where most are silent at once a network is cut, or
-// this node stood still: nothing is concluded of one machine, and none is deleted.
+// Most of the zone's machines are heard. Where most are silent at once a network is cut, or this
+// node stood still: nothing is concluded about one machine, and none is deleted.
 bool FailureDetector::zone_heard(int zone, double now) const {
   std::size_t all = 0, heard = 0;
-  for (const auto& [n, m] : machines_.all()) {
-    if (m->state != Machine::up || m->zone != zone || m->lost) continue;
+  for (const auto& [number, machine] : machines_.all()) {
+    if (machine->state != Machine::up || machine->zone != zone || machine->lost) continue;
     ++all;
-    heard +=
-        !m->unanswered && m->losing_responses < kLostResponsesBeforeSuspicion && !silent(*m, now);
+    if (!machine->unanswered && !loses_responses(*machine) && !is_silent(*machine, now)) ++heard;
   }
   return heard > 0 && 2 * heard >= all;
 }
 
-void FailureDetector::heartbeat_received(Machine& m, bool answer_lost, double now) {
-  m.losing_responses = answer_lost ? m.losing_responses + 1 : std::max(0, m.losing_responses - 1);
-  if (m.losing_responses >= kLostResponsesBeforeSuspicion)
-    Machines::avoid(m, now + 1.5 * context_.settings.heartbeat_s);
+void FailureDetector::heartbeat_received(Machine& machine, bool response_lost, double now) {
+  int& lost = machine.losing_responses;
+  lost = response_lost ? lost + 1 : std::max(0, lost - 1);
+  if (loses_responses(machine))
+    Machines::avoid(machine, now + kAvoidHeartbeats * context_.settings.heartbeat_s);
+}
+
+// Batch tasks lose little by waiting for the proof by silence, and a machine that hangs may go on:
+// silence alone is a reason for machines with replicas only.
+bool FailureDetector::should_probe(const Machine& machine, double now) const {
+  if (machine.lost || machine.zone < 0 || machine.addr.empty() || machine.probe_after > now)
+    return false;
+  if (loses_responses(machine)) return true;
+  const auto& placements = machine.tasks.placements;
+  const bool has_replicas =
+      std::any_of(placements.begin(), placements.end(), [](const Placement& placement) {
+        return placement.job->spec.service && !placement.released;
+      });
+  return has_replicas && is_suspected(machine, now);
 }
 
 std::vector<Probe> FailureDetector::probes(double now) {
   std::vector<Probe> out;
-  std::size_t busy = 0;
-  for (const auto& [n, m] : machines_.all()) {
-    if (busy >= kProbesOut) break;
-    busy += m->probe_out;
-    if (m->probe_out || m->lost || m->zone < 0 || m->addr.empty() || m->probe_after > now) continue;
-    // Arrays lose little by waiting for the proof by silence, and a machine that hangs may go on.
-    const bool replicas =
-        std::any_of(m->tasks.placements.begin(), m->tasks.placements.end(),
-                    [](const Placement& p) { return p.job->spec.service && !p.released; });
-    if (m->losing_responses < kLostResponsesBeforeSuspicion && !(replicas && suspected(*m, now)))
+  std::size_t in_flight = 0;
+  for (const auto& [number, machine] : machines_.all()) {
+    if (in_flight >= kMaxProbesInFlight) break;
+    if (machine->probe_out) {
+      ++in_flight;
       continue;
-    m->probe_out = true;
-    ++busy;
-    out.push_back({m->name, m->addr});
+    }
+    if (!should_probe(*machine, now)) continue;
+    machine->probe_out = true;
+    ++in_flight;
+    out.push_back({machine->name, machine->addr});
   }
   return out;
 }
 
-bool FailureDetector::probe_done(Machine& m, bool yes, double now) {
-  m.probe_out = false;
-  m.probe_after = now + kGap;
-  const auto zone = static_cast<std::size_t>(m.zone);
-  if (yes) {
-    // If its reports do not come here, that is for the relay routes to mend.
-    m.unanswered = m.losing_responses = 0;
-    m.known_alive_at = zone_heard_at_[zone] = now;
+// A switch that takes hundreds of machines with it must not empty the fleet: beyond a share of it,
+// the proof by silence is waited for.
+bool FailureDetector::may_give_up_another(double now) {
+  std::erase_if(given_up_at_, [&](double at) { return now - at > context_.settings.lease_s; });
+  const double limit =
+      std::max(kMinFailedLimit, kMaxFailedShare * static_cast<double>(machines_.named()));
+  return static_cast<double>(given_up_at_.size()) < limit;
+}
+
+bool FailureDetector::probe_done(Machine& machine, bool answered, double now) {
+  machine.probe_out = false;
+  machine.probe_after = now + kProbeIntervalS;
+  const auto zone = static_cast<std::size_t>(machine.zone);
+  if (answered) {
+    // If its heartbeats do not come here, that is for the relay routes to mend.
+    machine.unanswered = machine.losing_responses = 0;
+    machine.known_alive_at = zone_heard_at_[zone] = now;
     return false;
   }
-  const bool deaf = m.losing_responses >= kLostResponsesBeforeSuspicion;
-  if (!(deaf || suspected(m, now)) || m.lost || ++m.unanswered < kUnanswered) return false;
-  // Only where others in its zone answer this node, and are heard by and large.
-  if (!zone_heard(m.zone, now) || (!deaf && now - zone_heard_at_[zone] > kReached)) return false;
-  // A switch that takes hundreds with it must not empty the fleet: beyond a share of it, the proof
-  // by silence is waited for.
-  std::erase_if(given_up_at_, [&](double at) { return now - at > context_.settings.lease_s; });
-  const double most = std::max(kLeast, kShare * static_cast<double>(machines_.named()));
-  if (static_cast<double>(given_up_at_.size()) >= most) return false;
+  const bool responses_lost = loses_responses(machine);
+  if (!responses_lost && !is_suspected(machine, now)) return false;
+  if (machine.lost || ++machine.unanswered < kUnansweredBeforeFailure) return false;
+  // Only where others in its zone answer this node, and most of them are heard.
+  if (!zone_heard(machine.zone, now)) return false;
+  if (!responses_lost && now - zone_heard_at_[zone] > kZoneHeardWithinS) return false;
+  if (!may_give_up_another(now)) return false;
   given_up_at_.push_back(now);
   return true;
 }
--- a/src/scheduler/failure_detector.h
+++ b/src/scheduler/failure_detector.h
@@ -1,6 +1,6 @@
-// Machines with replicas that have gone silent: whether they are dead is found out by asking them,
-// long before silence alone is a proof. One that is given up on is deleted, and the deletion's
-// answer is the proof that its tasks are gone (docs/safety.md). Free of I/O.
+// Failure detection: machines with replicas that have gone silent are asked whether they are alive,
+// long before silence alone is a proof. One that is given up on is deleted, and the answer to the
+// deletion is the proof that its tasks are gone (docs/safety.md). Free of I/O.
 #pragma once
 #include <string>
 #include <vector>
@@ -10,34 +10,41 @@
 
 namespace shunttrail::scheduler {
 
-// A machine to be asked for its state (GET /status).
+/// A machine to be asked for its state (GET /status).
 struct Probe {
   std::string machine, addr;
 };
 
+/// Chooses the machines to probe, and decides from the probes' outcome which have failed.
 class FailureDetector {
  public:
-  FailureDetector(ShardContext& common, Machines& machines)
-      : context_(common), machines_(machines), zone_heard_at_(common.settings.zones.size(), -1e9) {}
-
-  // A report, and whether it shows that the answer to an earlier one did not get there. Such a
-  // machine looks alive for ever, while every start on it is lost: nothing new goes there, and it
-  // is asked as a silent one is.
-  void heartbeat_received(Machine& m, bool answer_lost, double now);
-  // Each is answered by `answered`.
-  std::vector<Probe> probes(double now);
-  // True: it has not answered, again, and is to be given up on.
-  bool probe_done(Machine& m, bool yes, double now);
+  FailureDetector(ShardContext& context, Machines& machines)
+      : context_(context),
+        machines_(machines),
+        zone_heard_at_(context.settings.zones.size(), -1e9) {}
+
+  /// A heartbeat, and whether it shows that the response to an earlier one was lost. Such a machine
+  /// looks alive for ever, while every start on it is lost: nothing new goes there, and it is
+  /// probed as a silent one is.
+  void heartbeat_received(Machine& machine, bool response_lost, double now);
+  /// Probes to send now; each is answered by probe_done.
+  [[nodiscard]] std::vector<Probe> probes(double now);
+  /// True: the machine has not answered, again, and is to be given up on.
+  [[nodiscard]] bool probe_done(Machine& machine, bool answered, double now);
 
  private:
-  bool silent(const Machine& m, double now) const;
-  bool suspected(const Machine& m, double now) const;
+  bool is_silent(const Machine& machine, double now) const;
+  bool is_suspected(const Machine& machine, double now) const;
+  static bool loses_responses(const Machine& machine);
+  bool should_probe(const Machine& machine, double now) const;
   bool zone_heard(int zone, double now) const;
+  bool may_give_up_another(double now);
 
   ShardContext& context_;
   Machines& machines_;
-  std::vector<double> zone_heard_at_;  // by zone: when a machine there answered last
-  std::vector<double> given_up_at_;    // when, lately
+  // Steady times, in seconds.
+  std::vector<double> zone_heard_at_;  // by zone: when a machine there answered a probe last
+  std::vector<double> given_up_at_;    // of the machines given up on within a lease
 };
 
 }  // namespace shunttrail::scheduler
--- a/src/scheduler/replica_consolidation.cpp
+++ b/src/scheduler/replica_consolidation.cpp
@@ -9,80 +9,115 @@
 using wire::TaskState;
 
 namespace {
-constexpr double kGap = 1;  // between two looks
-// A move costs a replica less than half a second; each is moved once in so many seconds on average
-// at the most, so that moving takes about a thousandth of their time.
-constexpr double kMovedEvery = 300;
-constexpr double kMovesKept = 30;  // that may be made at once after a quiet time
-constexpr double kSettled = 40;    // a replica that has just started is not moved again
-constexpr double kMostUsed = 0.5;  // of its vcpus, for a machine to be emptied
+/// Shortest time between two runs.
+constexpr double kRunIntervalS = 1;
+/// A move costs a replica less than half a second; each is moved once in so many seconds on average
+/// at the most, so that moving takes about a thousandth of their time.
+constexpr double kMoveIntervalS = 300;
+/// Moves that may be made at once after a quiet time.
+constexpr double kMaxMoveBudget = 30;
+/// The budget grows for so many intervals between runs at the most.
+constexpr double kMaxIntervalsCounted = 10;
+/// A replica that has just started is not moved again for so long.
+constexpr double kSettleTimeS = 40;
+/// Share of its vcpus in use, for a machine to be drained.
+constexpr double kMaxUsedShare = 0.5;
 }  // namespace
 
-double ReplicaConsolidation::saving(const Machine& m, double now) const {
-  if (!m.accepts_work(now) || !m.in_inventory || m.type < 0 || m.tasks.placements.empty() ||
-      !m.queue.tasks.empty())
+bool ReplicaConsolidation::is_settled(const Placement& placement, double now) const {
+  if (!placement.job->spec.service || placement.job->over) return false;
+  if (placement.released || placement.preempted || !placement.seen) return false;
+  return placement.state == TaskState::running && now - placement.started >= kSettleTimeS;
+}
+
+double ReplicaConsolidation::saving(const Machine& machine, double now) const {
+  const std::vector<Placement>& placements = machine.tasks.placements;
+  if (!machine.accepts_work(now) || !machine.in_inventory || machine.type < 0) return 0;
+  if (placements.empty() || !machine.queue.tasks.empty()) return 0;
+  const auto& type = context_.catalogue.types[static_cast<std::size_t>(machine.type)];
+  const auto capacity = static_cast<double>(type.room.cpus);
+  if (static_cast<double>(machine.tasks.used.cpus) > kMaxUsedShare * capacity) return 0;
+  if (!std::all_of(placements.begin(), placements.end(),
+                   [&](const Placement& placement) { return is_settled(placement, now); }))
     return 0;
-  const auto full = context_.catalogue.types[static_cast<std::size_t>(m.type)].room.cpus;
-  if (static_cast<double>(m.tasks.used.cpus) > kMostUsed * static_cast<double>(full)) return 0;
-  for (const Placement& p : m.tasks.placements)
-    if (!p.job->spec.service || p.job->over || p.released || p.preempted || !p.seen ||
-        p.state != TaskState::running || now - p.started < kSettled)
-      return 0;
-  return context_.catalogue.rate(m.tier()) / static_cast<double>(m.tasks.placements.size());
+  return context_.catalogue.rate(machine.tier()) / static_cast<double>(placements.size());
 }
 
 // To fuller or cheaper machines only, so that no replica comes back to where it was.
-bool ReplicaConsolidation::room_elsewhere(const Machine& m, Taken& taken, double now) const {
-  const double rate = context_.catalogue.rate(m.tier());
-  for (const Placement& p : m.tasks.placements) {
-    const Job& j = *p.job;
-    bool found = false;
-    for (const auto& [n, to] : machines_.all()) {
-      if (to.get() == &m || !to->accepts_work(now) || !to->in_inventory ||
-          to->tasks.placements.empty() || !to->queue.tasks.empty() ||
-          !machines_.type_ok(j, to->type, to->spot) || !Machines::warm(*to, j.image))
-        continue;
-      if (to->tasks.used.cpus <= m.tasks.used.cpus && context_.catalogue.rate(to->tier()) >= rate)
-        continue;
-      Resources& room = taken.room[n];
-      if (!j.need.fits(machines_.room(*to) - room)) continue;
-      int& more = taken.in_zone[{&j, to->zone}];
-      if (to->zone != m.zone && (more || !machines_.zone_ok(j, to->zone))) continue;
-      ++more;
-      room += j.need;
-      found = true;
-      break;
-    }
-    if (!found) return false;
-  }
+bool ReplicaConsolidation::is_better(const Machine& to, const Machine& from) const {
+  return to.tasks.used.cpus > from.tasks.used.cpus ||
+         context_.catalogue.rate(to.tier()) < context_.catalogue.rate(from.tier());
+}
+
+// One more of the job's replicas fits on the machine `to`; it is counted there.
+bool ReplicaConsolidation::takes(const Machine& to, const Machine& from, const Job& job,
+                                 PlannedMoves& moves, double now) const {
+  if (&to == &from || !to.accepts_work(now) || !to.in_inventory) return false;
+  if (to.tasks.placements.empty() || !to.queue.tasks.empty()) return false;
+  if (!machines_.type_ok(job, to.type, to.spot) || !Machines::warm(to, job.image)) return false;
+  if (!is_better(to, from)) return false;
+  Resources& taken = moves.room[to.number];
+  if (!job.need.fits(machines_.room(to) - taken)) return false;
+  int& moved_to_zone = moves.in_zone[{&job, to.zone}];
+  if (to.zone != from.zone && (moved_to_zone || !machines_.zone_ok(job, to.zone))) return false;
+  ++moved_to_zone;
+  taken += job.need;
   return true;
 }
 
-void ReplicaConsolidation::run(double now) {
-  if (now < last_run_at_ + kGap) return;
-  const double past = std::min(now - last_run_at_, 10 * kGap);
+bool ReplicaConsolidation::has_room_elsewhere(const Machine& machine, PlannedMoves& moves,
+                                              double now) const {
+  const auto& all = machines_.all();
+  return std::all_of(machine.tasks.placements.begin(), machine.tasks.placements.end(),
+                     [&](const Placement& placement) {
+                       return std::any_of(all.begin(), all.end(), [&](const auto& entry) {
+                         return takes(*entry.second, machine, *placement.job, moves, now);
+                       });
+                     });
+}
+
+void ReplicaConsolidation::refill_budget(double now) {
+  const double passed_s = std::min(now - last_run_at_, kMaxIntervalsCounted * kRunIntervalS);
   last_run_at_ = now;
   double replicas = 0;
-  std::vector<std::pair<double, Machine*>> order;
-  for (const auto& [n, m] : machines_.all()) {
-    for (const Placement& p : m->tasks.placements) replicas += p.job->spec.service && !p.released;
-    if (const double s = saving(*m, now); s > 0) order.emplace_back(s, m.get());
-  }
-  moves_ = std::min(moves_ + past * replicas / kMovedEvery, kMovesKept);
-  std::stable_sort(order.begin(), order.end(),
-                   [](const auto& a, const auto& b) { return a.first > b.first; });
-  Taken taken;
-  for (const auto& [s, m] : order) {
-    const auto moves = static_cast<double>(m->tasks.placements.size());
-    const auto here = taken.room.find(m->number);
-    if (moves > moves_ || (here != taken.room.end() && here->second.cpus > 0)) continue;
-    Taken with = taken;
-    if (!room_elsewhere(*m, with, now)) continue;
-    taken = std::move(with);
-    moves_ -= moves;
-    m->leaving = true;
-    for (Placement& p : m->tasks.placements) placements_.stop(*m, p);
-    ++context_.counters.consolidated;
+  for (const auto& [number, machine] : machines_.all())
+    for (const Placement& placement : machine->tasks.placements)
+      if (placement.job->spec.service && !placement.released) ++replicas;
+  move_budget_ = std::min(move_budget_ + passed_s * replicas / kMoveIntervalS, kMaxMoveBudget);
+}
+
+std::vector<ReplicaConsolidation::DrainCandidate> ReplicaConsolidation::drain_candidates(
+    double now) const {
+  std::vector<DrainCandidate> found;
+  for (const auto& [number, machine] : machines_.all())
+    if (const double saved = saving(*machine, now); saved > 0)
+      found.push_back({saved, machine.get()});
+  std::stable_sort(found.begin(), found.end(),
+                   [](const auto& a, const auto& b) { return a.saving > b.saving; });
+  return found;
+}
+
+void ReplicaConsolidation::drain(Machine& machine) {
+  machine.leaving = true;
+  for (Placement& placement : machine.tasks.placements) placements_.stop(machine, placement);
+  ++context_.counters.consolidated;
+}
+
+void ReplicaConsolidation::run(double now) {
+  if (now < last_run_at_ + kRunIntervalS) return;
+  refill_budget(now);
+  PlannedMoves planned;
+  for (const DrainCandidate& candidate : drain_candidates(now)) {
+    Machine& machine = *candidate.machine;
+    const auto moves = static_cast<double>(machine.tasks.placements.size());
+    if (moves > move_budget_) continue;
+    const auto arriving = planned.room.find(machine.number);
+    if (arriving != planned.room.end() && arriving->second.cpus > 0) continue;
+    PlannedMoves with_this = planned;
+    if (!has_room_elsewhere(machine, with_this, now)) continue;
+    planned = std::move(with_this);
+    move_budget_ -= moves;
+    drain(machine);
   }
 }
 
--- a/src/scheduler/urgent_headroom.cpp
+++ b/src/scheduler/urgent_headroom.cpp
@@ -5,67 +5,92 @@
 
 namespace shunttrail::scheduler {
 
+using jobs::Job;
 using jobs::JobPtr;
 using jobs::Resources;
 
 namespace {
-constexpr double kGap = 1;               // between two looks
-constexpr double kLate = 180;            // urgent jobs that came since are counted
-constexpr double kMost = 0.02;           // of the shard's vcpus are kept free
-constexpr std::int64_t kTasksOnOne = 4;  // that a machine keeps room for
+/// Shortest time between two updates.
+constexpr double kUpdateIntervalS = 1;
+/// Urgent jobs that came within this time are counted.
+constexpr double kRecentJobS = 180;
+/// Share of the shard's vcpus that is kept free at the most.
+constexpr double kMaxHeadroomShare = 0.02;
+/// Tasks that one machine keeps room for.
+constexpr int kMaxTasksPerMachine = 4;
 }  // namespace
 
 JobPtr UrgentHeadroom::largest_urgent_job(double now) const {
-  JobPtr best;
-  auto size = [](const JobPtr& j) { return j->need.cpus * j->spec.tasks; };
-  for (const auto& [id, j] : context_.jobs)
-    if (j->priority_band() < jobs::Job::kGuaranteed && now - j->since < kLate &&
-        (!best || size(j) > size(best)))
-      best = j;
-  return best;
+  const auto total_cpus = [](const JobPtr& job) { return job->need.cpus * job->spec.tasks; };
+  JobPtr largest;
+  for (const auto& [id, job] : context_.jobs) {
+    if (job->priority_band() >= Job::kGuaranteed || now - job->since >= kRecentJobS) continue;
+    if (!largest || total_cpus(job) > total_cpus(largest)) largest = job;
+  }
+  return largest;
 }
 
-void UrgentHeadroom::update(double now) {
-  if (now < updated_at_ + kGap) return;
-  updated_at_ = now;
-  const JobPtr like = largest_urgent_job(now);
-  std::int64_t all = 0;
-  std::vector<std::vector<Machine*>> by_zone(context_.settings.zones.size());
-  for (const auto& [n, m] : machines_.all()) {
-    m->reserved = {};
-    if (!m->accepts_work(now) || !m->in_inventory || m->type < 0 || m->zone < 0) continue;
-    all += context_.catalogue.types[static_cast<std::size_t>(m->type)].room.cpus;
-    if (like && machines_.type_ok(*like, m->type, m->spot))
-      by_zone[static_cast<std::size_t>(m->zone)].push_back(m.get());
+std::int64_t UrgentHeadroom::clear(double now) {
+  std::int64_t cpus = 0;
+  for (const auto& [number, machine] : machines_.all()) {
+    machine->reserved = {};
+    if (!machine->accepts_work(now) || !machine->in_inventory) continue;
+    if (machine->type < 0 || machine->zone < 0) continue;
+    cpus += context_.catalogue.types[static_cast<std::size_t>(machine->type)].room.cpus;
   }
-  if (!like || like->need.cpus <= 0) return;
-  std::int64_t left =
-      std::min<std::int64_t>(like->need.cpus * like->spec.tasks,
-                             static_cast<std::int64_t>(kMost * static_cast<double>(all)));
-  // Where there is room already, and most images are: zone by zone in turn, since jobs are spread.
-  auto kept = [&](const Machine& m) {
-    Resources k;
-    const Resources full = context_.catalogue.types[static_cast<std::size_t>(m.type)].room;
-    for (std::int64_t i = 0; i < kTasksOnOne && k.cpus + like->need.cpus <= left; ++i) {
-      if (!(k + k + like->need + like->need).fits(full)) break;  // half a machine at the most
-      k += like->need;
-    }
-    return k;
-  };
-  auto rank = [&](const Machine* m) {
-    return std::tuple(like->need.fits(machines_.room(*m)), m->images.size());
+  return cpus;
+}
+
+// By zone; in each, first those with room already and with the most images.
+UrgentHeadroom::MachinesByZone UrgentHeadroom::suitable_machines(const Job& job, double now) const {
+  MachinesByZone by_zone(context_.settings.zones.size());
+  for (const auto& [number, machine] : machines_.all()) {
+    if (!machine->accepts_work(now) || !machine->in_inventory) continue;
+    if (machine->type < 0 || machine->zone < 0) continue;
+    if (machines_.type_ok(job, machine->type, machine->spot))
+      by_zone[static_cast<std::size_t>(machine->zone)].push_back(machine.get());
+  }
+  const auto rank = [&](const Machine* machine) {
+    return std::tuple(job.need.fits(machines_.room(*machine)), machine->images.size());
   };
-  for (auto& z : by_zone)
-    std::stable_sort(z.begin(), z.end(),
+  for (std::vector<Machine*>& zone : by_zone)
+    std::stable_sort(zone.begin(), zone.end(),
                      [&](const Machine* a, const Machine* b) { return rank(a) > rank(b); });
+  return by_zone;
+}
+
+// Room for a few tasks, in half of the machine at the most, and `left` vcpus.
+Resources UrgentHeadroom::headroom(const Machine& machine, const Job& job,
+                                   std::int64_t left) const {
+  const Resources& capacity = context_.catalogue.types[static_cast<std::size_t>(machine.type)].room;
+  Resources kept;
+  for (int task = 0; task < kMaxTasksPerMachine; ++task) {
+    const Resources more = kept + job.need;
+    if (more.cpus > left || !(more + more).fits(capacity)) break;
+    kept = more;
+  }
+  return kept;
+}
+
+void UrgentHeadroom::update(double now) {
+  if (now < updated_at_ + kUpdateIntervalS) return;
+  updated_at_ = now;
+  const std::int64_t shard_cpus = clear(now);
+  const JobPtr job = largest_urgent_job(now);
+  if (!job || job->need.cpus <= 0) return;
+  std::int64_t left = std::min<std::int64_t>(
+      job->need.cpus * job->spec.tasks,
+      static_cast<std::int64_t>(kMaxHeadroomShare * static_cast<double>(shard_cpus)));
+  const MachinesByZone by_zone = suitable_machines(*job, now);
+  // Zone by zone in turn, since jobs are spread.
   bool more = true;
-  for (std::size_t i = 0; more && left >= like->need.cpus; ++i) {
+  for (std::size_t i = 0; more && left >= job->need.cpus; ++i) {
     more = false;
-    for (auto& z : by_zone) {
-      if (i >= z.size() || left < like->need.cpus) continue;
+    for (const std::vector<Machine*>& zone : by_zone) {
+      if (i >= zone.size() || left < job->need.cpus) continue;
       more = true;
-      z[i]->reserved = kept(*z[i]);
-      left -= z[i]->reserved.cpus;
+      zone[i]->reserved = headroom(*zone[i], *job, left);
+      left -= zone[i]->reserved.cpus;
     }
   }
 }
