--- a/src/chain/bandit.h
+++ b/src/chain/bandit.h
@@ -28,7 +28,8 @@
 
 /// What a learner sees of a task and a machine, packed into buckets.
 struct Context {
-  /// Dense index of the job's class.
+  /// Dense index of the job's class, of those that this leader has seen. Grows with the users'
+  /// classes, not with machines; beyond 65,536 of them, two share what is learned.
   std::uint16_t job_class = 0;
   /// size_bucket of the share of a machine that the task takes.
   std::uint8_t size = 0;
--- a/src/scheduler/admission.cpp
+++ b/src/scheduler/admission.cpp
@@ -10,7 +10,10 @@
 using jobs::Resources;
 
 namespace {
-/// Walks through the chain in one pass: it bounds how long a pass holds up the node.
+// These bound how long one pass keeps all else waiting, since each walk looks at every machine;
+// what is left goes on with the next pass, heartbeat or check. 256,000 tasks are 640 passes.
+
+/// Walks through the chain in one pass.
 constexpr std::size_t kMaxWalksPerPass = 400;
 /// Tasks from other queues that enter the chain when one machine reports room.
 constexpr std::size_t kMaxPullsPerHeartbeat = 32;
@@ -28,9 +31,9 @@
   if (outcome.kind == chain::Outcome::stalled) return {false, result.found_no_room};
   task.chain_steps = std::move(outcome.steps);
   if (outcome.kind == chain::Outcome::rented) {
-    const int zone = machines_.pick_zone(*task.job, outcome.tier, now);
+    const int zone = rentals_.pick_zone(*task.job, outcome.tier, now);
     task.rented = true;
-    queues_.enqueue(machines_.order(outcome.tier, zone, now), std::move(task));
+    queues_.enqueue(rentals_.order(outcome.tier, zone, now), std::move(task));
     return {true, result.found_no_room};
   }
   Machine& machine = *machines_.at(outcome.machine);
@@ -183,9 +186,9 @@
   // What it passed through is not what it costs now.
   task.chain_steps.clear();
   task.rented = tier->end.kind == chain::TierEnd::rent;
-  const int zone = task.rented ? machines_.pick_zone(*task.job, tier->id, now) : -1;
+  const int zone = task.rented ? rentals_.pick_zone(*task.job, tier->id, now) : -1;
   Machine& to =
-      task.rented ? machines_.order(tier->id, zone, now) : *machines_.at(tier->end.machine);
+      task.rented ? rentals_.order(tier->id, zone, now) : *machines_.at(tier->end.machine);
   queues_.enqueue(to, std::move(task));
   machines_.note_idle(from, now);
 }
--- a/src/scheduler/admission.h
+++ b/src/scheduler/admission.h
@@ -7,6 +7,7 @@
 #include "scheduler/machines.h"
 #include "scheduler/preemption.h"
 #include "scheduler/queue_service.h"
+#include "scheduler/rentals.h"
 #include "scheduler/shard_context.h"
 #include "scheduler/task_queues.h"
 #include "scheduler/team_quota.h"
@@ -16,10 +17,11 @@
 /// Sends tasks through the chain and into the queue of the machine that it chooses.
 class Admission {
  public:
-  Admission(ShardContext& context, Machines& machines, TaskQueues& queues, TeamQuota& quota,
-            ChainWalk& walk, QueueService& service, Preemption& preemption)
+  Admission(ShardContext& context, Machines& machines, Rentals& rentals, TaskQueues& queues,
+            TeamQuota& quota, ChainWalk& walk, QueueService& service, Preemption& preemption)
       : context_(context),
         machines_(machines),
+        rentals_(rentals),
         queues_(queues),
         quota_(quota),
         walk_(walk),
@@ -68,6 +70,7 @@
 
   ShardContext& context_;
   Machines& machines_;
+  Rentals& rentals_;
   TaskQueues& queues_;
   TeamQuota& quota_;
   ChainWalk& walk_;
--- a/src/scheduler/backfill.cpp
+++ b/src/scheduler/backfill.cpp
@@ -12,7 +12,9 @@
 namespace {
 /// A machine is filled once it has had idle room for so long.
 constexpr double kIdleBeforeBackfillS = 75;
-/// Machines filled in one run: each of them looks at everything that waits.
+/// Machines filled in one run, of which there is one a second: each looks at all that waits. A
+/// rate, not a bound; where more than 60 have idle room at once, the last of them wait for longer
+/// than 90 s.
 constexpr std::size_t kMaxMachinesPerRun = 4;
 }  // namespace
 
--- a/src/scheduler/chain_walk.cpp
+++ b/src/scheduler/chain_walk.cpp
@@ -76,7 +76,7 @@
     }
   }
   if (may_wait && tier.end.kind == chain::TierEnd::none &&
-      machines_.pick_zone(scan.job, id, scan.now) >= 0)
+      rentals_.pick_zone(scan.job, id, scan.now) >= 0)
     tier.end = {chain::TierEnd::rent, 0};
   if (tier.end.kind == chain::TierEnd::none && !tier.candidates.empty())
     add_last_candidates(tier, scan);
@@ -108,7 +108,7 @@
   chain::Candidate found;
   found.context.waiting = chain::waiting_bucket(has_room, ahead);
   found.may_accept = static_cast<int>(ahead) <= context_.tuning.waiting_bar;
-  found.empty = machine.tasks.placements.empty() && machine.queue.tasks.empty();
+  found.empty = machine.is_empty();
   // The image cache is searched last: hundreds of machines are of a kind that is there already.
   if (seen && seen->both(found)) return std::nullopt;
   if (machine.leaving || machine.draining || machine.avoid_until > scan.now || machine.zone < 0 ||
--- a/src/scheduler/chain_walk.h
+++ b/src/scheduler/chain_walk.h
@@ -8,6 +8,7 @@
 
 #include "chain/walk.h"
 #include "scheduler/machines.h"
+#include "scheduler/rentals.h"
 #include "scheduler/shard_context.h"
 #include "scheduler/task_queues.h"
 
@@ -32,9 +33,9 @@
     bool found_no_room = false;
   };
 
-  ChainWalk(ShardContext& context, const Machines& machines, const TaskQueues& queues,
-            std::uint64_t seed)
-      : context_(context), machines_(machines), queues_(queues), rng_(seed) {}
+  ChainWalk(ShardContext& context, const Machines& machines, const Rentals& rentals,
+            const TaskQueues& queues, std::uint64_t seed)
+      : context_(context), machines_(machines), rentals_(rentals), queues_(queues), rng_(seed) {}
 
   /// Walks the chain. While some machine has room for the task, it neither waits nor rents (the
   /// strategy space is bounded, paper 3.3): arms that only lead there are barred, the others stay
@@ -67,6 +68,7 @@
 
   ShardContext& context_;
   const Machines& machines_;
+  const Rentals& rentals_;
   const TaskQueues& queues_;
   chain::Rng rng_;
   // By tier. The machines of a tier share what they have learned: a machine lives for minutes, and
--- a/src/scheduler/failure_detector.cpp
+++ b/src/scheduler/failure_detector.cpp
@@ -67,12 +67,7 @@
   if (machine.lost || machine.zone < 0 || machine.addr.empty() || machine.probe_after > now)
     return false;
   if (loses_responses(machine)) return true;
-  const auto& placements = machine.tasks.placements;
-  const bool has_replicas =
-      std::any_of(placements.begin(), placements.end(), [](const Placement& placement) {
-        return placement.job->spec.service && !placement.released;
-      });
-  return has_replicas && is_suspected(machine, now);
+  return is_suspected(machine, now) && machine.has_replicas();
 }
 
 std::vector<Probe> FailureDetector::probes(double now) {
--- a/src/scheduler/machine_catalogue.cpp
+++ b/src/scheduler/machine_catalogue.cpp
@@ -1,51 +1,65 @@
 #include "scheduler/machine_catalogue.h"
 
 #include <algorithm>
+#include <numeric>
 
 namespace shunttrail::scheduler {
 
 using jobs::Resources;
 
-void MachineCatalogue::load(const std::vector<wire::MachineType>& list, const config::Settings& s) {
-  // Indices of types stay as they were: machines refer to them.
-  for (const auto& t : list) {
-    int i = type_index(t.name);
-    if (i < 0) {
-      i = static_cast<int>(types.size());
+namespace {
+constexpr double kSecondsPerHour = 3600;
+}  // namespace
+
+void MachineCatalogue::load(const std::vector<wire::MachineType>& list,
+                            const config::Settings& settings) {
+  for (const wire::MachineType& listed : list) {
+    int index = type_index(listed.name);
+    if (index < 0) {
+      index = static_cast<int>(types.size());
       types.emplace_back();
     }
-    Type& mine = types[i];
-    mine.spec = t;
-    mine.room = Resources::of(t.cpus, t.gpus, t.mem_gb);
-    mine.in_zone.assign(s.zones.size(), false);
-    for (const auto& z : t.zones)
-      if (int k = s.zone_index(z); k >= 0) mine.in_zone[k] = true;
+    Type& type = types[static_cast<std::size_t>(index)];
+    type.spec = listed;
+    type.room = Resources::of(listed.cpus, listed.gpus, listed.mem_gb);
+    type.in_zone.assign(settings.zones.size(), false);
+    for (const std::string& name : listed.zones)
+      if (const int zone = settings.zone_index(name); zone >= 0)
+        type.in_zone[static_cast<std::size_t>(zone)] = true;
   }
-  tier_order.clear();
-  for (std::size_t i = 0; i < types.size() * 2; ++i) tier_order.push_back(static_cast<int>(i));
+  tier_order.resize(types.size() * 2);
+  std::iota(tier_order.begin(), tier_order.end(), 0);
   std::stable_sort(tier_order.begin(), tier_order.end(),
                    [&](int a, int b) { return rate(a) < rate(b); });
   base_rate = tier_order.empty() ? 0 : rate(tier_order.front());
 }
+
 int MachineCatalogue::type_index(const std::string& name) const {
-  for (std::size_t i = 0; i < types.size(); ++i)
-    if (types[i].spec.name == name) return static_cast<int>(i);
-  return -1;
+  const auto found = std::find_if(types.begin(), types.end(),
+                                  [&](const Type& type) { return type.spec.name == name; });
+  return found == types.end() ? -1 : static_cast<int>(found - types.begin());
 }
+
 bool MachineCatalogue::accepts(int tier, const wire::JobSpec& job, const Resources& need) const {
-  if (tier % 2 && !job.spot) return false;
-  const Type& t = types[static_cast<std::size_t>(tier / 2)];
-  if (job.types && std::find(job.types->begin(), job.types->end(), t.spec.name) == job.types->end())
+  const bool is_spot = tier % 2;
+  if (is_spot && !job.spot) return false;
+  const Type& type = types[static_cast<std::size_t>(tier / 2)];
+  if (job.types &&
+      std::find(job.types->begin(), job.types->end(), type.spec.name) == job.types->end())
     return false;
-  return need.fits(t.room);
+  return need.fits(type.room);
 }
+
 double MachineCatalogue::units(int type) const {
-  const auto one = static_cast<double>(types.front().room.cpus);
-  return one > 0 ? static_cast<double>(types[static_cast<std::size_t>(type)].room.cpus) / one : 1;
+  const auto first = static_cast<double>(types.front().room.cpus);
+  if (first <= 0) return 1;
+  return static_cast<double>(types[static_cast<std::size_t>(type)].room.cpus) / first;
 }
+
 double MachineCatalogue::rate(int tier) const {
-  const auto& t = types[tier / 2].spec;
-  return (tier % 2 ? t.spot_price : t.price) / 3600.0;
+  const wire::MachineType& type = types[static_cast<std::size_t>(tier / 2)].spec;
+  const bool is_spot = tier % 2;
+  return (is_spot ? type.spot_price : type.price) / kSecondsPerHour;
 }
 
 }  // namespace shunttrail::scheduler
--- a/src/scheduler/machine_catalogue.h
+++ b/src/scheduler/machine_catalogue.h
@@ -1,4 +1,4 @@
-// Machine types as the cloud lists them. Free of I/O.
+// The catalogue of machine types that the cloud offers, and their tiers by price. Free of I/O.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,27 +9,35 @@
 
 namespace shunttrail::scheduler {
 
-// Machine types, names mapped to dense indices, with the tiers in order of price. A tier is a
-// type and a kind (spot or ordinary).
+/// Machine types by dense index, with the tiers in order of price. A tier is a type and a kind
+/// (spot or ordinary); its number is 2 * type + (spot ? 1 : 0).
 struct MachineCatalogue {
   struct Type {
     wire::MachineType spec;
+    /// What tasks may take of an empty machine.
     jobs::Resources room;
+    /// By zone: the cloud offers the type there.
     std::vector<bool> in_zone;
   };
   std::vector<Type> types;
-  std::vector<int> tier_order;  // tier id = 2 * type + spot
-  double base_rate = 0;         // cheapest tier's price a second
+  /// Numbers of the tiers, the cheapest first.
+  std::vector<int> tier_order;
+  /// The cheapest tier's price a second.
+  double base_rate = 0;
 
-  void load(const std::vector<wire::MachineType>& list, const config::Settings& s);
-  int type_index(const std::string& name) const;
-  double rate(int tier) const;  // price a second
-  // A task of the job may run on the tier's machines, as far as type, kind and size go.
-  bool accepts(int tier, const wire::JobSpec& job, const jobs::Resources& need) const;
-  // What a machine of the type counts for where machines are shared out: in those of the first
-  // type, by vcpus.
-  double units(int type) const;
-  bool empty() const { return types.empty(); }
+  /// Takes over the cloud's list. Types keep their indices, since machines refer to them; a type
+  /// that is not listed any more stays.
+  void load(const std::vector<wire::MachineType>& list, const config::Settings& settings);
+  /// -1: unknown.
+  [[nodiscard]] int type_index(const std::string& name) const;
+  /// The tier's price a second.
+  [[nodiscard]] double rate(int tier) const;
+  /// A task of the job may run on the tier's machines, as far as type, kind and size go.
+  [[nodiscard]] bool accepts(int tier, const wire::JobSpec& job, const jobs::Resources& need) const;
+  /// What a machine of the type counts for where machines are shared out: in machines of the first
+  /// type, by vcpus.
+  [[nodiscard]] double units(int type) const;
+  [[nodiscard]] bool empty() const { return types.empty(); }
 };
 
 }  // namespace shunttrail::scheduler
--- a/src/scheduler/machine_queue.h
+++ b/src/scheduler/machine_queue.h
@@ -12,7 +12,9 @@
 
 /// Tasks that wait for one machine, and the reservation on it.
 struct MachineQueue {
-  /// Number of waiting tasks by priority band.
+  /// Number of waiting tasks by priority band. Of one machine, whatever the fleet's size: a task
+  /// joins a queue no longer than the waiting bar (10,000 at the most), or that of an ordered
+  /// machine as far as its room goes.
   std::array<std::uint16_t, wire::kPriorities + 1> tasks_by_band{};
   /// In order of service.
   std::vector<QueuedTask> tasks;
--- a/src/scheduler/machines.h
+++ b/src/scheduler/machines.h
@@ -1,170 +1,107 @@
-// The machines of a shard: which there are, what they can take, and how they come and go. Free of
-// I/O.
+// The machines of a shard: which there are, what they can take, and what their heartbeats and tasks
+// show of the machines themselves. Free of I/O.
 #pragma once
-#include <functional>
+#include <algorithm>
+#include <cstddef>
 #include <map>
 #include <memory>
-#include <optional>
-#include <set>
 #include <string>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
-#include "scheduler/machine_queue.h"
-#include "scheduler/placement.h"
+#include "chain/bandit.h"
+#include "scheduler/machine.h"
 #include "scheduler/shard_context.h"
-#include "shard/balance.h"
 #include "wire/types.h"
 
 namespace shunttrail::scheduler {
 
-// A machine, with what may run on it and what waits for it: two parts that are others' to change.
-// What every walk through the chain asks of every machine comes first: a fleet is hundreds of them.
-struct Machine {
-  int number = 0;
-  int type = -1, zone = -1;
-  bool spot = false;
-  bool leaving = false;   // to be given back: nothing starts here any more
-  bool draining = false;  // spot notice
-  enum State : std::uint8_t { ordered, booting, up } state = ordered;
-  double avoid_until = 0;
-  MachineQueue queue;
-  MachineTasks tasks;
-  jobs::Resources reserved;  // kept free for urgent work
-  std::vector<int> images;   // as cached, the latest used last
-
-  std::string name, addr;
-  bool announced = false;     // ordered: the request is out
-  bool in_inventory = false;  // the inventory holds it: only then may anything be placed on it
-  bool returning = false;
-  int transfer_to = -1;  // the shard that it goes to once it is empty
-  bool lost = false;     // not coming back: its tasks are not waited for
-  std::optional<double> notice_s;
-  double rented_at = 0, last_heartbeat = 0, last_answer = 0, idle_since = 0;
-  double newest_task_at = -1e9;  // when what was heard last came
-  bool was_idle = false;
-  std::set<std::string> faulty_for;
-  int faults = 0;
-  // Its reports come, and the answers do not get there: how many in a row show that.
-  int losing_responses = 0;
-  std::uint64_t answered_token = 0;  // of the latest answer to a report
-  bool start_lost = false;           // the latest report does not show a start sent in an answer
-  bool probe_out = false;            // asked whether it lives, since it is silent
-  int unanswered = 0;                // how often in a row it has not answered that
-  double probe_after = 0, known_alive_at = 0;  // when it answered it last
-  int tier() const { return 2 * type + (spot ? 1 : 0); }
-  // Something may be placed here, as far as the machine itself goes.
-  bool accepts_work(double now) const {
-    return state == up && !leaving && !draining && avoid_until <= now;
-  }
-};
-
-// So many reports in a row that show no answer: it is asked whether it hears anything at all.
-inline constexpr int kLostResponsesBeforeSuspicion = 2;
-
-struct ScaleOutRequest {
-  int tier = 0, zone = 0;
-  std::vector<int> machines;  // ordered machines, by number
-};
-
-// A change of the inventory that the scheduler asks for.
-struct InventoryChange {
-  enum Kind { add, transfer, drop } kind = add;
-  wire::MachineRecord machine;
-  double rented_at = 0;  // add: by the steady clock
-};
-
-// What a shard has to give to another one.
-struct MachineTransfer {
-  int to = 0;
-  double amount = 0;           // in machines of the first type, by vcpus
-  std::vector<double> useful;  // by tier: how much of what waits there it takes
-};
-
+/// The table of machines, by number and by name, and the learned wait of idle ones by tier.
 class Machines {
  public:
   using Ptr = std::unique_ptr<Machine>;
-  explicit Machines(ShardContext& common) : context_(common) {}
-
-  // In the order they were rented: the chain's order.
-  const std::vector<std::pair<int, Ptr>>& all() const { return all_; }
-  Machine* find(const std::string& name) const;
-  Machine* at(int number) const;
-  bool contains(const std::string& name) const { return by_name_.contains(name); }
-  std::size_t named() const { return by_name_.size(); }
-
-  // The inventory holds it under this shard. True if it is new here.
-  bool known(const wire::MachineRecord& r, double now);
-  // Nothing is on it, and nothing waits for it.
+  explicit Machines(ShardContext& context) : context_(context) {}
+
+  // ---- the table
+
+  /// By number, in the order in which they were rented: the chain's order.
+  [[nodiscard]] const std::vector<std::pair<int, Ptr>>& all() const { return all_; }
+  /// Null: unknown.
+  [[nodiscard]] Machine* find(const std::string& name) const;
+  [[nodiscard]] Machine* at(int number) const;
+  [[nodiscard]] bool contains(const std::string& name) const { return by_name_.contains(name); }
+  /// Number of machines with a name: not of orders.
+  [[nodiscard]] std::size_t named() const { return by_name_.size(); }
+  /// Adds a machine without a name; its pointer holds until it is erased.
+  Machine& add(int tier, int zone);
+  /// The machine has been rented under this name, and boots.
+  void booting(Machine& machine, const std::string& name, double now);
+  /// The inventory holds the machine under this shard. True if it is new here.
+  bool known(const wire::MachineRecord& record, double now);
+  /// Nothing is on the machine, and nothing waits for it.
   void erase(int number);
 
-  jobs::Resources room(const Machine& m) const;
-  // As a task of this band finds it: what is kept free is for urgent ones.
-  jobs::Resources room(const Machine& m, int band) const;
-  static bool warm(const Machine& m, int image);
-  bool type_ok(const jobs::Job& j, int type, bool spot) const;
-  bool zone_ok(const jobs::Job& j, int zone) const;
-  bool usable(const Machine& m, const jobs::Job& j, double now) const;
-  int pick_zone(const jobs::Job& j, int tier, double now) const;  // to rent in; -1: none
-
-  // What reports say of the machine itself. True: it has just had notice that it will be taken.
-  bool heartbeat_received(Machine& m, const wire::Heartbeat& r, bool new_session, double now);
-  void note_image(Machine& m, int image);
-  void note_idle(Machine& m, double now);
-  void task_failed(Machine& m, const std::string& job, double now);
-  void task_done(Machine& m);
-  static void avoid(Machine& m, double until) { m.avoid_until = std::max(m.avoid_until, until); }
-  // It is not coming back. False: that was known.
-  bool give_up(Machine& m);
-
-  // The learned wait k of a tier (DESIGN point 7).
-  chain::IdleWait& idle_wait(int tier);
-  void reused(const Machine& m, double now);  // work comes to it, perhaps after it has idled
-  std::vector<double> waits() const;
-  // Idle for longer than k: to be returned.
-  void return_idle(Machine& m, double now);
-
-  // A rent that the chain asks for.
-  Machine& order(int tier, int zone, double now);
-  // Grouped; `barred`: orders where the cloud has just said that it has none.
-  std::vector<ScaleOutRequest> scale_out_requests(double now, std::vector<Machine*>& barred);
-  // The numbers of orders that came to nothing.
-  std::vector<int> rented(const ScaleOutRequest& w, const std::vector<std::string>& names,
+  // ---- what a machine can take
+
+  /// Free of placements.
+  [[nodiscard]] jobs::Resources room(const Machine& machine) const;
+  /// As a task of this band finds it: what is kept free is for urgent ones.
+  [[nodiscard]] jobs::Resources room(const Machine& machine, int priority_band) const;
+  /// The machine has the image, or is fetching it.
+  [[nodiscard]] static bool warm(const Machine& machine, int image);
+  /// The job's tasks may run on machines of the type and kind.
+  [[nodiscard]] bool type_ok(const jobs::Job& job, int type, bool spot) const;
+  /// One more of the job's tasks may be placed in the zone.
+  [[nodiscard]] bool zone_ok(const jobs::Job& job, int zone) const;
+  /// One more of the job's tasks may be placed on the machine, once there is room.
+  [[nodiscard]] bool usable(const Machine& machine, const jobs::Job& job, double now) const;
+
+  // ---- what is heard of a machine
+
+  /// What a heartbeat says of the machine itself. True: it has just had notice that it will be
+  /// taken.
+  bool heartbeat_received(Machine& machine, const wire::Heartbeat& heartbeat, bool new_session,
                           double now);
-  std::vector<int> refused(const ScaleOutRequest& w, std::size_t from, bool no_capacity,
-                           double now);
-  std::vector<std::string> machines_to_return();
-  void return_failed(const std::string& name);
-
-  // Machines that another shard lacks, marked to go there once they are empty: so much in all, what
-  // is marked already included. What is marked beyond that stays, unless it is empty already.
-  std::vector<Machine*> transfer(const MachineTransfer& transfer);
-  double transferring() const;  // marked to go, in machines of the first type
-  using Asked = std::function<bool(const std::string& machine, InventoryChange::Kind, int shard)>;
-  std::vector<InventoryChange> inventory_changes(std::uint64_t token, const Asked& asked) const;
-  // The shard that it is to go to now: it is marked for that, and nothing is on it or waits for it.
-  // -1: none.
-  int transfer_target(const std::string& name) const;
-  double capacity() const;  // in machines of the first type: up or booting, and staying
+  /// The machine uses the image.
+  void note_image(Machine& machine, int image);
+  /// Notes whether the machine is idle now. To be called after each change of its placements or
+  /// queue.
+  void note_idle(Machine& machine, double now);
+  /// The machine has failed a task of the job.
+  void task_failed(Machine& machine, const std::string& job, double now);
+  /// A task has succeeded on the machine.
+  void task_done(Machine& machine);
+  static void avoid(Machine& machine, double until) {
+    machine.avoid_until = std::max(machine.avoid_until, until);
+  }
+  /// The machine is not coming back. False: that was known.
+  bool give_up(Machine& machine);
+  /// The machine has failed the tasks of several jobs.
+  [[nodiscard]] static bool is_faulty(const Machine& machine);
+
+  // ---- the wait before an idle machine is returned (DESIGN point 7)
+
+  /// Work comes to the machine, perhaps after it has idled.
+  void reused(const Machine& machine, double now);
+  /// A machine of the tier is ordered, perhaps after one was returned early.
+  void rented_again(int tier, double now);
+  /// The learned wait of each tier, in seconds.
+  [[nodiscard]] std::vector<double> waits() const;
+  /// Marks the machine for its return if it has been idle for longer than the wait.
+  void return_idle(Machine& machine, double now);
 
  private:
-  Machine& add();
-  void keep(Machine& m);
+  const MachineCatalogue::Type& type_of(const Machine& machine) const;
+  chain::IdleWait& idle_wait(int tier);
 
   ShardContext& context_;
   int next_number_ = 1;
   std::vector<std::pair<int, Ptr>> all_;
   std::vector<Machine*> by_number_;  // null: gone
   std::unordered_map<std::string, int> by_name_;
-  std::map<std::pair<int, int>, double> refused_until_;  // tier, zone
-  std::set<std::pair<int, int>> asking_;                 // tier, zone: a rent is out
-  // Tier, zone: how many may be ordered at a time, where the cloud has refused lately.
-  std::map<std::pair<int, int>, std::size_t> grant_;
-  std::map<int, chain::IdleWait> idle_;  // by tier
-  std::map<int, double> last_returned_;  // by tier: when a returned one went idle
+  std::map<int, chain::IdleWait> idle_waits_;    // by tier
+  std::map<int, double> last_returned_idle_at_;  // by tier: when a returned one became idle
 };
 
-// What a task takes of a machine of this size, the greater share of the two.
-double share_of(const jobs::Resources& a, const jobs::Resources& one);
-
 }  // namespace shunttrail::scheduler
--- /dev/null
+++ b/src/scheduler/rentals.cpp
@@ -0,0 +1,154 @@
+#include "scheduler/rentals.h"
+
+#include <algorithm>
+
+namespace shunttrail::scheduler {
+
+using jobs::Job;
+
+namespace {
+/// Pause, in seconds, before asking again where the cloud had no machine.
+constexpr double kRefusalPauseS = 15;
+/// Machines a request, as the protocol has it. A tier and zone has one request out: 4,000 machines
+/// take 80 of them, of which a node makes about two a second.
+constexpr std::size_t kMaxMachinesPerRequest = 50;
+/// Machines ordered at a time where the cloud has refused; the limit grows with each success.
+constexpr std::size_t kInitialOrderLimit = 2;
+constexpr std::size_t kOrderLimitGrowth = 4;
+}  // namespace
+
+bool Rentals::refused_lately(int tier, int zone, double now) const {
+  const auto until = refused_until_.find({tier, zone});
+  return until != refused_until_.end() && until->second > now;
+}
+
+int Rentals::pick_zone(const Job& job, int tier, double now) const {
+  const std::size_t zones = context_.settings.zones.size();
+  const auto& type = context_.catalogue.types[static_cast<std::size_t>(tier / 2)];
+  std::vector<int> machines(zones, 0);
+  std::vector<std::size_t> ordered(zones, 0);
+  for (const auto& [number, machine] : machines_.all()) {
+    if (machine->zone < 0) continue;
+    const auto zone = static_cast<std::size_t>(machine->zone);
+    ++machines[zone];
+    if (machine->state == Machine::ordered && machine->tier() == tier) ++ordered[zone];
+  }
+  int best = -1;
+  for (std::size_t index = 0; index < zones; ++index) {
+    const int zone = static_cast<int>(index);
+    if (!type.in_zone[index] || !machines_.zone_ok(job, zone)) continue;
+    if (refused_lately(tier, zone, now)) continue;
+    // Hundreds of tasks that join orders which come to nothing walk the chain for nothing.
+    const auto limit = order_limits_.find({tier, zone});
+    if (limit != order_limits_.end() && ordered[index] >= limit->second) continue;
+    if (best < 0 || machines[index] < machines[static_cast<std::size_t>(best)]) best = zone;
+  }
+  return best;
+}
+
+Machine& Rentals::order(int tier, int zone, double now) {
+  Machine& machine = machines_.add(tier, zone);
+  machine.rented_at = now;
+  machines_.rented_again(tier, now);
+  return machine;
+}
+
+std::vector<ScaleOutRequest> Rentals::scale_out_requests(double now,
+                                                         std::vector<Machine*>& barred) {
+  std::map<TierAndZone, ScaleOutRequest> groups;
+  for (const auto& [number, machine] : machines_.all()) {
+    if (machine->state != Machine::ordered || machine->announced) continue;
+    const TierAndZone key{machine->tier(), machine->zone};
+    // A later order where the cloud has just said that it has none goes back to the chain.
+    if (refused_lately(machine->tier(), machine->zone, now)) {
+      barred.push_back(machine.get());
+      continue;
+    }
+    // One request a tier and zone at a time: what is wanted meanwhile goes into the next one, since
+    // calls are scarcer than machines.
+    if (requesting_.contains(key)) continue;
+    ScaleOutRequest& request = groups[key];
+    if (request.machines.size() >= kMaxMachinesPerRequest) continue;
+    request.tier = machine->tier();
+    request.zone = machine->zone;
+    request.machines.push_back(number);
+  }
+  std::vector<ScaleOutRequest> requests;
+  for (auto& [key, request] : groups) {
+    for (const int number : request.machines) machines_.at(number)->announced = true;
+    requesting_.insert(key);
+    requests.push_back(std::move(request));
+  }
+  return requests;
+}
+
+// The order at the index, or a new machine if that one is gone.
+Machine& Rentals::machine_for(const ScaleOutRequest& request, std::size_t index) {
+  Machine* ordered =
+      index < request.machines.size() ? machines_.at(request.machines[index]) : nullptr;
+  return ordered ? *ordered : machines_.add(request.tier, request.zone);
+}
+
+std::vector<int> Rentals::rented(const ScaleOutRequest& request,
+                                 const std::vector<std::string>& names, double now) {
+  const TierAndZone key{request.tier, request.zone};
+  requesting_.erase(key);
+  if (const auto limit = order_limits_.find(key); limit != order_limits_.end()) {
+    limit->second *= kOrderLimitGrowth;
+    if (limit->second > kMaxMachinesPerRequest) order_limits_.erase(limit);
+  }
+  std::vector<int> unused;
+  for (std::size_t i = 0; i < names.size(); ++i) {
+    if (machines_.contains(names[i])) {
+      // It reported, and was adopted, before the cloud's answer came.
+      const Machine* ordered =
+          i < request.machines.size() ? machines_.at(request.machines[i]) : nullptr;
+      if (ordered) unused.push_back(ordered->number);
+      continue;
+    }
+    machines_.booting(machine_for(request, i), names[i], now);
+    ++context_.counters.rents;
+  }
+  if (names.size() < request.machines.size()) {
+    const std::vector<int> rest = refused(request, names.size(), true, now);
+    unused.insert(unused.end(), rest.begin(), rest.end());
+  }
+  context_.scheduling_due = true;
+  return unused;
+}
+
+std::vector<int> Rentals::refused(const ScaleOutRequest& request, std::size_t from,
+                                  bool no_capacity, double now) {
+  const TierAndZone key{request.tier, request.zone};
+  requesting_.erase(key);
+  if (no_capacity) {
+    refused_until_[key] = now + kRefusalPauseS;
+    order_limits_[key] = kInitialOrderLimit;
+  }
+  context_.counters.refused += request.machines.size() - from;
+  context_.scheduling_due = true;
+  return {request.machines.begin() + static_cast<long>(from), request.machines.end()};
+}
+
+std::vector<std::string> Rentals::machines_to_return() {
+  std::vector<std::string> names;
+  for (const auto& [number, machine] : machines_.all()) {
+    if (!machine->leaving || machine->returning || machine->name.empty()) continue;
+    if (machine->transfer_to >= 0 && !machine->lost) continue;
+    // Tasks of a machine that answers are let finish; a lost machine's are not waited for.
+    const auto& placements = machine->tasks.placements;
+    const bool is_running =
+        std::any_of(placements.begin(), placements.end(),
+                    [](const Placement& placement) { return !placement.acknowledging; });
+    if (is_running && !machine->lost) continue;
+    machine->returning = true;
+    names.push_back(machine->name);
+  }
+  return names;
+}
+
+void Rentals::return_failed(const std::string& name) {
+  if (Machine* machine = machines_.find(name)) machine->returning = false;
+}
+
+}  // namespace shunttrail::scheduler
--- a/src/scheduler/replica_consolidation.cpp
+++ b/src/scheduler/replica_consolidation.cpp
@@ -14,7 +14,8 @@
 /// A move costs a replica less than half a second; each is moved once in so many seconds on average
 /// at the most, so that moving takes about a thousandth of their time.
 constexpr double kMoveIntervalS = 300;
-/// Moves that may be made at once after a quiet time.
+/// Moves that may be made at once after a quiet time, of the whole shard; a machine with more
+/// replicas than that is not drained.
 constexpr double kMaxMoveBudget = 30;
 /// The budget grows for so many intervals between runs at the most.
 constexpr double kMaxIntervalsCounted = 10;
--- a/src/scheduler/shard_context.h
+++ b/src/scheduler/shard_context.h
@@ -1,5 +1,5 @@
-// What the parts of a scheduler share: settings, the shard's jobs, counters, and the note that
-// there is something to do.
+// What the parts of a shard's scheduler share: settings, the shard's jobs, counters, and whether
+// there is something to schedule.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -12,26 +12,44 @@
 
 namespace shunttrail::scheduler {
 
+/// Events since the scheduler was opened.
 struct Counters {
-  std::uint64_t heartbeats = 0, stale_heartbeats = 0, starts = 0, direct = 0, dones = 0, errors = 0,
-                lost = 0, rents = 0, transferred = 0, preempted = 0, refused = 0, returns = 0,
-                replaced = 0, consolidated = 0, commits = 0, commit_failures = 0;
+  std::uint64_t heartbeats = 0;
+  std::uint64_t stale_heartbeats = 0;  // overtaken by newer ones
+  std::uint64_t starts = 0;            // start commands sent
+  std::uint64_t direct = 0;            // of those, sent directly
+  std::uint64_t dones = 0;             // tasks found done
+  std::uint64_t errors = 0;            // tasks that failed
+  std::uint64_t lost = 0;              // placements that ended without a report
+  std::uint64_t rents = 0;             // machines rented
+  std::uint64_t transferred = 0;       // machines that went to another shard
+  std::uint64_t preempted = 0;         // placements stopped for the sake of others
+  std::uint64_t refused = 0;           // machines that the cloud did not rent out
+  std::uint64_t returns = 0;           // machines returned since they were idle
+  std::uint64_t replaced = 0;          // machines given up on
+  std::uint64_t consolidated = 0;      // machines drained of their replicas
+  std::uint64_t commits = 0;           // transactions begun
+  std::uint64_t commit_failures = 0;
 };
 
+/// One for each shard's scheduler, which owns it.
 struct ShardContext {
   const config::Settings& settings;
   const config::Tuning& tuning;
   const MachineCatalogue& catalogue;
   const int shard;
+  /// By id: the shard's jobs that are not over.
   std::map<std::string, jobs::JobPtr> jobs{};
-  std::vector<double> image_gb{};  // by the images' dense index
+  /// Size in GB by the images' dense index.
+  std::vector<double> image_gb{};
   Counters counters{};
+  /// Something became possible since the last scheduling pass.
   bool scheduling_due = true;
 
-  // A task without a placement is to enter the chain again.
-  void requeue(const jobs::JobPtr& j, std::uint32_t task) {
-    if (j->over || j->done(task) || task >= j->spec.tasks) return;
-    if (j->placements[task] == 0) j->pending.insert(task);
+  /// A task without a placement is to enter the chain again.
+  void requeue(const jobs::JobPtr& job, std::uint32_t task) {
+    if (job->over || job->done(task) || task >= job->spec.tasks) return;
+    if (job->placements[task] == 0) job->pending.insert(task);
     scheduling_due = true;
   }
 };
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -30,6 +30,8 @@
       opened_under_(token),
       opened_at_(now),
       machines_(context_),
+      rentals_(context_, machines_),
+      transfers_(context_, machines_),
       token_policy_(machines_, token),
       placements_(context_, machines_, token_policy_, now),
       heartbeat_processor_(context_, machines_, placements_, token_policy_),
@@ -37,10 +39,11 @@
       placement_store_(context_, machines_, placements_, token_policy_),
       quota_(context_, placements_),
       queues_(context_, machines_, quota_),
-      chain_walk_(context_, machines_, queues_, seed),
+      chain_walk_(context_, machines_, rentals_, queues_, seed),
       queue_service_(context_, machines_, placements_, queues_, quota_),
       preemption_(machines_, placements_, queues_, quota_),
-      admission_(context_, machines_, queues_, quota_, chain_walk_, queue_service_, preemption_),
+      admission_(context_, machines_, rentals_, queues_, quota_, chain_walk_, queue_service_,
+                 preemption_),
       reservations_(context_, machines_, placements_, queues_, quota_, queue_service_, preemption_),
       backfill_(context_, machines_, placements_, queues_, quota_, queue_service_),
       consolidation_(context_, machines_, placements_),
@@ -134,24 +137,24 @@
 
 std::vector<ScaleOutRequest> ShardScheduler::scale_out_requests(double now) {
   std::vector<Machine*> barred;
-  auto requests = machines_.scale_out_requests(now, barred);
+  auto requests = rentals_.scale_out_requests(now, barred);
   for (Machine* machine : barred) queues_.requeue_all(*machine);
   return requests;
 }
 
 void ShardScheduler::rented(const ScaleOutRequest& request, const std::vector<std::string>& names,
                             double now) {
-  for (const int number : machines_.rented(request, names, now)) remove_machine(number, now);
+  for (const int number : rentals_.rented(request, names, now)) remove_machine(number, now);
 }
 
 void ShardScheduler::rent_refused(const ScaleOutRequest& request, std::size_t from,
                                   bool no_capacity, double now) {
-  for (const int number : machines_.refused(request, from, no_capacity, now))
+  for (const int number : rentals_.refused(request, from, no_capacity, now))
     remove_machine(number, now);
 }
 
 void ShardScheduler::transfer(const MachineTransfer& transfer) {
-  for (Machine* machine : machines_.transfer(transfer)) queues_.requeue_all(*machine);
+  for (Machine* machine : transfers_.transfer(transfer)) queues_.requeue_all(*machine);
 }
 
 void ShardScheduler::give_up_machine(Machine& machine) {
@@ -336,7 +339,7 @@
   shard::Load load;
   if (context_.catalogue.empty()) return load;
   const Resources first_type = context_.catalogue.types[0].room;
-  load.capacity = machines_.capacity() + machines_.transferring();
+  load.capacity = transfers_.capacity() + transfers_.transferring();
   const auto& teams = context_.settings.teams;
   std::vector<double> machines(teams.size(), 0);  // by team
   std::vector<double> cpus(teams.size(), 0);
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -14,11 +14,13 @@
 #include "scheduler/chain_walk.h"
 #include "scheduler/failure_detector.h"
 #include "scheduler/heartbeat_processor.h"
+#include "scheduler/machine_transfers.h"
 #include "scheduler/machines.h"
 #include "scheduler/placement_store.h"
 #include "scheduler/placements.h"
 #include "scheduler/preemption.h"
 #include "scheduler/queue_service.h"
+#include "scheduler/rentals.h"
 #include "scheduler/replica_consolidation.h"
 #include "scheduler/reservations.h"
 #include "scheduler/shard_context.h"
@@ -86,12 +88,12 @@
   void set_machine_address(const std::string& name, const std::string& addr);
   /// Changes that the inventory needs, but for those that it has been asked for already.
   [[nodiscard]] std::vector<InventoryChange> inventory_changes(
-      const Machines::Asked& asked = [](auto&&...) { return false; }) const {
-    return machines_.inventory_changes(token(), asked);
+      const MachineTransfers::Asked& asked = [](auto&&...) { return false; }) const {
+    return transfers_.inventory_changes(token(), asked);
   }
-  /// Machines::transfer_target
+  /// MachineTransfers::transfer_target
   [[nodiscard]] int transfer_target(const std::string& name) const {
-    return machines_.transfer_target(name);
+    return transfers_.transfer_target(name);
   }
   [[nodiscard]] bool has_machine(const std::string& name) const { return machines_.contains(name); }
   [[nodiscard]] std::size_t machine_count() const { return machines_.named(); }
@@ -158,9 +160,9 @@
   /// Machines to give back: idle, never up, failed, lost. Handed out once; machine_gone or
   /// return_failed follows.
   [[nodiscard]] std::vector<std::string> machines_to_return() {
-    return machines_.machines_to_return();
+    return rentals_.machines_to_return();
   }
-  void return_failed(const std::string& name) { machines_.return_failed(name); }
+  void return_failed(const std::string& name) { rentals_.return_failed(name); }
   /// The cloud says that the machine stopped by itself, or does not list it any more (`unlisted`).
   void machine_failed(const std::string& name, bool unlisted, double now);
 
@@ -171,7 +173,7 @@
   /// Another shard lacks machines.
   void transfer(const MachineTransfer& transfer);
   /// Marked to go to other shards, in machines of the first type.
-  [[nodiscard]] double transferring() const { return machines_.transferring(); }
+  [[nodiscard]] double transferring() const { return transfers_.transferring(); }
 
   // ---- for operators
 
@@ -193,6 +195,8 @@
   const std::uint64_t opened_under_;
   const double opened_at_;
   Machines machines_;
+  Rentals rentals_;
+  MachineTransfers transfers_;
   TokenPolicy token_policy_;
   Placements placements_;
   HeartbeatProcessor heartbeat_processor_;
--- a/src/scheduler/task_queues.cpp
+++ b/src/scheduler/task_queues.cpp
@@ -14,7 +14,9 @@
 /// before this process as well.
 constexpr double kStartOffsetS = 1e6;
 constexpr double kMillisecondsPerSecond = 1e3;
-/// The low bits of an order by start tell tasks with the same start apart.
+/// The low bits of an order by start tell tasks with the same start apart. Two tasks of a job get
+/// the same order only if both wait and 16.7 million others came in between: the queues of 4,000
+/// machines hold some ten thousand.
 constexpr int kSequenceBits = 24;
 constexpr std::uint64_t kSequenceMask = (std::uint64_t{1} << kSequenceBits) - 1;
 }  // namespace
--- a/src/scheduler/token_policy.h
+++ b/src/scheduler/token_policy.h
@@ -7,7 +7,9 @@
 
 namespace shunttrail::scheduler {
 
-/// Attempts under a token are numbered upwards from this one: a later owner's are higher.
+/// Attempts under a token are numbered upwards from this one: a later owner's are higher. There are
+/// a million under one token. Tokens are revisions of the state service: whoever comes next has a
+/// higher one by every commit since, and a commit starts a few hundred tasks.
 [[nodiscard]] constexpr std::uint64_t first_attempt(std::uint64_t token) {
   constexpr int kAttemptBits = 20;
   return token << kAttemptBits;
