--- a/tests/chain_test.cpp
+++ b/tests/chain_test.cpp
@@ -30,7 +30,7 @@
   Bandit b(8);
   Rng rng(1);
   Context c, other;
-  other.cls = 3;
+  other.job_class = 3;
   for (int i = 0; i < 8; ++i) {
     b.record(c, Arm::accept, 5);
     b.record(c, Arm::pass, 2);
@@ -79,12 +79,12 @@
   EXPECT_DOUBLE_EQ(k.seconds(30), 240);  // the cap
 }
 
-Seat seat(int n, bool accept, bool empty) { return {n, learner(), Context{}, accept, empty}; }
+Candidate seat(int n, bool accept, bool empty) { return {n, learner(), Context{}, accept, empty}; }
 
 TEST(Walk, EndsAtTheFirstAccept) {
   Rng rng(1);
   std::vector<Tier> t(1);
-  t[0].seats = {seat(1, true, false), seat(2, true, false)};
+  t[0].candidates = {seat(1, true, false), seat(2, true, false)};
   t[0].end = {TierEnd::rent, 0};
   Outcome o = walk(t, rng);
   EXPECT_EQ(o.kind, Outcome::accepted);
@@ -95,7 +95,7 @@
 TEST(Walk, BarredAcceptPassesOnAndRentsAtTheEnd) {
   Rng rng(1);
   std::vector<Tier> t(1);
-  t[0].seats = {seat(1, false, false), seat(2, false, false)};
+  t[0].candidates = {seat(1, false, false), seat(2, false, false)};
   t[0].end = {TierEnd::rent, 0};
   Outcome o = walk(t, rng);
   EXPECT_EQ(o.kind, Outcome::rented);
@@ -109,9 +109,9 @@
 TEST(Walk, EmptyMachinesCannotPass) {
   Rng rng(1);
   std::vector<Tier> t(1);
-  t[0].seats = {seat(1, true, true)};
+  t[0].candidates = {seat(1, true, true)};
   t[0].end = {TierEnd::rent, 0};
-  for (int i = 0; i < 4; ++i) t[0].seats[0].learner->record({}, Arm::accept, 1000);
+  for (int i = 0; i < 4; ++i) t[0].candidates[0].learner->record({}, Arm::accept, 1000);
   EXPECT_EQ(walk(t, rng).kind, Outcome::accepted);
 }
 
@@ -119,12 +119,12 @@
   Rng rng(1);
   std::vector<Tier> t(2);
   t[0].id = 1;
-  t[0].seats = {seat(1, true, true)};
+  t[0].candidates = {seat(1, true, true)};
   t[1].id = 2;
-  t[1].seats = {seat(2, true, true)};
+  t[1].candidates = {seat(2, true, true)};
   for (int i = 0; i < 4; ++i) {
-    t[0].seats[0].learner->record({}, Arm::accept, 1000);
-    t[0].seats[0].learner->record({}, Arm::down, 1);
+    t[0].candidates[0].learner->record({}, Arm::accept, 1000);
+    t[0].candidates[0].learner->record({}, Arm::down, 1);
   }
   Outcome o = walk(t, rng);
   EXPECT_EQ(o.kind, Outcome::accepted);
@@ -146,22 +146,23 @@
       t.id = id;
       if (gen() % 3 == 0) t.end = {TierEnd::rent, 0};
       for (int n = 1 + static_cast<int>(gen() % 12); n > 0; --n) {
-        Seat s;
-        s.machine = static_cast<int>(t.seats.size()) + 100 * id;
+        Candidate s;
+        s.machine = static_cast<int>(t.candidates.size()) + 100 * id;
         s.learner = &learner;
         s.context.waiting = static_cast<std::uint8_t>(gen() % 5);
         s.context.warm = gen() % 2;
         s.may_accept = gen() % 3;
         s.empty = gen() % 4 == 0;
-        t.seats.push_back(s);
+        t.candidates.push_back(s);
         if (gen() % 2)
           learner.record(s.context, static_cast<Arm>(gen() % 3), static_cast<double>(gen() % 100));
       }
       Tier d = t;
-      d.seats.clear();
+      d.candidates.clear();
       Kinds seen;
-      for (std::size_t i = 0; i < t.seats.size(); ++i)
-        if (seen.add(t.seats[i]) || i + 1 == t.seats.size()) d.seats.push_back(t.seats[i]);
+      for (std::size_t i = 0; i < t.candidates.size(); ++i)
+        if (seen.add(t.candidates[i]) || i + 1 == t.candidates.size())
+          d.candidates.push_back(t.candidates[i]);
       whole.push_back(std::move(t));
       few.push_back(std::move(d));
     }
@@ -178,15 +179,15 @@
 TEST(Walk, WithoutARentItFallsBackToTheFirstThatMayAccept) {
   Rng rng(1);
   std::vector<Tier> t(1);
-  t[0].seats = {seat(1, true, false), seat(2, false, false)};
+  t[0].candidates = {seat(1, true, false), seat(2, false, false)};
   for (int i = 0; i < 4; ++i) {
-    t[0].seats[0].learner->record({}, Arm::accept, 1000);
-    t[0].seats[0].learner->record({}, Arm::pass, 1);
+    t[0].candidates[0].learner->record({}, Arm::accept, 1000);
+    t[0].candidates[0].learner->record({}, Arm::pass, 1);
   }
   Outcome o = walk(t, rng);
   EXPECT_EQ(o.kind, Outcome::accepted);
   EXPECT_EQ(o.machine, 1);
-  t[0].seats[0].may_accept = false;
+  t[0].candidates[0].may_accept = false;
   EXPECT_EQ(walk(t, rng).kind, Outcome::stalled);
 }
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -24,7 +24,7 @@
   EXPECT_EQ(s.id, "run-000412");
   EXPECT_EQ(s.tasks, 16u);
   EXPECT_EQ(s.priority, Priority::high);
-  EXPECT_TRUE(s.one_zone);
+  EXPECT_TRUE(s.same_zone);
   EXPECT_FALSE(s.zone);
   EXPECT_EQ(s.deadline_s, 900.0);
 }
@@ -77,16 +77,16 @@
     }
   };
   attempt([](const std::string& s) { decode_job(s); });
-  attempt([](const std::string& s) { decode_report(s); });
+  attempt([](const std::string& s) { decode_heartbeat(s); });
   attempt([](const std::string& s) { decode_watch(s); });
   attempt([](const std::string& s) { decode_keys(s); });
   attempt([](const std::string& s) { decode_types(s); });
   attempt([](const std::string& s) { decode_machines(s); });
   attempt([](const std::string& s) {
-    decode_sheet({"", s, 0}, [](const std::string&) { return 0; });
+    decode_placement_page({"", s, 0}, [](const std::string&) { return 0; });
   });
-  attempt([](const std::string& s) { decode_roster({"", s, 0}); });
-  attempt([](const std::string& s) { decode_final_record(s); });
+  attempt([](const std::string& s) { decode_inventory_page({"", s, 0}); });
+  attempt([](const std::string& s) { decode_job_result(s); });
   attempt([](const std::string& s) { decode_job_record({"", s, 0}); });
 }
 
@@ -98,7 +98,7 @@
 }
 
 RC_GTEST_PROP(Codec, SheetsComeBack, ()) {
-  SheetRecord r;
+  PlacementPageRecord r;
   r.tag = "x.1.2";
   int n = *rc::gen::inRange(0, 20);
   for (int i = 0; i < 3; ++i)
@@ -110,10 +110,12 @@
                       {},
                       {{static_cast<std::uint32_t>(i), {{1, 4}, {7, 7}}}}});
   for (int i = 0; i < n; ++i)
-    r.jobs[i % 3].places.push_back({"m-" + std::to_string(i % 5), static_cast<std::uint32_t>(i),
-                                    *rc::gen::inRange<std::uint64_t>(0, std::uint64_t{1} << 60)});
-  SheetRecord b = decode_sheet({"", encode_record(r, [](int t) { return std::to_string(t); }), 0},
-                               [](const std::string& t) { return std::stoi(t); });
+    r.jobs[i % 3].placements.push_back(
+        {"m-" + std::to_string(i % 5), static_cast<std::uint32_t>(i),
+         *rc::gen::inRange<std::uint64_t>(0, std::uint64_t{1} << 60)});
+  PlacementPageRecord b =
+      decode_placement_page({"", encode_record(r, [](int t) { return std::to_string(t); }), 0},
+                            [](const std::string& t) { return std::stoi(t); });
   RC_ASSERT(b.jobs.size() == r.jobs.size());
   RC_ASSERT(b.tag == r.tag);
   for (std::size_t g = 0; g < r.jobs.size(); ++g) {
@@ -121,22 +123,22 @@
     RC_ASSERT(b.jobs[g].team == r.jobs[g].team);
     RC_ASSERT(b.jobs[g].mem_gb == r.jobs[g].mem_gb);
     RC_ASSERT(b.jobs[g].done == r.jobs[g].done);
-    RC_ASSERT(b.jobs[g].places.size() == r.jobs[g].places.size());
-    for (std::size_t i = 0; i < r.jobs[g].places.size(); ++i) {
-      const auto &p = r.jobs[g].places[i], &q = b.jobs[g].places[i];
+    RC_ASSERT(b.jobs[g].placements.size() == r.jobs[g].placements.size());
+    for (std::size_t i = 0; i < r.jobs[g].placements.size(); ++i) {
+      const auto &p = r.jobs[g].placements[i], &q = b.jobs[g].placements[i];
       RC_ASSERT(std::tie(p.machine, p.task, p.attempt) == std::tie(q.machine, q.task, q.attempt));
     }
   }
 }
 
 RC_GTEST_PROP(Codec, RostersComeBack, ()) {
-  RosterRecord r;
+  InventoryPageRecord r;
   r.tag = "x";
   int n = *rc::gen::inRange(0, 32);
   for (int i = 0; i < n; ++i)
     r.machines.push_back({"m-" + std::to_string(100000 + i), "t", "a", i % 2 == 0,
                           *rc::gen::inRange(0, 5), *rc::gen::inRange<std::uint64_t>(0, 1u << 30)});
-  RosterRecord b = decode_roster({"", encode_record(r), 0});
+  InventoryPageRecord b = decode_inventory_page({"", encode_record(r), 0});
   RC_ASSERT(b.machines == r.machines);
   RC_ASSERT(b.tag == r.tag);
 }
@@ -153,7 +155,7 @@
   if (b) RC_ASSERT(b->node >= 0 && b->node < 3 && b->tokens.size() == 3u);
 }
 TEST(Peer, BeatsComeBack) {
-  peer::Beat b;
+  peer::PeerHeartbeat b;
   b.node = 2;
   b.serving = true;
   b.tokens = {1, std::uint64_t{1} << 50, 0};
@@ -170,7 +172,7 @@
   auto message = [](const std::string& s) {
     try {
       config::parse_settings(s);
-    } catch (const config::BadSettings& e) {
+    } catch (const config::SettingsError& e) {
       return std::string(e.what());
     }
     return std::string();
@@ -183,8 +185,8 @@
 // A controller that lost the state service and the other controllers, but not its workers, told the
 // load balancer that it was well, and answered every user 503.
 TEST(Peer, ANodeThatHearsNobodyLeavesItsUsersToOthersAndAnOutageMovesNobody) {
-  using peer::News;
-  const News self, serves{99, true}, waits{99, false}, old{90, true};
+  using peer::PeerStatus;
+  const PeerStatus self, serves{99, true}, waits{99, false}, old{90, true};
   EXPECT_TRUE(peer::another_serves({self, serves, waits}, 0, 100));
   EXPECT_FALSE(peer::another_serves({self, waits, waits}, 0, 100));  // an outage
   EXPECT_FALSE(peer::another_serves({self, waits, old}, 0, 100));
@@ -208,7 +210,7 @@
   auto message = [&](const std::string& team) {
     try {
       with(team);
-    } catch (const config::BadSettings& e) {
+    } catch (const config::SettingsError& e) {
       return std::string(e.what());
     }
     return std::string();
@@ -239,14 +241,14 @@
   EXPECT_FALSE(t.relay);
   EXPECT_TRUE(config::parse_tuning("<shunttrail><relay>true</relay></shunttrail>").relay);
   EXPECT_THROW(config::parse_tuning("<shunttrail><relay>1</relay></shunttrail>"),
-               config::BadSettings);
+               config::SettingsError);
   EXPECT_THROW(config::parse_tuning("<shunttrail><lambda>1</lambda></shunttrail>"),
-               config::BadSettings);
+               config::SettingsError);
   EXPECT_THROW(config::parse_tuning("<shunttrail><lamda>2</lamda></shunttrail>"),
-               config::BadSettings);
+               config::SettingsError);
   EXPECT_THROW(config::parse_tuning("<shunttrail><ring>2.5</ring></shunttrail>"),
-               config::BadSettings);
-  EXPECT_THROW(config::parse_tuning("lambda=2"), config::BadSettings);
+               config::SettingsError);
+  EXPECT_THROW(config::parse_tuning("lambda=2"), config::SettingsError);
 }
 
 }  // namespace
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -9,30 +9,30 @@
 namespace shunttrail::test {
 namespace {
 
-using jobs::Pipelines;
+using jobs::DependencyGraph;
 
 // One node's view of a store in which jobs come, end and are cancelled.
 struct View {
   config::Settings s = make_settings(1);
   Store store;
-  state::World w{s};
-  Pipelines p{w};
+  state::StateCache w{s};
+  DependencyGraph p{w};
   std::map<std::string, wire::JobRecord> jobs;
 
   static std::string id(int n) { return make_job(n, 1, 1).spec.id; }
   void read() {
     std::vector<state::Change> changes;
     store.read(w, changes);
-    for (const auto& c : changes) p.note(c.name);
+    for (const auto& c : changes) p.key_changed(c.name);
   }
-  std::optional<wire::FinalRecord> final_of(const std::string& job) const {
-    auto it = store.keys.find(state::final_key(job));
+  std::optional<wire::JobResultRecord> final_of(const std::string& job) const {
+    auto it = store.keys.find(state::job_result_key(job));
     if (it == store.keys.end()) return std::nullopt;
-    return wire::decode_final_record(it->second.value);
+    return wire::decode_job_result(it->second.value);
   }
   // As a final record is read: at some later time, from what is there then.
   void look(const std::string& job) {
-    if (auto f = final_of(job)) p.ended(job, f->cancelled);
+    if (auto f = final_of(job)) p.job_ended(job, f->cancelled);
   }
   void look_all() {
     while (!p.unread().empty()) {
@@ -47,52 +47,52 @@
     r.spec.priority = priority;
     r.spec.deadline_s = due;
     r.spec.estimate_s = 10;
-    for (int a : awaits) r.spec.awaits.push_back(id(a));
+    for (int a : awaits) r.spec.dependencies.push_back(id(a));
     jobs[r.spec.id] = r;
     const auto& key = awaits.empty() ? state::job_key(r.spec.id) : state::waiting_key(r.spec.id);
     store.commit({{}, {{key, wire::encode_record(r), 0}}});
   }
   void end(const std::string& job, bool cancelled) {
-    wire::FinalRecord f;
+    wire::JobResultRecord f;
     f.cancelled = cancelled;
     const std::string key =
         store.mod_revision(state::job_key(job)) ? state::job_key(job) : state::waiting_key(job);
     if (!store.mod_revision(key)) return;
     store.commit(
-        {{}, {{key, std::nullopt, 0}, {state::final_key(job), wire::encode_record(f), 0}}});
+        {{}, {{key, std::nullopt, 0}, {state::job_result_key(job), wire::encode_record(f), 0}}});
   }
   bool move(bool ready) {
-    auto m =
-        jobs::moves(w, p, ready, {2048, 4, 16}, 100, "t", [](const std::string&) { return true; });
+    auto m = jobs::state_transitions(w, p, ready, {2048, 4, 16}, 100, "t",
+                                     [](const std::string&) { return true; });
     if (m.txn.ops.empty()) return false;
     EXPECT_LE(m.txn.ops.size(), 4u);
-    EXPECT_LE(m.txn.guards.size(), 16u);
+    EXPECT_LE(m.txn.preconditions.size(), 16u);
     bool ok = store.commit(m.txn).has_value();
     if (ok)
-      for (const auto& [job, f] : m.finals) p.ended(job, f.cancelled);
+      for (const auto& [job, f] : m.results) p.job_ended(job, f.cancelled);
     read();
     return ok;
   }
   // The model.
   bool doomed(const std::string& job) const {
     if (auto f = final_of(job)) return f->cancelled;
-    for (const auto& a : jobs.at(job).spec.awaits)
+    for (const auto& a : jobs.at(job).spec.dependencies)
       if (doomed(a)) return true;
     return false;
   }
   bool all_done(const std::string& job) const {
-    for (const auto& a : jobs.at(job).spec.awaits) {
+    for (const auto& a : jobs.at(job).spec.dependencies) {
       auto f = final_of(a);
       if (!f || f->cancelled) return false;
     }
     return true;
   }
-  jobs::Urgency urgency(const std::string& job) const {
+  jobs::EffectivePriority urgency(const std::string& job) const {
     const auto& r = jobs.at(job);
-    jobs::Urgency u{r.spec.priority, std::numeric_limits<double>::infinity()};
+    jobs::EffectivePriority u{r.spec.priority, std::numeric_limits<double>::infinity()};
     if (r.spec.deadline_s) u.due = *r.spec.deadline_s;
     for (const auto& [other, e] : w.waiting()) {
-      const auto& needs = e.record.spec.awaits;
+      const auto& needs = e.record.spec.dependencies;
       if (std::find(needs.begin(), needs.end(), job) == needs.end() || doomed(other)) continue;
       auto up = urgency(other);
       u.priority = std::min(u.priority, up.priority);
@@ -144,14 +144,14 @@
   v.look_all();
   for (const auto& [job, e] : v.w.waiting()) {
     bool doomed = v.doomed(job);
-    RC_ASSERT(v.p.standing(job) ==
-              (doomed ? Pipelines::Standing::cancelled : Pipelines::Standing::queued));
+    RC_ASSERT(v.p.state_of(job) == (doomed ? DependencyGraph::DependencyState::cancelled
+                                           : DependencyGraph::DependencyState::queued));
     RC_ASSERT(v.p.doomed().contains(job) == doomed);
     RC_ASSERT(v.p.ready().contains(job) == (!doomed && v.all_done(job)));
   }
   for (const auto* live : {&v.w.jobs(), &v.w.waiting()})
     for (const auto& [job, e] : *live)
-      if (!v.doomed(job)) RC_ASSERT(v.p.urgency(job, e.record) == v.urgency(job));
+      if (!v.doomed(job)) RC_ASSERT(v.p.effective_priority(job, e.record) == v.urgency(job));
   // In the end all that waits is moved, and nothing is remembered that nothing needs.
   while (v.move(true) || v.move(false)) v.look_all();
   for (const auto& [job, e] : v.w.waiting()) RC_ASSERT(!v.doomed(job) && !v.all_done(job));
@@ -167,7 +167,7 @@
   v.read();
   EXPECT_TRUE(v.p.ready().empty());
   std::vector<std::string> missing;
-  EXPECT_EQ(v.p.standing(View::id(1), &missing), Pipelines::Standing::unread);
+  EXPECT_EQ(v.p.state_of(View::id(1), &missing), DependencyGraph::DependencyState::unread);
   EXPECT_EQ(missing, std::vector<std::string>{View::id(0)});
   v.look(View::id(0));
   EXPECT_TRUE(v.p.ready().contains(View::id(1)));
@@ -184,14 +184,14 @@
     v.end(View::id(0), false);
     v.read();
     v.look(View::id(0));
-    auto m = jobs::moves(v.w, v.p, true, {2048, 4, 16}, 100, "t",
-                         [](const std::string&) { return true; });
+    auto m = jobs::state_transitions(v.w, v.p, true, {2048, 4, 16}, 100, "t",
+                                     [](const std::string&) { return true; });
     ASSERT_EQ(m.txn.ops.size(), 2u);
-    ASSERT_EQ(m.txn.guards.size(), 3u);
+    ASSERT_EQ(m.txn.preconditions.size(), 3u);
     if (!withdrawn) v.move(true);
     v.end(View::id(1), withdrawn);
     std::size_t refusing = 0;
-    for (const auto& g : m.txn.guards) refusing += v.store.mod_revision(g.first) != g.second;
+    for (const auto& g : m.txn.preconditions) refusing += v.store.mod_revision(g.first) != g.second;
     EXPECT_EQ(refusing, 2u);  // the waiting key, and the final record
     EXPECT_FALSE(v.store.commit(m.txn));
   }
@@ -205,17 +205,18 @@
   for (int i = 1; i <= kDeep; ++i) v.submit(i, {i - 1});
   for (int i = 1; i <= kDeep; ++i) v.submit(kDeep + i, {0}, wire::Priority::high, 500);
   v.read();
-  EXPECT_EQ(v.p.urgency(View::id(0), v.jobs.at(View::id(0))).priority, wire::Priority::high);
+  EXPECT_EQ(v.p.effective_priority(View::id(0), v.jobs.at(View::id(0))).priority,
+            wire::Priority::high);
   v.end(View::id(0), true);
   v.read();
   v.look(View::id(0));
   EXPECT_EQ(v.p.doomed().size(), 2u * kDeep);
-  EXPECT_EQ(v.p.standing(View::id(kDeep)), Pipelines::Standing::cancelled);
+  EXPECT_EQ(v.p.state_of(View::id(kDeep)), DependencyGraph::DependencyState::cancelled);
   int moved = 0;
   while (v.move(false)) ++moved;
   EXPECT_EQ(moved, kDeep);
   EXPECT_TRUE(v.w.waiting().empty());
-  EXPECT_FALSE(v.p.concerns(View::id(0)));
+  EXPECT_FALSE(v.p.contains(View::id(0)));
 }
 
 // The deadline of the last job leaves room for the path to it, and goes when that job goes.
@@ -224,7 +225,7 @@
   v.submit(0, {});
   v.submit(1, {0});
   v.read();
-  auto of = [&](int n) { return v.p.urgency(View::id(n), v.jobs.at(View::id(n))); };
+  auto of = [&](int n) { return v.p.effective_priority(View::id(n), v.jobs.at(View::id(n))); };
   EXPECT_EQ(of(0).priority, wire::Priority::idle);
   v.submit(2, {1}, wire::Priority::high, 300);  // the last one, late
   v.read();
--- a/tests/emulators.h
+++ b/tests/emulators.h
@@ -22,7 +22,7 @@
   s.zones = {"a", "b"};
   s.teams = {{"red", 4, 10, 0, 0}};
   s.team_shard = {0};
-  s.report_s = 3;
+  s.heartbeat_s = 3;
   s.lease_s = 20;
   s.cancel_s = 45;
   s.state_limits.value_kb = s.state_next.value_kb = 4;
@@ -30,8 +30,8 @@
   return s;
 }
 
-inline scheduler::Catalogue make_catalogue(const config::Settings& s) {
-  scheduler::Catalogue c;
+inline scheduler::MachineCatalogue make_catalogue(const config::Settings& s) {
+  scheduler::MachineCatalogue c;
   c.load({{"t4", 4, 0, 16, 0.4, 0.1, 10, {"a", "b"}}}, s);
   return c;
 }
@@ -39,7 +39,7 @@
 inline wire::JobRecord make_job(int n, std::uint32_t tasks, double cpus) {
   wire::JobRecord r;
   r.spec.id = "run-" + std::to_string(100000 + n);
-  r.spec.cls = "c";
+  r.spec.job_class = "c";
   r.spec.team = "red";
   r.spec.image = "img";
   r.spec.tasks = tasks;
@@ -51,18 +51,18 @@
 
 // A inventory page as a node would write it, with these machines added to what is there, in the
 // form of a state level.
-inline wire::Txn roster_txn(const state::World& w, const std::vector<wire::MachineRecord>& add,
-                            int form = 0) {
+inline wire::Transaction roster_txn(const state::StateCache& w,
+                                    const std::vector<wire::MachineRecord>& add, int form = 0) {
   std::map<int, std::vector<wire::MachineRecord>> pages;
   for (const auto& m : add) {
-    int page = state::roster_page(m.name);
+    int page = state::inventory_page(m.name);
     if (!pages.contains(page)) pages[page] = w.inventory(page);
     pages[page].push_back(m);
   }
-  wire::Txn t;
+  wire::Transaction t;
   for (const auto& [page, machines] : pages)
-    t.ops.push_back(
-        {state::roster_key(page), wire::encode_record(wire::RosterRecord{"t", machines, form}), 0});
+    t.ops.push_back({state::inventory_key(page),
+                     wire::encode_record(wire::InventoryPageRecord{"t", machines, form}), 0});
   return t;
 }
 
@@ -80,8 +80,8 @@
     auto it = keys.find(k);
     return it == keys.end() ? 0 : it->second.mod_revision;
   }
-  std::optional<std::uint64_t> commit(const wire::Txn& t) {
-    for (const auto& [k, s] : t.guards)
+  std::optional<std::uint64_t> commit(const wire::Transaction& t) {
+    for (const auto& [k, s] : t.preconditions)
       if (mod_revision(k) != s) return std::nullopt;
     ++revision;
     for (const auto& op : t.ops) {
@@ -93,7 +93,7 @@
     }
     return revision;
   }
-  void read(state::World& w, std::vector<state::Change>& changes) const {
+  void read(state::StateCache& w, std::vector<state::Change>& changes) const {
     for (const auto& e : log)
       if (e.mod_revision > w.revision()) w.apply(e, changes);
     w.advance(revision);
@@ -105,8 +105,8 @@
   struct Task {
     wire::TaskId id;
     std::uint64_t attempt;
-    wire::RunState state;
-    wire::Why why;
+    wire::TaskState state;
+    wire::ExitReason why;
     double ends;
   };
   std::string name, zone = "a";
@@ -115,15 +115,15 @@
   std::vector<Task> tasks;
   int target = 0;
 
-  wire::Report report() {
-    wire::Report r;
+  wire::Heartbeat report() {
+    wire::Heartbeat r;
     r.machine = name;
     r.addr = "10.0.0.1:1";
     r.type = "t4";
     r.zone = zone;
     r.spot = true;
-    r.session = session;
-    r.seq = ++seq;
+    r.incarnation = session;
+    r.sequence = ++seq;
     r.token = token;
     for (const auto& t : tasks) r.tasks.push_back({t.id, t.attempt, t.state, t.why});
     return r;
@@ -158,7 +158,7 @@
                  it->state != wire::TaskState::exited) {
         it->state = wire::TaskState::exited;
         it->why = wire::ExitReason::stopped;
-      } else if (c.op == wire::Command::Op::forget && it != tasks.end() &&
+      } else if (c.op == wire::Command::Op::acknowledge && it != tasks.end() &&
                  it->state == wire::TaskState::exited) {
         tasks.erase(it);
       }
--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -19,7 +19,7 @@
 
 inline wire::JobSpec spec(const std::string& team, std::uint32_t tasks, double cpus = 1) {
   wire::JobSpec s;
-  s.cls = "c";
+  s.job_class = "c";
   s.team = team;
   s.image = "img";
   s.tasks = tasks;
@@ -42,7 +42,7 @@
   return static_cast<int>(s.sim().rng()() % s.machines());
 }
 inline int some_node(SimulatedCluster& s) {
-  return static_cast<int>(s.sim().rng()() % s.scale().controllers);
+  return static_cast<int>(s.sim().rng()() % s.options().controllers);
 }
 
 // Cancels this share of the jobs that are not over, through any controllers.
@@ -67,13 +67,13 @@
   static const std::vector<Trouble> all = {
       {"late reports",
        [](SimulatedCluster& s) {
-         s.scale().report_copies = 0.4;
-         s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.scale().report_copies = 0; });
+         s.options().heartbeat_copies = 0.4;
+         s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.options().heartbeat_copies = 0; });
        }},
       {"late writes",
        [](SimulatedCluster& s) {
-         s.scale().late_writes = s.sim().draw(0.1, 0.5);
-         s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.scale().late_writes = 0; });
+         s.options().late_writes = s.sim().draw(0.1, 0.5);
+         s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.options().late_writes = 0; });
        }},
       {"slow state service",
        [](SimulatedCluster& s) { s.slow_state(s.sim().draw(0.2, 2.5), s.sim().draw(10, 40)); }},
@@ -100,7 +100,7 @@
        }},
       {"machines deaf",
        [](SimulatedCluster& s) {
-         for (int i = 0; i < 3; ++i) s.deaf(some_machine(s), s.sim().draw(5, 60));
+         for (int i = 0; i < 3; ++i) s.lose_responses(some_machine(s), s.sim().draw(5, 60));
        }},
       {"machines hang",
        [](SimulatedCluster& s) {
@@ -108,17 +108,17 @@
        }},
       {"direct orders held",
        [](SimulatedCluster& s) {
-         for (int i = 0; i < 3; ++i) s.hold_orders(some_machine(s), s.sim().draw(3, 60));
+         for (int i = 0; i < 3; ++i) s.hold_direct_commands(some_machine(s), s.sim().draw(3, 60));
        }},
       {"leader ends", [](SimulatedCluster& s) { s.kill(s.busiest(), s.sim().draw(0.05, 15)); }},
       {"all end",
        [](SimulatedCluster& s) {
-         for (int n = 0; n < s.scale().controllers; ++n) s.kill(n, s.sim().draw(0.05, 10));
+         for (int n = 0; n < s.options().controllers; ++n) s.kill(n, s.sim().draw(0.05, 10));
        }},
       {"roll and back",
        [](SimulatedCluster& s) {
          double at = s.now();
-         for (int n = 0; n < s.scale().controllers; ++n)
+         for (int n = 0; n < s.options().controllers; ++n)
            s.sim().at(at += s.sim().draw(0.1, 3), [&s, n] { s.kill(n, 0.2); });
        }},
       {"a node stands still",
@@ -133,11 +133,11 @@
       {"a machine dies", [](SimulatedCluster& s) { s.kill_machine(some_machine(s)); }},
       {"machines mute",
        [](SimulatedCluster& s) {
-         for (int i = 0; i < 3; ++i) s.mute(some_machine(s), s.sim().draw(5, 60));
+         for (int i = 0; i < 3; ++i) s.cut_heartbeats(some_machine(s), s.sim().draw(5, 60));
        }},
       {"machines hang for long",
        [](SimulatedCluster& s) {
-         const double longest = s.scale().cancel_s + 25;
+         const double longest = s.options().cancel_s + 25;
          for (int i = 0; i < 3; ++i) s.hang(some_machine(s), s.sim().draw(5, longest));
        }},
       {"machines hang in chains",
@@ -147,13 +147,13 @@
        }},
       {"writes answered by nothing but done",
        [](SimulatedCluster& s) {
-         s.scale().lost_answers = s.sim().draw(0.1, 0.6);
-         s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.scale().lost_answers = 0; });
+         s.options().lost_answers = s.sim().draw(0.1, 0.6);
+         s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.options().lost_answers = 0; });
        }},
       {"reports kept for the next leader",
        [](SimulatedCluster& s) {
-         s.scale().copies_for_next = s.sim().draw(0.1, 0.5);
-         s.sim().at(s.now() + s.sim().draw(20, 90), [&s] { s.scale().copies_for_next = 0; });
+         s.options().copies_for_next = s.sim().draw(0.1, 0.5);
+         s.sim().at(s.now() + s.sim().draw(20, 90), [&s] { s.options().copies_for_next = 0; });
        }},
       {"many cancelled and their machines hang",
        [](SimulatedCluster& s) {
@@ -185,12 +185,12 @@
        }},
       {"a zone cut with its controller",
        [](SimulatedCluster& s) {
-         s.cut_zone(s.sim().chance(0.5) ? "a" : "b", s.scale().lease_s + s.sim().draw(1, 30));
+         s.cut_zone(s.sim().chance(0.5) ? "a" : "b", s.options().lease_s + s.sim().draw(1, 30));
        }},
       {"all away for longer than the lease",
        [](SimulatedCluster& s) {
-         for (int n = 0; n < s.scale().controllers; ++n)
-           s.kill(n, s.scale().lease_s + s.sim().draw(1, 15));
+         for (int n = 0; n < s.options().controllers; ++n)
+           s.kill(n, s.options().lease_s + s.sim().draw(1, 15));
        }},
       {"leaders change ten times",
        [](SimulatedCluster& s) {
@@ -210,13 +210,13 @@
        }},
       {"slow links",
        [](SimulatedCluster& s) {
-         s.scale().slow_links_s = s.sim().draw(0.2, 1);
-         s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.scale().slow_links_s = 0; });
+         s.options().slow_links_s = s.sim().draw(0.2, 1);
+         s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.options().slow_links_s = 0; });
        }},
       {"new machines up at once",
        [](SimulatedCluster& s) {
-         s.scale().quick_boots_s = s.sim().draw(0.3, 2);
-         s.sim().at(s.now() + 90, [&s] { s.scale().quick_boots_s = 0; });
+         s.options().quick_boots_s = s.sim().draw(0.3, 2);
+         s.sim().at(s.now() + 90, [&s] { s.options().quick_boots_s = 0; });
          for (int i = 0; i < 2; ++i) s.kill_machine(some_machine(s));
        }},
       {"orders held and reports passed on",
@@ -224,14 +224,14 @@
          const double for_s = s.sim().draw(10, 100);
          s.cut(s.busiest(), SimulatedCluster::reports, for_s);
          for (int m = 0; m < s.machines(); ++m) {
-           if (s.sim().chance(0.7)) s.hold_orders(m, for_s * s.sim().draw(0.5, 1.5));
+           if (s.sim().chance(0.7)) s.hold_direct_commands(m, for_s * s.sim().draw(0.5, 1.5));
            if (s.sim().chance(0.5)) s.hold_direct_answers(m, for_s * s.sim().draw(0.5, 1.5));
          }
          s.sim().at(s.now() + s.sim().draw(0, 10), [&s] { cancel_some(s, 0.4); });
        }},
       {"refused alone with cancellations, then out",
        [](SimulatedCluster& s) {
-         const double out_s = s.scale().cancel_s + s.sim().draw(2, 25);
+         const double out_s = s.options().cancel_s + s.sim().draw(2, 25);
          s.refuse(s.busiest(), 1 + s.sim().draw(0, out_s + 10));
          cancel_some(s, 0.7);
          s.sim().at(s.now() + 1, [&s, out_s] { s.outage(out_s); });
@@ -259,7 +259,7 @@
   s.controllers = 2 + static_cast<int>(seed % 4);
   s.machines = 4 + static_cast<int>(seed % 5);
   if (draw(0, 1) < 0.4) {
-    s.report_s = draw(1, 8);
+    s.heartbeat_s = draw(1, 8);
     s.lease_s = draw(12, 40);
     s.cancel_s = s.lease_s + 5 + (draw(0, 1) < 0.5 ? 0 : draw(0, 20));
   }
@@ -273,13 +273,14 @@
 
 inline std::string describe(const SimulatedCluster& set, const SimulatedCluster::Job& j) {
   const wire::JobSpec& s = j.spec;
-  std::string out =
-      s.id + ": " + s.team + ", band " + std::to_string(static_cast<int>(s.priority)) + ", " +
-      std::to_string(s.tasks) + " tasks of " + std::to_string(s.cpus) + " cpus, " +
-      std::to_string(j.run_s) + " s, image " + std::to_string(s.image_gb) + " GB, saves in " +
-      std::to_string(s.save_s) + (s.one_zone ? ", one zone" : "") + (s.spread ? ", spread" : "") +
-      (s.zone ? ", zone " + *s.zone : "") + (j.cancel_asked ? ", cancelled" : "");
-  for (const auto& a : s.awaits) out += ", awaits " + a;
+  std::string out = s.id + ": " + s.team + ", band " +
+                    std::to_string(static_cast<int>(s.priority)) + ", " + std::to_string(s.tasks) +
+                    " tasks of " + std::to_string(s.cpus) + " cpus, " + std::to_string(j.run_s) +
+                    " s, image " + std::to_string(s.image_gb) + " GB, saves in " +
+                    std::to_string(s.save_s) + (s.same_zone ? ", one zone" : "") +
+                    (s.anti_affinity ? ", spread" : "") + (s.zone ? ", zone " + *s.zone : "") +
+                    (j.cancel_asked ? ", cancelled" : "");
+  for (const auto& a : s.dependencies) out += ", awaits " + a;
   for (int m : set.machines_with(s.id)) out += ", on machine " + std::to_string(m);
   return out;
 }
@@ -296,8 +297,8 @@
   auto work = [&](int n) {
     for (int i = 0; i < n; ++i) {
       wire::JobSpec s = spec(sim.chance(0.5) ? "red" : "blue", 1 + sim.rng()() % 3);
-      s.one_zone = sim.chance(0.15);
-      s.spread = !s.one_zone && sim.chance(0.15);
+      s.same_zone = sim.chance(0.15);
+      s.anti_affinity = !s.same_zone && sim.chance(0.15);
       if (sim.chance(0.1)) s.zone = "b";
       // Replicas run to the end of a history, and would hold what the cloud has in a zone until
       // then: where there are some, all else is of one size and band, and finds room beside them.
@@ -314,7 +315,7 @@
       if (sim.chance(0.25) && !jobs.empty())
         if (const auto& a = jobs[sim.rng()() % jobs.size()];
             set.jobs().at(a).accepted && !set.jobs().at(a).spec.service)
-          s.awaits = {a};
+          s.dependencies = {a};
       jobs.push_back(
           set.submit(std::move(s), sim.chance(0.3) ? sim.draw(30, 60) : sim.draw(2, 15)));
     }
@@ -342,7 +343,7 @@
     }
   }
   set.pass(80);  // the longest of them is over
-  set.scale().late_writes = set.scale().report_copies = set.scale().lost_answers = 0;
+  set.options().late_writes = set.options().heartbeat_copies = set.options().lost_answers = 0;
   set.pass(420);
   set.ask_all();
   const std::string room = set.room();
--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -1,6 +1,7 @@
 // What users are told: close looks at all nodes, ends that are met by cancellations, transactions
 // whose answer alone is lost, odd requests, minutes of one-task jobs. The library's own controllers
-// in simulated time; what any user was told about a job is checked as one register (Set::told).
+// in simulated time; what any user was told about a job is checked as one register
+// (SimulatedCluster::told).
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -21,7 +22,7 @@
 // A user of its own beside the set's: one question, and its answer.
 class Asker {
  public:
-  explicit Asker(Set& set) : set_(set), host_(set.sim(), "asker") {}
+  explicit Asker(SimulatedCluster& set) : set_(set), host_(set.sim(), "asker") {}
   net::Result ask(const config::Endpoint& to, const char* method, const std::string& path,
                   const std::string& body = "") {
     std::optional<net::Result> answer;
@@ -45,7 +46,7 @@
   }
 
  private:
-  Set& set_;
+  SimulatedCluster& set_;
   simulation::Host host_;
 };
 
@@ -59,15 +60,15 @@
   bool level_settled = false;
 };
 
-using Tweak = std::function<void(Set&)>;
+using Tweak = std::function<void(SimulatedCluster&)>;
 
 // Jobs come for a minute and a half, most of one to three short tasks; faults begin within the
 // first; then it is quiet, and every accepted job has to be known everywhere, and to be over.
 Users play_users(unsigned seed, const Tweak& tweak, const std::vector<std::string>& named) {
-  Scale scale;
+  ClusterOptions scale;
   scale.controllers = 2 + static_cast<int>(seed % 4);
   scale.machines = 4 + static_cast<int>(seed % 5);
-  Set set(seed, scale);
+  SimulatedCluster set(seed, scale);
   auto& sim = set.sim();
   tweak(set);
   set.pass(12);
@@ -85,15 +86,15 @@
     if (sim.chance(0.2) && !jobs.empty())
       if (const auto& a = jobs[sim.rng()() % jobs.size()];
           set.jobs().at(a).accepted && !set.jobs().at(a).spec.service)
-        s.awaits = {a};
+        s.dependencies = {a};
     jobs.push_back(set.submit(std::move(s), sim.draw(0.5, 6)));
     if (sim.chance(0.15)) set.cancel(jobs[sim.rng()() % jobs.size()]);
     set.pass(sim.draw(0.2, 4));
   }
   set.pass(60);  // the longest fault is over
   Users out;
-  set.scale().late_writes = set.scale().report_copies = set.scale().lost_answers = 0;
-  set.scale().close_looks = set.scale().meet_ends = set.scale().cancel_at_once = 0;
+  set.options().late_writes = set.options().heartbeat_copies = set.options().lost_answers = 0;
+  set.options().close_looks = set.options().meet_ends = set.options().cancel_at_once = 0;
   set.pass(240);
   set.ask_all();
   for (const auto& [id, j] : set.jobs()) {
@@ -164,9 +165,9 @@
 TEST_P(CloseLooks, NeverGetAnOlderAnswer) {
   const Users u = expect_users(
       1, 25,
-      [](Set& set) {
-        set.scale().close_looks = 0.7;
-        set.scale().cancel_at_once = 0.2;
+      [](SimulatedCluster& set) {
+        set.options().close_looks = 0.7;
+        set.options().cancel_at_once = 0.2;
       },
       GetParam().troubles);
   EXPECT_GT(u.looks, u.histories * 400);
@@ -179,9 +180,9 @@
 TEST_P(AnEndThatIsMet, HasOneOutcomeForAll) {
   const Users u = expect_users(
       101, 125,
-      [](Set& set) {
-        set.scale().meet_ends = 0.8;
-        set.scale().close_looks = 0.15;
+      [](SimulatedCluster& set) {
+        set.options().meet_ends = 0.8;
+        set.options().close_looks = 0.15;
       },
       GetParam().troubles);
   EXPECT_GT(u.ends, u.histories * 10);
@@ -192,13 +193,13 @@
 
 // By what it writes and preconditions: docs/safety.md, "Writes that are carried out late".
 std::string kind_of(const std::string& body) {
-  const wire::Txn t = client_protocol::decode_txn(body);
+  const wire::Transaction t = client_protocol::decode_transaction(body);
   std::map<std::string, int> sets, drops, guards;
   for (const auto& op : t.ops)
     ++(op.value ? sets : drops)[op.key.substr(0, op.key.starts_with("st/") ? 5 : 4)];
-  for (const auto& [key, mod_revision] : t.guards) ++guards[key.substr(0, 5)];
+  for (const auto& [key, mod_revision] : t.preconditions) ++guards[key.substr(0, 5)];
   auto node_guard = [&](bool there) {
-    return std::any_of(t.guards.begin(), t.guards.end(), [&](const auto& g) {
+    return std::any_of(t.preconditions.begin(), t.preconditions.end(), [&](const auto& g) {
       return g.first.starts_with("st/n/") && (g.second != 0) == there;
     });
   };
@@ -229,15 +230,15 @@
 TEST_P(LostAnswers, MisleadNobody) {
   const Users u = expect_users(
       201, 225,
-      [](Set& set) {
-        set.scale().lost_answers = GetParam().share;
-        set.scale().lose_answer_of = [kind = GetParam().kind](const std::string& body) {
+      [](SimulatedCluster& set) {
+        set.options().lost_answers = GetParam().share;
+        set.options().lose_answer_of = [kind = GetParam().kind](const std::string& body) {
           return kind_of(body) == kind;
         };
-        set.scale().close_looks = 0.3;
+        set.options().close_looks = 0.3;
         // What waits is rarely called off otherwise.
-        set.scale().cancel_at_once = GetParam().kind == "waiting cancelled" ? 0.4 : 0.1;
-        set.scale().meet_ends = 0.2;
+        set.options().cancel_at_once = GetParam().kind == "waiting cancelled" ? 0.4 : 0.1;
+        set.options().meet_ends = 0.2;
       },
       {"roll and back", "leader cut from state"});
   EXPECT_GE(u.lost * 25, GetParam().least * u.histories);
@@ -259,9 +260,9 @@
   std::map<std::string, int> seen;
   for (unsigned seed = 1; seed <= 6; ++seed)
     play_users(seed,
-               [&seen](Set& set) {
-                 set.scale().lost_answers = 1e-12;
-                 set.scale().lose_answer_of = [&seen](const std::string& body) {
+               [&seen](SimulatedCluster& set) {
+                 set.options().lost_answers = 1e-12;
+                 set.options().lose_answer_of = [&seen](const std::string& body) {
                    ++seen[kind_of(body)];
                    return false;
                  };
@@ -278,10 +279,10 @@
 TEST(Answers, AJobThatNamesOneThatIsJustEndingRuns) {
   for (const int controllers : {1, 2, 3}) {
     SCOPED_TRACE(controllers);
-    Scale scale;
+    ClusterOptions scale;
     scale.controllers = controllers;
     scale.state_latency_s = 0.2;
-    Set set(5, scale);
+    SimulatedCluster set(5, scale);
     auto& sim = set.sim();
     set.pass(15);
     std::set<std::string> named;
@@ -291,17 +292,18 @@
       const std::string kind = kind_of(r.body);
       waited += r.body.find("\"needs\"") != std::string::npos;
       if (kind == "end")
-        for (const auto& op : client_protocol::decode_txn(r.body).ops) {
+        for (const auto& op : client_protocol::decode_transaction(r.body).ops) {
           if (!op.key.starts_with("fin/")) continue;
           const std::string ending = op.key.substr(4);
-          if (!set.jobs().at(ending).spec.awaits.empty() || !named.insert(ending).second) continue;
+          if (!set.jobs().at(ending).spec.dependencies.empty() || !named.insert(ending).second)
+            continue;
           const int owner = std::stoi(r.from.substr(5));
           sim.at(sim.now() + sim.draw(0, 0.15), [&set, ending, owner] {
             wire::JobSpec s = spec("red", 1);
-            s.awaits = {ending};
+            s.dependencies = {ending};
             set.submit(std::move(s), 1, owner);
           });
-          for (int n = 0; n < set.scale().controllers; ++n)
+          for (int n = 0; n < set.options().controllers; ++n)
             if (n != owner)
               sim.at(sim.now() + sim.draw(0.05, 0.4),
                      [&set, ending, n] { set.ask_once(ending, n); });
@@ -410,18 +412,18 @@
 }
 
 struct OddRequests : ::testing::Test {
-  Set set{7, scale()};
+  SimulatedCluster set{7, scale()};
   Asker user{set};
   int next = 0;
-  static Scale scale() {
-    Scale s;
+  static ClusterOptions scale() {
+    ClusterOptions s;
     wire::MachineType lone{"u4", s.machine_cpus, 0, 64, 0.4, 0.1, 3, {"a"}};
     s.more_types = {{lone, 2}};
     return s;
   }
   OddRequests() { set.pass(12); }
   std::string fresh() { return "run-" + std::to_string(700000 + next++); }
-  int node() { return next % set.scale().controllers; }
+  int node() { return next % set.options().controllers; }
   // Refused so, and unknown at another node afterwards.
   void refused(int status, const std::string& id, const std::string& body) {
     EXPECT_EQ(user.submit(node(), body).status, status) << body;
@@ -537,7 +539,7 @@
   std::uint64_t asked = 0;
   for (int i = 0; i < 12; ++i) {
     // Nodes that have not heard of it yet, and can't ask.
-    if (i > 5) set.cut(1, Set::state, 4);
+    if (i > 5) set.cut(1, SimulatedCluster::state, 4);
     if (i > 8) set.refuse(2, 4);
     const std::string id = set.submit(spec("red", 1 + i % 3), 1, 0);
     while (set.jobs().at(id).told_accepted < 0) set.pass(0.005);
@@ -609,10 +611,10 @@
 // Four a second, a quarter of them called off. What the state service holds beside the final
 // records depends on what is unfinished, not on what has been.
 TEST(ManySmallJobs, LeaveNothingButTheirFinalRecords) {
-  Scale scale;
+  ClusterOptions scale;
   scale.machines = 12;
   scale.team_limit = 24;
-  Set set(11, scale);
+  SimulatedCluster set(11, scale);
   Asker user(set);
   struct Held {
     std::size_t keys = 0, bytes = 0, finals = 0, jobs = 0;
--- a/tests/fault_combinations_cancel_test.cpp
+++ b/tests/fault_combinations_cancel_test.cpp
@@ -13,10 +13,10 @@
 // raised, since no such commit is taken, and none of the worker's reports gets through once the
 // start has come.
 struct HeldStart {
-  Set set;
+  SimulatedCluster set;
   double held_from = -1, told = -1, mute_from = 1e18;
-  static Scale scale(double margin) {
-    Scale s;
+  static ClusterOptions scale(double margin) {
+    ClusterOptions s;
     s.controllers = 2;
     s.machines = 3;
     s.team_limit = 64;
@@ -39,7 +39,7 @@
         held_from = set.now();
       return w;
     };
-    for (int m = 0; m < set.machines(); ++m) set.hold_orders(m, hold_s);
+    for (int m = 0; m < set.machines(); ++m) set.hold_direct_commands(m, hold_s);
     mute_from = set.now() + hold_s - 0.2;
     std::vector<std::string> jobs;
     for (int i = 0; i < 4; ++i) jobs.push_back(set.submit(spec(i % 2 ? "red" : "blue", 1), 200));
@@ -56,7 +56,7 @@
     for (double margin : {5.0, 8.0, 20.0})
       for (double beyond : {2.0, 6.0, 30.0}) {
         SCOPED_TRACE(std::to_string(margin) + ", " + std::to_string(beyond));
-        const double cancel_s = Scale{}.lease_s + margin;
+        const double cancel_s = ClusterOptions{}.lease_s + margin;
         HeldStart h(3, margin, cancel_s + beyond, raises);
         ASSERT_GE(h.held_from, 0);
         ASSERT_GE(h.told, h.held_from);
@@ -72,11 +72,11 @@
   int overtaken = 0;
   for (unsigned seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE(seed);
-    Scale scale;
+    ClusterOptions scale;
     scale.controllers = 1;
     scale.machines = 4;
     scale.relay = false;
-    Set set(seed, scale);
+    SimulatedCluster set(seed, scale);
     auto& sim = set.sim();
     set.pass(12);
     std::vector<std::string> jobs;
--- a/tests/fault_combinations_emulators_test.cpp
+++ b/tests/fault_combinations_emulators_test.cpp
@@ -16,7 +16,7 @@
 namespace shunttrail::test {
 namespace {
 
-using emulators::Worker;
+using emulators::WorkerEmulator;
 using simulation::Host;
 using simulation::Simulation;
 using wire::Command;
@@ -28,10 +28,10 @@
   Simulation sim;
   Host node{sim, "node-0"}, machine{sim, "w-1"};
   bool answers = true;
-  std::vector<RunState> states;  // of every task, one after the other
-  Worker::Work work{1, 0.5, 100, 10, 6};
+  std::vector<TaskState> states;  // of every task, one after the other
+  WorkerEmulator::Work work{1, 0.5, 100, 10, 6};
   std::unique_ptr<net::Server> server;
-  std::unique_ptr<Worker> worker;
+  std::unique_ptr<WorkerEmulator> worker;
   std::vector<net::Network::Handle> out;
 
   explicit Bench(unsigned seed = 1) : sim(seed) {
@@ -40,18 +40,18 @@
                                              if (answers)
                                                ex->send({200, R"({"staff":1,"orders":[]})", 0});
                                            });
-    Worker::Settings s;
+    WorkerEmulator::Settings s;
     s.name = "m-1";
     s.at = {"w-1", 9};
     s.report_s = 2;
     s.lease_s = 15;
     s.nodes = {{"node-0", {"node-0", 80}}};
     machine.any_order_after_freezes();
-    worker = std::make_unique<Worker>(
+    worker = std::make_unique<WorkerEmulator>(
         machine.loop(), s, [this](const wire::TaskId&) { return work; }, 1,
-        Worker::Watched{
-            [this](const Worker&, const Worker::Task& t, RunState) { states.push_back(t.state); },
-            [](const Worker::Task&) {}});
+        WorkerEmulator::Watched{[this](const WorkerEmulator&, const WorkerEmulator::Task& t,
+                                       TaskState) { states.push_back(t.state); },
+                                [](const WorkerEmulator::Task&) {}});
     sim.run_until(1);
   }
   void order(const char* what, double brake_s = 0, std::uint64_t session = 1, int task = 0) {
@@ -62,7 +62,7 @@
     out.push_back(node.request({"w-1", 9}, "POST", "/orders", body, 60, [](net::Result) {}));
   }
   void pass(double s) { sim.run_until(sim.now() + s); }
-  RunState state() const {
+  TaskState state() const {
     return worker->tasks().empty() ? TaskState::exited : worker->tasks().front().state;
   }
 };
@@ -128,12 +128,12 @@
     b.pass(1);
     EXPECT_EQ(b.worker->session(), 2u);
     EXPECT_TRUE(b.worker->tasks().empty());
-    EXPECT_EQ(b.states, std::vector<RunState>{}) << seed;
+    EXPECT_EQ(b.states, std::vector<TaskState>{}) << seed;
   }
 }
 
 TEST(StandInWorker, GoesOnWithinItsLeaseInAnyOrder) {
-  std::set<std::vector<RunState>> seen;
+  std::set<std::vector<TaskState>> seen;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     Bench b(seed);
     b.work.run_s = 4;
@@ -170,7 +170,7 @@
 TEST(StandInState, RefusesAboveItsRates) {
   Simulation sim(1);
   Host service(sim, "state"), user(sim, "node-0");
-  emulators::State state(service.loop(), {"state", 1}, "");
+  emulators::StateServiceEmulator state(service.loop(), {"state", 1}, "");
   state.limit(10, 4);
   std::vector<int> gets, writes;
   std::vector<net::Network::Handle> out;
--- a/tests/fault_combinations_held_test.cpp
+++ b/tests/fault_combinations_held_test.cpp
@@ -16,9 +16,9 @@
   int hung = 0, obeyed_late = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
-    Scale scale;
+    ClusterOptions scale;
     scale.controllers = 2;
-    Set set(seed, scale);
+    SimulatedCluster set(seed, scale);
     std::map<std::string, double> reported;  // when each machine last sent a report
     std::string job;
     bool done = false;
@@ -54,11 +54,11 @@
   int held = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
-    Scale scale;
+    ClusterOptions scale;
     scale.controllers = 2;
     scale.cancel_s = scale.lease_s + 5;
-    scale.report_s = 2 + seed % 7;
-    Set set(seed, scale);
+    scale.heartbeat_s = 2 + seed % 7;
+    SimulatedCluster set(seed, scale);
     std::map<std::string, double> reported;  // when each machine last sent a report
     std::string job;
     bool done = false;
@@ -70,7 +70,7 @@
       const int machine = set.machine_at(r.to);
       const double late = 0.3 * (1 + seed);
       set.cancel(job);
-      set.hold_orders(machine, late);
+      set.hold_direct_commands(machine, late);
       set.sim().at(set.now() + late + 0.05, [&, machine, host = r.to] {
         set.hang(machine, reported[host] + scale.lease_s - 0.3 - set.now());
       });
--- a/tests/fault_combinations_limits_test.cpp
+++ b/tests/fault_combinations_limits_test.cpp
@@ -30,9 +30,9 @@
 
 // Nothing faults the set any more: all jobs end, users are answered, and no machine stays rented
 // without work.
-void calm_down(Set& set) {
-  set.scale().late_writes = set.scale().lost_answers = set.scale().slow_links_s = 0;
-  set.troubles_are_over();
+void calm_down(SimulatedCluster& set) {
+  set.options().late_writes = set.options().lost_answers = set.options().slow_links_s = 0;
+  set.faults_are_over();
   set.pass(kCalm);
   set.ask_all();
   Strings unfinished;
@@ -46,12 +46,12 @@
   EXPECT_EQ(set.rented(), 0u);
 }
 // And no job waits beside room.
-void expect_calm(Set& set) {
+void expect_calm(SimulatedCluster& set) {
   calm_down(set);
   EXPECT_EQ(set.broken(), Strings{});
 }
 
-Strings broken_so(const Set& set, const std::string& rule, bool so = true) {
+Strings broken_so(const SimulatedCluster& set, const std::string& rule, bool so = true) {
   Strings out;
   for (const auto& b : set.broken())
     if ((b.find(rule) != std::string::npos) == so) out.push_back(b);
@@ -59,16 +59,16 @@
 }
 
 // A leader goes, one way or another, for at most a minute.
-void leader_goes(Set& set) {
+void leader_goes(SimulatedCluster& set) {
   auto& sim = set.sim();
   const int leader = set.busiest();
   switch (sim.rng()() % 5) {
     case 0:
       return set.kill(leader, sim.draw(0.05, 20));
     case 1:
-      return set.cut(leader, Set::state, sim.draw(8, 50));
+      return set.cut(leader, SimulatedCluster::state, sim.draw(8, 50));
     case 2:
-      return set.cut(leader, Set::state | Set::peers, sim.draw(8, 50));
+      return set.cut(leader, SimulatedCluster::state | SimulatedCluster::peers, sim.draw(8, 50));
     case 3:
       return set.freeze(leader, sim.draw(8, 35));
     default:
@@ -79,30 +79,30 @@
 // ---- room
 
 // Four jobs that fit, and limits by which the controllers place fewer, or more.
-Set& limited(Set& set) {
+SimulatedCluster& limited(SimulatedCluster& set) {
   set.pass(12);
   for (int i = 0; i < 4; ++i) set.submit(spec("red", 2), 150);
   set.pass(60);
-  set.troubles_are_over();
+  set.faults_are_over();
   set.pass(130);
   return set;
 }
 
 TEST(Limits, WorkLeftWaitingBesideRoomIsSeen) {
-  Scale s;
+  ClusterOptions s;
   s.team_limit = 8;
-  Set as_told(1, s);
+  SimulatedCluster as_told(1, s);
   EXPECT_EQ(limited(as_told).broken(), Strings{});
   s.told_team_limit = 3;
-  Set fewer(1, s);
+  SimulatedCluster fewer(1, s);
   EXPECT_NE(broken_so(limited(fewer), "neglected"), Strings{});
 }
 
 TEST(Limits, MoreThanALimitIsSeen) {
-  Scale s;
+  ClusterOptions s;
   s.team_limit = 5;
   s.told_team_limit = 8;
-  Set more(1, s);
+  SimulatedCluster more(1, s);
   EXPECT_NE(broken_so(limited(more), "quota"), Strings{});
 }
 
@@ -111,10 +111,10 @@
 // Every team is at its limit, with more that waits. Some of the jobs are cancelled, and their
 // machines can't be asked, each in its own way, while the leader changes.
 struct AtLimit {
-  Set set;
+  SimulatedCluster set;
   int at_limit = 0, cancelled = 0;
-  static Scale scale(unsigned seed) {
-    Scale s;
+  static ClusterOptions scale(unsigned seed) {
+    ClusterOptions s;
     s.controllers = 2 + static_cast<int>(seed % 4);
     s.teams = 4;
     s.team_limit = 6;
@@ -131,7 +131,7 @@
         set.submit(spec(team, 1, 2), sim.draw(40, 110));
       }
     set.pass(sim.draw(25, 35));
-    for (const char* team : kTeam) at_limit += set.used(team) > set.scale().team_limit - 1e-9;
+    for (const char* team : kTeam) at_limit += set.used(team) > set.options().team_limit - 1e-9;
     if (first) {
       leader_goes(set);
       set.pass(sim.draw(0, 25));
@@ -156,16 +156,16 @@
     const double for_s = sim.draw(3, 60);
     switch (sim.rng()() % 6) {
       case 0:
-        return set.deaf(machine, for_s);
+        return set.lose_responses(machine, for_s);
       case 1:
-        return set.mute(machine, for_s);
+        return set.cut_heartbeats(machine, for_s);
       case 2:
         return set.hang(machine, for_s);
       case 3:
-        return set.hold_orders(machine, for_s);
+        return set.hold_direct_commands(machine, for_s);
       case 4:
-        set.deaf(machine, for_s);
-        return set.mute(machine, for_s);
+        set.lose_responses(machine, for_s);
+        return set.cut_heartbeats(machine, for_s);
       default:
         return;
     }
@@ -207,10 +207,10 @@
 
 // There is one machine and no other to be had; a task that needs half of it waits for its turn.
 TEST(Limits, ASmallTaskDoesNotWaitBesideRoomBehindALargerOneThatHasNone) {
-  Scale s;
+  ClusterOptions s;
   s.controllers = 1;
   s.machines = 1;
-  Set set(1, s);
+  SimulatedCluster set(1, s);
   set.pass(12);
   set.submit(spec("red", 1, 3), 300);
   set.pass(15);
@@ -218,7 +218,7 @@
   set.pass(3);
   set.submit(spec("red", 1, 1), 20);
   set.pass(5);
-  set.troubles_are_over();
+  set.faults_are_over();
   set.pass(150);
   EXPECT_EQ(set.broken(), Strings{});
 }
@@ -226,17 +226,17 @@
 // Each team's controller has a machine, and there is no other to be had: one is full, the other one
 // hardly in use.
 TEST(Limits, WorkDoesNotWaitBesideRoomOnAnotherControllersMachine) {
-  Scale s;
+  ClusterOptions s;
   s.controllers = 2;
   s.machines = 2;
-  Set set(1, s);
+  SimulatedCluster set(1, s);
   set.pass(12);
   set.submit(spec("red", 1, 1), 300);
   set.submit(spec("blue", 1, 4), 300);
   set.pass(15);
   set.submit(spec("blue", 1, 2), 20);
   set.pass(5);
-  set.troubles_are_over();
+  set.faults_are_over();
   set.pass(150);
   EXPECT_EQ(set.broken(), Strings{});
 }
@@ -249,7 +249,7 @@
   int seeds = 0, quick = 0, cancelled = 0;
   each_seed([&](unsigned seed) {
     ++seeds;
-    Scale s;
+    ClusterOptions s;
     s.controllers = 2 + static_cast<int>(seed % 4);
     s.teams = 3;
     s.team_limit = 10;
@@ -257,7 +257,7 @@
     s.big_machines = 3;
     s.quick_boots_s = 2;
     s.list_lag_s = 3;
-    Set set(seed, s);
+    SimulatedCluster set(seed, s);
     auto& sim = set.sim();
     set.pass(12);
     std::vector<std::string> jobs;
@@ -269,8 +269,8 @@
       jobs.push_back(set.submit(j, sim.draw(5, j.cpus > s.team_limit / 2 ? 20 : 60)));
     }
     set.slow_state(sim.draw(0.2, 2.5), sim.draw(10, 60));
-    if (sim.chance(0.6)) set.scale().late_writes = sim.draw(0.1, 0.4);
-    if (sim.chance(0.6)) set.scale().lost_answers = sim.draw(0.1, 0.4);
+    if (sim.chance(0.6)) set.options().late_writes = sim.draw(0.1, 0.4);
+    if (sim.chance(0.6)) set.options().lost_answers = sim.draw(0.1, 0.4);
     const double ends = sim.draw(0.5, 10);
     const double cancels = sim.draw(0.5, 12);
     sim.at(sim.now() + ends, [&set, &sim] { set.kill(set.busiest(), sim.draw(0.05, 15)); });
@@ -299,10 +299,10 @@
   int seeds = 0, lost = 0;
   each_seed([&](unsigned seed) {
     ++seeds;
-    Scale s;
+    ClusterOptions s;
     s.controllers = 2 + static_cast<int>(seed % 4);
     s.machines = 8;
-    Set set(seed, s);
+    SimulatedCluster set(seed, s);
     auto& sim = set.sim();
     set.pass(12);
     for (int i = 0; i < 12; ++i) {
@@ -315,12 +315,12 @@
           j.zone = "b";
           break;
         case 2:
-          j.one_zone = true;
+          j.same_zone = true;
           break;
         default:
-          j.spread = true;
+          j.anti_affinity = true;
       }
-      j.one_zone |= j.zone && sim.chance(0.3);
+      j.same_zone |= j.zone && sim.chance(0.3);
       j.gang = sim.chance(0.15);
       set.submit(j, sim.draw(5, 40));
     }
@@ -349,11 +349,11 @@
   int seeds = 0, changes = 0, cancelled = 0;
   each_seed([&](unsigned seed) {
     ++seeds;
-    Scale s;
+    ClusterOptions s;
     s.controllers = 2 + static_cast<int>(seed % 3);
     s.team_limit = 12;
     s.machines = 5;
-    Set set(seed, s);
+    SimulatedCluster set(seed, s);
     auto& sim = set.sim();
     set.pass(12);
     // One team has it all at first; then the other one's work needs machines of the first.
@@ -374,7 +374,7 @@
         }
       for (int shard = 0; shard < s.controllers; ++shard) {
         int& was = owners[static_cast<std::size_t>(shard)];
-        const int is = set.owner(shard);
+        const int is = set.leader(shard);
         if (is != was) {
           ++changes;
           left = 12;
@@ -428,20 +428,20 @@
 // Classes of all bands, sizes and kinds, and four teams, draw more work than there is room, over
 // slow links.
 struct Overload {
-  Set set;
+  SimulatedCluster set;
   std::vector<Submitted> all;
   double from = 0;
-  static Scale scale(unsigned seed) {
-    Scale s;
+  static ClusterOptions scale(unsigned seed) {
+    ClusterOptions s;
     s.controllers = 2 + static_cast<int>(seed % 3);
     s.teams = 4;
     s.machines = 6;
     s.team_limit = 12;
     return s;
   }
-  double room() const { return set.scale().machines * set.scale().machine_cpus; }
+  double room() const { return set.options().machines * set.options().machine_cpus; }
   bool possible(const Submitted& j) const {
-    return test::possible(j, all, from, room(), set.scale().team_limit);
+    return test::possible(j, all, from, room(), set.options().team_limit);
   }
   bool begun(const Submitted& j, double within) const {
     const double at = set.begun_at(j.id);
@@ -449,9 +449,9 @@
   }
   explicit Overload(unsigned seed) : set(seed, scale(seed)) {
     auto& sim = set.sim();
-    const Scale& s = set.scale();
+    const ClusterOptions& s = set.options();
     set.pass(12);
-    set.scale().slow_links_s = sim.draw(0.05, 0.4);
+    set.options().slow_links_s = sim.draw(0.05, 0.4);
     from = sim.now();
     const double arrivals = 240;
     const double load = sim.draw(1.1, 1.7);  // of the room
@@ -464,10 +464,10 @@
     std::vector<Class> classes;
     for (int c = 0; c < 5; ++c) {
       Class k;
-      k.spec.cls = "class-" + std::to_string(c);
+      k.spec.job_class = "class-" + std::to_string(c);
       k.spec.priority = static_cast<wire::Priority>(c % wire::kPriorities);
       k.spec.gang = sim.chance(0.3);
-      k.spec.one_zone = sim.chance(0.2);
+      k.spec.same_zone = sim.chance(0.2);
       if (sim.chance(0.4)) {
         k.spec.checkpoint_s = sim.draw(5, 20);
         k.spec.save_s = sim.draw(1, 5);
@@ -488,10 +488,10 @@
       const double sizes[] = {0.5, 1, 1, 2, 2, 4};
       wire::JobSpec j =
           spec(kTeam[a_team(sim.rng())], 1 + sim.rng()() % k.tasks, sizes[sim.rng()() % 6]);
-      j.cls = k.spec.cls;
+      j.job_class = k.spec.job_class;
       j.priority = k.spec.priority;
       j.gang = k.spec.gang && j.tasks > 1 && j.tasks * j.cpus <= s.team_limit / 2;
-      j.one_zone = k.spec.one_zone;
+      j.same_zone = k.spec.same_zone;
       j.checkpoint_s = k.spec.checkpoint_s;
       j.save_s = k.spec.save_s;
       j.service = all.size() % 40 == 20;
@@ -501,7 +501,7 @@
       }
       j.estimate_s = k.run_s;
       Submitted sub;
-      sub.cls = j.cls;
+      sub.cls = j.job_class;
       sub.team = j.team;
       sub.priority = j.priority;
       sub.size = j.cpus * (j.gang ? j.tasks : 1);
@@ -516,7 +516,7 @@
       all.push_back(sub);
     }
     set.pass(kBegin + 10);
-    set.scale().slow_links_s = 0;
+    set.options().slow_links_s = 0;
   }
 };
 
@@ -573,7 +573,7 @@
       n.late += "\n" + j.id + " of " + j.team + ", band " +
                 std::to_string(static_cast<int>(k.priority)) + ", " + std::to_string(k.tasks) +
                 " of " + std::to_string(k.cpus) + (k.gang ? ", a gang" : "") +
-                (k.one_zone ? ", one zone" : "") + ", submitted at " + std::to_string(j.at) +
+                (k.same_zone ? ", one zone" : "") + ", submitted at " + std::to_string(j.at) +
                 ", begun at " + std::to_string(o.set.begun_at(j.id));
     }
     expect_half(largest);
--- a/tests/fault_combinations_state_test.cpp
+++ b/tests/fault_combinations_state_test.cpp
@@ -16,7 +16,7 @@
   std::vector<double> pages_at;  // when each was asked for
   int pages = 5;
   std::unique_ptr<state::Client> client;
-  std::unique_ptr<controller::Store> store;
+  std::unique_ptr<controller::StateStore> store;
   std::unique_ptr<net::Server> server;
 
   SlowPages() {
@@ -24,7 +24,7 @@
     s.node = "node-0";
     s.state = {"state", 1};
     sim.way = [](const simulation::Request&) {
-      simulation::Way w;
+      simulation::Delivery w;
       w.there_s = w.back_s = 0.8;
       return w;
     };
@@ -40,7 +40,7 @@
                     0});
         });
     client = std::make_unique<state::Client>(node.loop(), s);
-    store = std::make_unique<controller::Store>(node.loop(), s, *client);
+    store = std::make_unique<controller::StateStore>(node.loop(), s, *client);
   }
 };
 
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -17,7 +17,7 @@
 }();
 
 TEST(FaultCombinations, ACalmSetRunsEverything) {
-  Set set(1, Scale{});
+  SimulatedCluster set(1, ClusterOptions{});
   set.pass(15);
   for (int i = 0; i < 6; ++i) set.submit(spec(i % 2 ? "red" : "blue", 5), 10);
   set.pass(150);
@@ -36,10 +36,10 @@
 // the workers go on reporting to the leader. `told_cancel_s`: what the controllers take cancel_s
 // for.
 struct Gap {
-  Set set;
+  SimulatedCluster set;
   int cancelled = 0;
-  static Scale scale(unsigned seed, double told_cancel_s) {
-    Scale s;
+  static ClusterOptions scale(unsigned seed, double told_cancel_s) {
+    ClusterOptions s;
     s.controllers = 2 + static_cast<int>(seed % 4);
     s.told_cancel_s = told_cancel_s;
     return s;
@@ -51,7 +51,7 @@
     for (int i = 0; i < 8; ++i)
       jobs.push_back(set.submit(spec(i % 2 ? "red" : "blue", 1 + i % 3), sim.draw(90, 160)));
     set.pass(sim.draw(8, 25));
-    const int leader = set.owner(0);
+    const int leader = set.leader(0);
     const double lone = sim.draw(1, 14);  // until it is down for all
     if (leader < 0) return;
     set.refuse(leader, lone + sim.draw(0, 30));
@@ -61,15 +61,15 @@
       if (!sim.chance(0.8)) continue;
       ++cancelled;
       const int other =
-          (leader + 1 + static_cast<int>(sim.rng()() % (set.scale().controllers - 1))) %
-          set.scale().controllers;
+          (leader + 1 + static_cast<int>(sim.rng()() % (set.options().controllers - 1))) %
+          set.options().controllers;
       sim.at(sim.now() + sim.draw(first, lone),
              [this, id = jobs[i], other] { set.cancel(id, other); });
     }
     set.pass(lone);
-    const double down = set.scale().cancel_s + sim.draw(5, 30);
+    const double down = set.options().cancel_s + sim.draw(5, 30);
     set.outage(down);
-    if (sim.chance(0.3)) set.kill((leader + 1) % set.scale().controllers, sim.draw(0.05, 8));
+    if (sim.chance(0.3)) set.kill((leader + 1) % set.options().controllers, sim.draw(0.05, 8));
     if (sim.chance(0.2)) set.freeze(leader, sim.draw(1, 20));
     set.pass(down + 40);
   }
@@ -93,7 +93,7 @@
   for (double too_much : {1e6, 26.5}) {
     int broken = 0;
     for (unsigned seed = 1; seed <= 20; ++seed) {
-      Gap g(seed, Scale{}.cancel_s + too_much);
+      Gap g(seed, ClusterOptions{}.cancel_s + too_much);
       for (const auto& b : g.set.broken()) broken += b.find("ran_cancelled") != std::string::npos;
     }
     EXPECT_GT(broken, 0) << too_much;
@@ -109,15 +109,15 @@
   for (std::uint64_t turn = 1; turn <= 30; ++turn)
     for (double cut_s : {13.5, 14.5, 15.5}) {
       SCOPED_TRACE(std::to_string(turn) + ", " + std::to_string(cut_s));
-      Scale scale;
+      ClusterOptions scale;
       scale.controllers = 2;
       scale.machines = 12;
       scale.relay = false;
-      Set set(static_cast<unsigned>(turn), scale);
+      SimulatedCluster set(static_cast<unsigned>(turn), scale);
       set.pass(12);
       for (int i = 0; i < 4; ++i) set.submit(spec("red", 3), 120);
       set.pass(15);
-      const int old = set.owner(0);
+      const int old = set.leader(0);
       ASSERT_GE(old, 0);
       const std::string successor = "node-" + std::to_string(1 - old);
       const int there = set.machines();
@@ -133,9 +133,9 @@
           w.arrives = false;
         return w;
       };
-      set.cut(old, Set::state | Set::peers, cut_s);
+      set.cut(old, SimulatedCluster::state | SimulatedCluster::peers, cut_s);
       set.pass(cut_s - 0.05);
-      taken_over += set.acts(1 - old, 0);
+      taken_over += set.leads(1 - old, 0);
       // The first read that tells of the successor is on its way back.
       auto read = std::make_shared<bool>(false);
       set.sim().hold_answer = [hold = set.sim().hold_answer, &set, read, old,
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -14,14 +14,14 @@
 
 struct Node {
   explicit Node(const config::Settings& s) : world(s) {}
-  state::World world;
-  jobs::Pipelines pipelines{world};
+  state::StateCache world;
+  jobs::DependencyGraph pipelines{world};
   // The version that knows no jobs that await others: it reads past their keys and moves none.
   bool old = false;
-  std::unique_ptr<scheduler::Desk> scheduler;
+  std::unique_ptr<scheduler::ShardScheduler> scheduler;
   double fresh = 0;
   bool cut = false;  // from the state service alone
-  std::optional<wire::Txn> txn;
+  std::optional<wire::Transaction> txn;
   std::string tag;
 };
 
@@ -47,7 +47,7 @@
     w.name = "m-" + std::to_string(100000 + machines_++);
     w.zone = zone;
     w.last_ok = now_;
-    state::World now_there(s_);
+    state::StateCache now_there(s_);
     std::vector<state::Change> changes;
     store_.read(now_there, changes);
     // While builds of several state levels write, pages stand in either form.
@@ -58,18 +58,19 @@
 
   // What was deleted leaves the inventory sooner or later.
   void leave_roster() {
-    state::World w(s_);
+    state::StateCache w(s_);
     std::vector<state::Change> changes;
     store_.read(w, changes);
     std::map<int, std::vector<wire::MachineRecord>> pages;
-    for (const auto& name : deleted_) pages[state::roster_page(name)] = {};
-    wire::Txn t;
+    for (const auto& name : deleted_) pages[state::inventory_page(name)] = {};
+    wire::Transaction t;
     for (auto& [page, left] : pages) {
       for (const auto& m : w.inventory(page))
         if (!deleted_.contains(m.name)) left.push_back(m);
       t.ops.push_back(
-          {state::roster_key(page),
-           wire::encode_record(wire::RosterRecord{"t", left, static_cast<int>(rng_() % 2)}), 0});
+          {state::inventory_key(page),
+           wire::encode_record(wire::InventoryPageRecord{"t", left, static_cast<int>(rng_() % 2)}),
+           0});
     }
     store_.commit(t);
     deleted_.clear();
@@ -80,9 +81,9 @@
     std::vector<state::Change> changes;
     store_.read(n.world, changes);
     n.fresh = now_;
-    if (n.scheduler && n.world.owner(0).mod_revision != n.scheduler->token()) close(n);
+    if (n.scheduler && n.world.leader(0).mod_revision != n.scheduler->token()) close(n);
     for (const auto& ch : changes) {
-      if (ch.kind <= state::Change::waiting_gone) n.pipelines.note(ch.name);
+      if (ch.kind <= state::Change::waiting_gone) n.pipelines.key_changed(ch.name);
       if (!n.scheduler) continue;
       if (ch.kind == state::Change::job_set && n.world.job(ch.name))
         n.scheduler->job_added(n.world.job(ch.name)->record, 0, n.world.done(ch.name), now_, now_);
@@ -94,25 +95,25 @@
     }
     for (const auto& id : n.pipelines.take_changed())
       if (n.scheduler && !n.old && n.world.job(id)) {
-        auto u = n.pipelines.urgency(id, n.world.job(id)->record);
-        n.scheduler->job_urgency(id, u.priority, u.due);
+        auto u = n.pipelines.effective_priority(id, n.world.job(id)->record);
+        n.scheduler->set_effective_priority(id, u.priority, u.due);
       }
     // What has been read in full: no job below one that is cancelled is called queued.
     if (n.old) return;
     for (const auto& [id, e] : n.world.waiting())
       if (doomed(id)) {
-        ASSERT_NE(n.pipelines.standing(id), jobs::Pipelines::Standing::queued)
+        ASSERT_NE(n.pipelines.state_of(id), jobs::DependencyGraph::DependencyState::queued)
             << "orphaned: " << id;
       }
   }
   std::optional<bool> ended(const std::string& id) const {  // true: cancelled
-    auto it = store_.keys.find(state::final_key(id));
+    auto it = store_.keys.find(state::job_result_key(id));
     if (it == store_.keys.end()) return std::nullopt;
-    return wire::decode_final_record(it->second.value).cancelled;
+    return wire::decode_job_result(it->second.value).cancelled;
   }
   bool doomed(const std::string& id) const {
     if (auto f = ended(id)) return *f;
-    const auto& awaits = specs_.at(id).awaits;
+    const auto& awaits = specs_.at(id).dependencies;
     return std::any_of(awaits.begin(), awaits.end(),
                        [&](const std::string& a) { return doomed(a); });
   }
@@ -122,10 +123,11 @@
     if (n.old || n.cut) return;
     auto unread = n.pipelines.unread();
     for (const auto& id : unread)
-      if (auto f = ended(id); f && chance(0.7)) n.pipelines.ended(id, *f);
+      if (auto f = ended(id); f && chance(0.7)) n.pipelines.job_ended(id, *f);
     for (bool ready : {true, false}) {
-      auto m = jobs::moves(n.world, n.pipelines, ready, size_, now_, "t" + std::to_string(++tags_),
-                           [](const std::string&) { return true; });
+      auto m = jobs::state_transitions(n.world, n.pipelines, ready, size_, now_,
+                                       "t" + std::to_string(++tags_),
+                                       [](const std::string&) { return true; });
       if (m.txn.ops.empty() || chance(0.1)) continue;
       if (chance(0.1)) {
         late_.emplace_back(now_ + static_cast<double>(rng_() % 60), m.txn);
@@ -133,7 +135,7 @@
       }
       if (!store_.commit(m.txn)) continue;
       if (ready) ++made_ready_;
-      for (const auto& [id, f] : m.finals) cancelled_.try_emplace(id, now_);
+      for (const auto& [id, f] : m.results) cancelled_.try_emplace(id, now_);
     }
   }
   void close(Node& n) {
@@ -146,28 +148,29 @@
     sync(n);
     // The upgrade: a process comes back new, or, if it dies before its turn, old.
     n.old = now_ < 150 && chance(0.5);
-    wire::Txn t;
-    t.guards.emplace_back(state::owner_key(0), n.world.mod_revision(state::owner_key(0)));
+    wire::Transaction t;
+    t.preconditions.emplace_back(state::leader_key(0), n.world.mod_revision(state::leader_key(0)));
     t.ops.push_back(
-        {state::owner_key(0), wire::encode_record(wire::OwnerRecord{s_.nodes[i], "x"}), 0});
+        {state::leader_key(0), wire::encode_record(wire::LeaderRecord{s_.nodes[i], "x"}), 0});
     if (!store_.commit(t)) return;
     close(n);
     std::vector<state::Change> changes;
     store_.read(n.world, changes);
-    n.scheduler = std::make_unique<scheduler::Desk>(s_, tuning_, c_, 0,
-                                                    n.world.owner(0).mod_revision, now_, rng_());
+    n.scheduler = std::make_unique<scheduler::ShardScheduler>(
+        s_, tuning_, c_, 0, n.world.leader(0).mod_revision, now_, rng_());
     for (const auto& [id, j] : n.world.jobs())
       n.scheduler->job_added(j.record, 0, n.world.done(id), now_, now_);
     for (const auto& [name, m] : n.world.machines()) n.scheduler->machine_known(m, now_);
-    for (const auto& [k, page] : n.world.pages(0)) n.scheduler->inherit(k, page, now_);
+    for (const auto& [k, page] : n.world.placement_pages(0))
+      n.scheduler->recover_page(k, page, now_);
   }
   // As the controller does it: the same transaction is repeated until its fate is known.
   void pump(Node& n) {
     if (!n.scheduler || n.cut) return;
     if (!n.txn) {
       n.tag = "t" + std::to_string(++tags_);
-      n.scheduler->turn(now_);
-      n.txn = n.scheduler->next_txn(n.world, size_, n.tag, now_);
+      n.scheduler->run_scheduling_pass(now_);
+      n.txn = n.scheduler->next_transaction(n.world, size_, n.tag, now_);
       if (!n.txn) return;
     }
     if (chance(0.1)) return;  // lost on the way, or refused
@@ -187,9 +190,9 @@
           mod_revision = store_.mod_revision(op.key);
         }
     if (applied) {
-      wire::Txn t = *n.txn;
+      wire::Transaction t = *n.txn;
       n.txn.reset();
-      n.scheduler->txn_applied(now_);
+      n.scheduler->transaction_applied(now_);
       std::vector<state::Change> changes;
       for (const auto& op : t.ops) n.world.apply({op.key, op.value, mod_revision}, changes);
       sync(n);
@@ -197,69 +200,70 @@
       sync(n);
       if (!n.scheduler) return;
       n.txn.reset();
-      n.scheduler->txn_failed(now_);
+      n.scheduler->transaction_failed(now_);
     }
   }
 
   // Direct orders: carried out at once, lost, or held back and carried out much later if token
   // and incarnation still match; and their answers may be lost.
   void direct(Node& n) {
-    for (auto& d : n.scheduler->direct_orders(
+    for (auto& d : n.scheduler->direct_commands(
              now_ - n.fresh < 5, [](const std::string&) { return false; }, now_)) {
       if (chance(0.15)) {
         if (chance(0.7))
           loose_.push_back({now_ + static_cast<double>(rng_() % 90), n.scheduler->token(), d});
-        n.scheduler->direct_done(d, 0);
+        n.scheduler->direct_commands_done(d, 0);
         continue;
       }
       auto body = order(n.scheduler->token(), d);
       if (!body || chance(0.1)) {
-        n.scheduler->direct_done(d, 0);
+        n.scheduler->direct_commands_done(d, 0);
         continue;
       }
-      n.scheduler->direct_done(d, body->first);
-      n.scheduler->report(body->second, now_, true);
+      n.scheduler->direct_commands_done(d, body->first);
+      n.scheduler->take_heartbeat(body->second, now_, true);
     }
   }
-  std::optional<std::pair<int, wire::Report>> order(std::uint64_t token,
-                                                    const scheduler::Direct& d) {
+  std::optional<std::pair<int, wire::Heartbeat>> order(std::uint64_t token,
+                                                       const scheduler::DirectCommands& d) {
     auto it = std::find_if(workers_.begin(), workers_.end(),
                            [&](const Worker& w) { return w.name == d.machine; });
     if (it == workers_.end()) return std::nullopt;
     int status = 409;
-    if (token >= it->token && d.session == it->session) {
-      it->obey(token, d.commands, d.session, -1e9, now_, rng_);
+    if (token >= it->token && d.incarnation == it->session) {
+      it->obey(token, d.commands, d.incarnation, -1e9, now_, rng_);
       status = 200;
     }
     return std::pair(status, it->report());
   }
   void raise(Node& n) {
-    wire::Txn t;
-    t.guards.emplace_back(state::owner_key(0), n.scheduler->token());
+    wire::Transaction t;
+    t.preconditions.emplace_back(state::leader_key(0), n.scheduler->token());
     t.ops.push_back(
-        {state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", "raise"}), 0});
+        {state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", "raise"}), 0});
     auto rev = store_.commit(t);
     if (!rev) return;
-    n.scheduler->raise(*rev, now_);
+    n.scheduler->advance_token(*rev, now_);
     ++raises_;
     sync(n);
   }
 
-  void deliver(int target, const wire::Report& r, Worker* answer_to, double sent) {
+  void deliver(int target, const wire::Heartbeat& r, Worker* answer_to, double sent) {
     Node& n = *nodes_[target];
-    if (!n.scheduler || now_ - n.fresh >= s_.stale_s() || r.token > n.scheduler->token() ||
-        !n.scheduler->has_machine(r.machine) ||
-        n.scheduler->report(r, now_) == scheduler::Desk::Heard::unknown) {
+    if (!n.scheduler || now_ - n.fresh >= s_.staleness_bound_s() ||
+        r.token > n.scheduler->token() || !n.scheduler->has_machine(r.machine) ||
+        n.scheduler->take_heartbeat(r, now_) ==
+            scheduler::ShardScheduler::HeartbeatResult::unknown) {
       if (answer_to) answer_to->target = 1 - target;
       return;
     }
     pump(n);
     if (!n.scheduler) return;
-    auto commands = n.scheduler->orders(r.machine, now_ - n.fresh < 5, now_);
+    auto commands = n.scheduler->commands_for(r.machine, now_ - n.fresh < 5, now_);
     std::uint64_t token = n.scheduler->token();
     if (!answer_to || chance(0.1)) return;  // the answer is lost
     std::vector<wire::TaskId> before;
-    if (!answer_to->obey(token, commands, r.session, sent, now_, rng_)) return;
+    if (!answer_to->obey(token, commands, r.incarnation, sent, now_, rng_)) return;
   }
 
   void step() {
@@ -290,32 +294,32 @@
 
     if (now_ < 300 && chance(0.06)) {
       auto r = make_job(jobs_++, 1 + rng_() % 6, 1 + static_cast<double>(rng_() % 3));
-      r.spec.one_zone = chance(0.3);
-      r.spec.spread = !r.spec.one_zone && chance(0.3);
+      r.spec.same_zone = chance(0.3);
+      r.spec.anti_affinity = !r.spec.same_zone && chance(0.3);
       r.submitted_at = now_;
       std::vector<std::string> open;
       bool cancelled = false;
       if (chance(0.4) && !specs_.empty())
         for (int k = 0; k < 2; ++k) {
           auto it = std::next(specs_.begin(), static_cast<long>(rng_() % specs_.size()));
-          if (k == 1 && it->first == r.spec.awaits.front()) break;
-          r.spec.awaits.push_back(it->first);
+          if (k == 1 && it->first == r.spec.dependencies.front()) break;
+          r.spec.dependencies.push_back(it->first);
           auto f = ended(it->first);
           cancelled |= f && *f;
           if (!f) open.push_back(it->first);
         }
       specs_[r.spec.id] = r.spec;
       // The door: below a cancelled job it is over at once, and what is done is not awaited.
-      std::swap(r.spec.awaits, open);
-      wire::Txn t;
+      std::swap(r.spec.dependencies, open);
+      wire::Transaction t;
       if (cancelled) {
         cancelled_[r.spec.id] = now_;
-        t.ops.push_back({state::final_key(r.spec.id),
+        t.ops.push_back({state::job_result_key(r.spec.id),
                          wire::encode_record(wire::cancelled_record(r.spec, "door")), 0});
       } else {
-        t.ops.push_back(
-            {r.spec.awaits.empty() ? state::job_key(r.spec.id) : state::waiting_key(r.spec.id),
-             wire::encode_record(r), 0});
+        t.ops.push_back({r.spec.dependencies.empty() ? state::job_key(r.spec.id)
+                                                     : state::waiting_key(r.spec.id),
+                         wire::encode_record(r), 0});
       }
       store_.commit(t);
     }
@@ -324,14 +328,14 @@
     if (chance(0.01) && !specs_.empty()) {
       auto it = std::next(specs_.begin(), static_cast<long>(rng_() % specs_.size()));
       const std::string& id = it->first;
-      wire::FinalRecord f;
+      wire::JobResultRecord f;
       f.cancelled = true;
       const std::string key =
           store_.mod_revision(state::waiting_key(id)) ? state::waiting_key(id) : state::job_key(id);
-      wire::Txn t;
-      t.guards = {{key, store_.mod_revision(key)}, {state::final_key(id), 0}};
+      wire::Transaction t;
+      t.preconditions = {{key, store_.mod_revision(key)}, {state::job_result_key(id), 0}};
       t.ops.push_back({key, std::nullopt, 0});
-      t.ops.push_back({state::final_key(id), wire::encode_record(f), 0});
+      t.ops.push_back({state::job_result_key(id), wire::encode_record(f), 0});
       if (store_.mod_revision(key) && store_.commit(t)) cancelled_[id] = now_;
     }
 
@@ -342,17 +346,18 @@
       n->scheduler->tick(now_);
       pump(*n);
       if (n->scheduler) direct(*n);
-      if (n->scheduler && !n->cut && !n->txn && n->scheduler->wants_raise(now_)) raise(*n);
+      if (n->scheduler && !n->cut && !n->txn && n->scheduler->needs_new_token(now_)) raise(*n);
       if (n->scheduler && now_ - n->fresh < 5)
         for (const auto& p : n->scheduler->probes(now_))
-          n->scheduler->probed(
+          n->scheduler->probe_done(
               p.machine,
               chance(0.8) && std::any_of(workers_.begin(), workers_.end(),
                                          [&](auto& w) { return w.name == p.machine; }),
               now_);
       if (!n->scheduler) continue;
-      for (auto& w : n->scheduler->rent_wishes(now_)) n->scheduler->refused(w, 0, true, now_);
-      for (auto& name : n->scheduler->returns()) {
+      for (auto& w : n->scheduler->scale_out_requests(now_))
+        n->scheduler->rent_refused(w, 0, true, now_);
+      for (auto& name : n->scheduler->machines_to_return()) {
         if (chance(0.5)) {
           n->scheduler->return_failed(name);
           continue;
@@ -388,7 +393,7 @@
       auto it = std::find_if(workers_.begin(), workers_.end(),
                              [&](const Worker& w) { return w.name == name; });
       if (it == workers_.end() || !chance(0.3)) continue;
-      wire::Report r = it->report();
+      wire::Heartbeat r = it->report();
       if (chance(0.05)) continue;  // lost
       if (chance(0.05)) {          // held back: the worker has long given up on it
         held_.push_back({now_ + static_cast<double>(rng_() % 50), it->target, r});
@@ -415,7 +420,7 @@
         ASSERT_EQ(++where[name], 1) << "ran_twice: " << name << " at " << now_;
         cpus += specs_[t.id.job].cpus;
         ++zones[t.id.job][w.zone];
-        for (const auto& a : specs_[t.id.job].awaits)
+        for (const auto& a : specs_[t.id.job].dependencies)
           ASSERT_TRUE(ended(a) && !*ended(a)) << "too_early: " << name << " at " << now_;
         auto c = cancelled_.find(t.id.job);
         ASSERT_TRUE(c == cancelled_.end() || now_ - c->second <= s_.cancel_s)
@@ -424,10 +429,10 @@
     ASSERT_LE(cpus, 10.0 + 1e-9) << "quota at " << now_;
     for (const auto& [job, z] : zones) {
       const auto& spec = specs_[job];
-      if (spec.one_zone) {
+      if (spec.same_zone) {
         ASSERT_EQ(z.size(), 1u) << "wrong_place: " << job << " at " << now_;
       }
-      if (!spec.spread) continue;
+      if (!spec.anti_affinity) continue;
       for (const auto& [zone, n] : z) {
         ASSERT_LE(n, static_cast<int>((spec.tasks + 1) / 2)) << "wrong_place: " << job;
       }
@@ -435,8 +440,8 @@
     for (const auto& [key, e] : store_.keys) {
       if (!key.starts_with("fin/")) continue;
       std::string id = key.substr(4);
-      auto f = wire::decode_final_record(e.value);
-      bool below = std::any_of(specs_[id].awaits.begin(), specs_[id].awaits.end(),
+      auto f = wire::decode_job_result(e.value);
+      bool below = std::any_of(specs_[id].dependencies.begin(), specs_[id].dependencies.end(),
                                [&](const std::string& a) { return doomed(a); });
       ASSERT_EQ(f.cancelled, below || cancelled_.contains(id)) << "went_back: " << id;
       if (f.cancelled) continue;
@@ -449,25 +454,25 @@
   struct HeldReport {
     double at;
     int target;
-    wire::Report report;
+    wire::Heartbeat report;
   };
   struct LooseOrder {
     double at;
     std::uint64_t token;
-    scheduler::Direct direct;
+    scheduler::DirectCommands direct;
   };
   std::vector<LooseOrder> loose_;
   std::set<std::string> deleted_;
   std::size_t raises_ = 0, made_ready_ = 0;
-  state::Room size_;
+  state::TransactionLimits size_;
   std::mt19937 rng_;
   config::Settings s_;
   config::Tuning tuning_;
-  scheduler::Catalogue c_;
+  scheduler::MachineCatalogue c_;
   Store store_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<Worker> workers_;
-  std::vector<std::pair<double, wire::Txn>> late_;
+  std::vector<std::pair<double, wire::Transaction>> late_;
   std::vector<HeldReport> held_;
   std::map<std::string, wire::JobSpec> specs_;
   std::map<std::string, double> cancelled_;
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -16,78 +16,80 @@
 namespace shunttrail::test {
 namespace {
 
-using links::Detours;
-using links::Way;
+using relay::Decision;
+using relay::RelayRoutes;
 
 // Every report that is really sent is newer than the one before.
-Detours::Order order() {
+RelayRoutes::Order order() {
   static std::uint64_t seq = 0;
   return {1, ++seq};
 }
 
 TEST(RelayRoutes, AWorkerThatComesBackOpensOneForItsZoneAlone) {
-  Detours d;
-  EXPECT_EQ(d.way("m-1", order(), 0, 2, 10), Way::redirect);
-  EXPECT_EQ(d.way("m-2", order(), 0, 2, 11), Way::redirect);
-  EXPECT_EQ(d.way("m-1", order(), 0, 2, 15), Way::relay);
-  EXPECT_EQ(d.way("m-3", order(), 0, 2, 16), Way::relay);
-  EXPECT_EQ(d.way("m-4", order(), 1, 2, 16), Way::redirect);
-  EXPECT_EQ(d.way("m-5", order(), 0, 1, 16), Way::redirect);
+  RelayRoutes d;
+  EXPECT_EQ(d.decide("m-1", order(), 0, 2, 10), Decision::redirect);
+  EXPECT_EQ(d.decide("m-2", order(), 0, 2, 11), Decision::redirect);
+  EXPECT_EQ(d.decide("m-1", order(), 0, 2, 15), Decision::relay);
+  EXPECT_EQ(d.decide("m-3", order(), 0, 2, 16), Decision::relay);
+  EXPECT_EQ(d.decide("m-4", order(), 1, 2, 16), Decision::redirect);
+  EXPECT_EQ(d.decide("m-5", order(), 0, 1, 16), Decision::redirect);
   // Back after long: it has been there in between.
-  EXPECT_EQ(d.way("m-4", order(), 1, 2, 40), Way::redirect);
+  EXPECT_EQ(d.decide("m-4", order(), 1, 2, 40), Decision::redirect);
 }
 
 TEST(RelayRoutes, TrialsEndItOnceAWorkerStaysAway) {
-  Detours d;
-  d.way("m-1", order(), 0, 2, 10);
-  d.way("m-1", order(), 0, 2, 15);
-  EXPECT_EQ(d.way("m-2", order(), 0, 2, 18.5), Way::redirect);  // on trial
-  EXPECT_EQ(d.way("m-3", order(), 0, 2, 19), Way::relay);
-  EXPECT_EQ(d.way("m-2", order(), 0, 2, 23), Way::relay);  // back: still cut
-  EXPECT_EQ(d.way("m-3", order(), 0, 2, 24), Way::relay);
-  EXPECT_EQ(d.way("m-3", order(), 0, 2, 30), Way::redirect);  // on trial
-  EXPECT_EQ(d.way("m-1", order(), 0, 2, 36), Way::relay);
-  EXPECT_EQ(d.way("m-1", order(), 0, 2, 38), Way::redirect);  // m-3 stayed there
+  RelayRoutes d;
+  d.decide("m-1", order(), 0, 2, 10);
+  d.decide("m-1", order(), 0, 2, 15);
+  EXPECT_EQ(d.decide("m-2", order(), 0, 2, 18.5), Decision::redirect);  // on trial
+  EXPECT_EQ(d.decide("m-3", order(), 0, 2, 19), Decision::relay);
+  EXPECT_EQ(d.decide("m-2", order(), 0, 2, 23), Decision::relay);  // back: still cut
+  EXPECT_EQ(d.decide("m-3", order(), 0, 2, 24), Decision::relay);
+  EXPECT_EQ(d.decide("m-3", order(), 0, 2, 30), Decision::redirect);  // on trial
+  EXPECT_EQ(d.decide("m-1", order(), 0, 2, 36), Decision::relay);
+  EXPECT_EQ(d.decide("m-1", order(), 0, 2, 38), Decision::redirect);  // m-3 stayed there
   EXPECT_TRUE(d.open().empty());
 }
 
 TEST(RelayRoutes, AnOwnerThatDoesNotAnswerIsNotAskedAtOnceAgain) {
-  Detours d;
-  d.way("m-1", order(), 0, 2, 10);
-  EXPECT_EQ(d.way("m-1", order(), 0, 2, 15), Way::relay);
-  d.passed(2, false, 17.5);
-  EXPECT_EQ(d.way("m-2", order(), 0, 2, 18), Way::refuse);
-  EXPECT_EQ(d.way("m-2", order(), 0, 2, 19.6), Way::redirect);  // a trial is due
-  EXPECT_EQ(d.way("m-1", order(), 0, 2, 19.7), Way::relay);
-  d.passed(2, true, 19.8);
-  EXPECT_EQ(d.way("m-1", order(), 0, 2, 19.9), Way::relay);
-  d.cannot(2, 20);
+  RelayRoutes d;
+  d.decide("m-1", order(), 0, 2, 10);
+  EXPECT_EQ(d.decide("m-1", order(), 0, 2, 15), Decision::relay);
+  d.relayed(2, false, 17.5);
+  EXPECT_EQ(d.decide("m-2", order(), 0, 2, 18), Decision::refuse);
+  EXPECT_EQ(d.decide("m-2", order(), 0, 2, 19.6), Decision::redirect);  // a trial is due
+  EXPECT_EQ(d.decide("m-1", order(), 0, 2, 19.7), Decision::relay);
+  d.relayed(2, true, 19.8);
+  EXPECT_EQ(d.decide("m-1", order(), 0, 2, 19.9), Decision::relay);
+  d.unavailable(2, 20);
   EXPECT_TRUE(d.open().empty());
-  for (double at : {20.5, 24.0, 28.0}) EXPECT_EQ(d.way("m-1", order(), 0, 2, at), Way::redirect);
+  for (double at : {20.5, 24.0, 28.0})
+    EXPECT_EQ(d.decide("m-1", order(), 0, 2, at), Decision::redirect);
 }
 
 // Copies of reports come late: one that had been sent away before looked like a worker that had
 // come back, and every report of its zone took a hop.
 TEST(RelayRoutes, ACopyOpensNothingAndEndsNoTrial) {
-  Detours d;
-  EXPECT_EQ(d.way("m-1", {1, 7}, 0, 2, 10), Way::redirect);
-  EXPECT_EQ(d.way("m-1", {1, 7}, 0, 2, 12), Way::redirect);
-  EXPECT_EQ(d.way("m-1", {1, 5}, 0, 2, 13), Way::redirect);
+  RelayRoutes d;
+  EXPECT_EQ(d.decide("m-1", {1, 7}, 0, 2, 10), Decision::redirect);
+  EXPECT_EQ(d.decide("m-1", {1, 7}, 0, 2, 12), Decision::redirect);
+  EXPECT_EQ(d.decide("m-1", {1, 5}, 0, 2, 13), Decision::redirect);
   EXPECT_TRUE(d.open().empty());
-  EXPECT_EQ(d.way("m-1", {1, 8}, 0, 2, 14), Way::relay);
-  EXPECT_EQ(d.way("m-2", {4, 1}, 0, 2, 18.5), Way::redirect);  // on trial
-  EXPECT_EQ(d.way("m-2", {3, 9}, 0, 2, 19), Way::relay);       // a copy of an earlier incarnation
-  EXPECT_EQ(d.open().begin()->second.on_trial, "m-2");
-  EXPECT_EQ(d.way("m-2", {5, 1}, 0, 2, 20), Way::relay);  // itself, in a new incarnation
-  EXPECT_EQ(d.open().begin()->second.on_trial, "");
+  EXPECT_EQ(d.decide("m-1", {1, 8}, 0, 2, 14), Decision::relay);
+  EXPECT_EQ(d.decide("m-2", {4, 1}, 0, 2, 18.5), Decision::redirect);  // on trial
+  EXPECT_EQ(d.decide("m-2", {3, 9}, 0, 2, 19),
+            Decision::relay);  // a copy of an earlier incarnation
+  EXPECT_EQ(d.open().begin()->second.probing, "m-2");
+  EXPECT_EQ(d.decide("m-2", {5, 1}, 0, 2, 20), Decision::relay);  // itself, in a new incarnation
+  EXPECT_EQ(d.open().begin()->second.probing, "");
 }
 
 TEST(RelayRoutes, WhatNobodyComesByIsForgotten) {
-  Detours d;
-  for (int i = 0; i < 500; ++i) d.way("m-" + std::to_string(i), order(), 0, 2, 10);
-  d.way("m-1", order(), 0, 2, 12);
+  RelayRoutes d;
+  for (int i = 0; i < 500; ++i) d.decide("m-" + std::to_string(i), order(), 0, 2, 10);
+  d.decide("m-1", order(), 0, 2, 12);
   EXPECT_EQ(d.open().size(), 1u);
-  d.way("m-x", order(), 1, 0, 100);
+  d.decide("m-x", order(), 1, 0, 100);
   EXPECT_TRUE(d.open().empty());
   EXPECT_EQ(d.remembered(), 1u);
 }
@@ -139,10 +141,10 @@
         w.at = w.at % 2 + 1;
         continue;
       }
-      auto way = Way::redirect;
+      auto way = Decision::redirect;
       if (w.at != 0 && relays_)
-        way = nodes_[w.at].way("m-" + std::to_string(i), order(), w.zone, 0, now_);
-      if (w.at == 0 || way == Way::relay) {
+        way = nodes_[w.at].decide("m-" + std::to_string(i), order(), w.zone, 0, now_);
+      if (w.at == 0 || way == Decision::relay) {
         w.answered = now_;
         w.next = now_ + 4 + draw(2);
       } else {
@@ -154,7 +156,7 @@
   std::mt19937 rng_;
   bool relays_;
   std::vector<Worker> workers_;
-  std::map<int, Detours> nodes_;
+  std::map<int, RelayRoutes> nodes_;
   double now_ = 0;
   int lost_ = 0;
   bool at_home_at_end_ = true;
@@ -182,20 +184,20 @@
   auto steps = *rc::gen::container<std::vector<std::tuple<int, int, int, int>>>(
       200, rc::gen::tuple(rc::gen::inRange(0, 12), rc::gen::inRange(-1, 2), rc::gen::inRange(0, 3),
                           rc::gen::inRange(0, 40)));
-  Detours d;
+  RelayRoutes d;
   double now = 0;
   std::map<std::tuple<int, int>, double> redirected;  // machine, owner
   for (auto [machine, zone, owner, past] : steps) {
     now += past / 10.0;
     const bool was = d.open().contains({owner, zone});
-    Way w = d.way("m-" + std::to_string(machine), order(), zone, owner, now);
-    if (w != Way::redirect && !was) {
+    Decision w = d.decide("m-" + std::to_string(machine), order(), zone, owner, now);
+    if (w != Decision::redirect && !was) {
       auto at = redirected.find({machine, owner});
       const bool came_back = at != redirected.end() && now - at->second <= 13;
       RC_ASSERT(came_back);
     }
-    if (w == Way::redirect) redirected[{machine, owner}] = now;
-    if (past % 7 == 0) d.passed(owner, past % 2 == 0, now);
+    if (w == Decision::redirect) redirected[{machine, owner}] = now;
+    if (past % 7 == 0) d.relayed(owner, past % 2 == 0, now);
     RC_ASSERT(d.open().size() <= 9u);
     RC_ASSERT(d.remembered() <= 12u);
   }
@@ -205,25 +207,25 @@
 
 TEST(Passed, ItsFormIsTheRecordedOneAndOthersAreNotGuessedAt) {
   const std::string report = R"({"engine":"m-000231"})";
-  const std::string bytes = peer::encode(peer::Passed{1, 2, report});
+  const std::string bytes = peer::encode(peer::RelayedHeartbeat{1, 2, report});
   EXPECT_EQ(bytes.substr(0, 17), std::string("\1\1\0\0\0\2\0\0\0\x15\0\0\0\0\0\0\0", 17));
   EXPECT_EQ(bytes.substr(17), report);
-  auto p = peer::decode_passed(bytes, 3);
+  auto p = peer::decode_relayed(bytes, 3);
   ASSERT_TRUE(p);
   EXPECT_EQ(p->node, 2);
-  EXPECT_EQ(p->report, report);
-  EXPECT_FALSE(peer::decode_passed(bytes, 2));
+  EXPECT_EQ(p->heartbeat, report);
+  EXPECT_FALSE(peer::decode_relayed(bytes, 2));
   std::string other = bytes;
   other[1] = 2;
-  EXPECT_FALSE(peer::decode_passed(other, 3));
+  EXPECT_FALSE(peer::decode_relayed(other, 3));
   // A heartbeat is no report, and a report no heartbeat.
   EXPECT_FALSE(peer::decode(bytes, 3));
 }
 RC_GTEST_PROP(Passed, GarbageIsRefused, (std::string bytes, std::string report)) {
-  auto p = peer::decode_passed(bytes, 3);
-  if (p) RC_ASSERT(p->report.size() + 17 == bytes.size());
-  auto back = peer::decode_passed(peer::encode(peer::Passed{1, 0, report}), 3);
-  RC_ASSERT(back && back->report == report);
+  auto p = peer::decode_relayed(bytes, 3);
+  if (p) RC_ASSERT(p->heartbeat.size() + 17 == bytes.size());
+  auto back = peer::decode_relayed(peer::encode(peer::RelayedHeartbeat{1, 0, report}), 3);
+  RC_ASSERT(back && back->heartbeat == report);
 }
 
 // A worker, a node that passes its reports on, and the owner, over sockets on loopback.
@@ -236,8 +238,8 @@
   std::vector<net::ExchangePtr> held;
   std::vector<std::string> reports;
   std::unique_ptr<state::Client> client;
-  std::unique_ptr<controller::Parts> parts;
-  std::unique_ptr<controller::Relay> relay;
+  std::unique_ptr<controller::ControllerComponents> parts;
+  std::unique_ptr<controller::HeartbeatRelay> relay;
   std::unique_ptr<net::Server> front, owner;
   std::unique_ptr<net::Client> worker;
 
@@ -245,23 +247,21 @@
     t.relay = true;
     s.peers.push_back({s.nodes[2], "b", {"127.0.0.1", owner_port}});
     client = std::make_unique<state::Client>(loop, s);
-    parts.reset(new controller::Parts{s, t, *client});
-    relay = std::make_unique<controller::Relay>(loop, *parts);
+    parts.reset(new controller::ControllerComponents{s, t, *client});
+    relay = std::make_unique<controller::HeartbeatRelay>(loop, *parts);
     front = std::make_unique<net::Server>(
         loop, config::Endpoint{"127.0.0.1", front_port}, 64 * 1024,
-        [this](net::ExchangePtr ex) { relay->report(ex, "m-1", order(), 0, 2); });
-    owner = std::make_unique<net::Server>(loop, config::Endpoint{"127.0.0.1", owner_port},
-                                          65 * 1024, [this](net::ExchangePtr ex) {
-                                            EXPECT_EQ(ex->path, "/peer/report");
-                                            if (owner_says == 0)
-                                              return held.push_back(ex);  // stands still
-                                            if (owner_says != 200)
-                                              return ex->send({owner_says, "{}", 0});
-                                            relay->heard(ex, [this](net::ExchangePtr report) {
-                                              reports.push_back(report->body);
-                                              report->send({200, R"({"staff":5,"orders":[]})", 0});
-                                            });
-                                          });
+        [this](net::ExchangePtr ex) { relay->route_heartbeat(ex, "m-1", order(), 0, 2); });
+    owner = std::make_unique<net::Server>(
+        loop, config::Endpoint{"127.0.0.1", owner_port}, 65 * 1024, [this](net::ExchangePtr ex) {
+          EXPECT_EQ(ex->path, "/peer/report");
+          if (owner_says == 0) return held.push_back(ex);  // stands still
+          if (owner_says != 200) return ex->send({owner_says, "{}", 0});
+          relay->handle_relayed(ex, [this](net::ExchangePtr report) {
+            reports.push_back(report->body);
+            report->send({200, R"({"staff":5,"orders":[]})", 0});
+          });
+        });
     worker = std::make_unique<net::Client>(loop, config::Endpoint{"127.0.0.1", front_port}, 1, 4);
   }
   ~Pass() { held.clear(); }  // while their server is there
--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -26,7 +26,7 @@
   std::map<std::uint64_t, Hold> holds;
   std::uint64_t next = 1;
 
-  std::optional<std::uint64_t> commit(const wire::Txn& t) {
+  std::optional<std::uint64_t> commit(const wire::Transaction& t) {
     for (const auto& op : t.ops)
       if (op.lease && !holds.contains(op.lease)) return std::nullopt;
     auto revision = store.commit(t);
@@ -43,7 +43,7 @@
         ++it;
         continue;
       }
-      wire::Txn t;
+      wire::Transaction t;
       for (const auto& k : it->second.keys) t.ops.push_back({k, std::nullopt, 0});
       it = holds.erase(it);
       if (!t.ops.empty()) store.commit(t);
@@ -62,8 +62,8 @@
   struct Process {
     int node = 0;
     config::Settings settings;
-    std::unique_ptr<state::World> world;
-    std::unique_ptr<shard::Ownership> ownership;
+    std::unique_ptr<state::StateCache> world;
+    std::unique_ptr<shard::LeaderElection> ownership;
     std::uint64_t id = 0, boot = 0, hold = 0, mine = 0, tags = 0;
     bool asked_hold = false, registering = false;
     double read_at = 0, renew_at = 0, born = 0, displaced_after = 0;
@@ -78,8 +78,8 @@
     p->settings = base_;
     p->settings.self = node;
     p->settings.node = base_.nodes[static_cast<std::size_t>(node)];
-    p->world = std::make_unique<state::World>(p->settings);
-    p->ownership = std::make_unique<shard::Ownership>(p->settings);
+    p->world = std::make_unique<state::StateCache>(p->settings);
+    p->ownership = std::make_unique<shard::LeaderElection>(p->settings);
     p->id = ++ids_;
     p->born = now_;
     p->read_at = now_ + 0.1;
@@ -106,7 +106,7 @@
     return std::any_of(live_.begin(), live_.end(), [&](const auto& p) {
       return p->acts[static_cast<std::size_t>(shard)] != 0 &&
              p->acts[static_cast<std::size_t>(shard)] ==
-                 service_.store.mod_revision(state::owner_key(shard));
+                 service_.store.mod_revision(state::leader_key(shard));
     });
   }
   bool all_served() const {
@@ -141,7 +141,7 @@
     const double delay = chance(late_) ? 0.2 + draw(200) / 10.0 : 0.01;
     sent_.push_back({now_ + delay, std::move(arrive)});
   }
-  void commit(const ProcessPtr& p, wire::Txn t,
+  void commit(const ProcessPtr& p, wire::Transaction t,
               std::function<void(std::optional<std::uint64_t>)> done) {
     ++commits_;
     send([this, p, t = std::move(t), done = std::move(done)] {
@@ -186,7 +186,7 @@
       if (!p->asked_hold) ask_hold(p);
       return;
     }
-    const std::uint64_t stands = p->world->node_stamp(p->node);
+    const std::uint64_t stands = p->world->node_revision(p->node);
     if (!p->registering && (!p->mine || stands != p->mine) &&
         (!stands || now_ >= p->displaced_after)) {
       p->displaced_after = now_ + 1;
@@ -216,7 +216,8 @@
     });
   }
   void enroll(const ProcessPtr& p) {
-    auto t = schema::enroll(p->world->levels(), p->settings.node, p->boot, schema::here(), p->hold);
+    auto t = schema::enroll(p->world->schema(), p->settings.node, p->boot, schema::current_build(),
+                            p->hold);
     if (!t) return;
     p->registering = true;
     commit(p, *t, [this, p](std::optional<std::uint64_t> revision) {
@@ -228,14 +229,14 @@
   }
   void decide(const ProcessPtr& p, int shard) {
     const auto k = static_cast<std::size_t>(shard);
-    if (p->acts[k] && p->world->owner(shard).mod_revision != p->acts[k]) {
+    if (p->acts[k] && p->world->leader(shard).mod_revision != p->acts[k]) {
       p->spent[k] = p->acts[k];
       p->acts[k] = 0;
     }
     if (p->moving[k]) return;
-    shard::Move m = p->ownership->decide(*p->world, shard, now_, p->spent[k]);
-    if (m.kind == shard::Move::none) return;
-    if (m.kind == shard::Move::act) {
+    shard::LeadershipMove m = p->ownership->decide(*p->world, shard, now_, p->spent[k]);
+    if (m.kind == shard::LeadershipMove::none) return;
+    if (m.kind == shard::LeadershipMove::lead) {
       p->acts[k] = m.token;
       // The rule: a token belongs to one process, for good. Its attempts are numbered by it.
       auto [it, fresh] = acted_.try_emplace({shard, m.token}, p->id);
@@ -243,17 +244,17 @@
           << "two processes act for shard " << shard << " under " << m.token << " at " << now_;
       return;
     }
-    if (m.kind == shard::Move::hand_over) {
+    if (m.kind == shard::LeadershipMove::hand_over) {
       p->spent[k] = p->acts[k];
       p->acts[k] = 0;
     }
-    const int to = m.kind == shard::Move::take ? p->node : m.to;
-    wire::Txn t;
-    t.guards = m.guards;
+    const int to = m.kind == shard::LeadershipMove::take ? p->node : m.to;
+    wire::Transaction t;
+    t.preconditions = m.preconditions;
     t.ops.push_back(
-        {state::owner_key(shard),
-         wire::encode_record(wire::OwnerRecord{base_.nodes[static_cast<std::size_t>(to)],
-                                               p->tags_begin() + "a" + std::to_string(++p->tags)}),
+        {state::leader_key(shard),
+         wire::encode_record(wire::LeaderRecord{base_.nodes[static_cast<std::size_t>(to)],
+                                                p->tags_begin() + "a" + std::to_string(++p->tags)}),
          0});
     p->moving[k] = true;
     commit(p, std::move(t), [this, p, k](std::optional<std::uint64_t>) {
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -11,28 +11,29 @@
  public:
   config::Settings s = make_settings(1);
   config::Tuning t;
-  scheduler::Catalogue c = make_catalogue(s);
+  scheduler::MachineCatalogue c = make_catalogue(s);
   Store store;
-  state::World w{s};
-  std::unique_ptr<scheduler::Desk> scheduler;
+  state::StateCache w{s};
+  std::unique_ptr<scheduler::ShardScheduler> scheduler;
   std::map<std::string, Worker> workers;
   std::mt19937 rng{5};
 
   Site() {
     s.teams[0].cpus_max = config::team_limit(0);
-    s.report_s = 10;
+    s.heartbeat_s = 10;
     s.lease_s = 45;
     s.cancel_s = 75;
     take(0);
   }
   void take(double now) {
     store.commit(
-        {{}, {{state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", "x"}), 0}}});
+        {{}, {{state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", "x"}), 0}}});
     read();
-    scheduler = std::make_unique<scheduler::Desk>(s, t, c, 0, w.owner(0).mod_revision, now, 7);
+    scheduler =
+        std::make_unique<scheduler::ShardScheduler>(s, t, c, 0, w.leader(0).mod_revision, now, 7);
     for (const auto& [id, j] : w.jobs()) scheduler->job_added(j.record, 0, w.done(id), now, now);
     for (const auto& [name, m] : w.machines()) scheduler->machine_known(m, now);
-    for (const auto& [k, page] : w.pages(0)) scheduler->inherit(k, page, now);
+    for (const auto& [k, page] : w.placement_pages(0)) scheduler->recover_page(k, page, now);
   }
   void read() {
     std::vector<state::Change> ch;
@@ -43,7 +44,7 @@
     store.commit(roster_txn(w, {r}));
     read();
     scheduler->machine_known(r, now);
-    scheduler->machine_addr(name, "10.0.0.1:1");
+    scheduler->set_machine_address(name, "10.0.0.1:1");
     Worker k;
     k.name = name;
     k.zone = zone;
@@ -69,24 +70,25 @@
     return r;
   }
   void commit(double now) {
-    scheduler->turn(now);
-    while (auto txn = scheduler->next_txn(w, state::Room{}, "t", now)) {
-      if (!store.commit(*txn)) return scheduler->txn_failed(now);
+    scheduler->run_scheduling_pass(now);
+    while (auto txn = scheduler->next_transaction(w, state::TransactionLimits{}, "t", now)) {
+      if (!store.commit(*txn)) return scheduler->transaction_failed(now);
       read();
-      scheduler->txn_applied(now);
+      scheduler->transaction_applied(now);
     }
   }
   // `losing responses`: the answer does not get there.
-  scheduler::Desk::Heard report(const std::string& name, double now, bool deaf = false) {
+  scheduler::ShardScheduler::HeartbeatResult report(const std::string& name, double now,
+                                                    bool deaf = false) {
     Worker& k = workers.at(name);
     k.lease(now, s.lease_s);
     auto r = k.report();
     r.spot = false;
-    auto heard = scheduler->report(r, now);
-    if (heard != scheduler::Desk::Heard::fresh) return heard;
+    auto heard = scheduler->take_heartbeat(r, now);
+    if (heard != scheduler::ShardScheduler::HeartbeatResult::fresh) return heard;
     commit(now);
-    auto commands = scheduler->orders(name, true, now);
-    if (!deaf) k.obey(scheduler->token(), commands, r.session, now, now, rng);
+    auto commands = scheduler->commands_for(name, true, now);
+    if (!deaf) k.obey(scheduler->token(), commands, r.incarnation, now, now, rng);
     return heard;
   }
   void all_report(double now, const std::set<std::string>& but = {}) {
@@ -121,7 +123,8 @@
     all_report(now);
     scheduler->tick(now);
     commit(now);
-    for (const auto& r : scheduler->rent_wishes(now)) scheduler->refused(r, 0, true, now);
+    for (const auto& r : scheduler->scale_out_requests(now))
+      scheduler->rent_refused(r, 0, true, now);
   }
   void end(const std::string& name, const std::string& job) {
     for (auto& k : workers.at(name).tasks)
@@ -130,7 +133,8 @@
   // Each is asked; the dead do not answer.
   std::size_t probe(double now, const std::set<std::string>& dead) {
     auto list = scheduler->probes(now);
-    for (const auto& p : list) scheduler->probed(p.machine, !dead.contains(p.machine), now + 0.1);
+    for (const auto& p : list)
+      scheduler->probe_done(p.machine, !dead.contains(p.machine), now + 0.1);
     return list.size();
   }
 };
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -36,15 +36,15 @@
       if (now_ == 40) desk_.reset(), txn_.reset();  // killed, a commit perhaps under way
       if (now_ == 46) take();
       step();
-      if (store_.mod_revision(state::final_key("run-100001")) &&
-          store_.mod_revision(state::final_key("run-100002")))
+      if (store_.mod_revision(state::job_result_key("run-100001")) &&
+          store_.mod_revision(state::job_result_key("run-100002")))
         return;
     }
   }
   double now() const { return now_; }
   std::size_t changes() const { return changes_; }
   std::size_t longest() const { return longest_; }
-  bool over() const { return store_.mod_revision(state::final_key("run-100001")) != 0; }
+  bool over() const { return store_.mod_revision(state::job_result_key("run-100001")) != 0; }
 
   static constexpr int kMachines = 250;
 
@@ -59,19 +59,21 @@
   }
   void take() {
     store_.commit(
-        {{}, {{state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", "x"}), 0}}});
+        {{}, {{state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", "x"}), 0}}});
     sync();
-    desk_ = std::make_unique<scheduler::Desk>(s_, tuning_, c_, 0, world_.owner(0).mod_revision,
-                                              now_, rng_());
+    desk_ = std::make_unique<scheduler::ShardScheduler>(
+        s_, tuning_, c_, 0, world_.leader(0).mod_revision, now_, rng_());
     for (const auto& [id, j] : world_.jobs())
       desk_->job_added(j.record, 0, world_.done(id), now_, now_);
     for (const auto& [name, m] : world_.machines()) desk_->machine_known(m, now_);
-    for (const auto& [k, page] : world_.pages(0)) desk_->inherit(k, page, now_);
+    for (const auto& [k, page] : world_.placement_pages(0)) desk_->recover_page(k, page, now_);
   }
   // Two commits a second at most, as a controller's share of a slow state service.
   void commits() {
     for (int i = 0; i < 2 && desk_; ++i) {
-      if (!txn_) txn_ = desk_->next_txn(world_, state::Room{}, "t" + std::to_string(++tags_), now_);
+      if (!txn_)
+        txn_ = desk_->next_transaction(world_, state::TransactionLimits{},
+                                       "t" + std::to_string(++tags_), now_);
       if (!txn_) return;
       if (chance(0.15)) return;  // refused: the same one again, later
       for (const auto& op : txn_->ops) {
@@ -79,19 +81,19 @@
         if (op.value) longest_ = std::max(longest_, op.value->size());
       }
       ASSERT_LE(txn_->ops.size(), static_cast<std::size_t>(s_.state_limits.txn_ops));
-      ASSERT_LE(txn_->guards.size(), static_cast<std::size_t>(s_.state_limits.txn_ops) * 4);
+      ASSERT_LE(txn_->preconditions.size(), static_cast<std::size_t>(s_.state_limits.txn_ops) * 4);
       ASSERT_TRUE(store_.commit(*txn_));
       txn_.reset();
-      desk_->txn_applied(now_);
+      desk_->transaction_applied(now_);
       sync();
     }
   }
   void step() {
     if (desk_) {
       desk_->tick(now_);
-      desk_->turn(now_);
-      for (auto& w : desk_->rent_wishes(now_)) desk_->refused(w, 0, true, now_);
-      for (auto& name : desk_->returns()) desk_->return_failed(name);
+      desk_->run_scheduling_pass(now_);
+      for (auto& w : desk_->scale_out_requests(now_)) desk_->rent_refused(w, 0, true, now_);
+      for (auto& name : desk_->machines_to_return()) desk_->return_failed(name);
     }
     commits();
     for (auto& w : workers_) {
@@ -104,10 +106,11 @@
         }
       if (!desk_ || !chance(0.4) || chance(0.05)) continue;  // not yet, or lost
       auto r = w.report();
-      if (r.token > desk_->token() || desk_->report(r, now_) != scheduler::Desk::Heard::fresh)
+      if (r.token > desk_->token() ||
+          desk_->take_heartbeat(r, now_) != scheduler::ShardScheduler::HeartbeatResult::fresh)
         continue;
-      auto commands = desk_->orders(w.name, true, now_);
-      if (!chance(0.05)) w.obey(desk_->token(), commands, r.session, now_, now_, rng_);
+      auto commands = desk_->commands_for(w.name, true, now_);
+      if (!chance(0.05)) w.obey(desk_->token(), commands, r.incarnation, now_, now_, rng_);
     }
     check();
   }
@@ -123,7 +126,7 @@
       }
     ASSERT_LE(cpus, 900 + 1e-9) << "quota at " << now_;
     for (const auto& [id, spec] : jobs_)
-      if (store_.mod_revision(state::final_key(id))) {
+      if (store_.mod_revision(state::job_result_key(id))) {
         for (std::uint32_t i = 0; i < spec.tasks; ++i)
           ASSERT_TRUE(done_.contains(id + "/" + std::to_string(i))) << "not_done";
       }
@@ -132,11 +135,11 @@
   std::mt19937 rng_;
   config::Settings s_;
   config::Tuning tuning_;
-  scheduler::Catalogue c_;
+  scheduler::MachineCatalogue c_;
   Store store_;
-  state::World world_{s_};
-  std::unique_ptr<scheduler::Desk> desk_;
-  std::optional<wire::Txn> txn_;
+  state::StateCache world_{s_};
+  std::unique_ptr<scheduler::ShardScheduler> desk_;
+  std::optional<wire::Transaction> txn_;
   std::vector<Worker> workers_;
   std::map<std::string, wire::JobSpec> jobs_;
   std::set<std::string> done_;
--- a/tests/schema_test.cpp
+++ b/tests/schema_test.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 using schema::Build;
-using schema::Record;
 using schema::Step;
-using schema::View;
+using schema::StoredView;
+using schema::VersionRecord;
 
 wire::Event event(const std::string& value) { return {"", value, 0}; }
 
@@ -31,8 +31,8 @@
     R"({"m":{"m-000007":["g8","b",0,0,0],"m-000231":["g8","a",1,2,431],"m-000232":["g8","a",1,2,431]},"t":[1733000000,[35,null,0]],"w":"railhead-1.9.2"})";
 
 TEST(Schema, StoredFormsAreTheRecordedOnes) {
-  Record r = schema::decode_record(event(kRecord));
-  EXPECT_EQ(r, (Record{1, 0, 1, "railhead-0.9.l1"}));
+  VersionRecord r = schema::decode_record(event(kRecord));
+  EXPECT_EQ(r, (VersionRecord{1, 0, 1, "railhead-0.9.l1"}));
   EXPECT_EQ(schema::encode(r), kRecord);
   auto o = schema::decode_orders(event(kOrders));
   EXPECT_EQ(o, (schema::Orders{1, {"railhead-2"}, "railhead-0.9.l2"}));
@@ -40,7 +40,7 @@
   EXPECT_EQ(schema::decode_member(event(kMember)), (Build{0, 1, 1}));
   EXPECT_EQ(schema::encode_member(9, {0, 1, 1}), kMember);
   for (const auto& text : {kRosterOf0, kRosterOf1}) {
-    auto page = wire::decode_roster(event(text));
+    auto page = wire::decode_inventory_page(event(text));
     EXPECT_EQ(page.form, text == kRosterOf1);
     EXPECT_EQ(page.machines[0].rented_at, page.form ? 1733000035 : 0);
     EXPECT_EQ(page.machines[1].rented_at, 0);
@@ -70,19 +70,19 @@
       {R"([])", "not an object"},
   };
   for (const auto& [text, why] : bad) {
-    state::World w(s);
+    state::StateCache w(s);
     std::vector<state::Change> ch;
     w.apply({schema::kActiveKey, text, 5}, ch);
-    EXPECT_EQ(schema::refusal(w.levels(), schema::here()),
+    EXPECT_EQ(schema::refusal(w.schema(), schema::current_build()),
               "the level record cannot be read: " + why);
     ASSERT_EQ(ch.size(), 1u);
-    auto out = schema::rollout_status(w.levels(), s.nodes, schema::here(), true);
+    auto out = schema::rollout_status(w.schema(), s.nodes, schema::current_build(), true);
     EXPECT_EQ(out.step.kind, Step::none);
-    EXPECT_EQ(out.held_by.at(0).by, "record");
+    EXPECT_EQ(out.blocked_by.at(0).by, "record");
     w.apply({schema::kActiveKey, std::nullopt, 6}, ch);
-    EXPECT_EQ(schema::refusal(w.levels(), schema::here()), "");
+    EXPECT_EQ(schema::refusal(w.schema(), schema::current_build()), "");
   }
-  View v;
+  StoredView v;
   v.record = {1, 0, 1, "x"};
   EXPECT_EQ(schema::refusal(v, {0, 0, 0}), "state of level 0 to 1 stands, this build reads 0");
   EXPECT_EQ(schema::refusal(v, {1, 2, 2}), "state of level 0 to 1 stands, this build reads 1 to 2");
@@ -93,17 +93,17 @@
 
 struct Three {
   std::vector<std::string> names = {"a", "b", "c"};
-  View v;
+  StoredView v;
   Three() {
     v.members.resize(3);
     for (std::size_t n = 0; n < 3; ++n) v.members[n] = {10 + n, {0, 1, 1}};
   }
-  schema::Outlook look(bool converted = true, Build own = {0, 1, 1}) const {
+  schema::RolloutStatus look(bool converted = true, Build own = {0, 1, 1}) const {
     return schema::rollout_status(v, names, own, converted);
   }
   std::string held() const {
     std::string all;
-    for (const auto& o : look().held_by) all += o.by + " " + o.why + "; ";
+    for (const auto& o : look().blocked_by) all += o.by + " " + o.reason + "; ";
     return all;
   }
 };
@@ -112,10 +112,10 @@
   Three t;
   auto s = t.look().step;
   ASSERT_EQ(s.kind, Step::raise);
-  EXPECT_EQ(s.record, (Record{1, 0, 1, ""}));
+  EXPECT_EQ(s.record, (VersionRecord{1, 0, 1, ""}));
   std::vector<std::pair<std::string, std::uint64_t>> guards = {
       {"st/n/a", 10}, {"st/n/b", 11}, {"st/n/c", 12}, {"st/l/active", 0}, {"st/l/orders", 0}};
-  EXPECT_EQ(s.guards, guards);
+  EXPECT_EQ(s.preconditions, guards);
   t.v.members[1].build = {};
   EXPECT_EQ(t.held(), "b cannot read level 1; ");
   t.v.members[1].build = {0, 1, 0};
@@ -123,17 +123,17 @@
   t.v.members[1].mod_revision = 0;
   EXPECT_EQ(t.held(), "b is not there; ");
   EXPECT_EQ(t.look().step.kind, Step::none);
-  EXPECT_TRUE(t.look().step.guards.empty());
+  EXPECT_TRUE(t.look().step.preconditions.empty());
   // Declared gone, it is not waited for; should it come back in between, the guard fails.
   t.v.orders.gone = {"b"};
   s = t.look().step;
   ASSERT_EQ(s.kind, Step::raise);
-  EXPECT_EQ(s.guards[1], (std::pair<std::string, std::uint64_t>{"st/n/b", 0}));
+  EXPECT_EQ(s.preconditions[1], (std::pair<std::string, std::uint64_t>{"st/n/b", 0}));
   // Declared gone but there, with a build that cannot: it counts.
   t.v.members[1] = {15, {}};
   EXPECT_EQ(t.held(), "b cannot read level 1; ");
   t.v.members[1].build = {0, 1, 1};
-  t.v.orders.most = 0;
+  t.v.orders.max_version = 0;
   EXPECT_EQ(t.held(), "orders hold level 0; ");
   t.v.orders_unreadable = true;
   EXPECT_EQ(t.held(), "orders cannot be read; ");
@@ -144,26 +144,26 @@
   t.v.record = {1, 0, 1, "x"};
   t.v.mod_revision = 40;
   for (auto& m : t.v.members) m.build = {0, 2, 2};
-  EXPECT_EQ(t.look(false, {0, 2, 2}).held_by.at(0).by, "conversion");
+  EXPECT_EQ(t.look(false, {0, 2, 2}).blocked_by.at(0).by, "conversion");
   auto s = t.look(true, {0, 2, 2}).step;
   ASSERT_EQ(s.kind, Step::settle);
-  EXPECT_EQ(s.record, (Record{1, 1, 1, ""}));
+  EXPECT_EQ(s.record, (VersionRecord{1, 1, 1, ""}));
   t.v.record = s.record;
   s = t.look(true, {0, 2, 2}).step;
   ASSERT_EQ(s.kind, Step::raise);
-  EXPECT_EQ(s.record, (Record{2, 1, 2, ""}));
-  t.v.orders.most = 0;
+  EXPECT_EQ(s.record, (VersionRecord{2, 1, 2, ""}));
+  t.v.orders.max_version = 0;
   s = t.look(true, {0, 2, 2}).step;
   ASSERT_EQ(s.kind, Step::lower);
-  EXPECT_EQ(s.record, (Record{0, 0, 1, ""}));
+  EXPECT_EQ(s.record, (VersionRecord{0, 0, 1, ""}));
   // A node that has dropped the older form could not go on.
   t.v.members[2].build = {1, 2, 2};
   auto held = t.look(true, {0, 2, 2});
   EXPECT_EQ(held.step.kind, Step::none);
-  EXPECT_EQ(held.held_by.at(0), (schema::Obstacle{"c", "cannot read level 0"}));
+  EXPECT_EQ(held.blocked_by.at(0), (schema::Blocker{"c", "cannot read level 0"}));
   // A level that this build does not know cannot be lowered by it.
   t.v.record = {2, 2, 2, "x"};
-  EXPECT_EQ(t.look(true, {0, 2, 2}).held_by.at(0).by, "orders");
+  EXPECT_EQ(t.look(true, {0, 2, 2}).blocked_by.at(0).by, "orders");
 }
 
 TEST(Schema, OrdersAreCheckedAndRepeatingThemIsHarmless) {
@@ -202,25 +202,25 @@
 TEST(Schema, ConversionPartsWhatHasBecomeTooLongAndGoesBothWays) {
   config::Settings s = make_settings();
   Store store;
-  state::World w(s);
+  state::StateCache w(s);
   std::vector<state::Change> ch;
   std::vector<wire::MachineRecord> fleet;
   for (int i = 0; i < 64; ++i)
     fleet.push_back({"m-" + std::to_string(320000 + i), "a-type-with-a-name", "zone-with-a-name",
                      true, 0, 123456, 1733000000.0 + i});
   store.commit(roster_txn(w, fleet));
-  auto level = [&](const Record& r) {
+  auto level = [&](const VersionRecord& r) {
     store.commit({{}, {{schema::kActiveKey, schema::encode(r), 0}}});
     store.read(w, ch);
   };
   auto convert = [&] {
     int rounds = 0;
-    for (; !w.roster_to_convert().empty() && rounds < 20; ++rounds) {
+    for (; !w.inventory_to_convert().empty() && rounds < 20; ++rounds) {
       EXPECT_LT(w.converted(), 1);
-      shard::RosterPage page(w, state::roster_base(*w.roster_to_convert().begin()));
+      shard::InventoryPage page(w, state::inventory_base(*w.inventory_to_convert().begin()));
       page.convert();
-      page.know_ages([](const std::string&) { return 1733000500.0; });
-      wire::Txn t = page.changes(900, "t");
+      page.record_ages([](const std::string&) { return 1733000500.0; });
+      wire::Transaction t = page.changes(900, "t");
       ASSERT_TRUE(store.commit(t));
       // The same once more, or late: its preconditions let it be applied once.
       EXPECT_FALSE(store.commit(t));
@@ -248,21 +248,21 @@
 // was there before and is not any more included.
 TEST(Schema, ReadAnewTheLevelIsWhatStandsNow) {
   config::Settings s = make_settings();
-  state::World w(s);
+  state::StateCache w(s);
   std::vector<state::Change> ch;
   w.apply({schema::kOrdersKey, kOrders, 3}, ch);
   w.apply({schema::kActiveKey, kRecord, 5}, ch);
   w.apply({state::node_key("node-1"), kMember, 6}, ch);
   w.advance(6);
-  EXPECT_EQ(w.levels().record.active, 1);
-  EXPECT_EQ(w.levels().members[1].build, (Build{0, 1, 1}));
+  EXPECT_EQ(w.schema().record.active, 1);
+  EXPECT_EQ(w.schema().members[1].build, (Build{0, 1, 1}));
   w.replace(40, {{schema::kActiveKey, R"({"highest":2,"level":2,"lowest":2,"w":"x"})", 30}}, ch);
-  EXPECT_EQ(w.levels().record.active, 2);
-  EXPECT_EQ(w.levels().mod_revision, 30u);
-  EXPECT_EQ(w.levels().orders, schema::Orders{});
-  EXPECT_EQ(w.levels().orders_stamp, 0u);
-  EXPECT_EQ(w.node_stamp(1), 0u);
-  EXPECT_NE(schema::refusal(w.levels(), schema::here()), "");
+  EXPECT_EQ(w.schema().record.active, 2);
+  EXPECT_EQ(w.schema().mod_revision, 30u);
+  EXPECT_EQ(w.schema().orders, schema::Orders{});
+  EXPECT_EQ(w.schema().orders_revision, 0u);
+  EXPECT_EQ(w.node_revision(1), 0u);
+  EXPECT_NE(schema::refusal(w.schema(), schema::current_build()), "");
 }
 
 // ---- rollouts
@@ -326,25 +326,26 @@
         step(n, 1);
         convert(n, 1);
       }
-    RC_ASSERT(record() == (Record{2, 2, 2, "t"}));
+    RC_ASSERT(record() == (VersionRecord{2, 2, 2, "t"}));
     check_pages();
   }
 
  private:
   struct Node {
-    std::unique_ptr<state::World> world;
+    std::unique_ptr<state::StateCache> world;
     Build build;
     bool legacy = true;  // knows no levels: it registers and writes unguarded by them
     bool up = false;
   };
 
-  Record record() const {
+  VersionRecord record() const {
     auto it = store_.keys.find(schema::kActiveKey);
-    return it == store_.keys.end() ? Record{} : schema::decode_record(event(it->second.value));
+    return it == store_.keys.end() ? VersionRecord{}
+                                   : schema::decode_record(event(it->second.value));
   }
   void start(int n, int build, bool legacy) {
     Node& me = nodes_[static_cast<std::size_t>(n)];
-    me = {std::make_unique<state::World>(s_), kBuilds[legacy ? 0 : build], legacy, true};
+    me = {std::make_unique<state::StateCache>(s_), kBuilds[legacy ? 0 : build], legacy, true};
     read(me);
   }
   void read(Node& me) {
@@ -353,11 +354,11 @@
     store_.read(*me.world, ch);
   }
   bool serves(const Node& me) const {
-    return me.up && (me.legacy || schema::refusal(me.world->levels(), me.build).empty());
+    return me.up && (me.legacy || schema::refusal(me.world->schema(), me.build).empty());
   }
 
   // Applied now, lost, or applied late.
-  void commit(const wire::Txn& t, const Node& by, int arg) {
+  void commit(const wire::Transaction& t, const Node& by, int arg) {
     if (arg % 4 == 0) return;
     if (arg % 4 == 3)
       late_.push_back({t, by.build, by.legacy});
@@ -372,15 +373,15 @@
     apply(sent);
   }
   struct Sent {
-    wire::Txn txn;
+    wire::Transaction txn;
     Build build;
     bool legacy;
   };
   void apply(const Sent& sent) {
-    const Record before = record();
+    const VersionRecord before = record();
     auto members = store_.keys;
     if (!store_.commit(sent.txn)) return;
-    const Record after = record();
+    const VersionRecord after = record();
     for (const auto& op : sent.txn.ops) {
       // Nobody who knows of levels writes beside state that its build cannot read, or in another
       // form than the active level's.
@@ -390,7 +391,7 @@
         if (sent.legacy)
           legacy_wrote_ = true;
         else
-          RC_ASSERT(wire::decode_roster(event(*op.value)).form == (before.active > 0));
+          RC_ASSERT(wire::decode_inventory_page(event(*op.value)).form == (before.active > 0));
       }
     }
     if (after.active > before.active) raised(after, members);
@@ -399,12 +400,12 @@
   }
   // At the moment of the raise every node had it: registered, with a build that can, or declared
   // gone and not there.
-  void raised(const Record& to, const std::map<std::string, Store::Entry>& keys) {
+  void raised(const VersionRecord& to, const std::map<std::string, Store::Entry>& keys) {
     ++raises_;
     auto orders = keys.find(schema::kOrdersKey);
     schema::Orders o;
     if (orders != keys.end()) o = schema::decode_orders(event(orders->second.value));
-    if (o.most) RC_ASSERT(to.active <= *o.most);
+    if (o.max_version) RC_ASSERT(to.active <= *o.max_version);
     for (const auto& name : s_.nodes) {
       auto key = keys.find(state::node_key(name));
       if (key == keys.end()) {
@@ -421,15 +422,15 @@
     if (legacy_wrote_) return;
     for (const auto& [k, e] : store_.keys)
       if (k.starts_with("st/m/"))
-        RC_ASSERT(wire::decode_roster(event(e.value)).form == (record().active > 0));
+        RC_ASSERT(wire::decode_inventory_page(event(e.value)).form == (record().active > 0));
   }
 
   void enroll(int n, int arg) {
     Node& me = nodes_[static_cast<std::size_t>(n)];
     if (!serves(me)) return;
-    wire::Txn t{{}, {{state::node_key(s_.nodes[n]), R"({"boot":1})", 0}}};
+    wire::Transaction t{{}, {{state::node_key(s_.nodes[n]), R"({"boot":1})", 0}}};
     if (!me.legacy) {
-      auto enrolled = schema::enroll(me.world->levels(), s_.nodes[n], 1, me.build, 0);
+      auto enrolled = schema::enroll(me.world->schema(), s_.nodes[n], 1, me.build, 0);
       RC_ASSERT(enrolled.has_value());
       t = *enrolled;
     }
@@ -439,7 +440,7 @@
     Node& me = nodes_[static_cast<std::size_t>(n)];
     if (!me.up || me.legacy) return;
     const auto& w = *me.world;
-    auto out = schema::rollout_status(w.levels(), s_.nodes, me.build, w.all_converted());
+    auto out = schema::rollout_status(w.schema(), s_.nodes, me.build, w.all_converted());
     if (out.step.kind != Step::none) commit(schema::commit_of(out.step, "t"), me, arg);
   }
   void write(int n, int arg) {
@@ -448,25 +449,25 @@
     const std::string name = "m-" + std::to_string(100000 + 16 * (arg % 6));
     wire::MachineRecord m{name, "t4", "a", true, 0, 0, 1733000000.0 + arg};
     if (me.legacy) {
-      const int page = state::roster_page(name);
-      const std::string key = state::roster_key(page);
-      wire::RosterRecord r{"t", me.world->inventory(page), 0};
+      const int page = state::inventory_page(name);
+      const std::string key = state::inventory_key(page);
+      wire::InventoryPageRecord r{"t", me.world->inventory(page), 0};
       std::erase_if(r.machines, [&](const auto& x) { return x.name == name; });
       r.machines.push_back(m);
       return commit({{{key, me.world->mod_revision(key)}}, {{key, wire::encode_record(r), 0}}}, me,
                     arg);
     }
-    shard::RosterPage page(*me.world, state::roster_page(name));
+    shard::InventoryPage page(*me.world, state::inventory_page(name));
     page.set(m);
     commit(page.changes(4096, "t"), me, arg);
   }
   void convert(int n, int arg) {
     Node& me = nodes_[static_cast<std::size_t>(n)];
     if (!serves(me) || me.legacy) return;
-    for (int p : me.world->roster_to_convert()) {
-      shard::RosterPage page(*me.world, state::roster_base(p));
+    for (int p : me.world->inventory_to_convert()) {
+      shard::InventoryPage page(*me.world, state::inventory_base(p));
       page.convert();
-      wire::Txn t = page.changes(4096, "t");
+      wire::Transaction t = page.changes(4096, "t");
       if (!t.ops.empty()) commit(t, me, arg);
       return;
     }
@@ -476,9 +477,9 @@
     if (!serves(me) || me.legacy) return;
     schema::Order o;
     o.kind = static_cast<schema::Order::Kind>(arg % 4);
-    o.level = arg % 3;
+    o.version = arg % 3;
     o.node = s_.nodes[static_cast<std::size_t>(arg / 4 % kNodes)];
-    const auto& v = me.world->levels();
+    const auto& v = me.world->schema();
     if (!schema::refused(v, s_.nodes, o).empty()) return;
     commit(schema::commit_of(v, schema::with(v.orders, o), "t"), me, arg);
   }
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -34,18 +34,18 @@
   for (double now = 40; now < 240; now += 1) {
     d.scheduler->tick(now);
     d.commit(now);
-    for (auto& o : d.scheduler->direct_orders(
+    for (auto& o : d.scheduler->direct_commands(
              true, [](const auto&) { return false; }, now)) {
       Worker& k = d.workers.at(o.machine);
       k.obey(d.scheduler->token(), o.commands, k.session, -1e9, now, d.rng);
-      d.scheduler->direct_done(o, 200);
-      d.scheduler->report(k.report(), now, true);
+      d.scheduler->direct_commands_done(o, 200);
+      d.scheduler->take_heartbeat(k.report(), now, true);
     }
     d.all_report(now + 0.5);
   }
   EXPECT_EQ(d.on("m-2"), 3u);
   EXPECT_EQ(d.on("m-1"), 0u);
-  EXPECT_EQ(d.scheduler->returns(), std::vector<std::string>{"m-1"});
+  EXPECT_EQ(d.scheduler->machines_to_return(), std::vector<std::string>{"m-1"});
 }
 
 TEST(Packing, WhatHasJustStartedIsNotMovedAgain) {
@@ -68,13 +68,13 @@
   for (double now = 6; now < 40; now += 2) {
     d.all_report(now);
     d.scheduler->tick(now);
-    ASSERT_EQ(d.scheduler->counters().emptied, 0u) << "at " << now;
+    ASSERT_EQ(d.scheduler->counters().consolidated, 0u) << "at " << now;
   }
   for (double now = 40; now < 50; now += 2) {
     d.all_report(now);
     d.scheduler->tick(now);
   }
-  EXPECT_EQ(d.scheduler->counters().emptied, 1u);
+  EXPECT_EQ(d.scheduler->counters().consolidated, 1u);
 }
 
 // Replicas on a machine that died waited 65 s for the proof by silence.
@@ -91,7 +91,7 @@
     if (static_cast<int>(now * 4) % 40 == 0) d.all_report(now, dead);
     d.scheduler->tick(now);
     d.probe(now, dead);
-    for (const auto& name : d.scheduler->returns()) {
+    for (const auto& name : d.scheduler->machines_to_return()) {
       EXPECT_EQ(name, "m-1");
       gone = now;
     }
@@ -124,7 +124,7 @@
     if (static_cast<int>(now * 2) % 20 == 0) d.all_report(now, zone_a);
     d.probe(now, zone_a);
   }
-  EXPECT_TRUE(d.scheduler->returns().empty());
+  EXPECT_TRUE(d.scheduler->machines_to_return().empty());
   // All are heard again; then nine of the twenty of a zone are dead at once.
   d.all_report(16);
   for (const auto& name : zone_a)
@@ -133,7 +133,7 @@
     if (static_cast<int>(now * 4) % 40 == 0) d.all_report(now, few);
     d.probe(now, few);
   }
-  auto back = d.scheduler->returns();
+  auto back = d.scheduler->machines_to_return();
   EXPECT_EQ(back.size(), 6u);  // 15% of 40 within a lease
   for (const auto& name : back) EXPECT_TRUE(few.contains(name));
 }
@@ -154,7 +154,7 @@
     d.probe(now, dead);
   }
   // What died before that shows is deleted: one, at the most, since all go silent together.
-  EXPECT_LE(d.scheduler->returns().size(), 1u);
+  EXPECT_LE(d.scheduler->machines_to_return().size(), 1u);
 }
 
 // A machine whose reports arrive and whose answers do not looked alive for ever; every start on it
@@ -172,7 +172,7 @@
   for (const char* m : {"m-2", "m-3"}) d.report(m, 6);
   EXPECT_FALSE(d.probe(6.1, {"m-1"}) == 0);
   d.probe(7, {"m-1"});
-  EXPECT_EQ(d.scheduler->returns(), std::vector<std::string>{"m-1"});
+  EXPECT_EQ(d.scheduler->machines_to_return(), std::vector<std::string>{"m-1"});
   EXPECT_EQ(d.on("m-1"), 0u);
 }
 TEST(Doubts, AMachineThatHearsAgainIsTakenBack) {
@@ -190,7 +190,7 @@
     d.all_report(now);
     d.probe(now, {});
   }
-  EXPECT_TRUE(d.scheduler->returns().empty());
+  EXPECT_TRUE(d.scheduler->machines_to_return().empty());
   EXPECT_EQ(d.on("m-1") + d.on("m-2"), 2u);
 }
 
@@ -203,14 +203,14 @@
   d.all_report(1);
   ASSERT_EQ(d.on("m-1"), 1u);
   auto copy = d.workers.at("m-1").report();
-  d.scheduler->report(copy, 2);
-  d.scheduler->orders("m-1", true, 2);
+  d.scheduler->take_heartbeat(copy, 2);
+  d.scheduler->commands_for("m-1", true, 2);
   d.machine("m-2", 2);
   double again = 0;
   for (double now = 3; now < 90 && !again; now += 1) {
-    const auto heard = d.scheduler->report(copy, now);
-    EXPECT_EQ(heard,
-              now - 2 <= 4 ? scheduler::Desk::Heard::older : scheduler::Desk::Heard::unknown);
+    const auto heard = d.scheduler->take_heartbeat(copy, now);
+    EXPECT_EQ(heard, now - 2 <= 4 ? scheduler::ShardScheduler::HeartbeatResult::older
+                                  : scheduler::ShardScheduler::HeartbeatResult::unknown);
     d.report("m-2", now);
     d.report("m-2", now + 0.1);
     d.scheduler->tick(now);
@@ -219,7 +219,7 @@
   // It is over a lease and two reports after the last that was heard of it, copies or not, and not
   // before every lease that an answer may have renewed is over.
   EXPECT_GE(again, 6 + d.s.lease_s);
-  EXPECT_LE(again, 8 + d.s.lease_s + 2 * d.s.report_s);
+  EXPECT_LE(again, 8 + d.s.lease_s + 2 * d.s.heartbeat_s);
 }
 
 // With the whole fleet rented, up to 1,000 machines stood ordered at a time, each refusal sent
@@ -229,22 +229,22 @@
   d.job(1, 400, 4, false, 0);
   d.commit(0);
   std::size_t first = 0;
-  for (const auto& w : d.scheduler->rent_wishes(0)) {
+  for (const auto& w : d.scheduler->scale_out_requests(0)) {
     first += w.machines.size();
-    d.scheduler->refused(w, 0, true, 0);
+    d.scheduler->rent_refused(w, 0, true, 0);
   }
   EXPECT_GE(first, 50u);
   // Each tier and zone is tried once in full.
   for (double now = 0.5; now < 40; now += 0.5) {
     d.scheduler->tick(now);
-    d.scheduler->turn(now);
+    d.scheduler->run_scheduling_pass(now);
     std::size_t wished = 0;
-    for (const auto& w : d.scheduler->rent_wishes(now)) {
+    for (const auto& w : d.scheduler->scale_out_requests(now)) {
       if (now > 5) {
         EXPECT_LE(w.machines.size(), 2u);
         wished += w.machines.size();
       }
-      d.scheduler->refused(w, 0, true, now);
+      d.scheduler->rent_refused(w, 0, true, now);
     }
     EXPECT_LE(wished, 8u);  // two tiers, two zones
   }
@@ -253,8 +253,8 @@
   int n = 0;
   for (double now = 60; now < 80; now += 0.5) {
     d.scheduler->tick(now);
-    d.scheduler->turn(now);
-    for (const auto& w : d.scheduler->rent_wishes(now)) {
+    d.scheduler->run_scheduling_pass(now);
+    for (const auto& w : d.scheduler->scale_out_requests(now)) {
       std::vector<std::string> names;
       for (std::size_t i = 0; i < w.machines.size(); ++i)
         names.push_back("m-" + std::to_string(5000 + n++));
@@ -311,23 +311,23 @@
 // Asked about in the worst order, the youngest first, each range held one question more and no
 // other: 1,000 questions took 1,000 reads.
 TEST(ResultReader, TheOrderOfTheQuestionsDoesNotMatter) {
-  using jobs::FinalReads;
+  using jobs::ResultReader;
   for (const int step : {1, -1, 7, -7, 331}) {
     SCOPED_TRACE(step);
-    FinalReads reads;
+    ResultReader reads;
     std::vector<std::string> all;
     for (int i = 0; i < 1000; ++i) all.push_back("run-" + std::to_string(100000 + i));
     int answers = 0, out = 0;
     for (int i = 0, n = 0; i < 1000; ++i, n = (n + 1000 + step) % 1000)
-      ASSERT_TRUE(reads.want(all[static_cast<std::size_t>(n)],
-                             [&](jobs::Found f) { answers += f == jobs::Found::yes; }));
+      ASSERT_TRUE(reads.request(all[static_cast<std::size_t>(n)],
+                                [&](jobs::Found f) { answers += f == jobs::Found::yes; }));
     while (auto a = reads.next()) {
       ++out;
       if (!a->range) {
         reads.answered(*a, {a->id}, false);
         continue;
       }
-      auto from = std::upper_bound(all.begin(), all.end(), FinalReads::before(a->id));
+      auto from = std::upper_bound(all.begin(), all.end(), ResultReader::key_before(a->id));
       const auto held = std::min<std::ptrdiff_t>(100, all.end() - from);
       reads.answered(*a, {from, from + held}, from + held != all.end());
     }
@@ -339,9 +339,9 @@
 // Each question had a read of its own, served within three seconds or not at all: with thousands of
 // jobs over and many asked about, every answer came too late for its user.
 RC_GTEST_PROP(ResultReader, EveryQuestionIsAnsweredWithinFewReadsAndTruly, ()) {
-  using jobs::FinalReads;
   using jobs::Found;
-  FinalReads reads;
+  using jobs::ResultReader;
+  ResultReader reads;
   std::set<std::string> there;
   struct Question {
     std::string id;
@@ -354,22 +354,22 @@
     const auto n = id(*rc::gen::inRange(0, 3000));
     all.push_back(std::make_unique<Question>(Question{n, there.contains(n), {}}));
     Question* q = all.back().get();
-    RC_ASSERT(reads.want(n, [q](Found f) { q->answer = f; }));
+    RC_ASSERT(reads.request(n, [q](Found f) { q->answer = f; }));
   };
   // What the state service says: a range holds 100 records here.
-  auto carry_out = [&](const FinalReads::Ask& a, const std::set<std::string>& seen) {
+  auto carry_out = [&](const ResultReader::Read& a, const std::set<std::string>& seen) {
     std::vector<std::string> found;
     if (!a.range) {
       if (seen.contains(a.id)) found.push_back(a.id);
       return reads.answered(a, found, false);
     }
-    const std::string after = FinalReads::before(a.id);
+    const std::string after = ResultReader::key_before(a.id);
     auto it = seen.upper_bound(after);
     for (; it != seen.end() && found.size() < 100; ++it) found.push_back(*it);
     reads.answered(a, found, it != seen.end());
   };
   for (int i = *rc::gen::inRange(0, 2000); i > 0; --i) there.insert(id(*rc::gen::inRange(0, 3000)));
-  std::vector<std::pair<FinalReads::Ask, std::set<std::string>>> out;
+  std::vector<std::pair<ResultReader::Read, std::set<std::string>>> out;
   const int steps = *rc::gen::inRange(10, 60);
   for (int i = 0; i < steps; ++i) {
     for (int k = *rc::gen::inRange(0, 30); k > 0; --k) ask();
--- a/tests/shard_scheduler_test.cpp
+++ b/tests/shard_scheduler_test.cpp
@@ -9,20 +9,21 @@
 struct OneDesk {
   config::Settings s = make_settings(1);
   config::Tuning t;
-  scheduler::Catalogue c = make_catalogue(s);
+  scheduler::MachineCatalogue c = make_catalogue(s);
   Store store;
-  state::World w{s};
-  std::unique_ptr<scheduler::Desk> scheduler;
+  state::StateCache w{s};
+  std::unique_ptr<scheduler::ShardScheduler> scheduler;
   std::uint64_t seq = 0;
-  std::vector<wire::Txn> made;  // and carried out
+  std::vector<wire::Transaction> made;  // and carried out
 
   OneDesk() {
-    wire::Txn own;
+    wire::Transaction own;
     own.ops.push_back(
-        {state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", "x"}), 0});
+        {state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", "x"}), 0});
     store.commit(own);
     read();
-    scheduler = std::make_unique<scheduler::Desk>(s, t, c, 0, w.owner(0).mod_revision, 0, 7);
+    scheduler =
+        std::make_unique<scheduler::ShardScheduler>(s, t, c, 0, w.leader(0).mod_revision, 0, 7);
   }
   void read() {
     std::vector<state::Change> ch;
@@ -35,37 +36,37 @@
     scheduler->machine_known(r, 0);
   }
   void job(const wire::JobRecord& r) {
-    wire::Txn txn;
+    wire::Transaction txn;
     txn.ops.push_back({state::job_key(r.spec.id), wire::encode_record(r), 0});
     store.commit(txn);
     read();
     scheduler->job_added(r, 0, {}, 0, 0);
   }
   void commit(double now) {
-    scheduler->turn(now);
-    while (auto txn = scheduler->next_txn(w, state::Room{}, "t", now)) {
+    scheduler->run_scheduling_pass(now);
+    while (auto txn = scheduler->next_transaction(w, state::TransactionLimits{}, "t", now)) {
       bool ok = store.commit(*txn).has_value();
       if (ok) made.push_back(*txn);
       read();
-      ok ? scheduler->txn_applied(now) : scheduler->txn_failed(now);
+      ok ? scheduler->transaction_applied(now) : scheduler->transaction_failed(now);
       if (!ok) return;
     }
   }
   std::vector<wire::Command> heartbeat(const std::string& name, double now,
-                                       std::vector<wire::TaskReport> tasks = {},
+                                       std::vector<wire::TaskStatus> tasks = {},
                                        std::uint64_t session = 1) {
-    wire::Report r;
+    wire::Heartbeat r;
     r.machine = name;
     r.addr = "10.0.0.1:1";
     r.type = "t4";
     r.zone = "a";
-    r.session = session;
-    r.seq = ++seq;
+    r.incarnation = session;
+    r.sequence = ++seq;
     r.token = scheduler->token();
     r.tasks = std::move(tasks);
-    scheduler->report(r, now);
+    scheduler->take_heartbeat(r, now);
     commit(now);
-    return scheduler->orders(name, true, now);
+    return scheduler->commands_for(name, true, now);
   }
 };
 
@@ -79,7 +80,7 @@
   auto first = d.heartbeat("m-1", 1);
   ASSERT_EQ(first.size(), 3u);
   for (const auto& c : first) EXPECT_EQ(c.attempt, first[0].attempt);
-  std::vector<wire::TaskReport> gone;
+  std::vector<wire::TaskStatus> gone;
   for (const auto& c : first)
     gone.push_back({c.task, c.attempt, wire::TaskState::exited, wire::ExitReason::stopped});
   d.heartbeat("m-1", 2, gone);
@@ -99,8 +100,8 @@
   d.heartbeat("m-1", 1);
   d.heartbeat("m-2", 1);
   for (int i = 0; i < 4; ++i) d.job(make_job(i, 2, 1));
-  d.scheduler->turn(2);
-  EXPECT_TRUE(d.scheduler->rent_wishes(2).empty());
+  d.scheduler->run_scheduling_pass(2);
+  EXPECT_TRUE(d.scheduler->scale_out_requests(2).empty());
   std::size_t starts = d.heartbeat("m-1", 3).size() + d.heartbeat("m-2", 3).size();
   EXPECT_EQ(starts, 8u);
 }
@@ -112,23 +113,24 @@
   d.job(make_job(1, 2, 1));
   auto starts = d.heartbeat("m-1", 1);
   ASSERT_EQ(starts.size(), 2u);
-  wire::Report r;
+  wire::Heartbeat r;
   r.machine = "m-1";
   r.type = "t4";
   r.zone = "a";
-  r.session = 1;
-  r.seq = ++d.seq;
+  r.incarnation = 1;
+  r.sequence = ++d.seq;
   r.token = d.scheduler->token();
   r.tasks = {{starts[0].task, starts[0].attempt, wire::TaskState::exited, wire::ExitReason::done},
              {starts[1].task, starts[1].attempt, wire::TaskState::running, wire::ExitReason::none}};
-  d.scheduler->report(r, 2);
-  EXPECT_TRUE(d.scheduler->orders("m-1", true, 2).empty());
+  d.scheduler->take_heartbeat(r, 2);
+  EXPECT_TRUE(d.scheduler->commands_for("m-1", true, 2).empty());
   d.commit(2);
-  EXPECT_TRUE(d.scheduler->orders("m-1", true, 2).empty());  // waits a little for starts to go with
+  EXPECT_TRUE(
+      d.scheduler->commands_for("m-1", true, 2).empty());  // waits a little for starts to go with
   d.commit(6);
-  auto after = d.scheduler->orders("m-1", true, 6);
+  auto after = d.scheduler->commands_for("m-1", true, 6);
   ASSERT_EQ(after.size(), 1u);
-  EXPECT_EQ(after[0].op, wire::Command::Op::forget);
+  EXPECT_EQ(after[0].op, wire::Command::Op::acknowledge);
 }
 
 // A chunk's results move to another placement page as they grow, and an older copy stays behind. An
@@ -143,18 +145,18 @@
     // Every other placement page holds more, so that these two are written first.
     std::vector<wire::JobRecord> fillers;
     for (int i = 0; i < 6; ++i) fillers.push_back(make_job(10 + i, 100000, 1));
-    wire::Txn txn;
+    wire::Transaction txn;
     for (const auto& j : fillers)
       txn.ops.push_back({state::job_key(j.spec.id), wire::encode_record(j), 0});
     txn.ops.push_back({state::job_key(r.spec.id), wire::encode_record(r), 0});
-    auto put = [&](int page, std::vector<wire::SheetJob> jobs) {
-      txn.ops.push_back({state::sheet_key(0, page),
-                         wire::encode_record(wire::SheetRecord{"0", std::move(jobs)},
+    auto put = [&](int page, std::vector<wire::JobPlacements> jobs) {
+      txn.ops.push_back({state::placement_page_key(0, page),
+                         wire::encode_record(wire::PlacementPageRecord{"0", std::move(jobs)},
                                              [](int) { return std::string("red"); }),
                          0});
     };
     auto of = [](const wire::JobRecord& j, std::uint32_t chunk, wire::Intervals done) {
-      wire::SheetJob g{j.spec.id, 0, 1, 0, 1, {}, {}};
+      wire::JobPlacements g{j.spec.id, 0, 1, 0, 1, {}, {}};
       g.done.emplace_back(chunk, std::move(done));
       return g;
     };
@@ -174,7 +176,7 @@
     for (const auto& [id, j] : d.w.jobs())
       if (id == r.spec.id) d.scheduler->job_added(j.record, 0, d.w.done(id), 0, 0);
     for (const auto& j : fillers) d.scheduler->job_added(j, 0, d.w.done(j.spec.id), 0, 0);
-    for (const auto& [n, page] : d.w.pages(0)) d.scheduler->inherit(n, page, 0);
+    for (const auto& [n, page] : d.w.placement_pages(0)) d.scheduler->recover_page(n, page, 0);
     // Whatever starts next is written into the emptiest placement pages.
     for (int i = 0; i < 4; ++i) d.heartbeat("m-1", 1 + i);
     std::set<std::uint32_t> done;
@@ -182,7 +184,7 @@
       for (auto [a, b] : list)
         for (std::uint32_t t = a; t <= b; ++t) done.insert(t);
     EXPECT_EQ(done, (std::set<std::uint32_t>{0, 1, 2}));
-    EXPECT_NE(d.w.pages(0).at(newest).tag + d.w.pages(0).at(older).tag, "00");
+    EXPECT_NE(d.w.placement_pages(0).at(newest).tag + d.w.placement_pages(0).at(older).tag, "00");
   }
 }
 
@@ -194,10 +196,10 @@
   double asked = -1;  // last
   for (double now = 0; now < 60; now += 0.2) {
     d.scheduler->tick(now);
-    if (d.scheduler->stirred()) d.scheduler->turn(now);
-    for (const auto& w : d.scheduler->rent_wishes(now)) {
+    if (d.scheduler->scheduling_due()) d.scheduler->run_scheduling_pass(now);
+    for (const auto& w : d.scheduler->scale_out_requests(now)) {
       asked = now;
-      d.scheduler->refused(w, 0, true, now);
+      d.scheduler->rent_refused(w, 0, true, now);
     }
   }
   EXPECT_GT(asked, 40);
@@ -211,7 +213,7 @@
   auto service = make_job(1, 2, 2);
   service.spec.service = true;
   d.job(service);
-  std::vector<wire::TaskReport> running;
+  std::vector<wire::TaskStatus> running;
   for (const auto& c : d.heartbeat("m-1", 1))
     running.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
   ASSERT_EQ(running.size(), 2u);
@@ -222,11 +224,11 @@
   for (double now = 2; now < 60; now += 0.2) {
     if (static_cast<int>(now * 5) % 15 == 0) d.heartbeat("m-1", now, running);
     d.scheduler->tick(now);
-    if (d.scheduler->stirred()) d.scheduler->turn(now);
+    if (d.scheduler->scheduling_due()) d.scheduler->run_scheduling_pass(now);
     waited |= d.scheduler->summary().find("\"waiting\":1") != std::string::npos;
-    for (const auto& w : d.scheduler->rent_wishes(now)) {
+    for (const auto& w : d.scheduler->scale_out_requests(now)) {
       asked = now;
-      d.scheduler->refused(w, 0, true, now);
+      d.scheduler->rent_refused(w, 0, true, now);
     }
   }
   EXPECT_TRUE(waited);
@@ -239,7 +241,7 @@
   OneDesk d;
   d.machine("m-1");
   d.job(make_job(1, 1, 3));
-  std::vector<wire::TaskReport> running;
+  std::vector<wire::TaskStatus> running;
   for (const auto& c : d.heartbeat("m-1", 1))
     running.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
   ASSERT_EQ(running.size(), 1u);
@@ -250,7 +252,8 @@
   double added = -1, started = -1;
   for (double now = 3; now < 200 && started < 0; now += 1) {
     d.scheduler->tick(now);
-    for (const auto& w : d.scheduler->rent_wishes(now)) d.scheduler->refused(w, 0, true, now);
+    for (const auto& w : d.scheduler->scale_out_requests(now))
+      d.scheduler->rent_refused(w, 0, true, now);
     for (const auto& c : d.heartbeat("m-1", now, running))
       if (c.op == wire::Command::Op::start) {
         EXPECT_EQ(c.task.job, small.spec.id);
@@ -275,17 +278,18 @@
     SCOPED_TRACE(seed);
     std::mt19937 rng(seed);
     OneDesk d;
-    std::map<std::string, std::vector<wire::TaskReport>> there;
+    std::map<std::string, std::vector<wire::TaskStatus>> there;
     for (const char* m : {"m-1", "m-2", "m-3"}) d.machine(m), there[m] = {};
     int jobs = 0;
     for (double now = 1; now < 60; now += 1) {
       if (rng() % 3 == 0) d.job(make_job(jobs++, 1 + rng() % 4, 1));
       for (auto& [name, tasks] : there) {
         for (auto& t : tasks)
-          if (rng() % 5 == 0) t.state = wire::TaskState::exited, t.why = wire::ExitReason::done;
+          if (rng() % 5 == 0)
+            t.state = wire::TaskState::exited, t.exit_reason = wire::ExitReason::done;
         for (const auto& c : d.heartbeat(name, now, tasks)) {
           std::erase_if(tasks, [&](const auto& t) {
-            return c.op == wire::Command::Op::forget && t.attempt == c.attempt;
+            return c.op == wire::Command::Op::acknowledge && t.attempt == c.attempt;
           });
           if (c.op == wire::Command::Op::start)
             tasks.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
@@ -308,15 +312,15 @@
   d.machine("m-1");
   d.machine("m-2");
   d.job(make_job(1, 1, 1));
-  wire::SheetJob g{"run-100001", 0, 1, 0, 1, {{"m-1", 0, 7}}, {}};
-  d.scheduler->inherit(0, {"x", {g}}, 0);
+  wire::JobPlacements g{"run-100001", 0, 1, 0, 1, {{"m-1", 0, 7}}, {}};
+  d.scheduler->recover_page(0, {"x", {g}}, 0);
   double given_up = -1;
   for (double now = 1; now < 100 && given_up < 0; now += 1) {
     d.heartbeat("m-2", now);
     d.scheduler->tick(now);
     if (d.scheduler->summary().find("\"lost\":0") == std::string::npos) given_up = now;
   }
-  EXPECT_GE(given_up, d.s.stale_s() + d.s.lease_s);
+  EXPECT_GE(given_up, d.s.staleness_bound_s() + d.s.lease_s);
 }
 
 // A direct order was held up and taken for lost, then carried out, and then the machine's lease
@@ -328,11 +332,11 @@
   d.job(make_job(1, 1, 1));
   d.scheduler->tick(2);
   d.commit(2);
-  auto direct = d.scheduler->direct_orders(
+  auto direct = d.scheduler->direct_commands(
       true, [](const std::string&) { return false; }, 2);
   ASSERT_EQ(direct.size(), 1u);
   ASSERT_EQ(direct[0].commands.size(), 1u);
-  d.scheduler->direct_done(direct[0], 0);
+  d.scheduler->direct_commands_done(direct[0], 0);
   const auto& start = direct[0].commands[0];
   d.heartbeat("m-1", 5,
               {{start.task, start.attempt, wire::TaskState::running, wire::ExitReason::none}});
@@ -351,39 +355,39 @@
   d.job(make_job(1, 1, 1));
   d.scheduler->tick(2);
   d.commit(2);
-  auto direct = d.scheduler->direct_orders(
+  auto direct = d.scheduler->direct_commands(
       true, [](const std::string&) { return false; }, 2);
   ASSERT_EQ(direct.size(), 1u);
-  EXPECT_FALSE(d.scheduler->unsettled("m-1"));
+  EXPECT_FALSE(d.scheduler->has_unacknowledged_start("m-1"));
   d.scheduler->job_gone(make_job(1, 1, 1).spec.id, 3);
   // Its answer may still settle it.
-  EXPECT_TRUE(d.scheduler->unsettled("m-1"));
-  EXPECT_FALSE(d.scheduler->wants_raise(3));
-  d.scheduler->direct_done(direct[0], 0);
+  EXPECT_TRUE(d.scheduler->has_unacknowledged_start("m-1"));
+  EXPECT_FALSE(d.scheduler->needs_new_token(3));
+  d.scheduler->direct_commands_done(direct[0], 0);
   d.heartbeat("m-1", 4);
-  EXPECT_TRUE(d.scheduler->unsettled("m-1"));
-  EXPECT_TRUE(d.scheduler->wants_raise(4));
-  wire::Txn raise;
+  EXPECT_TRUE(d.scheduler->has_unacknowledged_start("m-1"));
+  EXPECT_TRUE(d.scheduler->needs_new_token(4));
+  wire::Transaction raise;
   raise.ops.push_back(
-      {state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", "r"}), 0});
+      {state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", "r"}), 0});
   const std::uint64_t before = d.scheduler->token();
-  d.scheduler->raise(*d.store.commit(raise), 4.1);
+  d.scheduler->advance_token(*d.store.commit(raise), 4.1);
   d.read();
-  EXPECT_FALSE(d.scheduler->unsettled("m-1"));
+  EXPECT_FALSE(d.scheduler->has_unacknowledged_start("m-1"));
   EXPECT_GT(d.scheduler->token(), before);
-  EXPECT_FALSE(d.scheduler->wants_raise(20));
+  EXPECT_FALSE(d.scheduler->needs_new_token(20));
   // The next one that needs it does not wait for ten seconds.
   d.heartbeat("m-1", 5);
   d.job(make_job(2, 1, 1));
   d.scheduler->tick(6);
   d.commit(6);
-  direct = d.scheduler->direct_orders(
+  direct = d.scheduler->direct_commands(
       true, [](const std::string&) { return false; }, 6);
   ASSERT_EQ(direct.size(), 1u);
-  d.scheduler->direct_done(direct[0], 0);
-  EXPECT_FALSE(d.scheduler->wants_raise(6.5));
+  d.scheduler->direct_commands_done(direct[0], 0);
+  EXPECT_FALSE(d.scheduler->needs_new_token(6.5));
   d.scheduler->job_gone(make_job(2, 1, 1).spec.id, 6.5);
-  EXPECT_TRUE(d.scheduler->wants_raise(6.5));
+  EXPECT_TRUE(d.scheduler->needs_new_token(6.5));
 }
 TEST(ShardScheduler, AnAnswerSettlesACancelledStart) {
   for (int status : {200, 409}) {
@@ -393,13 +397,13 @@
     d.job(make_job(1, 1, 1));
     d.scheduler->tick(2);
     d.commit(2);
-    auto direct = d.scheduler->direct_orders(
+    auto direct = d.scheduler->direct_commands(
         true, [](const std::string&) { return false; }, 2);
     ASSERT_EQ(direct.size(), 1u);
     d.scheduler->job_gone(make_job(1, 1, 1).spec.id, 3);
-    d.scheduler->direct_done(direct[0], status);
-    EXPECT_FALSE(d.scheduler->unsettled("m-1")) << status;
-    EXPECT_FALSE(d.scheduler->wants_raise(30)) << status;
+    d.scheduler->direct_commands_done(direct[0], status);
+    EXPECT_FALSE(d.scheduler->has_unacknowledged_start("m-1")) << status;
+    EXPECT_FALSE(d.scheduler->needs_new_token(30)) << status;
   }
 }
 
@@ -412,16 +416,16 @@
   d.job(make_job(2, 1, 1));
   auto starts = d.heartbeat("m-1", 1);
   ASSERT_EQ(starts.size(), 3u);
-  std::vector<wire::TaskReport> running;
+  std::vector<wire::TaskStatus> running;
   for (const auto& c : starts)
     running.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
   d.heartbeat("m-1", 2, running);
-  d.scheduler->machine_addr("m-1", "10.0.0.1:1");
+  d.scheduler->set_machine_address("m-1", "10.0.0.1:1");
   const auto none = [](const std::string&) { return false; };
-  EXPECT_TRUE(d.scheduler->direct_orders(true, none, 14).empty());
+  EXPECT_TRUE(d.scheduler->direct_commands(true, none, 14).empty());
   const std::string gone = make_job(1, 2, 1).spec.id;
   d.scheduler->job_gone(gone, 14);
-  auto direct = d.scheduler->direct_orders(true, none, 14);
+  auto direct = d.scheduler->direct_commands(true, none, 14);
   ASSERT_EQ(direct.size(), 1u);
   auto all_of_it = [&](const std::vector<wire::Command>& commands) {
     ASSERT_EQ(commands.size(), 2u);
@@ -432,10 +436,10 @@
     }
   };
   all_of_it(direct[0].commands);
-  all_of_it(d.scheduler->stops("m-1"));
-  d.scheduler->direct_done(direct[0], 0);
+  all_of_it(d.scheduler->stop_commands("m-1"));
+  d.scheduler->direct_commands_done(direct[0], 0);
   EXPECT_TRUE(
-      d.scheduler->direct_orders(true, none, 15).empty());  // told once; answers tell it again
+      d.scheduler->direct_commands(true, none, 15).empty());  // told once; answers tell it again
   all_of_it(d.heartbeat("m-1", 16, running));
 }
 
@@ -463,22 +467,24 @@
   d.job(make_job(1, 1, 1));
   d.scheduler->tick(2);
   d.commit(2);
-  auto direct = d.scheduler->direct_orders(
+  auto direct = d.scheduler->direct_commands(
       true, [](const std::string&) { return false; }, 2);
   ASSERT_EQ(direct.size(), 1u);
   auto c = direct[0].commands.at(0);
-  d.scheduler->direct_done(direct[0], 0);
-  std::vector<wire::TaskReport> failed = {
+  d.scheduler->direct_commands_done(direct[0], 0);
+  std::vector<wire::TaskStatus> failed = {
       {c.task, c.attempt, wire::TaskState::exited, wire::ExitReason::error}};
-  for (const auto& o : d.heartbeat("m-1", 3, failed)) EXPECT_NE(o.op, wire::Command::Op::forget);
-  EXPECT_TRUE(d.scheduler->wants_raise(30));
-  wire::Txn raise;
+  for (const auto& o : d.heartbeat("m-1", 3, failed))
+    EXPECT_NE(o.op, wire::Command::Op::acknowledge);
+  EXPECT_TRUE(d.scheduler->needs_new_token(30));
+  wire::Transaction raise;
   raise.ops.push_back(
-      {state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", "r"}), 0});
-  d.scheduler->raise(*d.store.commit(raise), 30);
+      {state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", "r"}), 0});
+  d.scheduler->advance_token(*d.store.commit(raise), 30);
   d.read();
   bool reaped = false;
-  for (const auto& o : d.heartbeat("m-1", 31, failed)) reaped |= o.op == wire::Command::Op::forget;
+  for (const auto& o : d.heartbeat("m-1", 31, failed))
+    reaped |= o.op == wire::Command::Op::acknowledge;
   EXPECT_TRUE(reaped);
 }
 
@@ -490,19 +496,19 @@
   d.machine("m-1");
   d.machine("m-2");
   d.job(r);
-  d.scheduler->inherit(0, {"t", {{r.spec.id, 0, 1, 0, 1, {{"m-1", 0, 5}}, {}}}}, 0);
+  d.scheduler->recover_page(0, {"t", {{r.spec.id, 0, 1, 0, 1, {{"m-1", 0, 5}}, {}}}}, 0);
   d.heartbeat("m-2", 1);
-  wire::Report old;
+  wire::Heartbeat old;
   old.machine = "m-1";
   old.type = "t4";
   old.zone = "a";
-  old.session = 1;
-  old.seq = ++d.seq;
+  old.incarnation = 1;
+  old.sequence = ++d.seq;
   old.token = d.scheduler->token() - 1;
-  d.scheduler->report(old, 2);
+  d.scheduler->take_heartbeat(old, 2);
   d.commit(2);
   EXPECT_TRUE(d.heartbeat("m-2", 3).empty());
-  EXPECT_TRUE(d.scheduler->orders("m-1", true, 3).empty());
+  EXPECT_TRUE(d.scheduler->commands_for("m-1", true, 3).empty());
   std::size_t starts = d.heartbeat("m-1", 4).size() + d.heartbeat("m-2", 5).size();
   EXPECT_EQ(starts, 1u);
 }
@@ -515,15 +521,15 @@
   d.job(make_job(1, 1, 1));
   d.heartbeat("m-1", 1);
   d.heartbeat("m-2", 1);
-  d.scheduler->give({5, 1, {1, 1}});
-  auto wishes = d.scheduler->roster_wishes();
+  d.scheduler->transfer({5, 1, {1, 1}});
+  auto wishes = d.scheduler->inventory_changes();
   ASSERT_EQ(wishes.size(), 1u);
-  EXPECT_EQ(wishes[0].kind, scheduler::RosterWish::give);
+  EXPECT_EQ(wishes[0].kind, scheduler::InventoryChange::transfer);
   EXPECT_EQ(wishes[0].machine.shard, 5);
   std::set<std::string> busy;
-  for (const auto& [n, page] : d.w.pages(0))
+  for (const auto& [n, page] : d.w.placement_pages(0))
     for (const auto& g : page.jobs)
-      for (const auto& p : g.places) busy.insert(p.machine);
+      for (const auto& p : g.placements) busy.insert(p.machine);
   EXPECT_EQ(busy.size(), 1u);
   EXPECT_FALSE(busy.contains(wishes[0].machine.name));
   d.scheduler->machine_moved(wishes[0].machine.name, 2);
@@ -537,24 +543,26 @@
   OneDesk d;
   d.machine("m-1");
   d.heartbeat("m-1", 1);
-  d.scheduler->give({5, 1, {1, 1}});
-  EXPECT_EQ(d.scheduler->roster_wishes().size(), 1u);
-  EXPECT_EQ(d.scheduler->gives("m-1"), 5);
-  EXPECT_EQ(d.scheduler->gives("m-2"), -1);
+  d.scheduler->transfer({5, 1, {1, 1}});
+  EXPECT_EQ(d.scheduler->inventory_changes().size(), 1u);
+  EXPECT_EQ(d.scheduler->transfer_target("m-1"), 5);
+  EXPECT_EQ(d.scheduler->transfer_target("m-2"), -1);
   // What the inventory's actor has already is not handed out again.
-  EXPECT_TRUE(
-      d.scheduler
-          ->roster_wishes([](const std::string& name, scheduler::RosterWish::Kind kind, int shard) {
-            return name == "m-1" && kind == scheduler::RosterWish::give && shard == 5;
-          })
-          .empty());
-  d.scheduler = std::make_unique<scheduler::Desk>(d.s, d.t, d.c, 0, d.scheduler->token(), 2, 8);
+  EXPECT_TRUE(d.scheduler
+                  ->inventory_changes([](const std::string& name,
+                                         scheduler::InventoryChange::Kind kind, int shard) {
+                    return name == "m-1" && kind == scheduler::InventoryChange::transfer &&
+                           shard == 5;
+                  })
+                  .empty());
+  d.scheduler =
+      std::make_unique<scheduler::ShardScheduler>(d.s, d.t, d.c, 0, d.scheduler->token(), 2, 8);
   d.scheduler->machine_known(*d.w.machine("m-1"), 2);
-  EXPECT_EQ(d.scheduler->gives("m-1"), -1);
+  EXPECT_EQ(d.scheduler->transfer_target("m-1"), -1);
   d.job(make_job(1, 1, 1));
   d.heartbeat("m-1", 2);
-  d.scheduler->give({5, 1, {1, 1}});  // marked, but not empty
-  EXPECT_EQ(d.scheduler->gives("m-1"), -1);
+  d.scheduler->transfer({5, 1, {1, 1}});  // marked, but not empty
+  EXPECT_EQ(d.scheduler->transfer_target("m-1"), -1);
 }
 
 // Services were promised along with their machines, which stood half empty for minutes, closed to
@@ -572,27 +580,27 @@
   auto array = make_job(2, 1, 4);
   d.job(array);
   d.commit(2);
-  d.scheduler->give({5, 2, {1, 1}});
-  EXPECT_EQ(d.scheduler->pledged(), 1);  // m-2 alone, once its task is over
+  d.scheduler->transfer({5, 2, {1, 1}});
+  EXPECT_EQ(d.scheduler->transferring(), 1);  // m-2 alone, once its task is over
   // Until then it counts here: else every other owner would see one less than there is.
   EXPECT_EQ(d.scheduler->load(2).capacity, 2);
-  d.scheduler->give({5, 0, {1, 1}});
-  EXPECT_EQ(d.scheduler->pledged(), 0);
+  d.scheduler->transfer({5, 0, {1, 1}});
+  EXPECT_EQ(d.scheduler->transferring(), 0);
   EXPECT_EQ(d.scheduler->load(2).capacity, 2);
   // What nothing there could use is not given.
   d.machine("m-3");
   d.heartbeat("m-3", 3);
-  d.scheduler->give({5, 1, {0, 0}});
-  EXPECT_EQ(d.scheduler->pledged(), 0);
+  d.scheduler->transfer({5, 1, {0, 0}});
+  EXPECT_EQ(d.scheduler->transferring(), 0);
   // An empty one may be on its way already: it is not taken back.
-  d.scheduler->give({5, 1, {1, 1}});
-  EXPECT_EQ(d.scheduler->gives("m-3"), 5);
-  d.scheduler->give({5, 0, {1, 1}});
-  EXPECT_EQ(d.scheduler->gives("m-3"), 5);
+  d.scheduler->transfer({5, 1, {1, 1}});
+  EXPECT_EQ(d.scheduler->transfer_target("m-3"), 5);
+  d.scheduler->transfer({5, 0, {1, 1}});
+  EXPECT_EQ(d.scheduler->transfer_target("m-3"), 5);
   EXPECT_EQ(d.scheduler->load(3).capacity, 3);
   d.scheduler->machine_moved("m-3", 4);
   EXPECT_EQ(d.scheduler->load(4).capacity, 2);
-  EXPECT_EQ(d.scheduler->pledged(), 0);
+  EXPECT_EQ(d.scheduler->transferring(), 0);
 }
 
 // Gifts were counted in machines: eight of the largest went for what two would have done.
@@ -607,21 +615,21 @@
     d.store.commit(roster_txn(d.w, {m}));
     d.read();
     d.scheduler->machine_known(m, 0);
-    wire::Report r;
+    wire::Heartbeat r;
     r.machine = name;
     r.addr = "10.0.0.1:1";
     r.type = type;
     r.zone = "a";
-    r.session = 1;
-    r.seq = ++seq;
+    r.incarnation = 1;
+    r.sequence = ++seq;
     r.token = d.scheduler->token();
-    d.scheduler->report(r, 1);
+    d.scheduler->take_heartbeat(r, 1);
   }
   EXPECT_EQ(d.scheduler->load(1).capacity, 13);
-  d.scheduler->give({5, 3, {1, 1, 1, 1}});
-  EXPECT_EQ(d.scheduler->pledged(), 1);
-  d.scheduler->give({5, 9, {1, 1, 1, 1}});
-  EXPECT_EQ(d.scheduler->pledged(), 9);
+  d.scheduler->transfer({5, 3, {1, 1, 1, 1}});
+  EXPECT_EQ(d.scheduler->transferring(), 1);
+  d.scheduler->transfer({5, 9, {1, 1, 1, 1}});
+  EXPECT_EQ(d.scheduler->transferring(), 9);
 }
 
 // A grown deployment starts far more tasks a second than the state service takes changes: one
@@ -637,30 +645,30 @@
   d.read();
   for (const auto& m : fleet) {
     d.scheduler->machine_known(m, 0);
-    wire::Report r{m.name,  "10.0.0.1:1",         "t4", "a", false, 1,
-                   ++d.seq, d.scheduler->token(), {},   {}};
-    d.scheduler->report(r, 1);
+    wire::Heartbeat r{m.name,  "10.0.0.1:1",         "t4", "a", false, 1,
+                      ++d.seq, d.scheduler->token(), {},   {}};
+    d.scheduler->take_heartbeat(r, 1);
   }
   d.job(make_job(1, 3000, 1));
   std::uint64_t before = d.store.revision;
-  d.scheduler->turn(1);
-  d.scheduler->turn(1);
-  d.scheduler->turn(1);
+  d.scheduler->run_scheduling_pass(1);
+  d.scheduler->run_scheduling_pass(1);
+  d.scheduler->run_scheduling_pass(1);
   std::size_t changes = 0;
-  while (auto txn = d.scheduler->next_txn(d.w, state::Room{}, "t", 1)) {
+  while (auto txn = d.scheduler->next_transaction(d.w, state::TransactionLimits{}, "t", 1)) {
     changes += txn->ops.size();
     EXPECT_LE(txn->ops.size(), static_cast<std::size_t>(d.s.state_limits.txn_ops));
-    EXPECT_LE(txn->guards.size(), static_cast<std::size_t>(d.s.state_limits.txn_ops) * 4);
+    EXPECT_LE(txn->preconditions.size(), static_cast<std::size_t>(d.s.state_limits.txn_ops) * 4);
     for (const auto& op : txn->ops) EXPECT_LE(op.value->size(), 4096u);
     ASSERT_TRUE(d.store.commit(*txn));
     d.read();
-    d.scheduler->txn_applied(1);
+    d.scheduler->transaction_applied(1);
   }
   EXPECT_GT(d.store.revision, before);
   EXPECT_LE(changes, 12u);
   std::size_t placed = 0;
-  for (const auto& [n, page] : d.w.pages(0))
-    for (const auto& g : page.jobs) placed += g.places.size();
+  for (const auto& [n, page] : d.w.placement_pages(0))
+    for (const auto& g : page.jobs) placed += g.placements.size();
   EXPECT_EQ(placed, 800u);
 }
 
@@ -675,7 +683,7 @@
   d.store.commit(roster_txn(d.w, fleet));
   d.read();
   for (const auto& m : fleet) d.scheduler->machine_known(m, 0);
-  std::map<std::string, std::vector<wire::TaskReport>> there;
+  std::map<std::string, std::vector<wire::TaskStatus>> there;
   double now = 1;
   std::size_t worst = 0;
   for (int round = 0; round < 40; ++round, now += 4) {
@@ -684,26 +692,26 @@
       auto& tasks = there[m.name];
       for (auto& t : tasks)  // one in forty runs for long
         if (t.task.index % 40 || t.attempt % 23 == 0)
-          t.state = wire::TaskState::exited, t.why = wire::ExitReason::done;
-      wire::Report r{m.name,  "10.0.0.1:1",         "t4", "a",  false, 1,
-                     ++d.seq, d.scheduler->token(), {},   tasks};
-      d.scheduler->report(r, now);
+          t.state = wire::TaskState::exited, t.exit_reason = wire::ExitReason::done;
+      wire::Heartbeat r{m.name,  "10.0.0.1:1",         "t4", "a",  false, 1,
+                        ++d.seq, d.scheduler->token(), {},   tasks};
+      d.scheduler->take_heartbeat(r, now);
     }
-    d.scheduler->turn(now);
+    d.scheduler->run_scheduling_pass(now);
     std::size_t changes = 0;
-    while (auto txn = d.scheduler->next_txn(d.w, state::Room{}, "t", now)) {
+    while (auto txn = d.scheduler->next_transaction(d.w, state::TransactionLimits{}, "t", now)) {
       for (const auto& op : txn->ops) changes += op.key.starts_with("st/a/");
       ASSERT_TRUE(d.store.commit(*txn));
       std::vector<state::Change> ch;
       d.store.read(d.w, ch);
-      d.scheduler->txn_applied(now);
+      d.scheduler->transaction_applied(now);
     }
     worst = std::max(worst, changes);
     for (const auto& m : fleet) {
       ASSERT_FALSE(d.scheduler->awaits_commit(m.name)) << "round " << round;
       std::erase_if(there[m.name],
                     [](const auto& t) { return t.state == wire::TaskState::exited; });
-      for (const auto& c : d.scheduler->orders(m.name, true, now))
+      for (const auto& c : d.scheduler->commands_for(m.name, true, now))
         if (c.op == wire::Command::Op::start)
           there[m.name].push_back(
               {c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
@@ -718,9 +726,9 @@
   OneDesk d;
   d.s.teams[0].cpus_max = 1e6;
   auto task_of = [](const wire::Command& c) {
-    return wire::TaskReport{c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none};
+    return wire::TaskStatus{c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none};
   };
-  std::map<std::string, std::vector<wire::TaskReport>> there;
+  std::map<std::string, std::vector<wire::TaskStatus>> there;
   for (std::string name : {"m-1", "m-2"}) {
     d.machine(name);
     d.heartbeat(name, 1);
@@ -733,17 +741,17 @@
     ASSERT_EQ(there[name].size(), 4u);
     d.heartbeat(name, 3, there[name]);
   }
-  for (const auto& w : d.scheduler->rent_wishes(3)) d.scheduler->refused(w, 0, true, 3);
-  d.scheduler->turn(3);
+  for (const auto& w : d.scheduler->scale_out_requests(3)) d.scheduler->rent_refused(w, 0, true, 3);
+  d.scheduler->run_scheduling_pass(3);
   auto urgent = make_job(2, 4, 1);
   urgent.spec.priority = wire::Priority::high;
   d.job(urgent);
-  d.scheduler->turn(20);
+  d.scheduler->run_scheduling_pass(20);
   // Whichever machine the urgent tasks joined, room on either goes to them.
   std::size_t started = 0;
   for (std::string name : {"m-1", "m-2"}) {
     there[name][0].state = there[name][1].state = wire::TaskState::exited;
-    there[name][0].why = there[name][1].why = wire::ExitReason::done;
+    there[name][0].exit_reason = there[name][1].exit_reason = wire::ExitReason::done;
     for (const auto& c : d.heartbeat(name, 21, there[name]))
       if (c.op == wire::Command::Op::start) {
         EXPECT_EQ(c.task.job, urgent.spec.id);
@@ -757,34 +765,34 @@
 TEST(ShardScheduler, GuaranteedWorkGoesBeforeWhatOthersBorrow) {
   OneDesk d;
   d.s.teams = {{"red", 1, 100, 0, 0}, {"blue", 4, 100, 0, 0}};
-  d.scheduler =
-      std::make_unique<scheduler::Desk>(d.s, d.t, d.c, 0, d.w.owner(0).mod_revision, 0, 7);
+  d.scheduler = std::make_unique<scheduler::ShardScheduler>(d.s, d.t, d.c, 0,
+                                                            d.w.leader(0).mod_revision, 0, 7);
   d.machine("m-1");
   d.heartbeat("m-1", 1);
   d.job(make_job(1, 12, 1));  // red, far beyond its guarantee
   auto first = d.heartbeat("m-1", 2);
   ASSERT_EQ(first.size(), 4u);
-  std::vector<wire::TaskReport> there;
+  std::vector<wire::TaskStatus> there;
   for (const auto& c : first)
     there.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
   d.heartbeat("m-1", 3, there);
   auto blue = make_job(2, 2, 1);
   blue.spec.team = "blue";
   blue.spec.priority = wire::Priority::idle;
-  wire::Txn txn;
+  wire::Transaction txn;
   txn.ops.push_back({state::job_key(blue.spec.id), wire::encode_record(blue), 0});
   d.store.commit(txn);
   d.read();
   d.scheduler->job_added(blue, 1, {}, 3, 3);
   // Nothing can be rented: the tasks wait on the only machine. What has hardly begun is stopped.
-  d.scheduler->turn(3);
-  for (const auto& w : d.scheduler->rent_wishes(3)) d.scheduler->refused(w, 0, true, 3);
-  d.scheduler->turn(3);
+  d.scheduler->run_scheduling_pass(3);
+  for (const auto& w : d.scheduler->scale_out_requests(3)) d.scheduler->rent_refused(w, 0, true, 3);
+  d.scheduler->run_scheduling_pass(3);
   std::size_t stops = 0;
   for (const auto& c : d.heartbeat("m-1", 4, there)) stops += c.op == wire::Command::Op::stop;
   EXPECT_EQ(stops, 2u);
   there[0].state = there[1].state = wire::TaskState::exited;
-  there[0].why = there[1].why = wire::ExitReason::stopped;
+  there[0].exit_reason = there[1].exit_reason = wire::ExitReason::stopped;
   for (const auto& c : d.heartbeat("m-1", 5, there))
     if (c.op == wire::Command::Op::start) {
       EXPECT_EQ(c.task.job, blue.spec.id);
@@ -799,11 +807,11 @@
   d.heartbeat("m-1", 1);
   d.job(make_job(1, 2, 1));
   d.commit(2);
-  d.scheduler->give({1, 1, {1, 1}});
+  d.scheduler->transfer({1, 1, {1, 1}});
   EXPECT_TRUE(d.heartbeat("m-1", 3).empty());
-  auto wishes = d.scheduler->roster_wishes();
+  auto wishes = d.scheduler->inventory_changes();
   ASSERT_EQ(wishes.size(), 1u);
-  EXPECT_EQ(wishes[0].kind, scheduler::RosterWish::give);
+  EXPECT_EQ(wishes[0].kind, scheduler::InventoryChange::transfer);
   d.machine("m-2");
   EXPECT_EQ(d.heartbeat("m-2", 4).size(), 2u);
 }
@@ -813,13 +821,13 @@
 TEST(ShardScheduler, NothingIsPlacedOnAMachineBeforeTheRosterHoldsIt) {
   OneDesk d;
   d.job(make_job(1, 1, 1));
-  d.scheduler->turn(1);
-  auto wishes = d.scheduler->rent_wishes(1);
+  d.scheduler->run_scheduling_pass(1);
+  auto wishes = d.scheduler->scale_out_requests(1);
   ASSERT_EQ(wishes.size(), 1u);
   d.scheduler->rented(wishes[0], {"m-7"}, 1);
   EXPECT_TRUE(d.heartbeat("m-7", 2).empty());
-  EXPECT_TRUE(d.w.pages(0).empty());
-  auto add = d.scheduler->roster_wishes();
+  EXPECT_TRUE(d.w.placement_pages(0).empty());
+  auto add = d.scheduler->inventory_changes();
   ASSERT_EQ(add.size(), 1u);
   d.scheduler->machine_known(add[0].machine, 3);
   EXPECT_EQ(d.heartbeat("m-7", 4).size(), 1u);
@@ -859,9 +867,9 @@
   }
   d.commit(6);
   std::size_t on_it = 0;
-  for (const auto& [n, page] : d.w.pages(0))
+  for (const auto& [n, page] : d.w.placement_pages(0))
     for (const auto& g : page.jobs)
-      for (const auto& p : g.places) on_it += p.machine == warm;
+      for (const auto& p : g.placements) on_it += p.machine == warm;
   EXPECT_EQ(on_it, 4u);
 }
 
--- a/tests/shard_test.cpp
+++ b/tests/shard_test.cpp
@@ -14,17 +14,17 @@
 // A shard with thousands of waiting tasks stood beside others' idle machines for minutes.
 TEST(Balance, SurplusGoesWhereWorkLacksIt) {
   std::vector<Load> l = {{100, 50, 300}, {100, 20, 20}, {100, 60, 60}};
-  auto from1 = shard::gifts(l, 1), from2 = shard::gifts(l, 2);
+  auto from1 = shard::transfers(l, 1), from2 = shard::transfers(l, 2);
   EXPECT_GT(from1[0], 30);
   EXPECT_GT(from2[0], 10);
   EXPECT_EQ(from1[2], 0);
-  EXPECT_EQ(shard::gifts(l, 0), std::vector<int>(3, 0));
+  EXPECT_EQ(shard::transfers(l, 0), std::vector<int>(3, 0));
 }
 
 TEST(Balance, GuaranteesComeBeforeWhatIsBorrowed) {
   std::vector<Load> l = {{150, 40, 400}, {50, 100, 100}};
-  EXPECT_EQ(shard::gifts(l, 0)[1], 50);
-  EXPECT_EQ(shard::gifts(l, 1)[0], 0);
+  EXPECT_EQ(shard::transfers(l, 0)[1], 50);
+  EXPECT_EQ(shard::transfers(l, 1)[0], 0);
 }
 
 // What is lacking here and to spare there is often less than a machine each. Rounded down it left a
@@ -32,18 +32,18 @@
 TEST(Balance, PartsOfMachinesComeTogether) {
   std::vector<Load> l = {{2, 0, 3}, {2, 0, 3}, {2, 0, 3}, {0, 0, 3}};
   int got = 0;
-  for (int k = 0; k < 3; ++k) got += shard::gifts(l, k)[3];
+  for (int k = 0; k < 3; ++k) got += shard::transfers(l, k)[3];
   EXPECT_EQ(got, 1);
   // An idle machine goes where a quarter of one is lacking.
   l = {{2, 0, 0.5}, {1, 0, 1.25}};
-  EXPECT_EQ(shard::gifts(l, 0)[1], 1);
+  EXPECT_EQ(shard::transfers(l, 0)[1], 1);
 }
 
 TEST(Balance, WhoeverHasWorkHasAMachineWhereThatIsPossible) {
   const std::vector<Load> l = {{3, 2, 100}, {0, 0, 0.1}};
-  EXPECT_EQ(shard::gifts(l, 0)[1], 1);
-  EXPECT_EQ(shard::gifts({{2, 100, 100}, {1, 0, 0.1}}, 1)[0], 0);  // its last one stays
-  EXPECT_EQ(shard::gifts({{1, 1, 1}, {0, 1, 1}}, 0)[1], 0);
+  EXPECT_EQ(shard::transfers(l, 0)[1], 1);
+  EXPECT_EQ(shard::transfers({{2, 100, 100}, {1, 0, 0.1}}, 1)[0], 0);  // its last one stays
+  EXPECT_EQ(shard::transfers({{1, 1, 1}, {0, 1, 1}}, 0)[1], 0);
 }
 
 // Whatever the loads, each transfer brings the shards nearer to their goals, but for the first
@@ -68,7 +68,7 @@
   auto share_out = [&](const std::vector<Load>& x) {
     auto after = x;
     for (int k = 0; k < n; ++k) {
-      const auto g = shard::gifts(x, k);
+      const auto g = shard::transfers(x, k);
       const int given = std::accumulate(g.begin(), g.end(), 0);
       const auto from = static_cast<std::size_t>(k);
       RC_ASSERT(given < std::max(0.0, x[from].capacity - goal[from]) + 1);
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -13,14 +13,14 @@
 RC_GTEST_PROP(StateCache, EndsAsTheStoreWhateverTheOrder, ()) {
   config::Settings s = make_settings();
   Store store;
-  state::World w(s);
+  state::StateCache w(s);
   std::vector<state::Change> changes;
   std::set<std::string> gone;
   auto steps = *rc::gen::container<std::vector<std::pair<int, bool>>>(
       rc::gen::pair(rc::gen::inRange(0, 12), rc::gen::arbitrary<bool>()));
   for (auto [what, early] : steps) {
     std::string id = "run-" + std::to_string(100000 + what % 4);
-    wire::Txn t;
+    wire::Transaction t;
     if (what < 4 && !gone.contains(id))
       t.ops.push_back({state::job_key(id), wire::encode_record(make_job(what % 4, 2, 1)), 0});
     else if (what < 8 && store.mod_revision(state::job_key(id))) {
@@ -44,7 +44,7 @@
   store.read(w, changes);
   for (const auto& id : gone) RC_ASSERT(!w.job(id));
   for (const auto& [k, e] : store.keys) RC_ASSERT(w.mod_revision(k) == e.mod_revision);
-  state::World fresh(s);
+  state::StateCache fresh(s);
   std::vector<wire::Event> items;
   for (const auto& [k, e] : store.keys) items.push_back({k, e.value, e.mod_revision});
   fresh.replace(store.revision, items, changes);
@@ -53,7 +53,7 @@
 
 TEST(StateCache, AnOlderSetDoesNotReviveADroppedJob) {
   config::Settings s = make_settings();
-  state::World w(s);
+  state::StateCache w(s);
   std::vector<state::Change> ch;
   std::string key = state::job_key("run-100000"), value = wire::encode_record(make_job(0, 1, 1));
   w.apply({key, std::nullopt, 9}, ch);  // our own commit, answered first
@@ -71,13 +71,13 @@
 RC_GTEST_PROP(StateCache, EndsAsTheStoreWhenAllIsReadAnewMeanwhile, ()) {
   config::Settings s = make_settings();
   Store store;
-  state::World w(s);
+  state::StateCache w(s);
   std::vector<state::Change> changes;
   auto key = [](int n) { return state::job_key("run-" + std::to_string(100000 + n)); };
   std::set<int> used;
   auto step = [&](int what, bool own) {
     const int n = what % 6;
-    wire::Txn t;
+    wire::Transaction t;
     if (store.mod_revision(key(n)))
       t.ops.push_back({key(n), std::nullopt, 0});
     else if (used.insert(n).second)  // a job's key is set once
@@ -122,7 +122,7 @@
 }
 TEST(StateCache, AJobThatGoesWhileAllIsReadAnewStaysGone) {
   config::Settings s = make_settings();
-  state::World w(s);
+  state::StateCache w(s);
   std::vector<state::Change> ch;
   const std::string key = state::job_key("run-100000"),
                     value = wire::encode_record(make_job(0, 1, 1));
@@ -141,7 +141,7 @@
   config::Settings base = make_settings(3);
   Store store;
   void alive(int n, bool yes) {
-    wire::Txn t;
+    wire::Transaction t;
     std::string k = state::node_key(base.nodes[n]);
     t.ops.push_back({k, yes ? std::optional<std::string>("{}") : std::nullopt, 0});
     store.commit(t);
@@ -159,8 +159,8 @@
     settings.back().self = n;
     settings.back().node = c.base.nodes[n];
   }
-  std::vector<state::World> worlds;
-  std::vector<shard::Ownership> owners;
+  std::vector<state::StateCache> worlds;
+  std::vector<shard::LeaderElection> owners;
   for (int n = 0; n < 3; ++n) {
     worlds.emplace_back(settings[n]);
     owners.emplace_back(settings[n]);
@@ -182,21 +182,22 @@
     }
     owners[n].observe(worlds[n], now);
     for (int k = 0; k < 3; ++k) {
-      shard::Move m = owners[n].decide(worlds[n], k, now, 0);
-      if (m.kind == shard::Move::act) {
+      shard::LeadershipMove m = owners[n].decide(worlds[n], k, now, 0);
+      if (m.kind == shard::LeadershipMove::lead) {
         auto grant = granted.find(m.token);
         bool mine = grant != granted.end() && grant->second == n;
         RC_ASSERT(mine);
       }
-      if (m.kind != shard::Move::take && m.kind != shard::Move::hand_over) continue;
-      int to = m.kind == shard::Move::take ? n : m.to;
-      wire::Txn t;
-      t.guards = m.guards;
+      if (m.kind != shard::LeadershipMove::take && m.kind != shard::LeadershipMove::hand_over)
+        continue;
+      int to = m.kind == shard::LeadershipMove::take ? n : m.to;
+      wire::Transaction t;
+      t.preconditions = m.preconditions;
       t.ops.push_back(
-          {state::owner_key(k), wire::encode_record(wire::OwnerRecord{c.base.nodes[to], ""}), 0});
+          {state::leader_key(k), wire::encode_record(wire::LeaderRecord{c.base.nodes[to], ""}), 0});
       bool owner_gone =
-          worlds[n].owner(k).node < 0 || worlds[n].owner(k).node == n ||
-          !c.store.mod_revision(state::node_key(c.base.nodes[worlds[n].owner(k).node]));
+          worlds[n].leader(k).node < 0 || worlds[n].leader(k).node == n ||
+          !c.store.mod_revision(state::node_key(c.base.nodes[worlds[n].leader(k).node]));
       if (auto rev = c.store.commit(t)) {
         RC_ASSERT(owner_gone);  // never from a node whose key was there
         bool rises = granted.empty() || granted.rbegin()->first < *rev;
@@ -211,45 +212,47 @@
 // the old owner's last placements, which were committed just before.
 TEST(LeaderElection, ATokenIsActedOnOnlyOnceAllBeforeItHasBeenRead) {
   config::Settings s = make_settings(1);
-  state::World w(s);
+  state::StateCache w(s);
   Store store;
-  shard::Ownership o(s);
+  shard::LeaderElection o(s);
   std::vector<state::Change> ch;
-  wire::Txn t;
+  wire::Transaction t;
   t.ops.push_back({state::node_key("node-0"), "{}", 0});
   store.commit(t);
   o.registered(store.revision);
   store.read(w, ch);
   o.observe(w, 1);
-  EXPECT_EQ(o.decide(w, 0, 100, 0).kind, shard::Move::take);
+  EXPECT_EQ(o.decide(w, 0, 100, 0).kind, shard::LeadershipMove::take);
   store.commit({{}, {{state::job_key("run-100000"), wire::encode_record(make_job(0, 1, 1)), 0}}});
-  wire::Txn own;
-  own.ops.push_back({state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", ""}), 0});
+  wire::Transaction own;
+  own.ops.push_back(
+      {state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", ""}), 0});
   auto rev = store.commit(own);
   w.apply({own.ops[0].key, own.ops[0].value, *rev}, ch);  // answered, not yet read
-  EXPECT_EQ(o.decide(w, 0, 101, 0).kind, shard::Move::none);
+  EXPECT_EQ(o.decide(w, 0, 101, 0).kind, shard::LeadershipMove::none);
   store.read(w, ch);
-  EXPECT_EQ(o.decide(w, 0, 101, 0).kind, shard::Move::act);
+  EXPECT_EQ(o.decide(w, 0, 101, 0).kind, shard::LeadershipMove::lead);
   EXPECT_NE(w.job("run-100000"), nullptr);
 }
 
 TEST(LeaderElection, ATokenWhoseDeskWasClosedIsReclaimed) {
   config::Settings s = make_settings(1);
-  state::World w(s);
+  state::StateCache w(s);
   Store store;
-  shard::Ownership o(s);
+  shard::LeaderElection o(s);
   std::vector<state::Change> ch;
-  wire::Txn t;
+  wire::Transaction t;
   t.ops.push_back({state::node_key("node-0"), "{}", 0});
   store.commit(t);
   o.registered(store.revision);
-  wire::Txn own;
-  own.ops.push_back({state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", ""}), 0});
+  wire::Transaction own;
+  own.ops.push_back(
+      {state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", ""}), 0});
   store.commit(own);
   store.read(w, ch);
   o.observe(w, 1);
-  EXPECT_EQ(o.decide(w, 0, 1, 0).kind, shard::Move::act);
-  EXPECT_EQ(o.decide(w, 0, 1, w.owner(0).mod_revision).kind, shard::Move::take);
+  EXPECT_EQ(o.decide(w, 0, 1, 0).kind, shard::LeadershipMove::lead);
+  EXPECT_EQ(o.decide(w, 0, 1, w.leader(0).mod_revision).kind, shard::LeadershipMove::take);
 }
 
 }  // namespace
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -41,7 +41,7 @@
   for (const auto& text : {kJob, kService}) {
     JobRecord b = wire::decode_job_record(event(text));
     EXPECT_EQ(wire::encode_record(b), text);
-    EXPECT_TRUE(b.spec.awaits.empty());
+    EXPECT_TRUE(b.spec.dependencies.empty());
     EXPECT_EQ(b.ready_at, 0);
   }
   // What is new in the record of a job that may start is a field that the other version ignores.
@@ -54,22 +54,23 @@
 
 TEST(Upgrade, FinalAndOwnerRecordsAreThoseOfTheVersionInProduction) {
   for (const auto& text : {kDone, kCancelled}) {
-    auto f = wire::decode_final_record(text);
+    auto f = wire::decode_job_result(text);
     EXPECT_EQ(f.cancelled, text == kCancelled);
     EXPECT_FALSE(f.service);
     EXPECT_EQ(wire::encode_record(f), text);
   }
-  EXPECT_EQ(wire::encode_record(wire::decode_owner_record(event(kOwner))), kOwner);
+  EXPECT_EQ(wire::encode_record(wire::decode_leader_record(event(kOwner))), kOwner);
 }
 
 TEST(Upgrade, SheetsAndRosterPagesAreThoseOfTheVersionInProduction) {
   auto names = [](int t) { return std::string(t ? "red" : "vision"); };
-  auto page = wire::decode_sheet(event(kSheet), [](const std::string& t) { return t == "red"; });
+  auto page =
+      wire::decode_placement_page(event(kSheet), [](const std::string& t) { return t == "red"; });
   ASSERT_EQ(page.jobs.size(), 2u);
-  EXPECT_EQ(page.jobs[0].places.size(), 2u);
-  EXPECT_EQ(page.jobs[0].places[1].attempt, (5u << 20) + 9);
+  EXPECT_EQ(page.jobs[0].placements.size(), 2u);
+  EXPECT_EQ(page.jobs[0].placements[1].attempt, (5u << 20) + 9);
   EXPECT_EQ(wire::encode_record(page, names), kSheet);
-  auto inventory = wire::decode_roster(event(kRoster));
+  auto inventory = wire::decode_inventory_page(event(kRoster));
   ASSERT_EQ(inventory.machines.size(), 2u);
   EXPECT_EQ(wire::encode_record(inventory), kRoster);
 }
@@ -90,12 +91,12 @@
 
 TEST(Upgrade, KeysAreThoseOfTheVersionInProduction) {
   EXPECT_EQ(state::node_key("railhead-0"), "st/n/railhead-0");
-  EXPECT_EQ(state::owner_key(2), "st/o/2");
+  EXPECT_EQ(state::leader_key(2), "st/o/2");
   EXPECT_EQ(state::job_key("run-000412"), "st/j/run-000412");
-  EXPECT_EQ(state::roster_key(state::roster_page("m-000231")), "st/m/7");
-  EXPECT_EQ(state::roster_key(state::roster_page("odd")), "st/m/16777263");
-  EXPECT_EQ(state::sheet_key(1, 47), "st/a/1/47");
-  EXPECT_EQ(state::final_key("run-000412"), "fin/run-000412");
+  EXPECT_EQ(state::inventory_key(state::inventory_page("m-000231")), "st/m/7");
+  EXPECT_EQ(state::inventory_key(state::inventory_page("odd")), "st/m/16777263");
+  EXPECT_EQ(state::placement_page_key(1, 47), "st/a/1/47");
+  EXPECT_EQ(state::job_result_key("run-000412"), "fin/run-000412");
   // A letter that the version in production has no word for: it keeps the revision and reads past
   // it.
   EXPECT_EQ(state::waiting_key("run-000412"), "st/w/run-000412");
@@ -114,17 +115,17 @@
         settings(R"({"rps":80,"write_rps":25,"value_kb":4,"txn_ops":12)" + next + "}"));
   };
   auto s = of("");
-  EXPECT_EQ(state::Limits(s).room().value_bytes, 4096u);
-  EXPECT_EQ(state::Limits(s).room().ops, 12u);
+  EXPECT_EQ(state::Limits(s).transaction_limits().value_bytes, 4096u);
+  EXPECT_EQ(state::Limits(s).transaction_limits().ops, 12u);
   s = of(R"(,"next":{"write_rps":18.0,"value_kb":2.0,"txn_ops":4})");
   EXPECT_EQ(s.state_next.rps, 80);
   EXPECT_EQ(s.state_next.write_rps, 18);
-  EXPECT_EQ(state::Limits(s).room().value_bytes, 2048u);
-  EXPECT_EQ(state::Limits(s).room().ops, 4u);
+  EXPECT_EQ(state::Limits(s).transaction_limits().value_bytes, 2048u);
+  EXPECT_EQ(state::Limits(s).transaction_limits().ops, 4u);
   auto message = [&](const std::string& next) {
     try {
       of(next);
-    } catch (const config::BadSettings& e) {
+    } catch (const config::SettingsError& e) {
       return std::string(e.what());
     }
     return std::string();
@@ -142,15 +143,16 @@
   EXPECT_EQ(l.present().value_bytes, 4096u);  // inventory pages, as the other version reads them
   l.too_large(3000, 6);
   EXPECT_EQ(l.present().value_bytes, 2048u);
-  EXPECT_EQ(l.room().ops, 4u);
+  EXPECT_EQ(l.transaction_limits().ops, 4u);
   // Nobody announced this. It ends at a size that can still be worked with.
-  for (int i = 0; i < 20; ++i) l.too_large(l.room().value_bytes, l.room().ops);
-  EXPECT_EQ(l.room().value_bytes, 1024u);
-  EXPECT_EQ(l.room().ops, 2u);
+  for (int i = 0; i < 20; ++i)
+    l.too_large(l.transaction_limits().value_bytes, l.transaction_limits().ops);
+  EXPECT_EQ(l.transaction_limits().value_bytes, 1024u);
+  EXPECT_EQ(l.transaction_limits().ops, 2u);
 }
 
 TEST(Limits, A429LowersTheRateAtOnceAndItRisesAgainSlowly) {
-  state::Pace p(25, 18);
+  state::AdaptiveRate p(25, 18);
   EXPECT_EQ(p.rate(1), 25);
   p.refused(1);
   EXPECT_EQ(p.rate(1), 18);
@@ -171,8 +173,8 @@
   config::Settings s = make_settings();
   Store store;
   std::map<std::string, int> truth;
-  std::vector<std::unique_ptr<state::World>> nodes;
-  for (int i = 0; i < 2; ++i) nodes.push_back(std::make_unique<state::World>(s));
+  std::vector<std::unique_ptr<state::StateCache>> nodes;
+  for (int i = 0; i < 2; ++i) nodes.push_back(std::make_unique<state::StateCache>(s));
   auto steps = *rc::gen::container<std::vector<std::tuple<int, int, int, bool>>>(
       rc::gen::tuple(rc::gen::inRange(0, 32), rc::gen::inRange(0, 3), rc::gen::inRange(0, 2),
                      rc::gen::arbitrary<bool>()));
@@ -183,14 +185,14 @@
     if (i > steps.size() / 3) limits[0] = 700;
     if (i > steps.size() * 2 / 3) limits[1] = 700;
     const std::size_t limit = limits[node];
-    state::World& w = *nodes[static_cast<std::size_t>(node)];
+    state::StateCache& w = *nodes[static_cast<std::size_t>(node)];
     std::vector<state::Change> changes;
     if (read) store.read(w, changes);
     for (const auto& c : changes)
       if (c.kind == state::Change::machine_gone && !w.machine(c.name))
         RC_ASSERT(!truth.contains(c.name));
     const std::string name = "m-" + std::to_string(320000 + machine);
-    shard::RosterPage page(w, state::roster_page(name));
+    shard::InventoryPage page(w, state::inventory_page(name));
     const auto* m = page.find(name);
     if (what < 2 && !m)
       page.set({name, "a-type-with-a-name", "zone-with-a-name", true, what, 123456});
@@ -201,7 +203,7 @@
     } else {
       page.drop(name);
     }
-    wire::Txn t = page.changes(limit, "tag");
+    wire::Transaction t = page.changes(limit, "tag");
     if (t.ops.empty()) continue;
     for (const auto& op : t.ops)
       if (op.value) RC_ASSERT(op.value->size() <= limit);
@@ -213,10 +215,10 @@
     // Every machine that is there stands in exactly one part.
     std::map<std::string, int> held;
     for (const auto& [k, e] : store.keys)
-      for (const auto& r : wire::decode_roster(event(e.value)).machines) ++held[r.name];
+      for (const auto& r : wire::decode_inventory_page(event(e.value)).machines) ++held[r.name];
     RC_ASSERT(held == truth);
   }
-  state::World last(s);
+  state::StateCache last(s);
   std::vector<state::Change> changes;
   store.read(last, changes);
   RC_ASSERT(last.machines().size() == truth.size());
@@ -227,23 +229,23 @@
 TEST(InventoryPage, TheNextPartIsGuarded) {
   config::Settings s = make_settings();
   Store store;
-  state::World w(s);
+  state::StateCache w(s);
   std::vector<state::Change> changes;
   auto machine = [](int n) {
     return wire::MachineRecord{"m-" + std::to_string(320000 + n), "type", "zone", true, 0, 1};
   };
-  const int number = state::roster_page(machine(0).name);
-  shard::RosterPage first(w, number);
+  const int number = state::inventory_page(machine(0).name);
+  shard::InventoryPage first(w, number);
   for (int i = 0; i < 20; ++i) first.set(machine(i));
   ASSERT_TRUE(store.commit(first.changes(4096, "a")));
   store.read(w, changes);
-  const std::size_t full = store.keys.at(state::roster_key(number)).value.size();
-  shard::RosterPage large(w, number), parted(w, number);
+  const std::size_t full = store.keys.at(state::inventory_key(number)).value.size();
+  shard::InventoryPage large(w, number), parted(w, number);
   large.set(machine(21));
   parted.set(machine(21));
-  wire::Txn one = large.changes(4096, "b"), two = parted.changes(full, "c");
+  wire::Transaction one = large.changes(4096, "b"), two = parted.changes(full, "c");
   // What does not fit goes to the new part, and the page itself stays as it is.
-  std::erase_if(two.ops, [&](const auto& op) { return op.key == state::roster_key(number); });
+  std::erase_if(two.ops, [&](const auto& op) { return op.key == state::inventory_key(number); });
   ASSERT_TRUE(store.commit(two));
   EXPECT_FALSE(store.commit(one));
 }
@@ -255,11 +257,11 @@
   config::Settings s = make_settings(1);
   s.teams[0].cpus_max = 100000;
   config::Tuning tuning;
-  scheduler::Catalogue c = make_catalogue(s);
+  scheduler::MachineCatalogue c = make_catalogue(s);
   Store store;
-  state::World w(s);
+  state::StateCache w(s);
   store.commit(
-      {{}, {{state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", "x"}), 0}}});
+      {{}, {{state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", "x"}), 0}}});
   std::vector<wire::MachineRecord> machines;
   for (int i = 0; i < 600; ++i)
     machines.push_back({"m-" + std::to_string(100000 + i), "t4", "a", true, 0, 0});
@@ -269,45 +271,45 @@
   auto job = make_job(1, 2400, 1);
   store.commit({{}, {{state::job_key(job.spec.id), wire::encode_record(job), 0}}});
   store.read(w, ch);
-  scheduler::Desk d(s, tuning, c, 0, w.owner(0).mod_revision, 0, 7);
+  scheduler::ShardScheduler d(s, tuning, c, 0, w.leader(0).mod_revision, 0, 7);
   d.job_added(job, 0, {}, 0, 0);
   for (const auto& m : machines) d.machine_known(m, 0);
   double now = 1;
-  auto commit = [&](state::Room size) {
+  auto commit = [&](state::TransactionLimits size) {
     now += 10;  // results have waited long enough
-    for (int i = 0; i < 10; ++i) d.turn(now);
+    for (int i = 0; i < 10; ++i) d.run_scheduling_pass(now);
     std::size_t n = 0;
-    while (auto t = d.next_txn(w, size, "t", now)) {
+    while (auto t = d.next_transaction(w, size, "t", now)) {
       ++n;
       EXPECT_LE(t->ops.size(), size.ops);
-      EXPECT_LE(t->guards.size(), 4 * size.ops);
+      EXPECT_LE(t->preconditions.size(), 4 * size.ops);
       for (const auto& op : t->ops) EXPECT_LE(op.value.value_or("").size(), size.value_bytes);
       EXPECT_TRUE(store.commit(*t));
       store.read(w, ch);
-      d.txn_applied(now);
+      d.transaction_applied(now);
     }
     return n;
   };
   auto heartbeat = [&](int from, int to) {
     for (int i = from; i < to; ++i) {
-      wire::Report r{machines[static_cast<std::size_t>(i)].name,
-                     "10.0.0.1:1",
-                     "t4",
-                     "a",
-                     true,
-                     1,
-                     1,
-                     0,
-                     std::nullopt,
-                     {}};
-      d.report(r, 1);
+      wire::Heartbeat r{machines[static_cast<std::size_t>(i)].name,
+                        "10.0.0.1:1",
+                        "t4",
+                        "a",
+                        true,
+                        1,
+                        1,
+                        0,
+                        std::nullopt,
+                        {}};
+      d.take_heartbeat(r, 1);
     }
   };
   auto places = [&] {
     std::set<std::uint32_t> tasks;
-    for (const auto& [n, page] : w.pages(0))
+    for (const auto& [n, page] : w.placement_pages(0))
       for (const auto& g : page.jobs)
-        for (const auto& p : g.places) EXPECT_TRUE(tasks.insert(p.task).second);
+        for (const auto& p : g.placements) EXPECT_TRUE(tasks.insert(p.task).second);
     return tasks.size();
   };
   heartbeat(0, 400);
@@ -317,15 +319,16 @@
   // Results come, are written, and grow: beside a full placement page, and after the limits have
   // fallen.
   auto done = [&](int from, int to, std::uint64_t seq) {
-    std::map<std::string, std::vector<wire::TaskReport>> on;
-    for (const auto& [n, page] : w.pages(0))
+    std::map<std::string, std::vector<wire::TaskStatus>> on;
+    for (const auto& [n, page] : w.placement_pages(0))
       for (const auto& g : page.jobs)
-        for (const auto& p : g.places)
+        for (const auto& p : g.placements)
           on[p.machine].push_back(
               {{g.job, p.task}, p.attempt, wire::TaskState::exited, wire::ExitReason::done});
     for (int i = from; i < to; ++i) {
       const auto& m = machines[static_cast<std::size_t>(i)].name;
-      d.report({m, "10.0.0.1:1", "t4", "a", true, 1, seq, 0, std::nullopt, {on[m].front()}}, 5);
+      d.take_heartbeat({m, "10.0.0.1:1", "t4", "a", true, 1, seq, 0, std::nullopt, {on[m].front()}},
+                       5);
     }
   };
   done(0, 40, 2);
@@ -341,7 +344,7 @@
   std::set<std::uint32_t> finished;
   for (const auto& [chunk, list] : w.done(job.spec.id))
     for (auto [a, b] : list)
-      for (auto t = a; t <= b; ++t) finished.insert(chunk * jobs::kChunk + t);
+      for (auto t = a; t <= b; ++t) finished.insert(chunk * jobs::kTasksPerChunk + t);
   EXPECT_EQ(finished.size(), 80u);
 }
 
@@ -351,51 +354,51 @@
   config::Settings s = make_settings(1);
   s.teams[0].cpus_max = 100000;
   config::Tuning tuning;
-  scheduler::Catalogue c = make_catalogue(s);
+  scheduler::MachineCatalogue c = make_catalogue(s);
   Store store;
-  state::World w(s);
+  state::StateCache w(s);
   auto job = make_job(1, 1000, 1);
   store.commit({{},
-                {{state::owner_key(0), wire::encode_record(wire::OwnerRecord{"node-0", "x"}), 0},
+                {{state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", "x"}), 0},
                  {state::job_key(job.spec.id), wire::encode_record(job), 0}}});
   auto names = [&](int team) { return s.teams[static_cast<std::size_t>(team)].name; };
   std::vector<wire::MachineRecord> machines;
   for (int page = 0; page < 48; ++page) {
-    wire::SheetRecord r{"t", {{job.spec.id, 0, 1, 0, 1, {}, {}}}};
+    wire::PlacementPageRecord r{"t", {{job.spec.id, 0, 1, 0, 1, {}, {}}}};
     for (std::uint32_t i = 0; i < 6; ++i) {
       std::string name = "m-" + std::string(190, 'x') + std::to_string(machines.size());
       machines.push_back({name, "t4", "a", true, 0, 0});
-      r.jobs[0].places.push_back({name, static_cast<std::uint32_t>(machines.size()), 7});
+      r.jobs[0].placements.push_back({name, static_cast<std::uint32_t>(machines.size()), 7});
     }
     if (page == 0) r.jobs[0].done = {{0, {{0, 0}}}};
-    store.commit({{}, {{state::sheet_key(0, page), wire::encode_record(r, names), 0}}});
+    store.commit({{}, {{state::placement_page_key(0, page), wire::encode_record(r, names), 0}}});
   }
   std::vector<state::Change> ch;
   store.read(w, ch);
-  scheduler::Desk d(s, tuning, c, 0, w.owner(0).mod_revision, 0, 7);
+  scheduler::ShardScheduler d(s, tuning, c, 0, w.leader(0).mod_revision, 0, 7);
   d.job_added(job, 0, w.done(job.spec.id), 0, 0);
   for (const auto& m : machines) d.machine_known(m, 0);
-  for (const auto& [n, page] : w.pages(0)) d.inherit(n, page, 0);
-  wire::Report r{machines[0].name,
-                 "10.0.0.1:1",
-                 "t4",
-                 "a",
-                 true,
-                 1,
-                 1,
-                 w.owner(0).mod_revision,
-                 std::nullopt,
-                 {{{job.spec.id, 1}, 7, wire::TaskState::exited, wire::ExitReason::done}}};
-  d.report(r, 1);
-  d.turn(10);
-  auto t = d.next_txn(w, {1024, 2, 8}, "t", 10);
+  for (const auto& [n, page] : w.placement_pages(0)) d.recover_page(n, page, 0);
+  wire::Heartbeat r{machines[0].name,
+                    "10.0.0.1:1",
+                    "t4",
+                    "a",
+                    true,
+                    1,
+                    1,
+                    w.leader(0).mod_revision,
+                    std::nullopt,
+                    {{{job.spec.id, 1}, 7, wire::TaskState::exited, wire::ExitReason::done}}};
+  d.take_heartbeat(r, 1);
+  d.run_scheduling_pass(10);
+  auto t = d.next_transaction(w, {1024, 2, 8}, "t", 10);
   ASSERT_TRUE(t);
   ASSERT_EQ(t->ops.size(), 1u);
-  EXPECT_EQ(t->ops[0].key, state::sheet_key(0, 48));
+  EXPECT_EQ(t->ops[0].key, state::placement_page_key(0, 48));
   EXPECT_LE(t->ops[0].value.value_or("").size(), 1024u);
   ASSERT_TRUE(store.commit(*t));
   store.read(w, ch);
-  d.txn_applied(10);
+  d.transaction_applied(10);
   std::set<std::uint32_t> done;
   const auto all = w.done(job.spec.id);
   for (auto [a, b] : all.at(0))
