--- /dev/null
+++ b/src/simulation/job_records.cpp
@@ -0,0 +1,48 @@
+#include "simulation/job_records.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace shunttrail::simulation {
+
+namespace {
+constexpr double kServiceRunS = 1e9;         // longer than any history
+constexpr double kCompletedAlreadyS = 0.01;  // a result that is kept: the task exits at once
+}  // namespace
+
+void JobRecords::add(wire::JobSpec spec, double run_s) {
+  const std::string id = spec.id;
+  jobs_[id] = {std::move(spec), run_s};
+}
+
+SimulatedJob* JobRecords::find(const std::string& id) {
+  const auto job = jobs_.find(id);
+  return job == jobs_.end() ? nullptr : &job->second;
+}
+
+bool JobRecords::all_completed(const std::string& id) const {
+  for (std::uint32_t i = 0; i < at(id).spec.tasks; ++i)
+    if (!is_completed({id, i})) return false;
+  return true;
+}
+
+bool JobRecords::is_cancelled_by_users(const std::string& id) const {
+  const SimulatedJob& job = at(id);
+  return job.cancel_asked || std::any_of(job.spec.dependencies.begin(), job.spec.dependencies.end(),
+                                         [&](const std::string& dependency) {
+                                           return is_cancelled_by_users(dependency);
+                                         });
+}
+
+std::optional<emulators::WorkerEmulator::Work> JobRecords::work_of(const wire::TaskId& task) const {
+  const auto found = jobs_.find(task.job);
+  if (found == jobs_.end()) return std::nullopt;
+  const SimulatedJob& job = found->second;
+  double run_s = job.run_s * (1 + task.index % 3);
+  if (is_completed(task)) run_s = kCompletedAlreadyS;
+  if (job.spec.service) run_s = kServiceRunS;
+  return emulators::WorkerEmulator::Work{job.spec.cpus, job.spec.image_gb, run_s,
+                                         job.spec.checkpoint_s, job.spec.save_s};
+}
+
+}  // namespace shunttrail::simulation
--- /dev/null
+++ b/src/simulation/rule_checker.cpp
@@ -0,0 +1,348 @@
+#include "simulation/rule_checker.h"
+
+#include <algorithm>
+
+#include "client_protocol/client_protocol.h"
+
+namespace shunttrail::simulation {
+
+using emulators::WorkerEmulator;
+using wire::JobState;
+using wire::TaskState;
+
+namespace {
+constexpr double kNeglectedS = 90;       // waiting beside room
+constexpr double kWaitingCheckGapS = 1;  // between two checks for it
+
+bool type_allowed(const wire::JobSpec& spec, const WorkerEmulator::Settings& machine) {
+  if (machine.spot && !spec.spot) return false;
+  return !spec.types ||
+         std::find(spec.types->begin(), spec.types->end(), machine.type) != spec.types->end();
+}
+
+// The most tasks of a job with anti-affinity that one zone may have.
+std::uint32_t zone_limit(const wire::JobSpec& spec) { return (spec.tasks + 1) / 2; }
+
+// Whether type and zone allow a task of the job, of which `here` are in the machine's zone.
+bool place_allowed(const wire::JobSpec& spec, const WorkerEmulator::Settings& machine, int here,
+                   bool elsewhere) {
+  if (!type_allowed(spec, machine)) return false;
+  if (spec.zone && *spec.zone != machine.zone) return false;
+  if (spec.same_zone && elsewhere) return false;
+  return !spec.anti_affinity || here < static_cast<int>(zone_limit(spec));
+}
+
+bool told_before(double told_at, double asked_at) { return told_at >= 0 && told_at <= asked_at; }
+}  // namespace
+
+RuleChecker::RuleChecker(const Simulation& simulation, const ClusterOptions& options,
+                         const SimulatedMachines& machines, JobRecords& jobs)
+    : simulation_(simulation), options_(options), machines_(machines), jobs_(jobs) {}
+
+void RuleChecker::report(const std::string& what) {
+  broken_.push_back("at " + std::to_string(simulation_.now()) + ": " + what);
+}
+
+double RuleChecker::begun_at(const std::string& job) const {
+  const auto at = begun_.find(job);
+  return at == begun_.end() ? -1 : at->second;
+}
+
+// ---- tasks
+
+bool RuleChecker::task_moved(const WorkerEmulator& worker, const WorkerEmulator::Task& task,
+                             TaskState was) {
+  const double told_cancelled = jobs_.at(task.id.job).told_cancelled;
+  if (task.state == TaskState::fetching) count_start(task_name(task.id), told_cancelled);
+  if (task.state == TaskState::running && told_cancelled >= 0)
+    after_cancel_.begun = std::max(after_cancel_.begun, simulation_.now() - told_cancelled);
+  saves_ += task.state == TaskState::saving;
+  // As it leaves: between two checks of the machines, too.
+  if (was == TaskState::running || was == TaskState::saving) check_cancelled(task);
+  if (task.state == TaskState::running) check_start(worker, task);
+  return task.state == TaskState::exited && task.why == wire::ExitReason::done &&
+         jobs_.complete(task.id);
+}
+
+void RuleChecker::count_start(const std::string& name, double told_cancelled) {
+  ++starts_;
+  begun_again_ += acknowledged_.contains(name);
+  if (told_cancelled >= 0)
+    after_cancel_.obeyed = std::max(after_cancel_.obeyed, simulation_.now() - told_cancelled);
+}
+
+// Rules: ran_twice, wrong_place, too_early.
+void RuleChecker::check_start(const WorkerEmulator& worker, const WorkerEmulator::Task& task) {
+  begun_.try_emplace(task.id.job, simulation_.now());
+  const std::string name = task_name(task.id);
+  std::uint32_t same_zone = 0, other_zones = 0;  // the job's tasks
+  for (const auto& machine : machines_.all()) {
+    if (!machine->worker) continue;
+    for (const auto& other : machine->worker->tasks()) {
+      if (other.state == TaskState::exited || other.state == TaskState::fetching ||
+          other.id.job != task.id.job)
+        continue;
+      ++(machine->worker->settings().zone == worker.settings().zone ? same_zone : other_zones);
+      if (machine->worker.get() != &worker && task_name(other.id) == name)
+        report("ran_twice: " + name + " on " + worker.settings().name + " and " + machine->name);
+    }
+  }
+  check_place(worker, task.id, same_zone, other_zones);
+  // Not a rule of the protocol, but of what users are promised: README, "Jobs that await others".
+  for (const auto& dependency : jobs_.at(task.id.job).spec.dependencies)
+    for (std::uint32_t i = 0; i < jobs_.at(dependency).spec.tasks; ++i)
+      if (!jobs_.is_completed({dependency, i}))
+        report("too_early: " + name + " before " + dependency);
+  check_machines();
+}
+
+void RuleChecker::check_place(const WorkerEmulator& worker, const wire::TaskId& task,
+                              std::uint32_t same_zone, std::uint32_t other_zones) {
+  const wire::JobSpec& spec = jobs_.at(task.job).spec;
+  const auto& machine = worker.settings();
+  if ((spec.same_zone && other_zones) || (spec.anti_affinity && same_zone > zone_limit(spec)) ||
+      (spec.zone && *spec.zone != machine.zone))
+    report("wrong_place: " + task_name(task) + " in zone " + machine.zone);
+  if (!type_allowed(spec, machine))
+    report("wrong_place: " + task_name(task) + " on type " + machine.type);
+}
+
+void RuleChecker::task_acknowledged(const WorkerEmulator::Task& task) {
+  if (task.why == wire::ExitReason::done) acknowledged_.insert(task_name(task.id));
+}
+
+// Rules: quota, ran_cancelled, also of what depends on a cancelled job.
+void RuleChecker::check_machines() {
+  std::map<std::string, double> cpus_by_team;
+  for (const auto& machine : machines_.all()) {
+    if (!machine->worker) continue;
+    for (const auto& task : machine->worker->tasks()) {
+      if (task.state == TaskState::exited || task.state == TaskState::fetching) continue;
+      const wire::JobSpec& spec = jobs_.at(task.id.job).spec;
+      cpus_by_team[spec.team] += spec.cpus;
+      check_cancelled(task);
+    }
+  }
+  for (const auto& [team, cpus] : cpus_by_team)
+    if (cpus > options_.team_limit + kCpuTolerance) report("quota: " + team);
+}
+
+// A task that is on a machine, or leaves it in this moment. One that waits for its image is not.
+void RuleChecker::check_cancelled(const WorkerEmulator::Task& task) {
+  const double told = jobs_.at(task.id.job).told_cancelled;
+  if (told < 0) return;
+  const double since = simulation_.now() - told;
+  after_cancel_.on_machine = std::max(after_cancel_.on_machine, since);
+  if (since > options_.cancel_s)
+    report("ran_cancelled: " + task_name(task.id) + ", " + std::to_string(since) +
+           " s after its user was told");
+}
+
+// ---- answers
+
+// Rules: forgotten, invented, not_done, went_back. All answers about a job, of all controllers, are
+// one register: an answer to a question is never older than an answer before that question.
+std::optional<JobState> RuleChecker::check_answer(const std::string& id, const net::Result& result,
+                                                  double asked_at, UserRequest request) {
+  const SimulatedJob* job = jobs_.find(id);
+  if (!job) {
+    if (result.status == 200) report("invented: " + id);
+    return std::nullopt;
+  }
+  if (told_before(job->told_accepted, asked_at)) check_accepted_answer(id, result.status);
+  if (result.status != 200 && result.status != 201) return std::nullopt;
+  const JobState state = client_protocol::decode_job_state(result.body).state;
+  check_final_state(id, *job, state, asked_at);
+  if (request == UserRequest::cancellation && state != JobState::cancelled &&
+      state != JobState::done)
+    report("went_back: a cancellation of " + id + " is answered " + wire::state_name(state));
+  if (state == JobState::cancelled && !jobs_.is_cancelled_by_users(id))
+    report("went_back: " + id + " is called cancelled, and nobody asked");
+  if (state == JobState::done)
+    for (std::uint32_t i = 0; i < job->spec.tasks; ++i)
+      if (!jobs_.is_completed({id, i}))
+        report("not_done: " + id + " is called done, and task " + std::to_string(i) + " is not");
+  return state;
+}
+
+void RuleChecker::check_accepted_answer(const std::string& id, int status) {
+  if (status == 404) report("forgotten: " + id + " is answered 404");
+  if (status == 400 || status == 422)
+    report("forgotten: " + id + " was refused when it was submitted again");
+  if (status == 201) report("went_back: " + id + " is accepted as if it were new");
+}
+
+void RuleChecker::check_final_state(const std::string& id, const SimulatedJob& job, JobState state,
+                                    double asked_at) {
+  const bool cancelled = state == JobState::cancelled;
+  const bool done = state == JobState::done;
+  // Of two final states one is wrong, whichever was asked for first.
+  if ((told_before(job.told_cancelled, asked_at) && !cancelled) ||
+      (job.told_cancelled >= 0 && done))
+    report("went_back: " + id + " was called cancelled, and now " + wire::state_name(state));
+  if ((told_before(job.told_done, asked_at) && !done) || (job.told_done >= 0 && cancelled))
+    report("went_back: " + id + " was called done, and now " + wire::state_name(state));
+}
+
+// ---- room
+
+double RuleChecker::used(const std::string& team) const {
+  double cpus = 0;
+  for (const auto& machine : machines_.all()) {
+    if (!machine->worker) continue;
+    for (const auto& task : machine->worker->tasks()) {
+      const wire::JobSpec& spec = jobs_.at(task.id.job).spec;
+      if (task.state != TaskState::exited && spec.team == team) cpus += spec.cpus;
+    }
+  }
+  return cpus;
+}
+
+// Nothing but room and limits keeps its tasks from starting.
+bool RuleChecker::wants_room(const SimulatedJob& job) const {
+  if (!job.accepted || job.told_done >= 0 || jobs_.is_cancelled_by_users(job.spec.id)) return false;
+  return std::all_of(job.spec.dependencies.begin(), job.spec.dependencies.end(),
+                     [&](const std::string& id) { return jobs_.all_completed(id); });
+}
+
+bool RuleChecker::room_for(const std::string& id) const {
+  const SimulatedJob& job = jobs_.at(id);
+  if (!wants_room(job)) return false;
+  if (used(job.spec.team) + job.spec.cpus > options_.team_limit + kCpuTolerance) return false;
+  std::map<std::string, int> by_zone;  // its own tasks
+  for (const auto& machine : machines_.all())
+    if (machine->worker)
+      for (const auto& task : machine->worker->tasks())
+        by_zone[machine->zone] += task.state != TaskState::exited && task.id.job == id;
+  return std::any_of(machines_.all().begin(), machines_.all().end(), [&](const auto& machine) {
+    if (!machine->worker) return false;
+    const auto& settings = machine->worker->settings();
+    double cpus = settings.cpus;
+    for (const auto& task : machine->worker->tasks()) {
+      if (task.state == TaskState::exited) continue;
+      const wire::JobSpec& other = jobs_.at(task.id.job).spec;
+      if (other.team != job.spec.team) return false;
+      cpus -= other.cpus;
+    }
+    const bool elsewhere = std::any_of(by_zone.begin(), by_zone.end(), [&](const auto& zone) {
+      return zone.first != settings.zone && zone.second > 0;
+    });
+    return cpus + kCpuTolerance >= job.spec.cpus &&
+           place_allowed(job.spec, settings, by_zone[settings.zone], elsewhere);
+  });
+}
+
+std::string RuleChecker::room() const {
+  std::string out;
+  for (const auto& machine : machines_.all()) {
+    if (!machine->worker) continue;
+    double used = 0;
+    std::string tasks;
+    for (const auto& task : machine->worker->tasks()) {
+      if (task.state == TaskState::exited) continue;
+      const wire::JobSpec& spec = jobs_.at(task.id.job).spec;
+      used += task.work.cpus;
+      tasks += " " + task_name(task.id) + " (" + spec.team + (spec.service ? ", service)" : ")");
+    }
+    out += (out.empty() ? "" : "; ") + machine->zone + " " +
+           std::to_string(static_cast<int>(used)) + "/" +
+           std::to_string(static_cast<int>(options_.machine_cpus)) + tasks;
+  }
+  return out;
+}
+
+// What a worker has in any state but exited takes room and counts for its team.
+RuleChecker::Usage RuleChecker::usage(const std::function<bool(int)>& is_reachable) const {
+  Usage usage;
+  for (int n = 0; n < machines_.size(); ++n) {
+    const SimulatedMachine& machine = machines_[n];
+    if (!machine.worker) continue;
+    Room room{&machine, machine.worker->settings().cpus, kMachineMemoryGb};
+    for (const auto& task : machine.worker->tasks()) {
+      if (task.state == TaskState::exited) continue;
+      const wire::JobSpec& spec = jobs_.at(task.id.job).spec;
+      room.cpus -= spec.cpus;
+      room.memory_gb -= spec.mem_gb;
+      usage.cpus_by_team[spec.team] += spec.cpus;
+      ++usage.by_zone[task.id.job][machine.zone];
+      usage.placed.insert(task_name(task.id));
+    }
+    if (is_reachable(n)) usage.rooms.push_back(room);
+  }
+  return usage;
+}
+
+std::vector<std::string> RuleChecker::waiting_tasks(const SimulatedJob& job,
+                                                    const Usage& usage) const {
+  std::vector<std::string> waiting;
+  for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
+    const wire::TaskId task{job.spec.id, i};
+    if (!jobs_.is_completed(task) && !usage.placed.contains(task_name(task)))
+      waiting.push_back(task_name(task));
+  }
+  return waiting;
+}
+
+// The machines that could take one of the job's tasks; none if a gang's would not all find room.
+std::vector<const SimulatedMachine*> RuleChecker::machines_for(const SimulatedJob& job,
+                                                               std::size_t at_once,
+                                                               const Usage& usage) const {
+  const wire::JobSpec& spec = job.spec;
+  const auto placed = usage.by_zone.find(spec.id);
+  const std::map<std::string, int> by_zone =
+      placed == usage.by_zone.end() ? std::map<std::string, int>{} : placed->second;
+  std::vector<const SimulatedMachine*> fitting;
+  std::map<std::string, std::size_t> fitting_tasks;  // by zone
+  for (const Room& room : usage.rooms) {
+    const auto& settings = room.machine->worker->settings();
+    const auto in_zone = by_zone.find(settings.zone);
+    const int here = in_zone == by_zone.end() ? 0 : in_zone->second;
+    if (room.cpus + kCpuTolerance < spec.cpus || room.memory_gb + kCpuTolerance < spec.mem_gb)
+      continue;
+    if (!place_allowed(spec, settings, here, !by_zone.empty() && !here)) continue;
+    fitting.push_back(room.machine);
+    fitting_tasks[settings.zone] += static_cast<std::size_t>(room.cpus / spec.cpus + kCpuTolerance);
+  }
+  if (!spec.gang) return fitting;
+  const std::size_t zone_most = spec.anti_affinity ? zone_limit(spec) : spec.tasks;
+  std::size_t largest_zone = 0, all_zones = 0;
+  for (const auto& [zone, count] : fitting_tasks) {
+    largest_zone = std::max(largest_zone, std::min(count, zone_most));
+    all_zones += std::min(count, zone_most);
+  }
+  if ((spec.same_zone ? largest_zone : all_zones) < at_once) return {};
+  return fitting;
+}
+
+// Rule: neglected. A task that waits, and a machine that could take it, both for the same 90 s.
+void RuleChecker::check_waiting(const std::function<bool(int)>& is_reachable) {
+  const double now = simulation_.now();
+  if (faults_over_since_ < 0 || now < waiting_checked_at_ + kWaitingCheckGapS) return;
+  waiting_checked_at_ = now;
+  Usage on_machines = usage(is_reachable);
+  std::map<TaskOnMachine, double> beside_room;
+  for (const auto& [id, job] : jobs_.all()) {
+    if (!wants_room(job)) continue;
+    const std::vector<std::string> waiting = waiting_tasks(job, on_machines);
+    if (waiting.empty()) continue;
+    const std::size_t at_once = job.spec.gang ? waiting.size() : 1;  // a gang begins together
+    const double cpus = job.spec.cpus * static_cast<double>(at_once);
+    if (on_machines.cpus_by_team[job.spec.team] + cpus > options_.team_limit + kCpuTolerance)
+      continue;
+    for (const SimulatedMachine* machine : machines_for(job, at_once, on_machines))
+      for (const auto& task : waiting) note_waiting(task, *machine, beside_room);
+  }
+  beside_room_ = std::move(beside_room);
+}
+
+void RuleChecker::note_waiting(const std::string& task, const SimulatedMachine& machine,
+                               std::map<TaskOnMachine, double>& beside_room) {
+  const TaskOnMachine key(task, machine.name);
+  const auto seen = beside_room_.find(key);
+  const double since = seen == beside_room_.end() ? simulation_.now() : seen->second;
+  beside_room[key] = since;
+  if (simulation_.now() - since >= kNeglectedS && neglected_.insert(task).second)
+    report("neglected: " + task + " has waited for 90 s beside room on " + machine.name);
+}
+
+}  // namespace shunttrail::simulation
--- /dev/null
+++ b/src/simulation/simulated_controllers.cpp
@@ -0,0 +1,104 @@
+#include "simulation/simulated_controllers.h"
+
+#include <algorithm>
+#include <array>
+
+namespace shunttrail::simulation {
+
+namespace {
+constexpr std::array kTeams = {"red", "blue", "green", "white"};
+constexpr double kClockDrift = 0.00025;  // as much as the protocol allows between two hosts
+
+config::Settings make_settings(const ClusterOptions& options) {
+  config::Settings s;
+  for (int n = 0; n < options.controllers; ++n) s.nodes.push_back("node-" + std::to_string(n));
+  s.zones = {"a", "b"};
+  const double limit = options.told_team_limit > 0 ? options.told_team_limit : options.team_limit;
+  for (int t = 0; t < options.teams; ++t) {
+    s.teams.push_back({kTeams[static_cast<std::size_t>(t)], limit / 2, limit, 0, 0});
+    s.team_shard.push_back(t % options.controllers);
+  }
+  s.heartbeat_s = options.heartbeat_s;
+  s.lease_s = options.lease_s;
+  s.cancel_s = options.told_cancel_s > 0 ? options.told_cancel_s : options.cancel_s;
+  s.state_limits = s.state_next = {3000, 1000, 16, 16};
+  s.state_limits.rps = s.state_next.rps = options.state_rps;
+  s.state_limits.write_rps = s.state_next.write_rps = options.state_write_rps;
+  s.cloud_rps = options.cloud_rps;
+  s.clock_off_ms = 1000 * options.wall_off_s;
+  s.list_lag_s = options.list_lag_s > 0 ? options.list_lag_s : 1;
+  s.state = {"state", 1};
+  s.cloud = {"cloud", 1};
+  return s;
+}
+}  // namespace
+
+SimulatedControllers::SimulatedControllers(Simulation& simulation, const ClusterOptions& options)
+    : simulation_(simulation),
+      options_(options),
+      shared_settings_(make_settings(options)),
+      processes_(static_cast<std::size_t>(options.controllers)) {
+  tuning_.relay = options.relay;
+}
+
+void SimulatedControllers::start_all() {
+  for (int node = 0; node < count(); ++node) start(node);
+}
+
+void SimulatedControllers::start(int node) {
+  Process& p = process(node);
+  if (p.controller) return;
+  const int offset = node % 3 - 1;  // clocks are slow, right and fast in turn
+  p.host = std::make_unique<Host>(simulation_, hosts()[static_cast<std::size_t>(node)],
+                                  1 + offset * kClockDrift, offset * options_.wall_off_s);
+  const std::string& self = p.host->name();
+  p.settings = shared_settings_;
+  p.settings.node = self;
+  p.settings.self = node;
+  p.settings.zone = zone_of(node);
+  p.settings.front = {self, kPublicPort};
+  p.settings.internal = {self, kInternalPort};
+  for (const auto& other : hosts())
+    if (other != self) p.settings.peers.push_back({other, "a", {other, kInternalPort}});
+  p.controller = std::make_unique<controller::Controller>(p.host->loop(), p.settings, tuning_);
+}
+
+void SimulatedControllers::stop(int node) {
+  process(node).controller.reset();
+  process(node).host.reset();
+}
+
+void SimulatedControllers::freeze(int node, double for_s) {
+  if (auto& host = process(node).host) host->freeze(simulation_.now() + for_s);
+}
+
+void SimulatedControllers::freeze_after(int node, std::uint64_t turns, double for_s) {
+  if (auto& host = process(node).host) host->freeze_after(turns, for_s);
+}
+
+int SimulatedControllers::find_host(const std::string& host) const {
+  const auto at = std::find(hosts().begin(), hosts().end(), host);
+  return at == hosts().end() ? -1 : static_cast<int>(at - hosts().begin());
+}
+
+const std::string& SimulatedControllers::zone_of(int node) const {
+  const auto& zones = shared_settings_.zones;
+  return zones[static_cast<std::size_t>(node) % zones.size()];
+}
+
+bool SimulatedControllers::leads(int node, int shard) const {
+  const auto& controller = processes_[static_cast<std::size_t>(node)].controller;
+  return controller && controller->leads(shard);
+}
+
+int SimulatedControllers::leader(int shard) const {
+  for (int node = 0; node < count(); ++node)
+    if (leads(node, shard)) return node;
+  return -1;
+}
+
+int SimulatedControllers::random_leader() {
+  return std::max(0, leader(simulation_.chance(0.5) ? 0 : shared_settings_.team_shard[1]));
+}
+
+}  // namespace shunttrail::simulation
--- /dev/null
+++ b/src/simulation/simulated_machines.cpp
@@ -0,0 +1,98 @@
+#include "simulation/simulated_machines.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "simulation/simulated_controllers.h"
+
+namespace shunttrail::simulation {
+
+using emulators::WorkerEmulator;
+
+namespace {
+constexpr double kClockDrift = 0.00025;  // as much as the protocol allows between two hosts
+}
+
+SimulatedMachines::SimulatedMachines(Simulation& simulation, const ClusterOptions& options,
+                                     std::vector<std::string> controllers,
+                                     WorkerEmulator::Describe describe,
+                                     WorkerEmulator::Watched watched)
+    : simulation_(simulation),
+      options_(options),
+      controllers_(std::move(controllers)),
+      describe_(std::move(describe)),
+      watched_(std::move(watched)) {}
+
+std::string SimulatedMachines::next_address() {
+  return "w-" + std::to_string(++addresses_) + ":" + std::to_string(kWorkerPort);
+}
+
+void SimulatedMachines::power_on(const emulators::CloudEmulator::Machine& rented) {
+  const std::string host = rented.address.substr(0, rented.address.find(':'));
+  auto machine = std::make_unique<SimulatedMachine>();
+  machine->name = rented.name;
+  machine->zone = rented.zone;
+  machine->host =
+      std::make_unique<Host>(simulation_, host, 1 + simulation_.draw(-kClockDrift, kClockDrift));
+  machine->host->any_order_after_freezes();
+  WorkerEmulator::Settings settings;
+  settings.name = rented.name;
+  settings.type = rented.type;
+  settings.zone = rented.zone;
+  settings.spot = rented.spot;
+  settings.at = {host, kWorkerPort};
+  settings.cpus = cpus_of(rented.type);
+  settings.report_s = options_.heartbeat_s;
+  settings.lease_s = options_.lease_s;
+  for (const auto& controller : controllers_)
+    settings.nodes.emplace_back(controller, config::Endpoint{controller, kPublicPort});
+  machine_by_host_[host] = size();
+  const auto seed = static_cast<unsigned>(simulation_.rng()());
+  machine->worker = std::make_unique<WorkerEmulator>(machine->host->loop(), std::move(settings),
+                                                     describe_, seed, watched_);
+  machines_.push_back(std::move(machine));
+}
+
+void SimulatedMachines::power_off(const std::vector<std::string>& names) {
+  for (int machine = 0; machine < size(); ++machine)
+    if (std::find(names.begin(), names.end(), (*this)[machine].name) != names.end()) kill(machine);
+}
+
+void SimulatedMachines::kill(int machine) {
+  SimulatedMachine& m = *machines_[static_cast<std::size_t>(machine)];
+  if (!m.worker) return;
+  leases_lost_by_gone_ += m.worker->leases_lost();
+  m.worker.reset();
+  m.host.reset();
+}
+
+int SimulatedMachines::find_host(const std::string& host) const {
+  const auto machine = machine_by_host_.find(host);
+  return machine == machine_by_host_.end() ? -1 : machine->second;
+}
+
+std::vector<int> SimulatedMachines::with_job(const std::string& job) const {
+  std::vector<int> found;
+  for (int machine = 0; machine < size(); ++machine) {
+    const auto& worker = (*this)[machine].worker;
+    if (worker &&
+        std::any_of(worker->tasks().begin(), worker->tasks().end(), [&](const auto& task) {
+          return task.id.job == job && task.state != wire::TaskState::exited;
+        }))
+      found.push_back(machine);
+  }
+  return found;
+}
+
+std::uint64_t SimulatedMachines::leases_lost() const {
+  std::uint64_t lost = leases_lost_by_gone_;
+  for (const auto& machine : machines_)
+    if (machine->worker) lost += machine->worker->leases_lost();
+  return lost;
+}
+
+double SimulatedMachines::cpus_of(const std::string& type) const {
+  return type == "t8" ? 2 * options_.machine_cpus : options_.machine_cpus;
+}
+
+}  // namespace shunttrail::simulation
--- /dev/null
+++ b/src/simulation/simulated_users.cpp
@@ -0,0 +1,253 @@
+#include "simulation/simulated_users.h"
+
+#include <algorithm>
+#include <memory>
+#include <utility>
+
+#include "wire/codec.h"
+
+namespace shunttrail::simulation {
+
+namespace {
+constexpr double kPollGapS = 5;        // between two questions about a job
+constexpr double kPollGapOverS = 20;   // about one that is over
+constexpr double kPollTimeoutS = 2;    // for the answer to a question
+constexpr double kWriteTimeoutS = 5;   // to a submission or a cancellation
+constexpr double kLeastRetryGapS = 1;  // before either is repeated
+constexpr double kSubmitForS = 60;     // a submission is repeated for so long
+constexpr double kForgottenS = 75;     // a job about which no question is answered for so long
+constexpr double kAskCloselyForS = 0.5;
+constexpr int kSubmitEvery = 6;    // so many close questions, one submission
+constexpr int kFirstJob = 100000;  // number in the first job's id
+
+std::string job_path(const std::string& id) { return "/v2/runs/" + id; }
+}  // namespace
+
+SimulatedUsers::SimulatedUsers(Simulation& simulation, const ClusterOptions& options,
+                               const SimulatedControllers& controllers, JobRecords& jobs,
+                               RuleChecker& rules)
+    : simulation_(simulation),
+      options_(options),
+      controllers_(controllers),
+      jobs_(jobs),
+      rules_(rules),
+      host_(simulation, "users") {}
+
+void SimulatedUsers::send(int node, const char* method, const std::string& path,
+                          const std::string& body, double timeout_s, Done done) {
+  const std::uint64_t number = ++requests_;
+  const std::string& host = controllers_.hosts()[static_cast<std::size_t>(node)];
+  in_flight_[number] = host_.request({host, kPublicPort}, method, path, body, timeout_s,
+                                     [this, number, done = std::move(done)](net::Result result) {
+                                       // The handle has to outlive the callback, which is part of
+                                       // it.
+                                       const auto handle = in_flight_.extract(number);
+                                       done(std::move(result));
+                                     });
+}
+
+int SimulatedUsers::any_node() {
+  return static_cast<int>(simulation_.rng()() % static_cast<std::size_t>(controllers_.count()));
+}
+
+// ---- requests that are repeated
+
+std::string SimulatedUsers::submit(wire::JobSpec spec, double run_s, int node) {
+  spec.id = "run-" + std::to_string(kFirstJob + next_job_++);
+  const std::string id = spec.id;
+  jobs_.add(std::move(spec), run_s);
+  submit_until(id, node, simulation_.now() + kSubmitForS);
+  return id;
+}
+
+void SimulatedUsers::submit_until(const std::string& id, int node, double until) {
+  const double sent = simulation_.now();
+  const int to = node >= 0 ? node : any_node();
+  send(to, "POST", "/v2/runs", wire::encode_job(jobs_.at(id).spec), kWriteTimeoutS,
+       [this, id, node, until, sent](net::Result result) {
+         answered(id, result, sent, UserRequest::submission);
+         const double now = simulation_.now();
+         if (result.status == 200 || result.status == 201) {
+           jobs_.at(id).accepted = true;
+           simulation_.at(now + kPollGapS, [this, id] { poll(id); });
+         } else if (now < until) {
+           simulation_.at(now + std::max(kLeastRetryGapS, result.retry_after_s),
+                          [this, id, node, until] { submit_until(id, node, until); });
+         }
+       });
+}
+
+void SimulatedUsers::cancel(const std::string& id, int node) {
+  jobs_.at(id).cancel_asked = true;
+  cancel_until_answered(id, node);
+}
+
+void SimulatedUsers::cancel_until_answered(const std::string& id, int node) {
+  const double sent = simulation_.now();
+  const int to = node >= 0 ? node : any_node();
+  send(to, "POST", job_path(id) + "/withdraw", "{}", kWriteTimeoutS,
+       [this, id, sent](net::Result result) {
+         answered(id, result, sent, UserRequest::cancellation);
+         if (result.status == 200 || (result.status == 404 && !jobs_.at(id).accepted)) return;
+         simulation_.at(simulation_.now() + std::max(kLeastRetryGapS, result.retry_after_s),
+                        [this, id] { cancel_until_answered(id, kAnyNode); });
+       });
+}
+
+void SimulatedUsers::poll(const std::string& id) {
+  const SimulatedJob& job = jobs_.at(id);
+  const bool over = job.told_done >= 0 || job.told_cancelled >= 0;
+  const double sent = simulation_.now();
+  ask_once(id, any_node());
+  simulation_.at(sent + (over ? kPollGapOverS : kPollGapS), [this, id] { poll(id); });
+}
+
+void SimulatedUsers::ask_all_repeatedly(const std::string& id) {
+  ask_closely(id, 0, simulation_.now() + kAskCloselyForS);
+}
+
+void SimulatedUsers::ask_closely(const std::string& id, int step, double until) {
+  if (simulation_.now() > until) return;
+  ++close_questions_;
+  const int node = step % controllers_.count();
+  if (step % kSubmitEvery == kSubmitEvery - 1) {
+    const SimulatedJob& job = jobs_.at(id);
+    ask_once("run-9" + id.substr(5), node);  // which nobody submitted
+    // Another body only once its user knows that it was accepted: before, it would be a submission.
+    const bool other = job.told_accepted >= 0 && simulation_.chance(0.5);
+    const std::string body = other ? other_body(id) : std::string();
+    submit_once(id, any_node(), body);
+    if (job.told_done >= 0 || job.told_cancelled >= 0) cancel_once(id, any_node());
+  } else {
+    ask_once(id, node);
+  }
+  simulation_.at(simulation_.now() + simulation_.draw(0.001, 0.05),
+                 [this, id, step, until] { ask_closely(id, step + 1, until); });
+}
+
+double SimulatedUsers::ask_everywhere_s() { return kForgottenS + kPollGapS + kPollTimeoutS; }
+
+void SimulatedUsers::ask_everywhere() {
+  for (const auto& [id, known] : jobs_.all()) {
+    if (!known.accepted) continue;
+    jobs_.at(id).answered = -1;
+    auto pending = std::make_shared<PendingAnswers>(PendingAnswers{id, {}, simulation_.now()});
+    for (int node = 0; node < controllers_.count(); ++node) pending->nodes.insert(node);
+    ask_pending(pending);
+  }
+}
+
+void SimulatedUsers::ask_pending(const std::shared_ptr<PendingAnswers>& pending) {
+  if (pending->nodes.empty()) return;
+  const double sent = simulation_.now();
+  if (sent - pending->began_at > kForgottenS)
+    return rules_.report("forgotten: no answer about " + pending->job + " at node " +
+                         std::to_string(*pending->nodes.begin()));
+  for (const int node : pending->nodes)
+    send(node, "GET", job_path(pending->job), "", kPollTimeoutS,
+         [this, node, pending, sent](net::Result result) {
+           if (result.status == 200 || result.status == 404) pending->nodes.erase(node);
+           answered(pending->job, result, sent);
+         });
+  simulation_.at(sent + kPollGapS, [this, pending] { ask_pending(pending); });
+}
+
+// ---- single requests
+
+void SimulatedUsers::ask_once(const std::string& id, int node) {
+  send(node, "GET", job_path(id), "", kPollTimeoutS,
+       [this, id, sent = simulation_.now()](net::Result result) { answered(id, result, sent); });
+}
+
+void SimulatedUsers::submit_once(const std::string& id, int node, const std::string& body) {
+  send(node, "POST", "/v2/runs", body.empty() ? wire::encode_job(jobs_.at(id).spec) : body,
+       kWriteTimeoutS, [this, id, sent = simulation_.now()](net::Result result) {
+         answered(id, result, sent, UserRequest::submission);
+       });
+}
+
+void SimulatedUsers::cancel_once(const std::string& id, int node) {
+  SimulatedJob& job = jobs_.at(id);
+  job.cancel_asked |= job.told_done < 0 && job.told_cancelled < 0;
+  send(node, "POST", job_path(id) + "/withdraw", "{}", kWriteTimeoutS,
+       [this, id, sent = simulation_.now()](net::Result result) {
+         answered(id, result, sent, UserRequest::cancellation);
+       });
+}
+
+std::string SimulatedUsers::other_body(const std::string& id) {
+  wire::JobSpec spec = jobs_.at(id).spec;
+  switch (simulation_.rng()() % 5) {
+    case 0:
+      spec.tasks += 3;
+      break;
+    case 1:
+      spec.cpus = 1e6;
+      break;
+    case 2:
+      spec.team = "nobody";
+      break;
+    case 3:
+      // Longer than what may be kept.
+      spec.types.emplace(400, std::string(50, 'x'));
+      spec.types->emplace_back("t4");
+      break;
+    default: {
+      std::string body = wire::encode_job(spec);
+      const std::string field = "\"cars\"";
+      body.replace(body.find(field), field.size(), "\"carts\"");
+      return body;
+    }
+  }
+  return wire::encode_job(spec);
+}
+
+// ---- what happens elsewhere
+
+void SimulatedUsers::task_completed(const std::string& id) {
+  SimulatedJob& job = jobs_.at(id);
+  if (++job.done < job.spec.tasks) return;
+  if (drawn(options_.close_looks)) ask_all_repeatedly(id);
+  if (drawn(options_.meet_ends)) send_other_requests(id);
+}
+
+// The last task's report is on its way to the controllers at this moment: these requests arrive
+// before it, with it, during its commit and after.
+void SimulatedUsers::send_other_requests(const std::string& id) {
+  ++ends_met_;
+  auto soon = [this] {
+    return simulation_.now() + (simulation_.chance(0.3) ? 0 : simulation_.draw(0, 0.4));
+  };
+  enum Kinds { cancellation = 1, questions = 2, submission = 4 };
+  const auto kinds = 1 + simulation_.rng()() % 7;
+  if (kinds & cancellation) simulation_.at(soon(), [this, id] { cancel(id); });
+  if (kinds & questions)
+    for (int node = 0; node < controllers_.count(); ++node)
+      simulation_.at(soon(), [this, id, node] { ask_once(id, node); });
+  if (kinds & submission) simulation_.at(soon(), [this, id] { submit_once(id, any_node()); });
+}
+
+void SimulatedUsers::answered(const std::string& id, const net::Result& result, double asked_at,
+                              UserRequest request) {
+  const auto state = rules_.check_answer(id, result, asked_at, request);
+  if (state) note_state(id, jobs_.at(id), *state);
+}
+
+void SimulatedUsers::note_state(const std::string& id, SimulatedJob& job, wire::JobState state) {
+  const double now = simulation_.now();
+  job.answered = now;
+  const bool first_cancelled = state == wire::JobState::cancelled && job.told_cancelled < 0;
+  const bool first_done = state == wire::JobState::done && job.told_done < 0;
+  const bool first_answer = job.told_accepted < 0;
+  if (first_answer) {
+    job.told_accepted = now;
+    if (drawn(options_.cancel_at_once))
+      simulation_.at(now + simulation_.draw(0, 0.1), [this, id] { cancel(id); });
+  }
+  if (first_cancelled) job.told_cancelled = now;
+  if (first_done) job.told_done = now;
+  if ((first_answer || first_cancelled || first_done) && drawn(options_.close_looks))
+    ask_all_repeatedly(id);
+}
+
+}  // namespace shunttrail::simulation
--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -15,7 +15,10 @@
 namespace shunttrail::test {
 
 using simulation::ClusterOptions;
+using simulation::FaultInjector;
+using simulation::RuleChecker;
 using simulation::SimulatedCluster;
+using simulation::SimulatedJob;
 
 inline wire::JobSpec spec(const std::string& team, std::uint32_t tasks, double cpus = 1) {
   wire::JobSpec s;
@@ -39,7 +42,7 @@
 };
 
 inline int some_machine(SimulatedCluster& s) {
-  return static_cast<int>(s.sim().rng()() % s.machines());
+  return static_cast<int>(s.sim().rng()() % s.machines().size());
 }
 inline int some_node(SimulatedCluster& s) {
   return static_cast<int>(s.sim().rng()() % s.options().controllers);
@@ -48,10 +51,10 @@
 // Cancels this share of the jobs that are not over, through any controllers.
 inline std::vector<std::string> cancel_some(SimulatedCluster& s, double share) {
   std::vector<std::string> out;
-  for (const auto& [id, j] : s.jobs())
+  for (const auto& [id, j] : s.users().jobs())
     if (j.accepted && !j.cancel_asked && j.told_done < 0 && s.sim().chance(share))
       out.push_back(id);
-  for (const auto& id : out) s.cancel(id);
+  for (const auto& id : out) s.users().cancel(id);
   return out;
 }
 // Work of the highest band, which others make room for.
@@ -59,7 +62,7 @@
   for (int i = 0; i < jobs; ++i) {
     wire::JobSpec urgent = spec(i % 2 ? "red" : "blue", 2, 2);
     urgent.priority = wire::Priority::critical;
-    s.submit(urgent, s.sim().draw(3, 12));
+    s.users().submit(urgent, s.sim().draw(3, 12));
   }
 }
 
@@ -76,74 +79,90 @@
          s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.options().late_writes = 0; });
        }},
       {"slow state service",
-       [](SimulatedCluster& s) { s.slow_state(s.sim().draw(0.2, 2.5), s.sim().draw(10, 40)); }},
+       [](SimulatedCluster& s) {
+         s.faults().slow_state(s.sim().draw(0.2, 2.5), s.sim().draw(10, 40));
+       }},
       {"leader refused alone",
-       [](SimulatedCluster& s) { s.refuse(s.busiest(), s.sim().draw(3, 40)); }},
-      {"outage", [](SimulatedCluster& s) { s.outage(s.sim().draw(3, 70)); }},
+       [](SimulatedCluster& s) {
+         s.faults().refuse(s.controllers().random_leader(), s.sim().draw(3, 40));
+       }},
+      {"outage", [](SimulatedCluster& s) { s.faults().outage(s.sim().draw(3, 70)); }},
       {"leader cut from state",
        [](SimulatedCluster& s) {
-         s.cut(s.busiest(), SimulatedCluster::state, s.sim().draw(3, 60));
+         s.faults().cut(s.controllers().random_leader(), FaultInjector::state, s.sim().draw(3, 60));
        }},
       {"leader cut from state and peers",
        [](SimulatedCluster& s) {
-         s.cut(s.busiest(), SimulatedCluster::state | SimulatedCluster::peers, s.sim().draw(3, 60));
+         s.faults().cut(s.controllers().random_leader(),
+                        FaultInjector::state | FaultInjector::peers, s.sim().draw(3, 60));
        }},
       {"leader cut from workers",
        [](SimulatedCluster& s) {
-         s.cut(s.busiest(), SimulatedCluster::workers, s.sim().draw(3, 60));
+         s.faults().cut(s.controllers().random_leader(), FaultInjector::workers,
+                        s.sim().draw(3, 60));
        }},
       {"leader cut from all",
        [](SimulatedCluster& s) {
-         s.cut(s.busiest(),
-               SimulatedCluster::state | SimulatedCluster::peers | SimulatedCluster::workers,
-               s.sim().draw(3, 60));
+         s.faults().cut(s.controllers().random_leader(),
+                        FaultInjector::state | FaultInjector::peers | FaultInjector::workers,
+                        s.sim().draw(3, 60));
        }},
       {"machines deaf",
        [](SimulatedCluster& s) {
-         for (int i = 0; i < 3; ++i) s.lose_responses(some_machine(s), s.sim().draw(5, 60));
+         for (int i = 0; i < 3; ++i)
+           s.faults().lose_responses(some_machine(s), s.sim().draw(5, 60));
        }},
       {"machines hang",
        [](SimulatedCluster& s) {
-         for (int i = 0; i < 2; ++i) s.hang(some_machine(s), s.sim().draw(2, 40));
+         for (int i = 0; i < 2; ++i) s.faults().hang(some_machine(s), s.sim().draw(2, 40));
        }},
       {"direct orders held",
        [](SimulatedCluster& s) {
-         for (int i = 0; i < 3; ++i) s.hold_direct_commands(some_machine(s), s.sim().draw(3, 60));
+         for (int i = 0; i < 3; ++i)
+           s.faults().hold_direct_commands(some_machine(s), s.sim().draw(3, 60));
+       }},
+      {"leader ends",
+       [](SimulatedCluster& s) {
+         s.faults().kill(s.controllers().random_leader(), s.sim().draw(0.05, 15));
        }},
-      {"leader ends", [](SimulatedCluster& s) { s.kill(s.busiest(), s.sim().draw(0.05, 15)); }},
       {"all end",
        [](SimulatedCluster& s) {
-         for (int n = 0; n < s.options().controllers; ++n) s.kill(n, s.sim().draw(0.05, 10));
+         for (int n = 0; n < s.options().controllers; ++n)
+           s.faults().kill(n, s.sim().draw(0.05, 10));
        }},
       {"roll and back",
        [](SimulatedCluster& s) {
          double at = s.now();
          for (int n = 0; n < s.options().controllers; ++n)
-           s.sim().at(at += s.sim().draw(0.1, 3), [&s, n] { s.kill(n, 0.2); });
+           s.sim().at(at += s.sim().draw(0.1, 3), [&s, n] { s.faults().kill(n, 0.2); });
        }},
       {"a node stands still",
-       [](SimulatedCluster& s) { s.freeze(some_node(s), s.sim().draw(1, 35)); }},
+       [](SimulatedCluster& s) { s.faults().freeze(some_node(s), s.sim().draw(1, 35)); }},
       {"leader stands still",
-       [](SimulatedCluster& s) { s.freeze(s.busiest(), s.sim().draw(1, 35)); }},
+       [](SimulatedCluster& s) {
+         s.faults().freeze(s.controllers().random_leader(), s.sim().draw(1, 35));
+       }},
       {"leader stands still between two turns",
        [](SimulatedCluster& s) {
-         s.freeze_after(s.busiest(), 1 + s.sim().rng()() % 3000, s.sim().draw(1, 30));
+         s.faults().freeze_after(s.controllers().random_leader(), 1 + s.sim().rng()() % 3000,
+                                 s.sim().draw(1, 30));
        }},
-      {"cloud down", [](SimulatedCluster& s) { s.cloud_outage(s.sim().draw(20, 120)); }},
-      {"a machine dies", [](SimulatedCluster& s) { s.kill_machine(some_machine(s)); }},
+      {"cloud down", [](SimulatedCluster& s) { s.faults().cloud_outage(s.sim().draw(20, 120)); }},
+      {"a machine dies", [](SimulatedCluster& s) { s.faults().kill_machine(some_machine(s)); }},
       {"machines mute",
        [](SimulatedCluster& s) {
-         for (int i = 0; i < 3; ++i) s.cut_heartbeats(some_machine(s), s.sim().draw(5, 60));
+         for (int i = 0; i < 3; ++i)
+           s.faults().cut_heartbeats(some_machine(s), s.sim().draw(5, 60));
        }},
       {"machines hang for long",
        [](SimulatedCluster& s) {
          const double longest = s.options().cancel_s + 25;
-         for (int i = 0; i < 3; ++i) s.hang(some_machine(s), s.sim().draw(5, longest));
+         for (int i = 0; i < 3; ++i) s.faults().hang(some_machine(s), s.sim().draw(5, longest));
        }},
       {"machines hang in chains",
        [](SimulatedCluster& s) {
          for (int i = 0; i < 3; ++i)
-           s.hang_in_chains(some_machine(s), 2 + static_cast<int>(s.sim().rng()() % 4));
+           s.faults().hang_in_chains(some_machine(s), 2 + static_cast<int>(s.sim().rng()() % 4));
        }},
       {"writes answered by nothing but done",
        [](SimulatedCluster& s) {
@@ -160,16 +179,16 @@
          std::vector<std::string> jobs = cancel_some(s, s.sim().draw(0.4, 0.9));
          int left = 8;
          for (const auto& id : jobs)
-           for (int m : s.machines_with(id)) {
+           for (int m : s.machines().with_job(id)) {
              if (left == 0 || s.sim().chance(0.2)) continue;
              --left;
              const double for_s = s.sim().draw(2, 60);
              const bool chain = s.sim().chance(0.3);
              s.sim().at(s.now() + s.sim().draw(0, 2), [&s, m, for_s, chain] {
                if (chain)
-                 s.hang_in_chains(m, 3);
+                 s.faults().hang_in_chains(m, 3);
                else
-                 s.hang(m, for_s);
+                 s.faults().hang(m, for_s);
              });
            }
        }},
@@ -181,31 +200,32 @@
       {"spot machines are taken",
        [](SimulatedCluster& s) {
          for (int i = 0; i < 2; ++i)
-           s.take_machine(some_machine(s), s.sim().chance(0.2) ? 0 : s.sim().draw(10, 30));
+           s.faults().take_machine(some_machine(s), s.sim().chance(0.2) ? 0 : s.sim().draw(10, 30));
        }},
       {"a zone cut with its controller",
        [](SimulatedCluster& s) {
-         s.cut_zone(s.sim().chance(0.5) ? "a" : "b", s.options().lease_s + s.sim().draw(1, 30));
+         s.faults().cut_zone(s.sim().chance(0.5) ? "a" : "b",
+                             s.options().lease_s + s.sim().draw(1, 30));
        }},
       {"all away for longer than the lease",
        [](SimulatedCluster& s) {
          for (int n = 0; n < s.options().controllers; ++n)
-           s.kill(n, s.options().lease_s + s.sim().draw(1, 15));
+           s.faults().kill(n, s.options().lease_s + s.sim().draw(1, 15));
        }},
       {"leaders change ten times",
        [](SimulatedCluster& s) {
          for (int i = 0; i < 10; ++i)
            s.sim().at(s.now() + 12 * i + s.sim().draw(0, 8), [&s] {
              if (s.sim().chance(0.6))
-               s.kill(s.busiest(), s.sim().draw(0.05, 8));
+               s.faults().kill(s.controllers().random_leader(), s.sim().draw(0.05, 8));
              else
-               s.cut(s.busiest(),
-                     SimulatedCluster::state | (s.sim().chance(0.5) ? SimulatedCluster::peers : 0),
-                     11);
+               s.faults().cut(
+                   s.controllers().random_leader(),
+                   FaultInjector::state | (s.sim().chance(0.5) ? FaultInjector::peers : 0), 11);
            });
          if (s.sim().chance(0.5)) {
            const double for_s = s.sim().draw(5, 60);
-           s.sim().at(s.now() + s.sim().draw(0, 60), [&s, for_s] { s.outage(for_s); });
+           s.sim().at(s.now() + s.sim().draw(0, 60), [&s, for_s] { s.faults().outage(for_s); });
          }
        }},
       {"slow links",
@@ -217,24 +237,26 @@
        [](SimulatedCluster& s) {
          s.options().quick_boots_s = s.sim().draw(0.3, 2);
          s.sim().at(s.now() + 90, [&s] { s.options().quick_boots_s = 0; });
-         for (int i = 0; i < 2; ++i) s.kill_machine(some_machine(s));
+         for (int i = 0; i < 2; ++i) s.faults().kill_machine(some_machine(s));
        }},
       {"orders held and reports passed on",
        [](SimulatedCluster& s) {
          const double for_s = s.sim().draw(10, 100);
-         s.cut(s.busiest(), SimulatedCluster::reports, for_s);
-         for (int m = 0; m < s.machines(); ++m) {
-           if (s.sim().chance(0.7)) s.hold_direct_commands(m, for_s * s.sim().draw(0.5, 1.5));
-           if (s.sim().chance(0.5)) s.hold_direct_answers(m, for_s * s.sim().draw(0.5, 1.5));
+         s.faults().cut(s.controllers().random_leader(), FaultInjector::reports, for_s);
+         for (int m = 0; m < s.machines().size(); ++m) {
+           if (s.sim().chance(0.7))
+             s.faults().hold_direct_commands(m, for_s * s.sim().draw(0.5, 1.5));
+           if (s.sim().chance(0.5))
+             s.faults().hold_direct_answers(m, for_s * s.sim().draw(0.5, 1.5));
          }
          s.sim().at(s.now() + s.sim().draw(0, 10), [&s] { cancel_some(s, 0.4); });
        }},
       {"refused alone with cancellations, then out",
        [](SimulatedCluster& s) {
          const double out_s = s.options().cancel_s + s.sim().draw(2, 25);
-         s.refuse(s.busiest(), 1 + s.sim().draw(0, out_s + 10));
+         s.faults().refuse(s.controllers().random_leader(), 1 + s.sim().draw(0, out_s + 10));
          cancel_some(s, 0.7);
-         s.sim().at(s.now() + 1, [&s, out_s] { s.outage(out_s); });
+         s.sim().at(s.now() + 1, [&s, out_s] { s.faults().outage(out_s); });
        }},
   };
   return all;
@@ -245,7 +267,7 @@
   std::size_t done = 0;
   std::vector<std::string> unfinished;  // and what they are
   std::uint64_t begun_again = 0, saves = 0;
-  SimulatedCluster::AfterCancel after_cancel;
+  RuleChecker::AfterCancel after_cancel;
   std::uint64_t digest = 0;  // of the whole history, see Simulation::digest
 };
 
@@ -271,7 +293,7 @@
   return s;
 }
 
-inline std::string describe(const SimulatedCluster& set, const SimulatedCluster::Job& j) {
+inline std::string describe(const SimulatedCluster& set, const SimulatedJob& j) {
   const wire::JobSpec& s = j.spec;
   std::string out = s.id + ": " + s.team + ", band " +
                     std::to_string(static_cast<int>(s.priority)) + ", " + std::to_string(s.tasks) +
@@ -281,7 +303,7 @@
                     (s.anti_affinity ? ", spread" : "") + (s.zone ? ", zone " + *s.zone : "") +
                     (j.cancel_asked ? ", cancelled" : "");
   for (const auto& a : s.dependencies) out += ", awaits " + a;
-  for (int m : set.machines_with(s.id)) out += ", on machine " + std::to_string(m);
+  for (int m : set.machines().with_job(s.id)) out += ", on machine " + std::to_string(m);
   return out;
 }
 
@@ -314,10 +336,10 @@
       }
       if (sim.chance(0.25) && !jobs.empty())
         if (const auto& a = jobs[sim.rng()() % jobs.size()];
-            set.jobs().at(a).accepted && !set.jobs().at(a).spec.service)
+            set.users().jobs().at(a).accepted && !set.users().jobs().at(a).spec.service)
           s.dependencies = {a};
       jobs.push_back(
-          set.submit(std::move(s), sim.chance(0.3) ? sim.draw(30, 60) : sim.draw(2, 15)));
+          set.users().submit(std::move(s), sim.chance(0.3) ? sim.draw(30, 60) : sim.draw(2, 15)));
     }
   };
   work(6);
@@ -333,44 +355,44 @@
       drawn.push_back(sim.rng()() % troubles().size());
     for (std::size_t t : drawn) {
       out.names.emplace_back(troubles()[t].name);
-      if (set.machines() > 0) troubles()[t].begin(set);
+      if (set.machines().size() > 0) troubles()[t].begin(set);
       set.pass(sim.draw(0, 6));
     }
     for (int i = 0; i < 6; ++i) {
       work(static_cast<int>(sim.rng()() % 3));
-      if (sim.chance(0.6)) set.cancel(jobs[sim.rng()() % jobs.size()]);
+      if (sim.chance(0.6)) set.users().cancel(jobs[sim.rng()() % jobs.size()]);
       set.pass(sim.draw(1, 12));
     }
   }
   set.pass(80);  // the longest of them is over
   set.options().late_writes = set.options().heartbeat_copies = set.options().lost_answers = 0;
   set.pass(420);
-  set.ask_all();
-  const std::string room = set.room();
-  auto over = [](const SimulatedCluster::Job& j) {
+  set.ask_everywhere();
+  const std::string room = set.rules().room();
+  auto over = [](const SimulatedJob& j) {
     return j.spec.service || !j.accepted || j.told_done >= 0 || j.told_cancelled >= 0;
   };
   // Replicas run to the end of a history, and may hold all that the cloud has in a zone until then.
   // Where there are some, what is unfinished is excused if it has no room, and only until they are
   // gone.
   bool replicas = false;
-  for (const auto& [id, j] : set.jobs())
+  for (const auto& [id, j] : set.users().jobs())
     replicas |= j.spec.service && j.accepted && j.told_cancelled < 0;
   std::set<std::string> late;
-  for (const auto& [id, j] : set.jobs())
-    if (!over(j) && (!replicas || set.room_for(id))) late.insert(id);
-  for (const auto& [id, j] : set.jobs())
-    if (j.spec.service) set.cancel(id);
+  for (const auto& [id, j] : set.users().jobs())
+    if (!over(j) && (!replicas || set.rules().room_for(id))) late.insert(id);
+  for (const auto& [id, j] : set.users().jobs())
+    if (j.spec.service) set.users().cancel(id);
   set.pass(60);
   if (replicas) set.pass(300);
-  for (const auto& [id, j] : set.jobs())
+  for (const auto& [id, j] : set.users().jobs())
     if (late.contains(id) || !over(j)) out.unfinished.push_back(describe(set, j));
-  out.broken = set.broken();
-  out.done = set.done_tasks();
-  out.begun_again = set.begun_again();
-  out.saves = set.saves();
+  out.broken = set.rules().broken();
+  out.done = set.rules().done_tasks();
+  out.begun_again = set.rules().begun_again();
+  out.saves = set.rules().saves();
   if (!out.unfinished.empty()) out.unfinished.push_back("room: " + room);
-  out.after_cancel = set.after_cancel();
+  out.after_cancel = set.rules().after_cancel();
   out.digest = set.digest();
   return out;
 }
@@ -384,7 +406,7 @@
 inline void expect_whole(unsigned first, unsigned last,
                          const std::vector<std::string>& named = {}) {
   std::size_t done = 0;
-  SimulatedCluster::AfterCancel latest;
+  RuleChecker::AfterCancel latest;
   for (unsigned seed = first; seed <= last; ++seed) {
     Played p = play(seed, named);
     EXPECT_EQ(p.broken, std::vector<std::string>{}) << "seed " << seed << ": " << text(p.names);
--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -1,7 +1,7 @@
 // What users are told: close looks at all nodes, ends that are met by cancellations, transactions
 // whose answer alone is lost, odd requests, minutes of one-task jobs. The library's own controllers
 // in simulated time; what any user was told about a job is checked as one register
-// (SimulatedCluster::told).
+// (RuleChecker::check_answer).
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -77,7 +77,7 @@
     if (std::find(named.begin(), named.end(), t.name) != named.end())
       for (int round = 0; round < 2; ++round)
         sim.at(set.now() + sim.draw(5, 30) + 40 * round, [&set, &t] {
-          if (set.machines() > 0) t.begin(set);
+          if (set.machines().size() > 0) t.begin(set);
         });
   for (const double until = set.now() + 90; set.now() < until;) {
     wire::JobSpec s = spec(sim.chance(0.5) ? "red" : "blue", 1 + sim.rng()() % 3);
@@ -85,10 +85,10 @@
     s.gang = !s.service && sim.chance(0.1);
     if (sim.chance(0.2) && !jobs.empty())
       if (const auto& a = jobs[sim.rng()() % jobs.size()];
-          set.jobs().at(a).accepted && !set.jobs().at(a).spec.service)
+          set.users().jobs().at(a).accepted && !set.users().jobs().at(a).spec.service)
         s.dependencies = {a};
-    jobs.push_back(set.submit(std::move(s), sim.draw(0.5, 6)));
-    if (sim.chance(0.15)) set.cancel(jobs[sim.rng()() % jobs.size()]);
+    jobs.push_back(set.users().submit(std::move(s), sim.draw(0.5, 6)));
+    if (sim.chance(0.15)) set.users().cancel(jobs[sim.rng()() % jobs.size()]);
     set.pass(sim.draw(0.2, 4));
   }
   set.pass(60);  // the longest fault is over
@@ -96,13 +96,13 @@
   set.options().late_writes = set.options().heartbeat_copies = set.options().lost_answers = 0;
   set.options().close_looks = set.options().meet_ends = set.options().cancel_at_once = 0;
   set.pass(240);
-  set.ask_all();
-  for (const auto& [id, j] : set.jobs()) {
+  set.ask_everywhere();
+  for (const auto& [id, j] : set.users().jobs()) {
     out.accepted += j.accepted;
     const bool over = j.told_done >= 0 || j.told_cancelled >= 0;
     out.over += over;
     if (j.spec.service)
-      set.cancel(id);
+      set.users().cancel(id);
     else
       out.unfinished += j.accepted && !over;
   }
@@ -113,11 +113,11 @@
     const auto record = schema::decode_record(wire::decode_key(level.body));
     out.level_settled = record.active > 0 && record.settled();
   }
-  out.broken = set.broken();
-  out.begun_again = set.begun_again();
-  out.looks = set.close_questions();
-  out.ends = set.ends_met();
-  out.lost = set.answers_lost();
+  out.broken = set.rules().broken();
+  out.begun_again = set.rules().begun_again();
+  out.looks = set.users().close_questions();
+  out.ends = set.users().ends_met();
+  out.lost = set.faults().answers_lost();
   return out;
 }
 
@@ -295,30 +295,31 @@
         for (const auto& op : client_protocol::decode_transaction(r.body).ops) {
           if (!op.key.starts_with("fin/")) continue;
           const std::string ending = op.key.substr(4);
-          if (!set.jobs().at(ending).spec.dependencies.empty() || !named.insert(ending).second)
+          if (!set.users().jobs().at(ending).spec.dependencies.empty() ||
+              !named.insert(ending).second)
             continue;
           const int owner = std::stoi(r.from.substr(5));
           sim.at(sim.now() + sim.draw(0, 0.15), [&set, ending, owner] {
             wire::JobSpec s = spec("red", 1);
             s.dependencies = {ending};
-            set.submit(std::move(s), 1, owner);
+            set.users().submit(std::move(s), 1, owner);
           });
           for (int n = 0; n < set.options().controllers; ++n)
             if (n != owner)
               sim.at(sim.now() + sim.draw(0.05, 0.4),
-                     [&set, ending, n] { set.ask_once(ending, n); });
+                     [&set, ending, n] { set.users().ask_once(ending, n); });
         }
       return way(r);
     };
     for (int i = 0; i < 40; ++i) {
-      set.submit(spec("red", 1), 1);
+      set.users().submit(spec("red", 1), 1);
       set.pass(2);
     }
     set.pass(120);
     EXPECT_EQ(named.size(), 40u);
     EXPECT_GT(waited, 10u);  // had to: what was known to be over is not awaited
-    for (const auto& [id, j] : set.jobs()) EXPECT_GE(j.told_done, 0) << id;
-    EXPECT_EQ(set.broken(), std::vector<std::string>{});
+    for (const auto& [id, j] : set.users().jobs()) EXPECT_GE(j.told_done, 0) << id;
+    EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
   }
 }
 
@@ -456,7 +457,7 @@
   for (const char* body :
        {"", "null", "3", "\"run-1\"", "[]", "{", "{}", "[{}]", "{\"uid\":\"run-1\"}", "\xff"})
     refused(400, "", body);
-  EXPECT_EQ(set.starts(), 0u);
+  EXPECT_EQ(set.rules().starts(), 0u);
 }
 
 TEST_F(OddRequests, WhatMayBeNullMayBeOmittedAndWhatIsUnknownIsIgnored) {
@@ -514,7 +515,7 @@
     const std::string id = fresh();
     refused(422, id, changed(id, change));
   }
-  EXPECT_EQ(set.starts(), 0u);
+  EXPECT_EQ(set.rules().starts(), 0u);
   // Their neighbours can run.
   const std::vector<json> can = {
       {{"vcpus", 4}},
@@ -539,25 +540,26 @@
   std::uint64_t asked = 0;
   for (int i = 0; i < 12; ++i) {
     // Nodes that have not heard of it yet, and can't ask.
-    if (i > 5) set.cut(1, SimulatedCluster::state, 4);
-    if (i > 8) set.refuse(2, 4);
-    const std::string id = set.submit(spec("red", 1 + i % 3), 1, 0);
-    while (set.jobs().at(id).told_accepted < 0) set.pass(0.005);
-    for (int n = 0; n < 12; ++n, ++asked) set.submit_once(id, n % 3, set.other_body(id));
-    if (i % 3 == 0) set.cancel(id);
+    if (i > 5) set.faults().cut(1, FaultInjector::state, 4);
+    if (i > 8) set.faults().refuse(2, 4);
+    const std::string id = set.users().submit(spec("red", 1 + i % 3), 1, 0);
+    while (set.users().jobs().at(id).told_accepted < 0) set.pass(0.005);
+    for (int n = 0; n < 12; ++n, ++asked)
+      set.users().submit_once(id, n % 3, set.users().other_body(id));
+    if (i % 3 == 0) set.users().cancel(id);
     for (int n = 0; n < 12; ++n, ++asked) {
       set.pass(0.2);
-      set.submit_once(id, n % 3, set.other_body(id));
+      set.users().submit_once(id, n % 3, set.users().other_body(id));
     }
   }
   set.pass(120);
-  for (const auto& [id, j] : set.jobs()) {
+  for (const auto& [id, j] : set.users().jobs()) {
     EXPECT_TRUE(j.told_done >= 0 || j.told_cancelled >= 0) << id;
-    const json answer = json::parse(user.submit(node(), set.other_body(id)).body);
+    const json answer = json::parse(user.submit(node(), set.users().other_body(id)).body);
     EXPECT_EQ(answer.at("uid"), id);
     EXPECT_EQ(answer.at("signal"), j.told_done >= 0 ? "done" : "cancelled");
   }
-  EXPECT_EQ(set.broken(), std::vector<std::string>{});
+  EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
 }
 
 // A cancellation is answered by an outcome, also one that comes beside the submission itself.
@@ -568,29 +570,29 @@
     return w;
   };
   for (int i = 0; i < 150; ++i) {
-    const std::string id = set.submit(spec("red", 1), 1, i % 3);
+    const std::string id = set.users().submit(spec("red", 1), 1, i % 3);
     for (int n = 1; n <= 1 + i % 2; ++n)
       set.sim().at(set.now() + set.sim().draw(0, 0.012),
-                   [this, id, i, n] { set.cancel_once(id, (i + n) % 3); });
+                   [this, id, i, n] { set.users().cancel_once(id, (i + n) % 3); });
     set.pass(0.3);
   }
   set.pass(60);
   std::size_t cancelled = 0, done = 0;
-  for (const auto& [id, j] : set.jobs()) {
+  for (const auto& [id, j] : set.users().jobs()) {
     cancelled += j.told_cancelled >= 0;
     done += j.told_done >= 0;
   }
   EXPECT_EQ(cancelled + done, 150u);
   EXPECT_GT(cancelled, 15u);
   EXPECT_GT(done, 15u);
-  EXPECT_EQ(set.broken(), std::vector<std::string>{});
+  EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
 }
 
 // Questions about jobs that nobody submitted; cancellations of them, and of what is done.
 TEST_F(OddRequests, NobodysJobsAreUnknownAndADoneOneStaysDone) {
-  const std::string id = set.submit(spec("red", 2), 1);
+  const std::string id = set.users().submit(spec("red", 2), 1);
   set.pass(60);
-  ASSERT_GE(set.jobs().at(id).told_done, 0);
+  ASSERT_GE(set.users().jobs().at(id).told_done, 0);
   for (int n = 0; n < 3; ++n) {
     for (const char* path :
          {"/v2/runs/run-9", "/v2/runs/run-", "/v2/runs/", "/v2/runs/x", "/v2/runs/run-900000/2"}) {
@@ -603,7 +605,7 @@
       EXPECT_EQ(client_protocol::decode_job_state(r.body).state, wire::JobState::done);
     }
   }
-  EXPECT_EQ(set.broken(), std::vector<std::string>{});
+  EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
 }
 
 // ---- minutes of one-task jobs
@@ -647,11 +649,12 @@
   Held most[2];  // in each half of the time
   for (int s = 0; s < 240; ++s) {
     for (int i = 0; i < 4; ++i) {
-      const std::string id = set.submit(spec(i % 2 ? "red" : "blue", 1), set.sim().draw(1, 5));
+      const std::string id =
+          set.users().submit(spec(i % 2 ? "red" : "blue", 1), set.sim().draw(1, 5));
       ++submitted;
       if (i == s % 4) {
         ++cancelled;
-        set.sim().at(set.now() + set.sim().draw(0, 6), [&set, id] { set.cancel(id); });
+        set.sim().at(set.now() + set.sim().draw(0, 6), [&set, id] { set.users().cancel(id); });
       }
       set.pass(0.25);
     }
@@ -663,7 +666,7 @@
   }
   set.pass(60);
   std::size_t over = 0, said_cancelled = 0;
-  for (const auto& [id, j] : set.jobs()) {
+  for (const auto& [id, j] : set.users().jobs()) {
     over += j.told_done >= 0 || j.told_cancelled >= 0;
     said_cancelled += j.told_cancelled >= 0;
   }
@@ -677,10 +680,10 @@
   // Bounded by what is unfinished: no more in the second half than in the first.
   EXPECT_LT(most[1].keys, most[0].keys * 1.5 + 10);
   EXPECT_LT(most[1].bytes, most[0].bytes * 1.5 + 4096);
-  set.ask_all();
-  EXPECT_EQ(set.broken(), std::vector<std::string>{});
-  EXPECT_EQ(set.begun_again(), 0u);
-  EXPECT_EQ(set.leases_lost(), 0u);
+  set.ask_everywhere();
+  EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
+  EXPECT_EQ(set.rules().begun_again(), 0u);
+  EXPECT_EQ(set.machines().leases_lost(), 0u);
 }
 
 }  // namespace
--- a/tests/fault_combinations_cancel_test.cpp
+++ b/tests/fault_combinations_cancel_test.cpp
@@ -26,7 +26,7 @@
   HeldStart(unsigned seed, double margin, double hold_s, bool raises) : set(seed, scale(margin)) {
     set.pass(12);
     // Something runs on every machine, so that they are there, and report now and then only.
-    for (int i = 0; i < 6; ++i) set.submit(spec(i % 2 ? "red" : "blue", 1), 200);
+    for (int i = 0; i < 6; ++i) set.users().submit(spec(i % 2 ? "red" : "blue", 1), 200);
     set.pass(20);
     set.sim().way = [this, way = set.sim().way, raises](const simulation::Request& r) {
       auto w = way(r);
@@ -39,14 +39,15 @@
         held_from = set.now();
       return w;
     };
-    for (int m = 0; m < set.machines(); ++m) set.hold_direct_commands(m, hold_s);
+    for (int m = 0; m < set.machines().size(); ++m) set.faults().hold_direct_commands(m, hold_s);
     mute_from = set.now() + hold_s - 0.2;
     std::vector<std::string> jobs;
-    for (int i = 0; i < 4; ++i) jobs.push_back(set.submit(spec(i % 2 ? "red" : "blue", 1), 200));
+    for (int i = 0; i < 4; ++i)
+      jobs.push_back(set.users().submit(spec(i % 2 ? "red" : "blue", 1), 200));
     for (int i = 0; i < 200 && held_from < 0; ++i) set.pass(0.02);
-    for (const auto& j : jobs) set.cancel(j);
+    for (const auto& j : jobs) set.users().cancel(j);
     set.pass(hold_s + 60);
-    for (const auto& j : jobs) told = std::max(told, set.jobs().at(j).told_cancelled);
+    for (const auto& j : jobs) told = std::max(told, set.users().jobs().at(j).told_cancelled);
     set.sim().way = nullptr;
   }
 };
@@ -61,7 +62,7 @@
         ASSERT_GE(h.held_from, 0);
         ASSERT_GE(h.told, h.held_from);
         ASSERT_LT(h.told, h.held_from + 1);
-        EXPECT_EQ(h.set.broken(), std::vector<std::string>{});
+        EXPECT_EQ(h.set.rules().broken(), std::vector<std::string>{});
       }
 }
 
@@ -80,13 +81,13 @@
     auto& sim = set.sim();
     set.pass(12);
     std::vector<std::string> jobs;
-    for (int i = 0; i < 4; ++i) jobs.push_back(set.submit(spec("red", 2), 300));
+    for (int i = 0; i < 4; ++i) jobs.push_back(set.users().submit(spec("red", 2), 300));
     set.pass(20);
-    for (const auto& j : jobs) set.cancel(j);
-    for (int m = 0; m < set.machines(); ++m) set.hang(m, 21);
+    for (const auto& j : jobs) set.users().cancel(j);
+    for (int m = 0; m < set.machines().size(); ++m) set.faults().hang(m, 21);
     const double goes_on = set.now() + 21;
     set.pass(sim.draw(13, 19));
-    set.kill(0, 0.3);
+    set.faults().kill(0, 0.3);
     std::map<std::string, double> greeted;  // when each machine's answer to an order left
     std::map<std::string, int> answered;
     sim.way = [&, way = sim.way](const simulation::Request& r) {
@@ -106,7 +107,7 @@
       return hold(r);
     };
     set.pass(60);
-    EXPECT_EQ(set.broken(), std::vector<std::string>{});
+    EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
   }
   EXPECT_GT(overtaken, 10);
 }
--- a/tests/fault_combinations_held_test.cpp
+++ b/tests/fault_combinations_held_test.cpp
@@ -27,22 +27,22 @@
       if (done || job.empty() || r.path != "/orders" || r.body.find(job + "/") == std::string::npos)
         return way(r);
       done = true;
-      const int machine = set.machine_at(r.to);
-      set.cancel(job);
+      const int machine = set.machines().find_host(r.to);
+      set.users().cancel(job);
       const double first = reported[r.to] + scale.lease_s - 0.3 - set.now();
-      set.hang(machine, first);
+      set.faults().hang(machine, first);
       set.sim().at(set.now() + first + 0.05,
-                   [&set, machine, &scale] { set.hang(machine, scale.lease_s - 0.3); });
+                   [&set, machine, &scale] { set.faults().hang(machine, scale.lease_s - 0.3); });
       return way(r);
     };
     set.pass(12);
-    set.submit(spec("red", 5), 200);  // so that machines with room are there
+    set.users().submit(spec("red", 5), 200);  // so that machines with room are there
     set.pass(20 + set.sim().draw(0, 5));
-    job = set.submit(spec("red", 1), 60);
+    job = set.users().submit(spec("red", 1), 60);
     set.pass(120);
     hung += done;
-    obeyed_late += set.after_cancel().obeyed > 10;
-    EXPECT_EQ(set.broken(), std::vector<std::string>{});
+    obeyed_late += set.rules().after_cancel().obeyed > 10;
+    EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
   }
   EXPECT_GT(hung, 20);
   EXPECT_GT(obeyed_late, 10);
@@ -67,22 +67,22 @@
       if (done || job.empty() || r.path != "/orders" || r.body.find(job + "/") == std::string::npos)
         return way(r);
       done = true;
-      const int machine = set.machine_at(r.to);
+      const int machine = set.machines().find_host(r.to);
       const double late = 0.3 * (1 + seed);
-      set.cancel(job);
-      set.hold_direct_commands(machine, late);
+      set.users().cancel(job);
+      set.faults().hold_direct_commands(machine, late);
       set.sim().at(set.now() + late + 0.05, [&, machine, host = r.to] {
-        set.hang(machine, reported[host] + scale.lease_s - 0.3 - set.now());
+        set.faults().hang(machine, reported[host] + scale.lease_s - 0.3 - set.now());
       });
       return way(r);
     };
     set.pass(12);
-    set.submit(spec("red", 5), 200);  // so that machines with room are there
+    set.users().submit(spec("red", 5), 200);  // so that machines with room are there
     set.pass(20 + set.sim().draw(0, 5));
-    job = set.submit(spec("red", 1), 60);
+    job = set.users().submit(spec("red", 1), 60);
     set.pass(120);
     held += done;
-    EXPECT_EQ(set.broken(), std::vector<std::string>{});
+    EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
   }
   EXPECT_GT(held, 20);
 }
--- a/tests/fault_combinations_limits_test.cpp
+++ b/tests/fault_combinations_limits_test.cpp
@@ -32,13 +32,13 @@
 // without work.
 void calm_down(SimulatedCluster& set) {
   set.options().late_writes = set.options().lost_answers = set.options().slow_links_s = 0;
-  set.faults_are_over();
+  set.rules().faults_are_over();
   set.pass(kCalm);
-  set.ask_all();
+  set.ask_everywhere();
   Strings unfinished;
-  for (const auto& [id, j] : set.jobs())
+  for (const auto& [id, j] : set.users().jobs())
     if (j.spec.service)
-      set.cancel(id);
+      set.users().cancel(id);
     else if (j.accepted && j.told_done < 0 && j.told_cancelled < 0)
       unfinished.push_back(id);
   EXPECT_EQ(unfinished, Strings{});
@@ -48,12 +48,12 @@
 // And no job waits beside room.
 void expect_calm(SimulatedCluster& set) {
   calm_down(set);
-  EXPECT_EQ(set.broken(), Strings{});
+  EXPECT_EQ(set.rules().broken(), Strings{});
 }
 
 Strings broken_so(const SimulatedCluster& set, const std::string& rule, bool so = true) {
   Strings out;
-  for (const auto& b : set.broken())
+  for (const auto& b : set.rules().broken())
     if ((b.find(rule) != std::string::npos) == so) out.push_back(b);
   return out;
 }
@@ -61,18 +61,18 @@
 // A leader goes, one way or another, for at most a minute.
 void leader_goes(SimulatedCluster& set) {
   auto& sim = set.sim();
-  const int leader = set.busiest();
+  const int leader = set.controllers().random_leader();
   switch (sim.rng()() % 5) {
     case 0:
-      return set.kill(leader, sim.draw(0.05, 20));
+      return set.faults().kill(leader, sim.draw(0.05, 20));
     case 1:
-      return set.cut(leader, SimulatedCluster::state, sim.draw(8, 50));
+      return set.faults().cut(leader, FaultInjector::state, sim.draw(8, 50));
     case 2:
-      return set.cut(leader, SimulatedCluster::state | SimulatedCluster::peers, sim.draw(8, 50));
+      return set.faults().cut(leader, FaultInjector::state | FaultInjector::peers, sim.draw(8, 50));
     case 3:
-      return set.freeze(leader, sim.draw(8, 35));
+      return set.faults().freeze(leader, sim.draw(8, 35));
     default:
-      return set.refuse(leader, sim.draw(8, 50));
+      return set.faults().refuse(leader, sim.draw(8, 50));
   }
 }
 
@@ -81,9 +81,9 @@
 // Four jobs that fit, and limits by which the controllers place fewer, or more.
 SimulatedCluster& limited(SimulatedCluster& set) {
   set.pass(12);
-  for (int i = 0; i < 4; ++i) set.submit(spec("red", 2), 150);
+  for (int i = 0; i < 4; ++i) set.users().submit(spec("red", 2), 150);
   set.pass(60);
-  set.faults_are_over();
+  set.rules().faults_are_over();
   set.pass(130);
   return set;
 }
@@ -92,7 +92,7 @@
   ClusterOptions s;
   s.team_limit = 8;
   SimulatedCluster as_told(1, s);
-  EXPECT_EQ(limited(as_told).broken(), Strings{});
+  EXPECT_EQ(limited(as_told).rules().broken(), Strings{});
   s.told_team_limit = 3;
   SimulatedCluster fewer(1, s);
   EXPECT_NE(broken_so(limited(fewer), "neglected"), Strings{});
@@ -127,23 +127,24 @@
     set.pass(12);
     for (int round = 0; round < 3; ++round)
       for (const char* team : kTeam) {
-        set.submit(spec(team, 2), sim.draw(40, 110));
-        set.submit(spec(team, 1, 2), sim.draw(40, 110));
+        set.users().submit(spec(team, 2), sim.draw(40, 110));
+        set.users().submit(spec(team, 1, 2), sim.draw(40, 110));
       }
     set.pass(sim.draw(25, 35));
-    for (const char* team : kTeam) at_limit += set.used(team) > set.options().team_limit - 1e-9;
+    for (const char* team : kTeam)
+      at_limit += set.rules().used(team) > set.options().team_limit - 1e-9;
     if (first) {
       leader_goes(set);
       set.pass(sim.draw(0, 25));
     }
     std::vector<std::string> running;
-    for (const auto& [id, j] : set.jobs())
-      if (!set.machines_with(id).empty()) running.push_back(id);
+    for (const auto& [id, j] : set.users().jobs())
+      if (!set.machines().with_job(id).empty()) running.push_back(id);
     for (const auto& id : running) {
       if (!sim.chance(0.5)) continue;
       ++cancelled;
-      for (int m : set.machines_with(id)) unasked(m);
-      sim.at(sim.now() + sim.draw(0, 3), [this, id] { set.cancel(id); });
+      for (int m : set.machines().with_job(id)) unasked(m);
+      sim.at(sim.now() + sim.draw(0, 3), [this, id] { set.users().cancel(id); });
     }
     set.pass(sim.draw(0, 4));
     if (!first) leader_goes(set);
@@ -156,16 +157,16 @@
     const double for_s = sim.draw(3, 60);
     switch (sim.rng()() % 6) {
       case 0:
-        return set.lose_responses(machine, for_s);
+        return set.faults().lose_responses(machine, for_s);
       case 1:
-        return set.cut_heartbeats(machine, for_s);
+        return set.faults().cut_heartbeats(machine, for_s);
       case 2:
-        return set.hang(machine, for_s);
+        return set.faults().hang(machine, for_s);
       case 3:
-        return set.hold_direct_commands(machine, for_s);
+        return set.faults().hold_direct_commands(machine, for_s);
       case 4:
-        set.lose_responses(machine, for_s);
-        return set.cut_heartbeats(machine, for_s);
+        set.faults().lose_responses(machine, for_s);
+        return set.faults().cut_heartbeats(machine, for_s);
       default:
         return;
     }
@@ -212,15 +213,15 @@
   s.machines = 1;
   SimulatedCluster set(1, s);
   set.pass(12);
-  set.submit(spec("red", 1, 3), 300);
+  set.users().submit(spec("red", 1, 3), 300);
   set.pass(15);
-  set.submit(spec("red", 1, 2), 20);
+  set.users().submit(spec("red", 1, 2), 20);
   set.pass(3);
-  set.submit(spec("red", 1, 1), 20);
+  set.users().submit(spec("red", 1, 1), 20);
   set.pass(5);
-  set.faults_are_over();
+  set.rules().faults_are_over();
   set.pass(150);
-  EXPECT_EQ(set.broken(), Strings{});
+  EXPECT_EQ(set.rules().broken(), Strings{});
 }
 
 // Each team's controller has a machine, and there is no other to be had: one is full, the other one
@@ -231,14 +232,14 @@
   s.machines = 2;
   SimulatedCluster set(1, s);
   set.pass(12);
-  set.submit(spec("red", 1, 1), 300);
-  set.submit(spec("blue", 1, 4), 300);
+  set.users().submit(spec("red", 1, 1), 300);
+  set.users().submit(spec("blue", 1, 4), 300);
   set.pass(15);
-  set.submit(spec("blue", 1, 2), 20);
+  set.users().submit(spec("blue", 1, 2), 20);
   set.pass(5);
-  set.faults_are_over();
+  set.rules().faults_are_over();
   set.pass(150);
-  EXPECT_EQ(set.broken(), Strings{});
+  EXPECT_EQ(set.rules().broken(), Strings{});
 }
 
 // ---- new machines
@@ -266,23 +267,25 @@
       if (sim.chance(0.4)) j.types = {{sim.chance(0.5) ? "t4" : "t8"}};
       if (sim.chance(0.2)) j.cpus = 6;  // a large machine's
       // One at a time within the limit: three jobs of three such tasks are over in six minutes.
-      jobs.push_back(set.submit(j, sim.draw(5, j.cpus > s.team_limit / 2 ? 20 : 60)));
+      jobs.push_back(set.users().submit(j, sim.draw(5, j.cpus > s.team_limit / 2 ? 20 : 60)));
     }
-    set.slow_state(sim.draw(0.2, 2.5), sim.draw(10, 60));
+    set.faults().slow_state(sim.draw(0.2, 2.5), sim.draw(10, 60));
     if (sim.chance(0.6)) set.options().late_writes = sim.draw(0.1, 0.4);
     if (sim.chance(0.6)) set.options().lost_answers = sim.draw(0.1, 0.4);
     const double ends = sim.draw(0.5, 10);
     const double cancels = sim.draw(0.5, 12);
-    sim.at(sim.now() + ends, [&set, &sim] { set.kill(set.busiest(), sim.draw(0.05, 15)); });
+    sim.at(sim.now() + ends, [&set, &sim] {
+      set.faults().kill(set.controllers().random_leader(), sim.draw(0.05, 15));
+    });
     for (const auto& id : jobs)
       if (sim.chance(0.4)) {
         ++cancelled;
-        sim.at(sim.now() + cancels + sim.draw(0, 4), [&set, id] { set.cancel(id); });
+        sim.at(sim.now() + cancels + sim.draw(0, 4), [&set, id] { set.users().cancel(id); });
       }
     set.pass(5);
-    quick += set.machines() > 0;
+    quick += set.machines().size() > 0;
     set.pass(20);
-    if (sim.chance(0.5)) set.kill(set.busiest(), sim.draw(0.05, 15));
+    if (sim.chance(0.5)) set.faults().kill(set.controllers().random_leader(), sim.draw(0.05, 15));
     set.pass(kLongest);
     expect_calm(set);
   });
@@ -322,20 +325,20 @@
       }
       j.same_zone |= j.zone && sim.chance(0.3);
       j.gang = sim.chance(0.15);
-      set.submit(j, sim.draw(5, 40));
+      set.users().submit(j, sim.draw(5, 40));
     }
     set.pass(sim.draw(12, 30));
     for (int round = 0; round < 2; ++round) {
-      const int there = set.machines();
-      set.lose_zone(sim.chance(0.5) ? "a" : "b", sim.draw(20, 90));
+      const int there = set.machines().size();
+      set.faults().lose_zone(sim.chance(0.5) ? "a" : "b", sim.draw(20, 90));
       lost += there > 0;
       if (sim.chance(0.6)) leader_goes(set);
-      if (sim.chance(0.3)) set.slow_state(sim.draw(0.2, 2), sim.draw(5, 30));
+      if (sim.chance(0.3)) set.faults().slow_state(sim.draw(0.2, 2), sim.draw(5, 30));
       set.pass(sim.draw(5, 60));
     }
     set.pass(90);
     expect_calm(set);
-    done += set.done_tasks();
+    done += set.rules().done_tasks();
   });
   EXPECT_GT(lost, 0);
   EXPECT_GT(done, static_cast<unsigned>(seeds) * 20u);
@@ -357,9 +360,11 @@
     auto& sim = set.sim();
     set.pass(12);
     // One team has it all at first; then the other one's work needs machines of the first.
-    for (int i = 0; i < 5; ++i) set.submit(spec("red", 1 + sim.rng()() % 3), sim.draw(8, 30));
+    for (int i = 0; i < 5; ++i)
+      set.users().submit(spec("red", 1 + sim.rng()() % 3), sim.draw(8, 30));
     set.pass(sim.draw(10, 20));
-    for (int i = 0; i < 8; ++i) set.submit(spec("blue", 1 + sim.rng()() % 3), sim.draw(15, 60));
+    for (int i = 0; i < 8; ++i)
+      set.users().submit(spec("blue", 1 + sim.rng()() % 3), sim.draw(15, 60));
     std::vector<int> owners(static_cast<std::size_t>(s.controllers), -1);
     int left = 0;  // looks in which users cancel
     for (int look = 0; look < 360; ++look) {
@@ -369,12 +374,13 @@
           if (!roll && n > 0) break;
           const double at = sim.now() + n * sim.draw(0.3, 4);
           sim.at(at, [&set, &sim, n, roll] {
-            set.kill(roll ? n : set.busiest(), sim.draw(0.05, roll ? 1 : 14));
+            set.faults().kill(roll ? n : set.controllers().random_leader(),
+                              sim.draw(0.05, roll ? 1 : 14));
           });
         }
       for (int shard = 0; shard < s.controllers; ++shard) {
         int& was = owners[static_cast<std::size_t>(shard)];
-        const int is = set.leader(shard);
+        const int is = set.controllers().leader(shard);
         if (is != was) {
           ++changes;
           left = 12;
@@ -382,13 +388,13 @@
         was = is;
       }
       if (left-- > 0)
-        for (const auto& [id, j] : set.jobs())
+        for (const auto& [id, j] : set.users().jobs())
           if (j.accepted && !j.cancel_asked && j.told_done < 0 && sim.chance(0.02)) {
             ++cancelled;
-            set.cancel(id);
+            set.users().cancel(id);
             break;
           }
-      if (look % 20 == 0) set.submit(spec(kTeam[look / 20 % 2], 1 + sim.rng()() % 3), 20);
+      if (look % 20 == 0) set.users().submit(spec(kTeam[look / 20 % 2], 1 + sim.rng()() % 3), 20);
       set.pass(0.25);
     }
     set.pass(30);
@@ -444,7 +450,7 @@
     return test::possible(j, all, from, room(), set.options().team_limit);
   }
   bool begun(const Submitted& j, double within) const {
-    const double at = set.begun_at(j.id);
+    const double at = set.rules().begun_at(j.id);
     return at >= 0 && at - j.at <= within;
   }
   explicit Overload(unsigned seed) : set(seed, scale(seed)) {
@@ -511,7 +517,7 @@
       sub.at = from + work / (load * room());
       work += sub.work;
       if (sub.at > sim.now()) set.pass(sub.at - sim.now());
-      sub.id = set.submit(j, k.run_s);
+      sub.id = set.users().submit(j, k.run_s);
       sub.at = sim.now();
       all.push_back(sub);
     }
@@ -546,7 +552,7 @@
     }
     expect_half(served);
     for (const auto& j : o.all)
-      if (o.set.jobs().at(j.id).spec.service) o.set.cancel(j.id);
+      if (o.set.users().jobs().at(j.id).spec.service) o.set.users().cancel(j.id);
     calm_down(o.set);
     EXPECT_EQ(broken_so(o.set, "neglected", false), Strings{});
   });
@@ -569,12 +575,12 @@
       ++n.of;
       n.begun += o.begun(j, kBegin);
       if (o.begun(j, kBegin)) continue;
-      const wire::JobSpec& k = o.set.jobs().at(j.id).spec;
+      const wire::JobSpec& k = o.set.users().jobs().at(j.id).spec;
       n.late += "\n" + j.id + " of " + j.team + ", band " +
                 std::to_string(static_cast<int>(k.priority)) + ", " + std::to_string(k.tasks) +
                 " of " + std::to_string(k.cpus) + (k.gang ? ", a gang" : "") +
                 (k.same_zone ? ", one zone" : "") + ", submitted at " + std::to_string(j.at) +
-                ", begun at " + std::to_string(o.set.begun_at(j.id));
+                ", begun at " + std::to_string(o.set.rules().begun_at(j.id));
     }
     expect_half(largest);
   });
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -19,16 +19,16 @@
 TEST(FaultCombinations, ACalmSetRunsEverything) {
   SimulatedCluster set(1, ClusterOptions{});
   set.pass(15);
-  for (int i = 0; i < 6; ++i) set.submit(spec(i % 2 ? "red" : "blue", 5), 10);
+  for (int i = 0; i < 6; ++i) set.users().submit(spec(i % 2 ? "red" : "blue", 5), 10);
   set.pass(150);
-  for (const auto& [id, j] : set.jobs()) {
+  for (const auto& [id, j] : set.users().jobs()) {
     EXPECT_TRUE(j.accepted) << id;
     EXPECT_GE(j.told_done, 0) << id;
   }
-  set.ask_all();
-  EXPECT_EQ(set.broken(), std::vector<std::string>{});
-  EXPECT_EQ(set.done_tasks(), 30u);
-  EXPECT_EQ(set.leases_lost(), 0u);
+  set.ask_everywhere();
+  EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
+  EXPECT_EQ(set.rules().done_tasks(), 30u);
+  EXPECT_EQ(set.machines().leases_lost(), 0u);
 }
 
 // The fault combination that broke most: the state service refuses the leading controller alone,
@@ -49,12 +49,13 @@
     set.pass(12);
     std::vector<std::string> jobs;
     for (int i = 0; i < 8; ++i)
-      jobs.push_back(set.submit(spec(i % 2 ? "red" : "blue", 1 + i % 3), sim.draw(90, 160)));
+      jobs.push_back(
+          set.users().submit(spec(i % 2 ? "red" : "blue", 1 + i % 3), sim.draw(90, 160)));
     set.pass(sim.draw(8, 25));
-    const int leader = set.leader(0);
+    const int leader = set.controllers().leader(0);
     const double lone = sim.draw(1, 14);  // until it is down for all
     if (leader < 0) return;
-    set.refuse(leader, lone + sim.draw(0, 30));
+    set.faults().refuse(leader, lone + sim.draw(0, 30));
     // Cancelled in every state that a task can be in: some have only just been submitted.
     const double first = sim.draw(0, 0.8 * lone);
     for (std::size_t i = 0; i < jobs.size(); ++i) {
@@ -64,13 +65,14 @@
           (leader + 1 + static_cast<int>(sim.rng()() % (set.options().controllers - 1))) %
           set.options().controllers;
       sim.at(sim.now() + sim.draw(first, lone),
-             [this, id = jobs[i], other] { set.cancel(id, other); });
+             [this, id = jobs[i], other] { set.users().cancel(id, other); });
     }
     set.pass(lone);
     const double down = set.options().cancel_s + sim.draw(5, 30);
-    set.outage(down);
-    if (sim.chance(0.3)) set.kill((leader + 1) % set.options().controllers, sim.draw(0.05, 8));
-    if (sim.chance(0.2)) set.freeze(leader, sim.draw(1, 20));
+    set.faults().outage(down);
+    if (sim.chance(0.3))
+      set.faults().kill((leader + 1) % set.options().controllers, sim.draw(0.05, 8));
+    if (sim.chance(0.2)) set.faults().freeze(leader, sim.draw(1, 20));
     set.pass(down + 40);
   }
 };
@@ -81,8 +83,8 @@
     SCOPED_TRACE(seed);
     Gap g(seed, 0);
     cancelled += g.cancelled;
-    g.set.ask_all();
-    ASSERT_EQ(g.set.broken(), std::vector<std::string>{});
+    g.set.ask_everywhere();
+    ASSERT_EQ(g.set.rules().broken(), std::vector<std::string>{});
   }
   EXPECT_GT(cancelled, 60 * 4);
 }
@@ -94,7 +96,8 @@
     int broken = 0;
     for (unsigned seed = 1; seed <= 20; ++seed) {
       Gap g(seed, ClusterOptions{}.cancel_s + too_much);
-      for (const auto& b : g.set.broken()) broken += b.find("ran_cancelled") != std::string::npos;
+      for (const auto& b : g.set.rules().broken())
+        broken += b.find("ran_cancelled") != std::string::npos;
     }
     EXPECT_GT(broken, 0) << too_much;
   }
@@ -115,12 +118,12 @@
       scale.relay = false;
       SimulatedCluster set(static_cast<unsigned>(turn), scale);
       set.pass(12);
-      for (int i = 0; i < 4; ++i) set.submit(spec("red", 3), 120);
+      for (int i = 0; i < 4; ++i) set.users().submit(spec("red", 3), 120);
       set.pass(15);
-      const int old = set.leader(0);
+      const int old = set.controllers().leader(0);
       ASSERT_GE(old, 0);
       const std::string successor = "node-" + std::to_string(1 - old);
-      const int there = set.machines();
+      const int there = set.machines().size();
       const double until = set.now() + 100;
       set.sim().way = [way = set.sim().way, &set, successor, there,
                        until](const simulation::Request& r) {
@@ -133,9 +136,9 @@
           w.arrives = false;
         return w;
       };
-      set.cut(old, SimulatedCluster::state | SimulatedCluster::peers, cut_s);
+      set.faults().cut(old, FaultInjector::state | FaultInjector::peers, cut_s);
       set.pass(cut_s - 0.05);
-      taken_over += set.leads(1 - old, 0);
+      taken_over += set.controllers().leads(1 - old, 0);
       // The first read that tells of the successor is on its way back.
       auto read = std::make_shared<bool>(false);
       set.sim().hold_answer = [hold = set.sim().hold_answer, &set, read, old,
@@ -144,14 +147,14 @@
         if (!*read && held >= 0 && r.from == "node-" + std::to_string(old) &&
             r.path.starts_with("/watch")) {
           *read = true;
-          set.freeze_after(old, turn, 16.5);
+          set.faults().freeze_after(old, turn, 16.5);
         }
         return held;
       };
-      const std::uint64_t starts = set.starts();
+      const std::uint64_t starts = set.rules().starts();
       set.pass(150);
-      begun_anew += set.starts() > starts;
-      ASSERT_EQ(set.broken(), std::vector<std::string>{});
+      begun_anew += set.rules().starts() > starts;
+      ASSERT_EQ(set.rules().broken(), std::vector<std::string>{});
     }
   EXPECT_EQ(taken_over, 90);
   EXPECT_GT(begun_anew, 20);
