--- a/src/emulators/cloud.cpp
+++ b/src/emulators/cloud.cpp
@@ -10,128 +10,181 @@
 namespace shunttrail::emulators {
 using nlohmann::json;
 
+namespace {
+constexpr std::size_t kMaxRequestBytes = 64 * 1024;
+constexpr std::size_t kMaxListed = 500;
+constexpr std::size_t kMaxLimitDigits = 5;
+constexpr double kBurstS = 2;  // so many seconds' worth of requests may come at once
+constexpr double kLeastBootS = 0.1;
+constexpr std::size_t kNameDigits = 6;
+
+// The machines that one answer lists.
+std::size_t page_size(const std::string& query) {
+  const std::string limit = net::query_value(query, "limit");
+  if (limit.empty() || limit.size() > kMaxLimitDigits ||
+      limit.find_first_not_of("0123456789") != std::string::npos)
+    return kMaxListed;
+  return std::min<std::size_t>(kMaxListed, std::stoul(limit));
+}
+}  // namespace
+
 CloudEmulator::CloudEmulator(actor::Loop& loop, const config::Endpoint& at,
                              std::vector<EmulatedMachineType> types, double rps,
                              std::filesystem::path file, Power power, unsigned seed)
     : Actor(loop),
       types_(std::move(types)),
       rps_(rps),
-      tokens_(2 * rps),
-      refilled_(loop.now()),
+      tokens_(kBurstS * rps),
+      refilled_at_(loop.now()),
       file_(std::move(file)),
       power_(std::move(power)),
       rng_(seed),
       timer_(loop, [this] { boot(); }),
-      http_(loop, at, 64 * 1024, [this](net::ExchangePtr ex) {
-        if (!paced()) return ex->send({429, "{}", 0});
-        try {
-          if (ex->path == "/machine_types" && !ex->post) {
-            std::vector<wire::MachineType> all;
-            for (const auto& t : types_) all.push_back(t.spec);
-            return ex->send({200, client_protocol::encode_types(all), 0});
-          }
-          if (ex->path == "/rentals" && ex->post) return ex->send(rent(ex->body));
-          if (ex->path == "/rentals/delete" && ex->post) return remove(ex);
-          if (ex->path == "/rentals") return ex->send(list(ex->query));
-          ex->send({404, "{}", 0});
-        } catch (const wire::Malformed& e) {
-          ex->send({400, json{{"error", e.what()}}.dump(), 0});
-        }
-      }) {
+      http_(loop, at, kMaxRequestBytes, [this](net::ExchangePtr exchange) { handle(exchange); }) {
   load();
   timer_.after(0);
 }
 
-bool CloudEmulator::paced() {
-  double now = loop_.now();
-  tokens_ = std::min(2 * rps_, tokens_ + (now - refilled_) * rps_);
-  refilled_ = now;
+// ---- requests
+
+void CloudEmulator::handle(const net::ExchangePtr& exchange) {
+  if (!take_token()) return exchange->send({429, "{}", 0});
+  try {
+    dispatch(exchange);
+  } catch (const wire::Malformed& e) {
+    exchange->send({400, json{{"error", e.what()}}.dump(), 0});
+  }
+}
+
+void CloudEmulator::dispatch(const net::ExchangePtr& exchange) {
+  const std::string& path = exchange->path;
+  if (path == "/machine_types" && !exchange->post) return exchange->send(list_types());
+  if (path == "/rentals" && exchange->post) return exchange->send(rent(exchange->body));
+  if (path == "/rentals/delete" && exchange->post) return remove(exchange);
+  if (path == "/rentals") return exchange->send(list(exchange->query));
+  exchange->send({404, "{}", 0});
+}
+
+bool CloudEmulator::take_token() {
+  const double now = loop_.now();
+  tokens_ = std::min(kBurstS * rps_, tokens_ + (now - refilled_at_) * rps_);
+  refilled_at_ = now;
   if (tokens_ < 1) return false;
   tokens_ -= 1;
   return true;
 }
 
+net::Answer CloudEmulator::list_types() const {
+  std::vector<wire::MachineType> all;
+  for (const auto& type : types_) all.push_back(type.spec);
+  return {200, client_protocol::encode_types(all), 0};
+}
+
+// ---- rentals
+
 net::Answer CloudEmulator::rent(const std::string& body) {
-  client_protocol::RentRequest r = client_protocol::decode_rent(body);
-  if (auto it = requests_.find(r.name); it != requests_.end())
-    return {200, client_protocol::encode_rented(it->second), 0};
-  auto type = std::find_if(types_.begin(), types_.end(),
-                           [&](const EmulatedMachineType& t) { return t.spec.name == r.type; });
-  if (type == types_.end() ||
-      std::find(type->spec.zones.begin(), type->spec.zones.end(), r.zone) == type->spec.zones.end())
-    throw wire::Malformed("no such type or zone");
-  auto up = std::count_if(machines_.begin(), machines_.end(),
-                          [&](const auto& m) { return m.second.type == r.type; });
-  int n = std::min<int>(r.count, type->most - static_cast<int>(up));
-  const auto none = none_until_.find(r.zone);
-  if (n <= 0 || refusing_ || (none != none_until_.end() && none->second > loop_.now()))
-    return {503, "{\"error\":\"no capacity\"}", 0};
-  auto& names = requests_[r.name];
-  for (int i = 0; i < n; ++i) {
-    std::string number = std::to_string(next_++);
-    Machine m;
-    m.name = "m-" + std::string(6 - std::min<std::size_t>(6, number.size()), '0') + number;
-    m.type = r.type;
-    m.zone = r.zone;
-    m.spot = r.spot;
-    m.address = power_.address();
-    m.rented_at = loop_.wall_now();
-    m.known_at = loop_.now();
-    m.boots_at =
-        loop_.now() +
-        (quick_s_ > 0 ? std::uniform_real_distribution<>(std::min(0.1, quick_s_), quick_s_)(rng_)
-                      : type->spec.boot_s * std::uniform_real_distribution<>(0.6, 1.5)(rng_));
-    names.push_back(m.name);
-    machines_[m.name] = std::move(m);
-  }
+  const client_protocol::RentRequest request = client_protocol::decode_rent(body);
+  if (auto earlier = requests_.find(request.name); earlier != requests_.end())
+    return {200, client_protocol::encode_rented(earlier->second), 0};
+  const EmulatedMachineType& type = find_type(request.type, request.zone);
+  const int count = std::min<int>(request.count, capacity(type, request.zone));
+  if (count <= 0) return {503, "{\"error\":\"no capacity\"}", 0};
+  auto& names = requests_[request.name];
+  for (int i = 0; i < count; ++i)
+    names.push_back(add_machine(type.spec, request.zone, request.spot));
   save();
   timer_.after(0);
   return {200, client_protocol::encode_rented(names), 0};
 }
 
-void CloudEmulator::remove(net::ExchangePtr ex) {
+// Throws wire::Malformed if there is no such type in the zone.
+const EmulatedMachineType& CloudEmulator::find_type(const std::string& name,
+                                                    const std::string& zone) const {
+  const auto type = std::find_if(types_.begin(), types_.end(),
+                                 [&](const auto& t) { return t.spec.name == name; });
+  if (type == types_.end() ||
+      std::find(type->spec.zones.begin(), type->spec.zones.end(), zone) == type->spec.zones.end())
+    throw wire::Malformed("no such type or zone");
+  return *type;
+}
+
+// How many more machines of the type can be rented in the zone now.
+int CloudEmulator::capacity(const EmulatedMachineType& type, const std::string& zone) const {
+  const auto none = none_until_.find(zone);
+  if (refusing_ || (none != none_until_.end() && none->second > loop_.now())) return 0;
+  const auto rented = std::count_if(machines_.begin(), machines_.end(),
+                                    [&](const auto& m) { return m.second.type == type.spec.name; });
+  return type.most - static_cast<int>(rented);
+}
+
+std::string CloudEmulator::add_machine(const wire::MachineType& type, const std::string& zone,
+                                       bool spot) {
+  const std::string number = std::to_string(next_++);
+  Machine m;
+  m.name = "m-" + std::string(kNameDigits - std::min(kNameDigits, number.size()), '0') + number;
+  m.type = type.name;
+  m.zone = zone;
+  m.spot = spot;
+  m.address = power_.address();
+  m.rented_at = loop_.wall_now();
+  m.known_at = loop_.now();
+  m.boots_at = loop_.now() + boot_time_s(type);
+  const std::string name = m.name;
+  machines_[name] = std::move(m);
+  return name;
+}
+
+double CloudEmulator::boot_time_s(const wire::MachineType& type) {
+  if (quick_s_ > 0)
+    return std::uniform_real_distribution<>(std::min(kLeastBootS, quick_s_), quick_s_)(rng_);
+  return type.boot_s * std::uniform_real_distribution<>(0.6, 1.5)(rng_);
+}
+
+void CloudEmulator::remove(const net::ExchangePtr& exchange) {
   std::vector<std::string> there;
-  for (const auto& name : client_protocol::decode_delete(ex->body))
+  for (const auto& name : client_protocol::decode_delete(exchange->body))
     if (auto it = machines_.find(name); it != machines_.end()) {
       it->second.going = true;
       there.push_back(name);
     }
   // They stay listed until they are gone, and are answered for only then.
-  power_.off(there, reply<>([this, ex, there] {
+  power_.off(there, reply<>([this, exchange, there] {
                for (const auto& name : there)
                  if (auto m = machines_.extract(name); m && lag_s_ > 0)
                    gone_[name] = {m.mapped(), loop_.now()};
                save();
-               ex->send({200, "{}", 0});
+               exchange->send({200, "{}", 0});
              }));
 }
 
-net::Answer CloudEmulator::list(const std::string& query) {
-  std::string after = net::query_value(query, "after"), limit = net::query_value(query, "limit");
-  std::size_t most = 500;
-  if (!limit.empty() && limit.size() < 6 &&
-      limit.find_first_not_of("0123456789") == std::string::npos)
-    most = std::min<std::size_t>(most, std::stoul(limit));
-  const double old = lag_s_ > 0 ? lag_s_ * std::uniform_real_distribution<>(0.5, 2)(rng_) : 0;
-  const double as_of = loop_.now() - old;
-  std::erase_if(gone_, [&](const auto& g) { return g.second.second < loop_.now() - 2 * lag_s_; });
+std::map<std::string, const CloudEmulator::Machine*> CloudEmulator::machines_as_of(
+    double as_of) const {
   std::map<std::string, const Machine*> listed;
-  for (const auto& [name, m] : machines_)
-    if (m.known_at <= as_of) listed[name] = &m;
-  for (const auto& [name, g] : gone_)
-    if (g.first.known_at <= as_of && g.second > as_of) listed[name] = &g.first;
-  wire::MachineList l;
-  for (auto it = listed.upper_bound(after); it != listed.end(); ++it) {
-    if (l.machines.size() >= most) {
-      l.more = true;
+  for (const auto& [name, machine] : machines_)
+    if (machine.known_at <= as_of) listed[name] = &machine;
+  for (const auto& [name, gone] : gone_)
+    if (gone.machine.known_at <= as_of && gone.gone_at > as_of) listed[name] = &gone.machine;
+  return listed;
+}
+
+net::Answer CloudEmulator::list(const std::string& query) {
+  const std::size_t most = page_size(query);
+  const double age = lag_s_ > 0 ? lag_s_ * std::uniform_real_distribution<>(0.5, 2)(rng_) : 0;
+  const double as_of = loop_.now() - age;
+  std::erase_if(gone_, [&](const auto& g) { return g.second.gone_at < loop_.now() - 2 * lag_s_; });
+  const auto listed = machines_as_of(as_of);
+  wire::MachineList page;
+  for (auto it = listed.upper_bound(net::query_value(query, "after")); it != listed.end(); ++it) {
+    if (page.machines.size() >= most) {
+      page.more = true;
       break;
     }
     const Machine& m = *it->second;
-    l.machines.push_back({m.name, m.address, m.type, m.zone,
-                          m.on && m.on_at <= as_of ? "running" : "booting", m.spot,
-                          loop_.wall_now() - m.rented_at - old});
+    const char* state = m.on && m.on_at <= as_of ? "running" : "booting";
+    page.machines.push_back(
+        {m.name, m.address, m.type, m.zone, state, m.spot, loop_.wall_now() - m.rented_at - age});
   }
-  return {200, client_protocol::encode_machines(l), 0};
+  return {200, client_protocol::encode_machines(page), 0};
 }
 
 void CloudEmulator::boot() {
--- a/src/emulators/state.cpp
+++ b/src/emulators/state.cpp
@@ -16,14 +16,25 @@
 namespace fs = std::filesystem;
 using nlohmann::json;
 namespace {
-constexpr std::size_t kRecent = 10000;
-constexpr std::size_t kPageBytes = 512 * 1024;
+constexpr std::size_t kMaxRecentEvents = 10000;
+constexpr std::size_t kMaxPageBytes = 512 * 1024;
+constexpr std::uint64_t kMaxPageEntries = 1000;
+constexpr std::uint64_t kMaxWatchMs = 60000;
+constexpr std::size_t kMaxRequestBytes = 64 * 1024;
+constexpr std::size_t kMaxCountDigits = 18;  // every such number fits into 64 bits
+constexpr double kTickS = 0.05;
+constexpr std::string_view kLeasesPath = "/holds";
+constexpr std::string_view kRenewSuffix = "/renew";
+
+bool is_count(const std::string& text) {
+  return !text.empty() && text.size() <= kMaxCountDigits &&
+         text.find_first_not_of("0123456789") == std::string::npos;
+}
 
 std::uint64_t count(const std::string& query, const char* name, std::uint64_t fallback) {
   std::string s = net::query_value(query, name);
   if (s.empty()) return fallback;
-  if (s.size() > 18 || s.find_first_not_of("0123456789") != std::string::npos)
-    throw wire::Malformed(std::string(name) + " is not a count");
+  if (!is_count(s)) throw wire::Malformed(std::string(name) + " is not a count");
   return std::stoull(s);
 }
 }  // namespace
@@ -35,28 +46,24 @@
       timer_(loop,
              [this] {
                tick();
-               timer_.after(0.05);
+               timer_.after(kTickS);
              }),
       http_(
-          loop, at, 64 * 1024,
-          [this](net::ExchangePtr ex) {
-            if (out_) return ex->send({503, "{\"error\":\"trouble\"}", 0});
-            if (!requests_.take(1, loop_.now())) return ex->send({429, "{}", 0});
-            if (ex->path == "/watch") return watch(ex);
-            ex->send(answer(ex));
-          },
+          loop, at, kMaxRequestBytes, [this](net::ExchangePtr exchange) { handle(exchange); },
           true) {
   if (!log_.empty()) load();
-  timer_.after(0.05);
+  timer_.after(kTickS);
 }
+
 StateServiceEmulator::~StateServiceEmulator() {
   if (fd_ >= 0) ::close(fd_);
 }
 
 void StateServiceEmulator::limit(double rps, double write_rps) {
-  requests_ = {rps, rps, loop_.now()};
-  writes_ = {write_rps, write_rps, loop_.now()};
+  request_limit_ = {rps, rps, loop_.now()};
+  write_limit_ = {write_rps, write_rps, loop_.now()};
 }
+
 bool StateServiceEmulator::RateLimit::take(double n, double now) {
   if (per_s <= 0) return true;
   left = std::min(per_s, left + (now - at) * per_s);
@@ -66,12 +73,22 @@
   return true;
 }
 
-net::Answer StateServiceEmulator::answer(net::ExchangePtr ex) {
+// ---- requests
+
+void StateServiceEmulator::handle(const net::ExchangePtr& exchange) {
+  if (in_outage_) return exchange->send({503, "{\"error\":\"trouble\"}", 0});
+  if (!request_limit_.take(1, loop_.now())) return exchange->send({429, "{}", 0});
+  if (exchange->path == "/watch") return watch(exchange);
+  exchange->send(answer(*exchange));
+}
+
+net::Answer StateServiceEmulator::answer(const net::Exchange& exchange) {
+  const std::string& path = exchange.path;
   try {
-    if (ex->path == "/kv" && !ex->post) return page(ex->query);
-    if (ex->path.starts_with("/kv/") && !ex->post) return get(ex->path.substr(4));
-    if (ex->path == "/commit" && ex->post) return commit(ex->body);
-    if (ex->path.starts_with("/holds")) return holds(*ex);
+    if (path == "/kv" && !exchange.post) return list(exchange.query);
+    if (path.starts_with("/kv/") && !exchange.post) return get(path.substr(4));
+    if (path == "/commit" && exchange.post) return commit(exchange.body);
+    if (path.starts_with(kLeasesPath)) return handle_lease(exchange);
     return {404, "{}", 0};
   } catch (const wire::Malformed& e) {
     return {400, json{{"error", e.what()}}.dump(), 0};
@@ -87,15 +104,15 @@
           0};
 }
 
-net::Answer StateServiceEmulator::page(const std::string& query) {
+net::Answer StateServiceEmulator::list(const std::string& query) {
   const std::string prefix = net::query_value(query, "starts"),
                     after = net::query_value(query, "after");
-  std::uint64_t limit = std::min<std::uint64_t>(count(query, "limit", 1000), 1000);
+  const std::uint64_t limit = std::min(count(query, "limit", kMaxPageEntries), kMaxPageEntries);
   std::vector<std::string> entries;
   std::size_t bytes = 0;
   auto it = after > prefix ? keys_.upper_bound(after) : keys_.lower_bound(prefix);
   for (; it != keys_.end() && it->first.starts_with(prefix); ++it) {
-    if (entries.size() >= limit || (bytes > 0 && bytes + it->second.value.size() > kPageBytes))
+    if (entries.size() >= limit || (bytes > 0 && bytes + it->second.value.size() > kMaxPageBytes))
       return {200, client_protocol::encode_page(entries, true, revision_), 0};
     bytes += it->second.value.size();
     entries.push_back(client_protocol::encode_entry(it->first, it->second.value,
@@ -107,7 +124,7 @@
 net::Answer StateServiceEmulator::commit(const std::string& body) {
   wire::Transaction t = client_protocol::decode_transaction(body);
   // Also of one whose conditions then fail.
-  if (!writes_.take(static_cast<double>(t.ops.size()), loop_.now())) return {429, "{}", 0};
+  if (!write_limit_.take(static_cast<double>(t.ops.size()), loop_.now())) return {429, "{}", 0};
   for (const auto& op : t.ops)
     if (op.lease && !leases_.contains(op.lease)) return {400, "{\"error\":\"no such lease\"}", 0};
   std::vector<std::string> failed;
@@ -117,7 +134,7 @@
   }
   if (!failed.empty()) return {409, client_protocol::encode_failed(failed, revision_), 0};
   if (t.ops.empty()) return {200, client_protocol::encode_revision(revision_), 0};
-  write("{\"ledger\":" + std::to_string(revision_ + 1) + ",\"commit\":" + body + "}");
+  append("{\"ledger\":" + std::to_string(revision_ + 1) + ",\"commit\":" + body + "}");
   apply(t, revision_ + 1);
   return {200, client_protocol::encode_revision(revision_), 0};
 }
@@ -135,112 +152,132 @@
     }
     recent_.push_back({op.key, op.value, revision});
   }
-  while (recent_.size() > kRecent) {
+  while (recent_.size() > kMaxRecentEvents) {
     first_recent_ = recent_.front().mod_revision;
     recent_.pop_front();
   }
-  post([this] {
-    // Whoever waits for one of these is answered; the others go on waiting.
-    std::deque<Watcher> still;
-    for (auto& w : watchers_) {
-      bool any = false;
-      std::string body = changes(w.prefix, w.after, any);
-      if (any)
-        w.ex->send({200, body, 0});
-      else
-        still.push_back(std::move(w));
-    }
-    watchers_ = std::move(still);
-  });
+  post([this] { answer_watchers(); });
+}
+
+// ---- watches
+
+// Whoever waits for a change that has come is answered; the others go on waiting.
+void StateServiceEmulator::answer_watchers() {
+  std::deque<Watcher> waiting;
+  for (auto& w : watchers_) {
+    if (const auto body = changes(w.prefix, w.after))
+      w.exchange->send({200, *body, 0});
+    else
+      waiting.push_back(std::move(w));
+  }
+  watchers_ = std::move(waiting);
 }
 
-std::string StateServiceEmulator::changes(const std::string& prefix, std::uint64_t after,
-                                          bool& any) const {
+std::optional<std::string> StateServiceEmulator::changes(const std::string& prefix,
+                                                         std::uint64_t after) const {
   std::vector<wire::Event> out;
   auto from =
       std::upper_bound(recent_.begin(), recent_.end(), after,
                        [](std::uint64_t r, const wire::Event& e) { return r < e.mod_revision; });
   for (auto it = from; it != recent_.end(); ++it)
     if (it->key.starts_with(prefix)) out.push_back(*it);
-  any = !out.empty();
+  if (out.empty()) return std::nullopt;
   return client_protocol::encode_watch(revision_, out);
 }
 
-void StateServiceEmulator::watch(net::ExchangePtr ex) {
+void StateServiceEmulator::watch(const net::ExchangePtr& exchange) {
+  const std::string& query = exchange->query;
   try {
-    Watcher w{net::query_value(ex->query, "starts"), count(ex->query, "after", 0),
-              loop_.now() + static_cast<double>(
-                                std::min<std::uint64_t>(count(ex->query, "block_ms", 0), 60000)) /
-                                1000,
-              ex};
-    if (w.after < first_recent_) return ex->send({410, "{}", 0});
-    bool any = false;
-    std::string body = changes(w.prefix, w.after, any);
-    if (any || w.until <= loop_.now()) return ex->send({200, body, 0});
-    watchers_.push_back(std::move(w));
+    const std::string prefix = net::query_value(query, "starts");
+    const std::uint64_t after = count(query, "after", 0);
+    const std::uint64_t wait_ms = std::min(count(query, "block_ms", 0), kMaxWatchMs);
+    const double until = loop_.now() + static_cast<double>(wait_ms) / 1000;
+    if (after < first_recent_) return exchange->send({410, "{}", 0});
+    const auto body = changes(prefix, after);
+    if (body) return exchange->send({200, *body, 0});
+    if (until <= loop_.now())
+      return exchange->send({200, client_protocol::encode_watch(revision_, {}), 0});
+    watchers_.push_back({prefix, after, until, exchange});
   } catch (const wire::Malformed& e) {
-    ex->send({400, json{{"error", e.what()}}.dump(), 0});
+    exchange->send({400, json{{"error", e.what()}}.dump(), 0});
   }
 }
 
-net::Answer StateServiceEmulator::holds(const net::Exchange& ex) {
-  if (ex.path == "/holds" && ex.post) {
-    double life = static_cast<double>(client_protocol::decode_life_ms(ex.body)) / 1000;
-    std::uint64_t id = next_lease_++;
-    write(json{{"hold", id}, {"life_s", life}}.dump());
-    leases_[id] = {life, loop_.now() + life, {}};
-    return {200, client_protocol::encode_lease(id), 0};
-  }
-  std::string rest = ex.path.substr(std::min<std::size_t>(ex.path.size(), 7));
-  bool renew = rest.ends_with("/renew");
-  if (renew) rest.resize(rest.size() - 6);
-  if (rest.empty() || rest.size() > 18 || rest.find_first_not_of("0123456789") != std::string::npos)
-    return {404, "{}", 0};
-  auto it = leases_.find(std::stoull(rest));
-  if (it == leases_.end()) return {404, "{}", 0};
-  if (renew && ex.post) {
-    it->second.until = loop_.now() + it->second.life_s;
-    return {200, client_protocol::encode_lease(it->first), 0};
+// ---- leases
+
+net::Answer StateServiceEmulator::handle_lease(const net::Exchange& exchange) {
+  if (exchange.path == kLeasesPath && exchange.post) return grant_lease(exchange.body);
+  std::string id = exchange.path.substr(std::min(exchange.path.size(), kLeasesPath.size() + 1));
+  const bool renew = id.ends_with(kRenewSuffix);
+  if (renew) id.resize(id.size() - kRenewSuffix.size());
+  if (!is_count(id)) return {404, "{}", 0};
+  auto lease = leases_.find(std::stoull(id));
+  if (lease == leases_.end()) return {404, "{}", 0};
+  if (renew && exchange.post) {
+    lease->second.until = loop_.now() + lease->second.life_s;
+    return {200, client_protocol::encode_lease(lease->first), 0};
   }
-  if (!ex.del) return {405, "{}", 0};
-  drop_lease(it->first);
+  if (!exchange.del) return {405, "{}", 0};
+  drop_lease(lease->first);
   return {200, "{}", 0};
 }
 
+net::Answer StateServiceEmulator::grant_lease(const std::string& body) {
+  const double life_s = static_cast<double>(client_protocol::decode_life_ms(body)) / 1000;
+  const std::uint64_t id = next_lease_++;
+  append(json{{"hold", id}, {"life_s", life_s}}.dump());
+  leases_[id] = {life_s, loop_.now() + life_s, {}};
+  return {200, client_protocol::encode_lease(id), 0};
+}
+
 void StateServiceEmulator::drop_lease(std::uint64_t id) {
   wire::Transaction t;
   for (const auto& k : leases_[id].keys) t.ops.push_back({k, std::nullopt, 0});
   json drops = json::array();
   for (const auto& op : t.ops) drops.push_back(op.key);
-  write(json{{"over", id}, {"ledger", revision_ + 1}, {"drops", drops}}.dump());
+  append(json{{"over", id}, {"ledger", revision_ + 1}, {"drops", drops}}.dump());
   if (!t.ops.empty()) apply(t, revision_ + 1);
   leases_.erase(id);
 }
 
 void StateServiceEmulator::outage(bool on) {
-  out_ = on;
-  if (on) return;
-  for (auto& [id, l] : leases_) l.until = loop_.now() + l.life_s;
+  in_outage_ = on;
+  if (!on) renew_all_leases();
+}
+
+void StateServiceEmulator::renew_all_leases() {
+  for (auto& [id, lease] : leases_) lease.until = loop_.now() + lease.life_s;
 }
 
 void StateServiceEmulator::tick() {
-  if (out_) return;
-  double now = loop_.now();
-  std::vector<std::uint64_t> over;
-  for (const auto& [id, l] : leases_)
-    if (now > l.until) over.push_back(id);
-  for (auto id : over) drop_lease(id);
-  std::deque<Watcher> still;
+  if (in_outage_) return;
+  drop_expired_leases();
+  end_expired_watches();
+}
+
+void StateServiceEmulator::drop_expired_leases() {
+  const double now = loop_.now();
+  std::vector<std::uint64_t> expired;
+  for (const auto& [id, lease] : leases_)
+    if (now > lease.until) expired.push_back(id);
+  for (const auto id : expired) drop_lease(id);
+}
+
+void StateServiceEmulator::end_expired_watches() {
+  const double now = loop_.now();
+  std::deque<Watcher> waiting;
   for (auto& w : watchers_) {
     if (now >= w.until)
-      w.ex->send({200, client_protocol::encode_watch(revision_, {}), 0});
+      w.exchange->send({200, client_protocol::encode_watch(revision_, {}), 0});
     else
-      still.push_back(std::move(w));
+      waiting.push_back(std::move(w));
   }
-  watchers_ = std::move(still);
+  watchers_ = std::move(waiting);
 }
 
-void StateServiceEmulator::write(const std::string& line) {
+// ---- the log
+
+void StateServiceEmulator::append(const std::string& line) {
   if (fd_ < 0) return;
   std::string bytes = line + "\n";
   std::string_view left = bytes;
@@ -256,6 +293,15 @@
 
 void StateServiceEmulator::load() {
   fs::create_directories(log_.parent_path());
+  read_log();
+  // As after an outage every lease has its full time again; the watch window begins anew.
+  renew_all_leases();
+  recent_.clear();
+  first_recent_ = revision_;
+  write_compacted_log();
+}
+
+void StateServiceEmulator::read_log() {
   std::ifstream in(log_);
   for (std::string line; std::getline(in, line);) {
     json j = json::parse(line, nullptr, false);
@@ -280,11 +326,10 @@
       next_lease_ = j["next_hold"];
     }
   }
-  in.close();
-  // After an outage every lease has its full time again; the watch window begins anew.
-  for (auto& [id, l] : leases_) l.until = loop_.now() + l.life_s;
-  recent_.clear();
-  first_recent_ = revision_;
+}
+
+// Beside the old one, which it replaces once it is whole.
+void StateServiceEmulator::write_compacted_log() {
   fs::path aside = log_;
   aside += ".new";
   fd_ = ::open(aside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0644);
@@ -296,7 +341,7 @@
   for (const auto& [k, e] : keys_)
     out << "\n{\"k\":" << json(k).dump() << ",\"value\":" << e.value
         << ",\"stamp\":" << e.mod_revision << ",\"lease\":" << e.lease << "}";
-  write(out.str());
+  append(out.str());
   fs::rename(aside, log_);
 }
 
--- a/src/emulators/worker.cpp
+++ b/src/emulators/worker.cpp
@@ -9,232 +9,260 @@
 using wire::TaskState;
 
 namespace {
-constexpr double kPatience = 4;    // for the answer to a report
-constexpr double kNextNode = 1;    // before the next node is tried
-constexpr double kLeastGap = 0.5;  // between two reports
+constexpr double kHeartbeatTimeoutS = 4;  // for the answer to a heartbeat
+constexpr double kNextNodeDelayS = 1;     // before the next controller is tried
+constexpr double kLeastGapS = 0.5;        // between two heartbeats
+constexpr double kLeaseSlackS = 1e-3;     // the timer is due just after the lease's end
+constexpr double kCpuTolerance = 1e-9;
+constexpr std::size_t kMaxRequestBytes = 64 * 1024;
+constexpr double kNever = 1e18;
 }  // namespace
 
-WorkerEmulator::WorkerEmulator(actor::Loop& loop, Settings s, Describe describe, unsigned seed,
-                               Watched watched)
+WorkerEmulator::WorkerEmulator(actor::Loop& loop, Settings settings, Describe describe,
+                               unsigned seed, Watched watched)
     : Actor(loop),
-      s_(std::move(s)),
+      settings_(std::move(settings)),
       describe_(std::move(describe)),
       watched_(std::move(watched)),
       rng_(seed),
       leased_from_(loop.now()),
-      node_(seed % s_.nodes.size()),
-      report_timer_(loop, [this] { report(); }),
-      task_timer_(loop, [this] { advance(); }),
-      lease_timer_(loop, [this] { expire(); }),
-      http_(loop, s_.at, 64 * 1024, [this](net::ExchangePtr ex) { direct(ex); }) {
-  for (const auto& [name, at] : s_.nodes)
+      node_(seed % settings_.nodes.size()),
+      heartbeat_timer_(loop, [this] { send_heartbeat(); }),
+      task_timer_(loop, [this] { advance_tasks(); }),
+      lease_timer_(loop, [this] { check_lease(); }),
+      http_(loop, settings_.at, kMaxRequestBytes,
+            [this](net::ExchangePtr exchange) { handle_direct(exchange); }) {
+  for (const auto& [name, at] : settings_.nodes)
     nodes_.push_back(std::make_unique<net::Client>(loop, at, 1, 0));
-  report_timer_.after(0);
-  lease_timer_.after(s_.lease_s);
+  heartbeat_timer_.after(0);
+  lease_timer_.after(settings_.lease_s);
 }
 
-wire::Heartbeat WorkerEmulator::state() {
+// ---- heartbeats
+
+wire::Heartbeat WorkerEmulator::heartbeat() {
   wire::Heartbeat r;
-  r.machine = s_.name;
-  r.addr = s_.at.host + ":" + std::to_string(s_.at.port);
-  r.type = s_.type;
-  r.zone = s_.zone;
-  r.spot = s_.spot;
-  r.incarnation = session_;
-  r.sequence = ++seq_;
+  r.machine = settings_.name;
+  r.addr = settings_.at.host + ":" + std::to_string(settings_.at.port);
+  r.type = settings_.type;
+  r.zone = settings_.zone;
+  r.spot = settings_.spot;
+  r.incarnation = incarnation_;
+  r.sequence = ++sequence_;
   r.token = token_;
   if (taken_at_) r.notice_s = std::max(0.0, *taken_at_ - loop_.now());
   for (const Task& t : tasks_) r.tasks.push_back({t.id, t.attempt, t.state, t.why, t.kept});
   return r;
 }
 
-// ---- reports
-
-void WorkerEmulator::report() {
-  expire();
-  if (out_) {
-    again_ = true;
+void WorkerEmulator::send_heartbeat() {
+  check_lease();
+  if (in_flight_) {
+    send_again_ = true;
     return;
   }
-  out_ = true;
-  again_ = false;
+  in_flight_ = true;
+  send_again_ = false;
   sent_at_ = loop_.now();
-  nodes_[node_]->request("POST", "/agent/beat", client_protocol::encode_heartbeat(state()),
-                         kPatience,
-                         reply<net::Result>([this, sent = sent_at_, of = session_](net::Result r) {
-                           answered(sent, of, r);
-                         }));
+  nodes_[node_]->request(
+      "POST", "/agent/beat", client_protocol::encode_heartbeat(heartbeat()), kHeartbeatTimeoutS,
+      reply<net::Result>([this, sent_at = sent_at_, of = incarnation_](net::Result result) {
+        heartbeat_answered(sent_at, of, result);
+      }));
 }
 
-void WorkerEmulator::answered(double sent, std::uint64_t of, const net::Result& r) {
-  out_ = false;
-  expire();
+void WorkerEmulator::heartbeat_answered(double sent_at, std::uint64_t incarnation,
+                                        const net::Result& result) {
+  in_flight_ = false;
+  check_lease();
   // One that hung may find an answer that it has waited for too long: dropped as if none had come.
-  if (r.status == 200 && loop_.now() - sent <= kPatience) {
-    try {
-      client_protocol::HeartbeatResponse o = client_protocol::decode_heartbeat_response(r.body);
-      if (of == session_ && o.token && *o.token >= token_) {
-        leased_from_ = std::max(leased_from_, sent);
-        obey(*o.token, o.commands);
-      }
-    } catch (const wire::Malformed&) {
+  if (result.status == 200 && loop_.now() - sent_at <= kHeartbeatTimeoutS)
+    return take_response(sent_at, incarnation, result.body);
+  if (result.status == 421) return redirect(client_protocol::redirect_of(result.body));
+  switch_node((node_ + 1) % settings_.nodes.size(), kNextNodeDelayS);
+}
+
+void WorkerEmulator::take_response(double sent_at, std::uint64_t incarnation,
+                                   const std::string& body) {
+  try {
+    const auto response = client_protocol::decode_heartbeat_response(body);
+    if (incarnation == incarnation_ && response.token && *response.token >= token_) {
+      leased_from_ = std::max(leased_from_, sent_at);
+      execute(*response.token, response.commands);
     }
-    const double pause = s_.report_s * std::uniform_real_distribution<>(0.75, 1.25)(rng_);
-    report_timer_.after(std::max(again_ ? kLeastGap : pause, sent + kLeastGap - loop_.now()));
-    return;
-  }
-  if (r.status == 421) {
-    const std::string to = client_protocol::redirect_of(r.body);
-    for (std::size_t n = 0; n < s_.nodes.size(); ++n)
-      if (s_.nodes[n].first == to && n != node_)
-        return go_to(n, std::uniform_real_distribution<>(0, 0.5)(rng_));
+  } catch (const wire::Malformed&) {
+    // Nothing is done by it, and the lease is not renewed.
   }
-  go_to((node_ + 1) % s_.nodes.size(), kNextNode);
+  const double pause = settings_.report_s * std::uniform_real_distribution<>(0.75, 1.25)(rng_);
+  heartbeat_timer_.after(
+      std::max(send_again_ ? kLeastGapS : pause, sent_at + kLeastGapS - loop_.now()));
+}
+
+void WorkerEmulator::redirect(const std::string& node_name) {
+  for (std::size_t n = 0; n < settings_.nodes.size(); ++n)
+    if (settings_.nodes[n].first == node_name && n != node_)
+      return switch_node(n, std::uniform_real_distribution<>(0, 0.5)(rng_));
+  switch_node((node_ + 1) % settings_.nodes.size(), kNextNodeDelayS);
 }
-void WorkerEmulator::go_to(std::size_t node, double after) {
+
+void WorkerEmulator::switch_node(std::size_t node, double after_s) {
   node_ = node;
-  report_timer_.after(after);
+  heartbeat_timer_.after(after_s);
 }
 
-void WorkerEmulator::changed() {
-  if (out_) {
-    again_ = true;
+void WorkerEmulator::send_heartbeat_soon() {
+  if (in_flight_) {
+    send_again_ = true;
     return;
   }
-  report_timer_.after(std::max(0.0, sent_at_ + kLeastGap - loop_.now()));
+  heartbeat_timer_.after(std::max(0.0, sent_at_ + kLeastGapS - loop_.now()));
 }
 
-void WorkerEmulator::expire() {
-  const double left = leased_from_ + s_.lease_s - loop_.now();
-  if (left >= 0) return lease_timer_.after(left + 1e-3);
+void WorkerEmulator::check_lease() {
+  const double left = leased_from_ + settings_.lease_s - loop_.now();
+  if (left >= 0) return lease_timer_.after(left + kLeaseSlackS);
   leases_lost_ += !tasks_.empty();
   tasks_.clear();
-  ++session_;
+  ++incarnation_;
   leased_from_ = loop_.now();
-  lease_timer_.after(s_.lease_s);
-  changed();
+  lease_timer_.after(settings_.lease_s);
+  send_heartbeat_soon();
 }
 
 // ---- commands
 
-void WorkerEmulator::direct(const net::ExchangePtr& ex) {
-  expire();
-  if (ex->path == "/status") return ex->send({200, client_protocol::encode_heartbeat(state()), 0});
-  client_protocol::HeartbeatResponse o;
+void WorkerEmulator::handle_direct(const net::ExchangePtr& exchange) {
+  check_lease();
+  auto answer_state = [&](int status) {
+    exchange->send({status, client_protocol::encode_heartbeat(heartbeat()), 0});
+  };
+  if (exchange->path == "/status") return answer_state(200);
+  client_protocol::HeartbeatResponse order;
   try {
-    o = client_protocol::decode_heartbeat_response(ex->body);
+    order = client_protocol::decode_heartbeat_response(exchange->body);
   } catch (const wire::Malformed&) {
-    return ex->send({400, "{}", 0});
+    return exchange->send({400, "{}", 0});
   }
-  if (ex->path != "/orders") return ex->send({404, "{}", 0});
-  if (!o.token || !o.session) return ex->send({400, "{}", 0});
-  if (*o.token < token_ || *o.session != session_)
-    return ex->send({409, client_protocol::encode_heartbeat(state()), 0});
-  obey(*o.token, o.commands);
-  ex->send({200, client_protocol::encode_heartbeat(state()), 0});
+  if (exchange->path != "/orders") return exchange->send({404, "{}", 0});
+  if (!order.token || !order.session) return exchange->send({400, "{}", 0});
+  if (*order.token < token_ || *order.session != incarnation_) return answer_state(409);
+  execute(*order.token, order.commands);
+  answer_state(200);
 }
 
-void WorkerEmulator::obey(std::uint64_t token, const std::vector<Command>& commands) {
+void WorkerEmulator::execute(std::uint64_t token, const std::vector<Command>& commands) {
   if (token > token_) {
     token_ = token;
-    if (loop_.now() - token_told_ > s_.lease_s / 2) {
-      token_told_ = loop_.now();
-      changed();
+    if (loop_.now() - token_told_at_ > settings_.lease_s / 2) {
+      token_told_at_ = loop_.now();
+      send_heartbeat_soon();
     }
   }
-  for (const Command& c : commands) {
-    auto t = std::find_if(tasks_.begin(), tasks_.end(), [&](const Task& k) {
-      return k.id.job == c.task.job && k.id.index == c.task.index && k.attempt == c.attempt;
-    });
-    if (c.op == Command::Op::start && t == tasks_.end()) {
-      start(c);
-    } else if (c.op == Command::Op::stop && t != tasks_.end() && t->state != TaskState::exited) {
-      stop(*t, c.grace_s);
-    } else if (c.op == Command::Op::acknowledge && t != tasks_.end() &&
-               t->state == TaskState::exited) {
-      watched_.acknowledged(*t);
-      tasks_.erase(t);
-      changed();
-    }
+  for (const Command& command : commands) execute_one(command);
+  arm_task_timer();
+}
+
+void WorkerEmulator::execute_one(const Command& command) {
+  const auto task = std::find_if(tasks_.begin(), tasks_.end(), [&](const Task& t) {
+    return t.id.job == command.task.job && t.id.index == command.task.index &&
+           t.attempt == command.attempt;
+  });
+  const bool known = task != tasks_.end();
+  const bool exited = known && task->state == TaskState::exited;
+  if (command.op == Command::Op::start && !known) {
+    start(command);
+  } else if (command.op == Command::Op::stop && known && !exited) {
+    stop(*task, command.grace_s);
+  } else if (command.op == Command::Op::acknowledge && exited) {
+    watched_.acknowledged(*task);
+    tasks_.erase(task);
+    send_heartbeat_soon();
   }
-  arm();
 }
 
-void WorkerEmulator::start(const Command& c) {
-  Task t{c.task, c.attempt, TaskState::fetching, ExitReason::none, {}, 0};
-  const auto work = describe_(c.task);
+// Why a task cannot be started; none: it can.
+ExitReason WorkerEmulator::refusal(const wire::TaskId& task,
+                                   const std::optional<Work>& work) const {
+  if (!work) return ExitReason::unknown;
   double used = 0;
-  bool busy = false;
-  for (const Task& k : tasks_) {
-    if (k.state == TaskState::exited) continue;
-    used += k.work.cpus;
-    busy |= k.id.job == c.task.job && k.id.index == c.task.index;
+  for (const Task& other : tasks_) {
+    if (other.state == TaskState::exited) continue;
+    if (other.id.job == task.job && other.id.index == task.index) return ExitReason::busy;
+    used += other.work.cpus;
   }
-  if (!work || busy || used + work->cpus > s_.cpus + 1e-9) {
-    t.state = TaskState::exited;
-    t.why = !work ? ExitReason::unknown : busy ? ExitReason::busy : ExitReason::no_room;
+  return used + work->cpus > settings_.cpus + kCpuTolerance ? ExitReason::no_room
+                                                            : ExitReason::none;
+}
+
+void WorkerEmulator::start(const Command& command) {
+  Task task{command.task, command.attempt, TaskState::fetching, ExitReason::none, false, {}, 0};
+  const auto work = describe_(command.task);
+  task.why = refusal(command.task, work);
+  if (task.why != ExitReason::none) {
+    task.state = TaskState::exited;
   } else {
-    t.work = *work;
-    t.next = loop_.now() + work->fetch_s;
+    task.work = *work;
+    task.next = loop_.now() + work->fetch_s;
   }
-  tasks_.push_back(t);
-  watched_.moved(*this, tasks_.back(), t.state);
-  changed();
-}
-
-void WorkerEmulator::stop(Task& t, double grace_s) {
-  const TaskState was = t.state;
-  if (was == TaskState::saving) {
-    // Only one without any time ends it; one with time to save prolongs nothing.
-    if (grace_s > 0) return;
-  } else if (was == TaskState::running && t.work.checkpoint_s > 0 && grace_s >= t.work.save_s) {
-    t.state = TaskState::saving;
-    t.next = loop_.now() + t.work.save_s;
-    watched_.moved(*this, t, was);
-    return changed();
+  tasks_.push_back(task);
+  watched_.moved(*this, tasks_.back(), task.state);
+  send_heartbeat_soon();
+}
+
+void WorkerEmulator::stop(Task& task, double grace_s) {
+  const TaskState was = task.state;
+  // Only a stop without any time ends one that saves; one with time to save prolongs nothing.
+  if (was == TaskState::saving && grace_s > 0) return;
+  if (was == TaskState::running && task.work.checkpoint_s > 0 && grace_s >= task.work.save_s) {
+    task.state = TaskState::saving;
+    task.next = loop_.now() + task.work.save_s;
+  } else {
+    task.state = TaskState::exited;
+    task.why = ExitReason::stopped;
   }
-  t.state = TaskState::exited;
-  t.why = ExitReason::stopped;
-  watched_.moved(*this, t, was);
-  changed();
+  watched_.moved(*this, task, was);
+  send_heartbeat_soon();
 }
 
 void WorkerEmulator::notice(double recall_s) {
   taken_at_ = loop_.now() + recall_s;
-  changed();
+  send_heartbeat_soon();
 }
 
 // ---- tasks
 
 void WorkerEmulator::stood_still(double seconds) {
-  for (Task& t : tasks_) t.next += seconds;
-  arm();
+  for (Task& task : tasks_) task.next += seconds;
+  arm_task_timer();
 }
 
-void WorkerEmulator::arm() {
-  double next = 1e18;
-  for (const Task& t : tasks_)
-    if (t.state != TaskState::exited) next = std::min(next, t.next);
-  if (next < 1e18) task_timer_.after(std::max(0.0, next - loop_.now()));
+void WorkerEmulator::arm_task_timer() {
+  double next = kNever;
+  for (const Task& task : tasks_)
+    if (task.state != TaskState::exited) next = std::min(next, task.next);
+  if (next < kNever) task_timer_.after(std::max(0.0, next - loop_.now()));
 }
-void WorkerEmulator::advance() {
-  expire();
+
+void WorkerEmulator::advance_tasks() {
+  check_lease();
   const double now = loop_.now();
-  for (Task& t : tasks_) {
-    if (t.state == TaskState::exited || t.next > now) continue;
-    const TaskState was = t.state;
-    if (was == TaskState::fetching) {
-      t.state = TaskState::running;
-      t.next = now + t.work.run_s;
-    } else {
-      t.state = TaskState::exited;
-      t.kept = was == TaskState::saving;
-      t.why = t.kept ? ExitReason::stopped : ExitReason::done;
-    }
-    watched_.moved(*this, t, was);
-    changed();
+  for (Task& task : tasks_)
+    if (task.state != TaskState::exited && task.next <= now) advance(task, now);
+  arm_task_timer();
+}
+
+void WorkerEmulator::advance(Task& task, double now) {
+  const TaskState was = task.state;
+  if (was == TaskState::fetching) {
+    task.state = TaskState::running;
+    task.next = now + task.work.run_s;
+  } else {
+    task.state = TaskState::exited;
+    task.kept = was == TaskState::saving;
+    task.why = task.kept ? ExitReason::stopped : ExitReason::done;
   }
-  arm();
+  watched_.moved(*this, task, was);
+  send_heartbeat_soon();
 }
 
 }  // namespace shunttrail::emulators
