--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -1,298 +1,55 @@
-// What the tests of fault combinations share: jobs, faults by name, and drawn histories.
+/// Drawn histories in which faults combine, and what they have to come to.
 #pragma once
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <cstdint>
-#include <functional>
 #include <random>
 #include <set>
 #include <string>
+#include <utility>
 #include <vector>
 
+#include "named_faults.h"
 #include "simulation/simulated_cluster.h"
 
 namespace shunttrail::test {
 
-using simulation::ClusterOptions;
-using simulation::FaultInjector;
-using simulation::RuleChecker;
-using simulation::SimulatedCluster;
-using simulation::SimulatedJob;
-
-inline wire::JobSpec spec(const std::string& team, std::uint32_t tasks, double cpus = 1) {
-  wire::JobSpec s;
-  s.job_class = "c";
-  s.team = team;
-  s.image = "img";
-  s.tasks = tasks;
-  s.cpus = cpus;
-  s.mem_gb = 1;
-  s.image_gb = 1;
-  s.spot = true;
-  s.estimate_s = 20;
-  return s;
-}
-
-// ---- faults by name
-
-struct Trouble {
-  const char* name;
-  std::function<void(SimulatedCluster&)> begin;
-};
-
-inline int some_machine(SimulatedCluster& s) {
-  return static_cast<int>(s.sim().rng()() % s.machines().size());
-}
-inline int some_node(SimulatedCluster& s) {
-  return static_cast<int>(s.sim().rng()() % s.options().controllers);
-}
-
-// Cancels this share of the jobs that are not over, through any controllers.
-inline std::vector<std::string> cancel_some(SimulatedCluster& s, double share) {
-  std::vector<std::string> out;
-  for (const auto& [id, j] : s.users().jobs())
-    if (j.accepted && !j.cancel_asked && j.told_done < 0 && s.sim().chance(share))
-      out.push_back(id);
-  for (const auto& id : out) s.users().cancel(id);
-  return out;
-}
-// Work of the highest band, which others make room for.
-inline void submit_urgent(SimulatedCluster& s, int jobs) {
-  for (int i = 0; i < jobs; ++i) {
-    wire::JobSpec urgent = spec(i % 2 ? "red" : "blue", 2, 2);
-    urgent.priority = wire::Priority::critical;
-    s.users().submit(urgent, s.sim().draw(3, 12));
-  }
-}
-
-inline const std::vector<Trouble>& troubles() {
-  static const std::vector<Trouble> all = {
-      {"late reports",
-       [](SimulatedCluster& s) {
-         s.options().heartbeat_copies = 0.4;
-         s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.options().heartbeat_copies = 0; });
-       }},
-      {"late writes",
-       [](SimulatedCluster& s) {
-         s.options().late_writes = s.sim().draw(0.1, 0.5);
-         s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.options().late_writes = 0; });
-       }},
-      {"slow state service",
-       [](SimulatedCluster& s) {
-         s.faults().slow_state(s.sim().draw(0.2, 2.5), s.sim().draw(10, 40));
-       }},
-      {"leader refused alone",
-       [](SimulatedCluster& s) {
-         s.faults().refuse(s.controllers().random_leader(), s.sim().draw(3, 40));
-       }},
-      {"outage", [](SimulatedCluster& s) { s.faults().outage(s.sim().draw(3, 70)); }},
-      {"leader cut from state",
-       [](SimulatedCluster& s) {
-         s.faults().cut(s.controllers().random_leader(), FaultInjector::state, s.sim().draw(3, 60));
-       }},
-      {"leader cut from state and peers",
-       [](SimulatedCluster& s) {
-         s.faults().cut(s.controllers().random_leader(),
-                        FaultInjector::state | FaultInjector::peers, s.sim().draw(3, 60));
-       }},
-      {"leader cut from workers",
-       [](SimulatedCluster& s) {
-         s.faults().cut(s.controllers().random_leader(), FaultInjector::workers,
-                        s.sim().draw(3, 60));
-       }},
-      {"leader cut from all",
-       [](SimulatedCluster& s) {
-         s.faults().cut(s.controllers().random_leader(),
-                        FaultInjector::state | FaultInjector::peers | FaultInjector::workers,
-                        s.sim().draw(3, 60));
-       }},
-      {"machines deaf",
-       [](SimulatedCluster& s) {
-         for (int i = 0; i < 3; ++i)
-           s.faults().lose_responses(some_machine(s), s.sim().draw(5, 60));
-       }},
-      {"machines hang",
-       [](SimulatedCluster& s) {
-         for (int i = 0; i < 2; ++i) s.faults().hang(some_machine(s), s.sim().draw(2, 40));
-       }},
-      {"direct orders held",
-       [](SimulatedCluster& s) {
-         for (int i = 0; i < 3; ++i)
-           s.faults().hold_direct_commands(some_machine(s), s.sim().draw(3, 60));
-       }},
-      {"leader ends",
-       [](SimulatedCluster& s) {
-         s.faults().kill(s.controllers().random_leader(), s.sim().draw(0.05, 15));
-       }},
-      {"all end",
-       [](SimulatedCluster& s) {
-         for (int n = 0; n < s.options().controllers; ++n)
-           s.faults().kill(n, s.sim().draw(0.05, 10));
-       }},
-      {"roll and back",
-       [](SimulatedCluster& s) {
-         double at = s.now();
-         for (int n = 0; n < s.options().controllers; ++n)
-           s.sim().at(at += s.sim().draw(0.1, 3), [&s, n] { s.faults().kill(n, 0.2); });
-       }},
-      {"a node stands still",
-       [](SimulatedCluster& s) { s.faults().freeze(some_node(s), s.sim().draw(1, 35)); }},
-      {"leader stands still",
-       [](SimulatedCluster& s) {
-         s.faults().freeze(s.controllers().random_leader(), s.sim().draw(1, 35));
-       }},
-      {"leader stands still between two turns",
-       [](SimulatedCluster& s) {
-         s.faults().freeze_after(s.controllers().random_leader(), 1 + s.sim().rng()() % 3000,
-                                 s.sim().draw(1, 30));
-       }},
-      {"cloud down", [](SimulatedCluster& s) { s.faults().cloud_outage(s.sim().draw(20, 120)); }},
-      {"a machine dies", [](SimulatedCluster& s) { s.faults().kill_machine(some_machine(s)); }},
-      {"machines mute",
-       [](SimulatedCluster& s) {
-         for (int i = 0; i < 3; ++i)
-           s.faults().cut_heartbeats(some_machine(s), s.sim().draw(5, 60));
-       }},
-      {"machines hang for long",
-       [](SimulatedCluster& s) {
-         const double longest = s.options().cancel_s + 25;
-         for (int i = 0; i < 3; ++i) s.faults().hang(some_machine(s), s.sim().draw(5, longest));
-       }},
-      {"machines hang in chains",
-       [](SimulatedCluster& s) {
-         for (int i = 0; i < 3; ++i)
-           s.faults().hang_in_chains(some_machine(s), 2 + static_cast<int>(s.sim().rng()() % 4));
-       }},
-      {"writes answered by nothing but done",
-       [](SimulatedCluster& s) {
-         s.options().lost_answers = s.sim().draw(0.1, 0.6);
-         s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.options().lost_answers = 0; });
-       }},
-      {"reports kept for the next leader",
-       [](SimulatedCluster& s) {
-         s.options().copies_for_next = s.sim().draw(0.1, 0.5);
-         s.sim().at(s.now() + s.sim().draw(20, 90), [&s] { s.options().copies_for_next = 0; });
-       }},
-      {"many cancelled and their machines hang",
-       [](SimulatedCluster& s) {
-         std::vector<std::string> jobs = cancel_some(s, s.sim().draw(0.4, 0.9));
-         int left = 8;
-         for (const auto& id : jobs)
-           for (int m : s.machines().with_job(id)) {
-             if (left == 0 || s.sim().chance(0.2)) continue;
-             --left;
-             const double for_s = s.sim().draw(2, 60);
-             const bool chain = s.sim().chance(0.3);
-             s.sim().at(s.now() + s.sim().draw(0, 2), [&s, m, for_s, chain] {
-               if (chain)
-                 s.faults().hang_in_chains(m, 3);
-               else
-                 s.faults().hang(m, for_s);
-             });
-           }
-       }},
-      {"others make room and are cancelled",
-       [](SimulatedCluster& s) {
-         submit_urgent(s, 6);
-         s.sim().at(s.now() + s.sim().draw(2, 15), [&s] { cancel_some(s, 0.5); });
-       }},
-      {"spot machines are taken",
-       [](SimulatedCluster& s) {
-         for (int i = 0; i < 2; ++i)
-           s.faults().take_machine(some_machine(s), s.sim().chance(0.2) ? 0 : s.sim().draw(10, 30));
-       }},
-      {"a zone cut with its controller",
-       [](SimulatedCluster& s) {
-         s.faults().cut_zone(s.sim().chance(0.5) ? "a" : "b",
-                             s.options().lease_s + s.sim().draw(1, 30));
-       }},
-      {"all away for longer than the lease",
-       [](SimulatedCluster& s) {
-         for (int n = 0; n < s.options().controllers; ++n)
-           s.faults().kill(n, s.options().lease_s + s.sim().draw(1, 15));
-       }},
-      {"leaders change ten times",
-       [](SimulatedCluster& s) {
-         for (int i = 0; i < 10; ++i)
-           s.sim().at(s.now() + 12 * i + s.sim().draw(0, 8), [&s] {
-             if (s.sim().chance(0.6))
-               s.faults().kill(s.controllers().random_leader(), s.sim().draw(0.05, 8));
-             else
-               s.faults().cut(
-                   s.controllers().random_leader(),
-                   FaultInjector::state | (s.sim().chance(0.5) ? FaultInjector::peers : 0), 11);
-           });
-         if (s.sim().chance(0.5)) {
-           const double for_s = s.sim().draw(5, 60);
-           s.sim().at(s.now() + s.sim().draw(0, 60), [&s, for_s] { s.faults().outage(for_s); });
-         }
-       }},
-      {"slow links",
-       [](SimulatedCluster& s) {
-         s.options().slow_links_s = s.sim().draw(0.2, 1);
-         s.sim().at(s.now() + s.sim().draw(20, 60), [&s] { s.options().slow_links_s = 0; });
-       }},
-      {"new machines up at once",
-       [](SimulatedCluster& s) {
-         s.options().quick_boots_s = s.sim().draw(0.3, 2);
-         s.sim().at(s.now() + 90, [&s] { s.options().quick_boots_s = 0; });
-         for (int i = 0; i < 2; ++i) s.faults().kill_machine(some_machine(s));
-       }},
-      {"orders held and reports passed on",
-       [](SimulatedCluster& s) {
-         const double for_s = s.sim().draw(10, 100);
-         s.faults().cut(s.controllers().random_leader(), FaultInjector::reports, for_s);
-         for (int m = 0; m < s.machines().size(); ++m) {
-           if (s.sim().chance(0.7))
-             s.faults().hold_direct_commands(m, for_s * s.sim().draw(0.5, 1.5));
-           if (s.sim().chance(0.5))
-             s.faults().hold_direct_answers(m, for_s * s.sim().draw(0.5, 1.5));
-         }
-         s.sim().at(s.now() + s.sim().draw(0, 10), [&s] { cancel_some(s, 0.4); });
-       }},
-      {"refused alone with cancellations, then out",
-       [](SimulatedCluster& s) {
-         const double out_s = s.options().cancel_s + s.sim().draw(2, 25);
-         s.faults().refuse(s.controllers().random_leader(), 1 + s.sim().draw(0, out_s + 10));
-         cancel_some(s, 0.7);
-         s.sim().at(s.now() + 1, [&s, out_s] { s.faults().outage(out_s); });
-       }},
-  };
-  return all;
-}
-
-struct Played {
-  std::vector<std::string> broken, names;
-  std::size_t done = 0;
-  std::vector<std::string> unfinished;  // and what they are
-  std::uint64_t begun_again = 0, saves = 0;
+/// What a history has come to.
+struct HistoryResult {
+  std::vector<std::string> broken;      ///< rules, see RuleChecker::broken
+  std::vector<std::string> faults;      ///< the names of those that were drawn, in order
+  std::vector<std::string> unfinished;  ///< accepted jobs that are not over, described
+  std::size_t done = 0;                 ///< tasks that have completed
+  std::uint64_t begun_again = 0;        ///< see RuleChecker
+  std::uint64_t saves = 0;
   RuleChecker::AfterCancel after_cancel;
-  std::uint64_t digest = 0;  // of the whole history, see Simulation::digest
+  std::uint64_t digest = 0;  ///< of the whole history, see Simulation::digest
 };
 
-// For a share of the seeds any settings that are accepted, and rates near what a set needs.
-inline ClusterOptions drawn_scale(unsigned seed) {
+/// For a share of the seeds any settings that are accepted, and rates near what a cluster needs.
+inline ClusterOptions drawn_options(unsigned seed) {
   std::mt19937 rng(seed * 7919u + 17);
   auto draw = [&](double from, double to) {
     return std::uniform_real_distribution<>(from, to)(rng);
   };
-  ClusterOptions s;
-  s.controllers = 2 + static_cast<int>(seed % 4);
-  s.machines = 4 + static_cast<int>(seed % 5);
+  ClusterOptions options;
+  options.controllers = 2 + static_cast<int>(seed % 4);
+  options.machines = 4 + static_cast<int>(seed % 5);
   if (draw(0, 1) < 0.4) {
-    s.heartbeat_s = draw(1, 8);
-    s.lease_s = draw(12, 40);
-    s.cancel_s = s.lease_s + 5 + (draw(0, 1) < 0.5 ? 0 : draw(0, 20));
+    options.heartbeat_s = draw(1, 8);
+    options.lease_s = draw(12, 40);
+    options.cancel_s = options.lease_s + 5 + (draw(0, 1) < 0.5 ? 0 : draw(0, 20));
   }
   if (draw(0, 1) < 0.3) {
-    s.state_rps = draw(60, 150);
-    s.state_write_rps = draw(15, 40);
-    s.cloud_rps = draw(2, 8);
+    options.state_rps = draw(60, 150);
+    options.state_write_rps = draw(15, 40);
+    options.cloud_rps = draw(2, 8);
   }
-  return s;
+  return options;
 }
 
+/// A job and where it stands, for messages.
 inline std::string describe(const SimulatedCluster& set, const SimulatedJob& j) {
   const wire::JobSpec& s = j.spec;
   std::string out = s.id + ": " + s.team + ", band " +
@@ -307,111 +64,177 @@
   return out;
 }
 
-// Two or three faults begin within a few seconds of each other, twice, while users submit, ask
-// and cancel; then it is quiet, and every accepted job has to be known everywhere, and to be over.
-// `named` are always among them.
-inline Played play(unsigned seed, const std::vector<std::string>& named = {}) {
-  SimulatedCluster set(seed, drawn_scale(seed));
-  auto& sim = set.sim();
-  Played out;
-  set.pass(12);
-  std::vector<std::string> jobs;
-  auto work = [&](int n) {
-    for (int i = 0; i < n; ++i) {
-      wire::JobSpec s = spec(sim.chance(0.5) ? "red" : "blue", 1 + sim.rng()() % 3);
-      s.same_zone = sim.chance(0.15);
-      s.anti_affinity = !s.same_zone && sim.chance(0.15);
-      if (sim.chance(0.1)) s.zone = "b";
-      // Replicas run to the end of a history, and would hold what the cloud has in a zone until
-      // then: where there are some, all else is of one size and band, and finds room beside them.
-      s.service = sim.chance(0.1);
-      if (!s.service) {
-        s.priority = static_cast<wire::Priority>(sim.rng()() % wire::kPriorities);
-        if (sim.chance(0.15)) s.cpus = 2;
-      }
-      if (sim.chance(0.1)) s.image_gb = sim.draw(2, 20);
-      if (sim.chance(0.35)) {
-        s.checkpoint_s = sim.draw(5, 30);
-        s.save_s = sim.draw(2, 25);
-      }
-      if (sim.chance(0.25) && !jobs.empty())
-        if (const auto& a = jobs[sim.rng()() % jobs.size()];
-            set.users().jobs().at(a).accepted && !set.users().jobs().at(a).spec.service)
-          s.dependencies = {a};
-      jobs.push_back(
-          set.users().submit(std::move(s), sim.chance(0.3) ? sim.draw(30, 60) : sim.draw(2, 15)));
+/// Plays one history: two or three faults begin within a few seconds of each other, twice, while
+/// users submit, ask and cancel; then it is quiet, and every accepted job has to be known
+/// everywhere, and to be over.
+class HistoryPlayer {
+ public:
+  /// The faults named are always among those that begin.
+  HistoryPlayer(unsigned seed, std::vector<std::string> always)
+      : always_(std::move(always)), cluster_(seed, drawn_options(seed)) {}
+
+  HistoryResult play() {
+    cluster_.pass(12);
+    submit_jobs(6);
+    cluster_.pass(sim_.draw(5, 20));
+    for (int round = 0; round < 2; ++round) {
+      begin_faults();
+      work_on();
     }
-  };
-  work(6);
-  set.pass(sim.draw(5, 20));
-  for (int round = 0; round < 2; ++round) {
+    wait_until_quiet();
+    finish();
+    collect();
+    return std::move(result_);
+  }
+
+ private:
+  // The order of the draws is part of every history's digest.
+  wire::JobSpec drawn_job() {
+    const auto tasks = static_cast<std::uint32_t>(1 + sim_.rng()() % 3);
+    wire::JobSpec job = spec(sim_.chance(0.5) ? "red" : "blue", tasks);
+    job.same_zone = sim_.chance(0.15);
+    job.anti_affinity = !job.same_zone && sim_.chance(0.15);
+    if (sim_.chance(0.1)) job.zone = "b";
+    // Replicas run to the end of a history, and would hold what the cloud has in a zone until then:
+    // where there are some, all else is of one size and priority, and finds room beside them.
+    job.service = sim_.chance(0.1);
+    if (!job.service) {
+      job.priority = static_cast<wire::Priority>(sim_.rng()() % wire::kPriorities);
+      if (sim_.chance(0.15)) job.cpus = 2;
+    }
+    if (sim_.chance(0.1)) job.image_gb = sim_.draw(2, 20);
+    if (sim_.chance(0.35)) {
+      job.checkpoint_s = sim_.draw(5, 30);
+      job.save_s = sim_.draw(2, 25);
+    }
+    if (sim_.chance(0.25) && !submitted_.empty()) {
+      const std::string& other = drawn_submitted();
+      const SimulatedJob& known = cluster_.users().jobs().at(other);
+      if (known.accepted && !known.spec.service) job.dependencies = {other};
+    }
+    return job;
+  }
+
+  const std::string& drawn_submitted() { return submitted_[sim_.rng()() % submitted_.size()]; }
+
+  void submit_jobs(int count) {
+    for (int i = 0; i < count; ++i) {
+      wire::JobSpec job = drawn_job();
+      const double run_s = sim_.chance(0.3) ? sim_.draw(30, 60) : sim_.draw(2, 15);
+      submitted_.push_back(cluster_.users().submit(std::move(job), run_s));
+    }
+  }
+
+  std::vector<std::size_t> drawn_faults() {
+    const auto& all = named_faults();
     std::vector<std::size_t> drawn;
-    for (std::size_t t = 0; t < troubles().size(); ++t)
-      if (std::find(named.begin(), named.end(), troubles()[t].name) != named.end())
-        drawn.push_back(t);
-    EXPECT_EQ(drawn.size(), named.size());
-    std::shuffle(drawn.begin(), drawn.end(), sim.rng());
-    for (std::size_t n = 2 + sim.rng()() % 2; drawn.size() < n;)
-      drawn.push_back(sim.rng()() % troubles().size());
-    for (std::size_t t : drawn) {
-      out.names.emplace_back(troubles()[t].name);
-      if (set.machines().size() > 0) troubles()[t].begin(set);
-      set.pass(sim.draw(0, 6));
+    for (std::size_t n = 0; n < all.size(); ++n)
+      if (std::find(always_.begin(), always_.end(), all[n].name) != always_.end())
+        drawn.push_back(n);
+    EXPECT_EQ(drawn.size(), always_.size());
+    std::shuffle(drawn.begin(), drawn.end(), sim_.rng());
+    const std::size_t count = 2 + sim_.rng()() % 2;
+    while (drawn.size() < count) drawn.push_back(sim_.rng()() % all.size());
+    return drawn;
+  }
+
+  void begin_faults() {
+    for (const std::size_t n : drawn_faults()) {
+      const NamedFault& fault = named_faults()[n];
+      result_.faults.emplace_back(fault.name);
+      if (cluster_.machines().size() > 0) fault.begin(cluster_);
+      cluster_.pass(sim_.draw(0, 6));
     }
+  }
+
+  void work_on() {
     for (int i = 0; i < 6; ++i) {
-      work(static_cast<int>(sim.rng()() % 3));
-      if (sim.chance(0.6)) set.users().cancel(jobs[sim.rng()() % jobs.size()]);
-      set.pass(sim.draw(1, 12));
+      submit_jobs(static_cast<int>(sim_.rng()() % 3));
+      if (sim_.chance(0.6)) cluster_.users().cancel(drawn_submitted());
+      cluster_.pass(sim_.draw(1, 12));
     }
   }
-  set.pass(80);  // the longest of them is over
-  set.options().late_writes = set.options().heartbeat_copies = set.options().lost_answers = 0;
-  set.pass(420);
-  set.ask_everywhere();
-  const std::string room = set.rules().room();
-  auto over = [](const SimulatedJob& j) {
-    return j.spec.service || !j.accepted || j.told_done >= 0 || j.told_cancelled >= 0;
-  };
+
+  void wait_until_quiet() {
+    cluster_.pass(80);  // the longest fault is over
+    ClusterOptions& options = cluster_.options();
+    options.late_writes = options.heartbeat_copies = options.lost_answers = 0;
+    cluster_.pass(420);
+    cluster_.ask_everywhere();
+    room_ = cluster_.rules().room();
+  }
+
+  static bool is_over(const SimulatedJob& job) {
+    return job.spec.service || !job.accepted || job.told_done >= 0 || job.told_cancelled >= 0;
+  }
+
+  bool has_replicas() const {
+    const auto& jobs = cluster_.users().jobs();
+    return std::any_of(jobs.begin(), jobs.end(), [](const auto& known) {
+      const SimulatedJob& job = known.second;
+      return job.spec.service && job.accepted && job.told_cancelled < 0;
+    });
+  }
+
   // Replicas run to the end of a history, and may hold all that the cloud has in a zone until then.
   // Where there are some, what is unfinished is excused if it has no room, and only until they are
   // gone.
-  bool replicas = false;
-  for (const auto& [id, j] : set.users().jobs())
-    replicas |= j.spec.service && j.accepted && j.told_cancelled < 0;
-  std::set<std::string> late;
-  for (const auto& [id, j] : set.users().jobs())
-    if (!over(j) && (!replicas || set.rules().room_for(id))) late.insert(id);
-  for (const auto& [id, j] : set.users().jobs())
-    if (j.spec.service) set.users().cancel(id);
-  set.pass(60);
-  if (replicas) set.pass(300);
-  for (const auto& [id, j] : set.users().jobs())
-    if (late.contains(id) || !over(j)) out.unfinished.push_back(describe(set, j));
-  out.broken = set.rules().broken();
-  out.done = set.rules().done_tasks();
-  out.begun_again = set.rules().begun_again();
-  out.saves = set.rules().saves();
-  if (!out.unfinished.empty()) out.unfinished.push_back("room: " + room);
-  out.after_cancel = set.rules().after_cancel();
-  out.digest = set.digest();
-  return out;
+  void finish() {
+    const bool replicas = has_replicas();
+    for (const auto& [id, job] : cluster_.users().jobs())
+      if (!is_over(job) && (!replicas || cluster_.rules().room_for(id))) late_.insert(id);
+    for (const auto& [id, job] : cluster_.users().jobs())
+      if (job.spec.service) cluster_.users().cancel(id);
+    cluster_.pass(60);
+    if (replicas) cluster_.pass(300);
+  }
+
+  void collect() {
+    for (const auto& [id, job] : cluster_.users().jobs())
+      if (late_.contains(id) || !is_over(job))
+        result_.unfinished.push_back(describe(cluster_, job));
+    if (!result_.unfinished.empty()) result_.unfinished.push_back("room: " + room_);
+    const RuleChecker& rules = cluster_.rules();
+    result_.broken = rules.broken();
+    result_.done = rules.done_tasks();
+    result_.begun_again = rules.begun_again();
+    result_.saves = rules.saves();
+    result_.after_cancel = rules.after_cancel();
+    result_.digest = cluster_.digest();
+  }
+
+  const std::vector<std::string> always_;
+  SimulatedCluster cluster_;
+  simulation::Simulation& sim_ = cluster_.sim();
+  std::vector<std::string> submitted_;  // jobs
+  std::set<std::string> late_;          // jobs that had room and were not over after the quiet
+  std::string room_;                    // after the quiet
+  HistoryResult result_;
+};
+
+/// Plays the history of this seed; the faults named are always among those that begin.
+inline HistoryResult play(unsigned seed, const std::vector<std::string>& named = {}) {
+  return HistoryPlayer(seed, named).play();
 }
 
+/// The names, separated by commas.
 inline std::string text(const std::vector<std::string>& names) {
   std::string out;
   for (const auto& n : names) out += (out.empty() ? "" : ", ") + n;
   return out;
 }
 
+/// Plays the histories of these seeds, both ends included: no rule is broken and no job left.
 inline void expect_whole(unsigned first, unsigned last,
                          const std::vector<std::string>& named = {}) {
   std::size_t done = 0;
   RuleChecker::AfterCancel latest;
   for (unsigned seed = first; seed <= last; ++seed) {
-    Played p = play(seed, named);
-    EXPECT_EQ(p.broken, std::vector<std::string>{}) << "seed " << seed << ": " << text(p.names);
-    EXPECT_EQ(p.unfinished, std::vector<std::string>{}) << "seed " << seed << ": " << text(p.names);
-    EXPECT_EQ(p.begun_again, 0u) << "seed " << seed << ": " << text(p.names);
+    HistoryResult p = play(seed, named);
+    EXPECT_EQ(p.broken, std::vector<std::string>{}) << "seed " << seed << ": " << text(p.faults);
+    EXPECT_EQ(p.unfinished, std::vector<std::string>{})
+        << "seed " << seed << ": " << text(p.faults);
+    EXPECT_EQ(p.begun_again, 0u) << "seed " << seed << ": " << text(p.faults);
     done += p.done;
     latest.obeyed = std::max(latest.obeyed, p.after_cancel.obeyed);
     latest.begun = std::max(latest.begun, p.after_cancel.begun);
--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -73,7 +73,7 @@
   tweak(set);
   set.pass(12);
   std::vector<std::string> jobs;
-  for (const auto& t : troubles())
+  for (const auto& t : named_faults())
     if (std::find(named.begin(), named.end(), t.name) != named.end())
       for (int round = 0; round < 2; ++round)
         sim.at(set.now() + sim.draw(5, 30) + 40 * round, [&set, &t] {
--- a/tests/history_digests_main.cpp
+++ b/tests/history_digests_main.cpp
@@ -15,8 +15,8 @@
 
 constexpr int kUsageError = 2;
 
-void print_digest(const std::string& history, const Played& played) {
-  std::printf("%s %016llx\n", history.c_str(), static_cast<unsigned long long>(played.digest));
+void print_digest(const std::string& history, const HistoryResult& result) {
+  std::printf("%s %016llx\n", history.c_str(), static_cast<unsigned long long>(result.digest));
   std::fflush(stdout);
 }
 
@@ -25,11 +25,11 @@
   for (unsigned seed = first; seed <= last; ++seed) print_digest(std::to_string(seed), play(seed));
 }
 
-// A history with each named trouble, whose seed is the trouble's place in the list.
+// A history with each named fault, whose seed is the fault's place in the list.
 void print_named() {
   unsigned seed = 0;
-  for (const Trouble& trouble : troubles())
-    print_digest(trouble.name, play(++seed, {trouble.name}));
+  for (const NamedFault& fault : named_faults())
+    print_digest(fault.name, play(++seed, {fault.name}));
 }
 
 std::optional<unsigned> parse_seed(const char* text) {
