--- a/app/shunttrailctl.cpp
+++ b/app/shunttrailctl.cpp
@@ -1,4 +1,4 @@
-// The command line of a user of the service.
+// shunttrailctl: the command line of the service's users and operators.
 #include <signal.h>
 #include <unistd.h>
 
@@ -7,283 +7,428 @@
 #include <filesystem>
 #include <fstream>
 #include <iostream>
+#include <limits>
 #include <nlohmann/json.hpp>
-#include <sstream>
+#include <optional>
+#include <variant>
 
-#include "artifacts/archive.h"
+#include "cli/controller_status.h"
 #include "cli/service_client.h"
+#include "cli/submission.h"
 #include "schema/schema.h"
 
 namespace {
 
 using namespace shunttrail;
+using cli::RequestFailed;
+using cli::ServiceClient;
+using cli::SubmitOptions;
 using nlohmann::json;
 namespace fs = std::filesystem;
 
+constexpr int kExitFailed = 1;  // the service refuses or does not answer
+constexpr int kExitUsage = 2;   // the command line is wrong
+constexpr double kPollIntervalS = 0.5;
+
+// The options of all commands; a command reads those that it has added.
 struct Options {
-  std::string server = "127.0.0.1:8080", id;
+  std::string server = "127.0.0.1:8080";
   bool as_json = false;
-  // submit
-  std::string file, name = "job", team = "default", priority = "standard", zone, image, image_dir;
-  std::vector<std::string> types, awaits, env, command;
-  std::uint32_t tasks = 1;
-  double cpus = 1, gpus = 0, mem_gb = 0.5, run_s = 60, save_every_s = 0, save_s = 5, due_s = 0,
-         limit_s = 0;
-  bool no_spot = false, one_zone = false, spread = false, wait = false;
-  // output
+  SubmitOptions submit;
+  std::string job_id;
+  std::string team;
+  double timeout_s = 0;  // 0: wait without end
   std::uint32_t task = 0;
-  bool err = false;
-  double timeout_s = 0;
-  // levels
-  int hold = 0;
-  std::string gone, here;
+  bool standard_error = false;
+  std::optional<int> hold_level;
   bool release = false;
+  std::string gone_node, returned_node;  // empty: none
+};
+
+// --- Submit's options
+
+enum class Check { none, not_negative, task_count, directory };
+
+struct SubmitOption {
+  using Field = std::variant<std::string SubmitOptions::*, double SubmitOptions::*,
+                             std::uint32_t SubmitOptions::*,
+                             std::vector<std::string> SubmitOptions::*, bool SubmitOptions::*>;
+  const char* name;
+  Field field;
+  const char* help;
+  Check check = Check::none;
+  bool shows_default = false;
 };
 
-[[noreturn]] void usage(const std::string& why) { throw CLI::ValidationError(why); }
+constexpr bool kShowsDefault = true;
+
+const SubmitOption kSubmitOptions[] = {
+    {"--file", &SubmitOptions::file,
+     "a description or a native submission (JSON); - for standard input"},
+    {"--id", &SubmitOptions::id, "the job's id (run-DIGITS); made up if it is not given"},
+    {"--name", &SubmitOptions::job_class, "the class of jobs that it belongs to", Check::none,
+     kShowsDefault},
+    {"--team", &SubmitOptions::team, "", Check::none, kShowsDefault},
+    {"--priority", &SubmitOptions::priority, "critical, high, standard or idle", Check::none,
+     kShowsDefault},
+    {"--tasks", &SubmitOptions::tasks, "", Check::task_count, kShowsDefault},
+    {"--vcpus", &SubmitOptions::cpus, "of each task", Check::not_negative, kShowsDefault},
+    {"--cards", &SubmitOptions::gpus, "of each task", Check::not_negative},
+    {"--mem-gb", &SubmitOptions::memory_gb, "of each task", Check::not_negative, kShowsDefault},
+    {"--run-s", &SubmitOptions::estimate_s, "how long a task is thought to run",
+     Check::not_negative, kShowsDefault},
+    {"--limit-s", &SubmitOptions::limit_s, "a task that runs longer is killed",
+     Check::not_negative},
+    {"--due-s", &SubmitOptions::deadline_s, "when the job should be done, from now",
+     Check::not_negative},
+    {"--save-every-s", &SubmitOptions::checkpoint_s, "its tasks save a checkpoint so often",
+     Check::not_negative},
+    {"--save-s", &SubmitOptions::save_s, "time that a task needs to save", Check::not_negative,
+     kShowsDefault},
+    {"--type", &SubmitOptions::machine_types, "an allowed machine type; may be repeated"},
+    {"--zone", &SubmitOptions::zone, "the only allowed zone"},
+    {"--same-place", &SubmitOptions::same_zone, "all tasks in one zone"},
+    {"--scatter", &SubmitOptions::anti_affinity, "at most half of the tasks in one zone"},
+    {"--no-spot", &SubmitOptions::no_spot, "no machines that may be taken back"},
+    {"--awaits", &SubmitOptions::dependencies, "a job that has to be done first; may be repeated"},
+    {"--env", &SubmitOptions::environment, "NAME=VALUE for its tasks; may be repeated"},
+    {"--image", &SubmitOptions::image, "hash of an image in the depot"},
+    {"--image-dir", &SubmitOptions::image_dir,
+     "a directory that its tasks find as $SHUNT_IMAGE_DIR", Check::directory},
+    {"--wait", &SubmitOptions::wait, "wait until it is done, as `wait` does"},
+    {"COMMAND", &SubmitOptions::command, "after --: program and arguments"},
+};
 
-wire::Priority priority(const std::string& name) {
-  if (name == "critical") return wire::Priority::critical;
-  if (name == "high") return wire::Priority::high;
-  if (name == "standard") return wire::Priority::standard;
-  if (name == "idle") return wire::Priority::idle;
-  usage("--priority: " + name + " is none of critical, high, standard, idle");
+CLI::Option* add_field(CLI::App& command, const SubmitOption& spec, SubmitOptions& options) {
+  return std::visit(
+      [&](auto member) {
+        auto& field = options.*member;
+        if constexpr (std::is_same_v<decltype(field), bool&>)
+          return command.add_flag(spec.name, field, spec.help);
+        else
+          return command.add_option(spec.name, field, spec.help);
+      },
+      spec.field);
 }
 
-std::string read_input(const std::string& file) {
-  std::ostringstream out;
-  if (file == "-") {
-    out << std::cin.rdbuf();
-  } else {
-    std::ifstream in(file, std::ios::binary);
-    if (!in) usage(file + ": cannot be read");
-    out << in.rdbuf();
+void add_check(CLI::Option& option, Check check) {
+  switch (check) {
+    case Check::none:
+      return;
+    case Check::not_negative:
+      option.check(CLI::NonNegativeNumber);
+      return;
+    case Check::task_count:
+      option.check(CLI::Range(1, 100000));
+      return;
+    case Check::directory:
+      option.check(CLI::ExistingDirectory);
+      return;
   }
-  return out.str();
-}
-
-// A description from flags, or from a file: a description, or a native submission with flags.
-client_protocol::JobDescription description(const Options& o, cli::ServiceClient& service) {
-  client_protocol::JobDescription d;
-  if (!o.file.empty()) {
-    json j = json::parse(read_input(o.file), nullptr, false);
-    if (!j.is_object()) usage(o.file + ": is not a JSON object");
-    try {
-      if (j.contains("job")) {
-        if (!j["job"].contains("uid")) j["job"]["uid"] = cli::fresh_id();
-        d = client_protocol::decode_description(j.dump());
-      } else {
-        if (!j.contains("uid")) j["uid"] = cli::fresh_id();
-        d.job = wire::decode_job(j.dump());
-      }
-    } catch (const wire::Malformed& e) {
-      usage(o.file + ": " + e.what());
-    }
-  } else {
-    auto& s = d.job;
-    s.id = o.id.empty() ? cli::fresh_id() : o.id;
-    s.job_class = o.name;
-    s.team = o.team;
-    s.priority = priority(o.priority);
-    s.tasks = o.tasks;
-    s.cpus = o.cpus;
-    s.gpus = o.gpus;
-    s.mem_gb = o.mem_gb;
-    s.image = "none";
-    if (!o.types.empty()) s.types = o.types;
-    if (!o.zone.empty()) s.zone = o.zone;
-    s.same_zone = o.one_zone;
-    s.anti_affinity = o.spread;
-    s.spot = !o.no_spot;
-    s.estimate_s = o.run_s;
-    s.checkpoint_s = o.save_every_s;
-    s.save_s = o.save_every_s > 0 ? o.save_s : 0;
-    if (o.due_s > 0) s.deadline_s = o.due_s;
-    s.dependencies = o.awaits;
-    d.limit_s = o.limit_s;
-    if (!wire::valid_job_id(s.id)) usage("--id: " + s.id + " is no job id (run-DIGITS)");
-  }
-  if (!o.command.empty()) d.command = o.command;
-  if (d.command.empty()) usage("no command: shunttrailctl submit [flags] -- COMMAND ARGS");
-  for (const auto& e : o.env) {
-    auto eq = e.find('=');
-    if (eq == 0 || eq == std::string::npos) usage("--env: " + e + " is not NAME=VALUE");
-    d.env[e.substr(0, eq)] = e.substr(eq + 1);
-  }
-  if (!o.image_dir.empty()) {
-    fs::path tar = fs::temp_directory_path() / (d.job.id + ".tar");
-    artifacts::Packer packer(o.image_dir, tar);
-    while (!packer.step()) {
-    }
-    d.image = service.upload(tar);
-    d.job.image = "img-" + d.image.substr(0, 16);
-    d.job.image_gb = static_cast<double>(fs::file_size(tar)) / 1e9;
-    fs::remove(tar);
-  } else if (!o.image.empty()) {
-    d.image = o.image;
-    d.job.image = "img-" + d.image.substr(0, 16);
+}
+
+void add_submit_options(CLI::App& command, Options& options) {
+  for (const SubmitOption& spec : kSubmitOptions) {
+    CLI::Option* option = add_field(command, spec, options.submit);
+    add_check(*option, spec.check);
+    if (spec.shows_default) option->capture_default_str();
   }
-  return d;
 }
 
-json as_json(const client_protocol::JobAnswer& a) {
-  return {
-      {"id", a.id}, {"state", wire::state_name(a.state)}, {"done", a.done}, {"running", a.running}};
+// --- Answers
+
+void print_line(const std::string& line) { std::printf("%s\n", line.c_str()); }
+
+json to_json(const client_protocol::JobAnswer& answer) {
+  return {{"id", answer.id},
+          {"state", wire::state_name(answer.state)},
+          {"done", answer.done},
+          {"running", answer.running}};
 }
-void show(const client_protocol::JobAnswer& a, const Options& o) {
-  if (o.as_json)
-    std::printf("%s\n", as_json(a).dump().c_str());
-  else
-    std::printf("%s %s, %llu done, %llu running\n", a.id.c_str(), wire::state_name(a.state),
-                static_cast<unsigned long long>(a.done),
-                static_cast<unsigned long long>(a.running));
+
+std::string progress(const client_protocol::JobAnswer& answer) {
+  return std::string(wire::state_name(answer.state)) + ", " + std::to_string(answer.done) +
+         " done, " + std::to_string(answer.running) + " running";
+}
+
+void print_answer(const client_protocol::JobAnswer& answer, bool as_json) {
+  print_line(as_json ? to_json(answer).dump() : answer.id + " " + progress(answer));
+}
+
+void require_job_id(const std::string& id) {
+  if (!wire::valid_job_id(id)) throw cli::UsageError(id + " is no job id (run-DIGITS)");
+}
+
+client_protocol::JobAnswer require_job(ServiceClient& service, const std::string& id) {
+  auto answer = service.status(id);
+  if (!answer) throw RequestFailed(id + ": no such job");
+  return *answer;
+}
+
+// --- Waiting for a job
+
+bool is_over(const client_protocol::JobAnswer& answer) {
+  return answer.state == wire::JobState::done || answer.state == wire::JobState::cancelled;
 }
 
 // The exit status of a job: that of its first task, by number, that did not end with 0.
-int exit_of(cli::ServiceClient& service, const std::string& id) {
-  auto d = service.description(id);
-  if (!d) return 0;
-  for (std::uint32_t i = 0; i < d->job.tasks; ++i)
-    if (auto r = service.result({id, i}); r && r->exit != 0) return r->exit;
+int exit_status_of(ServiceClient& service, const std::string& id) {
+  auto description = service.description(id);
+  if (!description) return 0;
+  for (std::uint32_t task = 0; task < description->job.tasks; ++task)
+    if (auto result = service.result({id, task}); result && result->exit != 0) return result->exit;
   return 0;
 }
 
-int wait_for(cli::ServiceClient& service, const Options& o) {
-  double until = o.timeout_s > 0 ? actor::steady_now() + o.timeout_s : 1e18;
-  bool tty = ::isatty(2) && !o.as_json;
+// The job is over: prints what became of it, and gives the program's exit status.
+int conclude(ServiceClient& service, const client_protocol::JobAnswer& answer,
+             const std::string& id, bool as_json) {
+  const bool cancelled = answer.state == wire::JobState::cancelled;
+  const int exit = cancelled ? kExitFailed : exit_status_of(service, id);
+  if (as_json) {
+    json out = to_json(answer);
+    out["exit"] = exit;
+    print_line(out.dump());
+  }
+  if (cancelled) std::fprintf(stderr, "%s was cancelled\n", id.c_str());
+  return exit;
+}
+
+int wait_for(ServiceClient& service, const std::string& id, double timeout_s, bool as_json) {
+  const double deadline =
+      timeout_s > 0 ? actor::steady_now() + timeout_s : std::numeric_limits<double>::infinity();
+  const bool shows_progress = ::isatty(STDERR_FILENO) && !as_json;
   std::string shown;
   while (true) {
-    auto a = service.status(o.id);
-    if (!a) throw cli::RequestFailed(o.id + ": no such job");
-    bool over = a->state == wire::JobState::done || a->state == wire::JobState::cancelled;
-    std::string line = std::string(wire::state_name(a->state)) + ", " + std::to_string(a->done) +
-                       " done, " + std::to_string(a->running) + " running";
-    if (tty && line != shown) std::fprintf(stderr, "\r\033[K%s: %s", o.id.c_str(), line.c_str());
+    const client_protocol::JobAnswer answer = require_job(service, id);
+    const std::string line = progress(answer);
+    if (shows_progress && line != shown)
+      std::fprintf(stderr, "\r\033[K%s: %s", id.c_str(), line.c_str());
     shown = line;
-    if (over) {
-      if (tty) std::fprintf(stderr, "\n");
-      int exit = a->state == wire::JobState::done ? exit_of(service, o.id) : 1;
-      if (o.as_json) {
-        json j = as_json(*a);
-        j["exit"] = exit;
-        std::printf("%s\n", j.dump().c_str());
-      }
-      if (a->state == wire::JobState::cancelled)
-        std::fprintf(stderr, "%s was cancelled\n", o.id.c_str());
-      return exit;
+    if (is_over(answer)) {
+      if (shows_progress) std::fprintf(stderr, "\n");
+      return conclude(service, answer, id, as_json);
     }
-    if (actor::steady_now() > until) throw cli::RequestFailed(o.id + ": still " + shown);
-    service.sleep(0.5);
+    if (actor::steady_now() > deadline) throw RequestFailed(id + ": still " + shown);
+    service.sleep(kPollIntervalS);
   }
 }
 
-int submit(cli::ServiceClient& service, Options& o) {
-  client_protocol::JobDescription d = description(o, service);
-  client_protocol::JobAnswer a = service.submit(d);
-  if (o.as_json && !o.wait)
-    std::printf("%s\n", as_json(a).dump().c_str());
-  else if (!o.as_json)
-    std::printf("%s\n", a.id.c_str());
+// --- Commands
+
+int run_submit(ServiceClient& service, const Options& options) {
+  const SubmitOptions& submit = options.submit;
+  const auto answer = service.submit(cli::make_description(submit, service));
+  if (!options.as_json)
+    print_line(answer.id);
+  else if (!submit.wait)
+    print_line(to_json(answer).dump());
   std::fflush(stdout);
-  if (!o.wait) return 0;
-  o.id = a.id;
-  return wait_for(service, o);
-}
-
-int output(cli::ServiceClient& service, const Options& o) {
-  auto d = service.description(o.id);
-  if (!d) throw cli::RequestFailed(o.id + ": no such job");
-  if (o.task >= d->job.tasks)
-    throw cli::RequestFailed(o.id + ": has " + std::to_string(d->job.tasks) +
-                             " tasks, numbered from 0");
-  auto r = service.result({o.id, o.task});
-  if (!r) throw cli::RequestFailed(o.id + "/" + std::to_string(o.task) + ": has not ended");
-  if (o.as_json) {
-    std::printf("%s\n", client_protocol::encode_result(*r).c_str());
-    return 0;
-  }
-  if (!r->reason.empty()) std::fprintf(stderr, "%s\n", r->reason.c_str());
-  const std::string& hash = o.err ? r->err : r->out;
-  if (hash.empty()) return 0;
-  fs::path file = fs::temp_directory_path() / ("shunttrailctl-" + std::to_string(::getpid()));
-  if (!service.fetch(hash, file)) throw cli::RequestFailed("the output is lost or damaged");
+  return submit.wait ? wait_for(service, answer.id, options.timeout_s, options.as_json) : 0;
+}
+
+void add_job_id(CLI::App& command, Options& options) {
+  command.add_option("JOB", options.job_id, "the job's id")->required();
+}
+
+int run_status(ServiceClient& service, const Options& options) {
+  require_job_id(options.job_id);
+  print_answer(require_job(service, options.job_id), options.as_json);
+  return 0;
+}
+
+void add_wait_options(CLI::App& command, Options& options) {
+  add_job_id(command, options);
+  command.add_option("--timeout-s", options.timeout_s, "give up after so long")
+      ->check(CLI::NonNegativeNumber);
+}
+
+int run_wait(ServiceClient& service, const Options& options) {
+  require_job_id(options.job_id);
+  return wait_for(service, options.job_id, options.timeout_s, options.as_json);
+}
+
+int run_withdraw(ServiceClient& service, const Options& options) {
+  require_job_id(options.job_id);
+  print_answer(service.withdraw(options.job_id), options.as_json);
+  return 0;
+}
+
+// The service's answer, pretty unless JSON was asked for; as it came where it is no JSON.
+void print_body(const std::string& body, bool as_json) {
+  const json parsed = json::parse(body, nullptr, false);
+  print_line(parsed.is_discarded() ? body : parsed.dump(as_json ? -1 : 2));
+}
+
+void add_team_options(CLI::App& command, Options& options) {
+  command.add_option("TEAM", options.team)->required();
+}
+
+int run_team(ServiceClient& service, const Options& options) {
+  const net::Result result = service.get("/v2/teams/" + options.team);
+  if (result.status == 404) throw RequestFailed(options.team + ": no such team");
+  print_body(result.body, options.as_json);
+  return 0;
+}
+
+void add_output_options(CLI::App& command, Options& options) {
+  add_job_id(command, options);
+  command.add_option("--task", options.task, "the task's number")->capture_default_str();
+  command.add_flag("--err", options.standard_error, "its standard error instead");
+}
+
+void copy_artifact_to_stdout(ServiceClient& service, const std::string& hash) {
+  const fs::path file = fs::temp_directory_path() / ("shunttrailctl-" + std::to_string(::getpid()));
+  if (!service.fetch(hash, file)) throw RequestFailed("the output is lost or damaged");
   std::ifstream in(file, std::ios::binary);
   std::cout << in.rdbuf() << std::flush;
   fs::remove(file);
-  return 0;
 }
 
-// The active state level, which builds the nodes have, and what holds the next one back.
-void show_levels(const json& j) {
-  const json& stands = j.at("stands");
-  std::printf("state level %d is active", j.at("active").get<int>());
-  if (stands[0] != stands[1])
-    std::printf("; forms of %d to %d stand, %.0f%% converted", stands[0].get<int>(),
-                stands[1].get<int>(), 100 * j.at("converted").get<double>());
-  std::printf("\n");
-  for (const auto& n : j.at("nodes")) {
-    std::printf("  %s: ", n.at("name").get<std::string>().c_str());
-    if (!n.at("alive").get<bool>())
-      std::printf("not there%s\n", n.value("gone", false) ? ", declared gone" : "");
-    else
-      std::printf("reads %d to %d, writes %d\n", n.at("reads")[0].get<int>(),
-                  n.at("reads")[1].get<int>(), n.at("writes").get<int>());
+int run_output(ServiceClient& service, const Options& options) {
+  const std::string& id = options.job_id;
+  require_job_id(id);
+  const auto description = service.description(id);
+  if (!description) throw RequestFailed(id + ": no such job");
+  if (options.task >= description->job.tasks)
+    throw RequestFailed(id + ": has " + std::to_string(description->job.tasks) +
+                        " tasks, numbered from 0");
+  const auto result = service.result({id, options.task});
+  if (!result) throw RequestFailed(id + "/" + std::to_string(options.task) + ": has not ended");
+  if (options.as_json) {
+    print_line(client_protocol::encode_result(*result));
+    return 0;
   }
-  if (j.contains("hold")) std::printf("held at %d by order\n", j["hold"].get<int>());
-  for (const auto& h : j.at("held_by"))
-    std::printf("held back by %s, which %s, for %.0f s\n", h.at("by").get<std::string>().c_str(),
-                h.at("why").get<std::string>().c_str(), h.at("since_s").get<double>());
-  if (j.contains("serves_nothing"))
-    std::printf("%s serves nothing: %s\n", j.at("node").get<std::string>().c_str(),
-                j["serves_nothing"].get<std::string>().c_str());
+  if (!result->reason.empty()) std::fprintf(stderr, "%s\n", result->reason.c_str());
+  const std::string& hash = options.standard_error ? result->err : result->out;
+  if (!hash.empty()) copy_artifact_to_stdout(service, hash);
+  return 0;
+}
+
+void add_nothing(CLI::App&, Options&) {}
+
+int run_up(ServiceClient& service, const Options& options) {
+  const bool up = service.up();
+  if (options.as_json)
+    print_line(json{{"up", up}}.dump());
+  else
+    print_line(up ? "up" : "down");
+  return up ? 0 : kExitFailed;
+}
+
+int run_metrics(ServiceClient& service, const Options& options) {
+  const net::Result result = service.get("/metrics");
+  if (result.status == 404) throw RequestFailed("no figures");
+  print_body(result.body, options.as_json);
+  return 0;
 }
 
-int levels_command(cli::ServiceClient& service, const Options& o, const CLI::App& c) {
+// A controller's status object, which has to have this field; `otherwise` says that it has none.
+json require_status(const net::Result& result, const char* field, const char* otherwise) {
+  json status = json::parse(result.body, nullptr, false);
+  if (result.status == 404 || !status.is_object() || !status.contains(field))
+    throw RequestFailed(otherwise);
+  return status;
+}
+
+void add_schema_options(CLI::App& command, Options& options) {
+  command
+      .add_option("--hold", options.hold_level,
+                  "the active level is at most this, lowered if need be")
+      ->check(CLI::Range(0, 1000));
+  command.add_flag("--release", options.release, "no longer held");
+  command.add_option("--gone", options.gone_node,
+                     "a node that will not come back, and is not waited for");
+  command.add_option("--here", options.returned_node, "a node that is waited for again");
+}
+
+std::optional<schema::Order> schema_order(const Options& options) {
   std::vector<schema::Order> orders;
-  if (c.count("--hold")) orders.push_back({schema::Order::hold, o.hold, {}});
-  if (o.release) orders.push_back({schema::Order::release, 0, {}});
-  if (!o.gone.empty()) orders.push_back({schema::Order::gone, 0, o.gone});
-  if (!o.here.empty()) orders.push_back({schema::Order::here, 0, o.here});
-  if (orders.size() > 1) usage("levels: give one of --hold, --release, --gone, --here");
-  net::Result r = orders.empty() ? service.get("/levels")
-                                 : service.order("/levels", schema::encode(orders.front()));
-  auto j = json::parse(r.body, nullptr, false);
-  if (r.status == 404 || !j.is_object() || !j.contains("active"))
-    throw cli::RequestFailed("this controller knows no state levels");
-  if (o.as_json)
-    std::printf("%s\n", j.dump().c_str());
+  if (options.hold_level) orders.push_back({schema::Order::hold, *options.hold_level, {}});
+  if (options.release) orders.push_back({schema::Order::release, 0, {}});
+  if (!options.gone_node.empty()) orders.push_back({schema::Order::gone, 0, options.gone_node});
+  if (!options.returned_node.empty())
+    orders.push_back({schema::Order::here, 0, options.returned_node});
+  if (orders.size() > 1)
+    throw cli::UsageError("schema: give one of --hold, --release, --gone, --here");
+  if (orders.empty()) return std::nullopt;
+  return orders.front();
+}
+
+int run_schema(ServiceClient& service, const Options& options) {
+  const std::optional<schema::Order> order = schema_order(options);
+  const net::Result result =
+      order ? service.order("/levels", schema::encode(*order)) : service.get("/levels");
+  const json status = require_status(result, "active", "this controller knows no state levels");
+  if (options.as_json)
+    print_line(status.dump());
   else
-    show_levels(j);
+    cli::print_schema_status(status);
   return 0;
 }
 
-// Which links a controller finds cut, and what it passes on for its siblings.
-int links_command(cli::ServiceClient& service, const Options& o) {
-  net::Result r = service.get("/links");
-  auto j = json::parse(r.body, nullptr, false);
-  if (r.status == 404 || !j.is_object() || !j.contains("links"))
-    throw cli::RequestFailed("this controller knows nothing of links");
-  if (o.as_json) {
-    std::printf("%s\n", j.dump().c_str());
-    return 0;
+int run_relay(ServiceClient& service, const Options& options) {
+  const json status =
+      require_status(service.get("/links"), "links", "this controller knows nothing of links");
+  if (options.as_json)
+    print_line(status.dump());
+  else
+    cli::print_relay_status(status);
+  return 0;
+}
+
+struct Command {
+  const char* name;
+  const char* help;
+  void (*add_options)(CLI::App&, Options&);
+  int (*run)(ServiceClient&, const Options&);
+  const char* earlier_name = nullptr;  // accepted as well
+};
+
+const Command kCommands[] = {
+    {"submit", "submit a job and print its id", add_submit_options, run_submit},
+    {"status", "show a job's state", add_job_id, run_status},
+    {"wait", "wait until a job is done or cancelled", add_wait_options, run_wait},
+    {"withdraw", "cancel a job", add_job_id, run_withdraw},
+    {"team", "show a team's live jobs", add_team_options, run_team},
+    {"output", "print what a task wrote to its standard output", add_output_options, run_output},
+    {"up", "whether the service can take requests", add_nothing, run_up},
+    {"metrics", "a controller's counters", add_nothing, run_metrics},
+    {"schema", "which form of the stored state is in use, and what holds the next one back",
+     add_schema_options, run_schema, "levels"},
+    {"relay", "which links a controller finds cut, and what it passes on for others", add_nothing,
+     run_relay, "links"},
+};
+
+void add_global_options(CLI::App& app, Options& options) {
+  app.set_version_flag("--version", std::string("shunttrailctl 0.1.0"));
+  app.add_option("--server", options.server, "where the service is, http://HOST:PORT")
+      ->envname("SHUNT_SERVER")
+      ->capture_default_str();
+  app.add_flag("--json", options.as_json, "answers as JSON");
+  app.require_subcommand(1);
+  app.fallthrough();
+}
+
+void add_commands(CLI::App& app, Options& options) {
+  for (const Command& command : kCommands) {
+    CLI::App* subcommand = app.add_subcommand(command.name, command.help);
+    if (command.earlier_name) subcommand->alias(command.earlier_name);
+    command.add_options(*subcommand, options);
   }
-  const std::string node = j.at("node").get<std::string>();
-  std::printf("%s passes reports on: %s\n", node.c_str(),
-              j.at("relay").get<bool>() ? "yes" : "switched off");
-  for (const auto& l : j.at("links"))
-    std::printf("workers in %s do not reach %s, for %.0f s: by way of %s\n",
-                l.at("workers_in").get<std::string>().c_str(),
-                l.at("to").get<std::string>().c_str(), l.at("since_s").get<double>(),
-                l.at("by").get<std::string>().c_str());
-  for (const auto& c : j.at("reports"))
-    std::printf("  %s: %llu passed on to it, %llu of them unanswered, %llu taken from it\n",
-                c.at("to").get<std::string>().c_str(), c.at("passed").get<unsigned long long>(),
-                c.at("unanswered").get<unsigned long long>(),
-                c.at("taken").get<unsigned long long>());
+}
+
+int run_parsed_command(const CLI::App& app, const Options& options) {
+  ServiceClient service(options.server);
+  for (const Command& command : kCommands)
+    if (app.got_subcommand(command.name)) return command.run(service, options);
   return 0;
 }
 
-void add_id(CLI::App* c, Options& o) { c->add_option("JOB", o.id, "the job's id")->required(); }
+// CLI11 prints the error or the help that was asked for.
+int exit_of_parse_error(const CLI::App& app, const CLI::ParseError& error) {
+  return app.exit(error) == 0 ? 0 : kExitUsage;
+}
 
 }  // namespace
 
@@ -295,122 +440,18 @@
       "of\n"
       "wait and submit --wait that of the job (of its first task that failed), 1 if it was "
       "cancelled."};
-  app.set_version_flag("--version", std::string("shunttrailctl 0.1.0"));
-  Options o;
-  app.add_option("--server", o.server, "where the service is, http://HOST:PORT")
-      ->envname("SHUNT_SERVER")
-      ->capture_default_str();
-  app.add_flag("--json", o.as_json, "answers as JSON");
-  app.require_subcommand(1);
-  app.fallthrough();
-
-  auto* sub = app.add_subcommand("submit", "submit a job and print its id");
-  sub->add_option("--file", o.file,
-                  "a description or a native submission (JSON); - for standard input");
-  sub->add_option("--id", o.id, "the job's id (run-DIGITS); made up if it is not given");
-  sub->add_option("--name", o.name, "the class of jobs that it belongs to")->capture_default_str();
-  sub->add_option("--team", o.team)->capture_default_str();
-  sub->add_option("--priority", o.priority, "critical, high, standard or idle")
-      ->capture_default_str();
-  sub->add_option("--tasks", o.tasks)->check(CLI::Range(1, 100000))->capture_default_str();
-  sub->add_option("--vcpus", o.cpus, "of each task")
-      ->check(CLI::NonNegativeNumber)
-      ->capture_default_str();
-  sub->add_option("--cards", o.gpus, "of each task")->check(CLI::NonNegativeNumber);
-  sub->add_option("--mem-gb", o.mem_gb, "of each task")
-      ->check(CLI::NonNegativeNumber)
-      ->capture_default_str();
-  sub->add_option("--run-s", o.run_s, "how long a task is thought to run")
-      ->check(CLI::NonNegativeNumber)
-      ->capture_default_str();
-  sub->add_option("--limit-s", o.limit_s, "a task that runs longer is killed")
-      ->check(CLI::NonNegativeNumber);
-  sub->add_option("--due-s", o.due_s, "when the job should be done, from now")
-      ->check(CLI::NonNegativeNumber);
-  sub->add_option("--save-every-s", o.save_every_s, "its tasks save a checkpoint so often")
-      ->check(CLI::NonNegativeNumber);
-  sub->add_option("--save-s", o.save_s, "time that a task needs to save")
-      ->check(CLI::NonNegativeNumber)
-      ->capture_default_str();
-  sub->add_option("--type", o.types, "an allowed machine type; may be repeated");
-  sub->add_option("--zone", o.zone, "the only allowed zone");
-  sub->add_flag("--same-place", o.one_zone, "all tasks in one zone");
-  sub->add_flag("--scatter", o.spread, "at most half of the tasks in one zone");
-  sub->add_flag("--no-spot", o.no_spot, "no machines that may be taken back");
-  sub->add_option("--awaits", o.awaits, "a job that has to be done first; may be repeated");
-  sub->add_option("--env", o.env, "NAME=VALUE for its tasks; may be repeated");
-  sub->add_option("--image", o.image, "hash of an image in the depot");
-  sub->add_option("--image-dir", o.image_dir, "a directory that its tasks find as $SHUNT_IMAGE_DIR")
-      ->check(CLI::ExistingDirectory);
-  sub->add_flag("--wait", o.wait, "wait until it is done, as `wait` does");
-  sub->add_option("COMMAND", o.command, "after --: program and arguments");
-  auto* status = app.add_subcommand("status", "show a job's state");
-  add_id(status, o);
-  auto* wait = app.add_subcommand("wait", "wait until a job is done or cancelled");
-  add_id(wait, o);
-  wait->add_option("--timeout-s", o.timeout_s, "give up after so long")
-      ->check(CLI::NonNegativeNumber);
-  auto* withdraw = app.add_subcommand("withdraw", "cancel a job");
-  add_id(withdraw, o);
-  auto* team = app.add_subcommand("team", "show a team's live jobs");
-  team->add_option("TEAM", o.team)->required();
-  auto* out = app.add_subcommand("output", "print what a task wrote to its standard output");
-  add_id(out, o);
-  out->add_option("--task", o.task, "the task's number")->capture_default_str();
-  out->add_flag("--err", o.err, "its standard error instead");
-  auto* up = app.add_subcommand("up", "whether the service can take requests");
-  auto* metrics = app.add_subcommand("metrics", "a controller's counters");
-  auto* levels_cmd = app.add_subcommand(
-      "levels", "which form of the stored state is in use, and what holds the next one back");
-  levels_cmd->add_option("--hold", o.hold, "the active level is at most this, lowered if need be")
-      ->check(CLI::Range(0, 1000));
-  levels_cmd->add_flag("--release", o.release, "no longer held");
-  levels_cmd->add_option("--gone", o.gone, "a node that will not come back, and is not waited for");
-  levels_cmd->add_option("--here", o.here, "a node that is waited for again");
-
-  auto* links_cmd = app.add_subcommand(
-      "links", "which links a controller finds cut, and what it passes on for others");
-
+  Options options;
+  add_global_options(app, options);
+  add_commands(app, options);
   try {
     app.parse(argc, argv);
-    cli::ServiceClient service(o.server);
-    for (auto* c : {status, wait, withdraw, out})
-      if (c->parsed() && !wire::valid_job_id(o.id)) usage(o.id + " is no job id (run-DIGITS)");
-    if (sub->parsed()) return submit(service, o);
-    if (status->parsed()) {
-      auto a = service.status(o.id);
-      if (!a) throw cli::RequestFailed(o.id + ": no such job");
-      show(*a, o);
-      return 0;
-    }
-    if (wait->parsed()) return wait_for(service, o);
-    if (withdraw->parsed()) {
-      show(service.withdraw(o.id), o);
-      return 0;
-    }
-    if (out->parsed()) return output(service, o);
-    if (links_cmd->parsed()) return links_command(service, o);
-    if (levels_cmd->parsed()) return levels_command(service, o, *levels_cmd);
-    if (up->parsed()) {
-      bool ok = service.up();
-      std::printf("%s\n", o.as_json ? (ok ? "{\"up\":true}" : "{\"up\":false}")
-                          : ok      ? "up"
-                                    : "down");
-      return ok ? 0 : 1;
-    }
-    if (team->parsed() || metrics->parsed()) {
-      net::Result r = service.get(team->parsed() ? "/v2/teams/" + o.team : "/metrics");
-      if (r.status == 404)
-        throw cli::RequestFailed(team->parsed() ? o.team + ": no such team" : "no figures");
-      auto j = json::parse(r.body, nullptr, false);
-      std::printf("%s\n", j.is_discarded() ? r.body.c_str() : j.dump(o.as_json ? -1 : 2).c_str());
-    }
-    return 0;
-  } catch (const CLI::ParseError& e) {
-    int r = app.exit(e);
-    return r == 0 ? 0 : 2;
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "shunttrailctl: %s\n", e.what());
-    return 1;
+    return run_parsed_command(app, options);
+  } catch (const CLI::ParseError& error) {
+    return exit_of_parse_error(app, error);
+  } catch (const cli::UsageError& error) {
+    return exit_of_parse_error(app, CLI::ValidationError(error.what()));
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "shunttrailctl: %s\n", error.what());
+    return kExitFailed;
   }
 }
