--- a/tests/agent_attempt_table_test.cpp
+++ b/tests/agent_attempt_table_test.cpp
@@ -27,7 +27,7 @@
 namespace shunttrail::test {
 namespace {
 namespace fs = std::filesystem;
-using agent::Book;
+using agent::AttemptTable;
 using agent::Effect;
 using agent::Key;
 using agent::Phase;
@@ -53,7 +53,7 @@
 struct Model {
   struct Held {
     bool exited = false, launched = false, ended = false;
-    Why why = ExitReason::none;
+    ExitReason exit_reason = ExitReason::none;
   };
   std::map<std::uint64_t, Held> held;
   std::uint64_t reaped = 0;
@@ -68,7 +68,7 @@
     auto it = held.find(n);
     if (it == held.end() || it->second.exited || (it->second.launched && !it->second.ended)) return;
     it->second.exited = true;
-    it->second.why = ExitReason::stopped;
+    it->second.exit_reason = ExitReason::stopped;
   }
   void reap(std::uint64_t n) {
     auto it = held.find(n);
@@ -80,23 +80,23 @@
 
 RC_GTEST_PROP(AttemptTable, CommandsEndsAndKillsAsTheModelHasThem, ()) {
   TempDir dir;
-  auto record = std::make_unique<agent::Record>(dir.path / "r.db", [](const std::string&) {});
-  Book book;
+  auto record = std::make_unique<agent::AgentJournal>(dir.path / "r.db", [](const std::string&) {});
+  AttemptTable book;
   record->begin("m", "boot", book);
   Model model;
   auto key = [](std::uint64_t n) { return Key{"run-100001", 0, n}; };
   for (int i = *rc::gen::inRange(1, 40); i > 0; --i) {
     std::uint64_t n = *rc::gen::inRange<std::uint64_t>(1, 6);
-    Book next = book;
+    AttemptTable next = book;
     int what = *rc::gen::inRange(0, 7);
     if (what == 0 || what == 1) {
-      next.obey({make(Command::Op::start, key(n))});
+      next.execute({make(Command::Op::start, key(n))});
       model.start(n);
     } else if (what == 2) {
-      next.obey({make(Command::Op::stop, key(n))});
+      next.execute({make(Command::Op::stop, key(n))});
       model.halt(n);
     } else if (what == 3) {
-      next.obey({make(Command::Op::forget, key(n))});
+      next.execute({make(Command::Op::acknowledge, key(n))});
       model.reap(n);
     } else if (what == 4 && model.held.contains(n) && !model.held[n].exited) {
       // The next step of its life.
@@ -110,13 +110,13 @@
       } else {
         next.exited(key(n), ExitReason::done);
         h.exited = true;
-        h.why = ExitReason::done;
+        h.exit_reason = ExitReason::done;
       }
     } else if (what == 5) {
       next.token += n;
       next.reserved += n;
     } else if (what == 6 && n == 1) {
-      next.next_session();
+      next.next_incarnation();
       model = {};
     }
     record->save(book, next, "step");
@@ -124,7 +124,7 @@
     // A kill: whatever was saved is found again, exactly.
     if (*rc::gen::inRange(0, 4) == 0) {
       record.reset();
-      record = std::make_unique<agent::Record>(dir.path / "r.db", [](const std::string&) {});
+      record = std::make_unique<agent::AgentJournal>(dir.path / "r.db", [](const std::string&) {});
       RC_ASSERT(record->load("m") == book);
     }
     std::set<std::uint64_t> there;
@@ -133,7 +133,7 @@
       there.insert(t.attempt);
       const auto& h = model.held.at(t.attempt);
       RC_ASSERT((t.state == TaskState::exited) == h.exited);
-      if (h.exited) RC_ASSERT(t.why == h.why);
+      if (h.exited) RC_ASSERT(t.exit_reason == h.exit_reason);
       on += t.state != TaskState::exited;
     }
     RC_ASSERT(there.size() == model.held.size());
@@ -147,17 +147,17 @@
   struct Killed {};
   for (bool after : {false, true}) {
     TempDir dir;
-    Book book, next;
+    AttemptTable book, next;
     next.token = 9;
-    next.obey({make(Command::Op::start, kA)});
+    next.execute({make(Command::Op::start, kA)});
     {
-      agent::Record r(dir.path / "r.db", [&](const std::string& step) {
+      agent::AgentJournal r(dir.path / "r.db", [&](const std::string& step) {
         if (step == (after ? "x.after" : "x.before")) throw Killed{};
       });
       r.begin("m", "boot", book);
       EXPECT_THROW(r.save(book, next, "x"), Killed);
     }
-    agent::Record r(dir.path / "r.db", [](const std::string&) {});
+    agent::AgentJournal r(dir.path / "r.db", [](const std::string&) {});
     EXPECT_EQ(*r.load("m"), after ? next : book);
   }
 }
@@ -165,69 +165,69 @@
 TEST(AgentJournal, RefusesWhatIsNotItsOwn) {
   TempDir dir;
   auto nothing = [](const std::string&) {};
-  EXPECT_EQ(agent::Record(dir.path / "r.db", nothing).load("m"), std::nullopt);
-  agent::Record(dir.path / "r.db", nothing).begin("m", "b", Book{});
-  EXPECT_THROW(agent::Record(dir.path / "r.db", nothing).load("other"), agent::RecordError);
+  EXPECT_EQ(agent::AgentJournal(dir.path / "r.db", nothing).load("m"), std::nullopt);
+  agent::AgentJournal(dir.path / "r.db", nothing).begin("m", "b", AttemptTable{});
+  EXPECT_THROW(agent::AgentJournal(dir.path / "r.db", nothing).load("other"), agent::JournalError);
   std::ofstream(dir.path / "torn.db") << "this is no record, and longer than a header of one is";
-  EXPECT_THROW(agent::Record(dir.path / "torn.db", nothing), agent::RecordError);
+  EXPECT_THROW(agent::AgentJournal(dir.path / "torn.db", nothing), agent::JournalError);
   sqlite3* db = nullptr;
   sqlite3_open((dir.path / "r.db").c_str(), &db);
   sqlite3_exec(db, "UPDATE facts SET value='2' WHERE name='format'", nullptr, nullptr, nullptr);
   sqlite3_close(db);
-  EXPECT_THROW(agent::Record(dir.path / "r.db", nothing), agent::RecordError);
+  EXPECT_THROW(agent::AgentJournal(dir.path / "r.db", nothing), agent::JournalError);
 }
 
 // Guard: a start that the network held back until after its own reap ran the task once more.
 TEST(AttemptTable, AStartAfterItsReapDoesNothing) {
-  Book b;
-  auto first = b.obey({make(Command::Op::start, kA)});
+  AttemptTable b;
+  auto first = b.execute({make(Command::Op::start, kA)});
   ASSERT_EQ(first.size(), 1u);
   EXPECT_EQ(first[0].kind, Effect::Kind::fetch);
   b.launched(kA);
   b.ended(kA, ExitReason::done, false);
   EXPECT_EQ(b.tasks()[0].state, TaskState::running);  // its result is not safe yet
   b.exited(kA, ExitReason::done);
-  b.obey({make(Command::Op::forget, kA)});
+  b.execute({make(Command::Op::acknowledge, kA)});
   std::vector<std::string> refused;
-  EXPECT_TRUE(b.obey({make(Command::Op::start, kA)}, &refused).empty());
+  EXPECT_TRUE(b.execute({make(Command::Op::start, kA)}, &refused).empty());
   EXPECT_EQ(refused.size(), 1u);
   EXPECT_TRUE(b.tasks().empty());
-  EXPECT_EQ(b.obey({make(Command::Op::start, kB)}).size(), 1u);
+  EXPECT_EQ(b.execute({make(Command::Op::start, kB)}).size(), 1u);
   // Attempts that go back while a higher one is here.
-  b.obey({make(Command::Op::start, kA)});
+  b.execute({make(Command::Op::start, kA)});
   EXPECT_EQ(b.tasks().size(), 1u);
 }
 
 TEST(AttemptTable, SavesOnlyWithTimeEnoughAndASecondHaltEndsIt) {
-  Book b;
-  b.obey({make(Command::Op::start, kA)});
+  AttemptTable b;
+  b.execute({make(Command::Op::start, kA)});
   ASSERT_TRUE(b.described(kA, {1, 0, 1}, true, 4, {4, 0, 8}));
   b.launched(kA);
-  Book hasty = b;
-  EXPECT_EQ(hasty.obey({make(Command::Op::stop, kA, 3.9)})[0].kind, Effect::Kind::kill);
-  auto e = b.obey({make(Command::Op::stop, kA, 4)});
+  AttemptTable hasty = b;
+  EXPECT_EQ(hasty.execute({make(Command::Op::stop, kA, 3.9)})[0].kind, Effect::Kind::kill);
+  auto e = b.execute({make(Command::Op::stop, kA, 4)});
   ASSERT_EQ(e.size(), 1u);
   EXPECT_EQ(e[0].kind, Effect::Kind::save);
   EXPECT_EQ(b.tasks()[0].state, TaskState::saving);
-  EXPECT_TRUE(b.obey({make(Command::Op::stop, kA, 10)}).empty());
-  EXPECT_EQ(b.obey({make(Command::Op::stop, kA, 0)})[0].kind, Effect::Kind::kill);
-  EXPECT_TRUE(b.obey({make(Command::Op::forget, kA)}).empty());  // not exited: it stays
+  EXPECT_TRUE(b.execute({make(Command::Op::stop, kA, 10)}).empty());
+  EXPECT_EQ(b.execute({make(Command::Op::stop, kA, 0)})[0].kind, Effect::Kind::kill);
+  EXPECT_TRUE(b.execute({make(Command::Op::acknowledge, kA)}).empty());  // not exited: it stays
   EXPECT_EQ(b.tasks().size(), 1u);
 }
 
 TEST(AttemptTable, RoomCountsWhatIsFetchedAndTokensGoUpOnly) {
-  Book b;
-  const agent::Room machine{4, 0, 8};
+  AttemptTable b;
+  const agent::Resources machine{4, 0, 8};
   const Key other{"run-100002", 0, 1};
-  b.obey({make(Command::Op::start, kA), make(Command::Op::start, other)});
+  b.execute({make(Command::Op::start, kA), make(Command::Op::start, other)});
   EXPECT_TRUE(b.described(kA, {3, 0, 1}, false, 0, machine));
   EXPECT_FALSE(b.described(other, {2, 0, 1}, false, 0, machine));
-  EXPECT_EQ(b.attempts.at(other).why, ExitReason::no_room);
+  EXPECT_EQ(b.attempts.at(other).exit_reason, ExitReason::no_room);
   b.token = 5;
-  EXPECT_TRUE(b.obeys(5));
-  EXPECT_TRUE(b.obeys(6));
-  EXPECT_FALSE(b.obeys(4));
-  EXPECT_FALSE(b.obeys(std::nullopt));
+  EXPECT_TRUE(b.accepts(5));
+  EXPECT_TRUE(b.accepts(6));
+  EXPECT_FALSE(b.accepts(4));
+  EXPECT_FALSE(b.accepts(std::nullopt));
 }
 
 TEST(AgentLease, CountsFromWhenAReportWasSent) {
@@ -239,15 +239,15 @@
   EXPECT_FALSE(l.over(130));
   EXPECT_TRUE(l.over(130.01));
   TempDir dir;
-  agent::LeasePage writer(dir.path / "lease", agent::LeasePage::Open::write);
-  agent::LeasePage reader(dir.path / "lease", agent::LeasePage::Open::read);
+  agent::LeaseFile writer(dir.path / "lease", agent::LeaseFile::Open::write);
+  agent::LeaseFile reader(dir.path / "lease", agent::LeaseFile::Open::read);
   EXPECT_EQ(reader.session(), 0u);
   writer.set(3, 130);
   EXPECT_EQ(reader.session(), 3u);
   EXPECT_NEAR(reader.until(), 130, 1e-6);
   EXPECT_LE(reader.until(), 130);
   std::ofstream(dir.path / "other") << std::string(4096, 'x');
-  EXPECT_THROW(agent::LeasePage(dir.path / "other", agent::LeasePage::Open::read),
+  EXPECT_THROW(agent::LeaseFile(dir.path / "other", agent::LeaseFile::Open::read),
                std::system_error);
 }
 
@@ -255,12 +255,12 @@
 // its task.
 TEST(AgentLease, ARenewalIsNeverSeenAsTheEndOfTheSession) {
   TempDir dir;
-  agent::LeasePage writer(dir.path / "lease", agent::LeasePage::Open::write);
+  agent::LeaseFile writer(dir.path / "lease", agent::LeaseFile::Open::write);
   writer.set(3, 1);
   std::atomic<bool> over = false;
   std::uint64_t none = 0;
   std::thread reader([&] {
-    agent::LeasePage page(dir.path / "lease", agent::LeasePage::Open::read);
+    agent::LeaseFile page(dir.path / "lease", agent::LeaseFile::Open::read);
     while (!over) none += page.session() != 3;
   });
   for (int i = 0; i < 300000; ++i) writer.set(3, 1 + i);
@@ -288,7 +288,7 @@
 }
 
 TEST(FarCodec, OrdersAreRefusedOneByOneAndTheEnvelopeWhole) {
-  auto o = client_protocol::decode_orders(
+  auto o = client_protocol::decode_heartbeat_response(
       R"({"staff":41,"shift":2,"later":1,"orders":[
         {"order":"start","car":"run-000412/4","departure":2},
         {"order":"dance","car":"run-000412/4","departure":2},
@@ -302,38 +302,39 @@
   EXPECT_EQ(o.refused.size(), 4u);
   for (const char* bad :
        {"", "[]", "{\"staff\":-1}", "{\"staff\":1.5}", "{\"orders\":{}}", "{\"a\":"})
-    EXPECT_THROW(client_protocol::decode_orders(bad), wire::Malformed) << bad;
-  EXPECT_FALSE(client_protocol::decode_orders("{}").token);
+    EXPECT_THROW(client_protocol::decode_heartbeat_response(bad), wire::Malformed) << bad;
+  EXPECT_FALSE(client_protocol::decode_heartbeat_response("{}").token);
 }
 
 RC_GTEST_PROP(FarCodec, ReportsArriveAsTheyWereSent, ()) {
-  wire::Report r;
+  wire::Heartbeat r;
   r.machine = "m-000001";
   r.addr = "127.0.0.1:1";
   r.type = "t";
   r.zone = "z";
   r.spot = *rc::gen::arbitrary<bool>();
-  r.session = *rc::gen::arbitrary<std::uint32_t>();
-  r.seq = *rc::gen::arbitrary<std::uint64_t>();
+  r.incarnation = *rc::gen::arbitrary<std::uint32_t>();
+  r.sequence = *rc::gen::arbitrary<std::uint64_t>();
   r.token = *rc::gen::arbitrary<std::uint64_t>();
   if (*rc::gen::arbitrary<bool>()) r.notice_s = *rc::gen::inRange(0, 1000);
   for (int n = *rc::gen::inRange(0, 8); n > 0; --n) {
-    auto state = static_cast<RunState>(*rc::gen::inRange(0, 4));
-    auto why =
-        state == TaskState::exited ? static_cast<Why>(*rc::gen::inRange(1, 7)) : ExitReason::none;
+    auto state = static_cast<TaskState>(*rc::gen::inRange(0, 4));
+    auto why = state == TaskState::exited ? static_cast<ExitReason>(*rc::gen::inRange(1, 7))
+                                          : ExitReason::none;
     r.tasks.push_back({{"run-" + std::to_string(100000 + n), static_cast<std::uint32_t>(n)},
                        *rc::gen::arbitrary<std::uint64_t>(),
                        state,
                        why});
   }
-  auto back = wire::decode_report(client_protocol::encode_report(r));
-  RC_ASSERT(back.seq == r.seq && back.token == r.token && back.session == r.session);
+  auto back = wire::decode_heartbeat(client_protocol::encode_heartbeat(r));
+  RC_ASSERT(back.sequence == r.sequence && back.token == r.token &&
+            back.incarnation == r.incarnation);
   RC_ASSERT(back.notice_s == r.notice_s && back.spot == r.spot);
   RC_ASSERT(back.tasks.size() == r.tasks.size());
   for (std::size_t i = 0; i < r.tasks.size(); ++i) {
     RC_ASSERT(back.tasks[i].attempt == r.tasks[i].attempt);
     RC_ASSERT(back.tasks[i].state == r.tasks[i].state);
-    RC_ASSERT(back.tasks[i].why == r.tasks[i].why);
+    RC_ASSERT(back.tasks[i].exit_reason == r.tasks[i].exit_reason);
   }
 }
 
@@ -371,7 +372,7 @@
     try {
       agent::parse_settings(s);
       ADD_FAILURE() << to;
-    } catch (const config::BadSettings& e) {
+    } catch (const config::SettingsError& e) {
       EXPECT_NE(std::string(e.what()).find(names), std::string::npos) << e.what();
       EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos);
     }
--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -27,7 +27,7 @@
   })) << artifacts::read_whole(rig.dir / "agent.log");
   EXPECT_EQ(rig.tasks[id].done, 1);
   EXPECT_EQ(rig.tasks[id].lost, 0);
-  EXPECT_EQ(rig.last.session, 1u);
+  EXPECT_EQ(rig.last.incarnation, 1u);
   EXPECT_EQ(rig.logged("begin"), 1);
   EXPECT_EQ(rig.logged("end"), 1);
   EXPECT_EQ(rig.logged("overlap"), 0);
@@ -68,7 +68,7 @@
   EXPECT_TRUE(rig.nothing_left_of(id));
   rig.start();
   ASSERT_TRUE(rig.until([&] { return rig.tasks[id].lost == 1; }));
-  EXPECT_EQ(rig.last.session, 2u);
+  EXPECT_EQ(rig.last.incarnation, 2u);
   EXPECT_EQ(rig.logged("overlap"), 0);
 }
 
@@ -83,7 +83,7 @@
   ASSERT_TRUE(rig.until([&] { return fs::exists(task / "end.json"); }));
   int before = rig.reports;
   ::kill(rig.pid, SIGCONT);
-  ASSERT_TRUE(rig.until([&] { return rig.reports > before && rig.last.session == 2; }));
+  ASSERT_TRUE(rig.until([&] { return rig.reports > before && rig.last.incarnation == 2; }));
   ASSERT_TRUE(rig.until([&] { return rig.logged("begin") == 2; }));
   EXPECT_EQ(rig.logged("overlap"), 0);
 }
@@ -100,12 +100,12 @@
       artifacts::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
   ::kill(j["pid"].get<pid_t>(), SIGSTOP);
   rig.kill_agent();
-  double until = agent::LeasePage(rig.dir / "m" / "lease", agent::LeasePage::Open::read).until();
+  double until = agent::LeaseFile(rig.dir / "m" / "lease", agent::LeaseFile::Open::read).until();
   ASSERT_TRUE(rig.until([&] { return agent::boot_now() > until; }));
   EXPECT_FALSE(rig.nothing_left_of(id));
   rig.tasks[id].wanted = false;
   rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.last.session == 2; }));
+  ASSERT_TRUE(rig.until([&] { return rig.last.incarnation == 2; }));
   EXPECT_TRUE(rig.nothing_left_of(id));
 }
 
@@ -199,7 +199,8 @@
               1);
   rig.start();
   ASSERT_TRUE(rig.until([&] {
-    auto n = artifacts::Store(rig.dir / "depot").get_name(client_protocol::save_name({id, 0}));
+    auto n =
+        artifacts::Store(rig.dir / "depot").get_name(client_protocol::checkpoint_name({id, 0}));
     return n && n->part == 2;
   })) << artifacts::read_whole(rig.dir / "agent.log");
   rig.kill_agent();
@@ -369,17 +370,17 @@
   auto r = rig.order(R"({"staff":6,"shift":1,"orders":[{"order":"dance"},
                          {"order":"start","car":"run-999999/0","departure":3}]})");
   EXPECT_EQ(r.status, 200);
-  auto report = wire::decode_report(r.body);
+  auto report = wire::decode_heartbeat(r.body);
   EXPECT_EQ(report.token, 6u);
   ASSERT_EQ(report.tasks.size(), 1u);
   rig.tasks.clear();
   // Nobody has described that job: refused as unknown, and the token of the answers is too low now.
   ASSERT_TRUE(rig.until([&] {
     auto s = rig.status();
-    return s.tasks.size() == 1 && s.tasks[0].why == wire::ExitReason::unknown;
+    return s.tasks.size() == 1 && s.tasks[0].exit_reason == wire::ExitReason::unknown;
   }));
-  std::uint64_t seq = rig.status().seq;
-  EXPECT_GT(rig.status().seq, seq);
+  std::uint64_t seq = rig.status().sequence;
+  EXPECT_GT(rig.status().sequence, seq);
   rig.token = 7;
   std::ofstream(rig.dir / "m" / "recall") << "12";
   ASSERT_TRUE(rig.until([&] { return rig.last.notice_s && *rig.last.notice_s <= 12; }));
@@ -396,14 +397,14 @@
   rig.start();
   int before = rig.reports;
   ASSERT_TRUE(rig.until([&] { return rig.reports > before + 1; }));
-  EXPECT_EQ(rig.last.session, 1u);
+  EXPECT_EQ(rig.last.incarnation, 1u);
   EXPECT_EQ(rig.tasks[id].attempt, 1u);
   EXPECT_EQ(rig.logged("begin"), 1);
   rig.kill_agent(SIGTERM);
   EXPECT_TRUE(agent::end_all({rig.dir / "m"}));
   EXPECT_TRUE(rig.nothing_left_of(id));
   rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.last.session == 2; }));
+  ASSERT_TRUE(rig.until([&] { return rig.last.incarnation == 2; }));
 }
 
 }  // namespace
--- a/tests/agent_rig.h
+++ b/tests/agent_rig.h
@@ -112,10 +112,10 @@
   // attempt of its own, stand in the log.
   std::string add(const std::string& script, double save_every_s = 0,
                   const std::string& image = "") {
-    client_protocol::Description d;
+    client_protocol::JobDescription d;
     std::string id = "run-" + std::to_string(100001 + jobs_++);
     d.job.id = id;
-    d.job.cls = "c";
+    d.job.job_class = "c";
     d.job.team = "t";
     d.job.image = "none";
     d.job.cpus = 1;
@@ -175,7 +175,7 @@
     until([&] { return over; });
     return out;
   }
-  wire::Report status() { return wire::decode_report(order("", "/status").body); }
+  wire::Heartbeat status() { return wire::decode_heartbeat(order("", "/status").body); }
 
   actor::Loop loop;
   fs::path dir;
@@ -183,7 +183,7 @@
   pid_t pid = 0;
   std::uint64_t token = 5;
   std::map<std::string, Task> tasks;
-  wire::Report last;
+  wire::Heartbeat last;
   int reports = 0;
   double grace_s = 20;
 
@@ -191,26 +191,27 @@
   // A controller in a few lines: what is wanted is started until it is seen, what has exited is
   // reaped, and what did not get done is tried once more.
   void heartbeat(net::ExchangePtr ex) {
-    last = wire::decode_report(ex->body);
+    last = wire::decode_heartbeat(ex->body);
     ++reports;
     std::vector<wire::Command> commands;
-    std::map<std::string, wire::TaskReport> there;
+    std::map<std::string, wire::TaskStatus> there;
     for (const auto& t : last.tasks) {
       if (t.state == wire::TaskState::exited)
-        commands.push_back({wire::Command::Op::forget, t.task, t.attempt, 0});
+        commands.push_back({wire::Command::Op::acknowledge, t.task, t.attempt, 0});
       Task& w = tasks[t.task.job];
       if (t.attempt == w.attempt && w.sent) there[t.task.job] = t;
     }
     for (auto& [id, w] : tasks) {
-      if (w.sent && last.session > w.session) {
+      if (w.sent && last.incarnation > w.session) {
         ++w.lost;
         ++w.attempt;
         w.sent = false;
       }
       auto it = there.find(id);
       if (it != there.end() && it->second.state == wire::TaskState::exited) {
-        w.why = std::to_string(static_cast<int>(it->second.why)) + (it->second.kept ? "kept" : "");
-        if (it->second.why == wire::ExitReason::done) {
+        w.why = std::to_string(static_cast<int>(it->second.exit_reason)) +
+                (it->second.checkpointed ? "kept" : "");
+        if (it->second.exit_reason == wire::ExitReason::done) {
           ++w.done;
           w.wanted = false;
         } else {
@@ -223,10 +224,10 @@
       } else if (it == there.end() && w.wanted && !w.cancelled) {
         commands.push_back({wire::Command::Op::start, {id, 0}, w.attempt, 0});
         w.sent = true;
-        w.session = last.session;
+        w.session = last.incarnation;
       }
     }
-    ex->send({200, wire::encode_orders(token, commands), 0});
+    ex->send({200, wire::encode_heartbeat_response(token, commands), 0});
   }
 
   double lease_s_;
--- a/tests/local_cluster_test.cpp
+++ b/tests/local_cluster_test.cpp
@@ -169,7 +169,7 @@
   set.start();
   ASSERT_EQ(set.ctl("submit --wait -- true").first, 0);
   std::ifstream in(set.dir / "set" / "controllers" / "node-0.json");
-  cli::Service state(nlohmann::json::parse(in)["services"]["state"].get<std::string>());
+  cli::ServiceClient state(nlohmann::json::parse(in)["services"]["state"].get<std::string>());
   auto level = [&](int n) {
     const std::string text = std::to_string(n);
     state.order("/commit", R"({"guards":[],"writes":[{"set":"st/l/active","value":{"level":)" +
@@ -200,22 +200,22 @@
 // A shorter run of the trial of docs/results.md.
 TEST(LocalSet, KillsAtRandomLeaveEachTaskOneAnswer) {
   std::string name = fs::temp_directory_path() / "shunt-trial-XXXXXX";
-  checker::Plan p;
+  chaos::ChaosPlan p;
   p.dir = ::mkdtemp(name.data());
   p.programs = fs::path(SHUNTTRAIL_LOCAL).parent_path();
   p.tasks = 80;
   p.machines = 4;
   p.limit_s = 300;
   p.seed = 20;
-  checker::Outcome o = checker::run(p);
-  EXPECT_TRUE(o.faults.empty()) << checker::to_json(o);
+  chaos::ChaosResult o = chaos::run(p);
+  EXPECT_TRUE(o.faults.empty()) << chaos::to_json(o);
   EXPECT_GE(o.ends, 80u);
   fs::remove_all(p.dir);
 }
 
 TEST(Checker, FindsEachFault) {
   auto faults = [](const std::string& log, std::vector<std::uint64_t> answers) {
-    checker::Attempts a;
+    chaos::Attempts a;
     std::istringstream in(log);
     a.read(in);
     for (auto n : answers) a.answered("run-1", 0, n);
@@ -246,15 +246,15 @@
   std::ifstream in(std::string(SHUNTTRAIL_SOURCE) + "/deploy/local.xml");
   std::ostringstream text;
   text << in.rdbuf();
-  auto s = local::parse_settings(text.str());
+  auto s = local_cluster::parse_settings(text.str());
   EXPECT_EQ(s.controllers, 3);
   auto fails = [&](const std::string& from, const std::string& to, const std::string& names) {
     std::string bad = text.str();
     bad.replace(bad.find(from), from.size(), to);
     try {
-      local::parse_settings(bad);
+      local_cluster::parse_settings(bad);
       ADD_FAILURE() << to;
-    } catch (const config::BadSettings& e) {
+    } catch (const config::SettingsError& e) {
       EXPECT_NE(std::string(e.what()).find(names), std::string::npos) << e.what();
     }
   };
--- a/tests/pbs_test.cpp
+++ b/tests/pbs_test.cpp
@@ -65,19 +65,19 @@
   const auto& s = j.description.job;
   EXPECT_EQ(j.name, "night_render");
   EXPECT_EQ(s.team, "bulk");
-  EXPECT_EQ(s.cls, "bulk");
+  EXPECT_EQ(s.job_class, "bulk");
   EXPECT_EQ(s.priority, wire::Priority::idle);
   EXPECT_EQ(s.tasks, 3u);
   EXPECT_EQ(s.cpus, 2);
   EXPECT_EQ(s.mem_gb, 4);
-  EXPECT_TRUE(s.spread);
-  EXPECT_FALSE(s.one_zone);
+  EXPECT_TRUE(s.anti_affinity);
+  EXPECT_FALSE(s.same_zone);
   EXPECT_EQ(s.estimate_s, 5400);
   EXPECT_EQ(j.description.limit_s, 5400);
-  EXPECT_EQ(s.awaits,
+  EXPECT_EQ(s.dependencies,
             (std::vector<std::string>{"run-77000000000000000012", "run-77000000000000000013"}));
   EXPECT_EQ(j.after_ok.size(), 2u);
-  EXPECT_TRUE(wire::valid_job_id(s.awaits[0]));
+  EXPECT_TRUE(wire::valid_job_id(s.dependencies[0]));
   EXPECT_EQ(j.description.env.at("A"), "b c");
   EXPECT_EQ(j.description.env.at("LANG"), "C");
   EXPECT_EQ(j.description.env.at("PBS_O_WORKDIR"), "/home/ana/work");
@@ -273,7 +273,7 @@
     try {
       parse_tables(xml);
       ADD_FAILURE() << names;
-    } catch (const config::BadSettings& e) {
+    } catch (const config::SettingsError& e) {
       EXPECT_NE(std::string(e.what()).find(names), std::string::npos) << e.what();
     }
   };
