--- a/app/shunttrail-agent.cpp
+++ b/app/shunttrail-agent.cpp
@@ -37,7 +37,10 @@
       add(
           n, [](evutil_socket_t, short, void* l) { static_cast<actor::Loop*>(l)->stop(); }, &loop);
     add(
-        SIGUSR2, [](evutil_socket_t, short, void* a2) { static_cast<agent::Agent*>(a2)->notice(); },
+        SIGUSR2,
+        [](evutil_socket_t, short, void* a2) {
+          static_cast<agent::Agent*>(a2)->give_spot_notice();
+        },
         &agent);
     // Shepherds of this process; those of an earlier one are not its children.
     add(
--- a/src/agent/agent_journal.cpp
+++ b/src/agent/agent_journal.cpp
@@ -9,65 +9,141 @@
   throw JournalError("record: " + what + ": " + (db ? sqlite3_errmsg(db) : "out of memory"));
 }
 
+// A prepared statement: parameters are bound in order, then rows are read one by one.
 class Statement {
  public:
   Statement(sqlite3* db, const char* sql) : db_(db) {
-    if (sqlite3_prepare_v2(db, sql, -1, &s_, nullptr) != SQLITE_OK) fail(db, sql);
+    if (sqlite3_prepare_v2(db, sql, -1, &statement_, nullptr) != SQLITE_OK) fail(db, sql);
   }
-  ~Statement() { sqlite3_finalize(s_); }
+  ~Statement() { sqlite3_finalize(statement_); }
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
-  Statement& text(const std::string& v) {
-    sqlite3_bind_text(s_, ++at_, v.data(), static_cast<int>(v.size()), SQLITE_TRANSIENT);
+
+  Statement& text(const std::string& value) {
+    sqlite3_bind_text(statement_, ++bound_, value.data(), static_cast<int>(value.size()),
+                      SQLITE_TRANSIENT);
     return *this;
   }
-  Statement& whole(std::uint64_t v) {
-    sqlite3_bind_int64(s_, ++at_, static_cast<sqlite3_int64>(v));
+  Statement& whole(std::uint64_t value) {
+    sqlite3_bind_int64(statement_, ++bound_, static_cast<sqlite3_int64>(value));
     return *this;
   }
-  Statement& real(double v) {
-    sqlite3_bind_double(s_, ++at_, v);
+  Statement& real(double value) {
+    sqlite3_bind_double(statement_, ++bound_, value);
     return *this;
   }
-  bool row() {
-    int r = sqlite3_step(s_);
-    if (r == SQLITE_ROW) return true;
-    if (r != SQLITE_DONE) fail(db_, "write");
+
+  // Runs the statement up to its next row. False: there is no further one.
+  bool next_row() {
+    const int result = sqlite3_step(statement_);
+    if (result == SQLITE_ROW) return true;
+    if (result != SQLITE_DONE) fail(db_, "write");
     return false;
   }
-  std::string text_at(int i) const {
-    const auto* p = reinterpret_cast<const char*>(sqlite3_column_text(s_, i));
-    return p ? std::string(p, static_cast<std::size_t>(sqlite3_column_bytes(s_, i))) : "";
+  // Runs a statement that has no rows.
+  void run() { next_row(); }
+
+  // Columns of the row are read in order.
+  std::string read_text() {
+    const int column = read_++;
+    const auto* bytes = reinterpret_cast<const char*>(sqlite3_column_text(statement_, column));
+    if (!bytes) return "";
+    return {bytes, static_cast<std::size_t>(sqlite3_column_bytes(statement_, column))};
   }
-  std::uint64_t whole_at(int i) const {
-    return static_cast<std::uint64_t>(sqlite3_column_int64(s_, i));
+  std::uint64_t read_whole() {
+    return static_cast<std::uint64_t>(sqlite3_column_int64(statement_, read_++));
   }
-  double real_at(int i) const { return sqlite3_column_double(s_, i); }
+  bool read_flag() { return read_whole() != 0; }
+  double read_real() { return sqlite3_column_double(statement_, read_++); }
+  void begin_row() { read_ = 0; }
 
  private:
   sqlite3* db_;
-  sqlite3_stmt* s_ = nullptr;
-  int at_ = 0;
+  sqlite3_stmt* statement_ = nullptr;
+  int bound_ = 0;
+  int read_ = 0;
 };
 
+// Rolls back unless it was committed.
+class Transaction {
+ public:
+  explicit Transaction(sqlite3* db) : db_(db) { run("BEGIN IMMEDIATE"); }
+  ~Transaction() {
+    if (!committed_) sqlite3_exec(db_, "ROLLBACK", nullptr, nullptr, nullptr);
+  }
+  Transaction(const Transaction&) = delete;
+  Transaction& operator=(const Transaction&) = delete;
+  void commit() {
+    run("COMMIT");
+    committed_ = true;
+  }
+
+ private:
+  void run(const char* sql) {
+    if (sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) != SQLITE_OK) fail(db_, sql);
+  }
+  sqlite3* db_;
+  bool committed_ = false;
+};
+
+std::pair<Key, Attempt> read_attempt(Statement& row) {
+  Key key;
+  Attempt attempt;
+  row.begin_row();
+  key.job = row.read_text();
+  key.index = static_cast<std::uint32_t>(row.read_whole());
+  key.attempt = row.read_whole();
+  const std::uint64_t phase = row.read_whole();
+  attempt.stopping = row.read_flag();
+  attempt.saving = row.read_flag();
+  const std::uint64_t exit_reason = row.read_whole();
+  if (phase > static_cast<std::uint64_t>(Phase::exited) ||
+      exit_reason > static_cast<std::uint64_t>(wire::ExitReason::unknown))
+    throw JournalError("record: an attempt of " + key.job + " is damaged");
+  attempt.phase = static_cast<Phase>(phase);
+  attempt.exit_reason = static_cast<wire::ExitReason>(exit_reason);
+  attempt.checkpointed = row.read_flag();
+  attempt.needs.cpus = row.read_real();
+  attempt.needs.gpus = row.read_real();
+  attempt.needs.mem_gb = row.read_real();
+  attempt.saves = row.read_flag();
+  attempt.save_s = row.read_real();
+  return {key, attempt};
+}
+
 }  // namespace
 
 void AgentJournal::Close::operator()(sqlite3* db) const { sqlite3_close(db); }
 
 AgentJournal::AgentJournal(const std::filesystem::path& file, Step step) : step_(std::move(step)) {
+  open(file);
+  check_format(file);
+  create_tables();
+}
+
+AgentJournal::~AgentJournal() = default;
+
+void AgentJournal::open(const std::filesystem::path& file) {
   sqlite3* db = nullptr;
-  int r = sqlite3_open_v2(file.c_str(), &db, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
+  const int flags = SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE;
+  const int result = sqlite3_open_v2(file.c_str(), &db, flags, nullptr);
   db_.reset(db);
-  if (r != SQLITE_OK) fail(db, file.string());
+  if (result != SQLITE_OK) fail(db, file.string());
   exec("PRAGMA journal_mode=WAL");
-  // An answer of this record means that it is on the disk.
+  // A commit means that it is on the disk.
   exec("PRAGMA synchronous=FULL");
   exec("PRAGMA locking_mode=EXCLUSIVE");
   exec("CREATE TABLE IF NOT EXISTS facts(name TEXT PRIMARY KEY, value TEXT NOT NULL)");
-  std::string format = get("format");
+}
+
+void AgentJournal::check_format(const std::filesystem::path& file) const {
+  const std::string format = get("format");
   if (!format.empty() && format != std::to_string(kFormat))
     throw JournalError("record: " + file.string() + " has format " + format +
                        ", this program knows " + std::to_string(kFormat));
+}
+
+void AgentJournal::create_tables() {
   exec(
       "CREATE TABLE IF NOT EXISTS attempts(job TEXT, task INTEGER, attempt INTEGER, phase INTEGER, "
       "stopping INTEGER, saving INTEGER, why INTEGER, kept INTEGER, cpus REAL, gpus REAL, "
@@ -76,122 +152,117 @@
       "CREATE TABLE IF NOT EXISTS forgotten(n INTEGER PRIMARY KEY AUTOINCREMENT, task TEXT UNIQUE, "
       "attempt INTEGER)");
 }
-AgentJournal::~AgentJournal() = default;
 
 void AgentJournal::exec(const char* sql) {
   if (sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr) != SQLITE_OK) fail(db_.get(), sql);
 }
+
 void AgentJournal::put(const char* name, const std::string& value) {
-  Statement s(db_.get(), "INSERT OR REPLACE INTO facts VALUES(?,?)");
-  s.text(name).text(value).row();
+  Statement insert(db_.get(), "INSERT OR REPLACE INTO facts VALUES(?,?)");
+  insert.text(name).text(value).run();
 }
+
 std::string AgentJournal::get(const char* name) const {
-  Statement s(db_.get(), "SELECT value FROM facts WHERE name=?");
-  return s.text(name).row() ? s.text_at(0) : "";
+  Statement select(db_.get(), "SELECT value FROM facts WHERE name=?");
+  return select.text(name).next_row() ? select.read_text() : "";
 }
 
 std::string AgentJournal::boot() const { return get("boot"); }
 
 std::optional<AttemptTable> AgentJournal::load(const std::string& machine) {
-  std::string whose = get("machine");
-  if (whose.empty()) return std::nullopt;
-  if (whose != machine)
-    throw JournalError("record: belongs to machine " + whose + ", not to " + machine);
-  AttemptTable b;
-  b.incarnation = std::stoull(get("session"));
-  b.token = std::stoull(get("token"));
-  b.reserved = std::stoull(get("reserved"));
-  Statement s(
+  const std::string owner = get("machine");
+  if (owner.empty()) return std::nullopt;
+  if (owner != machine)
+    throw JournalError("record: belongs to machine " + owner + ", not to " + machine);
+  AttemptTable table;
+  table.incarnation = std::stoull(get("session"));
+  table.token = std::stoull(get("token"));
+  table.reserved = std::stoull(get("reserved"));
+  Statement attempts(
       db_.get(),
       "SELECT job,task,attempt,phase,stopping,saving,why,kept,cpus,gpus,mem_gb,saves,save_s "
       "FROM attempts");
-  while (s.row()) {
-    Attempt a;
-    if (s.whole_at(3) > 3 || s.whole_at(6) > static_cast<std::uint64_t>(wire::ExitReason::unknown))
-      throw JournalError("record: an attempt of " + s.text_at(0) + " is damaged");
-    a.phase = static_cast<Phase>(s.whole_at(3));
-    a.stopping = s.whole_at(4) != 0;
-    a.saving = s.whole_at(5) != 0;
-    a.exit_reason = static_cast<wire::ExitReason>(s.whole_at(6));
-    a.checkpointed = s.whole_at(7) != 0;
-    a.needs = {s.real_at(8), s.real_at(9), s.real_at(10)};
-    a.saves = s.whole_at(11) != 0;
-    a.save_s = s.real_at(12);
-    b.attempts[{s.text_at(0), static_cast<std::uint32_t>(s.whole_at(1)), s.whole_at(2)}] = a;
+  while (attempts.next_row()) table.attempts.insert(read_attempt(attempts));
+  Statement acknowledged(db_.get(), "SELECT task,attempt FROM forgotten ORDER BY n");
+  while (acknowledged.next_row()) {
+    acknowledged.begin_row();
+    const std::string task = acknowledged.read_text();
+    table.acknowledged.emplace_back(task, acknowledged.read_whole());
   }
-  Statement f(db_.get(), "SELECT task,attempt FROM forgotten ORDER BY n");
-  while (f.row()) b.acknowledged.emplace_back(f.text_at(0), f.whole_at(1));
-  return b;
+  return table;
 }
 
 void AgentJournal::begin(const std::string& machine, const std::string& boot,
-                         const AttemptTable& book) {
-  exec("BEGIN IMMEDIATE");
-  try {
-    exec("DELETE FROM attempts");
-    exec("DELETE FROM forgotten");
-    put("format", std::to_string(kFormat));
-    put("machine", machine);
-    put("boot", boot);
-    put("session", std::to_string(book.incarnation));
-    put("token", std::to_string(book.token));
-    put("reserved", std::to_string(book.reserved));
-    step_("begin.before");
-    exec("COMMIT");
-  } catch (const JournalError&) {
-    sqlite3_exec(db_.get(), "ROLLBACK", nullptr, nullptr, nullptr);
-    throw;
-  }
+                         const AttemptTable& table) {
+  Transaction transaction(db_.get());
+  exec("DELETE FROM attempts");
+  exec("DELETE FROM forgotten");
+  put("format", std::to_string(kFormat));
+  put("machine", machine);
+  put("boot", boot);
+  put("session", std::to_string(table.incarnation));
+  put("token", std::to_string(table.token));
+  put("reserved", std::to_string(table.reserved));
+  step_("begin.before");
+  transaction.commit();
   step_("begin.after");
 }
 
-void AgentJournal::save(const AttemptTable& now, const AttemptTable& next,
+void AgentJournal::save(const AttemptTable& current, const AttemptTable& next,
                         const std::string& step) {
-  if (now == next) return;
-  exec("BEGIN IMMEDIATE");
-  try {
-    if (now.incarnation != next.incarnation) put("session", std::to_string(next.incarnation));
-    if (now.token != next.token) put("token", std::to_string(next.token));
-    if (now.reserved != next.reserved) put("reserved", std::to_string(next.reserved));
-    for (const auto& [k, a] : now.attempts) {
-      if (next.attempts.contains(k)) continue;
-      Statement s(db_.get(), "DELETE FROM attempts WHERE job=? AND task=? AND attempt=?");
-      s.text(k.job).whole(k.index).whole(k.attempt).row();
-    }
-    for (const auto& [k, a] : next.attempts) {
-      auto was = now.attempts.find(k);
-      if (was != now.attempts.end() && was->second == a) continue;
-      Statement s(db_.get(), "INSERT OR REPLACE INTO attempts VALUES(?,?,?,?,?,?,?,?,?,?,?,?,?)");
-      s.text(k.job).whole(k.index).whole(k.attempt).whole(static_cast<std::uint64_t>(a.phase));
-      s.whole(a.stopping)
-          .whole(a.saving)
-          .whole(static_cast<std::uint64_t>(a.exit_reason))
-          .whole(a.checkpointed);
-      s.real(a.needs.cpus).real(a.needs.gpus).real(a.needs.mem_gb).whole(a.saves).real(a.save_s);
-      s.row();
-    }
-    if (now.acknowledged != next.acknowledged) {
-      std::map<std::string, std::uint64_t> old(now.acknowledged.begin(), now.acknowledged.end());
-      for (const auto& [task, attempt] : next.acknowledged) {
-        auto it = old.find(task);
-        bool same = it != old.end() && it->second == attempt;
-        if (it != old.end()) old.erase(it);
-        if (same) continue;
-        Statement s(db_.get(), "INSERT OR REPLACE INTO forgotten(task,attempt) VALUES(?,?)");
-        s.text(task).whole(attempt).row();
-      }
-      for (const auto& [task, attempt] : old) {
-        Statement s(db_.get(), "DELETE FROM forgotten WHERE task=?");
-        s.text(task).row();
-      }
-    }
-    step_(step + ".before");
-    exec("COMMIT");
-  } catch (const JournalError&) {
-    sqlite3_exec(db_.get(), "ROLLBACK", nullptr, nullptr, nullptr);
-    throw;
-  }
+  if (current == next) return;
+  Transaction transaction(db_.get());
+  if (current.incarnation != next.incarnation) put("session", std::to_string(next.incarnation));
+  if (current.token != next.token) put("token", std::to_string(next.token));
+  if (current.reserved != next.reserved) put("reserved", std::to_string(next.reserved));
+  save_attempts(current, next);
+  if (current.acknowledged != next.acknowledged) save_acknowledged(current, next);
+  step_(step + ".before");
+  transaction.commit();
   step_(step + ".after");
 }
 
+void AgentJournal::save_attempts(const AttemptTable& current, const AttemptTable& next) {
+  for (const auto& [key, attempt] : current.attempts)
+    if (!next.attempts.contains(key)) remove_attempt(key);
+  for (const auto& [key, attempt] : next.attempts) {
+    auto before = current.attempts.find(key);
+    if (before == current.attempts.end() || before->second != attempt) put_attempt(key, attempt);
+  }
+}
+
+void AgentJournal::remove_attempt(const Key& key) {
+  Statement remove(db_.get(), "DELETE FROM attempts WHERE job=? AND task=? AND attempt=?");
+  remove.text(key.job).whole(key.index).whole(key.attempt).run();
+}
+
+void AgentJournal::put_attempt(const Key& key, const Attempt& attempt) {
+  Statement insert(db_.get(), "INSERT OR REPLACE INTO attempts VALUES(?,?,?,?,?,?,?,?,?,?,?,?,?)");
+  insert.text(key.job).whole(key.index).whole(key.attempt);
+  insert.whole(static_cast<std::uint64_t>(attempt.phase));
+  insert.whole(attempt.stopping).whole(attempt.saving);
+  insert.whole(static_cast<std::uint64_t>(attempt.exit_reason)).whole(attempt.checkpointed);
+  insert.real(attempt.needs.cpus).real(attempt.needs.gpus).real(attempt.needs.mem_gb);
+  insert.whole(attempt.saves).real(attempt.save_s);
+  insert.run();
+}
+
+// In the order of `next`, which the table keeps.
+void AgentJournal::save_acknowledged(const AttemptTable& current, const AttemptTable& next) {
+  std::map<std::string, std::uint64_t> obsolete(current.acknowledged.begin(),
+                                                current.acknowledged.end());
+  for (const auto& [task, attempt] : next.acknowledged) {
+    auto before = obsolete.find(task);
+    const bool is_unchanged = before != obsolete.end() && before->second == attempt;
+    if (before != obsolete.end()) obsolete.erase(before);
+    if (is_unchanged) continue;
+    Statement insert(db_.get(), "INSERT OR REPLACE INTO forgotten(task,attempt) VALUES(?,?)");
+    insert.text(task).whole(attempt).run();
+  }
+  for (const auto& [task, attempt] : obsolete) {
+    Statement remove(db_.get(), "DELETE FROM forgotten WHERE task=?");
+    remove.text(task).run();
+  }
+}
+
 }  // namespace shunttrail::agent
--- a/src/agent/agent_journal.h
+++ b/src/agent/agent_journal.h
@@ -1,6 +1,6 @@
-// The agent's record on disk (SQLite): the book, whole, as of the last durable step. Every change
-// of the book is one transaction, synced before it is acted on. The format has a version; a newer
-// one than this program knows is refused. Format 1 is described in docs/agent.md.
+// The agent's journal on disk (SQLite): the attempt table, whole, as of the last durable step.
+// Every change of the table is one transaction, synced before it is acted on. The format has a
+// version; a newer one than this program knows is refused. Format 1 is described in docs/agent.md.
 #pragma once
 #include <filesystem>
 #include <functional>
@@ -15,35 +15,47 @@
 
 namespace shunttrail::agent {
 
-// The record cannot be read or written; says in one line why. After a failed write it holds what
-// it held before.
+/// The journal cannot be read or written; says in one line why. After a failed write it holds what
+/// it held before.
 struct JournalError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
+/// All functions throw JournalError.
 class AgentJournal {
  public:
   static constexpr int kFormat = 1;
-  // Called before and after every durable step, with its name: where tests end the process.
+  /// Called before and after every durable step, with its name: where tests end the process.
   using Step = std::function<void(const std::string&)>;
+
+  /// Opens the file, or makes it.
   AgentJournal(const std::filesystem::path& file, Step step);
   ~AgentJournal();
   AgentJournal(const AgentJournal&) = delete;
   AgentJournal& operator=(const AgentJournal&) = delete;
 
-  // What the last process left, or nothing where there was none. The machine's name belongs to it:
-  // a record of another machine is refused.
-  std::optional<AttemptTable> load(const std::string& machine);
-  // The boot in which it was written.
-  std::string boot() const;
-  // Makes `next` what is on record, written as the difference from `now`.
-  void save(const AttemptTable& now, const AttemptTable& next, const std::string& step);
-  void begin(const std::string& machine, const std::string& boot, const AttemptTable& book);
+  /// What the last process left; nothing if there was none. A journal of another machine is
+  /// refused.
+  [[nodiscard]] std::optional<AttemptTable> load(const std::string& machine);
+  /// The boot in which it was begun.
+  [[nodiscard]] std::string boot() const;
+  /// Replaces what the journal holds.
+  void begin(const std::string& machine, const std::string& boot, const AttemptTable& table);
+  /// Makes `next` what the journal holds, written as the difference from `current`.
+  void save(const AttemptTable& current, const AttemptTable& next, const std::string& step);
 
  private:
+  void open(const std::filesystem::path& file);
+  void check_format(const std::filesystem::path& file) const;
+  void create_tables();
+  void save_attempts(const AttemptTable& current, const AttemptTable& next);
+  void put_attempt(const Key& key, const Attempt& attempt);
+  void remove_attempt(const Key& key);
+  void save_acknowledged(const AttemptTable& current, const AttemptTable& next);
   void exec(const char* sql);
   void put(const char* name, const std::string& value);
-  std::string get(const char* name) const;
+  [[nodiscard]] std::string get(const char* name) const;
+
   struct Close {
     void operator()(sqlite3* db) const;
   };
--- /dev/null
+++ b/src/agent/agent_paths.cpp
@@ -0,0 +1,22 @@
+#include "agent/agent_paths.h"
+
+#include <string>
+
+#include "agent/lease_file.h"
+#include "agent/processes.h"
+
+namespace shunttrail::agent {
+
+TaskDirectory AgentPaths::task(const Key& key) const {
+  return {tasks() /
+          (key.job + "." + std::to_string(key.index) + "." + std::to_string(key.attempt))};
+}
+
+bool end_all(const AgentPaths& paths) {
+  if (!std::filesystem::exists(paths.tasks())) return true;
+  // Every supervisor that is still to start reads this first, and starts nothing.
+  LeaseFile(paths.lease(), LeaseFile::Open::write).set(0, 0);
+  return sweep(paths.tasks());
+}
+
+}  // namespace shunttrail::agent
--- a/src/agent/attempt_table.cpp
+++ b/src/agent/attempt_table.cpp
@@ -4,149 +4,191 @@
 
 namespace shunttrail::agent {
 namespace {
-constexpr std::size_t kForgottenKept = 2000;
 
-std::string name(const Key& k) { return k.job + "/" + std::to_string(k.index); }
-std::string label(const Key& k) { return name(k) + " attempt " + std::to_string(k.attempt); }
+constexpr std::size_t kMaxAcknowledged = 2000;
+constexpr double kRoundingSlack = 1e-6;  // of sums of resources
+
+std::string task_name(const Key& key) { return key.job + "/" + std::to_string(key.index); }
+std::string label(const Key& key) {
+  return task_name(key) + " attempt " + std::to_string(key.attempt);
+}
+
+bool fits(const Resources& needs, const Resources& machine) {
+  return needs.cpus <= machine.cpus + kRoundingSlack &&
+         needs.gpus <= machine.gpus + kRoundingSlack &&
+         needs.mem_gb <= machine.mem_gb + kRoundingSlack;
+}
+
+wire::TaskStatus status_of(const Key& key, const Attempt& attempt) {
+  wire::TaskStatus status{key.task(), key.attempt};
+  switch (attempt.phase) {
+    case Phase::accepted:
+      status.state = wire::TaskState::fetching;
+      break;
+    case Phase::launched:
+      status.state = attempt.saving ? wire::TaskState::saving : wire::TaskState::running;
+      break;
+    case Phase::ended:
+      // It holds its place until its result is safe: `done` is never taken back.
+      status.state = attempt.exit_reason == wire::ExitReason::stopped ? wire::TaskState::saving
+                                                                      : wire::TaskState::running;
+      break;
+    case Phase::exited:
+      status.state = wire::TaskState::exited;
+      status.exit_reason = attempt.exit_reason;
+      status.checkpointed = attempt.checkpointed;
+      break;
+  }
+  return status;
+}
+
 }  // namespace
 
-Attempt* AttemptTable::find(const Key& k) {
-  auto it = attempts.find(k);
+Attempt* AttemptTable::find(const Key& key) {
+  auto it = attempts.find(key);
   return it == attempts.end() ? nullptr : &it->second;
 }
 
 std::vector<Effect> AttemptTable::execute(const std::vector<wire::Command>& commands,
                                           std::vector<std::string>* refused) {
-  std::vector<Effect> out;
-  for (const auto& c : commands) {
-    Key k{c.task.job, c.task.index, c.attempt};
-    switch (c.op) {
+  std::vector<Effect> effects;
+  for (const wire::Command& command : commands) {
+    const Key key{command.task.job, command.task.index, command.attempt};
+    switch (command.op) {
       case wire::Command::Op::start:
-        start(k, out, refused);
+        start(key, effects, refused);
         break;
       case wire::Command::Op::stop:
-        stop(k, c.grace_s, out);
+        stop(key, command.grace_s, effects);
         break;
       case wire::Command::Op::acknowledge:
-        acknowledge(k, out);
+        acknowledge(key, effects);
         break;
     }
   }
-  return out;
+  return effects;
 }
 
-void AttemptTable::start(const Key& k, std::vector<Effect>& out,
+std::optional<std::uint64_t> AttemptTable::highest_acknowledged(const Key& key) const {
+  const std::string task = task_name(key);
+  for (const auto& [name, attempt] : acknowledged)
+    if (name == task) return attempt;
+  return std::nullopt;
+}
+
+void AttemptTable::start(const Key& key, std::vector<Effect>& effects,
                          std::vector<std::string>* refused) {
-  if (find(k)) return;
+  if (find(key)) return;
   // Attempts of a task only go up (docs/safety.md, "attempts unique"): a lower one is a command
-  // that was held back on the way until after its own end.
-  auto late = [&](std::uint64_t seen) {
-    if (k.attempt > seen) return false;
-    if (refused) refused->push_back("start of " + label(k) + ": attempts have gone on");
-    return true;
-  };
-  bool held = false;
-  for (auto it = attempts.lower_bound({k.job, k.index, 0});
-       it != attempts.end() && it->first.job == k.job && it->first.index == k.index; ++it) {
-    if (late(it->first.attempt)) return;
-    held |= it->second.phase != Phase::exited;
+  // that was delayed on the way until after its own end.
+  std::optional<std::uint64_t> highest = highest_acknowledged(key);
+  bool holds_another = false;
+  for (auto it = attempts.lower_bound({key.job, key.index, 0});
+       it != attempts.end() && it->first.job == key.job && it->first.index == key.index; ++it) {
+    highest = std::max(highest.value_or(0), it->first.attempt);
+    holds_another |= it->second.phase != Phase::exited;
   }
-  const std::string task = name(k);
-  for (const auto& [t, attempt] : acknowledged)
-    if (t == task && late(attempt)) return;
-  Attempt a;
-  if (held) {
-    a.phase = Phase::exited;
-    a.exit_reason = wire::ExitReason::busy;
+  if (highest && key.attempt <= *highest) {
+    if (refused) refused->push_back("start of " + label(key) + ": attempts have gone on");
+    return;
+  }
+  Attempt attempt;
+  if (holds_another) {
+    attempt.phase = Phase::exited;
+    attempt.exit_reason = wire::ExitReason::busy;
   } else {
-    out.push_back({Effect::Kind::fetch, k});
+    effects.push_back({Effect::Kind::fetch, key});
   }
-  attempts.emplace(k, a);
+  attempts.emplace(key, attempt);
 }
 
-void AttemptTable::stop(const Key& k, double grace_s, std::vector<Effect>& out) {
-  Attempt* a = find(k);
-  if (!a) return;
-  switch (a->phase) {
+void AttemptTable::stop(const Key& key, double grace_s, std::vector<Effect>& effects) {
+  Attempt* attempt = find(key);
+  if (!attempt) return;
+  switch (attempt->phase) {
     case Phase::exited:
       return;
     case Phase::accepted:
     case Phase::ended:
       // No process is there. What is on its way to the artifact store may still get there; the
       // task's next attempt then finds it and is done at once.
-      a->phase = Phase::exited;
-      a->exit_reason = wire::ExitReason::stopped;
-      out.push_back({Effect::Kind::abandon, k});
+      attempt->phase = Phase::exited;
+      attempt->exit_reason = wire::ExitReason::stopped;
+      effects.push_back({Effect::Kind::abandon, key});
       return;
     case Phase::launched:
-      if (!a->stopping && a->saves && grace_s > 0 && grace_s >= a->save_s) {
-        a->stopping = a->saving = true;
-        out.push_back({Effect::Kind::save, k, grace_s});
-      } else if (!a->stopping || (a->saving && grace_s <= 0)) {
-        a->stopping = true;
-        a->saving = false;
-        out.push_back({Effect::Kind::kill, k});
+      const bool can_save = attempt->saves && grace_s > 0 && grace_s >= attempt->save_s;
+      if (!attempt->stopping && can_save) {
+        attempt->stopping = attempt->saving = true;
+        effects.push_back({Effect::Kind::save, key, grace_s});
+      } else if (!attempt->stopping || (attempt->saving && grace_s <= 0)) {
+        attempt->stopping = true;
+        attempt->saving = false;
+        effects.push_back({Effect::Kind::kill, key});
       }
       return;
   }
 }
 
-void AttemptTable::acknowledge(const Key& k, std::vector<Effect>& out) {
-  Attempt* a = find(k);
-  if (!a || a->phase != Phase::exited) return;
-  attempts.erase(k);
-  const std::string task = name(k);
-  std::uint64_t highest = k.attempt;
-  std::erase_if(acknowledged, [&](const auto& f) {
-    if (f.first != task) return false;
-    highest = std::max(highest, f.second);
-    return true;
-  });
+void AttemptTable::acknowledge(const Key& key, std::vector<Effect>& effects) {
+  const Attempt* attempt = find(key);
+  if (!attempt || attempt->phase != Phase::exited) return;
+  attempts.erase(key);
+  const std::string task = task_name(key);
+  const std::uint64_t highest = std::max(key.attempt, highest_acknowledged(key).value_or(0));
+  std::erase_if(acknowledged, [&](const auto& entry) { return entry.first == task; });
   acknowledged.emplace_back(task, highest);
-  if (acknowledged.size() > kForgottenKept) acknowledged.pop_front();
-  out.push_back({Effect::Kind::drop, k});
+  if (acknowledged.size() > kMaxAcknowledged) acknowledged.pop_front();
+  effects.push_back({Effect::Kind::drop, key});
 }
 
-bool AttemptTable::described(const Key& k, const Resources& needs, bool saves, double save_s,
-                             const Resources& machine) {
-  Attempt* a = find(k);
-  if (!a) return false;
-  Resources used = needs;
-  for (const auto& [other, b] : attempts) {
-    if (other == k || b.phase == Phase::exited) continue;
-    used.cpus += b.needs.cpus;
-    used.gpus += b.needs.gpus;
-    used.mem_gb += b.needs.mem_gb;
+// What the machine has to hold if this attempt needs so much.
+Resources AttemptTable::total_with(const Key& key, const Resources& needs) const {
+  Resources total = needs;
+  for (const auto& [other, attempt] : attempts) {
+    if (other == key || attempt.phase == Phase::exited) continue;
+    total.cpus += attempt.needs.cpus;
+    total.gpus += attempt.needs.gpus;
+    total.mem_gb += attempt.needs.mem_gb;
   }
-  constexpr double kSlack = 1e-6;
-  if (used.cpus > machine.cpus + kSlack || used.gpus > machine.gpus + kSlack ||
-      used.mem_gb > machine.mem_gb + kSlack) {
-    exited(k, wire::ExitReason::no_room);
+  return total;
+}
+
+bool AttemptTable::described(const Key& key, const Resources& needs, bool saves, double save_s,
+                             const Resources& machine) {
+  Attempt* attempt = find(key);
+  if (!attempt) return false;
+  if (!fits(total_with(key, needs), machine)) {
+    exited(key, wire::ExitReason::no_room);
     return false;
   }
-  a->needs = needs;
-  a->saves = saves;
-  a->save_s = save_s;
+  attempt->needs = needs;
+  attempt->saves = saves;
+  attempt->save_s = save_s;
   return true;
 }
 
-void AttemptTable::launched(const Key& k) {
-  if (Attempt* a = find(k)) a->phase = Phase::launched;
+void AttemptTable::launched(const Key& key) {
+  if (Attempt* attempt = find(key)) attempt->phase = Phase::launched;
 }
-void AttemptTable::ended(const Key& k, wire::ExitReason why, bool kept) {
-  if (Attempt* a = find(k)) {
-    a->phase = Phase::ended;
-    a->exit_reason = why;
-    a->checkpointed = kept;
-  }
+
+void AttemptTable::ended(const Key& key, wire::ExitReason reason, bool checkpointed) {
+  set_exit(key, Phase::ended, reason, checkpointed);
 }
-void AttemptTable::exited(const Key& k, wire::ExitReason why, bool kept) {
-  if (Attempt* a = find(k)) {
-    a->phase = Phase::exited;
-    a->exit_reason = why;
-    a->checkpointed = kept;
-  }
+
+void AttemptTable::exited(const Key& key, wire::ExitReason reason, bool checkpointed) {
+  set_exit(key, Phase::exited, reason, checkpointed);
+}
+
+void AttemptTable::set_exit(const Key& key, Phase phase, wire::ExitReason reason,
+                            bool checkpointed) {
+  Attempt* attempt = find(key);
+  if (!attempt) return;
+  attempt->phase = phase;
+  attempt->exit_reason = reason;
+  attempt->checkpointed = checkpointed;
 }
+
 void AttemptTable::next_incarnation() {
   ++incarnation;
   attempts.clear();
@@ -154,30 +196,9 @@
 }
 
 std::vector<wire::TaskStatus> AttemptTable::tasks() const {
-  std::vector<wire::TaskStatus> out;
-  for (const auto& [k, a] : attempts) {
-    wire::TaskStatus t{k.task(), k.attempt};
-    switch (a.phase) {
-      case Phase::accepted:
-        t.state = wire::TaskState::fetching;
-        break;
-      case Phase::launched:
-        t.state = a.saving ? wire::TaskState::saving : wire::TaskState::running;
-        break;
-      case Phase::ended:
-        // It holds its place until its result is safe: `done` is never taken back.
-        t.state = a.exit_reason == wire::ExitReason::stopped ? wire::TaskState::saving
-                                                             : wire::TaskState::running;
-        break;
-      case Phase::exited:
-        t.state = wire::TaskState::exited;
-        t.exit_reason = a.exit_reason;
-        t.checkpointed = a.checkpointed;
-        break;
-    }
-    out.push_back(std::move(t));
-  }
-  return out;
+  std::vector<wire::TaskStatus> statuses;
+  for (const auto& [key, attempt] : attempts) statuses.push_back(status_of(key, attempt));
+  return statuses;
 }
 
 }  // namespace shunttrail::agent
--- /dev/null
+++ b/src/agent/command_server.cpp
@@ -0,0 +1,59 @@
+#include "agent/command_server.h"
+
+#include <nlohmann/json.hpp>
+
+#include "log/log.h"
+
+namespace shunttrail::agent {
+namespace {
+
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;  // PROTOCOL: a request body
+constexpr double kRetryAfterS = 1;
+
+net::Answer unavailable() { return {503, "{}", kRetryAfterS}; }
+
+net::Answer bad_request(const std::string& why) {
+  return {
+      400,
+      nlohmann::json{{"error", why}}.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace),
+      0};
+}
+
+}  // namespace
+
+CommandServer::CommandServer(actor::Loop& loop, const Settings& settings, AgentState& state,
+                             HeartbeatClient::Callbacks callbacks)
+    : state_(state),
+      callbacks_(std::move(callbacks)),
+      server_(loop, settings.address, kMaxBodyBytes,
+              [this](net::ExchangePtr exchange) { exchange->send(answer(*exchange)); }) {}
+
+net::Answer CommandServer::answer(const net::Exchange& exchange) {
+  if (!state_.check_lease()) return unavailable();
+  if (exchange.path == "/status" && !exchange.post) return heartbeat_answer(200);
+  if (exchange.path == "/orders" && exchange.post) return execute(exchange.body);
+  return {404, "{\"error\":\"no such path\"}", 0};
+}
+
+net::Answer CommandServer::execute(const std::string& body) {
+  client_protocol::HeartbeatResponse commands;
+  try {
+    commands = client_protocol::decode_heartbeat_response(body);
+  } catch (const wire::Malformed& error) {
+    log::info("malformed direct command", {{"why", error.what()}});
+    return bad_request(error.what());
+  }
+  if (!commands.token || !commands.session) return bad_request("token or session is missing");
+  const bool counts = state_.attempts().accepts(commands.token) &&
+                      *commands.session == state_.attempts().incarnation;
+  if (counts && !callbacks_.execute(commands)) return unavailable();
+  return heartbeat_answer(counts ? 200 : 409);
+}
+
+net::Answer CommandServer::heartbeat_answer(int status) {
+  const wire::Heartbeat heartbeat = callbacks_.make_heartbeat();
+  if (heartbeat.sequence == 0) return unavailable();
+  return {status, client_protocol::encode_heartbeat(heartbeat), 0};
+}
+
+}  // namespace shunttrail::agent
--- /dev/null
+++ b/src/agent/heartbeat_client.h
@@ -0,0 +1,63 @@
+// The agent's heartbeats to the controllers, and their answers.
+#pragma once
+#include <functional>
+#include <memory>
+#include <random>
+#include <vector>
+
+#include "actor/loop.h"
+#include "agent/agent_state.h"
+#include "agent/settings.h"
+#include "client_protocol/client_protocol.h"
+#include "net/http.h"
+
+namespace shunttrail::agent {
+
+/// Sends one heartbeat at a time to one controller, another one if that does not answer or is not
+/// the leader. Source: PROTOCOL, "Workers -> controller nodes".
+class HeartbeatClient {
+ public:
+  struct Callbacks {
+    /// The next heartbeat; sequence 0: none may be sent.
+    std::function<wire::Heartbeat()> make_heartbeat;
+    /// Executes the commands of an answer whose token counts. False: the answer does not count.
+    std::function<bool(const client_protocol::HeartbeatResponse&)> execute;
+  };
+
+  /// Answers are taken in `mailbox`.
+  HeartbeatClient(actor::Loop& loop, actor::Actor& mailbox, const Settings& settings,
+                  AgentState& state, Callbacks callbacks);
+
+  /// Begins to send; the lease is checked by every heartbeat.
+  void start();
+  /// There is something to tell: sends as soon as the least interval allows.
+  void send_soon();
+
+ private:
+  void send();
+  [[nodiscard]] double next_send_at() const;
+  void take_answer(std::uint64_t incarnation, double sent_at, std::size_t controller,
+                   const net::Result& result);
+  void take_response(double sent_at, std::size_t controller, const std::string& body);
+  [[nodiscard]] bool follow_redirect(std::size_t controller, const std::string& body);
+  void next_controller();
+  void leave_controller(std::size_t next, double delay_s);
+
+  actor::Loop& loop_;
+  actor::Actor& mailbox_;
+  const Settings& settings_;
+  AgentState& state_;
+  Callbacks callbacks_;
+  std::mt19937 random_;
+  std::vector<std::unique_ptr<net::Client>> connections_;  // one for each controller
+  std::size_t controller_ = 0;                             // the one that heartbeats go to
+  bool in_flight_ = false;
+  bool has_news_ = true;
+  // Times of CLOCK_BOOTTIME, in seconds.
+  double last_sent_at_ = -1e9;
+  double due_at_ = 0;
+  double not_before_ = 0;
+  actor::Timer timer_;
+};
+
+}  // namespace shunttrail::agent
--- a/src/agent/image_cache.cpp
+++ b/src/agent/image_cache.cpp
@@ -4,15 +4,20 @@
 
 namespace shunttrail::agent {
 namespace fs = std::filesystem;
+using artifacts::Outcome;
 namespace {
+
+constexpr std::uint64_t kMaxUnpackedBytes = std::uint64_t{1} << 40;
+constexpr double kBytesPerGb = 1e9;
+
 std::uint64_t size_of(const fs::path& dir) {
-  std::uint64_t n = 0;
+  std::uint64_t bytes = 0;
   std::error_code ignored;
-  for (const auto& e : fs::recursive_directory_iterator(dir, ignored))
-    if (e.is_regular_file(ignored)) n += e.file_size(ignored);
-  return n;
+  for (const auto& entry : fs::recursive_directory_iterator(dir, ignored))
+    if (entry.is_regular_file(ignored)) bytes += entry.file_size(ignored);
+  return bytes;
 }
-constexpr std::uint64_t kMostUnpacked = std::uint64_t{1} << 40;
+
 }  // namespace
 
 ImageCache::ImageCache(actor::Loop& loop, artifacts::Client& artifacts, fs::path dir,
@@ -23,107 +28,133 @@
       cache_gb_(cache_gb),
       changed_(std::move(changed)) {
   fs::create_directories(dir_);
-  for (const auto& e : fs::directory_iterator(dir_)) {
-    const std::string name = e.path().filename();
-    // Whole images only have their hash for a name; the rest was under way when a process ended.
-    if (artifacts::valid_hash(name) && e.is_directory())
-      sizes_[name] = size_of(e.path());
+  for (const auto& entry : fs::directory_iterator(dir_)) {
+    const std::string name = entry.path().filename();
+    // Only whole images have their hash for a name.
+    if (artifacts::valid_hash(name) && entry.is_directory())
+      sizes_[name] = size_of(entry.path());
     else
-      fs::remove_all(e.path());
+      fs::remove_all(entry.path());
   }
 }
 
-ImageCache::State ImageCache::want(const std::string& hash, std::string& why) {
-  used_at_[hash] = ++uses_;
+fs::path ImageCache::archive(const std::string& hash) const { return dir_ / (hash + ".tar"); }
+fs::path ImageCache::unpacking(const std::string& hash) const { return dir_ / (hash + ".new"); }
+
+ImageCache::State ImageCache::request(const std::string& hash, std::string& why) {
+  last_use_[hash] = ++requests_;
   if (sizes_.contains(hash)) return State::ready;
-  auto [it, fresh] = fetches_.try_emplace(hash);
-  if (!fresh) {
-    if (!it->second.failed) return State::coming;
-    why = it->second.why;
-    fetches_.erase(it);
-    return State::bad;
+  auto [fetch, is_new] = fetches_.try_emplace(hash);
+  if (!is_new) {
+    if (!fetch->second.has_failed) return State::fetching;
+    why = fetch->second.why;
+    fetches_.erase(fetch);
+    return State::failed;
   }
-  artifacts_.get_file(
-      hash, tar(hash),
-      reply<artifacts::Outcome>([this, hash](artifacts::Outcome o) { arrived(hash, o); }));
-  return State::coming;
+  artifacts_.get_file(hash, archive(hash),
+                      reply<Outcome>([this, hash](Outcome outcome) { downloaded(hash, outcome); }));
+  return State::fetching;
 }
 
-void ImageCache::arrived(const std::string& hash, artifacts::Outcome o) {
-  auto it = fetches_.find(hash);
-  if (it == fetches_.end()) return;
-  if (it->second.given_up) {
-    std::error_code ignored;
-    fs::remove(tar(hash), ignored);
-    fetches_.erase(it);
+void ImageCache::downloaded(const std::string& hash, Outcome outcome) {
+  auto fetch = fetches_.find(hash);
+  if (fetch == fetches_.end()) return;
+  if (fetch->second.is_abandoned) {
+    remove_archive(hash);
+    fetches_.erase(fetch);
     return;
   }
-  switch (o) {
-    case artifacts::Outcome::ok:
+  switch (outcome) {
+    case Outcome::ok:
       return unpack(hash);
-    case artifacts::Outcome::later:
-      // The artifact store is away: whoever still wants it asks again.
-      fetches_.erase(it);
+    case Outcome::later:
+      // The artifact store does not answer: whoever still needs the image asks again.
+      fetches_.erase(fetch);
       return;
-    case artifacts::Outcome::absent:
-      return settle(hash, "the depot has no image " + hash);
-    case artifacts::Outcome::refused:
-      return settle(hash, "the image's content does not match its hash " + hash);
+    case Outcome::absent:
+      return fail(hash, "the depot has no image " + hash);
+    case Outcome::refused:
+      return fail(hash, "the image's content does not match its hash " + hash);
   }
 }
 
 void ImageCache::unpack(const std::string& hash) {
-  auto it = fetches_.find(hash);
-  if (it == fetches_.end()) return;
+  auto fetch = fetches_.find(hash);
+  if (fetch == fetches_.end()) return;
   try {
-    auto& u = it->second.unpacker;
-    if (!u) {
-      fs::remove_all(aside(hash));
-      u = std::make_unique<artifacts::Unpacker>(tar(hash), aside(hash), kMostUnpacked);
+    auto& unpacker = fetch->second.unpacker;
+    if (!unpacker) {
+      fs::remove_all(unpacking(hash));
+      unpacker =
+          std::make_unique<artifacts::Unpacker>(archive(hash), unpacking(hash), kMaxUnpackedBytes);
     }
-    if (!u->step()) return post([this, hash] { unpack(hash); });
-    u.reset();
-    fs::rename(aside(hash), path(hash));
-  } catch (const std::exception& e) {
-    return settle(hash, e.what());
+    if (!unpacker->step()) return post([this, hash] { unpack(hash); });
+    unpacker.reset();
+    fs::rename(unpacking(hash), path(hash));
+  } catch (const std::exception& error) {
+    return fail(hash, error.what());
   }
+  succeed(hash);
+}
+
+void ImageCache::succeed(const std::string& hash) {
   sizes_[hash] = size_of(path(hash));
-  settle(hash, "");
+  remove_archive(hash);
+  fetches_.erase(hash);
+  changed_();
 }
 
-void ImageCache::settle(const std::string& hash, const std::string& why) {
+void ImageCache::fail(const std::string& hash, const std::string& why) {
+  remove_archive(hash);
   std::error_code ignored;
-  fs::remove(tar(hash), ignored);
-  if (why.empty()) {
-    fetches_.erase(hash);
-  } else {
-    fs::remove_all(aside(hash), ignored);
-    fetches_[hash].unpacker.reset();
-    fetches_[hash].failed = true;
-    fetches_[hash].why = why;
-    log::error("image refused", {{"image", hash}, {"why", why}});
-  }
+  fs::remove_all(unpacking(hash), ignored);
+  Fetch& fetch = fetches_[hash];
+  fetch.unpacker.reset();
+  fetch.has_failed = true;
+  fetch.why = why;
+  log::error("image refused", {{"image", hash}, {"why", why}});
   changed_();
 }
 
+void ImageCache::remove_archive(const std::string& hash) const {
+  std::error_code ignored;
+  fs::remove(archive(hash), ignored);
+}
+
 void ImageCache::keep(const std::set<std::string>& used) {
-  for (auto& [hash, f] : fetches_)
-    if (!used.contains(hash)) f.given_up = true;
-  std::uint64_t total = 0;
-  for (const auto& [hash, size] : sizes_) total += size;
-  while (static_cast<double>(total) > cache_gb_ * 1e9) {
-    auto oldest = sizes_.end();
-    for (auto it = sizes_.begin(); it != sizes_.end(); ++it)
-      if (!used.contains(it->first) &&
-          (oldest == sizes_.end() || used_at_[it->first] < used_at_[oldest->first]))
-        oldest = it;
-    if (oldest == sizes_.end()) return;
-    total -= oldest->second;
-    std::error_code ignored;
-    fs::remove_all(path(oldest->first), ignored);
-    used_at_.erase(oldest->first);
-    sizes_.erase(oldest);
+  for (auto& [hash, fetch] : fetches_)
+    if (!used.contains(hash)) fetch.is_abandoned = true;
+  std::uint64_t total_bytes = 0;
+  for (const auto& [hash, bytes] : sizes_) total_bytes += bytes;
+  while (static_cast<double>(total_bytes) > cache_gb_ * kBytesPerGb) {
+    const std::string hash = least_recently_used(used);
+    if (hash.empty()) return;
+    total_bytes -= sizes_.at(hash);
+    evict(hash);
+  }
+}
+
+// Of the images that no task uses; empty: there is none. An image that an earlier process has
+// fetched was used before all others.
+std::string ImageCache::least_recently_used(const std::set<std::string>& used) const {
+  std::string oldest;
+  std::uint64_t oldest_use = 0;
+  for (const auto& [hash, bytes] : sizes_) {
+    if (used.contains(hash)) continue;
+    auto found = last_use_.find(hash);
+    const std::uint64_t use = found == last_use_.end() ? 0 : found->second;
+    if (!oldest.empty() && use >= oldest_use) continue;
+    oldest = hash;
+    oldest_use = use;
   }
+  return oldest;
+}
+
+void ImageCache::evict(const std::string& hash) {
+  std::error_code ignored;
+  fs::remove_all(path(hash), ignored);
+  last_use_.erase(hash);
+  sizes_.erase(hash);
 }
 
 }  // namespace shunttrail::agent
--- a/src/agent/lease_file.cpp
+++ b/src/agent/lease_file.cpp
@@ -11,37 +11,56 @@
 #include "agent/processes.h"
 
 namespace shunttrail::agent {
+namespace {
 
-// Version 1. Each word is written alone. A renewal touches the time only: a supervisor that looked
-// in between and saw no incarnation would kill its task. Between two incarnations there is none.
+constexpr std::size_t kPageBytes = 4096;
+constexpr std::uint64_t kVersion = 1;
+constexpr double kNanosecondsPerSecond = 1e9;
+
+[[noreturn]] void fail(int error, const std::string& what) {
+  throw std::system_error(error, std::generic_category(), what);
+}
+
+}  // namespace
+
+// Version 1. Each word is written alone. A renewal changes the time only: a supervisor that read
+// session 0 in between would kill its task. Between two incarnations the session is 0.
 struct LeaseFile::Layout {
-  std::atomic<std::uint64_t> version, session;
+  std::atomic<std::uint64_t> version;
+  std::atomic<std::uint64_t> session;
   std::atomic<std::int64_t> until_ns;
 };
 static_assert(std::atomic<std::uint64_t>::is_always_lock_free);
 
-LeaseFile::LeaseFile(const std::filesystem::path& file, Open how) {
-  bool write = how == Open::write;
-  Fd fd(::open(file.c_str(), (write ? O_RDWR | O_CREAT : O_RDONLY) | O_CLOEXEC, 0644));
-  if (!fd || (write && ::ftruncate(fd.get(), 4096) != 0))
-    throw std::system_error(errno, std::generic_category(), file.string());
-  void* at =
-      ::mmap(nullptr, 4096, write ? PROT_READ | PROT_WRITE : PROT_READ, MAP_SHARED, fd.get(), 0);
-  if (at == MAP_FAILED) throw std::system_error(errno, std::generic_category(), file.string());
-  p_ = static_cast<Layout*>(at);
-  if (write && p_->version == 0) p_->version = 1;
-  if (p_->version != 1)
-    throw std::system_error(EPROTO, std::generic_category(), file.string() + ": not a lease page");
+LeaseFile::LeaseFile(const std::filesystem::path& file, Open mode) {
+  const bool writes = mode == Open::write;
+  const int flags = (writes ? O_RDWR | O_CREAT : O_RDONLY) | O_CLOEXEC;
+  const Fd fd(::open(file.c_str(), flags, 0644));
+  if (!fd) fail(errno, file.string());
+  if (writes && ::ftruncate(fd.get(), kPageBytes) != 0) fail(errno, file.string());
+  const int protection = writes ? PROT_READ | PROT_WRITE : PROT_READ;
+  void* page = ::mmap(nullptr, kPageBytes, protection, MAP_SHARED, fd.get(), 0);
+  if (page == MAP_FAILED) fail(errno, file.string());
+  page_ = static_cast<Layout*>(page);
+  if (writes && page_->version == 0) page_->version = kVersion;
+  if (page_->version != kVersion) {
+    ::munmap(page_, kPageBytes);
+    fail(EPROTO, file.string() + ": not a lease page");
+  }
 }
-LeaseFile::~LeaseFile() { ::munmap(p_, 4096); }
+
+LeaseFile::~LeaseFile() { ::munmap(page_, kPageBytes); }
 
 void LeaseFile::set(std::uint64_t session, double until) {
-  bool renewal = session != 0 && p_->session == session;
-  if (!renewal) p_->session = 0;
-  p_->until_ns = static_cast<std::int64_t>(std::floor(until * 1e9));
-  if (!renewal) p_->session = session;
+  const bool is_renewal = session != 0 && page_->session == session;
+  if (!is_renewal) page_->session = 0;
+  page_->until_ns = static_cast<std::int64_t>(std::floor(until * kNanosecondsPerSecond));
+  if (!is_renewal) page_->session = session;
+}
+
+std::uint64_t LeaseFile::session() const { return page_->session; }
+double LeaseFile::until() const {
+  return static_cast<double>(page_->until_ns) / kNanosecondsPerSecond;
 }
-std::uint64_t LeaseFile::session() const { return p_->session; }
-double LeaseFile::until() const { return static_cast<double>(p_->until_ns) / 1e9; }
 
 }  // namespace shunttrail::agent
--- a/src/agent/processes.cpp
+++ b/src/agent/processes.cpp
@@ -19,9 +19,9 @@
 namespace fs = std::filesystem;
 
 double boot_now() {
-  timespec t;
-  clock_gettime(CLOCK_BOOTTIME, &t);
-  return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) / 1e9;
+  timespec time;
+  clock_gettime(CLOCK_BOOTTIME, &time);
+  return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) / 1e9;
 }
 
 std::string boot_id() {
@@ -33,98 +33,127 @@
 Fd::~Fd() {
   if (fd_ >= 0) ::close(fd_);
 }
-Fd& Fd::operator=(Fd&& o) noexcept {
-  if (this != &o) {
+
+Fd& Fd::operator=(Fd&& other) noexcept {
+  if (this != &other) {
     if (fd_ >= 0) ::close(fd_);
-    fd_ = o.release();
+    fd_ = other.release();
   }
   return *this;
 }
+
 int Fd::release() { return std::exchange(fd_, -1); }
 
 namespace {
-struct Stat {
+
+constexpr useconds_t kScanIntervalUs = 5000;
+
+// Fields of /proc/PID/stat, numbered as in proc(5).
+constexpr int kFieldAfterParent = 5;
+constexpr int kFieldOfStart = 22;
+
+struct ProcessStat {
   std::string state;
   pid_t parent = 0;
-  std::uint64_t start = 0;
+  std::uint64_t start = 0;  // clock ticks since boot
+  bool has_ended() const { return state == "Z" || state == "X"; }
 };
-std::optional<Stat> stat_of(pid_t pid) {
-  std::string s = artifacts::read_whole("/proc/" + std::to_string(pid) + "/stat");
-  auto close = s.rfind(')');  // the name before it may hold anything
-  if (close == std::string::npos) return std::nullopt;
-  std::istringstream in(s.substr(close + 2));
-  Stat out;
-  in >> out.state >> out.parent;  // fields 3 and 4
+
+fs::path proc_file(pid_t pid, const char* name) {
+  return fs::path("/proc") / std::to_string(pid) / name;
+}
+
+std::optional<ProcessStat> stat_of(pid_t pid) {
+  const std::string text = artifacts::read_whole(proc_file(pid, "stat"));
+  const auto name_end = text.rfind(')');  // the name before it may hold anything
+  if (name_end == std::string::npos) return std::nullopt;
+  std::istringstream fields(text.substr(name_end + 2));
+  ProcessStat stat;
+  fields >> stat.state >> stat.parent;
   std::string skipped;
-  for (int i = 5; i < 22; ++i) in >> skipped;
-  in >> out.start;
-  return out;
+  for (int field = kFieldAfterParent; field < kFieldOfStart; ++field) fields >> skipped;
+  fields >> stat.start;
+  return stat;
 }
 
 // 0: there is none, or it has ended and only waits to be read.
 std::uint64_t start_of(pid_t pid) {
-  auto s = stat_of(pid);
-  return s && s->state != "Z" && s->state != "X" ? s->start : 0;
+  const auto stat = stat_of(pid);
+  return stat && !stat->has_ended() ? stat->start : 0;
 }
 
 // Every process number there is.
-template <class F>
-void each_process(F f) {
+template <class Visit>
+void each_process(Visit visit) {
   std::error_code gone;
   for (fs::directory_iterator it("/proc", gone), end; !gone && it != end; it.increment(gone)) {
     const std::string name = it->path().filename();
     if (name.find_first_not_of("0123456789") == std::string::npos)
-      f(static_cast<pid_t>(std::stol(name)));
+      visit(static_cast<pid_t>(std::stol(name)));
+  }
+}
+
+Fd open_pidfd(pid_t pid) { return Fd(static_cast<int>(::syscall(SYS_pidfd_open, pid, 0))); }
+
+// Whether the process's environment has this entry, or the entry with a path below its value.
+bool has_variable(pid_t pid, const std::string& entry) {
+  const std::string environment = artifacts::read_whole(proc_file(pid, "environ"));
+  for (std::size_t at = 0; at < environment.size();) {
+    const std::string_view variable(environment.c_str() + at);
+    if (variable.starts_with(entry) &&
+        (variable.size() == entry.size() || variable[entry.size()] == '/'))
+      return true;
+    at += variable.size() + 1;
   }
+  return false;
+}
+
+// Kills all that have the variable. False: there was none.
+bool kill_all_with(const std::string& entry) {
+  const pid_t self = ::getpid();
+  bool found = false;
+  each_process([&](pid_t pid) {
+    if (pid == self) return;
+    // The handle first: what is read afterwards is of the process that it stands for.
+    const Fd handle = open_pidfd(pid);
+    if (!handle || !has_variable(pid, entry) || start_of(pid) == 0) return;
+    found = true;
+    signal_process(handle, SIGKILL);
+  });
+  return found;
 }
+
 }  // namespace
 
 Identity identity_of(pid_t pid) { return {pid, start_of(pid), boot_id()}; }
 
-Fd open_process(const Identity& id) {
-  if (id.pid <= 0 || id.boot != boot_id()) return Fd();
-  Fd fd(static_cast<int>(::syscall(SYS_pidfd_open, id.pid, 0)));
-  // The handle stands for whoever has the number now; only then is it looked at who that is.
-  if (!fd || start_of(id.pid) != id.start || id.start == 0) return Fd();
-  return fd;
+Fd open_process(const Identity& identity) {
+  if (identity.pid <= 0 || identity.boot != boot_id()) return Fd();
+  Fd handle = open_pidfd(identity.pid);
+  // The handle stands for whoever has the number now; only then is it checked who that is.
+  if (!handle || start_of(identity.pid) != identity.start || identity.start == 0) return Fd();
+  return handle;
 }
 
 bool signal_process(const Fd& handle, int signal) {
   return handle && ::syscall(SYS_pidfd_send_signal, handle.get(), signal, nullptr, 0) == 0;
 }
 
-bool sweep(const fs::path& below, int tries) {
-  const std::string exact = std::string(kTaskDirVariable) + "=" + below.string();
-  const pid_t self = ::getpid();
-  for (int round = 0; round < tries; ++round) {
-    bool any = false;
-    each_process([&](pid_t pid) {
-      if (pid == self) return;
-      Fd handle(static_cast<int>(::syscall(SYS_pidfd_open, pid, 0)));
-      if (!handle) return;
-      std::string env = artifacts::read_whole("/proc/" + std::to_string(pid) + "/environ");
-      bool mine = false;
-      for (std::size_t at = 0; at < env.size() && !mine;) {
-        std::string_view v(env.c_str() + at);
-        mine = v.starts_with(exact) && (v.size() == exact.size() || v[exact.size()] == '/');
-        at += v.size() + 1;
-      }
-      if (!mine || start_of(pid) == 0) return;
-      any = true;
-      signal_process(handle, SIGKILL);
-    });
-    if (!any) return true;
-    ::usleep(5000);
+bool sweep(const fs::path& below, int max_scans) {
+  const std::string entry = std::string(kTaskDirVariable) + "=" + below.string();
+  for (int scan = 0; scan < max_scans; ++scan) {
+    if (!kill_all_with(entry)) return true;
+    ::usleep(kScanIntervalUs);
   }
   return false;
 }
 
 std::vector<pid_t> children_of(pid_t parent) {
-  std::vector<pid_t> out;
+  std::vector<pid_t> children;
   each_process([&](pid_t pid) {
-    if (auto s = stat_of(pid); s && s->parent == parent) out.push_back(pid);
+    if (auto stat = stat_of(pid); stat && stat->parent == parent) children.push_back(pid);
   });
-  return out;
+  return children;
 }
 
 std::optional<Fd> try_lock(const fs::path& file) {
--- a/src/agent/task_supervisor.cpp
+++ b/src/agent/task_supervisor.cpp
@@ -13,283 +13,310 @@
 #include <algorithm>
 #include <cmath>
 #include <cstring>
-#include <fstream>
 #include <optional>
-#include <sstream>
 
 #include "agent/lease_file.h"
 #include "agent/processes.h"
 #include "artifacts/store.h"
-#include "wire/fields.h"
+#include "wire/codec.h"
 
 namespace shunttrail::agent {
 namespace fs = std::filesystem;
-using wire::json;
-
-std::string encode(const Order& o) {
-  return json{{"format", Order::kFormat},      {"task", o.task},       {"attempt", o.attempt},
-              {"session", o.session},          {"command", o.command}, {"env", o.env},
-              {"retry_exits", o.retry_exits},  {"limit_s", o.limit_s}, {"file_bytes", o.file_bytes},
-              {"memory_bytes", o.memory_bytes}}
-      .dump();
-}
-Order decode_order(const std::string& s) {
-  return wire::guarded(s, [](const json& j) {
-    if (wire::whole(j, "format") != Order::kFormat) throw wire::Malformed("format is unknown");
-    Order o;
-    o.task = wire::text(j, "task");
-    o.attempt = wire::whole(j, "attempt");
-    o.session = wire::whole(j, "session");
-    o.command = wire::need(j, "command").get<std::vector<std::string>>();
-    o.env = wire::need(j, "env").get<std::map<std::string, std::string>>();
-    o.retry_exits = wire::need(j, "retry_exits").get<std::vector<int>>();
-    o.limit_s = wire::number(j, "limit_s", 0);
-    o.file_bytes = wire::whole(j, "file_bytes");
-    o.memory_bytes = wire::whole(j, "memory_bytes");
-    if (o.command.empty()) throw wire::Malformed("command is empty");
-    return o;
-  });
+namespace {
+
+constexpr int kCheckpointFd = 3;  // the task's, for one line for each checkpoint
+constexpr int kFirstFreeFd = 10;  // above all descriptors that the task is given
+// A terminal's or an operator's signals to the group; a file that grows too long is an error of
+// write.
+constexpr int kIgnoredSignals[] = {SIGINT, SIGHUP, SIGTERM, SIGPIPE, SIGXFSZ};
+constexpr int kExitTimeLimit = 124;  // as timeout(1) has it
+constexpr int kExitNotFound = 127;   // as a shell has them
+constexpr int kExitNotExecutable = 126;
+constexpr int kExitSignalBase = 128;
+constexpr useconds_t kEndRetryUs = 200000;
+constexpr useconds_t kReapIntervalUs = 1000;
+constexpr double kTimerSlackS = 0.001;
+
+constexpr int kStatusBusy = 3;
+constexpr int kStatusNothingToStart = 4;
+constexpr int kStatusError = 5;
+
+std::string describe(const char* what, int error) {
+  return std::string(what) + ": " + std::strerror(error);
 }
-std::string encode(const Stop& s) { return json{{"save", s.save}, {"grace_s", s.grace_s}}.dump(); }
-Stop decode_stop(const std::string& s) {
-  return wire::guarded(s, [](const json& j) {
-    return Stop{wire::flag(j, "save"), wire::number(j, "grace_s", 0)};
-  });
+
+std::vector<char*> pointers(std::vector<std::string>& strings) {
+  std::vector<char*> out;
+  for (std::string& string : strings) out.push_back(string.data());
+  out.push_back(nullptr);
+  return out;
 }
-std::string encode(const End& e) {
-  return json{{"format", End::kFormat},
-              {"why", e.why == wire::ExitReason::done      ? "done"
-                      : e.why == wire::ExitReason::stopped ? "stopped"
-                                                           : "error"},
-              {"exit", e.exit},
-              {"reason", e.reason},
-              {"kept", e.kept},
-              {"saved", e.saved},
-              {"ran_s", e.ran_s}}
-      .dump(-1, ' ', false, json::error_handler_t::replace);
+
+/// All that the task's process needs; made before the fork, after which nothing is allocated.
+struct TaskProcess {
+  std::vector<std::string> command;
+  std::vector<std::string> environment;
+  std::string work_dir;
+  std::vector<char*> argv;
+  std::vector<char*> envp;
+  Fd input, output, error;
+  Fd checkpoints;  // the end of the pipe that the task writes
+  Fd exec_error;   // gets errno if exec fails, and closes if it succeeds
+  std::uint64_t file_bytes = 0;
+  std::uint64_t memory_bytes = 0;
+  pid_t supervisor = 0;
+};
+
+void set_limit(__rlimit_resource_t resource, std::uint64_t most) {
+  const rlimit limit{most, most};
+  ::setrlimit(resource, &limit);
 }
-End decode_end(const std::string& s) {
-  return wire::guarded(s, [](const json& j) {
-    if (wire::whole(j, "format") != End::kFormat) throw wire::Malformed("format is unknown");
-    End e;
-    std::string why = wire::text(j, "why");
-    e.why = why == "done"      ? wire::ExitReason::done
-            : why == "stopped" ? wire::ExitReason::stopped
-                               : wire::ExitReason::error;
-    e.exit = static_cast<int>(wire::whole(j, "exit"));
-    e.reason = wire::text_or(j, "reason", "");
-    e.kept = wire::whole(j, "kept");
-    e.saved = wire::flag(j, "saved");
-    e.ran_s = wire::number(j, "ran_s", 0);
-    return e;
-  });
+
+// Puts the task's descriptors where it expects them. The numbers may be some of these: they are
+// moved above first.
+bool place_descriptors(const TaskProcess& task) {
+  auto above = [](const Fd& fd) { return ::fcntl(fd.get(), F_DUPFD_CLOEXEC, kFirstFreeFd); };
+  const int checkpoints = above(task.checkpoints);
+  const int output = above(task.output);
+  const int error = above(task.error);
+  const int input = above(task.input);
+  return ::dup2(input, STDIN_FILENO) >= 0 && ::dup2(output, STDOUT_FILENO) >= 0 &&
+         ::dup2(error, STDERR_FILENO) >= 0 && ::dup2(checkpoints, kCheckpointFd) >= 0;
 }
 
-namespace {
+// In the child: becomes the task.
+[[noreturn]] void exec_task(TaskProcess& task) {
+  ::setsid();
+  // If the supervisor is killed, nobody watches the lease: the task goes with it.
+  ::prctl(PR_SET_PDEATHSIG, SIGKILL);
+  if (::getppid() != task.supervisor) ::_exit(kExitNotFound);
+  set_limit(RLIMIT_CORE, 0);
+  if (task.file_bytes) set_limit(RLIMIT_FSIZE, task.file_bytes);
+  if (task.memory_bytes) set_limit(RLIMIT_DATA, task.memory_bytes);
+  sigset_t none;
+  sigemptyset(&none);
+  sigprocmask(SIG_SETMASK, &none, nullptr);
+  for (int signal : kIgnoredSignals) ::signal(signal, SIG_DFL);
+  const int report = ::fcntl(task.exec_error.get(), F_DUPFD_CLOEXEC, kFirstFreeFd);
+  if (place_descriptors(task) && ::chdir(task.work_dir.c_str()) == 0)
+    ::execvpe(task.argv[0], task.argv.data(), task.envp.data());
+  const int error = errno;
+  if (::write(report, &error, sizeof error) < 0) ::_exit(kExitNotExecutable);
+  ::_exit(kExitNotFound);
+}
 
-constexpr int kSavedFd = 3;
-// A terminal's or an operator's signals to the group; a file that grows too long is an error of
-// write.
-constexpr int kNotForIt[] = {SIGINT, SIGHUP, SIGTERM, SIGPIPE, SIGXFSZ};
-constexpr int kLimitExit = 124;  // as timeout(1) has it
+// The errno of an exec that has failed; nothing: it has succeeded.
+std::optional<int> read_exec_error(const Fd& pipe) {
+  int error = 0;
+  ssize_t count;
+  do count = ::read(pipe.get(), &error, sizeof error);
+  while (count < 0 && errno == EINTR);
+  if (count == 0) return std::nullopt;
+  return error;
+}
 
 class TaskSupervisor {
  public:
-  TaskSupervisor(fs::path dir, const fs::path& page)
-      : dir_(std::move(dir)), lease_file_(page, LeaseFile::Open::read) {}
+  TaskSupervisor(const fs::path& dir, const fs::path& lease_file)
+      : directory_{dir}, lease_file_(lease_file, LeaseFile::Open::read) {}
 
   int run() {
-    order_ = decode_order(artifacts::read_whole(dir_ / "order.json"));
+    order_ = decode_order(artifacts::read_whole(directory_.launch_order()));
+    // Orphans of the task become children of this process.
     ::prctl(PR_SET_CHILD_SUBREAPER, 1);
-    sigset_t set;
-    sigemptyset(&set);
-    for (int s : {SIGUSR1, SIGCHLD}) sigaddset(&set, s);
-    sigprocmask(SIG_BLOCK, &set, nullptr);
-    for (int s : kNotForIt) ::signal(s, SIG_IGN);
-    signals_ = Fd(::signalfd(-1, &set, SFD_CLOEXEC | SFD_NONBLOCK));
-    timer_ = Fd(::timerfd_create(CLOCK_BOOTTIME, TFD_CLOEXEC | TFD_NONBLOCK));
-    Identity me = identity_of(::getpid());
-    artifacts::write_whole(dir_ / "shepherd.json",
-                           json{{"pid", me.pid}, {"start", me.start}, {"boot", me.boot}}.dump());
-    kept_ = highest_kept(dir_);
-    began_ = boot_now();
-    if (lease_over()) return finish({wire::ExitReason::error, 0, "the lease had run out", kept_});
-    std::string failed = start();
-    if (!failed.empty()) return finish({wire::ExitReason::error, 0, failed, kept_});
-    look_at_stop();
-    while (!end_) turn();
+    open_events();
+    artifacts::write_whole(directory_.supervisor_identity(), encode(identity_of(::getpid())));
+    highest_checkpoint_ = directory_.highest_checkpoint();
+    started_at_ = boot_now();
+    if (lease_is_over()) return finish(failed_start("the lease had run out"));
+    const std::string why = start();
+    if (!why.empty()) return finish(failed_start(why));
+    read_stop_order();
+    while (!end_) wait_and_handle();
     kill_all();
-    drain_saves();
-    End e = *end_;
-    e.kept = kept_;
-    e.saved = saved_;
-    e.ran_s = boot_now() - began_;
-    return finish(e);
+    drain_checkpoints();
+    TaskEnd end = *end_;
+    end.highest_checkpoint = highest_checkpoint_;
+    end.saved_after_stop = saved_after_stop_;
+    end.ran_s = boot_now() - started_at_;
+    return finish(end);
   }
 
  private:
-  fs::path kept(std::uint64_t n) const { return dir_ / ("kept-" + std::to_string(n)); }
-  bool lease_over() const {
+  void open_events() {
+    sigset_t handled;
+    sigemptyset(&handled);
+    for (int signal : {SIGUSR1, SIGCHLD}) sigaddset(&handled, signal);
+    sigprocmask(SIG_BLOCK, &handled, nullptr);
+    for (int signal : kIgnoredSignals) ::signal(signal, SIG_IGN);
+    signals_ = Fd(::signalfd(-1, &handled, SFD_CLOEXEC | SFD_NONBLOCK));
+    timer_ = Fd(::timerfd_create(CLOCK_BOOTTIME, TFD_CLOEXEC | TFD_NONBLOCK));
+  }
+
+  bool lease_is_over() const {
     return lease_file_.session() != order_.session || boot_now() > lease_file_.until();
   }
 
-  int finish(const End& e) {
-    // Until this is on the disk the task counts as running; after it, as ended. A full disk may
-    // have room again before the lease is over: what was done is not given up before.
+  TaskEnd failed_start(const std::string& why) const {
+    return {wire::ExitReason::error, 0, why, highest_checkpoint_};
+  }
+
+  void end(wire::ExitReason reason, int exit_status, const std::string& detail) {
+    end_ = TaskEnd{reason, exit_status, detail};
+  }
+
+  // Until the end is on the disk the task counts as running; after it, as ended. A full disk may
+  // have room again before the lease is over: what was done is not given up before.
+  int finish(const TaskEnd& end) const {
     while (true) {
       try {
-        artifacts::write_whole(dir_ / "end.json", encode(e));
+        artifacts::write_whole(directory_.end(), encode(end));
         return 0;
       } catch (const std::system_error&) {
-        if (lease_over()) throw;
-        ::usleep(200000);
+        if (lease_is_over()) throw;
+        ::usleep(kEndRetryUs);
       }
     }
   }
 
+  // Starts the task. What it returns is why that failed through the machine's fault; empty: it has
+  // started, or ended at once by its own.
   std::string start() {
-    int pipe_fds[2], exec_fds[2];
-    if (::pipe2(pipe_fds, O_CLOEXEC | O_NONBLOCK) != 0 || ::pipe2(exec_fds, O_CLOEXEC) != 0)
-      return std::string("pipe: ") + std::strerror(errno);
-    saves_ = Fd(pipe_fds[0]);
-    Fd saves_in(pipe_fds[1]), exec_out(exec_fds[0]), exec_in(exec_fds[1]);
-    auto open_out = [&](const char* name) {
-      return Fd(::open((dir_ / name).c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644));
-    };
-    Fd out = open_out("stdout"), err = open_out("stderr"), in(::open("/dev/null", O_RDONLY));
-    if (!out || !err || !in) return std::string("output files: ") + std::strerror(errno);
-    // All that needs memory is made before the fork.
-    std::vector<std::string> env;
-    for (const auto& [k, v] : order_.env) env.push_back(k + "=" + v);
-    std::vector<char*> argv, envp;
-    for (auto& a : order_.command) argv.push_back(a.data());
-    for (auto& e : env) envp.push_back(e.data());
-    argv.push_back(nullptr);
-    envp.push_back(nullptr);
-    const std::string work = dir_ / "work";
-    const pid_t parent = ::getpid();
+    int checkpoint_pipe[2], exec_pipe[2];
+    if (::pipe2(checkpoint_pipe, O_CLOEXEC | O_NONBLOCK) != 0 || ::pipe2(exec_pipe, O_CLOEXEC) != 0)
+      return describe("pipe", errno);
+    checkpoints_ = Fd(checkpoint_pipe[0]);
+    const Fd exec_result(exec_pipe[0]);
+    TaskProcess task;
+    task.checkpoints = Fd(checkpoint_pipe[1]);
+    task.exec_error = Fd(exec_pipe[1]);
+    if (!open_files(task)) return describe("output files", errno);
+    prepare(task);
     task_ = ::fork();
-    if (task_ < 0) return std::string("fork: ") + std::strerror(errno);
-    if (task_ == 0) {
-      ::setsid();
-      // If the supervisor is killed, nobody keeps the lease: the task goes with it.
-      ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-      if (::getppid() != parent) ::_exit(127);
-      auto limit = [](auto what, std::uint64_t most) {
-        rlimit r{most, most};
-        ::setrlimit(what, &r);
-      };
-      limit(RLIMIT_CORE, 0);
-      if (order_.file_bytes) limit(RLIMIT_FSIZE, order_.file_bytes);
-      if (order_.memory_bytes) limit(RLIMIT_DATA, order_.memory_bytes);
-      sigset_t none;
-      sigemptyset(&none);
-      sigprocmask(SIG_SETMASK, &none, nullptr);
-      for (int s : kNotForIt) ::signal(s, SIG_DFL);
-      // The number that the task is to have may be one of these: above it first.
-      int report = ::fcntl(exec_in.get(), F_DUPFD_CLOEXEC, 10);
-      int saves = ::fcntl(saves_in.get(), F_DUPFD_CLOEXEC, 10);
-      int o = ::fcntl(out.get(), F_DUPFD_CLOEXEC, 10), e = ::fcntl(err.get(), F_DUPFD_CLOEXEC, 10);
-      int i = ::fcntl(in.get(), F_DUPFD_CLOEXEC, 10);
-      bool ok = ::dup2(i, 0) >= 0 && ::dup2(o, 1) >= 0 && ::dup2(e, 2) >= 0 &&
-                ::dup2(saves, kSavedFd) >= 0 && ::chdir(work.c_str()) == 0;
-      if (ok) ::execvpe(argv[0], argv.data(), envp.data());
-      int why = errno;
-      if (::write(report, &why, sizeof why) < 0) ::_exit(126);
-      ::_exit(127);
-    }
-    exec_in = Fd();
-    int why = 0;
-    ssize_t n;
-    do n = ::read(exec_out.get(), &why, sizeof why);
-    while (n < 0 && errno == EINTR);
-    if (n == 0) return "";
+    if (task_ < 0) return describe("fork", errno);
+    if (task_ == 0) exec_task(task);
+    task.exec_error = Fd();
+    const std::optional<int> error = read_exec_error(exec_result);
+    return error ? exec_failed(*error) : "";
+  }
+
+  bool open_files(TaskProcess& task) const {
+    auto open_output = [](const fs::path& file) {
+      return Fd(::open(file.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644));
+    };
+    task.output = open_output(directory_.standard_output());
+    task.error = open_output(directory_.standard_error());
+    task.input = Fd(::open("/dev/null", O_RDONLY));
+    return task.output && task.error && task.input;
+  }
+
+  void prepare(TaskProcess& task) const {
+    task.command = order_.command;
+    for (const auto& [name, value] : order_.env) task.environment.push_back(name + "=" + value);
+    task.argv = pointers(task.command);
+    task.envp = pointers(task.environment);
+    task.work_dir = directory_.work();
+    task.file_bytes = order_.file_bytes;
+    task.memory_bytes = order_.memory_bytes;
+    task.supervisor = ::getpid();
+  }
+
+  std::string exec_failed(int error) {
     ::waitpid(task_, nullptr, 0);
     task_ = 0;
-    if (why == ENOENT || why == EACCES || why == ENOEXEC) {
-      // The same on every machine, as a shell says it; not the machine's fault.
-      end_ = End{wire::ExitReason::done, why == ENOENT ? 127 : 126,
-                 order_.command[0] + ": " + std::strerror(why)};
-      return "";
-    }
-    return order_.command[0] + ": " + std::strerror(why);
+    const std::string why = describe(order_.command[0].c_str(), error);
+    if (error != ENOENT && error != EACCES && error != ENOEXEC) return why;
+    // The same on every machine, as a shell says it; not the machine's fault.
+    end(wire::ExitReason::done, error == ENOENT ? kExitNotFound : kExitNotExecutable, why);
+    return "";
   }
 
-  // The next moment at which something has to be looked at without being told.
-  void arm() {
+  // The next moment at which something has to be done without a signal.
+  void set_timer() {
     double at = lease_file_.until();
     if (grace_until_) at = std::min(at, *grace_until_);
-    if (order_.limit_s > 0) at = std::min(at, began_ + order_.limit_s);
-    at = std::max(at, boot_now()) + 0.001;
-    itimerspec t{};
-    t.it_value.tv_sec = static_cast<time_t>(at);
-    t.it_value.tv_nsec = static_cast<long>((at - std::floor(at)) * 1e9);
-    ::timerfd_settime(timer_.get(), TFD_TIMER_ABSTIME, &t, nullptr);
+    if (order_.limit_s > 0) at = std::min(at, started_at_ + order_.limit_s);
+    at = std::max(at, boot_now()) + kTimerSlackS;
+    itimerspec spec{};
+    spec.it_value.tv_sec = static_cast<time_t>(at);
+    spec.it_value.tv_nsec = static_cast<long>((at - std::floor(at)) * 1e9);
+    ::timerfd_settime(timer_.get(), TFD_TIMER_ABSTIME, &spec, nullptr);
   }
 
-  void turn() {
-    arm();
-    pollfd fds[] = {{signals_.get(), POLLIN, 0},
-                    {timer_.get(), POLLIN, 0},
-                    {saves_.get(), static_cast<short>(saves_open_ ? POLLIN : 0), 0}};
-    if (::poll(fds, saves_open_ ? 3 : 2, -1) < 0 && errno != EINTR) return;
-    std::uint64_t ignored;
-    if (::read(timer_.get(), &ignored, sizeof ignored) < 0) ignored = 0;
-    if (lease_over()) {
-      end_ = End{wire::ExitReason::error, 0, "the lease ran out"};
-      return;
-    }
-    drain_saves();
+  bool wait_for_events() {
+    set_timer();
+    pollfd events[] = {
+        {signals_.get(), POLLIN, 0}, {timer_.get(), POLLIN, 0}, {checkpoints_.get(), POLLIN, 0}};
+    if (::poll(events, checkpoints_open_ ? 3 : 2, -1) < 0 && errno != EINTR) return false;
+    std::uint64_t expirations;
+    if (::read(timer_.get(), &expirations, sizeof expirations) < 0) expirations = 0;
+    return true;
+  }
+
+  // Whether the agent has asked to read the stop order.
+  bool drain_signals() {
     signalfd_siginfo info;
-    bool asked = false;
+    bool asked_to_stop = false;
     while (::read(signals_.get(), &info, sizeof info) == static_cast<ssize_t>(sizeof info))
-      asked |= info.ssi_signo == SIGUSR1;
-    if (asked) look_at_stop();
+      asked_to_stop |= info.ssi_signo == SIGUSR1;
+    return asked_to_stop;
+  }
+
+  void wait_and_handle() {
+    if (!wait_for_events()) return;
+    if (lease_is_over()) return end(wire::ExitReason::error, 0, "the lease ran out");
+    drain_checkpoints();
+    if (drain_signals()) read_stop_order();
     if (end_) return;
     reap();
-    double now = boot_now();
-    if (!end_ && grace_until_ && now >= *grace_until_)
-      end_ = End{wire::ExitReason::stopped, 0, "it had not saved in time"};
-    if (!end_ && order_.limit_s > 0 && now >= began_ + order_.limit_s)
-      end_ = End{wire::ExitReason::done, kLimitExit, "it ran into its limit"};
+    if (!end_) check_times();
   }
 
-  void look_at_stop() {
-    std::string text = artifacts::read_whole(dir_ / "stop.json");
+  void check_times() {
+    const double now = boot_now();
+    if (grace_until_ && now >= *grace_until_)
+      end(wire::ExitReason::stopped, 0, "it had not saved in time");
+    else if (order_.limit_s > 0 && now >= started_at_ + order_.limit_s)
+      end(wire::ExitReason::done, kExitTimeLimit, "it ran into its limit");
+  }
+
+  void read_stop_order() {
+    const std::string text = artifacts::read_whole(directory_.stop_order());
     if (text.empty() || end_) return;
-    Stop s;
+    StopOrder order;
     try {
-      s = decode_stop(text);
+      order = decode_stop(text);
     } catch (const wire::Malformed&) {
-      s = {};
+      order = {};
     }
-    if (!s.save) {
-      end_ = End{wire::ExitReason::stopped, 0, ""};
+    if (!order.save) {
+      end(wire::ExitReason::stopped, 0, "");
     } else if (!grace_until_) {
-      grace_until_ = boot_now() + s.grace_s;
+      grace_until_ = boot_now() + order.grace_s;
       ::kill(task_, SIGUSR1);
     }
   }
 
   // One line on its descriptor says that save/next is whole.
-  void drain_saves() {
-    char b[256];
-    ssize_t n;
-    while ((n = ::read(saves_.get(), b, sizeof b)) > 0)
-      for (ssize_t i = 0; i < n; ++i)
-        if (b[i] == '\n') take_save();
-    if (n == 0) saves_open_ = false;
+  void drain_checkpoints() {
+    char buffer[256];
+    ssize_t count;
+    while ((count = ::read(checkpoints_.get(), buffer, sizeof buffer)) > 0)
+      for (ssize_t i = 0; i < count; ++i)
+        if (buffer[i] == '\n') take_checkpoint();
+    if (count == 0) checkpoints_open_ = false;
   }
-  void take_save() {
+
+  void take_checkpoint() {
     std::error_code failed;
-    fs::path next = dir_ / "save" / "next";
+    const fs::path next = directory_.next_checkpoint();
     if (!fs::is_directory(fs::symlink_status(next, failed))) return;
-    fs::rename(next, kept(kept_ + 1), failed);
+    fs::rename(next, directory_.checkpoint(highest_checkpoint_ + 1), failed);
     if (failed) return;
-    ++kept_;
+    ++highest_checkpoint_;
     if (grace_until_ && !end_) {
-      saved_ = true;
-      end_ = End{wire::ExitReason::stopped, 0, ""};
+      saved_after_stop_ = true;
+      end(wire::ExitReason::stopped, 0, "");
     }
   }
 
@@ -299,76 +326,80 @@
     while ((pid = ::waitpid(-1, &status, WNOHANG)) > 0) {
       if (pid != task_) continue;  // something that it had left behind
       task_ = 0;
-      drain_saves();
+      drain_checkpoints();
       if (end_) return;
-      int exit = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
-      bool again = std::count(order_.retry_exits.begin(), order_.retry_exits.end(), exit) > 0;
-      if (WIFSIGNALED(status)) {
-        // A SIGKILL that nobody here sent is the machine's doing, above all for lack of memory.
-        again = WTERMSIG(status) == SIGKILL;
-        end_ = End{again ? wire::ExitReason::error : wire::ExitReason::done, exit,
-                   std::string("ended by signal ") + strsignal(WTERMSIG(status))};
-      } else {
-        end_ = End{again ? wire::ExitReason::error : wire::ExitReason::done, exit,
-                   again ? "asked to be retried" : ""};
-      }
-      // Told to stop, it went with an error instead of saving: not its own answer.
-      if (grace_until_ && end_->why == wire::ExitReason::done && exit != 0)
-        end_ = End{wire::ExitReason::stopped, exit, "it ended instead of saving"};
+      task_exited(status);
     }
   }
 
-  // Its incarnation's processes, and whatever became the supervisor's child by losing its parent.
+  void task_exited(int status) {
+    if (WIFSIGNALED(status))
+      ended_by_signal(WTERMSIG(status));
+    else
+      ended_by_exit(WEXITSTATUS(status));
+    // Told to stop, it went with an error instead of saving: not its own answer.
+    const int exit_status = end_->exit_status;
+    if (grace_until_ && end_->exit_reason == wire::ExitReason::done && exit_status != 0)
+      end(wire::ExitReason::stopped, exit_status, "it ended instead of saving");
+  }
+
+  void ended_by_signal(int signal) {
+    // A SIGKILL that nobody here sent is the machine's doing, above all for lack of memory.
+    const bool is_machines_fault = signal == SIGKILL;
+    end(is_machines_fault ? wire::ExitReason::error : wire::ExitReason::done,
+        kExitSignalBase + signal, std::string("ended by signal ") + strsignal(signal));
+  }
+
+  void ended_by_exit(int exit_status) {
+    const auto& retried = order_.retry_exits;
+    if (std::find(retried.begin(), retried.end(), exit_status) != retried.end())
+      end(wire::ExitReason::error, exit_status, "asked to be retried");
+    else
+      end(wire::ExitReason::done, exit_status, "");
+  }
+
+  // The task's process group, and whatever became the supervisor's child by losing its parent.
   void kill_all() {
     while (true) {
       if (task_ > 0) ::kill(-task_, SIGKILL);
       for (pid_t child : children_of(::getpid())) ::kill(child, SIGKILL);
-      int status;
       pid_t pid;
-      while ((pid = ::waitpid(-1, &status, WNOHANG)) > 0)
+      while ((pid = ::waitpid(-1, nullptr, WNOHANG)) > 0)
         if (pid == task_) task_ = 0;
       if (pid < 0 && errno == ECHILD) return;
-      ::usleep(1000);
+      ::usleep(kReapIntervalUs);
     }
   }
 
-  fs::path dir_;
-  LeaseFile lease_file_;
-  Order order_;
-  Fd signals_, timer_, saves_;
-  bool saves_open_ = true;
-  pid_t task_ = 0;
-  double began_ = 0;
-  std::optional<double> grace_until_;
-  std::uint64_t kept_ = 0;
-  bool saved_ = false;
-  std::optional<End> end_;
+  const TaskDirectory directory_;
+  const LeaseFile lease_file_;
+  LaunchOrder order_;
+  Fd signals_;
+  Fd timer_;
+  Fd checkpoints_;  // the pipe on which the task tells of checkpoints
+  bool checkpoints_open_ = true;
+  pid_t task_ = 0;  // 0: has ended, or never ran
+  double started_at_ = 0;
+  std::optional<double> grace_until_;  // told to stop, the task may save until then
+  std::uint64_t highest_checkpoint_ = 0;
+  bool saved_after_stop_ = false;
+  std::optional<TaskEnd> end_;
 };
 
 }  // namespace
 
-std::uint64_t highest_kept(const fs::path& dir) {
-  std::uint64_t highest = 0;
-  std::error_code none;
-  for (const auto& e : fs::directory_iterator(dir, none)) {
-    const std::string name = e.path().filename();
-    if (!name.starts_with("kept-") || name.size() > 20) continue;
-    if (name.find_first_not_of("0123456789", 5) != std::string::npos || name.size() == 5) continue;
-    highest = std::max<std::uint64_t>(highest, std::stoull(name.substr(5)));
-  }
-  return highest;
-}
-
-int run_task_supervisor(const fs::path& dir, const fs::path& page) {
-  auto lock = try_lock(dir / "lock");
+int run_task_supervisor(const fs::path& dir, const fs::path& lease_file) {
+  const TaskDirectory directory{dir};
+  auto lock = try_lock(directory.lock());
   // Another one has this attempt, or the agent is giving it up.
-  if (!lock) return 3;
-  if (!fs::exists(dir / "order.json") || fs::exists(dir / "end.json")) return 4;
+  if (!lock) return kStatusBusy;
+  if (!fs::exists(directory.launch_order()) || fs::exists(directory.end()))
+    return kStatusNothingToStart;
   try {
-    return TaskSupervisor(dir, page).run();
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "%s\n", e.what());
-    return 5;
+    return TaskSupervisor(dir, lease_file).run();
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "%s\n", error.what());
+    return kStatusError;
   }
 }
 
