--- a/app/shunttrail-pbs.cpp
+++ b/app/shunttrail-pbs.cpp
@@ -1,4 +1,5 @@
-// PBS's commands. So far `qsub --check` alone: what a script would become, or why it is refused.
+// shunttrail-pbs: PBS's commands. So far `qsub --check` alone: the job that a script would become,
+// or why it is refused.
 #include <sys/utsname.h>
 #include <unistd.h>
 
@@ -9,7 +10,6 @@
 #include <fstream>
 #include <iostream>
 #include <nlohmann/json.hpp>
-#include <sstream>
 
 #include "cli/service_client.h"
 #include "config/xml.h"
@@ -23,128 +23,164 @@
 using nlohmann::json;
 namespace fs = std::filesystem;
 
+constexpr int kExitRefused = 1;  // the script, or what is not served
+constexpr int kExitUsage = 2;    // the command line or the tables are wrong
+
 std::string variable(const char* name) {
-  const char* v = std::getenv(name);
-  return v ? v : "";
+  const char* value = std::getenv(name);
+  return value ? value : "";
 }
 
-json place(const pbs::Place& at) { return {{"line", at.line}, {"column", at.column}}; }
-
 // Bounded: what is longer than a script may be is refused by its reader all the same.
-std::string read_script(const std::string& file) {
+std::string read_bounded(const std::string& file) {
   std::string text(pbs::kScriptMost + 1, '\0');
-  std::ifstream in;
+  std::ifstream opened;
   if (file != "-") {
-    in.open(file, std::ios::binary);
-    if (!in) throw config::SettingsError("qsub: " + file + ": cannot be read");
+    opened.open(file, std::ios::binary);
+    if (!opened) throw config::SettingsError("qsub: " + file + ": cannot be read");
   }
-  std::istream& from = file == "-" ? std::cin : in;
-  from.read(text.data(), static_cast<std::streamsize>(text.size()));
-  text.resize(static_cast<std::size_t>(from.gcount()));
+  std::istream& input = file == "-" ? std::cin : opened;
+  input.read(text.data(), static_cast<std::streamsize>(text.size()));
+  text.resize(static_cast<std::size_t>(input.gcount()));
   return text;
 }
 
-int qsub(std::vector<std::string> words) {
+// The words of the command line: this program's own options, and PBS's.
+struct Arguments {
   bool check = false;
   std::string tables_file;
-  std::vector<std::string> own;  // PBS's own words
+  std::vector<std::string> pbs_words;
+};
+
+Arguments split(const std::vector<std::string>& words) {
+  Arguments arguments;
   for (std::size_t i = 0; i < words.size(); ++i) {
-    if (words[i] == "--check") {
-      check = true;
-    } else if (words[i] == "--tables" && i + 1 < words.size()) {
-      tables_file = words[++i];
-    } else {
-      own.push_back(words[i]);
-    }
+    if (words[i] == "--check")
+      arguments.check = true;
+    else if (words[i] == "--tables" && i + 1 < words.size())
+      arguments.tables_file = words[++i];
+    else
+      arguments.pbs_words.push_back(words[i]);
   }
-  if (!check) {
-    std::fprintf(stderr, "qsub: only --check is served so far (docs/pbs.md)\n");
-    return 1;
-  }
-  if (tables_file.empty())
-    tables_file =
-        fs::read_symlink("/proc/self/exe").parent_path().parent_path() / "deploy" / "pbs.xml";
-  pbs::Tables tables = pbs::parse_tables(config::read_file(tables_file, "tables"));
+  return arguments;
+}
 
-  std::size_t taken = 0;
-  pbs::Script command_line = pbs::read_arguments(own, taken);
+fs::path shipped_tables() {
+  return fs::read_symlink("/proc/self/exe").parent_path().parent_path() / "deploy" / "pbs.xml";
+}
+
+pbs::Tables read_tables(const std::string& file) {
+  return pbs::parse_tables(
+      config::read_file(file.empty() ? shipped_tables().string() : file, "tables"));
+}
+
+// The prefix of directives: that of -C, which is taken off the command line, or PBS_DPREFIX.
+std::string take_prefix(pbs::Script& command_line) {
   std::string prefix = variable("PBS_DPREFIX");
   if (prefix.empty()) prefix = "#PBS";
-  std::erase_if(command_line.directives, [&](const pbs::Directive& d) {
-    if (d.option == 'C') prefix = d.value;
-    return d.option == 'C';
+  std::erase_if(command_line.directives, [&](const pbs::Directive& directive) {
+    if (directive.option != 'C') return false;
+    prefix = directive.value;
+    return true;
   });
-  if (taken + 1 < own.size()) {
-    std::fprintf(stderr, "qsub: one script at a time: %s\n", own[taken + 1].c_str());
-    return 2;
+  return prefix;
+}
+
+std::vector<std::pair<std::string, std::string>> environment() {
+  std::vector<std::pair<std::string, std::string>> variables;
+  for (char** next = environ; *next; ++next) {
+    const std::string entry = *next;
+    const auto equals = entry.find('=');
+    if (equals != std::string::npos)
+      variables.emplace_back(entry.substr(0, equals), entry.substr(equals + 1));
   }
-  const std::string file = taken < own.size() ? own[taken] : "-";
-  const std::string text = read_script(file);
+  return variables;
+}
 
+pbs::Context make_context(const std::string& script_file) {
   pbs::Context context;
-  if (file != "-") context.script_name = fs::path(file).filename();
+  if (script_file != "-") context.script_name = fs::path(script_file).filename();
   context.user = variable("LOGNAME").empty() ? variable("USER") : variable("LOGNAME");
   context.home = variable("HOME");
   context.dir = fs::current_path();
   utsname host{};
   if (::uname(&host) == 0) context.host = host.nodename;
-  for (char** e = environ; *e; ++e) {
-    std::string entry = *e;
-    auto eq = entry.find('=');
-    if (eq != std::string::npos)
-      context.environment.emplace_back(entry.substr(0, eq), entry.substr(eq + 1));
+  context.environment = environment();
+  return context;
+}
+
+// Faults and ignored directives have the same fields.
+template <class Remark>
+json to_json(const std::vector<Remark>& remarks) {
+  json list = json::array();
+  for (const Remark& remark : remarks)
+    list.push_back({{"line", remark.at.line},
+                    {"column", remark.at.column},
+                    {"directive", remark.directive},
+                    {"reason", remark.reason}});
+  return list;
+}
+
+json check_report(pbs::Job& job) {
+  if (!job.faults.empty()) return {{"accepted", false}, {"faults", to_json(job.faults)}};
+  job.description.job.id = cli::fresh_id();
+  return {{"accepted", true},
+          {"job", json::parse(wire::encode_job(job.description.job))},
+          {"ignored", to_json(job.ignored)}};
+}
+
+int qsub(const std::vector<std::string>& words) {
+  const Arguments arguments = split(words);
+  if (!arguments.check) {
+    std::fprintf(stderr, "qsub: only --check is served so far (docs/pbs.md)\n");
+    return kExitRefused;
   }
-  pbs::Job job = pbs::make_job(pbs::read_script(text, prefix), command_line, text, tables, context);
-  json out;
-  if (!job.faults.empty()) {
-    out = {{"accepted", false}, {"faults", json::array()}};
-    for (const auto& f : job.faults) {
-      json j = place(f.at);
-      j["directive"] = f.directive;
-      j["reason"] = f.reason;
-      out["faults"].push_back(std::move(j));
-    }
-  } else {
-    job.description.job.id = cli::fresh_id();
-    out = {{"accepted", true},
-           {"job", json::parse(wire::encode_job(job.description.job))},
-           {"ignored", json::array()}};
-    for (const auto& i : job.ignored) {
-      json j = place(i.at);
-      j["directive"] = i.directive;
-      j["reason"] = i.reason;
-      out["ignored"].push_back(std::move(j));
-    }
+  const pbs::Tables tables = read_tables(arguments.tables_file);
+  std::size_t options = 0;
+  pbs::Script command_line = pbs::read_arguments(arguments.pbs_words, options);
+  const std::string prefix = take_prefix(command_line);
+  if (options + 1 < arguments.pbs_words.size()) {
+    std::fprintf(stderr, "qsub: one script at a time: %s\n",
+                 arguments.pbs_words[options + 1].c_str());
+    return kExitUsage;
   }
-  std::printf("%s\n", out.dump(-1, ' ', false, json::error_handler_t::replace).c_str());
-  return job.faults.empty() ? 0 : 1;
+  const std::string file =
+      options < arguments.pbs_words.size() ? arguments.pbs_words[options] : "-";
+  const std::string text = read_bounded(file);
+  pbs::Job job =
+      pbs::make_job(pbs::read_script(text, prefix), command_line, text, tables, make_context(file));
+  const json report = check_report(job);
+  std::printf("%s\n", report.dump(-1, ' ', false, json::error_handler_t::replace).c_str());
+  return job.faults.empty() ? 0 : kExitRefused;
+}
+
+int print_usage(bool asked) {
+  std::fprintf(asked ? stdout : stderr,
+               "usage: shunttrail-pbs qsub --check [--tables FILE] [qsub's options] [SCRIPT|-]\n");
+  return asked ? 0 : kExitUsage;
 }
 
 }  // namespace
 
+// Called as `qsub`, or as `shunttrail-pbs qsub`.
 int main(int argc, char** argv) {
   std::vector<std::string> words(argv + 1, argv + argc);
-  std::string name = fs::path(argv[0]).filename();
-  if (name != "qsub") {
+  if (fs::path(argv[0]).filename() != "qsub") {
     if (!words.empty() && words[0] == "--version") {
       std::printf("shunttrail-pbs 0.1.0\n");
       return 0;
     }
-    if (words.empty() || words[0] != "qsub") {
-      std::fprintf(
-          words.empty() || words[0] != "--help" ? stderr : stdout,
-          "usage: shunttrail-pbs qsub --check [--tables FILE] [qsub's options] [SCRIPT|-]\n");
-      return !words.empty() && words[0] == "--help" ? 0 : 2;
-    }
+    if (words.empty() || words[0] != "qsub")
+      return print_usage(!words.empty() && words[0] == "--help");
     words.erase(words.begin());
   }
   try {
-    return qsub(std::move(words));
-  } catch (const config::SettingsError& e) {
-    std::fprintf(stderr, "%s\n", e.what());
-    return 2;
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "qsub: %s\n", e.what());
-    return 1;
+    return qsub(words);
+  } catch (const config::SettingsError& error) {
+    std::fprintf(stderr, "%s\n", error.what());
+    return kExitUsage;
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "qsub: %s\n", error.what());
+    return kExitRefused;
   }
 }
--- /dev/null
+++ b/src/pbs/limits.h
@@ -0,0 +1,9 @@
+// Limits that hold for every job, whatever the operator's tables allow.
+#pragma once
+#include <cstdint>
+
+namespace shunttrail::pbs {
+
+inline constexpr std::uint64_t kMaxTasks = 100000;  ///< PROTOCOL: of one job
+
+}  // namespace shunttrail::pbs
--- a/src/pbs/script.cpp
+++ b/src/pbs/script.cpp
@@ -1,6 +1,6 @@
 #include "pbs/script.h"
 
-#include <algorithm>
+#include <optional>
 #include <tao/pegtl.hpp>
 
 namespace shunttrail::pbs {
@@ -69,181 +69,251 @@
   }
 };
 
+constexpr std::size_t kMaxShownWord = 40;  // bytes of a word that users are shown
+constexpr std::size_t kMaxShownLine = 80;  // bytes of a line that users are shown
+constexpr unsigned char kFirstPrintable = 0x20;
+
 std::string label(char option) { return std::string("-") + option; }
 
-// Options from words; `strict`: whatever is no option is a fault. Otherwise the first such word
-// ends them.
-std::size_t options(const std::vector<Word>& words, std::size_t line_number, bool strict,
-                    Script& out) {
-  std::size_t i = 0;
-  for (; i < words.size(); ++i) {
-    const Word& w = words[i];
-    Place at{line_number, w.column};
-    if (w.text.size() < 2 || w.text[0] != '-') {
-      if (!strict) return i;
-      out.faults.push_back({at, w.text.substr(0, 40), "is not an option"});
-      continue;
-    }
-    if (w.text == "--") {
-      if (!strict) return i + 1;
-      out.faults.push_back({at, "--", "is not an option"});
-      continue;
-    }
-    // Flags may be joined, and the last of the word may be one that takes a value.
-    for (std::size_t c = 1; c < w.text.size(); ++c) {
-      char o = w.text[c];
-      if (kFlags.find(o) != std::string_view::npos) {
-        out.directives.push_back({o, "", at, w.column});
-        continue;
-      }
-      if (kValued.find(o) == std::string_view::npos) {
-        out.faults.push_back({at, w.text.substr(0, 40), "is not an option of qsub"});
-        break;
-      }
-      if (c + 1 < w.text.size()) {
-        out.directives.push_back({o, w.text.substr(c + 1), at, w.column + c + 1});
-      } else if (i + 1 < words.size()) {
-        ++i;
-        out.directives.push_back({o, words[i].text, at, words[i].column});
+bool is_flag(char option) { return kFlags.find(option) != std::string_view::npos; }
+bool takes_value(char option) { return kValued.find(option) != std::string_view::npos; }
+bool is_blank(char c) { return c == ' ' || c == '\t'; }
+
+// What a word that is no option means.
+enum class NonOption {
+  is_fault,  // in a directive
+  ends,      // on a command line, the options
+};
+
+// Reads options from words.
+class OptionReader {
+ public:
+  OptionReader(const std::vector<Word>& words, std::size_t line_number, Script& script)
+      : words_(words), line_number_(line_number), script_(script) {}
+
+  // How many words were read.
+  std::size_t read(NonOption non_option) {
+    while (next_ < words_.size()) {
+      const Word& word = words_[next_];
+      if (word.text == "--" && non_option == NonOption::ends) return next_ + 1;
+      if (is_option(word)) {
+        ++next_;
+        read_word(word);
       } else {
-        out.faults.push_back({at, label(o), "needs a value"});
+        if (non_option == NonOption::ends) return next_;
+        ++next_;
+        fault(word, word.text.substr(0, kMaxShownWord), "is not an option");
       }
-      break;
+    }
+    return next_;
+  }
+
+ private:
+  static bool is_option(const Word& word) {
+    return word.text.size() >= 2 && word.text[0] == '-' && word.text != "--";
+  }
+
+  Place place_of(const Word& word) const { return {line_number_, word.column}; }
+
+  void fault(const Word& word, const std::string& directive, const std::string& reason) {
+    script_.faults.push_back({place_of(word), directive, reason});
+  }
+
+  // Flags may be joined, and the last of the word may be an option that takes a value.
+  void read_word(const Word& word) {
+    for (std::size_t i = 1; i < word.text.size(); ++i) {
+      const char option = word.text[i];
+      if (!is_flag(option)) return read_valued(word, i);
+      script_.directives.push_back({option, "", place_of(word), word.column});
+    }
+  }
+
+  // The option's value is the rest of its word, or else the next word.
+  void read_valued(const Word& word, std::size_t at) {
+    const char option = word.text[at];
+    const std::string rest = word.text.substr(at + 1);
+    if (!takes_value(option))
+      return fault(word, word.text.substr(0, kMaxShownWord), "is not an option of qsub");
+    if (!rest.empty()) {
+      script_.directives.push_back({option, rest, place_of(word), word.column + at + 1});
+    } else if (next_ < words_.size()) {
+      const Word& value = words_[next_++];
+      script_.directives.push_back({option, value.text, place_of(word), value.column});
+    } else {
+      fault(word, label(option), "needs a value");
     }
   }
-  return i;
-}
+
+  const std::vector<Word>& words_;
+  std::size_t line_number_;
+  Script& script_;
+  std::size_t next_ = 0;
+};
 
 // A backslash at the end takes the next line in, unless it is itself taken by one before it.
 bool continues(std::string_view line_text) {
-  auto last = line_text.find_last_not_of('\\');
-  return (line_text.size() - (last == std::string_view::npos ? 0 : last + 1)) % 2 == 1;
+  const auto last = line_text.find_last_not_of('\\');
+  const std::size_t text_end = last == std::string_view::npos ? 0 : last + 1;
+  return (line_text.size() - text_end) % 2 == 1;
 }
 
-// What kind of text it is at all; a fault ends the reading.
-bool readable(std::string_view text, Script& out) {
-  auto refuse = [&](Place at, const char* why) {
-    out.faults.push_back({at, "", why});
-    return false;
-  };
-  if (text.size() > kScriptMost) return refuse({1, 1}, "the script is longer than 1 MiB");
+// Why a text is no script at all; nothing: it may be one.
+std::optional<Fault> find_unreadable(std::string_view text) {
+  auto refusal = [](Place at, const char* reason) { return Fault{at, "", reason}; };
+  if (text.size() > kScriptMost) return refusal({1, 1}, "the script is longer than 1 MiB");
   if (text.starts_with("\xff\xfe") || text.starts_with("\xfe\xff"))
-    return refuse({1, 1}, "the script is UTF-16; it has to be ASCII or UTF-8");
-  std::size_t line_number = 1, column = 1;
-  for (std::size_t i = 0; i < text.size(); ++i, ++column) {
-    unsigned char c = static_cast<unsigned char>(text[i]);
+    return refusal({1, 1}, "the script is UTF-16; it has to be ASCII or UTF-8");
+  Place at{1, 1};
+  for (std::size_t i = 0; i < text.size(); ++i, ++at.column) {
+    const char c = text[i];
     if (c == '\n') {
-      ++line_number;
-      column = 0;
+      ++at.line;
+      at.column = 0;
     } else if (c == '\r' && i + 1 < text.size() && text[i + 1] == '\n') {
-      return refuse({line_number, column}, "the line ends in CR LF; lines have to end in LF");
-    } else if (c == 0) {
-      return refuse({line_number, column}, "holds a NUL byte: this is no script");
+      return refusal(at, "the line ends in CR LF; lines have to end in LF");
+    } else if (c == '\0') {
+      return refusal(at, "holds a NUL byte: this is no script");
     }
   }
-  return true;
+  return std::nullopt;
 }
 
-void read_line(std::string_view text, std::size_t line_number, std::size_t first_column,
-               Script& out) {
-  for (std::size_t i = 0; i < text.size(); ++i) {
-    unsigned char c = static_cast<unsigned char>(text[i]);
-    if (c < 0x20 && c != '\t') {
-      out.faults.push_back({{line_number, first_column + i}, "", "holds a control character"});
-      return;
-    }
+std::optional<std::size_t> find_control_character(std::string_view text) {
+  for (std::size_t i = 0; i < text.size(); ++i)
+    if (static_cast<unsigned char>(text[i]) < kFirstPrintable && text[i] != '\t') return i;
+  return std::nullopt;
+}
+
+// The options of one directive, without its prefix; `first_column` is that of the text.
+void read_directive(std::string_view text, std::size_t line_number, std::size_t first_column,
+                    Script& script) {
+  if (auto at = find_control_character(text)) {
+    script.faults.push_back({{line_number, first_column + *at}, "", "holds a control character"});
+    return;
   }
   Words words;
   p::memory_input in(text.data(), text.data() + text.size(), "", 0, 1, 1);
   try {
     p::parse<line, act>(in, words);
-  } catch (const p::parse_error& e) {
-    out.faults.push_back({{line_number, first_column + e.positions().front().column - 1},
-                          std::string(text.substr(0, 40)),
-                          "a quotation is not closed"});
+  } catch (const p::parse_error& error) {
+    const std::size_t column = first_column + error.positions().front().column - 1;
+    script.faults.push_back({{line_number, column},
+                             std::string(text.substr(0, kMaxShownWord)),
+                             "a quotation is not closed"});
     return;
   }
-  for (auto& w : words.words) w.column += first_column - 1;
-  options(words.words, line_number, true, out);
+  for (Word& word : words.words) word.column += first_column - 1;
+  OptionReader(words.words, line_number, script).read(NonOption::is_fault);
 }
 
-}  // namespace
+// Reads a script line by line.
+class ScriptReader {
+ public:
+  ScriptReader(std::string_view text, std::string_view prefix) : text_(text), prefix_(prefix) {}
 
-Script read_script(std::string_view text, std::string_view prefix) {
-  Script out;
-  if (!readable(text, out)) return out;
-  bool block = true;
-  std::size_t line_number = 0;
-  while (!text.empty()) {
-    ++line_number;
-    auto take = [&] {
-      auto end = text.find('\n');
-      std::string_view l = text.substr(0, end);
-      text.remove_prefix(end == std::string_view::npos ? text.size() : end + 1);
-      return l;
-    };
-    std::string_view l = take();
-    if (line_number == 1 && l.starts_with("#!")) {
-      l.remove_prefix(2);
-      while (!l.empty() && (l.front() == ' ' || l.front() == '\t')) l.remove_prefix(1);
-      out.shell = l.substr(0, l.find_first_of(" \t"));
-      continue;
-    }
-    bool directive = !prefix.empty() && l.starts_with(prefix) &&
-                     (l.size() == prefix.size() || l[prefix.size()] == ' ' ||
-                      l[prefix.size()] == '\t' || l[prefix.size()] == '-');
-    if (!block) {
+  Script read() {
+    while (!text_.empty() && !stopped_) read_line(take_line());
+    return std::move(script_);
+  }
+
+ private:
+  std::string_view take_line() {
+    ++line_number_;
+    const auto end = text_.find('\n');
+    const std::string_view taken = text_.substr(0, end);
+    text_.remove_prefix(end == std::string_view::npos ? text_.size() : end + 1);
+    return taken;
+  }
+
+  void read_line(std::string_view text) {
+    if (line_number_ == 1 && text.starts_with("#!"))
+      read_shell(text.substr(2));
+    else if (!is_directive(text))
+      in_leading_block_ = in_leading_block_ && !is_command(text);
+    else if (in_leading_block_)
+      read_continued_directive(text);
+    else
       // qsub reads no further than the first command; who wrote this meant it to count.
-      if (directive)
-        out.ignored.push_back({{line_number, 1},
-                               std::string(l.substr(0, 80)),
-                               "stands behind the first command, where qsub does not look"});
-      continue;
-    }
-    if (!directive) {
-      auto first = l.find_first_not_of(" \t");
-      if (first != std::string_view::npos && l[first] != '#' && !(line_number == 1 && l[0] == ':'))
-        block = false;
-      continue;
-    }
-    if (out.directives.size() + out.faults.size() >= kDirectivesMost) {
-      out.faults.push_back(
-          {{line_number, 1},
-           std::string(prefix),
+      script_.ignored.push_back({{line_number_, 1},
+                                 std::string(text.substr(0, kMaxShownLine)),
+                                 "stands behind the first command, where qsub does not look"});
+  }
+
+  void read_shell(std::string_view text) {
+    while (!text.empty() && is_blank(text.front())) text.remove_prefix(1);
+    script_.shell = text.substr(0, text.find_first_of(" \t"));
+  }
+
+  bool is_directive(std::string_view text) const {
+    if (prefix_.empty() || !text.starts_with(prefix_)) return false;
+    if (text.size() == prefix_.size()) return true;
+    const char next = text[prefix_.size()];
+    return is_blank(next) || next == '-';
+  }
+
+  // Neither empty nor a comment; a first line that begins with ':' is none either.
+  bool is_command(std::string_view text) const {
+    const auto first = text.find_first_not_of(" \t");
+    if (first == std::string_view::npos || text[first] == '#') return false;
+    return !(line_number_ == 1 && text[0] == ':');
+  }
+
+  void read_continued_directive(std::string_view text) {
+    if (script_.directives.size() + script_.faults.size() >= kDirectivesMost) {
+      script_.faults.push_back(
+          {{line_number_, 1},
+           std::string(prefix_),
            "there are more than " + std::to_string(kDirectivesMost) + " directives"});
-      return out;
+      stopped_ = true;
+      return;
     }
-    std::string whole(l.substr(prefix.size()));
-    const std::size_t began = line_number;
-    while (continues(whole) && !text.empty()) {
+    std::string whole(text.substr(prefix_.size()));
+    const std::size_t first_line = line_number_;
+    while (continues(whole) && !text_.empty()) {
       whole.pop_back();
-      std::string_view more = take();
-      ++line_number;
-      if (more.starts_with(prefix)) more.remove_prefix(prefix.size());
+      std::string_view more = take_line();
+      if (more.starts_with(prefix_)) more.remove_prefix(prefix_.size());
       whole += more;
     }
-    read_line(whole, began, prefix.size() + 1, out);
+    read_directive(whole, first_line, prefix_.size() + 1, script_);
   }
-  return out;
+
+  std::string_view text_;  // what is left
+  std::string_view prefix_;
+  Script script_;
+  std::size_t line_number_ = 0;
+  bool in_leading_block_ = true;  // no command was there yet
+  bool stopped_ = false;
+};
+
+}  // namespace
+
+Script read_script(std::string_view text, std::string_view prefix) {
+  if (auto fault = find_unreadable(text)) {
+    Script refused;
+    refused.faults.push_back(std::move(*fault));
+    return refused;
+  }
+  return ScriptReader(text, prefix).read();
 }
 
 Script read_arguments(const std::vector<std::string>& words, std::size_t& taken) {
-  Script out;
-  std::vector<Word> list;
-  for (std::size_t i = 0; i < words.size(); ++i) list.push_back({words[i], i + 1});
-  taken = options(list, 0, false, out);
-  return out;
+  Script script;
+  std::vector<Word> numbered;
+  for (std::size_t i = 0; i < words.size(); ++i) numbered.push_back({words[i], i + 1});
+  taken = OptionReader(numbered, 0, script).read(NonOption::ends);
+  return script;
 }
 
-std::string print(const Directive& d, std::string_view prefix) {
-  std::string out = std::string(prefix) + " " + label(d.option);
-  if (kFlags.find(d.option) != std::string_view::npos) return out;
+std::string print(const Directive& directive, std::string_view prefix) {
+  std::string out = std::string(prefix) + " " + label(directive.option);
+  if (is_flag(directive.option)) return out;
   out += ' ';
-  for (char c : d.value) {
-    if (c == ' ' || c == '\t' || c == '\'' || c == '"' || c == '\\') out += '\\';
+  for (char c : directive.value) {
+    if (is_blank(c) || c == '\'' || c == '"' || c == '\\') out += '\\';
     out += c;
   }
-  if (d.value.empty()) out += "''";
+  if (directive.value.empty()) out += "''";
   return out;
 }
 
--- a/src/pbs/script.h
+++ b/src/pbs/script.h
@@ -9,47 +9,51 @@
 
 namespace shunttrail::pbs {
 
-// Where something stands: lines and columns from 1; line 0 is the command line, whose columns count
-// its words.
+/// Where something stands: lines and columns from 1; line 0 is the command line, whose columns
+/// count its words.
 struct Place {
-  std::size_t line = 0, column = 0;
+  std::size_t line = 0;
+  std::size_t column = 0;
   friend bool operator==(const Place&, const Place&) = default;
 };
 
+/// Why a script is refused.
 struct Fault {
   Place at;
-  std::string directive, reason;
+  std::string directive;
+  std::string reason;
 };
 
-// One option: its letter, what stands behind it (none for a flag), and where it stands.
+/// One option.
 struct Directive {
-  char option = 0;
-  std::string value;
+  char option = 0;    ///< its letter
+  std::string value;  ///< empty for a flag
   Place at;
-  std::size_t value_column = 0;  // where its value begins
+  std::size_t value_column = 0;  ///< where its value begins
 };
 
-// Accepted, and without effect here.
+/// Accepted, and without effect here.
 struct Ignored {
   Place at;
-  std::string directive, reason;
+  std::string directive;
+  std::string reason;
 };
 
 struct Script {
-  std::vector<Directive> directives;  // in order
+  std::vector<Directive> directives;  ///< in order
   std::vector<Ignored> ignored;
   std::vector<Fault> faults;
-  std::string shell;  // what "#!" names; empty: none
+  std::string shell;  ///< what "#!" names; empty: none
 };
 
-inline constexpr std::size_t kScriptMost = 1 << 20;  // bytes
+inline constexpr std::size_t kScriptMost = 1 << 20;  ///< bytes of a script
 inline constexpr std::size_t kDirectivesMost = 1000;
 
-// `prefix`: "#PBS", or what -C or PBS_DPREFIX says; empty: no line is a directive.
+/// `prefix`: "#PBS", or what -C or PBS_DPREFIX says; empty: no line is a directive.
 Script read_script(std::string_view text, std::string_view prefix);
-// The words of a command line up to the script's name: its options, and how many words they were.
+/// The words of a command line up to the script's name: its options, and how many words they were.
 Script read_arguments(const std::vector<std::string>& words, std::size_t& taken);
-// A directive as a line that reads back to it.
+/// A directive as a line that reads back to it.
 std::string print(const Directive& d, std::string_view prefix);
 
 }  // namespace shunttrail::pbs
--- a/src/pbs/tables.cpp
+++ b/src/pbs/tables.cpp
@@ -12,121 +12,152 @@
 
 namespace {
 
-wire::Priority priority(const std::string& s, const std::string& place) {
+constexpr double kMaxLimit = 1e9;
+constexpr double kLeastPriority = -1024, kMostPriority = 1023;  // of -p, qsub(1B)
+
+wire::Priority parse_priority(const std::string& name, const std::string& place) {
   static const std::map<std::string, wire::Priority> names = {
       {"critical", wire::Priority::critical},
       {"high", wire::Priority::high},
       {"standard", wire::Priority::standard},
       {"idle", wire::Priority::idle}};
-  auto it = names.find(s);
-  if (it == names.end()) bad_at(place, "is none of critical, high, standard, idle");
-  return it->second;
+  auto found = names.find(name);
+  if (found == names.end()) bad_at(place, "is none of critical, high, standard, idle");
+  return found->second;
 }
 
-std::optional<double> limit(pugi::xml_node n, const std::string& at, const char* name) {
-  pugi::xml_attribute a = n.attribute(name);
-  if (!a) return std::nullopt;
-  return xml_number(a.value(), at + "@" + name, 0, 1e9);
+std::optional<double> read_limit(pugi::xml_node node, const std::string& place, const char* name) {
+  const pugi::xml_attribute attribute = node.attribute(name);
+  if (!attribute) return std::nullopt;
+  return xml_number(attribute.value(), place + "@" + name, 0, kMaxLimit);
 }
 
-std::vector<std::string> words(pugi::xml_node n, const char* name) {
-  std::istringstream in(n.attribute(name).value());
-  std::vector<std::string> out;
-  for (std::string w; in >> w;) out.push_back(w);
-  return out;
+std::vector<std::string> read_words(pugi::xml_node node, const char* name) {
+  std::istringstream text(node.attribute(name).value());
+  std::vector<std::string> words;
+  for (std::string word; text >> word;) words.push_back(word);
+  return words;
 }
 
-void only(pugi::xml_node n, const std::string& at, std::initializer_list<std::string_view> known) {
-  for (pugi::xml_attribute a : n.attributes())
-    if (std::find(known.begin(), known.end(), a.name()) == known.end())
-      bad_at(at + "@" + a.name(), "is not a known setting");
+void allow_attributes(pugi::xml_node node, const std::string& place,
+                      std::initializer_list<std::string_view> known) {
+  for (pugi::xml_attribute attribute : node.attributes())
+    if (std::find(known.begin(), known.end(), attribute.name()) == known.end())
+      bad_at(place + "@" + attribute.name(), "is not a known setting");
 }
 
-Queue read_queue(pugi::xml_node n, const std::string& at) {
-  only(n, at,
-       {"name", "class", "team", "priority", "spot", "max-cpus", "max-mem-gb", "max-gpus",
-        "max-walltime-s", "max-tasks"});
-  Queue q;
-  q.name = xml_attribute(n, at, "name");
-  q.cls = xml_attribute(n, at, "class");
-  q.team = xml_attribute(n, at, "team");
-  q.priority = priority(xml_attribute(n, at, "priority"), at + "@priority");
-  if (auto spot = n.attribute("spot")) q.spot = xml_flag(spot.value(), at + "@spot");
-  q.limits.cpus = limit(n, at, "max-cpus");
-  q.limits.mem_gb = limit(n, at, "max-mem-gb");
-  q.limits.gpus = limit(n, at, "max-gpus");
-  q.limits.walltime_s = limit(n, at, "max-walltime-s");
-  if (auto tasks = limit(n, at, "max-tasks")) q.limits.tasks = static_cast<std::uint32_t>(*tasks);
-  return q;
+void read_defaults(pugi::xml_node node, const std::string& place, Tables& tables) {
+  allow_attributes(node, place, {"ncpus", "mem-gb", "walltime-s"});
+  tables.ncpus = read_limit(node, place, "ncpus").value_or(tables.ncpus);
+  tables.mem_gb = read_limit(node, place, "mem-gb").value_or(tables.mem_gb);
+  tables.walltime_s = read_limit(node, place, "walltime-s").value_or(tables.walltime_s);
 }
 
-}  // namespace
+Queue read_queue(pugi::xml_node node, const std::string& place) {
+  allow_attributes(node, place,
+                   {"name", "class", "team", "priority", "spot", "max-cpus", "max-mem-gb",
+                    "max-gpus", "max-walltime-s", "max-tasks"});
+  Queue queue;
+  queue.name = xml_attribute(node, place, "name");
+  queue.job_class = xml_attribute(node, place, "class");
+  queue.team = xml_attribute(node, place, "team");
+  queue.priority = parse_priority(xml_attribute(node, place, "priority"), place + "@priority");
+  if (auto spot = node.attribute("spot")) queue.spot = xml_flag(spot.value(), place + "@spot");
+  queue.limits.cpus = read_limit(node, place, "max-cpus");
+  queue.limits.mem_gb = read_limit(node, place, "max-mem-gb");
+  queue.limits.gpus = read_limit(node, place, "max-gpus");
+  queue.limits.walltime_s = read_limit(node, place, "max-walltime-s");
+  if (auto tasks = read_limit(node, place, "max-tasks"))
+    queue.limits.tasks = static_cast<std::uint32_t>(*tasks);
+  return queue;
+}
+
+void read_queues(pugi::xml_node node, const std::string& place, Tables& tables) {
+  tables.default_queue = xml_attribute(node, place, "default");
+  read_children(node, place, {{"queue", [&](pugi::xml_node queue, const std::string& queue_place) {
+                                 tables.queues.push_back(read_queue(queue, queue_place));
+                               }}});
+}
+
+Team read_team(pugi::xml_node node, const std::string& place) {
+  allow_attributes(node, place, {"name", "cpus-max", "projects", "queues"});
+  return {xml_attribute(node, place, "name"), read_limit(node, place, "cpus-max").value_or(0),
+          read_words(node, "projects"), read_words(node, "queues")};
+}
+
+void read_teams(pugi::xml_node node, const std::string& place, Tables& tables) {
+  read_children(node, place, {{"team", [&](pugi::xml_node team, const std::string& team_place) {
+                                 tables.teams.push_back(read_team(team, team_place));
+                               }}});
+}
 
-const Queue* Tables::queue(const std::string& name) const {
-  auto it = std::find_if(queues.begin(), queues.end(), [&](auto& q) { return q.name == name; });
-  return it == queues.end() ? nullptr : &*it;
+void read_priority(pugi::xml_node node, const std::string& place, Tables& tables) {
+  allow_attributes(node, place, {"p", "is"});
+  const double from =
+      xml_number(xml_attribute(node, place, "p"), place + "@p", kLeastPriority, kMostPriority);
+  tables.priorities[static_cast<int>(std::floor(from))] =
+      parse_priority(xml_attribute(node, place, "is"), place + "@is");
 }
-const Team* Tables::team(const std::string& name) const {
-  auto it = std::find_if(teams.begin(), teams.end(), [&](auto& t) { return t.name == name; });
-  return it == teams.end() ? nullptr : &*it;
+
+void read_priorities(pugi::xml_node node, const std::string& place, Tables& tables) {
+  read_children(node, place, {{"from", [&](pugi::xml_node from, const std::string& from_place) {
+                                 read_priority(from, from_place, tables);
+                               }}});
+}
+
+// Whatever the tables name has to be in them.
+void check_references(const Tables& tables) {
+  for (const Queue& queue : tables.queues)
+    if (!tables.team(queue.team))
+      bad_at("shunt-pbs.queues.queue " + queue.name + "@team", "is no team of the table");
+  for (const Team& team : tables.teams)
+    for (const std::string& queue : team.queues)
+      if (!tables.queue(queue))
+        bad_at("shunt-pbs.teams.team " + team.name + "@queues", queue + " is no queue");
+  if (!tables.queue(tables.default_queue))
+    bad_at("shunt-pbs.queues@default", "is no queue of the table");
+}
+
+template <class T>
+const T* find_by_name(const std::vector<T>& list, const std::string& name) {
+  auto found = std::find_if(list.begin(), list.end(), [&](const T& t) { return t.name == name; });
+  return found == list.end() ? nullptr : &*found;
 }
+
+}  // namespace
+
+const Queue* Tables::queue(const std::string& name) const { return find_by_name(queues, name); }
+const Team* Tables::team(const std::string& name) const { return find_by_name(teams, name); }
+
 const Team* Tables::team_of(const std::string& project) const {
-  if (const Team* t = team(project)) return t;
-  auto it = std::find_if(teams.begin(), teams.end(), [&](auto& t) {
-    return std::find(t.projects.begin(), t.projects.end(), project) != t.projects.end();
+  if (const Team* own = team(project)) return own;
+  auto found = std::find_if(teams.begin(), teams.end(), [&](const Team& candidate) {
+    const auto& projects = candidate.projects;
+    return std::find(projects.begin(), projects.end(), project) != projects.end();
   });
-  return it == teams.end() ? nullptr : &*it;
+  return found == teams.end() ? nullptr : &*found;
 }
 
 Tables parse_tables(const std::string& xml) {
-  pugi::xml_document doc;
-  pugi::xml_node root = load_xml(doc, xml, "shunt-pbs");
-  Tables t;
+  pugi::xml_document document;
+  const pugi::xml_node root = load_xml(document, xml, "shunt-pbs");
+  Tables tables;
+  auto into_tables = [&](void (*read)(pugi::xml_node, const std::string&, Tables&)) {
+    return [&tables, read](pugi::xml_node node, const std::string& place) {
+      read(node, place, tables);
+    };
+  };
   read_children(
       root, "shunt-pbs",
-      {{"server", [&](pugi::xml_node n, const std::string& at) { t.server = xml_text(n, at); }},
-       {"defaults",
-        [&](pugi::xml_node n, const std::string& at) {
-          only(n, at, {"ncpus", "mem-gb", "walltime-s"});
-          t.ncpus = limit(n, at, "ncpus").value_or(t.ncpus);
-          t.mem_gb = limit(n, at, "mem-gb").value_or(t.mem_gb);
-          t.walltime_s = limit(n, at, "walltime-s").value_or(t.walltime_s);
-        }},
-       {"queues",
-        [&](pugi::xml_node n, const std::string& at) {
-          t.default_queue = xml_attribute(n, at, "default");
-          read_children(n, at, {{"queue", [&](pugi::xml_node q, const std::string& where) {
-                                   t.queues.push_back(read_queue(q, where));
-                                 }}});
-        }},
-       {"teams",
-        [&](pugi::xml_node n, const std::string& at) {
-          read_children(n, at, {{"team", [&](pugi::xml_node m, const std::string& where) {
-                                   only(m, where, {"name", "cpus-max", "projects", "queues"});
-                                   t.teams.push_back({xml_attribute(m, where, "name"),
-                                                      limit(m, where, "cpus-max").value_or(0),
-                                                      words(m, "projects"), words(m, "queues")});
-                                 }}});
-        }},
-       {"priorities",
-        [&](pugi::xml_node n, const std::string& at) {
-          read_children(n, at, {{"from", [&](pugi::xml_node f, const std::string& where) {
-                                   only(f, where, {"p", "is"});
-                                   double p = xml_number(xml_attribute(f, where, "p"), where + "@p",
-                                                         -1024, 1023);
-                                   t.priorities[static_cast<int>(std::floor(p))] =
-                                       priority(xml_attribute(f, where, "is"), where + "@is");
-                                 }}});
-        }}},
+      {{"server", [&](pugi::xml_node node,
+                      const std::string& place) { tables.server = xml_text(node, place); }},
+       {"defaults", into_tables(read_defaults)},
+       {"queues", into_tables(read_queues)},
+       {"teams", into_tables(read_teams)},
+       {"priorities", into_tables(read_priorities)}},
       {"queues", "teams"});
-  for (const Queue& q : t.queues)
-    if (!t.team(q.team))
-      bad_at("shunt-pbs.queues.queue " + q.name + "@team", "is no team of the table");
-  for (const Team& m : t.teams)
-    for (const auto& q : m.queues)
-      if (!t.queue(q)) bad_at("shunt-pbs.teams.team " + m.name + "@queues", q + " is no queue");
-  if (!t.queue(t.default_queue)) bad_at("shunt-pbs.queues@default", "is no queue of the table");
-  return t;
+  check_references(tables);
+  return tables;
 }
 
 }  // namespace shunttrail::pbs
--- a/src/pbs/values.h
+++ b/src/pbs/values.h
@@ -11,51 +11,56 @@
 
 namespace shunttrail::pbs {
 
+/// A value is not of its form; `what()` says why in words that follow the value's name.
 struct BadValue : std::runtime_error {
   BadValue(std::size_t at, const std::string& why) : std::runtime_error(why), offset(at) {}
-  std::size_t offset;  // into the value, from 0
+  std::size_t offset;  ///< into the value, from 0
 };
 
-// [[hours:]minutes:]seconds[.fraction], or a number of seconds.
-double read_seconds(std::string_view s);
-// An integer with b, kb, mb, gb, tb or pb, or w, kw ... (words of eight bytes); in units of 2^30
-// bytes.
-double read_size_gb(std::string_view s);
-std::uint64_t read_count(std::string_view s, std::uint64_t most);
+/// [[hours:]minutes:]seconds[.fraction], or a number of seconds.
+double read_seconds(std::string_view text);
+/// An integer with b, kb, mb, gb, tb or pb, or w, kw ... (words of eight bytes); in units of 2^30
+/// bytes.
+double read_size_gb(std::string_view text);
+/// A whole number of digits alone.
+std::uint64_t read_count(std::string_view text, std::uint64_t most);
 
-// The parts between commas, each with its offset.
-std::vector<std::pair<std::size_t, std::string_view>> parts(std::string_view s, char separator);
+/// The parts between commas, each with its offset.
+std::vector<std::pair<std::size_t, std::string_view>> parts(std::string_view text, char separator);
 
 struct Resource {
   std::string name, value;
-  std::size_t at = 0, value_at = 0;  // offsets
+  std::size_t at = 0;        ///< offset of the name
+  std::size_t value_at = 0;  ///< offset of the value
 };
-// name[=value], parted by commas.
-std::vector<Resource> read_resources(std::string_view s);
+/// name[=value], separated by commas.
+std::vector<Resource> read_resources(std::string_view text);
 
+/// A number of tasks that need the same.
 struct Chunk {
   std::uint64_t count = 1;
   std::vector<Resource> resources;
-  std::size_t at = 0;
+  std::size_t at = 0;  ///< offset
 };
-// [N:]res=value[:res=value...][+...]
-std::vector<Chunk> read_select(std::string_view s);
-// The older form: N[:ppn=M][:property...][+...]
-std::vector<Chunk> read_nodes(std::string_view s);
+/// [N:]res=value[:res=value...][+...]
+std::vector<Chunk> read_select(std::string_view text);
+/// The older form: N[:ppn=M][:property...][+...]
+std::vector<Chunk> read_nodes(std::string_view text);
 
+/// The indexes of an array: first-last[:step][%limit].
 struct Range {
   std::uint64_t first = 0, last = 0, step = 1;
-  std::uint64_t limit = 0;  // %N: how many at a time; 0: not given
+  std::uint64_t limit = 0;  ///< %N: how many at a time; 0: not given
   std::uint64_t size() const { return (last - first) / step + 1; }
 };
-Range read_range(std::string_view s);
+Range read_range(std::string_view text);
 
-// type:id[:id...], parted by commas.
 struct Dependency {
   std::string type;
   std::vector<std::string> ids;
-  std::size_t at = 0;
+  std::size_t at = 0;  ///< offset
 };
-std::vector<Dependency> read_dependencies(std::string_view s);
+/// type:id[:id...], separated by commas.
+std::vector<Dependency> read_dependencies(std::string_view text);
 
 }  // namespace shunttrail::pbs
