--- a/app/shunttrail-chaos.cpp
+++ b/app/shunttrail-chaos.cpp
@@ -1,4 +1,5 @@
-// Runs the trial on one machine and prints its figures; exits 1 if a task's history has a fault.
+// shunttrail-chaos: runs a chaos run on one machine and prints its figures; exits 1 if a task's
+// history has a fault.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -11,28 +12,29 @@
   CLI::App app{
       "shunttrail-chaos: kill parts of a set on one machine and check what became of its tasks"};
   app.set_version_flag("--version", std::string("shunttrail-chaos 0.1.0"));
-  chaos::ChaosPlan p;
+  chaos::ChaosPlan plan;
   std::string dir;
   app.add_option("--dir", dir, "an empty directory")->required();
-  app.add_option("--tasks", p.tasks)->check(CLI::Range(1, 100000))->capture_default_str();
-  app.add_option("--machines", p.machines)->check(CLI::Range(1, 100))->capture_default_str();
-  app.add_option("--kill-every-s", p.kill_every_s, "0: nothing is killed")->capture_default_str();
-  app.add_option("--limit-s", p.limit_s)->capture_default_str();
-  app.add_option("--seed", p.seed)->capture_default_str();
+  app.add_option("--tasks", plan.tasks)->check(CLI::Range(1, 100000))->capture_default_str();
+  app.add_option("--machines", plan.machines)->check(CLI::Range(1, 100))->capture_default_str();
+  app.add_option("--kill-every-s", plan.kill_every_s, "0: nothing is killed")
+      ->capture_default_str();
+  app.add_option("--limit-s", plan.limit_s)->capture_default_str();
+  app.add_option("--seed", plan.seed)->capture_default_str();
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : 2;
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == 0 ? 0 : 2;
   }
   ::signal(SIGPIPE, SIG_IGN);
-  p.dir = std::filesystem::absolute(dir);
-  p.programs = std::filesystem::read_symlink("/proc/self/exe").parent_path();
+  plan.dir = std::filesystem::absolute(dir);
+  plan.programs = std::filesystem::read_symlink("/proc/self/exe").parent_path();
   try {
-    chaos::ChaosResult o = chaos::run(p);
-    std::printf("%s\n", chaos::to_json(o).c_str());
-    return o.faults.empty() ? 0 : 1;
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "shunttrail-chaos: %s\n", e.what());
+    chaos::ChaosResult result = chaos::run(plan);
+    std::printf("%s\n", chaos::to_json(result).c_str());
+    return result.faults.empty() ? 0 : 1;
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "shunttrail-chaos: %s\n", error.what());
     return 1;
   }
 }
--- a/src/chaos/attempts.cpp
+++ b/src/chaos/attempts.cpp
@@ -11,31 +11,32 @@
 }  // namespace
 
 void Attempts::read(std::istream& log) {
-  for (std::string line; std::getline(log, line);) {
-    std::istringstream in(line);
-    std::string what, job, rest;
-    std::uint32_t task = 0;
-    std::uint64_t attempt = 0;
-    double at = 0;
-    if (!(in >> what >> job >> task >> attempt >> at) || (in >> rest)) {
-      bad_.push_back("a line of the log is torn: " + line);
-      continue;
-    }
-    Task& t = tasks_[{job, task}];
-    if (what == "begin") {
-      ++begins_;
-      if (++t.begun[attempt] > 1)
-        bad_.push_back(label(job, task) + ": attempt " + std::to_string(attempt) + " began twice");
-    } else if (what == "end") {
-      ++ends_;
-      ++t.ended[attempt];
-      t.last_end = std::max(t.last_end, at);
-    } else if (what == "overlap") {
-      bad_.push_back(label(job, task) + ": attempt " + std::to_string(attempt) +
-                     " ran beside another one");
-    } else {
-      bad_.push_back("a line of the log is unknown: " + line);
-    }
+  for (std::string line; std::getline(log, line);) read_line(line);
+}
+
+void Attempts::read_line(const std::string& line) {
+  std::istringstream fields(line);
+  std::string event, job, rest;
+  std::uint32_t index = 0;
+  std::uint64_t attempt = 0;
+  double at = 0;
+  if (!(fields >> event >> job >> index >> attempt >> at) || (fields >> rest)) {
+    log_faults_.push_back("a line of the log is torn: " + line);
+    return;
+  }
+  Task& task = tasks_[{job, index}];
+  const std::string name = label(job, index) + ": attempt " + std::to_string(attempt);
+  if (event == "begin") {
+    ++begins_;
+    if (++task.begun[attempt] > 1) log_faults_.push_back(name + " began twice");
+  } else if (event == "end") {
+    ++ends_;
+    ++task.ended[attempt];
+    task.last_end = std::max(task.last_end, at);
+  } else if (event == "overlap") {
+    log_faults_.push_back(name + " ran beside another one");
+  } else {
+    log_faults_.push_back("a line of the log is unknown: " + line);
   }
 }
 
@@ -45,30 +46,33 @@
 
 std::vector<std::string> Attempts::faults(
     const std::map<std::string, std::uint32_t>& expected) const {
-  std::vector<std::string> out = bad_;
-  for (const auto& [job, n] : expected) {
-    for (std::uint32_t i = 0; i < n; ++i) {
-      auto it = tasks_.find({job, i});
-      const std::string name = label(job, i);
-      if (it == tasks_.end() || it->second.answers.empty()) {
-        out.push_back(name + ": has no final answer");
-        continue;
-      }
-      const Task& t = it->second;
-      if (t.answers.size() > 1)
-        out.push_back(name + ": has " + std::to_string(t.answers.size()) + " final answers");
-      // The answer is an attempt's that ran to its end.
-      if (!t.ended.contains(t.answers[0]))
-        out.push_back(name + ": the answer is of attempt " + std::to_string(t.answers[0]) +
-                      ", which never ended");
-    }
+  std::vector<std::string> faults = log_faults_;
+  for (const auto& [job, tasks] : expected)
+    for (std::uint32_t index = 0; index < tasks; ++index)
+      check_answer(label(job, index), {job, index}, faults);
+  for (const auto& [key, task] : tasks_) {
+    const auto& [name, index] = key;
+    auto job = expected.find(name);
+    if (job == expected.end() || index >= job->second)
+      faults.push_back(label(name, index) + ": ran, but nobody submitted it");
   }
-  for (const auto& [id, t] : tasks_) {
-    auto job = expected.find(id.first);
-    if (job == expected.end() || id.second >= job->second)
-      out.push_back(label(id.first, id.second) + ": ran, but nobody submitted it");
+  return faults;
+}
+
+void Attempts::check_answer(const std::string& name, const TaskKey& key,
+                            std::vector<std::string>& faults) const {
+  auto found = tasks_.find(key);
+  if (found == tasks_.end() || found->second.answers.empty()) {
+    faults.push_back(name + ": has no final answer");
+    return;
   }
-  return out;
+  const Task& task = found->second;
+  if (task.answers.size() > 1)
+    faults.push_back(name + ": has " + std::to_string(task.answers.size()) + " final answers");
+  // The answer is an attempt's that ran to its end.
+  if (!task.ended.contains(task.answers[0]))
+    faults.push_back(name + ": the answer is of attempt " + std::to_string(task.answers[0]) +
+                     ", which never ended");
 }
 
 double Attempts::last_end(const std::string& job) const {
