--- a/app/shunttrail-local.cpp
+++ b/app/shunttrail-local.cpp
@@ -1,4 +1,4 @@
-// The whole service on one machine, in the foreground.
+// shunttrail-local: the whole service on one machine, in the foreground.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -15,98 +15,143 @@
 using namespace shunttrail;
 namespace fs = std::filesystem;
 
-int serve_state(const std::string& at, const std::string& file) {
+constexpr int kExitFailed = 1;
+constexpr int kExitUsage = 2;  // the command line or the settings are wrong
+
+fs::path own_program() { return fs::read_symlink("/proc/self/exe"); }
+
+int serve_state(const std::string& address, const std::string& file) {
   log::open("shunttrail-state-emulator");
   actor::Loop loop;
-  emulators::StateServiceEmulator state(loop, config::parse_endpoint(at, "--listen"), file);
+  emulators::StateServiceEmulator state(loop, config::parse_endpoint(address, "--listen"), file);
   loop.run();
   return 0;
 }
 
-int serve_depot(const std::string& at, const std::string& dir) {
+int serve_artifacts(const std::string& address, const std::string& dir) {
   log::open("shunttrail-artifacts");
   actor::Loop loop;
-  artifacts::Server server(loop, config::parse_endpoint(at, "--listen"), dir);
+  artifacts::Server server(loop, config::parse_endpoint(address, "--listen"), dir);
   loop.run();
   return 0;
 }
 
-int run(const local_cluster::Settings& settings, const std::string& dir, std::uint16_t port) {
+// Ends the cluster, and then the loop, at the first signal.
+class EndOnSignal {
+ public:
+  EndOnSignal(actor::Loop& loop, local_cluster::LocalCluster& cluster)
+      : loop_(loop), cluster_(cluster) {
+    for (int signal : {SIGINT, SIGTERM}) {
+      events_.emplace_back(evsignal_new(
+          loop.base(), signal,
+          [](evutil_socket_t, short, void* self) { static_cast<EndOnSignal*>(self)->end(); },
+          this));
+      event_add(events_.back().get(), nullptr);
+    }
+  }
+
+ private:
+  void end() {
+    cluster_.end([this] { loop_.stop(); });
+  }
+  actor::Loop& loop_;
+  local_cluster::LocalCluster& cluster_;
+  std::vector<actor::EventPtr> events_;
+};
+
+// Tests and scripts wait for this line.
+void print_ready(const std::string& url) {
+  std::printf("ready %s\n", url.c_str());
+  std::fflush(stdout);
+}
+
+int run_cluster(const local_cluster::Settings& settings, const std::string& dir,
+                std::uint16_t port) {
   log::open("shunttrail-local");
-  fs::path self = fs::read_symlink("/proc/self/exe");
+  const fs::path program = own_program();
   actor::Loop loop;
-  local_cluster::LocalCluster set(loop, settings, dir, self.parent_path(), self, port,
-                                  [](std::string url) {
-                                    std::printf("ready %s\n", url.c_str());
-                                    std::fflush(stdout);
-                                  });
-  struct Context {
-    local_cluster::LocalCluster& set;
-    actor::Loop& loop;
-  } context{set, loop};
-  std::vector<actor::EventPtr> events;
-  for (int n : {SIGINT, SIGTERM}) {
-    events.emplace_back(evsignal_new(
-        loop.base(), n,
-        [](evutil_socket_t, short, void* arg) {
-          auto& c = *static_cast<Context*>(arg);
-          c.set.end([&c] { c.loop.stop(); });
-        },
-        &context));
-    event_add(events.back().get(), nullptr);
-  }
+  local_cluster::LocalCluster cluster(loop, settings, {dir, program.parent_path(), program, port},
+                                      print_ready);
+  const EndOnSignal end_on_signal(loop, cluster);
   loop.run();
   return 0;
 }
 
-}  // namespace
+struct Options {
+  std::string dir, settings_file, listen, state_file;
+  int controllers = 0;  // 0: as the settings have it
+  int port = 0;         // 0: a free one
+  bool check = false;
+};
 
-int main(int argc, char** argv) {
-  CLI::App app{"shunttrail-local: the whole service on one machine, in the foreground"};
+void add_options(CLI::App& app, Options& options) {
   app.set_version_flag("--version", std::string("shunttrail-local 0.1.0"));
-  std::string dir, settings_path, listen, file;
-  int controllers = 0, port = 0;
-  bool check = false;
-  app.add_option("--dir", dir, "where everything is kept; a second start goes on with it");
-  app.add_option("--settings", settings_path, "the set's settings (XML); deploy/local.xml");
-  app.add_option("--controllers", controllers, "how many controllers, instead of the settings'")
+  app.add_option("--dir", options.dir, "where everything is kept; a second start goes on with it");
+  app.add_option("--settings", options.settings_file, "the set's settings (XML); deploy/local.xml");
+  app.add_option("--controllers", options.controllers,
+                 "how many controllers, instead of the settings'")
       ->check(CLI::Range(1, 9));
-  app.add_option("--port", port, "the users' port; a free one if it is not given")
+  app.add_option("--port", options.port, "the users' port; a free one if it is not given")
       ->check(CLI::Range(1, 65535));
-  app.add_flag("--check", check, "check the settings, then exit");
-  auto* state = app.add_subcommand("state", "the state service's stand-in")->group("");
-  state->add_option("--listen", listen)->required();
-  state->add_option("--file", file);
-  auto* artifacts = app.add_subcommand("depot", "the depot alone");
-  artifacts->add_option("--listen", listen, "HOST:PORT")->required();
-  artifacts->add_option("--dir", dir, "where it is kept")->required();
+  app.add_flag("--check", options.check, "check the settings, then exit");
   app.require_subcommand(0, 1);
+}
+
+CLI::App* add_state_command(CLI::App& app, Options& options) {
+  CLI::App* command = app.add_subcommand("state", "the state service's stand-in")->group("");
+  command->add_option("--listen", options.listen)->required();
+  command->add_option("--file", options.state_file);
+  return command;
+}
+
+CLI::App* add_artifacts_command(CLI::App& app, Options& options) {
+  CLI::App* command = app.add_subcommand("depot", "the depot alone");
+  command->add_option("--listen", options.listen, "HOST:PORT")->required();
+  command->add_option("--dir", options.dir, "where it is kept")->required();
+  return command;
+}
+
+local_cluster::Settings read_settings(const Options& options) {
+  fs::path file = options.settings_file;
+  if (file.empty()) file = own_program().parent_path().parent_path() / "deploy" / "local.xml";
+  auto settings = local_cluster::parse_settings(config::read_file(file, "settings"));
+  if (options.controllers) settings.controllers = options.controllers;
+  return settings;
+}
+
+int run_default(const Options& options) {
+  const local_cluster::Settings settings = read_settings(options);
+  if (options.check) return 0;
+  if (options.dir.empty()) {
+    std::fprintf(stderr, "--dir is needed; see --help\n");
+    return kExitUsage;
+  }
+  return run_cluster(settings, options.dir, static_cast<std::uint16_t>(options.port));
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  CLI::App app{"shunttrail-local: the whole service on one machine, in the foreground"};
+  Options options;
+  add_options(app, options);
+  const CLI::App* state = add_state_command(app, options);
+  const CLI::App* artifacts = add_artifacts_command(app, options);
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    int r = app.exit(e);
-    return r == 0 ? 0 : 2;
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == 0 ? 0 : kExitUsage;
   }
   ::signal(SIGPIPE, SIG_IGN);
   try {
-    if (state->parsed()) return serve_state(listen, file);
-    if (artifacts->parsed()) return serve_depot(listen, dir);
-    if (settings_path.empty())
-      settings_path =
-          fs::read_symlink("/proc/self/exe").parent_path().parent_path() / "deploy" / "local.xml";
-    auto settings = local_cluster::parse_settings(config::read_file(settings_path, "settings"));
-    if (controllers) settings.controllers = controllers;
-    if (check) return 0;
-    if (dir.empty()) {
-      std::fprintf(stderr, "--dir is needed; see --help\n");
-      return 2;
-    }
-    return run(settings, dir, static_cast<std::uint16_t>(port));
-  } catch (const config::SettingsError& e) {
-    std::fprintf(stderr, "%s\n", e.what());
-    return 2;
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "shunttrail-local: %s\n", e.what());
-    return 1;
+    if (state->parsed()) return serve_state(options.listen, options.state_file);
+    if (artifacts->parsed()) return serve_artifacts(options.listen, options.dir);
+    return run_default(options);
+  } catch (const config::SettingsError& error) {
+    std::fprintf(stderr, "%s\n", error.what());
+    return kExitUsage;
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "shunttrail-local: %s\n", error.what());
+    return kExitFailed;
   }
 }
--- a/src/local_cluster/children.cpp
+++ b/src/local_cluster/children.cpp
@@ -13,137 +13,155 @@
 
 namespace shunttrail::local_cluster {
 namespace {
-constexpr double kTick = 0.1;
-constexpr double kPauseLeast = 0.2, kPauseMost = 5;
-constexpr double kSettled = 10;   // running for so long, the next pause is short again
-constexpr double kKillAfter = 5;  // a signal that was not heeded
+
+constexpr double kTickIntervalS = 0.1;
+constexpr double kLeastRestartDelayS = 0.2, kMostRestartDelayS = 5;
+constexpr double kSettledAfterS = 10;  // running for so long, the next delay is short again
+constexpr double kKillAfterS = 5;      // a signal to stop that was not heeded
+constexpr int kExitNotStarted = 127;
+constexpr int kExitSignalBase = 128;
+
+// In the child: becomes the program.
+[[noreturn]] void exec_child(char* const* argv, const char* log, pid_t parent) {
+  ::prctl(PR_SET_PDEATHSIG, SIGKILL);
+  if (::getppid() != parent) ::_exit(kExitNotStarted);
+  // A signal from the terminal is for the parent, which ends the others in their order.
+  ::setpgid(0, 0);
+  const int input = ::open("/dev/null", O_RDONLY);
+  const int output = ::open(log, O_WRONLY | O_CREAT | O_APPEND, 0644);
+  ::dup2(input, STDIN_FILENO);
+  ::dup2(output, STDOUT_FILENO);
+  ::dup2(output, STDERR_FILENO);
+  ::close_range(STDERR_FILENO + 1, ~0U, 0);
+  ::signal(SIGPIPE, SIG_DFL);
+  ::execv(argv[0], argv);
+  ::_exit(kExitNotStarted);
+}
+
+int exit_status_of(int wait_status) {
+  return WIFEXITED(wait_status) ? WEXITSTATUS(wait_status)
+                                : kExitSignalBase + WTERMSIG(wait_status);
+}
+
 }  // namespace
 
 Children::Children(actor::Loop& loop, std::filesystem::path logs)
     : Actor(loop), logs_(std::move(logs)), timer_(loop, [this] {
         tick();
-        timer_.after(kTick);
+        timer_.after(kTickIntervalS);
       }) {
   std::filesystem::create_directories(logs_);
-  ended_.reset(evsignal_new(
+  child_signal_.reset(evsignal_new(
       loop.base(), SIGCHLD,
       [](evutil_socket_t, short, void* self) { static_cast<Children*>(self)->reap(); }, this));
-  event_add(ended_.get(), nullptr);
-  timer_.after(kTick);
+  event_add(child_signal_.get(), nullptr);
+  timer_.after(kTickIntervalS);
 }
 
 Children::~Children() {
-  for (auto& [name, c] : children_) {
-    if (!c.pid) continue;
-    ::kill(c.pid, SIGKILL);
-    ::waitpid(c.pid, nullptr, 0);
+  for (auto& [name, child] : children_) {
+    if (!child.pid) continue;
+    ::kill(child.pid, SIGKILL);
+    ::waitpid(child.pid, nullptr, 0);
   }
 }
 
 void Children::keep(const std::string& name, std::vector<std::string> argv) {
-  Child& c = children_[name];
-  c.argv = std::move(argv);
-  c.kept = true;
-  if (!c.pid) start(name, c);
+  Child& child = children_[name];
+  child.argv = std::move(argv);
+  child.is_kept = true;
+  if (!child.pid) start(name, child);
 }
 
-void Children::once(const std::string& name, std::vector<std::string> argv,
-                    std::function<void(int)> done) {
-  Child& c = children_[name];
-  c.argv = std::move(argv);
-  c.done = std::move(done);
-  start(name, c);
+void Children::run_once(const std::string& name, std::vector<std::string> argv,
+                        std::function<void(int)> done) {
+  Child& child = children_[name];
+  child.argv = std::move(argv);
+  child.done = std::move(done);
+  start(name, child);
 }
 
-void Children::start(const std::string& name, Child& c) {
+void Children::start(const std::string& name, Child& child) {
   // All that needs memory is made before the fork.
   std::vector<char*> argv;
-  for (auto& a : c.argv) argv.push_back(a.data());
+  for (std::string& word : child.argv) argv.push_back(word.data());
   argv.push_back(nullptr);
-  const std::string file = logs_ / (name + ".log");
+  const std::string log = logs_ / (name + ".log");
   const pid_t parent = ::getpid();
-  pid_t pid = ::fork();
+  const pid_t pid = ::fork();
   if (pid < 0) throw std::system_error(errno, std::generic_category(), "fork");
-  if (pid == 0) {
-    ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (::getppid() != parent) ::_exit(127);
-    // A signal from the terminal is for the parent, which ends the others in their order.
-    ::setpgid(0, 0);
-    int in = ::open("/dev/null", O_RDONLY),
-        out = ::open(file.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-    ::dup2(in, 0);
-    ::dup2(out, 1);
-    ::dup2(out, 2);
-    ::close_range(3, ~0U, 0);
-    ::signal(SIGPIPE, SIG_DFL);
-    ::execv(argv[0], argv.data());
-    ::_exit(127);
-  }
-  c.pid = pid;
-  c.began = actor::steady_now();
-  c.kill_at = 0;
+  if (pid == 0) exec_child(argv.data(), log.c_str(), parent);
+  child.pid = pid;
+  child.started_at = actor::steady_now();
+  child.kill_at = 0;
 }
 
 void Children::reap() {
   int status;
   pid_t pid;
   while ((pid = ::waitpid(-1, &status, WNOHANG)) > 0) {
-    auto it = std::find_if(children_.begin(), children_.end(),
-                           [&](const auto& c) { return c.second.pid == pid; });
-    if (it == children_.end()) continue;
-    Child& c = it->second;
-    int code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
-    c.pid = 0;
-    if (c.kept) {
-      double now = actor::steady_now();
-      c.pause =
-          now - c.began > kSettled ? kPauseLeast : std::clamp(2 * c.pause, kPauseLeast, kPauseMost);
-      c.start_at = now + c.pause;
-      ++restarts_;
-      log::info("process ended and is started again",
-                {{"name", it->first}, {"status", code}, {"in_s", c.pause}});
-      continue;
-    }
-    auto done = std::move(c.done);
-    auto gone = std::move(c.gone);
-    children_.erase(it);
-    if (done) post([done, code] { done(code); });
-    for (auto& g : gone) post(g);
+    auto found = std::find_if(children_.begin(), children_.end(),
+                              [&](const auto& entry) { return entry.second.pid == pid; });
+    if (found != children_.end()) ended(found->first, found->second, exit_status_of(status));
   }
 }
 
+void Children::ended(const std::string& name, Child& child, int exit_status) {
+  child.pid = 0;
+  if (child.is_kept) return restart_later(name, child, exit_status);
+  auto done = std::move(child.done);
+  auto gone = std::move(child.gone);
+  children_.erase(std::string(name));
+  if (done) post([done, exit_status] { done(exit_status); });
+  for (auto& callback : gone) post(callback);
+}
+
+void Children::restart_later(const std::string& name, Child& child, int exit_status) {
+  const double now = actor::steady_now();
+  const bool had_settled = now - child.started_at > kSettledAfterS;
+  child.restart_delay_s =
+      had_settled ? kLeastRestartDelayS
+                  : std::clamp(2 * child.restart_delay_s, kLeastRestartDelayS, kMostRestartDelayS);
+  child.restart_at = now + child.restart_delay_s;
+  ++restarts_;
+  log::info("process ended and is restarted",
+            {{"name", name}, {"status", exit_status}, {"in_s", child.restart_delay_s}});
+}
+
 void Children::stop(const std::string& name, int signal, std::function<void()> gone) {
-  auto it = children_.find(name);
-  if (it == children_.end()) return post(std::move(gone));
-  Child& c = it->second;
-  c.kept = false;
-  if (!c.pid) {
-    children_.erase(it);
+  auto found = children_.find(name);
+  if (found == children_.end()) return post(std::move(gone));
+  Child& child = found->second;
+  child.is_kept = false;
+  if (!child.pid) {
+    children_.erase(found);
     return post(std::move(gone));
   }
-  c.gone.push_back(std::move(gone));
-  c.kill_at = actor::steady_now() + kKillAfter;
-  ::kill(c.pid, signal);
-  ::kill(c.pid, SIGCONT);  // one that stands still has to hear it, too
+  child.gone.push_back(std::move(gone));
+  child.kill_at = actor::steady_now() + kKillAfterS;
+  ::kill(child.pid, signal);
+  ::kill(child.pid, SIGCONT);  // one that is stopped has to take it, too
 }
 
 void Children::tick() {
-  double now = actor::steady_now();
-  for (auto& [name, c] : children_) {
-    if (c.kept && !c.pid && now >= c.start_at) start(name, c);
-    if (c.pid && c.kill_at > 0 && now > c.kill_at) ::kill(c.pid, SIGKILL);
+  const double now = actor::steady_now();
+  for (auto& [name, child] : children_) {
+    if (child.is_kept && !child.pid && now >= child.restart_at) start(name, child);
+    if (child.pid && child.kill_at > 0 && now > child.kill_at) ::kill(child.pid, SIGKILL);
   }
 }
 
 bool Children::running(const std::string& name) const { return pid(name) != 0; }
+
 pid_t Children::pid(const std::string& name) const {
-  auto it = children_.find(name);
-  return it == children_.end() ? 0 : it->second.pid;
+  auto found = children_.find(name);
+  return found == children_.end() ? 0 : found->second.pid;
 }
+
 std::vector<std::string> Children::names() const {
-  std::vector<std::string> out;
-  for (const auto& [name, c] : children_) out.push_back(name);
-  return out;
+  std::vector<std::string> names;
+  for (const auto& [name, child] : children_) names.push_back(name);
+  return names;
 }
 
 }  // namespace shunttrail::local_cluster
--- a/src/local_cluster/children.h
+++ b/src/local_cluster/children.h
@@ -1,5 +1,5 @@
-// The processes of a set: started, looked after, started again when they die, and ended. A child
-// goes with its parent, however that ends.
+// The child processes of a local cluster: started, restarted when they die, and ended. A child goes
+// with its parent, however that ends.
 #pragma once
 #include <sys/types.h>
 
@@ -15,38 +15,48 @@
 
 class Children : public actor::Actor {
  public:
+  /// What a child writes goes to `logs`/NAME.log.
   Children(actor::Loop& loop, std::filesystem::path logs);
+  /// Kills all that still run.
   ~Children() override;
 
-  // Kept running under this name until it is stopped. What it writes goes to logs/NAME.log.
+  /// Keeps a process running under this name until it is stopped. Throws std::system_error.
   void keep(const std::string& name, std::vector<std::string> argv);
-  // A process that is to end by itself; `done` gets its exit status, or 128 and the signal.
-  void once(const std::string& name, std::vector<std::string> argv, std::function<void(int)> done);
-  // Ends it by this signal, and by SIGKILL after a while; `gone` runs when it is.
+  /// Runs a process that is to end by itself; `done` gets its exit status, or 128 and the signal.
+  void run_once(const std::string& name, std::vector<std::string> argv,
+                std::function<void(int)> done);
+  /// Ends a process by this signal, and by SIGKILL after a while; `gone` runs when it has ended.
   void stop(const std::string& name, int signal, std::function<void()> gone);
-  bool running(const std::string& name) const;
-  pid_t pid(const std::string& name) const;  // 0: does not run now
-  std::vector<std::string> names() const;
-  std::uint64_t restarts() const { return restarts_; }
+  [[nodiscard]] bool running(const std::string& name) const;
+  /// 0: it does not run now.
+  [[nodiscard]] pid_t pid(const std::string& name) const;
+  [[nodiscard]] std::vector<std::string> names() const;
+  [[nodiscard]] std::uint64_t restarts() const { return restarts_; }
 
  private:
+  // Times are of the steady clock, in seconds.
   struct Child {
     std::vector<std::string> argv;
-    pid_t pid = 0;
-    bool kept = false;
-    double start_at = 0, began = 0, pause = 0, kill_at = 0;
-    std::function<void(int)> done;
-    std::vector<std::function<void()>> gone;
+    pid_t pid = 0;  // 0: does not run
+    bool is_kept = false;
+    double restart_at = 0;
+    double started_at = 0;
+    double restart_delay_s = 0;
+    double kill_at = 0;                       // 0: was not told to stop
+    std::function<void(int)> done;            // of run_once()
+    std::vector<std::function<void()>> gone;  // of stop()
   };
-  void start(const std::string& name, Child& c);
+  void start(const std::string& name, Child& child);
   void reap();
+  void ended(const std::string& name, Child& child, int exit_status);
+  void restart_later(const std::string& name, Child& child, int exit_status);
   void tick();
 
   std::filesystem::path logs_;
   std::map<std::string, Child> children_;
   std::uint64_t restarts_ = 0;
   actor::Timer timer_;
-  actor::EventPtr ended_;
+  actor::EventPtr child_signal_;
 };
 
 }  // namespace shunttrail::local_cluster
--- a/src/local_cluster/load_balancer.cpp
+++ b/src/local_cluster/load_balancer.cpp
@@ -9,206 +9,256 @@
 
 namespace shunttrail::local_cluster {
 namespace {
-constexpr std::size_t kFirstLine = 4096;
-constexpr double kProbeEvery = 0.5, kSkip = 3;
-constexpr int kTries = 3, kFailures = 3;
-constexpr int kConnectMs = 500;
-
-sockaddr_in address(const config::Endpoint& e) {
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_port = htons(e.port);
-  if (inet_pton(AF_INET, e.host.c_str(), &a.sin_addr) != 1)
-    throw std::runtime_error(e.host + " is not an address");
-  return a;
+
+constexpr std::size_t kMaxFirstLine = 4096;  // bytes
+constexpr double kProbeIntervalS = 0.5, kProbeTimeoutS = 1;
+constexpr int kGoodProbesUp = 1, kBadProbesDown = 2;
+constexpr double kSkipS = 3;  // a controller that takes no connections
+constexpr int kMaxTries = 3;  // of connections to controllers
+constexpr int kFailuresToSkip = 3;
+constexpr int kConnectTimeoutMs = 500;
+constexpr const char* kOperatorPaths[] = {"/metrics", "/levels", "/links"};
+
+sockaddr_in to_sockaddr(const config::Endpoint& endpoint) {
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(endpoint.port);
+  if (inet_pton(AF_INET, endpoint.host.c_str(), &address.sin_addr) != 1)
+    throw std::runtime_error(endpoint.host + " is not an address");
+  return address;
+}
+
+// The path of a request's first line, which ends at `line_end`.
+std::string path_of(const std::string& head, std::size_t line_end) {
+  const auto space = head.find(' ');
+  return space < line_end ? head.substr(space + 1, line_end - space - 1) : "";
+}
+
+bool is_for_operators(const std::string& path) {
+  return std::any_of(std::begin(kOperatorPaths), std::end(kOperatorPaths),
+                     [&](const char* prefix) { return path.starts_with(prefix); });
 }
+
 }  // namespace
 
-LoadBalancer::LoadBalancer(actor::Loop& loop, const config::Endpoint& at,
+LoadBalancer::LoadBalancer(actor::Loop& loop, const config::Endpoint& address,
                            std::vector<Backend> controllers, const config::Endpoint& artifacts)
     : Actor(loop),
       controllers_(std::move(controllers)),
-      states_(controllers_.size()),
+      health_(controllers_.size()),
       artifacts_(artifacts),
       timer_(loop, [this] {
         probe();
-        timer_.after(kProbeEvery);
+        timer_.after(kProbeIntervalS);
       }) {
   for (std::size_t i = 0; i < controllers_.size(); ++i)
-    states_[i].probe = std::make_unique<net::Client>(loop, controllers_[i].front, 1, 1);
-  sockaddr_in a = address(at);
+    health_[i].probe = std::make_unique<net::Client>(loop, controllers_[i].front, 1, 1);
+  listen(address);
+  timer_.after(0);
+}
+
+LoadBalancer::~LoadBalancer() = default;
+
+void LoadBalancer::listen(const config::Endpoint& address) {
+  sockaddr_in socket_address = to_sockaddr(address);
   listener_.reset(evconnlistener_new_bind(
-      loop.base(),
+      loop_.base(),
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
         static_cast<LoadBalancer*>(self)->accept(fd);
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE, -1,
-      reinterpret_cast<sockaddr*>(&a), sizeof a));
+      reinterpret_cast<sockaddr*>(&socket_address), sizeof socket_address));
   if (!listener_)
-    throw std::runtime_error("cannot listen on " + at.host + ":" + std::to_string(at.port));
-  timer_.after(0);
+    throw std::runtime_error("cannot listen on " + address.host + ":" +
+                             std::to_string(address.port));
 }
-LoadBalancer::~LoadBalancer() = default;
 
 bool LoadBalancer::healthy() const {
-  return std::any_of(states_.begin(), states_.end(), [](const State& s) { return s.up; });
+  return std::any_of(health_.begin(), health_.end(),
+                     [](const Health& health) { return health.is_up; });
 }
 
 void LoadBalancer::probe() {
-  for (std::size_t i = 0; i < states_.size(); ++i)
-    states_[i].probe->request("GET", "/up", "", 1, reply<net::Result>([this, i](net::Result r) {
-                                State& s = states_[i];
-                                bool ok = r.status == 200;
-                                s.good = ok ? s.good + 1 : 0;
-                                s.bad = ok ? 0 : s.bad + 1;
-                                if (s.good >= 1) s.up = true;
-                                if (s.bad >= 2) s.up = false;
+  for (std::size_t i = 0; i < health_.size(); ++i)
+    health_[i].probe->request("GET", "/up", "", kProbeTimeoutS,
+                              reply<net::Result>([this, i](net::Result result) {
+                                probed(health_[i], result.status == 200);
                               }));
 }
 
+void LoadBalancer::probed(Health& health, bool is_ok) {
+  health.good_probes = is_ok ? health.good_probes + 1 : 0;
+  health.bad_probes = is_ok ? 0 : health.bad_probes + 1;
+  if (health.good_probes >= kGoodProbesUp) health.is_up = true;
+  if (health.bad_probes >= kBadProbesDown) health.is_up = false;
+}
+
 // The healthy one with the fewest users; nothing: none is.
-int LoadBalancer::choose() const {
-  std::vector<int> open(states_.size(), 0);
-  for (const auto& [id, p] : connections_)
-    if (p->controller >= 0) ++open[static_cast<std::size_t>(p->controller)];
-  int best = -1;
-  double now = actor::steady_now();
-  for (std::size_t i = 0; i < states_.size(); ++i) {
-    if (!states_[i].up || states_[i].skip_until > now) continue;
-    if (best < 0 || open[i] < open[static_cast<std::size_t>(best)]) best = static_cast<int>(i);
+std::optional<std::size_t> LoadBalancer::choose_controller() const {
+  std::vector<int> users(health_.size(), 0);
+  for (const auto& [id, connection] : connections_)
+    if (connection->controller) ++users[*connection->controller];
+  const double now = actor::steady_now();
+  std::optional<std::size_t> best;
+  for (std::size_t i = 0; i < health_.size(); ++i) {
+    if (!health_[i].is_up || health_[i].skip_until > now) continue;
+    if (!best || users[i] < users[*best]) best = i;
   }
   return best;
 }
 
 void LoadBalancer::accept(evutil_socket_t fd) {
-  auto p = std::make_unique<Connection>();
-  p->balancer = this;
-  p->id = next_++;
+  auto connection = std::make_unique<Connection>();
+  connection->balancer = this;
+  connection->id = next_id_++;
   evutil_make_socket_nonblocking(fd);
-  p->user.reset(bufferevent_socket_new(loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE));
-  bufferevent_setcb(
-      p->user.get(),
-      [](bufferevent*, void* arg) {
-        auto* pass = static_cast<Connection*>(arg);
-        pass->balancer->moved(*pass, true);
-      },
-      nullptr,
-      [](bufferevent*, short what, void* arg) {
-        auto* pass = static_cast<Connection*>(arg);
-        pass->balancer->event(*pass, true, what);
-      },
-      p.get());
-  bufferevent_enable(p->user.get(), EV_READ | EV_WRITE);
-  connections_[p->id] = std::move(p);
-}
-
-void LoadBalancer::route(Connection& p) {
-  evbuffer* in = bufferevent_get_input(p.user.get());
-  std::string head(std::min(evbuffer_get_length(in), kFirstLine), '\0');
-  evbuffer_copyout(in, head.data(), head.size());
-  auto end = head.find('\n');
-  if (end == std::string::npos) {
-    if (head.size() >= kFirstLine) close(p.id);
-    return;
-  }
-  auto space = head.find(' ');
-  std::string path = space < end ? head.substr(space + 1, end - space - 1) : "";
-  if (path.starts_with("/depot/")) return connect(p, artifacts_);
-  int c = choose();
-  if (c < 0) {
-    // Answered at once, never held back.
-    static const std::string later =
-        "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Type: application/json\r\n"
-        "Content-Length: 19\r\nConnection: close\r\n\r\n{\"error\":\"not now\"}";
-    bufferevent_write(p.user.get(), later.data(), later.size());
-    bufferevent_disable(p.user.get(), EV_READ);
-    close_when_written(p, p.user.get());
+  connection->user.reset(bufferevent_socket_new(loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE));
+  watch(*connection, Side::user);
+  bufferevent_enable(connection->user.get(), EV_READ | EV_WRITE);
+  connections_[connection->id] = std::move(connection);
+}
+
+// Libevent's callbacks take one pointer, so that each side has its own.
+void LoadBalancer::watch(Connection& connection, Side side) {
+  if (side == Side::user)
+    bufferevent_setcb(
+        connection.user.get(),
+        [](bufferevent*, void* argument) {
+          auto* passing = static_cast<Connection*>(argument);
+          passing->balancer->has_data(*passing, Side::user);
+        },
+        nullptr,
+        [](bufferevent*, short events, void* argument) {
+          auto* passing = static_cast<Connection*>(argument);
+          passing->balancer->event(*passing, Side::user, events);
+        },
+        &connection);
+  else
+    bufferevent_setcb(
+        connection.backend.get(),
+        [](bufferevent*, void* argument) {
+          auto* passing = static_cast<Connection*>(argument);
+          passing->balancer->has_data(*passing, Side::backend);
+        },
+        nullptr,
+        [](bufferevent*, short events, void* argument) {
+          auto* passing = static_cast<Connection*>(argument);
+          passing->balancer->event(*passing, Side::backend, events);
+        },
+        &connection);
+}
+
+void LoadBalancer::route(Connection& connection) {
+  evbuffer* input = bufferevent_get_input(connection.user.get());
+  std::string head(std::min(evbuffer_get_length(input), kMaxFirstLine), '\0');
+  evbuffer_copyout(input, head.data(), head.size());
+  const auto line_end = head.find('\n');
+  if (line_end == std::string::npos) {
+    if (head.size() >= kMaxFirstLine) close(connection.id);
     return;
   }
-  p.controller = c;
-  const Backend& b = controllers_[static_cast<std::size_t>(c)];
-  // What operators ask for, on the set's one address.
-  const bool inside =
-      path.starts_with("/metrics") || path.starts_with("/levels") || path.starts_with("/links");
-  connect(p, inside ? b.internal : b.front);
+  const std::string path = path_of(head, line_end);
+  if (path.starts_with("/depot/"))
+    connect(connection, artifacts_);
+  else
+    connect_to_controller(connection, path);
 }
 
-void LoadBalancer::connect(Connection& p, const config::Endpoint& to) {
-  ++p.tries;
-  p.behind.reset(bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE));
-  bufferevent_setcb(
-      p.behind.get(),
-      [](bufferevent*, void* arg) {
-        auto* pass = static_cast<Connection*>(arg);
-        pass->balancer->moved(*pass, false);
-      },
-      nullptr,
-      [](bufferevent*, short what, void* arg) {
-        auto* pass = static_cast<Connection*>(arg);
-        pass->balancer->event(*pass, false, what);
-      },
-      &p);
-  timeval wait{0, kConnectMs * 1000};
-  bufferevent_set_timeouts(p.behind.get(), nullptr, &wait);
-  sockaddr_in a = address(to);
-  if (bufferevent_socket_connect(p.behind.get(), reinterpret_cast<sockaddr*>(&a), sizeof a) != 0)
-    return;  // the event callback has been told
-  bufferevent_enable(p.behind.get(), EV_READ | EV_WRITE);
-}
-
-void LoadBalancer::moved(Connection& p, bool from_user) {
-  if (!p.behind) return route(p);
-  if (!p.connected) return;  // what the user sent waits
-  bufferevent* from = from_user ? p.user.get() : p.behind.get();
-  bufferevent* to = from_user ? p.behind.get() : p.user.get();
-  bufferevent_write_buffer(to, bufferevent_get_input(from));
-}
-
-void LoadBalancer::event(Connection& p, bool at_user, short what) {
-  if (!at_user && (what & BEV_EVENT_CONNECTED)) {
-    p.connected = true;
-    if (p.controller >= 0) states_[static_cast<std::size_t>(p.controller)].failures = 0;
-    bufferevent_set_timeouts(p.behind.get(), nullptr, nullptr);
-    return moved(p, true);
-  }
-  if (!at_user && !p.connected && p.controller >= 0) {
-    // Another one, as long as nothing of the request has been sent.
-    State& s = states_[static_cast<std::size_t>(p.controller)];
-    if (++s.failures >= kFailures) {
-      s.skip_until = actor::steady_now() + kSkip;
-      s.failures = 0;
-    }
-    if (p.tries < kTries)
-      return post([this, id = p.id] {
-        auto it = connections_.find(id);
-        if (it == connections_.end()) return;
-        it->second->behind.reset();
-        it->second->controller = -1;
-        route(*it->second);
-      });
+void LoadBalancer::connect_to_controller(Connection& connection, const std::string& path) {
+  connection.controller = choose_controller();
+  if (!connection.controller) return refuse(connection);
+  const Backend& backend = controllers_[*connection.controller];
+  connect(connection, is_for_operators(path) ? backend.internal : backend.front);
+}
+
+// Answered at once, never held back.
+void LoadBalancer::refuse(Connection& connection) {
+  static const std::string kAnswer =
+      "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Type: application/json\r\n"
+      "Content-Length: 19\r\nConnection: close\r\n\r\n{\"error\":\"not now\"}";
+  bufferevent_write(connection.user.get(), kAnswer.data(), kAnswer.size());
+  bufferevent_disable(connection.user.get(), EV_READ);
+  close_when_written(connection, connection.user.get());
+}
+
+void LoadBalancer::connect(Connection& connection, const config::Endpoint& to) {
+  ++connection.tries;
+  connection.backend.reset(bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE));
+  watch(connection, Side::backend);
+  const timeval timeout{0, kConnectTimeoutMs * 1000};
+  bufferevent_set_timeouts(connection.backend.get(), nullptr, &timeout);
+  sockaddr_in address = to_sockaddr(to);
+  const int error = bufferevent_socket_connect(
+      connection.backend.get(), reinterpret_cast<sockaddr*>(&address), sizeof address);
+  if (error != 0) return;  // the event callback has been called
+  bufferevent_enable(connection.backend.get(), EV_READ | EV_WRITE);
+}
+
+void LoadBalancer::has_data(Connection& connection, Side from) {
+  if (!connection.backend) return route(connection);
+  if (!connection.is_connected) return;  // what the user has sent waits
+  const Side to = from == Side::user ? Side::backend : Side::user;
+  bufferevent_write_buffer(connection.buffer(to).get(),
+                           bufferevent_get_input(connection.buffer(from).get()));
+}
+
+void LoadBalancer::event(Connection& connection, Side side, short events) {
+  const bool is_backend = side == Side::backend;
+  if (is_backend && (events & BEV_EVENT_CONNECTED)) return connected(connection);
+  const bool has_failed = is_backend && !connection.is_connected && connection.controller;
+  if (has_failed && retry(connection)) return;
+  forward_rest_and_close(connection, side);
+}
+
+void LoadBalancer::connected(Connection& connection) {
+  connection.is_connected = true;
+  if (connection.controller) health_[*connection.controller].failed_connections = 0;
+  bufferevent_set_timeouts(connection.backend.get(), nullptr, nullptr);
+  has_data(connection, Side::user);
+}
+
+// Takes another controller, as long as nothing of the request has been sent. False: it was the last
+// try.
+bool LoadBalancer::retry(Connection& connection) {
+  Health& health = health_[*connection.controller];
+  if (++health.failed_connections >= kFailuresToSkip) {
+    health.skip_until = actor::steady_now() + kSkipS;
+    health.failed_connections = 0;
   }
-  // What is still to be written to the other side goes first.
-  Buffer& other = at_user ? p.behind : p.user;
-  if (!at_user && p.connected && other) moved(p, false);
-  if (!at_user && other && evbuffer_get_length(bufferevent_get_output(other.get())) > 0) {
-    close_when_written(p, other.get());
-    return;
+  if (connection.tries >= kMaxTries) return false;
+  post([this, id = connection.id] {
+    auto found = connections_.find(id);
+    if (found == connections_.end()) return;
+    found->second->backend.reset();
+    found->second->controller.reset();
+    route(*found->second);
+  });
+  return true;
+}
+
+// What is still to be written to the user goes first.
+void LoadBalancer::forward_rest_and_close(Connection& connection, Side closed) {
+  if (closed == Side::backend) {
+    if (connection.is_connected) has_data(connection, Side::backend);
+    evbuffer* unwritten = bufferevent_get_output(connection.user.get());
+    if (evbuffer_get_length(unwritten) > 0)
+      return close_when_written(connection, connection.user.get());
   }
-  close(p.id);
+  close(connection.id);
 }
 
-void LoadBalancer::close_when_written(Connection& p, bufferevent* to) {
+void LoadBalancer::close_when_written(Connection& connection, bufferevent* buffer) {
   bufferevent_setcb(
-      to, nullptr,
-      [](bufferevent*, void* arg) {
-        auto* pass = static_cast<Connection*>(arg);
-        pass->balancer->close(pass->id);
+      buffer, nullptr,
+      [](bufferevent*, void* argument) {
+        auto* passing = static_cast<Connection*>(argument);
+        passing->balancer->close(passing->id);
       },
-      [](bufferevent*, short, void* arg) {
-        auto* pass = static_cast<Connection*>(arg);
-        pass->balancer->close(pass->id);
+      [](bufferevent*, short, void* argument) {
+        auto* passing = static_cast<Connection*>(argument);
+        passing->balancer->close(passing->id);
       },
-      &p);
+      &connection);
 }
 
 void LoadBalancer::close(std::uint64_t id) {
--- a/src/local_cluster/load_balancer.h
+++ b/src/local_cluster/load_balancer.h
@@ -1,13 +1,14 @@
-// The set's front door: one address for users. Like the load balancer of PROTOCOL it chooses a
-// healthy controller for each connection and never changes what passes; of the first request it
-// only looks at the path, since the artifact store and the operators' figures are behind the same
-// address.
+// The local cluster's load balancer: one address for users. Like the load balancer of PROTOCOL it
+// chooses a healthy controller for each connection and never changes what passes; of the first
+// request it reads the path alone, since the artifact store and the operators' figures are behind
+// the same address.
 #pragma once
 #include <event2/bufferevent.h>
 #include <event2/listener.h>
 
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -19,52 +20,69 @@
 class LoadBalancer : public actor::Actor {
  public:
   struct Backend {
-    config::Endpoint front, internal;
+    config::Endpoint front;     ///< for users
+    config::Endpoint internal;  ///< for operators
   };
-  LoadBalancer(actor::Loop& loop, const config::Endpoint& at, std::vector<Backend> controllers,
+  /// Throws std::runtime_error where the address is none, or is taken.
+  LoadBalancer(actor::Loop& loop, const config::Endpoint& address, std::vector<Backend> controllers,
                const config::Endpoint& artifacts);
   ~LoadBalancer() override;
-  bool healthy() const;  // some controller is
+  /// Whether some controller is.
+  [[nodiscard]] bool healthy() const;
 
  private:
   struct BufferFree {
-    void operator()(bufferevent* b) const { bufferevent_free(b); }
+    void operator()(bufferevent* buffer) const { bufferevent_free(buffer); }
+  };
+  struct ListenerFree {
+    void operator()(evconnlistener* listener) const { evconnlistener_free(listener); }
   };
   using Buffer = std::unique_ptr<bufferevent, BufferFree>;
-  // One user's connection and, once its first line has come, the one behind it.
+  enum class Side { user, backend };
+
+  // One user's connection and, once its first line has come, the one to a backend.
   struct Connection {
     LoadBalancer* balancer = nullptr;
     std::uint64_t id = 0;
-    Buffer user, behind;
-    int controller = -1;
+    Buffer user;
+    Buffer backend;
+    std::optional<std::size_t> controller;  // nothing: the artifact store, or not chosen yet
     int tries = 0;
-    bool connected = false;
+    bool is_connected = false;  // to the backend
+    Buffer& buffer(Side side) { return side == Side::user ? user : backend; }
   };
-  struct State {
+  // What is known of a controller.
+  struct Health {
     std::unique_ptr<net::Client> probe;
-    bool up = false;
-    int good = 0, bad = 0;
-    double skip_until = 0;
-    int failures = 0;
+    bool is_up = false;
+    int good_probes = 0, bad_probes = 0;  // in a row
+    double skip_until = 0;                // steady clock
+    int failed_connections = 0;           // in a row
   };
+
+  void listen(const config::Endpoint& address);
   void accept(evutil_socket_t fd);
-  void route(Connection& p);
-  void connect(Connection& p, const config::Endpoint& to);
-  void moved(Connection& p, bool from_user);
-  void event(Connection& p, bool at_user, short what);
-  void close_when_written(Connection& p, bufferevent* to);
+  void watch(Connection& connection, Side side);
+  void route(Connection& connection);
+  void connect_to_controller(Connection& connection, const std::string& path);
+  void connect(Connection& connection, const config::Endpoint& to);
+  void refuse(Connection& connection);
+  void has_data(Connection& connection, Side from);
+  void event(Connection& connection, Side side, short events);
+  void connected(Connection& connection);
+  [[nodiscard]] bool retry(Connection& connection);
+  void forward_rest_and_close(Connection& connection, Side closed);
+  void close_when_written(Connection& connection, bufferevent* buffer);
   void close(std::uint64_t id);
   void probe();
-  int choose() const;
+  void probed(Health& health, bool is_ok);
+  [[nodiscard]] std::optional<std::size_t> choose_controller() const;
 
   std::vector<Backend> controllers_;
-  std::vector<State> states_;
+  std::vector<Health> health_;  // of each controller
   config::Endpoint artifacts_;
   std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-  std::uint64_t next_ = 1;
-  struct ListenerFree {
-    void operator()(evconnlistener* l) const { evconnlistener_free(l); }
-  };
+  std::uint64_t next_id_ = 1;
   std::unique_ptr<evconnlistener, ListenerFree> listener_;
   actor::Timer timer_;
 };
--- a/src/local_cluster/local_cluster.cpp
+++ b/src/local_cluster/local_cluster.cpp
@@ -5,6 +5,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <stdexcept>
 #include <utility>
 
 #include "artifacts/store.h"
@@ -16,149 +17,206 @@
 
 // Below the range that the system takes for its own connections.
 constexpr std::uint16_t kFirstPort = 20000, kLastPort = 32000;
+constexpr int kPortStride = 97;  // clusters that run beside one another begin at different ports
+constexpr const char* kLoopback = "127.0.0.1";
+constexpr double kReadyIntervalS = 0.1, kReadyTimeoutS = 1;
+
+// Names of children, and of their log files.
+constexpr const char* kStateService = "state";
+constexpr const char* kArtifactStore = "depot";
 
 bool is_free(std::uint16_t port) {
-  int s = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  int on = 1;
-  ::setsockopt(s, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_port = htons(port);
-  a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  bool ok = ::bind(s, reinterpret_cast<sockaddr*>(&a), sizeof a) == 0;
-  ::close(s);
-  return ok;
-}
-
-agent::Fd own(const fs::path& dir) {
+  const agent::Fd socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  const int on = 1;
+  ::setsockopt(socket.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(port);
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  return ::bind(socket.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) == 0;
+}
+
+std::uint16_t first_port() {
+  return static_cast<std::uint16_t>(kFirstPort +
+                                    ::getpid() * kPortStride % (kLastPort - kFirstPort));
+}
+
+agent::Fd lock_directory(const fs::path& dir) {
   fs::create_directories(dir);
   auto lock = agent::try_lock(dir / "lock");
   if (!lock) throw std::runtime_error(dir.string() + ": another set runs there");
   return std::move(*lock);
 }
 
+ClusterPlace absolute(ClusterPlace place) {
+  place.dir = fs::absolute(place.dir);
+  return place;
+}
+
+// Calls `done` at its `count`-th call.
+std::function<void()> after_calls(std::size_t count, const std::function<void()>& done) {
+  return [left = std::make_shared<std::size_t>(count), done] {
+    if (--*left == 0) done();
+  };
+}
+
 }  // namespace
 
-LocalCluster::LocalCluster(actor::Loop& loop, Settings s, fs::path dir, const fs::path& programs,
-                           const fs::path& self, std::uint16_t port,
+LocalCluster::LocalCluster(actor::Loop& loop, Settings settings, ClusterPlace place,
                            std::function<void(std::string)> ready)
     : Actor(loop),
-      settings_(std::move(s)),
-      dir_(fs::absolute(std::move(dir))),
-      programs_(programs),
-      lock_(own(dir_)),
-      // Sets that run beside one another begin to look at different places.
-      next_port_(
-          static_cast<std::uint16_t>(kFirstPort + ::getpid() * 97 % (kLastPort - kFirstPort))),
-      children_(loop, dir_ / "logs"),
+      settings_(std::move(settings)),
+      place_(absolute(std::move(place))),
+      lock_(lock_directory(place_.dir)),
+      next_port_(first_port()),
+      children_(loop, place_.dir / "logs"),
       ready_(std::move(ready)),
-      timer_(loop, [this] { look(); }) {
-  front_ = port ? config::Endpoint{"127.0.0.1", port} : take_address();
-  state_at_ = take_address();
-  artifacts_at_ = take_address();
-  cloud_at_ = take_address();
-  for (int i = 0; i < settings_.controllers; ++i)
-    places_.push_back({"node-" + std::to_string(i),
-                       settings_.zones[static_cast<std::size_t>(i) % settings_.zones.size()],
-                       take_address(), take_address()});
-  fs::create_directories(dir_ / "machines");
-  fs::create_directories(dir_ / "controllers");
-  children_.keep("state", {self.string(), "state", "--listen", text(state_at_), "--file",
-                           (dir_ / "state" / "log").string()});
-  children_.keep("depot", {self.string(), "depot", "--listen", text(artifacts_at_), "--dir",
-                           (dir_ / "depot").string()});
-  for (std::size_t i = 0; i < places_.size(); ++i) {
-    fs::path file = dir_ / "controllers" / (places_[i].name + ".json");
-    artifacts::write_whole(file, controller_settings(settings_, places_, i, state_at_, cloud_at_));
-    children_.keep(places_[i].name,
-                   {(programs_ / "shunttrail-controller").string(), "--config", file.string()});
+      timer_(loop, [this] { check_ready(); }) {
+  take_addresses();
+  start_services();
+  start_controllers();
+  start_cloud();
+  start_load_balancer();
+  artifacts_probe_ = std::make_unique<net::Client>(loop, artifacts_address_, 1, 1);
+  timer_.after(kReadyIntervalS);
+}
+
+void LocalCluster::take_addresses() {
+  front_address_ = place_.port ? config::Endpoint{kLoopback, place_.port} : take_address();
+  state_address_ = take_address();
+  artifacts_address_ = take_address();
+  cloud_address_ = take_address();
+  for (int i = 0; i < settings_.controllers; ++i) {
+    const auto& zone = settings_.zones[static_cast<std::size_t>(i) % settings_.zones.size()];
+    const config::Endpoint front = take_address();
+    const config::Endpoint internal = take_address();
+    controllers_.push_back({"node-" + std::to_string(i), zone, front, internal});
   }
-  cloud_ = std::make_unique<emulators::CloudEmulator>(
-      loop, cloud_at_, settings_.types, settings_.cloud_rps, dir_ / "cloud.json",
-      emulators::CloudEmulator::Power{[this] { return text(take_address()); },
-                                      [this](const auto& m) { power_on(m); },
-                                      [this](auto names, auto done) { power_off(names, done); }});
-  std::vector<LoadBalancer::Backend> backends;
-  for (const auto& p : places_) backends.push_back({p.front, p.internal});
-  load_balancer_ = std::make_unique<LoadBalancer>(loop, front_, std::move(backends), artifacts_at_);
-  probe_ = std::make_unique<net::Client>(loop, artifacts_at_, 1, 1);
-  timer_.after(0.1);
 }
 
 config::Endpoint LocalCluster::take_address() {
   for (int i = 0; i < kLastPort - kFirstPort; ++i) {
-    std::uint16_t port = next_port_++;
+    const std::uint16_t port = next_port_++;
     if (next_port_ >= kLastPort) next_port_ = kFirstPort;
-    if (taken_.contains(port) || !is_free(port)) continue;
-    taken_.insert(port);
-    return {"127.0.0.1", port};
+    if (taken_ports_.contains(port) || !is_free(port)) continue;
+    taken_ports_.insert(port);
+    return {kLoopback, port};
   }
   throw std::runtime_error("no free port is left");
 }
 
+void LocalCluster::start_services() {
+  fs::create_directories(place_.dir / "machines");
+  fs::create_directories(place_.dir / "controllers");
+  const std::string program = place_.services_program.string();
+  children_.keep(kStateService, {program, "state", "--listen", to_text(state_address_), "--file",
+                                 (place_.dir / "state" / "log").string()});
+  children_.keep(kArtifactStore, {program, "depot", "--listen", to_text(artifacts_address_),
+                                  "--dir", (place_.dir / "depot").string()});
+}
+
+void LocalCluster::start_controllers() {
+  const std::string program = place_.programs / "shunttrail-controller";
+  for (std::size_t i = 0; i < controllers_.size(); ++i) {
+    const fs::path file = place_.dir / "controllers" / (controllers_[i].name + ".json");
+    artifacts::write_whole(
+        file, controller_settings(settings_, controllers_, i, state_address_, cloud_address_));
+    children_.keep(controllers_[i].name, {program, "--config", file.string()});
+  }
+}
+
+void LocalCluster::start_cloud() {
+  cloud_ = std::make_unique<emulators::CloudEmulator>(
+      loop_, cloud_address_, settings_.types, settings_.cloud_rps, place_.dir / "cloud.json",
+      emulators::CloudEmulator::Power{
+          [this] { return to_text(take_address()); },
+          [this](const auto& machine) { power_on(machine); },
+          [this](auto machines, auto done) { power_off(machines, done); }});
+}
+
+void LocalCluster::start_load_balancer() {
+  std::vector<LoadBalancer::Backend> backends;
+  for (const auto& controller : controllers_)
+    backends.push_back({controller.front, controller.internal});
+  load_balancer_ = std::make_unique<LoadBalancer>(loop_, front_address_, std::move(backends),
+                                                  artifacts_address_);
+}
+
 fs::path LocalCluster::machine_dir(const std::string& name) const {
-  return dir_ / "machines" / name;
+  return place_.dir / "machines" / name;
 }
 
-void LocalCluster::power_on(const emulators::CloudEmulator::Machine& m) {
-  if (ending_) return;
-  fs::path dir = machine_dir(m.name);
+std::string LocalCluster::agent_program() const { return place_.programs / "shunttrail-agent"; }
+
+void LocalCluster::power_on(const emulators::CloudEmulator::Machine& machine) {
+  if (is_ending_) return;
+  const fs::path dir = machine_dir(machine.name);
   fs::create_directories(dir);
-  fs::path file = dir / "agent.xml";
-  artifacts::write_whole(file, agent_settings(settings_, places_, m, artifacts_at_));
-  children_.keep(m.name, {(programs_ / "shunttrail-agent").string(), "--settings", file.string(),
-                          "--dir", dir.string()});
+  const fs::path file = dir / "agent.xml";
+  artifacts::write_whole(file,
+                         agent_settings(settings_, controllers_, machine, artifacts_address_));
+  children_.keep(machine.name,
+                 {agent_program(), "--settings", file.string(), "--dir", dir.string()});
 }
 
-// As when a machine loses its power: nothing is saved, and nothing is left.
-void LocalCluster::power_off(std::vector<std::string> machines, std::function<void()> done) {
-  auto left = std::make_shared<std::size_t>(machines.size());
+// As when machines lose their power: nothing is saved, and nothing is left.
+void LocalCluster::power_off(const std::vector<std::string>& machines,
+                             const std::function<void()>& done) {
   if (machines.empty()) return done();
-  for (const auto& name : machines) {
-    auto over = [this, name, left, done](int status) {
-      if (status != 0) log::error("machine's tasks may not be gone", {{"machine", name}});
-      std::error_code ignored;
-      if (!ending_) fs::remove_all(machine_dir(name), ignored);
-      if (--*left == 0) done();
-    };
-    children_.stop(name, SIGKILL, [this, name, over] {
-      if (!fs::exists(machine_dir(name))) return over(0);
-      children_.once(
-          "end-" + name,
-          {(programs_ / "shunttrail-agent").string(), "end", "--dir", machine_dir(name).string()},
-          over);
-    });
-  }
+  const auto one_done = after_calls(machines.size(), done);
+  for (const std::string& machine : machines) power_off_one(machine, one_done);
 }
 
-// Whether users can be served: a controller is up, and the artifact store is.
-void LocalCluster::look() {
-  if (ending_ || !ready_) return;
-  if (!load_balancer_->healthy()) return timer_.after(0.1);
-  probe_->request("GET", "/depot/up", "", 1, reply<net::Result>([this](net::Result r) {
-                    if (ending_ || !ready_) return;
-                    if (r.status != 200) return timer_.after(0.1);
-                    std::exchange(ready_, nullptr)("http://" + text(front_));
-                  }));
+void LocalCluster::power_off_one(const std::string& machine, const std::function<void()>& done) {
+  auto tasks_ended = [this, machine, done](int exit_status) {
+    if (exit_status != 0) log::error("machine's tasks may not be gone", {{"machine", machine}});
+    std::error_code ignored;
+    if (!is_ending_) fs::remove_all(machine_dir(machine), ignored);
+    done();
+  };
+  children_.stop(machine, SIGKILL,
+                 [this, machine, tasks_ended] { end_tasks(machine, tasks_ended); });
+}
+
+void LocalCluster::end_tasks(const std::string& machine, const std::function<void(int)>& done) {
+  const fs::path dir = machine_dir(machine);
+  if (!fs::exists(dir)) return done(0);
+  children_.run_once("end-" + machine, {agent_program(), "end", "--dir", dir.string()}, done);
+}
+
+// Whether users can be served: a controller is healthy, and the artifact store answers.
+void LocalCluster::check_ready() {
+  if (is_ending_ || !ready_) return;
+  if (!load_balancer_->healthy()) return timer_.after(kReadyIntervalS);
+  artifacts_probe_->request("GET", "/depot/up", "", kReadyTimeoutS,
+                            reply<net::Result>([this](net::Result result) {
+                              if (is_ending_ || !ready_) return;
+                              if (result.status != 200) return timer_.after(kReadyIntervalS);
+                              std::exchange(ready_, nullptr)("http://" + to_text(front_address_));
+                            }));
 }
 
 void LocalCluster::end(std::function<void()> gone) {
-  if (ending_) return;
-  ending_ = true;
-  log::info("set ends");
-  // Users first, then who could start anything, then the machines, then what keeps their record.
+  if (is_ending_) return;
+  is_ending_ = true;
+  log::info("local cluster ends");
+  // Users first, then who could start anything, then the machines, then what keeps their state.
   load_balancer_.reset();
-  auto left = std::make_shared<std::size_t>(places_.size());
-  for (const auto& p : places_)
-    children_.stop(p.name, SIGTERM, [this, left, gone] {
-      if (--*left > 0) return;
-      std::vector<std::string> machines;
-      for (const auto& [name, m] : cloud_->machines()) machines.push_back(name);
-      power_off(machines, [this, gone] {
-        children_.stop("depot", SIGTERM,
-                       [this, gone] { children_.stop("state", SIGTERM, [gone] { gone(); }); });
-      });
-    });
+  const auto controller_ended =
+      after_calls(controllers_.size(), [this, gone] { end_machines(gone); });
+  for (const auto& controller : controllers_)
+    children_.stop(controller.name, SIGTERM, controller_ended);
+}
+
+void LocalCluster::end_machines(const std::function<void()>& gone) {
+  std::vector<std::string> machines;
+  for (const auto& [name, machine] : cloud_->machines()) machines.push_back(name);
+  power_off(machines, [this, gone] { end_services(gone); });
+}
+
+void LocalCluster::end_services(const std::function<void()>& gone) {
+  children_.stop(kArtifactStore, SIGTERM,
+                 [this, gone] { children_.stop(kStateService, SIGTERM, gone); });
 }
 
 }  // namespace shunttrail::local_cluster
--- a/src/local_cluster/local_cluster.h
+++ b/src/local_cluster/local_cluster.h
@@ -1,12 +1,13 @@
-// The whole service on one machine: controllers, a artifact store, a state service and a cloud
-// whose machines are agents, all of them processes of this one. State stays in its directory; a
-// second start goes on with it.
+// The whole service on one machine: controllers, an artifact store, a state service and a cloud
+// whose machines are agents, all of them child processes of this one. State stays in its directory;
+// a second start goes on with it.
 #pragma once
 #include <filesystem>
 #include <functional>
 #include <memory>
 #include <set>
 #include <string>
+#include <vector>
 
 #include "actor/loop.h"
 #include "agent/processes.h"
@@ -17,41 +18,55 @@
 
 namespace shunttrail::local_cluster {
 
+/// Where a local cluster and its programs are.
+struct ClusterPlace {
+  std::filesystem::path dir;       ///< where it keeps everything
+  std::filesystem::path programs;  ///< where shunttrail-controller and shunttrail-agent are
+  /// The program that serves as the state service and the artifact store (shunttrail-local).
+  std::filesystem::path services_program;
+  std::uint16_t port = 0;  ///< for users; 0: a free one is taken
+};
+
 class LocalCluster : public actor::Actor {
  public:
-  // `programs`: where shunttrail and shunt-agent are. `self`: this program, which also serves as
-  // the state service and the artifact store. Throws std::runtime_error: another set has the
-  // directory, or an address cannot be had.
-  LocalCluster(actor::Loop& loop, Settings s, std::filesystem::path dir,
-               const std::filesystem::path& programs, const std::filesystem::path& self,
-               std::uint16_t port, std::function<void(std::string url)> ready);
-
-  // Ends every process and every task, in an order that loses nothing; `gone` runs then.
-  void end(std::function<void()> gone);
+  /// `ready` gets the users' URL once they can be served. Throws std::runtime_error: another
+  /// cluster has the directory, or an address cannot be had.
+  LocalCluster(actor::Loop& loop, Settings settings, ClusterPlace place,
+               std::function<void(std::string url)> ready);
 
-  Children& children() { return children_; }
-  emulators::CloudEmulator& cloud() { return *cloud_; }
-  std::filesystem::path machine_dir(const std::string& name) const;
+  /// Ends every process and every task, in an order that loses nothing; `gone` runs then.
+  void end(std::function<void()> gone);
 
  private:
-  config::Endpoint take_address();
-  void power_on(const emulators::CloudEmulator::Machine& m);
-  void power_off(std::vector<std::string> machines, std::function<void()> done);
-  void look();
+  [[nodiscard]] config::Endpoint take_address();
+  [[nodiscard]] std::filesystem::path machine_dir(const std::string& name) const;
+  [[nodiscard]] std::string agent_program() const;
+  void take_addresses();
+  void start_services();
+  void start_controllers();
+  void start_cloud();
+  void start_load_balancer();
+  void power_on(const emulators::CloudEmulator::Machine& machine);
+  void power_off(const std::vector<std::string>& machines, const std::function<void()>& done);
+  void power_off_one(const std::string& machine, const std::function<void()>& done);
+  void end_tasks(const std::string& machine, const std::function<void(int)>& done);
+  void check_ready();
+  void end_machines(const std::function<void()>& gone);
+  void end_services(const std::function<void()>& gone);
 
-  Settings settings_;
-  std::filesystem::path dir_, programs_;
+  const Settings settings_;
+  const ClusterPlace place_;
   agent::Fd lock_;
-  std::set<std::uint16_t> taken_;
-  std::uint16_t next_port_ = 20000;
-  std::vector<AgentPlace> places_;
-  config::Endpoint front_, state_at_, artifacts_at_, cloud_at_;
+  std::set<std::uint16_t> taken_ports_;
+  std::uint16_t next_port_;
+  std::vector<ControllerPlace> controllers_;
+  config::Endpoint front_address_, state_address_, artifacts_address_, cloud_address_;
   Children children_;
   std::unique_ptr<emulators::CloudEmulator> cloud_;
   std::unique_ptr<LoadBalancer> load_balancer_;
-  std::unique_ptr<net::Client> probe_;
-  std::function<void(std::string)> ready_;
-  bool ending_ = false;
+  std::unique_ptr<net::Client> artifacts_probe_;
+  std::function<void(std::string)> ready_;  // empty once it was called
+  bool is_ending_ = false;
   actor::Timer timer_;
 };
 
--- a/src/local_cluster/settings.cpp
+++ b/src/local_cluster/settings.cpp
@@ -1,5 +1,6 @@
 #include "local_cluster/settings.h"
 
+#include <locale>
 #include <nlohmann/json.hpp>
 #include <sstream>
 
@@ -8,145 +9,219 @@
 namespace shunttrail::local_cluster {
 
 using namespace config;
+using nlohmann::json;
 
-Settings parse_settings(const std::string& xml) {
-  pugi::xml_document doc;
-  pugi::xml_node root = load_xml(doc, xml, "shunt-local");
-  Settings s;
-  auto attribute = [](pugi::xml_node n, const std::string& at, const char* name, double fallback) {
-    pugi::xml_attribute a = n.attribute(name);
-    return a ? xml_number(a.value(), at + "@" + name, 0, 1e6) : fallback;
+namespace {
+
+constexpr double kMaxAmount = 1e6;
+constexpr double kCancelMarginS = 5;  // at least, above the lease
+
+// What every controller is told of the emulated services.
+constexpr int kStateRps = 3000, kStateWriteRps = 1500;
+constexpr int kStateValueKb = 32, kStateTransactionOps = 64;
+constexpr double kCpuShare = 1.0;
+constexpr int kMemoryMb = 512, kMaxSockets = 4000;
+constexpr int kClockErrorMs = 100;
+
+double read_amount(pugi::xml_node node, const std::string& place, const char* name,
+                   double fallback) {
+  const pugi::xml_attribute attribute = node.attribute(name);
+  return attribute ? xml_number(attribute.value(), place + "@" + name, 0, kMaxAmount) : fallback;
+}
+
+Team read_team(pugi::xml_node node, const std::string& place) {
+  return {xml_attribute(node, place, "name"), read_amount(node, place, "cpus", 0),
+          read_amount(node, place, "cpus-max", 0), read_amount(node, place, "gpus", 0),
+          read_amount(node, place, "gpus-max", 0)};
+}
+
+emulators::EmulatedMachineType read_machine_type(pugi::xml_node node, const std::string& place,
+                                                 double cache_gb) {
+  emulators::EmulatedMachineType type;
+  type.spec.name = xml_attribute(node, place, "name");
+  type.spec.cpus = read_amount(node, place, "cpus", 1);
+  type.spec.gpus = read_amount(node, place, "gpus", 0);
+  type.spec.mem_gb = read_amount(node, place, "mem-gb", 1);
+  type.spec.price = read_amount(node, place, "hourly", 0.1);
+  type.spec.spot_price = read_amount(node, place, "spot", type.spec.price);
+  type.spec.boot_s = read_amount(node, place, "boot-s", 1);
+  type.spec.cache_gb = cache_gb;
+  type.most = static_cast<int>(read_amount(node, place, "most", 4));
+  return type;
+}
+
+using Reader = std::function<void(pugi::xml_node, const std::string& place)>;
+
+// A reader of an element whose children all have this name.
+Reader list_of(const char* name, Reader read_child) {
+  return [name, read_child](pugi::xml_node node, const std::string& place) {
+    read_children(node, place, {{name, read_child}});
   };
-  read_children(
-      root, "shunt-local",
-      {{"controllers",
-        [&](pugi::xml_node n, const std::string& at) {
-          s.controllers = static_cast<int>(xml_number(n.child_value(), at, 1, 9));
-        }},
-       {"zones",
-        [&](pugi::xml_node n, const std::string& at) {
-          read_children(n, at, {{"zone", [&](pugi::xml_node z, const std::string& where) {
-                                   s.zones.push_back(xml_text(z, where));
-                                 }}});
-        }},
-       {"teams",
-        [&](pugi::xml_node n, const std::string& at) {
-          read_children(n, at, {{"team", [&](pugi::xml_node t, const std::string& where) {
-                                   s.teams.push_back({xml_attribute(t, where, "name"),
-                                                      attribute(t, where, "cpus", 0),
-                                                      attribute(t, where, "cpus-max", 0),
-                                                      attribute(t, where, "gpus", 0),
-                                                      attribute(t, where, "gpus-max", 0)});
-                                 }}});
-        }},
-       {"types",
-        [&](pugi::xml_node n, const std::string& at) {
-          read_children(n, at, {{"type", [&](pugi::xml_node t, const std::string& where) {
-                                   emulators::EmulatedMachineType c;
-                                   c.spec.name = xml_attribute(t, where, "name");
-                                   c.spec.cpus = attribute(t, where, "cpus", 1);
-                                   c.spec.gpus = attribute(t, where, "gpus", 0);
-                                   c.spec.mem_gb = attribute(t, where, "mem-gb", 1);
-                                   c.spec.price = attribute(t, where, "hourly", 0.1);
-                                   c.spec.spot_price = attribute(t, where, "spot", c.spec.price);
-                                   c.spec.boot_s = attribute(t, where, "boot-s", 1);
-                                   c.spec.cache_gb = s.cache_gb;
-                                   c.most = static_cast<int>(attribute(t, where, "most", 4));
-                                   s.types.push_back(std::move(c));
-                                 }}});
-        }},
-       {"report-s", xml_into(s.report_s, 0.5, 3600)},
-       {"lease-s", xml_into(s.lease_s, 2, 86400)},
-       {"cancel-s", xml_into(s.cancel_s, 7, 86400)},
-       {"cloud-rps", xml_into(s.cloud_rps, 1, 1e6)},
-       {"list-lag-s", xml_into(s.list_lag_s, 0, 3600)},
-       {"disk-reserve-mb", xml_into(s.disk_reserve_mb, 0, 1e9)},
-       {"file-mb", xml_into(s.file_mb, 1, 1e9)},
-       {"cache-gb", xml_into(s.cache_gb, 0, 1e6)}},
-      {"zones", "teams", "types"});
-  if (s.zones.empty()) bad_at("shunt-local.zones", "names none");
-  if (s.teams.empty()) bad_at("shunt-local.teams", "names none");
-  if (s.types.empty()) bad_at("shunt-local.types", "names none");
-  if (s.cancel_s < s.lease_s + 5) bad_at("shunt-local.cancel-s", "leaves no room above lease-s");
-  for (auto& t : s.types) t.spec.zones = s.zones;
-  return s;
 }
 
-std::string text(const Endpoint& e) { return e.host + ":" + std::to_string(e.port); }
+void check(const Settings& settings) {
+  if (settings.zones.empty()) bad_at("shunt-local.zones", "names none");
+  if (settings.teams.empty()) bad_at("shunt-local.teams", "names none");
+  if (settings.types.empty()) bad_at("shunt-local.types", "names none");
+  if (settings.cancel_s < settings.lease_s + kCancelMarginS)
+    bad_at("shunt-local.cancel-s", "leaves no room above lease-s");
+}
 
-std::string controller_settings(const Settings& s, const std::vector<AgentPlace>& all,
-                                std::size_t self, const Endpoint& state, const Endpoint& cloud) {
-  using nlohmann::json;
-  json siblings = json::array(), teams = json::array();
-  for (std::size_t i = 0; i < all.size(); ++i)
+json siblings_of(const std::vector<ControllerPlace>& controllers, std::size_t self) {
+  json siblings = json::array();
+  for (std::size_t i = 0; i < controllers.size(); ++i)
     if (i != self)
-      siblings.push_back(
-          {{"host_name", all[i].name}, {"zone", all[i].zone}, {"addr", text(all[i].internal)}});
-  for (const auto& t : s.teams)
-    teams.push_back({{"name", t.name},
-                     {"cpus", t.cpus},
-                     {"cpus_max", t.cpus_max},
-                     {"gpus", t.gpus},
-                     {"gpus_max", t.gpus_max}});
-  return json{
-      {"host_name", all[self].name},
-      {"zone", all[self].zone},
-      {"front", text(all[self].front)},
-      {"internal_addr", text(all[self].internal)},
-      {"siblings", siblings},
-      {"services", {{"cloud", text(cloud)}, {"state", text(state)}}},
-      {"cluster",
-       {{"size", all.size()},
-        {"zones", s.zones},
-        {"teams", teams},
-        {"objectives", json::array()},
-        {"workers", {{"report_s", s.report_s}, {"lease_s", s.lease_s}, {"cancel_s", s.cancel_s}}},
-        {"state", {{"rps", 3000}, {"write_rps", 1500}, {"value_kb", 32}, {"txn_ops", 64}}},
-        {"cloud", {{"rps", s.cloud_rps}, {"list_lag_s", s.list_lag_s}}},
-        {"quota", {{"cpu_share", 1.0}, {"ram_mb", 512}, {"max_sockets", 4000}}},
-        {"clock_off_ms", 100}}}}
-      .dump(1);
+      siblings.push_back({{"host_name", controllers[i].name},
+                          {"zone", controllers[i].zone},
+                          {"addr", to_text(controllers[i].internal)}});
+  return siblings;
 }
 
-std::string agent_settings(const Settings& s, const std::vector<AgentPlace>& all,
-                           const emulators::CloudEmulator::Machine& m, const Endpoint& artifacts) {
-  pugi::xml_document doc;
-  pugi::xml_node root = doc.append_child("shunt-agent");
-  auto put = [&](const char* name, const std::string& value) {
-    root.append_child(name).text().set(value.c_str());
-  };
-  auto number = [](double d) {
+json to_json(const std::vector<Team>& teams) {
+  json list = json::array();
+  for (const Team& team : teams)
+    list.push_back({{"name", team.name},
+                    {"cpus", team.cpus},
+                    {"cpus_max", team.cpus_max},
+                    {"gpus", team.gpus},
+                    {"gpus_max", team.gpus_max}});
+  return list;
+}
+
+json cluster_settings(const Settings& settings, std::size_t controllers) {
+  return {
+      {"size", controllers},
+      {"zones", settings.zones},
+      {"teams", to_json(settings.teams)},
+      {"objectives", json::array()},
+      {"workers",
+       {{"report_s", settings.report_s},
+        {"lease_s", settings.lease_s},
+        {"cancel_s", settings.cancel_s}}},
+      {"state",
+       {{"rps", kStateRps},
+        {"write_rps", kStateWriteRps},
+        {"value_kb", kStateValueKb},
+        {"txn_ops", kStateTransactionOps}}},
+      {"cloud", {{"rps", settings.cloud_rps}, {"list_lag_s", settings.list_lag_s}}},
+      {"quota", {{"cpu_share", kCpuShare}, {"ram_mb", kMemoryMb}, {"max_sockets", kMaxSockets}}},
+      {"clock_off_ms", kClockErrorMs}};
+}
+
+std::string format_number(double number) {
+  std::ostringstream out;
+  out.imbue(std::locale::classic());
+  out << number;
+  return out.str();
+}
+
+// Writes an XML element of text elements.
+class SettingsWriter {
+ public:
+  explicit SettingsWriter(const char* root) : root_(document_.append_child(root)) {}
+
+  void put(const char* name, const std::string& value) {
+    root_.append_child(name).text().set(value.c_str());
+  }
+  void put(const char* name, double value) { put(name, format_number(value)); }
+  pugi::xml_node add(const char* name) { return root_.append_child(name); }
+  std::string text() const {
     std::ostringstream out;
-    out.imbue(std::locale::classic());
-    out << d;
+    document_.save(out, "  ");
     return out.str();
-  };
-  put("machine", m.name);
-  put("type", m.type);
-  put("zone", m.zone);
-  put("address", m.address);
-  put("spot", m.spot ? "true" : "false");
-  for (const auto& t : s.types) {
-    if (t.spec.name != m.type) continue;
-    put("cpus", number(t.spec.cpus));
-    put("gpus", number(t.spec.gpus));
-    put("mem-gb", number(t.spec.mem_gb));
   }
-  put("report-s", number(s.report_s));
-  put("lease-s", number(s.lease_s));
-  pugi::xml_node controllers = root.append_child("controllers");
-  for (const auto& c : all) {
-    pugi::xml_node n = controllers.append_child("controller");
-    n.append_attribute("name").set_value(c.name.c_str());
-    n.append_attribute("address").set_value(text(c.front).c_str());
+
+ private:
+  pugi::xml_document document_;
+  pugi::xml_node root_;
+};
+
+}  // namespace
+
+Settings parse_settings(const std::string& xml) {
+  pugi::xml_document document;
+  const pugi::xml_node root = load_xml(document, xml, "shunt-local");
+  Settings settings;
+  read_children(root, "shunt-local",
+                {{"controllers",
+                  [&](pugi::xml_node node, const std::string& place) {
+                    settings.controllers =
+                        static_cast<int>(xml_number(node.child_value(), place, 1, 9));
+                  }},
+                 {"zones", list_of("zone",
+                                   [&](pugi::xml_node node, const std::string& place) {
+                                     settings.zones.push_back(xml_text(node, place));
+                                   })},
+                 {"teams", list_of("team",
+                                   [&](pugi::xml_node node, const std::string& place) {
+                                     settings.teams.push_back(read_team(node, place));
+                                   })},
+                 {"types", list_of("type",
+                                   [&](pugi::xml_node node, const std::string& place) {
+                                     settings.types.push_back(
+                                         read_machine_type(node, place, settings.cache_gb));
+                                   })},
+                 {"report-s", xml_into(settings.report_s, 0.5, 3600)},
+                 {"lease-s", xml_into(settings.lease_s, 2, 86400)},
+                 {"cancel-s", xml_into(settings.cancel_s, 7, 86400)},
+                 {"cloud-rps", xml_into(settings.cloud_rps, 1, 1e6)},
+                 {"list-lag-s", xml_into(settings.list_lag_s, 0, 3600)},
+                 {"disk-reserve-mb", xml_into(settings.disk_reserve_mb, 0, 1e9)},
+                 {"file-mb", xml_into(settings.file_mb, 1, 1e9)},
+                 {"cache-gb", xml_into(settings.cache_gb, 0, 1e6)}},
+                {"zones", "teams", "types"});
+  check(settings);
+  for (auto& type : settings.types) type.spec.zones = settings.zones;
+  return settings;
+}
+
+std::string to_text(const Endpoint& endpoint) {
+  return endpoint.host + ":" + std::to_string(endpoint.port);
+}
+
+std::string controller_settings(const Settings& settings,
+                                const std::vector<ControllerPlace>& controllers, std::size_t self,
+                                const Endpoint& state, const Endpoint& cloud) {
+  const ControllerPlace& own = controllers[self];
+  return json{{"host_name", own.name},
+              {"zone", own.zone},
+              {"front", to_text(own.front)},
+              {"internal_addr", to_text(own.internal)},
+              {"siblings", siblings_of(controllers, self)},
+              {"services", {{"cloud", to_text(cloud)}, {"state", to_text(state)}}},
+              {"cluster", cluster_settings(settings, controllers.size())}}
+      .dump(1);
+}
+
+std::string agent_settings(const Settings& settings,
+                           const std::vector<ControllerPlace>& controllers,
+                           const emulators::CloudEmulator::Machine& machine,
+                           const Endpoint& artifacts) {
+  SettingsWriter writer("shunt-agent");
+  writer.put("machine", machine.name);
+  writer.put("type", machine.type);
+  writer.put("zone", machine.zone);
+  writer.put("address", machine.address);
+  writer.put("spot", std::string(machine.spot ? "true" : "false"));
+  for (const auto& type : settings.types) {
+    if (type.spec.name != machine.type) continue;
+    writer.put("cpus", type.spec.cpus);
+    writer.put("gpus", type.spec.gpus);
+    writer.put("mem-gb", type.spec.mem_gb);
   }
-  put("depot", text(artifacts));
-  put("cache-gb", number(s.cache_gb));
-  put("disk-reserve-mb", number(s.disk_reserve_mb));
-  put("file-mb", number(s.file_mb));
-  std::ostringstream out;
-  doc.save(out, "  ");
-  return out.str();
+  writer.put("report-s", settings.report_s);
+  writer.put("lease-s", settings.lease_s);
+  pugi::xml_node list = writer.add("controllers");
+  for (const ControllerPlace& controller : controllers) {
+    pugi::xml_node element = list.append_child("controller");
+    element.append_attribute("name").set_value(controller.name.c_str());
+    element.append_attribute("address").set_value(to_text(controller.front).c_str());
+  }
+  writer.put("depot", to_text(artifacts));
+  writer.put("cache-gb", settings.cache_gb);
+  writer.put("disk-reserve-mb", settings.disk_reserve_mb);
+  writer.put("file-mb", settings.file_mb);
+  return writer.text();
 }
 
 }  // namespace shunttrail::local_cluster
--- a/src/local_cluster/settings.h
+++ b/src/local_cluster/settings.h
@@ -1,5 +1,5 @@
-// Settings of the set that runs on one machine (deploy/local.xml), and the files made from them for
-// its processes. Errors are config::BadSettings, one line that names the element and the reason.
+// Settings of the cluster that runs on one machine (deploy/local.xml), and the settings made from
+// them for its processes.
 #pragma once
 #include <string>
 #include <vector>
@@ -14,26 +14,34 @@
   std::vector<std::string> zones;
   std::vector<config::Team> teams;
   std::vector<emulators::EmulatedMachineType> types;
-  double report_s = 1, lease_s = 6, cancel_s = 14;
-  double cloud_rps = 20, list_lag_s = 1;
-  double disk_reserve_mb = 256, file_mb = 1024, cache_gb = 10;
+  double report_s = 1, lease_s = 6, cancel_s = 14;  ///< as the controllers' settings have them
+  double cloud_rps = 20;                            ///< requests that the cloud takes in a second
+  double list_lag_s = 1;                            ///< how late its lists may be
+  double disk_reserve_mb = 256, file_mb = 1024, cache_gb = 10;  ///< as the agents' have them
 };
 
+/// Throws config::SettingsError, one line that names the element and the reason.
 Settings parse_settings(const std::string& xml);
 
-struct AgentPlace {
+/// Where a controller is.
+struct ControllerPlace {
   std::string name, zone;
-  config::Endpoint front, internal;
+  config::Endpoint front;     ///< for users and agents
+  config::Endpoint internal;  ///< for other controllers and operators
 };
-// What a controller is started with: the platform's JSON file.
-std::string controller_settings(const Settings& s, const std::vector<AgentPlace>& all,
-                                std::size_t self, const config::Endpoint& state,
-                                const config::Endpoint& cloud);
-// What a machine's agent is started with: its XML file.
-std::string agent_settings(const Settings& s, const std::vector<AgentPlace>& all,
-                           const emulators::CloudEmulator::Machine& m,
-                           const config::Endpoint& artifacts);
-
-std::string text(const config::Endpoint& e);
+
+/// What controller `self` of `controllers` is started with: the platform's JSON file.
+[[nodiscard]] std::string controller_settings(const Settings& settings,
+                                              const std::vector<ControllerPlace>& controllers,
+                                              std::size_t self, const config::Endpoint& state,
+                                              const config::Endpoint& cloud);
+/// What a machine's agent is started with: its XML file.
+[[nodiscard]] std::string agent_settings(const Settings& settings,
+                                         const std::vector<ControllerPlace>& controllers,
+                                         const emulators::CloudEmulator::Machine& machine,
+                                         const config::Endpoint& artifacts);
+
+/// HOST:PORT
+[[nodiscard]] std::string to_text(const config::Endpoint& endpoint);
 
 }  // namespace shunttrail::local_cluster
