--- a/tests/agent_attempt_table_test.cpp
+++ b/tests/agent_attempt_table_test.cpp
@@ -53,7 +53,7 @@
 struct Model {
   struct Held {
     bool exited = false, launched = false, ended = false;
-    ExitReason why = ExitReason::none;
+    ExitReason exit_reason = ExitReason::none;
   };
   std::map<std::uint64_t, Held> held;
   std::uint64_t reaped = 0;
@@ -68,7 +68,7 @@
     auto it = held.find(n);
     if (it == held.end() || it->second.exited || (it->second.launched && !it->second.ended)) return;
     it->second.exited = true;
-    it->second.why = ExitReason::stopped;
+    it->second.exit_reason = ExitReason::stopped;
   }
   void reap(std::uint64_t n) {
     auto it = held.find(n);
@@ -110,7 +110,7 @@
       } else {
         next.exited(key(n), ExitReason::done);
         h.exited = true;
-        h.why = ExitReason::done;
+        h.exit_reason = ExitReason::done;
       }
     } else if (what == 5) {
       next.token += n;
@@ -133,7 +133,7 @@
       there.insert(t.attempt);
       const auto& h = model.held.at(t.attempt);
       RC_ASSERT((t.state == TaskState::exited) == h.exited);
-      if (h.exited) RC_ASSERT(t.exit_reason == h.why);
+      if (h.exited) RC_ASSERT(t.exit_reason == h.exit_reason);
       on += t.state != TaskState::exited;
     }
     RC_ASSERT(there.size() == model.held.size());
