--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -1,102 +1,133 @@
 #include "cloud/cloud.h"
 
+#include <utility>
+
 namespace shunttrail::cloud {
 namespace {
-constexpr double kTimeout = 5;
-constexpr int kTries = 6;
+
+// These are bounded by the rate of calls in the settings, not by the number of machines: a shard
+// has one request for machines under way for each tier and zone, of up to 50 machines, and a node
+// one deletion of up to 100 and one page of the list. A call that finds its queue full fails, and
+// its caller tries again.
+constexpr std::size_t kConnections = 6;
+constexpr std::size_t kMaxOutstanding = 64;
+/// Of urgent calls, and of others.
+constexpr std::size_t kMaxQueued = 64;
+/// The bucket of calls holds this many seconds' worth.
+constexpr double kBurstS = 2;
+constexpr double kTimeoutS = 5;
+/// How often a request for machines is sent at most.
+constexpr int kRentTries = 6;
+
+constexpr int kStatusOk = 200;
+constexpr int kStatusBadRequest = 400;
+constexpr int kStatusUnavailable = 503;
+
+RentResult read_rent_answer(const net::Result& answer) {
+  RentResult out;
+  try {
+    if (answer.status == kStatusOk) {
+      out.machines = wire::decode_rented(answer.body);
+      out.kind = RentResult::rented;
+    } else if (answer.status == kStatusUnavailable &&
+               answer.body.find("no capacity") != std::string::npos) {
+      out.kind = RentResult::no_capacity;
+    }
+  } catch (const wire::Malformed&) {
+    return {};
+  }
+  return out;
+}
+
+std::vector<wire::MachineType> read_types_answer(const net::Result& answer) {
+  if (answer.status != kStatusOk) return {};
+  try {
+    return wire::decode_types(answer.body);
+  } catch (const wire::Malformed&) {
+    return {};
+  }
+}
+
 }  // namespace
 
-Client::Client(actor::Loop& loop, const config::Settings& s)
+Client::Client(actor::Loop& loop, const config::Settings& settings)
     : Actor(loop),
-      http_(loop, s.cloud, 6, 64),
-      calls_(s.cloud_rps / s.shards(), loop.now(), 2),
+      http_(loop, settings.cloud, kConnections, kMaxOutstanding),
+      calls_(settings.cloud_rps / settings.shards(), loop.now(), kBurstS),
       timer_(loop, [this] { pump(); }) {}
 
-void Client::submit(Call c, bool urgent) {
-  auto& q = urgent ? urgent_ : other_;
-  if (q.size() >= 64) {
-    c.done({});
+void Client::submit(Call call, bool urgent) {
+  std::deque<Call>& queue = urgent ? urgent_ : other_;
+  if (queue.size() >= kMaxQueued) {
+    call.done({});
     return;
   }
-  q.push_back(std::move(c));
+  queue.push_back(std::move(call));
   pump();
 }
 
 void Client::pump() {
   calls_.refill(loop_.now());
   while (!urgent_.empty() || !other_.empty()) {
-    if (double wait = calls_.wait_for(1); wait > 0) {
-      timer_.after(wait);
+    const double wait_s = calls_.wait_for(1);
+    if (wait_s > 0) {
+      timer_.after(wait_s);
       return;
     }
     calls_.take(1);
-    auto& q = urgent_.empty() ? other_ : urgent_;
-    Call c = std::move(q.front());
-    q.pop_front();
-    http_.request(c.method, std::move(c.path), std::move(c.body), kTimeout, std::move(c.done));
+    std::deque<Call>& queue = urgent_.empty() ? other_ : urgent_;
+    Call call = std::move(queue.front());
+    queue.pop_front();
+    http_.request(call.method, std::move(call.path), std::move(call.body), kTimeoutS,
+                  std::move(call.done));
   }
 }
 
 void Client::types(std::function<void(std::vector<wire::MachineType>)> done) {
   submit({"GET", "/machine_types", "",
-          [done = std::move(done)](net::Result r) {
-            std::vector<wire::MachineType> out;
-            try {
-              if (r.status == 200) out = wire::decode_types(r.body);
-            } catch (const wire::Malformed&) {
-              out.clear();
-            }
-            done(std::move(out));
-          }},
+          [done = std::move(done)](const net::Result& answer) { done(read_types_answer(answer)); }},
          true);
 }
 
 void Client::rent(std::string request, std::string type, std::string zone, bool spot, int count,
                   std::function<void(RentResult)> done) {
-  rent_again(wire::encode_rent(request, type, zone, spot, count), kTries, std::move(done));
+  try_rent(wire::encode_rent(request, type, zone, spot, count), kRentTries, std::move(done));
 }
 
-void Client::rent_again(std::string body, int tries, std::function<void(RentResult)> done) {
+void Client::try_rent(std::string body, int tries, std::function<void(RentResult)> done) {
   submit({"POST", "/rentals", body,
-          [this, body, tries, done](net::Result r) {
-            RentResult out;
-            try {
-              if (r.status == 200) {
-                out.machines = wire::decode_rented(r.body);
-                out.kind = RentResult::rented;
-              } else if (r.status == 503 && r.body.find("no capacity") != std::string::npos) {
-                out.kind = RentResult::no_capacity;
-              }
-            } catch (const wire::Malformed&) {
-              out = {};
-            }
-            if (out.kind == RentResult::failed && r.status != 400 && tries > 1) {
-              // 429, an outage or no answer: the same name again, a little later.
-              post([this, body, tries, done] { rent_again(body, tries - 1, done); });
+          [this, body, tries, done](const net::Result& answer) {
+            RentResult result = read_rent_answer(answer);
+            const bool is_final =
+                result.kind != RentResult::failed || answer.status == kStatusBadRequest;
+            if (is_final || tries <= 1) {
+              done(std::move(result));
               return;
             }
-            done(std::move(out));
+            // 429, an outage or no answer: the same request again, a little later.
+            post([this, body, tries, done] { try_rent(body, tries - 1, done); });
           }},
          true);
 }
 
 void Client::remove(std::vector<std::string> machines, std::function<void(bool)> done) {
-  submit({"POST", "/rentals/delete", wire::encode_delete(machines),
-          [done = std::move(done)](net::Result r) { done(r.status == 200); }},
-         true);
+  submit(
+      {"POST", "/rentals/delete", wire::encode_delete(machines),
+       [done = std::move(done)](const net::Result& answer) { done(answer.status == kStatusOk); }},
+      true);
 }
 
 void Client::list(std::string after, std::function<void(bool, wire::MachineList)> done) {
   submit({"GET", wire::machines_path(after), "",
-          [done = std::move(done)](net::Result r) {
-            wire::MachineList l;
-            bool ok = r.status == 200;
+          [done = std::move(done)](const net::Result& answer) {
+            wire::MachineList machines;
+            bool is_answered = answer.status == kStatusOk;
             try {
-              if (ok) l = wire::decode_machines(r.body);
+              if (is_answered) machines = wire::decode_machines(answer.body);
             } catch (const wire::Malformed&) {
-              ok = false;
+              is_answered = false;
             }
-            done(ok, std::move(l));
+            done(is_answered, std::move(machines));
           }},
          false);
 }
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,92 +1,100 @@
-// Settings: the JSON file that the platform hands over, and the operators' own XML tuning.
+/// @file
+/// The settings that the platform hands over as a JSON file (DEPLOY).
 #pragma once
 #include <cstdint>
-#include <optional>
 #include <stdexcept>
 #include <string>
 #include <vector>
 
+#include "config/tuning.h"
+
 namespace shunttrail::config {
 
-// Thrown with one line that names the field and the reason.
+/// Settings that cannot be used. `what()` is one line that names the field and the reason.
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
+/// A host and port of TCP.
 struct Endpoint {
   std::string host;
   std::uint16_t port = 0;
 };
 
-// A team's guarantees, and the limits of what its tasks may use at any time. A limit that is not
-// set is infinite; the file says so by 0, of vcpus and of cards each by themselves (DEPLOY).
+/// A team's guarantees, and the limits of what its tasks may use at any time. A limit that is not
+/// set is infinite.
 struct Team {
   std::string name;
-  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;
+  double cpus = 0;      ///< guaranteed
+  double cpus_max = 0;  ///< limit
+  double gpus = 0;      ///< guaranteed
+  double gpus_max = 0;  ///< limit
 };
-// The limit that the file's number stands for.
-double team_limit(double stated);
+/// The limit that a number of the file stands for: 0 is no limit (DEPLOY).
+[[nodiscard]] double team_limit(double stated);
 
+/// The settings of a controller.
 struct Settings {
-  std::string node;
-  std::string zone;
-  Endpoint front, internal;
+  std::string node;   ///< this node's name
+  std::string zone;   ///< this node's zone
+  Endpoint front;     ///< for users and workers
+  Endpoint internal;  ///< for other controllers and operators
+  /// Another controller.
   struct Peer {
-    std::string node, zone;
+    std::string node;
+    std::string zone;
     Endpoint addr;
   };
   std::vector<Peer> peers;
-  Endpoint cloud, state;
+  Endpoint cloud;
+  Endpoint state;
   std::vector<std::string> zones;
   std::vector<Team> teams;
-  double heartbeat_s = 3, lease_s = 20, cancel_s = 45;
-  // What the state service takes, and what it will take from some moment on, without notice.
+  double heartbeat_s = 3;  ///< time between a worker's heartbeats
+  double lease_s = 20;     ///< a worker without an answer for this long stops its tasks
+  double cancel_s = 45;    ///< a cancelled job's tasks have to have ended within this time
+  /// What the state service accepts.
   struct StateLimits {
-    double rps = 80, write_rps = 25, value_kb = 4;
-    int txn_ops = 12;
+    double rps = 80;        ///< requests a second
+    double write_rps = 25;  ///< changes a second
+    double value_kb = 4;    ///< of one value
+    int txn_ops = 12;       ///< changes in a transaction
   };
-  StateLimits state_limits, state_next;
-  double cloud_rps = 2, list_lag_s = 3;
-  double memory_mb = 100;
-  int max_sockets = 1000;
-  double clock_off_ms = 100;
+  StateLimits state_limits;   ///< at present
+  StateLimits state_next;     ///< from some moment on, without notice
+  double cloud_rps = 2;       ///< calls a second that the cloud accepts
+  double list_lag_s = 3;      ///< the cloud's list may be this old
+  double memory_mb = 100;     ///< quota of this process
+  int max_sockets = 1000;     ///< quota of this process
+  double clock_off_ms = 100;  ///< by which nodes' clocks may differ
 
-  // All nodes, this one included, in name order: the dense node index, and the home of each shard.
+  /// All nodes' names, this one included, in order. The position is the node's index, and the
+  /// shard whose home it is.
   std::vector<std::string> nodes;
-  int self = 0;
-  int shards() const { return static_cast<int>(nodes.size()); }
-  int node_index(const std::string& name) const;  // -1: unknown
-  int team_index(const std::string& name) const;
-  int zone_index(const std::string& name) const;
-  // The shard of each team: the split among controllers, balanced by guarantee.
+  int self = 0;  ///< this node's index
+  /// The number of shards, which is that of nodes.
+  [[nodiscard]] int shards() const { return static_cast<int>(nodes.size()); }
+  /// The index of a node; -1: there is none of this name.
+  [[nodiscard]] int node_index(const std::string& name) const;
+  /// The index of a team; -1: there is none of this name.
+  [[nodiscard]] int team_index(const std::string& name) const;
+  /// The index of a zone; -1: there is none of this name.
+  [[nodiscard]] int zone_index(const std::string& name) const;
+  /// The shard of each team. Teams are divided so that shards have similar guarantees.
   std::vector<int> team_shard;
 
-  // S: how long an owner may go on answering workers without a fresh read of the state service.
-  // A cancellation it has not heard of must still end in time, and its last 200 keeps a lease
-  // alive for lease_s more.
-  double staleness_bound_s() const;
-  // After a takeover, silence of a machine for this long proves that its incarnation has ended.
-  double fencing_wait_s() const { return staleness_bound_s() + lease_s + 2.0; }
-};
-
-Settings parse_settings(const std::string& text);
-
-// Operators' tuning. Every value has a default; the XML names only what differs.
-struct Tuning {
-  int waiting_bar = 4;        // b: Accept is barred above this many waiting tasks
-  int ring = 16;              // costs kept per arm and context
-  double lambda = 2.0;        // learning rate of k
-  double idle_start_s = 1.0;  // first k, before the floor at boot time
-  double idle_cap = 8.0;      // k never grows beyond this many boot times
-  double wait_weight = 1.0;  // price of a standard task's waiting, in rents of the cheapest machine
-  double late_weight = 60.0;     // fine for a missed deadline, in seconds of that rent
-  double node_lease_s = 8.0;     // life of the key that shows this node alive
-  double response_hold_s = 0.3;  // a report's answer waits this long for its commit
-  bool relay = false;  // reports of workers that cannot reach their owner are passed on to it
+  /// How many seconds a leader may go on answering workers without a fresh read of the state
+  /// service. A cancellation that it has not read must still end in time, and its last answer keeps
+  /// a worker's lease alive for `lease_s` more (docs/safety.md).
+  [[nodiscard]] double staleness_bound_s() const;
+  /// After a takeover, a machine that is silent for this many seconds has ended its incarnation.
+  [[nodiscard]] double fencing_wait_s() const { return staleness_bound_s() + lease_s + 2.0; }
 };
 
-Tuning parse_tuning(const std::string& text);
+/// Reads the settings. Throws SettingsError.
+[[nodiscard]] Settings parse_settings(const std::string& text);
 
-std::string read_file(const std::string& path, const char* what);
+/// Reads a whole file; `what` names it in errors. Throws SettingsError.
+[[nodiscard]] std::string read_file(const std::string& path, const char* what);
 
 }  // namespace shunttrail::config
--- /dev/null
+++ b/src/config/settings_json.h
@@ -0,0 +1,71 @@
+/// @file
+/// Strict reading of the settings' JSON. Errors name a field by its path, such as
+/// "cluster.workers.lease_s". Included by settings.cpp only.
+#pragma once
+#include <cmath>
+#include <nlohmann/json.hpp>
+#include <string>
+
+#include "config/xml.h"
+
+namespace shunttrail::config {
+
+/// The largest number where nothing else is said.
+inline constexpr double kMaxSetting = 1e12;
+
+/// An object of the settings, with its path for errors; the root's path is empty.
+class Section {
+ public:
+  Section(const nlohmann::json& value, std::string path) : value_(value), path_(std::move(path)) {}
+
+  /// The path of a field.
+  [[nodiscard]] std::string path(const char* name) const {
+    return path_.empty() ? name : path_ + "." + name;
+  }
+  /// A required field.
+  [[nodiscard]] const nlohmann::json& need(const char* name) const {
+    if (!value_.is_object()) bad_at(path_, "is not an object");
+    const auto field = value_.find(name);
+    if (field == value_.end()) bad_at(path(name), "is missing");
+    return *field;
+  }
+  /// A required section.
+  [[nodiscard]] Section section(const char* name) const { return {need(name), path(name)}; }
+  /// Whether a field is there.
+  [[nodiscard]] bool contains(const char* name) const { return value_.contains(name); }
+  /// A required string that is not empty.
+  [[nodiscard]] std::string text(const char* name) const {
+    const nlohmann::json& field = need(name);
+    if (!field.is_string() || field.get_ref<const std::string&>().empty())
+      bad_at(path(name), "is not a non-empty string");
+    return field.get<std::string>();
+  }
+  /// A required number from `least` to `most`, ends included.
+  [[nodiscard]] double number(const char* name, double least, double most = kMaxSetting) const {
+    const nlohmann::json& field = need(name);
+    if (!field.is_number()) bad_at(path(name), "is not a number");
+    const double number = field.get<double>();
+    if (!std::isfinite(number) || number < least || number > most)
+      bad_at(path(name), "is out of range");
+    return number;
+  }
+  /// A required number, rounded towards zero.
+  [[nodiscard]] int whole(const char* name, double least, double most = kMaxSetting) const {
+    return static_cast<int>(number(name, least, most));
+  }
+  /// A number as above, or `otherwise` where it is absent.
+  [[nodiscard]] double number_or(const char* name, double otherwise, double least,
+                                 double most = kMaxSetting) const {
+    return contains(name) ? number(name, least, most) : otherwise;
+  }
+  /// A required host and port.
+  [[nodiscard]] Endpoint endpoint(const char* name) const {
+    return parse_endpoint(text(name), path(name));
+  }
+
+ private:
+  const nlohmann::json& value_;
+  std::string path_;
+};
+
+}  // namespace shunttrail::config
--- a/src/config/xml.cpp
+++ b/src/config/xml.cpp
@@ -5,73 +5,85 @@
 #include <sstream>
 
 namespace shunttrail::config {
+namespace {
 
-pugi::xml_node load_xml(pugi::xml_document& doc, const std::string& text, const char* root) {
-  auto ok = doc.load_buffer(text.data(), text.size());
-  if (!ok) {
-    auto upto = text.begin() + std::min<std::ptrdiff_t>(ok.offset, std::ssize(text));
-    bad_at("line " + std::to_string(1 + std::count(text.begin(), upto, '\n')), ok.description());
+constexpr int kMaxPort = 65535;
+constexpr std::size_t kMaxPortDigits = 5;
+
+std::uint16_t parse_port(const std::string& text, const std::string& place) {
+  if (text.empty() || text.size() > kMaxPortDigits ||
+      text.find_first_not_of("0123456789") != std::string::npos)
+    bad_at(place, "has a bad port");
+  const int port = std::stoi(text);
+  if (port < 1 || port > kMaxPort) bad_at(place, "has a bad port");
+  return static_cast<std::uint16_t>(port);
+}
+
+}  // namespace
+
+pugi::xml_node load_xml(pugi::xml_document& document, const std::string& text, const char* root) {
+  const pugi::xml_parse_result result = document.load_buffer(text.data(), text.size());
+  if (!result) {
+    const auto error_at = text.begin() + std::min<std::ptrdiff_t>(result.offset, std::ssize(text));
+    const auto line = 1 + std::count(text.begin(), error_at, '\n');
+    bad_at("line " + std::to_string(line), result.description());
   }
-  pugi::xml_node n = doc.child(root);
-  if (!n) bad_at(root, "is not the root element");
-  return n;
+  const pugi::xml_node node = document.child(root);
+  if (!node) bad_at(root, "is not the root element");
+  return node;
 }
 
-void read_children(pugi::xml_node n, const std::string& place, const Readers& readers,
+void read_children(pugi::xml_node parent, const std::string& place, const Readers& readers,
                    const std::vector<std::string>& required) {
-  for (pugi::xml_node c : n.children()) {
-    if (c.type() != pugi::node_element) continue;
-    std::string at = place + "." + c.name();
-    auto it = readers.find(c.name());
-    if (it == readers.end()) bad_at(at, "is not a known setting");
-    it->second(c, at);
+  for (pugi::xml_node child : parent.children()) {
+    if (child.type() != pugi::node_element) continue;
+    const std::string child_place = place + "." + child.name();
+    const auto reader = readers.find(child.name());
+    if (reader == readers.end()) bad_at(child_place, "is not a known setting");
+    reader->second(child, child_place);
   }
-  for (const auto& r : required)
-    if (!n.child(r.c_str())) bad_at(place + "." + r, "is missing");
+  for (const std::string& name : required)
+    if (!parent.child(name.c_str())) bad_at(place + "." + name, "is missing");
 }
 
-std::string xml_text(pugi::xml_node n, const std::string& place) {
-  std::string s = n.child_value();
-  if (s.empty()) bad_at(place, "is empty");
-  return s;
+std::string xml_text(pugi::xml_node node, const std::string& place) {
+  std::string text = node.child_value();
+  if (text.empty()) bad_at(place, "is empty");
+  return text;
 }
+
 double xml_number(const std::string& text, const std::string& place, double least, double most) {
   std::istringstream in(text);
   in.imbue(std::locale::classic());
-  double v = 0;
+  double number = 0;
   std::string rest;
-  if (!(in >> v) || (in >> rest) || !std::isfinite(v) || v < least || v > most)
-    bad_at(place, "is not a number in range");
-  return v;
+  const bool is_number = (in >> number) && !(in >> rest) && std::isfinite(number);
+  if (!is_number || number < least || number > most) bad_at(place, "is not a number in range");
+  return number;
 }
+
 std::function<void(pugi::xml_node, const std::string&)> xml_into(double& to, double least,
                                                                  double most) {
-  return [&to, least, most](pugi::xml_node n, const std::string& place) {
-    to = xml_number(n.child_value(), place, least, most);
+  return [&to, least, most](pugi::xml_node node, const std::string& place) {
+    to = xml_number(node.child_value(), place, least, most);
   };
 }
+
 bool xml_flag(const std::string& text, const std::string& place) {
   if (text != "true" && text != "false") bad_at(place, "is neither true nor false");
   return text == "true";
 }
-std::string xml_attribute(pugi::xml_node n, const std::string& place, const char* name) {
-  std::string s = n.attribute(name).value();
-  if (s.empty()) bad_at(place, std::string("has no ") + name);
-  return s;
+
+std::string xml_attribute(pugi::xml_node node, const std::string& place, const char* name) {
+  std::string value = node.attribute(name).value();
+  if (value.empty()) bad_at(place, std::string("has no ") + name);
+  return value;
 }
 
-Endpoint parse_endpoint(const std::string& s, const std::string& place) {
-  auto colon = s.rfind(':');
-  Endpoint e;
+Endpoint parse_endpoint(const std::string& text, const std::string& place) {
+  const auto colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0) bad_at(place, "is not host:port");
-  e.host = s.substr(0, colon);
-  std::string p = s.substr(colon + 1);
-  if (p.empty() || p.size() > 5 || p.find_first_not_of("0123456789") != std::string::npos)
-    bad_at(place, "has a bad port");
-  int port = std::stoi(p);
-  if (port < 1 || port > 65535) bad_at(place, "has a bad port");
-  e.port = static_cast<std::uint16_t>(port);
-  return e;
+  return {text.substr(0, colon), parse_port(text.substr(colon + 1), place)};
 }
 
 }  // namespace shunttrail::config
--- a/src/jobs/dependency_graph.cpp
+++ b/src/jobs/dependency_graph.cpp
@@ -5,136 +5,136 @@
 
 namespace shunttrail::jobs {
 
-EffectivePriority DependencyGraph::own_of(const wire::JobRecord& r) {
-  EffectivePriority u;
-  u.priority = r.spec.priority;
-  if (r.spec.deadline_s) u.due = r.submitted_at + *r.spec.deadline_s;
-  return u;
+EffectivePriority DependencyGraph::own_of(const wire::JobRecord& record) {
+  EffectivePriority own;
+  own.priority = record.spec.priority;
+  if (record.spec.deadline_s) own.due = record.submitted_at + *record.spec.deadline_s;
+  return own;
 }
 
-int DependencyGraph::node(const std::string& id) {
-  auto [it, fresh] = index_.try_emplace(id, -1);
-  if (!fresh) return it->second;
-  int n = static_cast<int>(nodes_.size());
-  if (free_.empty()) {
+int DependencyGraph::allocate_node() {
+  if (free_nodes_.empty()) {
     nodes_.emplace_back();
-  } else {
-    n = free_.back();
-    free_.pop_back();
-    at(n) = Node{};
+    return static_cast<int>(nodes_.size()) - 1;
   }
-  it->second = n;
+  const int reused = free_nodes_.back();
+  free_nodes_.pop_back();
+  at(reused) = Node{};
+  return reused;
+}
+
+int DependencyGraph::node(const std::string& id) {
+  const auto [known, is_new] = index_.try_emplace(id, -1);
+  if (!is_new) return known->second;
+  const int n = allocate_node();
+  known->second = n;
   at(n).id = id;
-  const auto* live = cache_.job(id);
-  const auto* waits = cache_.waiting(id);
-  set_kind(n, waits ? Node::waiting : live ? Node::live : Node::absent);
-  if (const auto* e = waits ? waits : live) at(n).own = at(n).effective = own_of(e->record);
+  const state::JobEntry* live = cache_.job(id);
+  const state::JobEntry* waiting = cache_.waiting(id);
+  set_kind(n, waiting ? Node::waiting : live ? Node::live : Node::absent);
+  if (const state::JobEntry* entry = waiting ? waiting : live)
+    at(n).own = at(n).effective = own_of(entry->record);
   return n;
 }
 
-// Only what waits, and what something that waits still needs, is remembered.
 void DependencyGraph::drop_if_unused(int n) {
-  Node& x = at(n);
-  if (x.kind == Node::waiting || !x.dependents.empty()) return;
-  unread_.erase(x.id);
-  ready_.erase(x.id);
-  doomed_.erase(x.id);
-  index_.erase(x.id);
-  x = Node{};
-  free_.push_back(n);
+  Node& job = at(n);
+  if (job.kind == Node::waiting || !job.dependents.empty()) return;
+  unread_.erase(job.id);
+  ready_.erase(job.id);
+  doomed_.erase(job.id);
+  index_.erase(job.id);
+  job = Node{};
+  free_nodes_.push_back(n);
 }
 
 void DependencyGraph::set_kind(int n, Node::Kind kind) {
-  Node& x = at(n);
-  // Below a cancelled job nothing is ever done: that it has left tells how it ended.
-  if (kind == Node::absent && x.doomed) kind = Node::cancelled;
-  // How it ended is final: a key that some late news still shows changes nothing.
-  if (x.kind == Node::done || x.kind == Node::cancelled) return;
-  x.kind = kind;
+  Node& job = at(n);
+  // A doomed job never runs: that its key is gone tells how it ended.
+  if (kind == Node::absent && job.doomed) kind = Node::cancelled;
+  // How it ended is final: a key that a late event still shows changes nothing.
+  if (job.kind == Node::done || job.kind == Node::cancelled) return;
+  job.kind = kind;
   if (kind == Node::absent)
-    unread_.insert(x.id);
+    unread_.insert(job.id);
   else
-    unread_.erase(x.id);
+    unread_.erase(job.id);
 }
 
-void DependencyGraph::attach(int n, const wire::JobRecord& r) {
-  at(n).own = own_of(r);
-  at(n).run_s = r.spec.estimate_s;
-  std::vector<int> to;
-  for (const auto& a : r.spec.dependencies) {
-    if (a == r.spec.id) continue;
-    int up = node(a);
-    to.push_back(up);
-    at(up).dependents.push_back(n);
+void DependencyGraph::attach(int n, const wire::JobRecord& record) {
+  at(n).own = own_of(record);
+  at(n).run_s = record.spec.estimate_s;
+  std::vector<int> dependencies;
+  for (const std::string& id : record.spec.dependencies) {
+    if (id == record.spec.id) continue;
+    const int dependency = node(id);
+    dependencies.push_back(dependency);
+    at(dependency).dependents.push_back(n);
   }
-  Node& x = at(n);
-  x.dependencies = std::move(to);
-  x.unfinished = 0;
-  bool cancelled = false;
-  for (int up : x.dependencies) {
-    const Node& u = at(up);
-    if (u.kind != Node::done) ++x.unfinished;
-    cancelled |= u.kind == Node::cancelled || u.doomed;
+  Node& job = at(n);
+  job.dependencies = std::move(dependencies);
+  job.unfinished = 0;
+  bool is_doomed = false;
+  for (int dependency : job.dependencies) {
+    const Node& needed = at(dependency);
+    if (needed.kind != Node::done) ++job.unfinished;
+    is_doomed |= needed.kind == Node::cancelled || needed.doomed;
   }
-  x.effective = compute_effective(x);
-  if (cancelled) {
+  job.effective = compute_effective(job);
+  if (is_doomed) {
     mark_doomed(n);
     return;
   }
-  if (!x.unfinished) ready_.insert(x.id);
+  if (!job.unfinished) ready_.insert(job.id);
   propagate(n);
 }
 
 void DependencyGraph::detach(int n) {
-  std::vector<int> ups = std::move(at(n).dependencies);
+  const std::vector<int> dependencies = std::move(at(n).dependencies);
   at(n).dependencies.clear();
   ready_.erase(at(n).id);
   doomed_.erase(at(n).id);
-  for (int up : ups) {
-    std::erase(at(up).dependents, n);
-    EffectivePriority u = compute_effective(at(up));
-    if (u != at(up).effective) {
-      at(up).effective = u;
-      changed_.insert(at(up).id);
-      propagate(up);
-    }
-    drop_if_unused(up);
+  for (int dependency : dependencies) {
+    std::erase(at(dependency).dependents, n);
+    if (update_effective(dependency)) propagate(dependency);
+    drop_if_unused(dependency);
   }
 }
 
 void DependencyGraph::key_changed(const std::string& id) {
-  const auto* waits = cache_.waiting(id);
-  auto it = index_.find(id);
-  if (it == index_.end() && !waits) return;  // nothing awaits it, and it awaits nothing
-  int n = node(id);
-  if (waits) {
-    if (at(n).kind != Node::waiting || !at(n).dependencies.empty() ||
-        waits->record.spec.dependencies.empty()) {
-      if (at(n).dependencies.empty() && waits->record.spec.dependencies.empty()) ready_.insert(id);
-      return;
-    }
-    attach(n, waits->record);
+  const state::JobEntry* waiting = cache_.waiting(id);
+  // A job that needs none and that none needs is not held here.
+  if (!waiting && !index_.contains(id)) return;
+  const int n = node(id);
+  if (!waiting) {
+    detach(n);
+    set_kind(n, cache_.job(id) ? Node::live : Node::absent);
+    drop_if_unused(n);
     return;
   }
-  detach(n);
-  set_kind(n, cache_.job(id) ? Node::live : Node::absent);
-  drop_if_unused(n);
+  const bool has_dependencies = !waiting->record.spec.dependencies.empty();
+  const bool is_attached = !at(n).dependencies.empty();
+  if (at(n).kind == Node::waiting && !is_attached && has_dependencies)
+    attach(n, waiting->record);
+  else if (!is_attached && !has_dependencies)
+    ready_.insert(id);
 }
 
 void DependencyGraph::job_ended(const std::string& id, bool cancelled) {
-  auto it = index_.find(id);
-  if (it == index_.end()) return;
-  int n = it->second;
-  Node& x = at(n);
-  if (x.kind == Node::done || x.kind == Node::cancelled) return;
+  const auto known = index_.find(id);
+  if (known == index_.end()) return;
+  const int n = known->second;
+  if (at(n).kind == Node::done || at(n).kind == Node::cancelled) return;
   detach(n);
   set_kind(n, cancelled ? Node::cancelled : Node::done);
   if (cancelled) {
     mark_doomed(n);
   } else {
     for (int d : at(n).dependents) {
-      Node& y = at(d);
-      if (y.unfinished && !--y.unfinished && !y.doomed) ready_.insert(y.id);
+      Node& dependent = at(d);
+      if (dependent.unfinished == 0) continue;
+      --dependent.unfinished;
+      if (dependent.unfinished == 0 && !dependent.doomed) ready_.insert(dependent.id);
     }
   }
   drop_if_unused(n);
@@ -142,75 +142,73 @@
 
 void DependencyGraph::mark_doomed(int first) {
   std::vector<int> work{first};
-  std::vector<int> freed;
+  std::vector<int> newly_doomed;
   while (!work.empty()) {
-    int n = work.back();
+    const int n = work.back();
     work.pop_back();
-    Node& x = at(n);
-    if (x.doomed) continue;
-    x.doomed = true;
-    ready_.erase(x.id);
-    if (x.kind == Node::waiting) {
-      doomed_.insert(x.id);
-      freed.push_back(n);
+    Node& job = at(n);
+    if (job.doomed) continue;
+    job.doomed = true;
+    ready_.erase(job.id);
+    if (job.kind == Node::waiting) {
+      doomed_.insert(job.id);
+      newly_doomed.push_back(n);
     }
-    for (int d : x.dependents) work.push_back(d);
+    work.insert(work.end(), job.dependents.begin(), job.dependents.end());
   }
-  // What a doomed job would have needed is not urgent for its sake any more.
-  for (int n : freed)
-    for (int up : at(n).dependencies) {
-      EffectivePriority u = compute_effective(at(up));
-      if (u == at(up).effective) continue;
-      at(up).effective = u;
-      changed_.insert(at(up).id);
-      propagate(up);
-    }
+  // The jobs that they need are not urgent for their sake any more.
+  for (int n : newly_doomed)
+    for (int dependency : at(n).dependencies)
+      if (update_effective(dependency)) propagate(dependency);
 }
 
-EffectivePriority DependencyGraph::compute_effective(const Node& n) const {
-  EffectivePriority u = n.own;
-  for (int d : n.dependents) {
-    const Node& y = at(d);
-    if (y.kind != Node::waiting || y.doomed) continue;
-    u.priority = std::min(u.priority, y.effective.priority);
-    u.due = std::min(u.due, y.effective.due - y.run_s);
+EffectivePriority DependencyGraph::compute_effective(const Node& job) const {
+  EffectivePriority out = job.own;
+  for (int n : job.dependents) {
+    const Node& dependent = at(n);
+    if (dependent.kind != Node::waiting || dependent.doomed) continue;
+    out.priority = std::min(out.priority, dependent.effective.priority);
+    out.due = std::min(out.due, dependent.effective.due - dependent.run_s);
   }
-  return u;
+  return out;
+}
+
+bool DependencyGraph::update_effective(int n) {
+  const EffectivePriority effective = compute_effective(at(n));
+  if (effective == at(n).effective) return false;
+  at(n).effective = effective;
+  changed_.insert(at(n).id);
+  return true;
 }
 
 void DependencyGraph::propagate(int first) {
   std::vector<int> work{first};
   while (!work.empty()) {
-    int n = work.back();
+    const int n = work.back();
     work.pop_back();
-    for (int up : at(n).dependencies) {
-      EffectivePriority u = compute_effective(at(up));
-      if (u == at(up).effective) continue;
-      at(up).effective = u;
-      changed_.insert(at(up).id);
-      work.push_back(up);
-    }
+    for (int dependency : at(n).dependencies)
+      if (update_effective(dependency)) work.push_back(dependency);
   }
 }
 
 DependencyGraph::DependencyState DependencyGraph::state_of(
     const std::string& id, std::vector<std::string>* missing) const {
-  auto it = index_.find(id);
-  if (it == index_.end()) return DependencyState::queued;
-  if (at(it->second).doomed) return DependencyState::cancelled;
+  const auto known = index_.find(id);
+  if (known == index_.end()) return DependencyState::queued;
+  if (at(known->second).doomed) return DependencyState::cancelled;
   if (unread_.empty()) return DependencyState::queued;
   DependencyState out = DependencyState::queued;
-  std::unordered_set<int> seen{it->second};
-  std::vector<int> work{it->second};
+  std::unordered_set<int> seen{known->second};
+  std::vector<int> work{known->second};
   while (!work.empty()) {
-    const Node& x = at(work.back());
+    const Node& job = at(work.back());
     work.pop_back();
-    if (x.kind == Node::absent) {
+    if (job.kind == Node::absent) {
       out = DependencyState::unread;
-      if (missing) missing->push_back(x.id);
+      if (missing) missing->push_back(job.id);
     }
-    for (int up : x.dependencies)
-      if (seen.insert(up).second) work.push_back(up);
+    for (int dependency : job.dependencies)
+      if (seen.insert(dependency).second) work.push_back(dependency);
   }
   return out;
 }
@@ -227,30 +225,47 @@
   return out;
 }
 
-StateTransitions state_transitions(const state::StateCache& world, const DependencyGraph& p,
-                                   bool ready, const state::TransactionLimits& size,
+namespace {
+
+/// Moves a ready job to the key of jobs that may start.
+void add_start(const std::string& id, const state::JobEntry& job, double wall_now,
+               StateTransitions& out) {
+  out.txn.preconditions.emplace_back(state::job_key(id), 0);
+  wire::JobRecord record = job.record;
+  record.spec.dependencies.clear();
+  record.ready_at = wall_now;
+  out.txn.ops.push_back({state::job_key(id), wire::encode_record(record), 0});
+}
+
+/// Writes the result of a doomed job.
+void add_cancellation(const std::string& id, const state::JobEntry& job, const std::string& tag,
+                      StateTransitions& out) {
+  wire::JobResultRecord result = wire::cancelled_record(job.record.spec, tag);
+  out.txn.ops.push_back({state::job_result_key(id), wire::encode_record(result), 0});
+  out.results.emplace_back(id, std::move(result));
+}
+
+/// Changes that a job takes: its waiting key is deleted, another key is set.
+constexpr std::size_t kOpsPerJob = 2;
+
+}  // namespace
+
+StateTransitions state_transitions(const state::StateCache& cache, const DependencyGraph& graph,
+                                   bool ready, const state::TransactionLimits& limits,
                                    double wall_now, const std::string& tag,
-                                   const std::function<bool(const std::string&)>& mine) {
+                                   const std::function<bool(const std::string&)>& is_ours) {
   StateTransitions out;
-  wire::Transaction& t = out.txn;
-  for (const auto& id : ready ? p.ready() : p.doomed()) {
-    if (t.ops.size() + 2 > size.ops) break;
-    const state::JobEntry* j = world.waiting(id);
-    if (!j || !mine(id)) continue;
-    t.preconditions.emplace_back(state::waiting_key(id), j->mod_revision);
-    t.preconditions.emplace_back(state::job_result_key(id), 0);
-    t.ops.push_back({state::waiting_key(id), std::nullopt, 0});
-    if (ready) {
-      t.preconditions.emplace_back(state::job_key(id), 0);
-      wire::JobRecord r = j->record;
-      r.spec.dependencies.clear();
-      r.ready_at = wall_now;
-      t.ops.push_back({state::job_key(id), wire::encode_record(r), 0});
-    } else {
-      wire::JobResultRecord f = wire::cancelled_record(j->record.spec, tag);
-      t.ops.push_back({state::job_result_key(id), wire::encode_record(f), 0});
-      out.results.emplace_back(id, std::move(f));
-    }
+  for (const std::string& id : ready ? graph.ready() : graph.doomed()) {
+    if (out.txn.ops.size() + kOpsPerJob > limits.ops) break;
+    const state::JobEntry* job = cache.waiting(id);
+    if (!job || !is_ours(id)) continue;
+    out.txn.preconditions.emplace_back(state::waiting_key(id), job->mod_revision);
+    out.txn.preconditions.emplace_back(state::job_result_key(id), 0);
+    out.txn.ops.push_back({state::waiting_key(id), std::nullopt, 0});
+    if (ready)
+      add_start(id, *job, wall_now, out);
+    else
+      add_cancellation(id, *job, tag, out);
   }
   return out;
 }
--- a/src/jobs/job.cpp
+++ b/src/jobs/job.cpp
@@ -4,42 +4,61 @@
 #include <cmath>
 
 namespace shunttrail::jobs {
+namespace {
+
+constexpr double kUnitsPerAmount = 1e6;
+/// Stands for no limit; sums of it and of real amounts still fit.
+constexpr double kUnlimitedUnits = 1e18;
+/// A job's tasks should not wait longer than this.
+constexpr double kMaxWaitS = 120;
+
+std::int64_t units(double amount) {
+  return static_cast<std::int64_t>(
+      std::llround(std::min(amount * kUnitsPerAmount, kUnlimitedUnits)));
+}
+
+/// The due time by a job's own deadline.
+double own_due(const wire::JobRecord& record, double now, double wall_now) {
+  if (!record.spec.deadline_s) return std::numeric_limits<double>::infinity();
+  return now - (wall_now - record.submitted_at) + *record.spec.deadline_s;
+}
+
+/// The first task of a chunk.
+std::size_t first_task(std::uint32_t chunk) { return std::size_t{chunk} * kTasksPerChunk; }
+
+}  // namespace
 
 Resources Resources::of(double cpus, double gpus, double mem_gb) {
-  static constexpr double kMost =
-      1e18;  // what is not limited; sums of it and real amounts still fit
-  auto whole = [](double d) {
-    return static_cast<std::int64_t>(std::llround(std::min(d * 1e6, kMost)));
-  };
-  return {whole(cpus), whole(gpus), whole(mem_gb)};
+  return {units(cpus), units(gpus), units(mem_gb)};
 }
 
-Job::Job(const wire::JobRecord& r, int t, int c, int zones, double now, double wall_now)
-    : spec(r.spec),
-      team(t),
-      job_class(c),
-      need(Resources::of(r.spec.cpus, r.spec.gpus, r.spec.mem_gb)),
-      since(now - std::max(0.0, wall_now - std::max(r.submitted_at, r.ready_at))),
-      priority(r.spec.priority),
-      due(r.spec.deadline_s ? now - (wall_now - r.submitted_at) + *r.spec.deadline_s
-                            : std::numeric_limits<double>::infinity()),
-      placements(r.spec.tasks, 0),
+Job::Job(const wire::JobRecord& record, int team_index, int class_index, int zones, double now,
+         double wall_now)
+    : spec(record.spec),
+      team(team_index),
+      job_class(class_index),
+      need(Resources::of(record.spec.cpus, record.spec.gpus, record.spec.mem_gb)),
+      since(now - std::max(0.0, wall_now - std::max(record.submitted_at, record.ready_at))),
+      priority(record.spec.priority),
+      due(own_due(record, now, wall_now)),
+      placements(record.spec.tasks, 0),
       in_zone(zones, 0),
-      done_(r.spec.tasks, false),
-      persisted_(r.spec.tasks, false) {
-  for (std::uint32_t i = 0; i < spec.tasks; ++i) pending.insert(pending.end(), i);
+      done_(record.spec.tasks, false),
+      persisted_(record.spec.tasks, false) {
+  for (std::uint32_t task = 0; task < spec.tasks; ++task) pending.insert(pending.end(), task);
 }
 
-void Job::load_done(std::uint32_t c, const state::Intervals& list) {
-  for (auto [a, b] : list)
-    for (std::uint64_t i = a; i <= b; ++i) {
-      std::uint64_t task = std::uint64_t{c} * kTasksPerChunk + i;
+void Job::load_done(std::uint32_t chunk, const state::Intervals& intervals) {
+  for (const auto& [first, last] : intervals)
+    for (std::uint64_t i = first; i <= last; ++i) {
+      const std::uint64_t task = first_task(chunk) + i;
       if (task >= spec.tasks) break;
       persisted_[task] = true;
       mark_done(static_cast<std::uint32_t>(task));
     }
-  if (!dirty(c)) dirty_chunks.erase(c);
+  if (!dirty(chunk)) dirty_chunks.erase(chunk);
 }
+
 bool Job::mark_done(std::uint32_t task) {
   if (task >= spec.tasks || done_[task]) return false;
   done_[task] = true;
@@ -48,34 +67,35 @@
   dirty_chunks.insert(task / kTasksPerChunk);
   return true;
 }
-std::vector<bool> Job::chunk(std::uint32_t c) const {
-  std::size_t from = std::min<std::size_t>(std::size_t{c} * kTasksPerChunk, done_.size());
-  std::size_t to = std::min<std::size_t>(from + kTasksPerChunk, done_.size());
-  return {done_.begin() + static_cast<long>(from), done_.begin() + static_cast<long>(to)};
+
+std::vector<bool> Job::chunk(std::uint32_t chunk) const {
+  const std::size_t begin = std::min(first_task(chunk), done_.size());
+  const std::size_t end = std::min(begin + kTasksPerChunk, done_.size());
+  return {done_.begin() + static_cast<long>(begin), done_.begin() + static_cast<long>(end)};
 }
-void Job::set_persisted(std::uint32_t c, const std::vector<bool>& bits) {
-  for (std::size_t i = 0; i < bits.size(); ++i)
-    if (bits[i]) persisted_[std::size_t{c} * kTasksPerChunk + i] = true;
-  if (!dirty(c)) dirty_chunks.erase(c);
+
+void Job::set_persisted(std::uint32_t chunk, const std::vector<bool>& is_done) {
+  for (std::size_t i = 0; i < is_done.size(); ++i)
+    if (is_done[i]) persisted_[first_task(chunk) + i] = true;
+  if (!dirty(chunk)) dirty_chunks.erase(chunk);
 }
-bool Job::dirty(std::uint32_t c) const {
-  std::size_t from = std::size_t{c} * kTasksPerChunk;
-  for (std::size_t i = from; i < std::min<std::size_t>(from + kTasksPerChunk, done_.size()); ++i)
-    if (done_[i] != persisted_[i]) return true;
+
+bool Job::dirty(std::uint32_t chunk) const {
+  const std::size_t begin = first_task(chunk);
+  const std::size_t end = std::min(begin + kTasksPerChunk, done_.size());
+  for (std::size_t task = begin; task < end; ++task)
+    if (done_[task] != persisted_[task]) return true;
   return false;
 }
 
-double Job::latest_start() const {
-  constexpr double kPatience = 120;
-  return std::min(due - spec.estimate_s, since + kPatience);
-}
+double Job::latest_start() const { return std::min(due - spec.estimate_s, since + kMaxWaitS); }
 
 bool Job::zone_ok(int zone) const {
   if (spec.same_zone)
-    for (std::size_t z = 0; z < in_zone.size(); ++z)
-      if (static_cast<int>(z) != zone && in_zone[z]) return false;
-  if (spec.anti_affinity && in_zone[zone] + 1 > (spec.tasks + 1) / 2) return false;
-  return true;
+    for (std::size_t other = 0; other < in_zone.size(); ++other)
+      if (static_cast<int>(other) != zone && in_zone[other]) return false;
+  // At most half of its tasks, rounded up, run in one zone.
+  return !spec.anti_affinity || in_zone[zone] + 1 <= (spec.tasks + 1) / 2;
 }
 
 }  // namespace shunttrail::jobs
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,4 +1,6 @@
-// A live job as its shard's owner sees it. Free of I/O.
+/// @file
+/// A job that is not over, as the leader of its shard sees it. Free of I/O. Times are seconds of
+/// the steady clock unless they say otherwise.
 #pragma once
 #include <cstdint>
 #include <limits>
@@ -13,92 +15,120 @@
 
 namespace shunttrail::jobs {
 
-// Amounts are kept whole, in millionths: sums of decimals must not drift past a limit.
+/// Amounts of resources, kept as whole millionths: sums of decimals must not drift past a limit.
 struct Resources {
-  std::int64_t cpus = 0, gpus = 0, mem = 0;
-  // An infinite one stands for no limit, and is more than any sum.
-  static Resources of(double cpus, double gpus, double mem_gb);
-  Resources& operator+=(const Resources& o) {
-    cpus += o.cpus, gpus += o.gpus, mem += o.mem;
+  std::int64_t cpus = 0;
+  std::int64_t gpus = 0;
+  std::int64_t mem = 0;  ///< of a GB
+  /// Converts amounts. An infinite one stands for no limit, and is more than any sum.
+  [[nodiscard]] static Resources of(double cpus, double gpus, double mem_gb);
+  Resources& operator+=(const Resources& other) {
+    cpus += other.cpus;
+    gpus += other.gpus;
+    mem += other.mem;
     return *this;
   }
-  Resources& operator-=(const Resources& o) {
-    cpus -= o.cpus, gpus -= o.gpus, mem -= o.mem;
+  Resources& operator-=(const Resources& other) {
+    cpus -= other.cpus;
+    gpus -= other.gpus;
+    mem -= other.mem;
     return *this;
   }
   friend Resources operator+(Resources a, const Resources& b) { return a += b; }
   friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
-  bool fits(const Resources& room) const {
+  /// Whether no amount is more than in `room`.
+  [[nodiscard]] bool fits(const Resources& room) const {
     return cpus <= room.cpus && gpus <= room.gpus && mem <= room.mem;
   }
 };
 
-// Tasks of one chunk of a job's finished set; a chunk's worst case stays below 4 KiB.
+/// The tasks that are done are stored by chunks of this many tasks. The longest form of a chunk,
+/// 128 intervals of 8 bytes, stays below 4 KiB. The largest job, of 100,000 tasks, has 391 chunks.
 inline constexpr std::uint32_t kTasksPerChunk = 256;
 
+/// The job.
 class Job {
  public:
-  Job(const wire::JobRecord& r, int team, int cls, int zones, double now, double wall_now);
+  /// `zones`: their number in the settings; `wall_now`: the time of day in seconds.
+  Job(const wire::JobRecord& record, int team, int job_class, int zones, double now,
+      double wall_now);
 
   const wire::JobSpec spec;
-  const int team;
-  const int job_class;
-  const Resources need;
-  const double since;  // steady time of its submission, or of when it was ready
-  // Its own, or that of a job that needs it.
+  const int team;        ///< index in the settings
+  const int job_class;   ///< dense index of its class
+  const Resources need;  ///< of each task
+  const double since;    ///< when it was submitted, or ready if that was later
+  /// Its own priority, or that of a job that depends on it if that is higher.
   wire::Priority priority;
-  // Steady time by which it should be done, for its own sake or theirs: its own deadline counts
-  // from its submission, however long it waited.
+  /// By when it should be done, for its own sake or for that of jobs that depend on it. Its own
+  /// deadline counts from its submission, however long it waited. Infinite: no deadline.
   double due;
-  bool over = false;  // cancelled or final: none of its tasks may start
-  int image = -1;     // dense index of its image
-  // It fits into its team's guarantee together with the team's earlier unfinished jobs.
+  bool over = false;  ///< cancelled or done: none of its tasks may start
+  int image = -1;     ///< dense index of its image; -1: not assigned yet
+  /// It fits into its team's guarantee together with the team's earlier unfinished jobs.
   bool within_guarantee = false;
-  // Order of service: urgent work, then what is guaranteed, then the rest by priority.
-  int priority_band() const {
+
+  /// The order of service, the first one lowest: urgent jobs, then those within a guarantee, then
+  /// the rest by priority.
+  [[nodiscard]] int priority_band() const {
     if (priority <= wire::Priority::high) return static_cast<int>(priority);
     return within_guarantee ? kGuaranteed : static_cast<int>(priority) + 1;
   }
+  /// The band of jobs within a guarantee.
   static constexpr int kGuaranteed = static_cast<int>(wire::Priority::high) + 1;
-  // Steady time by which its tasks should start: what has no deadline, or a far one, is not passed
-  // over for longer than a patience.
-  double latest_start() const;
+  /// By when its tasks should start. A job without a deadline, or with a far one, has a limit too,
+  /// so that it is not passed over for ever.
+  [[nodiscard]] double latest_start() const;
 
-  void load_done(std::uint32_t chunk, const state::Intervals& list);  // as persisted
-  bool mark_done(std::uint32_t task);                                 // false if known already
-  bool done(std::uint32_t task) const { return task < done_.size() && done_[task]; }
-  bool persisted(std::uint32_t task) const { return task < persisted_.size() && persisted_[task]; }
-  std::uint32_t done_count() const { return done_count_; }
-  bool complete() const { return !spec.service && done_count_ == spec.tasks; }
-  std::vector<bool> chunk(std::uint32_t c) const;
-  void set_persisted(std::uint32_t c, const std::vector<bool>& bits);
-  bool dirty(std::uint32_t c) const;
+  /// Marks tasks of a chunk as done and stored; intervals are relative to the chunk.
+  void load_done(std::uint32_t chunk, const state::Intervals& intervals);
+  /// Marks a task as done; false: it was already, or there is no such task.
+  bool mark_done(std::uint32_t task);
+  [[nodiscard]] bool done(std::uint32_t task) const { return task < done_.size() && done_[task]; }
+  /// Whether the state service holds that the task is done.
+  [[nodiscard]] bool persisted(std::uint32_t task) const {
+    return task < persisted_.size() && persisted_[task];
+  }
+  [[nodiscard]] std::uint32_t done_count() const { return done_count_; }
+  /// Whether all tasks are done; a service never is.
+  [[nodiscard]] bool complete() const { return !spec.service && done_count_ == spec.tasks; }
+  /// Which tasks of a chunk are done.
+  [[nodiscard]] std::vector<bool> chunk(std::uint32_t chunk) const;
+  /// The state service holds that these tasks of a chunk are done.
+  void set_persisted(std::uint32_t chunk, const std::vector<bool>& is_done);
+  /// Whether tasks of a chunk are done that the state service does not hold.
+  [[nodiscard]] bool dirty(std::uint32_t chunk) const;
   std::set<std::uint32_t> dirty_chunks;
-  double dirty_since = 0;                  // of the oldest result that is not persisted
-  std::map<std::uint32_t, int> done_page;  // where each chunk was written last
-  std::uint32_t queued = 0;                // of its tasks, on machines' waiting lists
+  double dirty_since = 0;                  ///< of the oldest result that is not stored
+  std::map<std::uint32_t, int> done_page;  ///< the placement page that holds each chunk
+  std::uint32_t queued = 0;                ///< number of its tasks in machines' queues
 
-  // Placements that may exist, by task and by zone.
-  std::vector<std::uint8_t> placements;
-  std::vector<std::uint32_t> in_zone;
-  std::uint32_t placed = 0;
-  // Tasks with no placement and not in the chain.
+  /// By task: how many placements may exist. There is at most one in each placement page of the
+  /// shard, and many only where as many pages that hold earlier ones have not been written since:
+  /// 16 bits hold more than a shard has pages (scheduler/placement_store.cpp).
+  std::vector<std::uint16_t> placements;
+  std::vector<std::uint32_t> in_zone;  ///< by zone: how many placements may exist
+  std::uint32_t placed = 0;            ///< number of placements
+  /// Tasks that have no placement and are in no queue.
   std::set<std::uint32_t> pending;
 
-  // A gang's tasks find one another by a common attempt. A round ends when none of its placements
-  // is left; until then a task that was in it cannot join it again.
+  /// The tasks of a gang find one another by a common attempt, the round. It ends when none of its
+  /// placements is left; until then a task that was in it cannot join it again.
   std::uint64_t round = 0;
+  /// Tasks that were in the round.
   std::set<std::uint32_t> in_round;
 
-  // Failures: a job that fails everywhere waits longer and longer.
+  /// Machines on which its tasks failed. A job that fails everywhere waits longer and longer.
   std::set<std::string> failed_on;
-  double not_before = 0, backoff_s = 0;
+  double not_before = 0;  ///< none of its tasks starts earlier
+  double backoff_s = 0;   ///< the last wait
 
-  // May one more of its tasks be placed in this zone, given its other tasks at this moment?
-  bool zone_ok(int zone) const;
+  /// Whether one more of its tasks may be placed in this zone beside the placements that may exist.
+  [[nodiscard]] bool zone_ok(int zone) const;
 
  private:
-  std::vector<bool> done_, persisted_;
+  std::vector<bool> done_;       ///< by task
+  std::vector<bool> persisted_;  ///< by task
   std::uint32_t done_count_ = 0;
 };
 using JobPtr = std::shared_ptr<Job>;
--- a/src/jobs/result_reader.cpp
+++ b/src/jobs/result_reader.cpp
@@ -1,97 +1,106 @@
 #include "jobs/result_reader.h"
 
 #include <algorithm>
+#include <iterator>
 
 namespace shunttrail::jobs {
 namespace {
-constexpr std::size_t kMost = 8192;    // jobs that wait
-constexpr std::size_t kSingles = 6;    // reads of single records at the same time
-constexpr std::size_t kRangeFrom = 8;  // jobs that wait, from which on a range is read
+
+/// Grows with the users' questions a second, not with machines: a range answers up to 1,000 of
+/// them, so they wait for one round of reads. A further question is answered "not known now" and
+/// asked again.
+constexpr std::size_t kMaxWaitingJobs = 8192;
+constexpr std::size_t kMaxSingleReads = 6;
+/// From this many waiting jobs on, ranges are read.
+constexpr std::size_t kMinJobsForRange = 8;
+
 }  // namespace
 
-bool ResultReader::request(const std::string& id, Callback then) {
-  auto at = waiting_.find(id);
-  if (at == waiting_.end()) {
-    if (waiting_.size() >= kMost) return false;
-    at = waiting_.emplace(id, std::vector<Waiter>{}).first;
-    order_.push_back(id);
+bool ResultReader::request(const std::string& id, Callback done) {
+  auto waiters = waiting_.find(id);
+  if (waiters == waiting_.end()) {
+    if (waiting_.size() >= kMaxWaitingJobs) return false;
+    waiters = waiting_.emplace(id, std::vector<Waiter>{}).first;
+    by_age_.push_back(id);
   }
-  at->second.push_back({++ticket_, std::move(then)});
+  waiters->second.push_back({++last_ticket_, std::move(done)});
   return true;
 }
 
 std::optional<ResultReader::Read> ResultReader::next() {
-  // Here too while many wait: what is answered would stay on it for as long as they do.
-  while (!order_.empty() && !waiting_.contains(order_.front())) order_.pop_front();
-  if (waiting_.size() >= kRangeFrom) {
-    if (range_out_) return std::nullopt;
-    // Were each range to begin with the oldest question, one that went back a little each time
-    // would answer one question a read (docs/incidents/fault combinations-2.md).
-    auto at = waiting_.upper_bound(last_read_);
-    if (at == waiting_.end()) at = waiting_.begin();
-    range_out_ = true;
-    return Read{at->first, true, ++ticket_};
+  // Also while ranges are read: otherwise jobs that were answered would stay in it as long.
+  while (!by_age_.empty() && !waiting_.contains(by_age_.front())) by_age_.pop_front();
+  if (waiting_.size() >= kMinJobsForRange) {
+    if (is_range_read_) return std::nullopt;
+    // If each range began with the oldest question, questions in descending order of keys would be
+    // answered one a read (docs/incidents/fault combinations-2.md).
+    auto first = waiting_.upper_bound(last_read_);
+    if (first == waiting_.end()) first = waiting_.begin();
+    is_range_read_ = true;
+    return Read{first->first, true, ++last_ticket_};
   }
-  if (single_.size() >= kSingles) return std::nullopt;
-  for (const auto& id : order_) {
-    if (!waiting_.contains(id) || single_.contains(id)) continue;
-    single_.insert(id);
-    return Read{id, false, ++ticket_};
+  if (single_reads_.size() >= kMaxSingleReads) return std::nullopt;
+  for (const std::string& id : by_age_) {
+    if (!waiting_.contains(id) || single_reads_.contains(id)) continue;
+    single_reads_.insert(id);
+    return Read{id, false, ++last_ticket_};
   }
   return std::nullopt;
 }
 
-void ResultReader::finished(const Read& ask) {
-  if (ask.range)
-    range_out_ = false;
+void ResultReader::finished(const Read& read) {
+  if (read.range)
+    is_range_read_ = false;
   else
-    single_.erase(ask.id);
+    single_reads_.erase(read.id);
 }
 
-// What is there is final, whenever it was read; that it is not there is known only to reads that
-// began after the question.
-void ResultReader::resolve(const std::string& id, bool found, std::uint64_t ticket, Calls& out) {
-  auto at = waiting_.find(id);
-  if (at == waiting_.end()) return;
-  std::erase_if(at->second, [&](Waiter& a) {
-    if (!found && a.ticket > ticket) return false;
-    out.emplace_back(std::move(a.then), found ? Found::yes : Found::no);
+// A result is final, whenever it was read; that there is none is known only for those who asked
+// before the read began.
+void ResultReader::resolve(const std::string& id, bool is_found, std::uint64_t ticket,
+                           Calls& calls) {
+  const auto waiters = waiting_.find(id);
+  if (waiters == waiting_.end()) return;
+  std::erase_if(waiters->second, [&](Waiter& waiter) {
+    if (!is_found && waiter.ticket > ticket) return false;
+    calls.emplace_back(std::move(waiter.done), is_found ? Found::yes : Found::no);
     return true;
   });
-  if (at->second.empty()) waiting_.erase(at);
+  if (waiters->second.empty()) waiting_.erase(waiters);
 }
 
-void ResultReader::answered(const Read& ask, const std::vector<std::string>& found, bool more) {
-  finished(ask);
+void ResultReader::answered(const Read& read, const std::vector<std::string>& found, bool more) {
+  finished(read);
   Calls calls;
-  if (!ask.range) {
-    resolve(ask.id, !found.empty(), ask.ticket, calls);
+  if (!read.range) {
+    resolve(read.id, !found.empty(), read.ticket, calls);
   } else {
+    // The range that was read ends with the last result, or, if no more follow, with no key.
+    const bool is_cut = more && !found.empty();
     std::vector<std::string> ids;
-    for (auto at = waiting_.lower_bound(ask.id);
-         at != waiting_.end() && (!more || (!found.empty() && at->first <= found.back())); ++at)
-      ids.push_back(at->first);
-    last_read_ = more && !found.empty() ? found.back() : std::string();
-    for (const auto& id : ids)
-      resolve(id, std::binary_search(found.begin(), found.end(), id), ask.ticket, calls);
+    for (auto job = waiting_.lower_bound(read.id);
+         job != waiting_.end() && (!more || (is_cut && job->first <= found.back())); ++job)
+      ids.push_back(job->first);
+    last_read_ = is_cut ? found.back() : std::string();
+    for (const std::string& id : ids)
+      resolve(id, std::binary_search(found.begin(), found.end(), id), read.ticket, calls);
   }
-  for (auto& [then, f] : calls) then(f);
+  for (auto& [done, result] : calls) done(result);
 }
 
-// Whoever asked before hears at once that nothing is known, and asks again.
-void ResultReader::failed(const Read& ask) {
-  finished(ask);
+void ResultReader::failed(const Read& read) {
+  finished(read);
   Calls calls;
-  for (auto at = waiting_.begin(); at != waiting_.end();) {
-    if (ask.range || at->first == ask.id)
-      std::erase_if(at->second, [&](Waiter& a) {
-        if (a.ticket > ask.ticket) return false;
-        calls.emplace_back(std::move(a.then), Found::unread);
+  for (auto job = waiting_.begin(); job != waiting_.end();) {
+    if (read.range || job->first == read.id)
+      std::erase_if(job->second, [&](Waiter& waiter) {
+        if (waiter.ticket > read.ticket) return false;
+        calls.emplace_back(std::move(waiter.done), Found::unread);
         return true;
       });
-    at = at->second.empty() ? waiting_.erase(at) : std::next(at);
+    job = job->second.empty() ? waiting_.erase(job) : std::next(job);
   }
-  for (auto& [then, f] : calls) then(f);
+  for (auto& [done, result] : calls) done(result);
 }
 
 std::string ResultReader::key_before(std::string key) {
--- a/src/peer/peer.cpp
+++ b/src/peer/peer.cpp
@@ -3,102 +3,144 @@
 #include <cereal/archives/portable_binary.hpp>
 #include <cereal/types/string.hpp>
 #include <cereal/types/vector.hpp>
+#include <cstddef>
 #include <sstream>
+#include <stdexcept>
 
 namespace shunttrail::peer {
 
-template <class A>
-void serialize(A& a, PeerHeartbeat::Load& l) {
-  a(l.capacity, l.entitled, l.demand, l.owned);
+template <class Archive>
+void serialize(Archive& archive, PeerHeartbeat::Load& load) {
+  archive(load.capacity, load.entitled, load.demand, load.owned);
 }
-template <class A>
-void serialize(A& a, PeerHeartbeat& b) {
-  a(b.version, b.node, b.serving, b.tokens, b.loads);
+template <class Archive>
+void serialize(Archive& archive, PeerHeartbeat& heartbeat) {
+  archive(heartbeat.version, heartbeat.node, heartbeat.serving, heartbeat.tokens, heartbeat.loads);
 }
-
-template <class A>
-void serialize(A& a, RelayedHeartbeat& p) {
-  a(p.version, p.node, p.heartbeat);
+template <class Archive>
+void serialize(Archive& archive, RelayedHeartbeat& relayed) {
+  archive(relayed.version, relayed.node, relayed.heartbeat);
 }
 
 namespace {
-template <class T>
-std::string bytes_of(const T& t) {
+
+using Input = cereal::PortableBinaryInputArchive;
+
+/// After the start the other nodes have not been heard yet.
+constexpr double kUnknownAfterStartS = 2.5;
+/// How long a node's message counts.
+constexpr double kStatusValidS = 3;
+
+// Sizes of the forms in bytes. The archive begins with the byte order; a list with its length.
+constexpr std::size_t kByteOrderBytes = 1;
+constexpr std::size_t kLengthBytes = 8;
+constexpr std::size_t kSenderBytes = sizeof(PeerHeartbeat::version) + sizeof(PeerHeartbeat::node);
+constexpr std::size_t kFlagBytes = 1;
+constexpr std::size_t kTokenBytes = 8;
+constexpr std::size_t kLoadBytes = 3 * sizeof(std::uint32_t) + kFlagBytes;
+
+template <class Message>
+std::string bytes_of(const Message& message) {
   std::ostringstream out(std::ios::binary);
   {
-    cereal::PortableBinaryOutputArchive a(out);
-    a(t);
+    // An archive has written everything only when it is destroyed.
+    cereal::PortableBinaryOutputArchive archive(out);
+    archive(message);
   }
   return out.str();
 }
-}  // namespace
 
-bool another_serves(const std::vector<PeerStatus>& nodes, double started_at, double now) {
-  constexpr double kUnknown = 2.5;  // after a start: the others have not been heard yet
-  constexpr double kServesFor = 3;  // a node's word
-  if (now - started_at < kUnknown) return true;
-  bool heard = false;
-  for (const PeerStatus& n : nodes) {
-    if (now - n.at >= kServesFor) continue;
-    if (n.serving) return true;
-    heard = true;
-  }
-  return !heard && nodes.size() > 1;
+/// Malformed bytes that the archive itself accepts.
+struct BadMessage : std::runtime_error {
+  BadMessage() : std::runtime_error("bad message") {}
+};
+
+void check(bool is_valid) {
+  if (!is_valid) throw BadMessage();
 }
 
-std::string encode(const PeerHeartbeat& b) { return bytes_of(b); }
-std::string encode(const RelayedHeartbeat& p) { return bytes_of(p); }
+bool read_flag(Input& archive) {
+  std::uint8_t value = 0;
+  archive(value);
+  check(value <= 1);
+  return value != 0;
+}
 
-std::optional<RelayedHeartbeat> decode_relayed(const std::string& bytes, int nodes) {
-  // Byte order, version, node, and the report with its length: the message's own must fit it.
-  constexpr std::size_t kHead = 1 + 4 + 4 + 8;
-  if (bytes.size() < kHead) return std::nullopt;
-  RelayedHeartbeat p;
-  try {
-    std::istringstream in(bytes, std::ios::binary);
-    cereal::PortableBinaryInputArchive a(in);
-    std::uint64_t length = 0;
-    a(p.version, p.node, length);
-    if (p.version != RelayedHeartbeat{}.version || length != bytes.size() - kHead)
-      return std::nullopt;
-  } catch (const std::exception&) {
-    return std::nullopt;
+/// Reads a list's length, which has to be the expected one: a length that malformed bytes claim is
+/// not allocated.
+void read_length(Input& archive, std::size_t expected) {
+  std::uint64_t length = 0;
+  archive(length);
+  check(length == expected);
+}
+
+PeerHeartbeat read_peer_heartbeat(Input& archive, std::size_t nodes) {
+  PeerHeartbeat heartbeat;
+  archive(heartbeat.version, heartbeat.node);
+  check(heartbeat.version == PeerHeartbeat{}.version);
+  heartbeat.serving = read_flag(archive);
+  read_length(archive, nodes);
+  heartbeat.tokens.resize(nodes);
+  for (std::uint64_t& token : heartbeat.tokens) archive(token);
+  read_length(archive, nodes);
+  heartbeat.loads.resize(nodes);
+  for (PeerHeartbeat::Load& load : heartbeat.loads) {
+    archive(load.capacity, load.entitled, load.demand);
+    load.owned = read_flag(archive);
   }
-  if (p.node < 0 || p.node >= nodes) return std::nullopt;
-  p.heartbeat = bytes.substr(kHead);
-  return p;
+  return heartbeat;
 }
 
-std::optional<PeerHeartbeat> decode(const std::string& bytes, int nodes) {
-  // Byte order, version, node and serving, then two lists with their lengths. A length that
-  // garbage claims is not allocated: the message's own must fit the cluster's.
-  const auto n = static_cast<std::size_t>(nodes);
-  if (bytes.size() != 10 + 8 + 8 * n + 8 + 13 * n) return std::nullopt;
-  PeerHeartbeat b;
+/// Applies `read` to an archive of the bytes; none: they are malformed.
+template <class Message, class Read>
+std::optional<Message> read_message(const std::string& bytes, int nodes, Read read) {
   try {
     std::istringstream in(bytes, std::ios::binary);
-    cereal::PortableBinaryInputArchive a(in);
-    std::uint64_t count = 0;
-    std::uint8_t serving = 0;
-    a(b.version, b.node, serving, count);
-    if (b.version != PeerHeartbeat{}.version || count != n || serving > 1) return std::nullopt;
-    b.serving = serving != 0;
-    b.tokens.resize(count);
-    for (auto& t : b.tokens) a(t);
-    a(count);
-    if (count != n) return std::nullopt;
-    b.loads.resize(count);
-    for (auto& l : b.loads) {
-      std::uint8_t owned = 0;
-      a(l.capacity, l.entitled, l.demand, owned);
-      if (owned > 1) return std::nullopt;
-      l.owned = owned != 0;
-    }
+    Input archive(in);
+    Message message = read(archive);
+    check(message.node >= 0 && message.node < nodes);
+    return message;
   } catch (const std::exception&) {
     return std::nullopt;
   }
-  if (b.node < 0 || b.node >= nodes) return std::nullopt;
-  return b;
+}
+
+}  // namespace
+
+bool another_serves(const std::vector<PeerStatus>& nodes, double started_at, double now) {
+  if (now - started_at < kUnknownAfterStartS) return true;
+  bool is_any_heard = false;
+  for (const PeerStatus& node : nodes) {
+    if (now - node.at >= kStatusValidS) continue;
+    if (node.serving) return true;
+    is_any_heard = true;
+  }
+  return !is_any_heard && nodes.size() > 1;
+}
+
+std::string encode(const PeerHeartbeat& heartbeat) { return bytes_of(heartbeat); }
+std::string encode(const RelayedHeartbeat& relayed) { return bytes_of(relayed); }
+
+std::optional<RelayedHeartbeat> decode_relayed(const std::string& bytes, int nodes) {
+  constexpr std::size_t kHeadBytes = kByteOrderBytes + kSenderBytes + kLengthBytes;
+  if (bytes.size() < kHeadBytes) return std::nullopt;
+  return read_message<RelayedHeartbeat>(bytes, nodes, [&](Input& archive) {
+    RelayedHeartbeat relayed;
+    archive(relayed.version, relayed.node);
+    check(relayed.version == RelayedHeartbeat{}.version);
+    read_length(archive, bytes.size() - kHeadBytes);
+    relayed.heartbeat = bytes.substr(kHeadBytes);
+    return relayed;
+  });
+}
+
+std::optional<PeerHeartbeat> decode(const std::string& bytes, int nodes) {
+  const auto count = static_cast<std::size_t>(nodes);
+  const std::size_t expected = kByteOrderBytes + kSenderBytes + kFlagBytes + kLengthBytes +
+                               kTokenBytes * count + kLengthBytes + kLoadBytes * count;
+  if (bytes.size() != expected) return std::nullopt;
+  return read_message<PeerHeartbeat>(
+      bytes, nodes, [&](Input& archive) { return read_peer_heartbeat(archive, count); });
 }
 
 }  // namespace shunttrail::peer
--- a/src/relay/relay_routes.cpp
+++ b/src/relay/relay_routes.cpp
@@ -1,64 +1,98 @@
 #include "relay/relay_routes.h"
 
+#include <algorithm>
+
 namespace shunttrail::relay {
 namespace {
-// A worker that cannot reach the owner gives up after 4 s and tries the next node 1 s later, which
+
+// A worker that cannot reach the leader gives up after 4 s and tries the next node 1 s later, which
 // may be another one first.
-constexpr double kBack = 13;  // it has come back from where it was sent
-constexpr double kHome = 7;   // it has not: the owner has taken it
-constexpr double kFirstTrial = 3, kMostGap = 16;
-constexpr double kQuiet = 2;      // the owner is not asked again so soon after no answer
-constexpr double kCannot = 60;    // an older build may be replaced
-constexpr double kUnused = 30;    // nobody has come by it
-constexpr double kForgetGap = 5;  // between two looks at what is remembered for nothing
+
+/// A machine that comes within this time after a redirect has come back.
+constexpr double kComesBackWithinS = 13;
+/// A probe that has not come back after this time has reached the leader.
+constexpr double kProbeStaysAwayS = 7;
+constexpr double kFirstProbeIntervalS = 3;
+constexpr double kMaxProbeIntervalS = 16;
+/// A leader that has not answered is not asked again for this long.
+constexpr double kSilenceS = 2;
+/// A leader of an older build may be replaced in this time.
+constexpr double kUnavailableS = 60;
+/// A route that no heartbeat has used for this long is closed.
+constexpr double kUnusedRouteS = 30;
+constexpr double kForgetIntervalS = 5;
+
+/// Whether the time noted for a leader has not come yet.
+bool is_before(const std::map<int, double>& until, int owner, double now) {
+  const auto entry = until.find(owner);
+  return entry != until.end() && now < entry->second;
+}
+
 }  // namespace
 
-void RelayRoutes::forget(double now) {
-  if (now < forgotten_at_ + kForgetGap) return;
+void RelayRoutes::forget_old(double now) {
+  if (now < forgotten_at_ + kForgetIntervalS) return;
   forgotten_at_ = now;
-  std::erase_if(sent_, [&](const auto& s) { return now - s.second.at > kBack; });
-  std::erase_if(open_, [&](const auto& d) { return now - d.second.used_at > kUnused; });
+  std::erase_if(redirected_,
+                [&](const auto& entry) { return now - entry.second.at > kComesBackWithinS; });
+  std::erase_if(open_,
+                [&](const auto& entry) { return now - entry.second.used_at > kUnusedRouteS; });
 }
 
 Decision RelayRoutes::decide(const std::string& machine, Order order, int zone, int owner,
                              double now) {
-  forget(now);
-  if (auto c = unavailable_until_.find(owner); c != unavailable_until_.end() && now < c->second)
+  forget_old(now);
+  if (is_before(unavailable_until_, owner, now)) return Decision::redirect;
+  const Decision pass_on =
+      is_before(silent_until_, owner, now) ? Decision::refuse : Decision::relay;
+  const auto known = open_.find({owner, zone});
+  if (known == open_.end()) return decide_without_route(machine, order, zone, owner, pass_on, now);
+  Route& route = known->second;
+  route.used_at = now;
+  if (!route.probing.empty()) return decide_while_probing(machine, order, known, pass_on, now);
+  if (now < route.probe_at || pass_on == Decision::refuse) return pass_on;
+  route.probing = machine;
+  route.probe_order = order;
+  route.sent_at = now;
+  return Decision::redirect;
+}
+
+Decision RelayRoutes::decide_without_route(const std::string& machine, Order order, int zone,
+                                           int owner, Decision pass_on, double now) {
+  const auto last = redirected_.find(machine);
+  if (last == redirected_.end() || last->second.owner != owner ||
+      now - last->second.at > kComesBackWithinS) {
+    redirected_[machine] = {owner, now, order};
     return Decision::redirect;
-  auto quiet = silent_until_.find(owner);
-  const Decision pass =
-      quiet != silent_until_.end() && now < quiet->second ? Decision::refuse : Decision::relay;
-  auto at = open_.find({owner, zone});
-  if (at == open_.end()) {
-    auto was = sent_.find(machine);
-    if (was == sent_.end() || was->second.owner != owner || now - was->second.at > kBack) {
-      sent_[machine] = {owner, now, order};
-      return Decision::redirect;
-    }
-    if (order <= was->second.order) return Decision::redirect;  // a copy
-    sent_.erase(was);
-    open_[{owner, zone}] = {now, now + kFirstTrial, kFirstTrial, {}, {}, 0, now};
-    return pass;
   }
-  Route& d = at->second;
-  d.used_at = now;
-  if (!d.probing.empty()) {
-    if (machine == d.probing && order <= d.probe_order) return pass;  // a copy
-    if (machine == d.probing) {
-      // Back again: still cut.
-      d.probing.clear();
-      d.probe_interval = d.probe_interval * 2 < kMostGap ? d.probe_interval * 2 : kMostGap;
-      d.probe_at = now + d.probe_interval;
-      return pass;
-    }
-    if (now - d.sent_at <= kHome) return pass;
-    open_.erase(at);  // it stayed there: all go home
-    return Decision::redirect;
+  const bool is_copy = order <= last->second.order;
+  if (is_copy) return Decision::redirect;
+  redirected_.erase(last);
+  Route route;
+  route.since = now;
+  route.probe_at = now + kFirstProbeIntervalS;
+  route.probe_interval = kFirstProbeIntervalS;
+  route.used_at = now;
+  open_[{owner, zone}] = route;
+  return pass_on;
+}
+
+Decision RelayRoutes::decide_while_probing(const std::string& machine, Order order,
+                                           std::map<std::pair<int, int>, Route>::iterator known,
+                                           Decision pass_on, double now) {
+  Route& route = known->second;
+  if (machine == route.probing) {
+    const bool is_copy = order <= route.probe_order;
+    if (is_copy) return pass_on;
+    // It has come back: the link is still cut.
+    route.probing.clear();
+    route.probe_interval = std::min(route.probe_interval * 2, kMaxProbeIntervalS);
+    route.probe_at = now + route.probe_interval;
+    return pass_on;
   }
-  if (now < d.probe_at || pass == Decision::refuse) return pass;
-  d.probing = machine;
-  d.probe_order = order;
-  d.sent_at = now;
+  if (now - route.sent_at <= kProbeStaysAwayS) return pass_on;
+  // It has stayed with the leader: all workers are redirected again.
+  open_.erase(known);
   return Decision::redirect;
 }
 
@@ -66,12 +100,12 @@
   if (answered)
     silent_until_.erase(owner);
   else
-    silent_until_[owner] = now + kQuiet;
+    silent_until_[owner] = now + kSilenceS;
 }
 
 void RelayRoutes::unavailable(int owner, double now) {
-  unavailable_until_[owner] = now + kCannot;
-  std::erase_if(open_, [&](const auto& d) { return d.first.first == owner; });
+  unavailable_until_[owner] = now + kUnavailableS;
+  std::erase_if(open_, [&](const auto& entry) { return entry.first.first == owner; });
 }
 
 }  // namespace shunttrail::relay
--- a/src/relay/relay_routes.h
+++ b/src/relay/relay_routes.h
@@ -1,8 +1,9 @@
-// Links between workers and controllers that are cut while others stand: a worker that was sent to
-// its shard's owner and comes back has not reached it. Then this node passes reports on to the
-// owner by itself, until a worker that is sent there on trial stays away. Free of I/O. Nothing
-// rests on what is concluded here: a report passed on is a report, and a wrong guess costs time
-// only.
+/// @file
+/// Decides where heartbeats go while links between workers and controllers are cut (docs/relay.md).
+/// A worker that was redirected to its shard's leader and comes back has not reached it. Then this
+/// node relays heartbeats to the leader, until a worker that is redirected as a probe stays away.
+/// Free of I/O. Nothing depends on the conclusions being right: a relayed heartbeat is a heartbeat,
+/// and a wrong guess costs only time.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -12,49 +13,60 @@
 
 namespace shunttrail::relay {
 
+/// What to do with a heartbeat whose shard another node leads.
 enum class Decision {
-  redirect,  // 421 naming the owner
-  relay,     // passed on to the owner; its answer goes back in the same exchange
-  refuse     // the owner has just not answered either: the worker tries another node
+  redirect,  ///< answer 421 with the leader's name
+  relay,     ///< pass it on to the leader, whose answer goes back in the same exchange
+  refuse     ///< the leader has just not answered this node either: the worker tries another one
 };
 
+/// The routes by which this node relays. Times are seconds of the steady clock.
 class RelayRoutes {
  public:
-  // A report of a machine in this zone has come here, whose shard node `owner` owns. Times in
-  // seconds.
-  // `order`: the report's incarnation and sequence. A copy that comes late shows nothing: only a
-  // report that is newer than the one that was sent away tells that its worker has come back.
+  /// A heartbeat's incarnation and sequence. Only one that is newer than the one that was
+  /// redirected shows that its worker has come back; a copy that comes late shows nothing.
   using Order = std::pair<std::uint64_t, std::uint64_t>;
+  /// Decides about a heartbeat of a machine in this zone, whose shard the node `owner` leads.
   Decision decide(const std::string& machine, Order order, int zone, int owner, double now);
-  // Whether the owner answered what was passed on.
+  /// A relayed heartbeat was answered by `owner`, or was not.
   void relayed(int owner, bool answered, double now);
-  // It speaks no version of the relay that this node knows.
+  /// `owner` speaks no version of the relay that this node knows.
   void unavailable(int owner, double now);
+
+  /// A route from a zone's workers to a leader, in use.
   struct Route {
     double since = 0;
-    double probe_at = 0;        // when the next worker is sent to the owner on trial
-    double probe_interval = 0;  // between two trials that fail
-    std::string probing;
-    Order probe_order{};  // the report that was sent there
-    double sent_at = 0;
-    double used_at = 0;
+    double probe_at = 0;        ///< when the next worker is redirected as a probe
+    double probe_interval = 0;  ///< between two probes that fail
+    std::string probing;        ///< the machine redirected as a probe; empty: none
+    Order probe_order{};        ///< of the heartbeat that was redirected
+    double sent_at = 0;         ///< when it was redirected
+    double used_at = 0;         ///< when the last heartbeat came by
   };
-  // By owner and zone, those in use.
-  const std::map<std::pair<int, int>, Route>& open() const { return open_; }
-  std::size_t remembered() const { return sent_.size(); }
+  /// All routes, by leader and zone.
+  [[nodiscard]] const std::map<std::pair<int, int>, Route>& open() const { return open_; }
+  /// How many redirected machines are remembered.
+  [[nodiscard]] std::size_t remembered() const { return redirected_.size(); }
 
  private:
-  struct Sent {
+  struct Redirected {
     int owner = -1;
     double at = 0;
     Order order{};
   };
-  void forget(double now);
+  void forget_old(double now);
+  /// Without a route: redirects, or opens one if the machine has come back.
+  Decision decide_without_route(const std::string& machine, Order order, int zone, int owner,
+                                Decision pass_on, double now);
+  /// While a probe is under way: whether it has failed, or has succeeded.
+  Decision decide_while_probing(const std::string& machine, Order order,
+                                std::map<std::pair<int, int>, Route>::iterator known,
+                                Decision pass_on, double now);
 
-  std::map<std::string, Sent> sent_;  // by machine: where it was sent lately
+  std::map<std::string, Redirected> redirected_;  ///< by machine: the last redirect
   std::map<std::pair<int, int>, Route> open_;
-  std::map<int, double> silent_until_;  // by owner: it does not answer us either
-  std::map<int, double> unavailable_until_;
+  std::map<int, double> silent_until_;       ///< by leader: it does not answer this node either
+  std::map<int, double> unavailable_until_;  ///< by leader: it cannot relay
   double forgotten_at_ = 0;
 };
 
--- a/src/schema/codec.cpp
+++ b/src/schema/codec.cpp
@@ -1,4 +1,5 @@
-// The records of the state levels, and the operators' orders, as JSON.
+/// @file
+/// The JSON forms of the state levels' records and of the operators' orders.
 #include <algorithm>
 
 #include "schema/schema.h"
@@ -11,45 +12,68 @@
 
 namespace {
 
-constexpr int kHighest = 1000;
+constexpr int kMaxLevel = 1000;
+/// Of an unknown field's name in an error.
+constexpr std::size_t kMaxNameInError = 64;
 
 int level(const json& v, const char* name) {
-  std::uint64_t n = wire::as_whole(v, name);
-  if (n > kHighest) throw Malformed(std::string(name) + " is out of range");
-  return static_cast<int>(n);
+  const std::uint64_t number = wire::as_whole(v, name);
+  if (number > kMaxLevel) throw Malformed::out_of_range(name, "0 to " + std::to_string(kMaxLevel));
+  return static_cast<int>(number);
 }
+
+/// Throws if there are other fields than these.
 void only(const json& j, std::initializer_list<const char*> known) {
-  for (auto it = j.begin(); it != j.end(); ++it)
-    if (std::none_of(known.begin(), known.end(), [&](const char* k) { return it.key() == k; }))
-      throw Malformed(it.key().substr(0, 64) + " is not a known field");
+  for (auto it = j.begin(); it != j.end(); ++it) {
+    const std::string& name = it.key();
+    if (std::none_of(known.begin(), known.end(), [&](const char* k) { return name == k; }))
+      throw Malformed::wrong_type(name.substr(0, kMaxNameInError), "a known field");
+  }
+}
+
+Build build_from_json(const json& levels) {
+  const std::string expected = "the lowest, highest and written level";
+  if (!levels.is_array() || levels.size() != 3)
+    throw Malformed::bad_value("levels", "is bad", expected);
+  const Build build{level(levels[0], "levels"), level(levels[1], "levels"),
+                    level(levels[2], "levels")};
+  if (build.lowest > build.highest || build.writes > build.highest)
+    throw Malformed::bad_value("levels", "is bad", expected);
+  return build;
 }
 
 }  // namespace
 
-std::string encode(const VersionRecord& r) {
-  return json{{"level", r.active}, {"lowest", r.lowest}, {"highest", r.highest}, {"w", r.tag}}
+std::string encode(const VersionRecord& record) {
+  return json{{"level", record.active},
+              {"lowest", record.lowest},
+              {"highest", record.highest},
+              {"w", record.tag}}
       .dump();
 }
-VersionRecord decode_record(const wire::Event& e) {
-  return wire::of_value(e, [](const json& j) {
-    if (!j.is_object()) throw Malformed("not an object");
+
+VersionRecord decode_record(const wire::Event& event) {
+  return wire::of_value(event, [](const json& j) {
+    wire::check_object(j);
     only(j, {"level", "lowest", "highest", "w"});
     VersionRecord r{level(wire::need(j, "level"), "level"),
                     level(wire::need(j, "lowest"), "lowest"),
                     level(wire::need(j, "highest"), "highest"), wire::text(j, "w")};
-    if (r.active < r.lowest || r.active > r.highest) throw Malformed("level is out of its range");
+    if (r.active < r.lowest || r.active > r.highest)
+      throw Malformed::bad_value("level", "is out of its range", "lowest to highest");
     return r;
   });
 }
 
-std::string encode(const Orders& o) {
-  json j = {{"gone", o.gone}, {"w", o.tag}};
-  if (o.max_version) j["most"] = *o.max_version;
+std::string encode(const Orders& orders) {
+  json j = {{"gone", orders.gone}, {"w", orders.tag}};
+  if (orders.max_version) j["most"] = *orders.max_version;
   return j.dump();
 }
-Orders decode_orders(const wire::Event& e) {
-  return wire::of_value(e, [](const json& j) {
-    if (!j.is_object()) throw Malformed("not an object");
+
+Orders decode_orders(const wire::Event& event) {
+  return wire::of_value(event, [](const json& j) {
+    wire::check_object(j);
     only(j, {"gone", "most", "w"});
     Orders o;
     for (const json& n : wire::list(j, "gone")) o.gone.insert(wire::as_text(n, "gone"));
@@ -59,37 +83,35 @@
   });
 }
 
-std::string encode_member(std::uint64_t boot, const Build& b) {
-  return json{{"boot", boot}, {"levels", {b.lowest, b.highest, b.writes}}}.dump();
+std::string encode_member(std::uint64_t boot, const Build& build) {
+  return json{{"boot", boot}, {"levels", {build.lowest, build.highest, build.writes}}}.dump();
 }
-Build decode_member(const wire::Event& e) {
+
+Build decode_member(const wire::Event& event) {
   try {
-    return wire::of_value(e, [](const json& j) {
-      const json* l = wire::find(j, "levels");
-      if (!l) return Build{};
-      if (!l->is_array() || l->size() != 3) throw Malformed("levels is bad");
-      Build b{level((*l)[0], "levels"), level((*l)[1], "levels"), level((*l)[2], "levels")};
-      if (b.lowest > b.highest || b.writes > b.highest) throw Malformed("levels is bad");
-      return b;
+    return wire::of_value(event, [](const json& j) {
+      const json* levels = wire::find(j, "levels");
+      return levels ? build_from_json(*levels) : Build{};
     });
   } catch (const Malformed&) {
     return {};
   }
 }
 
-std::string encode(const Order& o) {
-  switch (o.kind) {
+std::string encode(const Order& order) {
+  switch (order.kind) {
     case Order::hold:
-      return json{{"hold", o.version}}.dump();
+      return json{{"hold", order.version}}.dump();
     case Order::release:
       return json{{"hold", nullptr}}.dump();
     case Order::gone:
-      return json{{"gone", o.node}}.dump();
+      return json{{"gone", order.node}}.dump();
     case Order::here:
-      return json{{"here", o.node}}.dump();
+      return json{{"here", order.node}}.dump();
   }
   return "{}";
 }
+
 Order decode_order(std::string_view body) {
   return wire::guarded(body, [](const json& j) {
     only(j, {"hold", "gone", "here"});
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -1,6 +1,7 @@
 #include "schema/schema.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace shunttrail::schema {
 
@@ -13,173 +14,240 @@
 }
 
 bool can_downgrade(int level) {
-  const auto n = static_cast<std::size_t>(level);
-  return level > 0 && n < table().size() && table()[n].downgrade;
+  const auto position = static_cast<std::size_t>(level);
+  return level > 0 && position < table().size() && table()[position].downgrade;
 }
 
 Build current_build() { return {0, static_cast<int>(table().size()) - 1, 1}; }
 
-int version_of(Feature f) {
-  switch (f) {
+int version_of(Feature feature) {
+  switch (feature) {
     case Feature::machine_ages:
       return 1;
   }
   return 0;
 }
 
-std::string refusal(const StoredView& v, const Build& b) {
-  if (!v.unreadable.empty()) return "the level record cannot be read: " + v.unreadable;
-  const VersionRecord& r = v.record;
-  if (b.reads(r.lowest, r.highest)) return {};
-  auto range = [](int from, int to) {
-    return from == to ? std::to_string(from) : std::to_string(from) + " to " + std::to_string(to);
-  };
-  return "state of level " + range(r.lowest, r.highest) + " stands, this build reads " +
-         range(b.lowest, b.highest);
+namespace {
+
+std::string version_text(int version) { return "level " + std::to_string(version); }
+
+std::string range_text(int from, int to) {
+  if (from == to) return std::to_string(from);
+  return std::to_string(from) + " to " + std::to_string(to);
 }
 
-namespace {
+std::string node_key(const std::string& node) { return "st/n/" + node; }
 
-std::string version_text(int n) { return "level " + std::to_string(n); }
-
-// Guards that make a change of the level hold only while every node can do with what may stand
-// then: each is registered, with the key that was read, or is declared gone and is not there.
-void members_can(const StoredView& v, const std::vector<std::string>& names, int from, int to,
-                 bool all, std::optional<int> writes, RolloutStatus& out) {
-  for (std::size_t n = 0; n < names.size(); ++n) {
-    const StoredView::Member& m = v.members[n];
-    const bool gone = v.orders.gone.contains(names[n]);
-    if (!m.mod_revision && all && !gone) {
-      out.blocked_by.push_back({names[n], "is not there"});
-      continue;
-    }
-    if (m.mod_revision && !m.build.reads(from, to)) {
-      out.blocked_by.push_back(
-          {names[n], "cannot read " + version_text(m.build.lowest > from ? from : to)});
-      continue;
-    }
-    if (m.mod_revision && writes && m.build.writes < *writes) {
-      out.blocked_by.push_back({names[n], "does not write " + version_text(*writes) + " yet"});
-      continue;
-    }
-    // Absent ones as well: one that comes back in between makes the commit fail.
-    out.step.preconditions.emplace_back("st/n/" + names[n], m.mod_revision);
+/// What a change of the level asks of the nodes.
+struct Requirement {
+  int from = 0;               ///< they read the forms from this level
+  int to = 0;                 ///< to this one
+  bool all_present = false;   ///< each is alive or declared gone
+  std::optional<int> writes;  ///< they write this level's forms
+};
+
+/// Why a node does not meet the requirement; none: it does.
+std::optional<std::string> objection(const StoredView::Member& member, bool is_gone,
+                                     const Requirement& requirement) {
+  const bool is_alive = member.mod_revision != 0;
+  if (!is_alive) {
+    if (requirement.all_present && !is_gone) return "is not there";
+    return std::nullopt;
   }
+  if (!member.build.reads(requirement.from, requirement.to)) {
+    const bool is_from_unreadable = member.build.lowest > requirement.from;
+    return "cannot read " + version_text(is_from_unreadable ? requirement.from : requirement.to);
+  }
+  if (requirement.writes && member.build.writes < *requirement.writes)
+    return "does not write " + version_text(*requirement.writes) + " yet";
+  return std::nullopt;
 }
 
-}  // namespace
+/// Works out the next step of the active level.
+class RolloutPlan {
+ public:
+  RolloutPlan(const StoredView& view, const std::vector<std::string>& names, const Build& own)
+      : view_(view), names_(names), own_(own) {}
 
-RolloutStatus rollout_status(const StoredView& v, const std::vector<std::string>& names,
-                             const Build& own, bool converted) {
-  RolloutStatus out;
-  if (!v.unreadable.empty()) {
-    out.blocked_by.push_back({"record", v.unreadable});
-    return out;
+  /// The end of a conversion. There is one level step at a time: stored data in other forms is
+  /// converted first.
+  void plan_settling(bool converted) {
+    if (converted)
+      make(Step::settle, {active(), active(), active(), {}});
+    else
+      block("conversion", "is under way");
   }
-  if (!refusal(v, own).empty()) return out;  // this build has no part in it
-  const VersionRecord& r = v.record;
-  auto step = [&](Step::Kind kind, VersionRecord to) {
-    out.step.kind = kind;
-    out.step.record = std::move(to);
-    out.step.preconditions.emplace_back(kActiveKey, v.mod_revision);
-    out.step.preconditions.emplace_back(kOrdersKey, v.orders_revision);
-  };
-  if (!r.settled()) {
-    // One level at a time: what stands in another form is brought over first.
-    if (converted) {
-      step(Step::settle, {r.active, r.active, r.active, {}});
-    } else {
-      out.blocked_by.push_back({"conversion", "is under way"});
+
+  /// A raise, a lowering, or nothing.
+  void plan_change() {
+    if (view_.orders_unreadable) {
+      block("orders", "cannot be read");
+      return;
     }
-    return out;
+    const std::optional<int>& limit = view_.orders.max_version;
+    if (limit && *limit < active())
+      plan_lowering();
+    else
+      plan_raise();
+    if (out_.step.kind == Step::none) out_.step.preconditions.clear();
   }
-  if (v.orders_unreadable) {
-    out.blocked_by.push_back({"orders", "cannot be read"});
-    return out;
+
+  void block(const std::string& by, const std::string& reason) {
+    out_.blocked_by.push_back({by, reason});
   }
-  if (v.orders.max_version && *v.orders.max_version < r.active) {
-    const int to = r.active - 1;
-    if (!can_downgrade(r.active)) {
-      out.blocked_by.push_back({"orders", version_text(r.active) + " cannot be lowered"});
-      return out;
+  RolloutStatus take() { return std::move(out_); }
+
+ private:
+  [[nodiscard]] int active() const { return view_.record.active; }
+
+  void plan_lowering() {
+    if (!can_downgrade(active())) {
+      block("orders", version_text(active()) + " cannot be lowered");
+      return;
     }
-    members_can(v, names, to, r.active, false, std::nullopt, out);
-    if (out.blocked_by.empty()) step(Step::lower, {to, to, r.active, {}});
-  } else {
-    const int to = r.active + 1;
-    // Whoever knows of a higher level says what holds it back.
-    if (to > own.highest) return out;
-    if (own.writes < to) {
-      out.blocked_by.push_back({"build", "does not write " + version_text(to) + " yet"});
-      return out;
+    const int target = active() - 1;
+    require({target, active(), false, std::nullopt});
+    if (out_.blocked_by.empty()) make(Step::lower, {target, target, active(), {}});
+  }
+
+  void plan_raise() {
+    const int target = active() + 1;
+    // Only a build that knows a higher level says what prevents it.
+    if (target > own_.highest) return;
+    if (own_.writes < target) {
+      block("build", "does not write " + version_text(target) + " yet");
+      return;
     }
-    if (v.orders.max_version && *v.orders.max_version < to)
-      out.blocked_by.push_back({"orders", "hold " + version_text(*v.orders.max_version)});
-    members_can(v, names, r.active, to, true, to, out);
-    if (out.blocked_by.empty()) step(Step::raise, {to, r.active, to, {}});
+    const std::optional<int>& limit = view_.orders.max_version;
+    if (limit && *limit < target) block("orders", "hold " + version_text(*limit));
+    require({active(), target, true, target});
+    if (out_.blocked_by.empty()) make(Step::raise, {target, active(), target, {}});
   }
-  if (out.step.kind == Step::none) out.step.preconditions.clear();
-  return out;
+
+  /// Adds preconditions that let the step hold only while every node can read and write what may
+  /// be stored then, or names the nodes that cannot.
+  void require(const Requirement& requirement) {
+    for (std::size_t n = 0; n < names_.size(); ++n) {
+      const StoredView::Member& member = view_.members[n];
+      const bool is_gone = view_.orders.gone.contains(names_[n]);
+      if (const auto reason = objection(member, is_gone, requirement))
+        block(names_[n], *reason);
+      else
+        // Of absent nodes as well: if one comes back in between, the commit fails.
+        out_.step.preconditions.emplace_back(node_key(names_[n]), member.mod_revision);
+    }
+  }
+
+  void make(Step::Kind kind, VersionRecord record) {
+    out_.step.kind = kind;
+    out_.step.record = std::move(record);
+    out_.step.preconditions.emplace_back(kActiveKey, view_.mod_revision);
+    out_.step.preconditions.emplace_back(kOrdersKey, view_.orders_revision);
+  }
+
+  const StoredView& view_;
+  const std::vector<std::string>& names_;
+  const Build& own_;
+  RolloutStatus out_;
+};
+
+}  // namespace
+
+std::string refusal(const StoredView& view, const Build& build) {
+  if (!view.unreadable.empty()) return "the level record cannot be read: " + view.unreadable;
+  const VersionRecord& record = view.record;
+  if (build.reads(record.lowest, record.highest)) return {};
+  return "state of level " + range_text(record.lowest, record.highest) +
+         " stands, this build reads " + range_text(build.lowest, build.highest);
 }
 
-wire::Transaction commit_of(const Step& s, const std::string& tag) {
-  VersionRecord to = s.record;
-  to.tag = tag;
-  return {s.preconditions, {{kActiveKey, encode(to), 0}}};
+RolloutStatus rollout_status(const StoredView& view, const std::vector<std::string>& names,
+                             const Build& own, bool converted) {
+  RolloutPlan plan(view, names, own);
+  if (!view.unreadable.empty())
+    plan.block("record", view.unreadable);
+  else if (!refusal(view, own).empty())
+    return {};  // a build that must not serve changes nothing
+  else if (!view.record.settled())
+    plan.plan_settling(converted);
+  else
+    plan.plan_change();
+  return plan.take();
 }
 
-std::optional<wire::Transaction> enroll(const StoredView& v, const std::string& node,
-                                        std::uint64_t boot, const Build& b, std::uint64_t hold) {
-  if (!refusal(v, b).empty()) return std::nullopt;
-  return wire::Transaction{{{kActiveKey, v.mod_revision}},
-                           {{"st/n/" + node, encode_member(boot, b), hold}}};
+wire::Transaction commit_of(const Step& step, const std::string& tag) {
+  VersionRecord record = step.record;
+  record.tag = tag;
+  return {step.preconditions, {{kActiveKey, encode(record), 0}}};
 }
 
-wire::Transaction commit_of(const StoredView& v, Orders after, const std::string& tag) {
+std::optional<wire::Transaction> enroll(const StoredView& view, const std::string& node,
+                                        std::uint64_t boot, const Build& build,
+                                        std::uint64_t lease) {
+  if (!refusal(view, build).empty()) return std::nullopt;
+  return wire::Transaction{{{kActiveKey, view.mod_revision}},
+                           {{node_key(node), encode_member(boot, build), lease}}};
+}
+
+wire::Transaction commit_of(const StoredView& view, Orders after, const std::string& tag) {
   after.tag = tag;
-  return {{{kOrdersKey, v.orders_revision}, {kActiveKey, v.mod_revision}},
+  return {{{kOrdersKey, view.orders_revision}, {kActiveKey, view.mod_revision}},
           {{kOrdersKey, encode(after), 0}}};
 }
 
-std::string refused(const StoredView& v, const std::vector<std::string>& names, const Order& o) {
-  if (!v.unreadable.empty()) return "the level record cannot be read: " + v.unreadable;
-  if (v.orders_unreadable) return "the orders as they stand cannot be read";
-  switch (o.kind) {
+namespace {
+
+std::string refused_hold(const StoredView& view, int version) {
+  for (int active = view.record.active; active > version; --active)
+    if (!can_downgrade(active))
+      return "hold: " + version_text(active) + " is active and cannot be lowered";
+  return {};
+}
+
+std::string refused_node(const StoredView& view, const std::vector<std::string>& names,
+                         const Order& order) {
+  const bool is_gone = order.kind == Order::gone;
+  const std::string field = is_gone ? "gone: " : "here: ";
+  const auto name = std::find(names.begin(), names.end(), order.node);
+  if (name == names.end()) return field + order.node + " is none of the nodes";
+  const auto node = static_cast<std::size_t>(name - names.begin());
+  if (is_gone && view.members[node].mod_revision != 0) return field + order.node + " is there";
+  return {};
+}
+
+}  // namespace
+
+std::string refused(const StoredView& view, const std::vector<std::string>& names,
+                    const Order& order) {
+  if (!view.unreadable.empty()) return "the level record cannot be read: " + view.unreadable;
+  if (view.orders_unreadable) return "the orders as they stand cannot be read";
+  switch (order.kind) {
     case Order::hold:
-      for (int n = v.record.active; n > o.version; --n)
-        if (!can_downgrade(n))
-          return "hold: " + version_text(n) + " is active and cannot be lowered";
-      return {};
+      return refused_hold(view, order.version);
     case Order::release:
       return {};
     case Order::gone:
-    case Order::here: {
-      const char* field = o.kind == Order::gone ? "gone: " : "here: ";
-      auto at = std::find(names.begin(), names.end(), o.node);
-      if (at == names.end()) return field + o.node + " is none of the nodes";
-      if (o.kind == Order::gone &&
-          v.members[static_cast<std::size_t>(at - names.begin())].mod_revision != 0)
-        return field + o.node + " is there";
-      return {};
-    }
+    case Order::here:
+      return refused_node(view, names, order);
   }
   return {};
 }
 
-Orders with(const Orders& before, const Order& o) {
+Orders with(const Orders& before, const Order& order) {
   Orders after = before;
-  switch (o.kind) {
+  switch (order.kind) {
     case Order::hold:
-      after.max_version = o.version;
+      after.max_version = order.version;
       break;
     case Order::release:
       after.max_version.reset();
       break;
     case Order::gone:
-      after.gone.insert(o.node);
+      after.gone.insert(order.node);
       break;
     case Order::here:
-      after.gone.erase(o.node);
+      after.gone.erase(order.node);
       break;
   }
   return after;
--- a/src/schema/schema.h
+++ b/src/schema/schema.h
@@ -1,7 +1,8 @@
-// State levels: which forms of what is kept in the state service are in use. A rollout brings
-// builds that know a new form to the nodes one by one; the form begins when every node has such a
-// build, and never before. Free of I/O: what the state service holds is handed in, and commits are
-// handed out.
+/// @file
+/// State levels: which forms of the stored data are in use (docs/schema.md). A rollout brings
+/// builds that know a new form to the nodes one by one; the form is used once every node has such a
+/// build, and never before. Free of I/O: what the state service holds is handed in, and
+/// transactions are handed out.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -15,137 +16,170 @@
 
 namespace shunttrail::schema {
 
-// What a build can do with the stored state. One that announces nothing is of level 0.
+/// What a build can do with the stored state. One that announces nothing is of level 0.
 struct Build {
-  int lowest = 0, highest = 0;  // it reads the forms of these levels, ends included
-  int writes = 0;               // it takes part in raising the active level to this one at most
-  bool reads(int from, int to) const { return lowest <= from && to <= highest; }
+  int lowest = 0;   ///< the lowest level whose forms it reads
+  int highest = 0;  ///< the highest level whose forms it reads
+  int writes = 0;   ///< it takes part in raising the active level up to this one
+  /// Whether it reads the forms of all levels from `from` to `to`, ends included.
+  [[nodiscard]] bool reads(int from, int to) const { return lowest <= from && to <= highest; }
   friend bool operator==(const Build&, const Build&) = default;
 };
 
+/// A level.
 struct Version {
   int number;
   const char* name;
   const char* description;
-  // It can be lowered again: what was written under it is brought back to the form before.
+  /// Whether it can be lowered again: what was written under it is converted back.
   bool downgrade;
 };
-// Every level that this build knows, from 0; the number is the place in the table.
+/// All levels that this build knows; a level's number is its position.
 const std::vector<Version>& table();
-// Whether an active level can be lowered again. One that this build does not know cannot.
-bool can_downgrade(int level);
-// This build.
-Build current_build();
+/// Whether an active level can be lowered again; false for one that this build does not know.
+[[nodiscard]] bool can_downgrade(int level);
+/// What this build can do.
+[[nodiscard]] Build current_build();
 
-// A behaviour that changes what is stored, by the level that switches it on.
+/// A change of what is stored, which a level switches on.
 enum class Feature {
-  machine_ages,  // the inventory tells when each machine was rented
+  machine_ages,  ///< inventory pages tell when each machine was rented
 };
-int version_of(Feature f);
+/// The level that switches a feature on.
+[[nodiscard]] int version_of(Feature feature);
 
-// The durable record, st/l/active; without one the level is 0. Forms of the levels from `lowest` to
-// `highest` may stand: both are the active level once everything has been converted.
+/// The stored record of the active level; where there is none, the level is 0. Forms of the levels
+/// from `lowest` to `highest` may be stored.
 struct VersionRecord {
-  int active = 0, lowest = 0, highest = 0;
-  std::string tag;
-  bool settled() const { return lowest == active && highest == active; }
+  int active = 0;
+  int lowest = 0;
+  int highest = 0;
+  std::string tag;  ///< names the transaction that wrote it
+  /// Whether everything has been converted to the active level's forms.
+  [[nodiscard]] bool settled() const { return lowest == active && highest == active; }
   friend bool operator==(const VersionRecord&, const VersionRecord&) = default;
 };
-// What the operators have ordered, st/l/orders.
+/// The stored orders of the operators.
 struct Orders {
-  std::optional<int> max_version;  // the active level is at most this
-  std::set<std::string> gone;      // nodes that are not waited for
-  std::string tag;
+  std::optional<int> max_version;  ///< the active level is at most this
+  std::set<std::string> gone;      ///< nodes that are not waited for
+  std::string tag;                 ///< names the transaction that wrote them
   friend bool operator==(const Orders&, const Orders&) = default;
 };
 
+/// The key of the VersionRecord.
 inline constexpr const char* kActiveKey = "st/l/active";
+/// The key of the Orders.
 inline constexpr const char* kOrdersKey = "st/l/orders";
 
-// Codecs. A record is read strictly: a field that is not known may say that the rest means
-// something else. Decoders throw wire::Malformed.
-std::string encode(const VersionRecord& r);
-VersionRecord decode_record(const wire::Event& e);
-std::string encode(const Orders& o);
-Orders decode_orders(const wire::Event& e);
-// The value of a node key.
-std::string encode_member(std::uint64_t boot, const Build& b);
-Build decode_member(const wire::Event& e);  // what announces nothing, or garbage, is level 0
-
-// What one read of the state service says of all this; kept up by state::World.
+// The codecs read records strictly: an unknown field may change the meaning of the others. Decoders
+// throw wire::Malformed.
+
+/// The value of the record's key.
+[[nodiscard]] std::string encode(const VersionRecord& record);
+/// Reads the value of the record's key.
+[[nodiscard]] VersionRecord decode_record(const wire::Event& event);
+/// The value of the orders' key.
+[[nodiscard]] std::string encode(const Orders& orders);
+/// Reads the value of the orders' key.
+[[nodiscard]] Orders decode_orders(const wire::Event& event);
+/// The value of a node's key. `boot` distinguishes the node's processes.
+[[nodiscard]] std::string encode_member(std::uint64_t boot, const Build& build);
+/// Reads a node's build from its key. One that announces none, or is malformed, is of level 0.
+[[nodiscard]] Build decode_member(const wire::Event& event);
+
+/// What the state service holds of all this; kept by state::StateCache.
 struct StoredView {
   VersionRecord record;
-  std::uint64_t mod_revision = 0;  // of the record; 0: there is none
-  std::string unreadable;          // why the record cannot be read; empty: it can
+  std::uint64_t mod_revision = 0;  ///< of the record; 0: there is none
+  std::string unreadable;          ///< why the record cannot be read; empty: it can
   Orders orders;
-  std::uint64_t orders_revision = 0;
+  std::uint64_t orders_revision = 0;  ///< 0: there are none
   bool orders_unreadable = false;
+  /// A node.
   struct Member {
-    std::uint64_t mod_revision = 0;  // of the node key; 0: not alive
+    std::uint64_t mod_revision = 0;  ///< of its key; 0: it is not alive
     Build build;
   };
-  std::vector<Member> members;  // by node
+  std::vector<Member> members;  ///< by node
 };
 
-// Why a build must not serve beside this state; empty: it may.
-std::string refusal(const StoredView& v, const Build& b);
+/// Why a build must not serve with this state; empty: it may.
+[[nodiscard]] std::string refusal(const StoredView& view, const Build& build);
 
-// Asked once a transaction: which forms it is to be written in. The record's revision goes into its
-// preconditions, so that it fails if the level has changed since.
+/// Decides for one transaction in which forms it writes. Its precondition makes the transaction
+/// fail if the level has changed since.
 class FeatureGate {
  public:
-  explicit FeatureGate(const StoredView& v)
-      : version_(v.record.active), mod_revision_(v.mod_revision) {}
-  bool on(Feature f) const { return version_ >= version_of(f); }
-  int version() const { return version_; }
-  std::pair<std::string, std::uint64_t> precondition() const { return {kActiveKey, mod_revision_}; }
+  explicit FeatureGate(const StoredView& view)
+      : version_(view.record.active), mod_revision_(view.mod_revision) {}
+  /// Whether the active level has this feature.
+  [[nodiscard]] bool on(Feature feature) const { return version_ >= version_of(feature); }
+  /// The active level.
+  [[nodiscard]] int version() const { return version_; }
+  /// That the record still has its revision.
+  [[nodiscard]] std::pair<std::string, std::uint64_t> precondition() const {
+    return {kActiveKey, mod_revision_};
+  }
 
  private:
   int version_;
   std::uint64_t mod_revision_;
 };
 
-// The next step of the active level, if there is one: a guarded commit that any node may make. What
-// is in the way otherwise.
+/// A change of the active level, which any node may commit.
 struct Step {
+  /// settle: everything has been converted, and other forms are not stored any more.
   enum Kind { none, raise, lower, settle } kind = none;
-  VersionRecord record;  // its tag is the writer's to fill in
+  VersionRecord record;  ///< the new one; the committing node fills in its tag
   std::vector<std::pair<std::string, std::uint64_t>> preconditions;
 };
+/// What prevents a step.
 struct Blocker {
-  std::string by;  // a node, or "orders", "conversion", "record"
+  std::string by;  ///< a node, or "orders", "conversion", "record", "build"
   std::string reason;
   friend bool operator==(const Blocker&, const Blocker&) = default;
 };
+/// The next step, or what prevents it.
 struct RolloutStatus {
   Step step;
-  std::vector<Blocker> blocked_by;  // what holds the next raise or lowering back
+  std::vector<Blocker> blocked_by;
 };
-// `names`: of the nodes, by index. `converted`: everything that the cache holds, read in full, has
-// the active level's form.
-RolloutStatus rollout_status(const StoredView& v, const std::vector<std::string>& names,
-                             const Build& own, bool converted);
-
-// A step as a transaction.
-wire::Transaction commit_of(const Step& s, const std::string& tag);
-
-// A node's registration under its hold. The record by which its build was found fit is among the
-// preconditions: were the level raised in between, it would be registered beside state that it
-// cannot read. None: its build must not serve.
-std::optional<wire::Transaction> enroll(const StoredView& v, const std::string& node,
-                                        std::uint64_t boot, const Build& b, std::uint64_t hold);
-
-// An operator's order, applied to the orders as they stand. `refused` says why not; empty: taken.
+/// Decides on the next step. `names`: of the nodes, by index; `own`: this build; `converted`: the
+/// whole state has been read, and all of it has the active level's form.
+[[nodiscard]] RolloutStatus rollout_status(const StoredView& view,
+                                           const std::vector<std::string>& names, const Build& own,
+                                           bool converted);
+
+/// The transaction that makes a step. `tag` names it.
+[[nodiscard]] wire::Transaction commit_of(const Step& step, const std::string& tag);
+
+/// The transaction that registers a node under its lease; none: its build must not serve. The
+/// record that says so is among the preconditions: otherwise, if the level were raised in between,
+/// a node could be registered that cannot read the state.
+[[nodiscard]] std::optional<wire::Transaction> enroll(const StoredView& view,
+                                                      const std::string& node, std::uint64_t boot,
+                                                      const Build& build, std::uint64_t lease);
+
+/// An order of an operator.
 struct Order {
+  /// hold: the level is at most `version`; release: it is not limited any more; gone, here: a node
+  /// is not waited for, or is again.
   enum Kind { hold, release, gone, here } kind = hold;
-  int version = 0;   // hold
-  std::string node;  // gone, here
+  int version = 0;   ///< hold
+  std::string node;  ///< gone, here
 };
-// Throws wire::Malformed, naming the field.
-Order decode_order(std::string_view body);
-std::string encode(const Order& o);
-std::string refused(const StoredView& v, const std::vector<std::string>& names, const Order& o);
-Orders with(const Orders& before, const Order& o);
-wire::Transaction commit_of(const StoredView& v, Orders after, const std::string& tag);
+/// Reads an order. Throws wire::Malformed.
+[[nodiscard]] Order decode_order(std::string_view body);
+/// The body of an order.
+[[nodiscard]] std::string encode(const Order& order);
+/// Why an order is not accepted; empty: it is.
+[[nodiscard]] std::string refused(const StoredView& view, const std::vector<std::string>& names,
+                                  const Order& order);
+/// The stored orders after one more.
+[[nodiscard]] Orders with(const Orders& before, const Order& order);
+/// The transaction that stores the orders `after` in place of those in `view`. `tag` names it.
+[[nodiscard]] wire::Transaction commit_of(const StoredView& view, Orders after,
+                                          const std::string& tag);
 
 }  // namespace shunttrail::schema
--- a/src/shard/balance.cpp
+++ b/src/shard/balance.cpp
@@ -1,79 +1,139 @@
 #include "shard/balance.h"
 
 #include <algorithm>
-#include <cmath>
+#include <cstddef>
+#include <optional>
 
 namespace shunttrail::shard {
 
 std::vector<double> targets(const std::vector<Load>& loads) {
-  double all = 0, entitled = 0, demand = 0;
-  for (const Load& l : loads) all += l.capacity, entitled += l.entitled, demand += l.demand;
+  double capacity = 0;
+  double entitled = 0;
+  double demand = 0;
+  for (const Load& load : loads) {
+    capacity += load.capacity;
+    entitled += load.entitled;
+    demand += load.demand;
+  }
   std::vector<double> out;
-  for (const Load& l : loads) {
-    if (demand <= all)
-      out.push_back(l.demand);
-    else if (entitled >= all)
-      out.push_back(entitled > 0 ? l.entitled * all / entitled : 0);
+  for (const Load& load : loads) {
+    if (demand <= capacity)
+      out.push_back(load.demand);
+    else if (entitled >= capacity)
+      out.push_back(entitled > 0 ? load.entitled * capacity / entitled : 0);
     else
-      out.push_back(l.entitled + (all - entitled) * (l.demand - l.entitled) / (demand - entitled));
+      out.push_back(load.entitled +
+                    (capacity - entitled) * (load.demand - load.entitled) / (demand - entitled));
   }
   return out;
 }
 
 namespace {
-constexpr double kWorthIt = 1.1;  // in machines: what is beyond the goals on both sides, with a
-                                  // little more than a whole one, so that none goes to and fro
-constexpr double kLeast = 1e-6;   // of a machine: less is nothing
-}  // namespace
 
-std::vector<int> transfers(const std::vector<Load>& loads, int from) {
-  const std::size_t n = loads.size();
-  const std::vector<double> goal = targets(loads);
-  std::vector<double> spare, wanted;
-  double lack = 0, excess = 0;
-  for (std::size_t k = 0; k < n; ++k) {
-    spare.push_back(std::max(0.0, loads[k].capacity - goal[k]));
-    wanted.push_back(std::max(0.0, goal[k] - loads[k].capacity));
-    excess += spare[k];
-    lack += wanted[k];
+/// Surplus and deficit of a transfer together, in machines, from which on it is made: a little more
+/// than a whole machine, so that none goes back and forth.
+constexpr double kMinGain = 1.1;
+/// A smaller fraction of a machine is rounding.
+constexpr double kNegligible = 1e-6;
+
+/// Works out the transfers among all shards.
+class TransferPlan {
+ public:
+  explicit TransferPlan(const std::vector<Load>& loads)
+      : loads_(loads), sent_(loads.size(), std::vector<int>(loads.size(), 0)) {
+    const std::vector<double> goals = targets(loads);
+    for (std::size_t k = 0; k < loads.size(); ++k) {
+      surplus_.push_back(std::max(0.0, loads[k].capacity - goals[k]));
+      deficit_.push_back(std::max(0.0, goals[k] - loads[k].capacity));
+    }
+  }
+
+  /// Divides the deficits among the shards with a surplus, in proportion to it, in whole machines.
+  void send_shares() {
+    double total_surplus = 0;
+    double total_deficit = 0;
+    for (std::size_t k = 0; k < loads_.size(); ++k) {
+      total_surplus += surplus_[k];
+      total_deficit += deficit_[k];
+    }
+    if (total_surplus <= 0 || total_deficit <= 0) return;
+    const double divisor = std::max(total_surplus, total_deficit);
+    const std::vector<double> surplus_at_first = surplus_;
+    const std::vector<double> deficit_at_first = deficit_;
+    for (std::size_t giver = 0; giver < loads_.size(); ++giver)
+      for (std::size_t receiver = 0; receiver < loads_.size(); ++receiver) {
+        const double share = deficit_at_first[receiver] * surplus_at_first[giver] / divisor;
+        const int machines = static_cast<int>(share);
+        for (int i = 0; i < machines && can_give(giver); ++i) send(giver, receiver);
+      }
+  }
+
+  /// Sends single machines from the largest surplus to the largest deficit, while that is worth it.
+  void send_remainders() {
+    for (;;) {
+      const std::optional<std::size_t> giver = largest_surplus();
+      const std::optional<std::size_t> receiver = largest_deficit();
+      if (!giver || !receiver) return;
+      if (surplus_[*giver] + wanted(*receiver) <= kMinGain) return;
+      send(*giver, *receiver);
+    }
+  }
+
+  [[nodiscard]] const std::vector<int>& sent_by(std::size_t giver) const { return sent_[giver]; }
+
+ private:
+  [[nodiscard]] double remaining(std::size_t giver) const {
+    double capacity = loads_[giver].capacity;
+    for (int machines : sent_[giver]) capacity -= machines;
+    return capacity;
+  }
+  /// A shard with work keeps its last machine.
+  [[nodiscard]] bool can_give(std::size_t giver) const {
+    return loads_[giver].demand <= 0 || remaining(giver) >= 2;
   }
-  // By giver and receiver. All leaders work all of it out alike, since they know the same loads.
-  std::vector<std::vector<int>> out(n, std::vector<int>(n, 0));
-  auto left = [&](std::size_t g) {
-    double c = loads[g].capacity;
-    for (int given : out[g]) c -= given;
-    return c;
-  };
-  // Nobody who has work gives the last one.
-  auto can_give = [&](std::size_t g) { return loads[g].demand <= 0 || left(g) >= 2; };
-  auto give = [&](std::size_t g, std::size_t to) {
-    ++out[g][to];
-    spare[g] -= 1;
-    wanted[to] -= 1;
-  };
-  // Givers share what is lacking, in proportion to what they have to spare.
-  const std::vector<double> spare_at_first = spare, wanted_at_first = wanted;
-  for (std::size_t g = 0; g < n; ++g)
-    for (std::size_t to = 0; to < n && lack > 0 && excess > 0; ++to) {
-      const double share = wanted_at_first[to] * spare_at_first[g] / std::max(excess, lack);
-      for (int i = 0; i < static_cast<int>(share) && can_give(g); ++i) give(g, to);
+  [[nodiscard]] bool has_work_but_no_machine(std::size_t shard) const {
+    double capacity = loads_[shard].capacity;
+    for (const std::vector<int>& machines : sent_) capacity += machines[shard];
+    return loads_[shard].demand > 0 && capacity <= 0;
+  }
+  [[nodiscard]] double wanted(std::size_t shard) const {
+    return has_work_but_no_machine(shard) ? std::max(deficit_[shard], kMinGain) : deficit_[shard];
+  }
+  [[nodiscard]] std::optional<std::size_t> largest_surplus() const {
+    std::optional<std::size_t> best;
+    for (std::size_t k = 0; k < loads_.size(); ++k) {
+      if (surplus_[k] <= kNegligible || !can_give(k)) continue;
+      if (!best || surplus_[k] > surplus_[*best]) best = k;
     }
-  auto none = [&](std::size_t k) {
-    double c = loads[k].capacity;
-    for (std::size_t g = 0; g < n; ++g) c += out[g][k];
-    return loads[k].demand > 0 && c <= 0;
-  };
-  for (;;) {
-    std::size_t g = n, to = n;
-    auto wants = [&](std::size_t k) { return none(k) ? std::max(wanted[k], kWorthIt) : wanted[k]; };
-    for (std::size_t k = 0; k < n; ++k) {
-      if (spare[k] > kLeast && can_give(k) && (g == n || spare[k] > spare[g])) g = k;
-      if (wants(k) > kLeast && (to == n || wants(k) > wants(to))) to = k;
+    return best;
+  }
+  [[nodiscard]] std::optional<std::size_t> largest_deficit() const {
+    std::optional<std::size_t> best;
+    for (std::size_t k = 0; k < loads_.size(); ++k) {
+      if (wanted(k) <= kNegligible) continue;
+      if (!best || wanted(k) > wanted(*best)) best = k;
     }
-    if (g == n || to == n || spare[g] + wants(to) <= kWorthIt) break;
-    give(g, to);
+    return best;
   }
-  return out[static_cast<std::size_t>(from)];
+  void send(std::size_t giver, std::size_t receiver) {
+    ++sent_[giver][receiver];
+    surplus_[giver] -= 1;
+    deficit_[receiver] -= 1;
+  }
+
+  const std::vector<Load>& loads_;
+  std::vector<std::vector<int>> sent_;  ///< machines, by giver and receiver
+  std::vector<double> surplus_;         ///< by shard, after what is sent
+  std::vector<double> deficit_;         ///< by shard, after what is sent
+};
+
+}  // namespace
+
+std::vector<int> transfers(const std::vector<Load>& loads, int from) {
+  TransferPlan plan(loads);
+  plan.send_shares();
+  plan.send_remainders();
+  return plan.sent_by(static_cast<std::size_t>(from));
 }
 
 }  // namespace shunttrail::shard
--- a/src/shard/balance.h
+++ b/src/shard/balance.h
@@ -1,25 +1,30 @@
-// How machines are shared out among the shards: from what each has, is entitled to and could use.
-// Free of I/O.
+/// @file
+/// How machines are divided among the shards: from what each has, is entitled to and could use
+/// (docs/design.md). Free of I/O.
 #pragma once
 #include <vector>
 
 namespace shunttrail::shard {
 
-// In machines.
+/// A shard's machines; all amounts are in machines, and may be fractions.
 struct Load {
-  double capacity = 0;  // up or booting, and staying; what is promised, until it has gone
-  double entitled = 0;  // what its teams' unfinished work needs, within their guarantees
-  double demand = 0;    // the same, within their limits
+  /// Up or booting, and staying. A machine that is promised to another shard counts until it has
+  /// left.
+  double capacity = 0;
+  /// What its teams' unfinished work needs, within their guarantees.
+  double entitled = 0;
+  /// What its teams' unfinished work needs, within their limits.
+  double demand = 0;
 };
 
-// What each shard should have. While there is enough for all, nobody's surplus moves but to where
-// work lacks it; else guarantees come first, and the rest goes by what is asked beyond them.
-std::vector<double> targets(const std::vector<Load>& loads);
+/// How many machines each shard should have. While there are enough for all, that is its demand;
+/// otherwise guarantees come first, and the rest is divided by the demand beyond them.
+[[nodiscard]] std::vector<double> targets(const std::vector<Load>& loads);
 
-// How many machines `from` should send to each other shard. Fractions of what is lacking and of
-// what is beyond a share are brought together in whole machines, as long as that brings all nearer
-// to their goals; a shard with work and no machine at all gets one from whoever has most to spare,
-// and nobody with work gives the last one.
-std::vector<int> transfers(const std::vector<Load>& loads, int from);
+/// How many machines the shard `from` should send to each other one. Fractions of deficits and of
+/// surpluses are combined into whole machines as long as that brings all shards nearer to their
+/// targets. A shard with work and no machine gets one from the one with the largest surplus, and no
+/// shard with work gives its last one. All leaders compute the same from the same loads.
+[[nodiscard]] std::vector<int> transfers(const std::vector<Load>& loads, int from);
 
 }  // namespace shunttrail::shard
--- a/src/shard/inventory_page.cpp
+++ b/src/shard/inventory_page.cpp
@@ -1,109 +1,125 @@
 #include "shard/inventory_page.h"
 
 #include <algorithm>
+#include <utility>
 
 #include "wire/codec.h"
 
 namespace shunttrail::shard {
 namespace {
+
+constexpr auto kMaxParts = static_cast<std::size_t>(state::kInventoryParts);
+
 bool by_name(const wire::MachineRecord& a, const wire::MachineRecord& b) { return a.name < b.name; }
+
 }  // namespace
 
-InventoryPage::InventoryPage(const state::StateCache& world, int page)
-    : world_(world), feature_gate_(world.schema()), form_(world.inventory_form()), page_(page) {
-  for (int i = 0; i < state::kInventoryParts; ++i) {
-    int n = state::inventory_part(page, i);
+InventoryPage::InventoryPage(const state::StateCache& cache, int page)
+    : cache_(cache), feature_gate_(cache.schema()), form_(cache.inventory_form()), page_(page) {
+  for (std::size_t i = 0; i < kMaxParts; ++i) {
     // Parts are begun in order; one may have been emptied since.
-    if (i > 0 && !world.mod_revision(state::inventory_key(n))) continue;
-    parts_.resize(static_cast<std::size_t>(i) + 1);
-    parts_.back().machines = world.inventory(n);
-    std::sort(parts_.back().machines.begin(), parts_.back().machines.end(), by_name);
-    parts_.back().form = world.inventory_pages(1).contains(n) ? 1 : 0;
+    if (i > 0 && !cache.mod_revision(key(i))) continue;
+    const int number = state::inventory_part(page, static_cast<int>(i));
+    parts_.resize(i + 1);
+    Part& part = parts_.back();
+    part.machines = cache.inventory(number);
+    std::sort(part.machines.begin(), part.machines.end(), by_name);
+    part.form = cache.inventory_pages(1).contains(number) ? 1 : 0;
   }
 }
 
+std::string InventoryPage::key(std::size_t part) const {
+  return state::inventory_key(state::inventory_part(page_, static_cast<int>(part)));
+}
+
+std::string InventoryPage::text(const Part& part, const std::string& tag) const {
+  return wire::encode_record(wire::InventoryPageRecord{tag, part.machines, form_});
+}
+
 const wire::MachineRecord* InventoryPage::find(const std::string& name) const {
-  for (const Part& p : parts_)
-    for (const auto& m : p.machines)
-      if (m.name == name) return &m;
+  for (const Part& part : parts_)
+    for (const wire::MachineRecord& machine : part.machines)
+      if (machine.name == name) return &machine;
   return nullptr;
 }
 
-void InventoryPage::put(std::size_t part, const wire::MachineRecord& m) {
+void InventoryPage::put(std::size_t part, const wire::MachineRecord& machine) {
   if (part >= parts_.size()) parts_.resize(part + 1);
-  Part& p = parts_[part];
-  p.machines.insert(std::upper_bound(p.machines.begin(), p.machines.end(), m, by_name), m);
-  p.changed = true;
+  auto& machines = parts_[part].machines;
+  machines.insert(std::upper_bound(machines.begin(), machines.end(), machine, by_name), machine);
+  parts_[part].is_changed = true;
 }
 
-void InventoryPage::set(const wire::MachineRecord& m) {
-  for (Part& p : parts_)
-    for (auto& old : p.machines)
-      if (old.name == m.name) {
-        old = m;
-        p.changed = true;
+void InventoryPage::set(const wire::MachineRecord& machine) {
+  for (Part& part : parts_)
+    for (wire::MachineRecord& known : part.machines)
+      if (known.name == machine.name) {
+        known = machine;
+        part.is_changed = true;
         return;
       }
-  put(0, m);
+  put(0, machine);
 }
 
 void InventoryPage::drop(const std::string& name) {
-  for (Part& p : parts_)
-    if (std::erase_if(p.machines, [&](const auto& m) { return m.name == name; })) p.changed = true;
+  const auto has_name = [&](const wire::MachineRecord& machine) { return machine.name == name; };
+  for (Part& part : parts_)
+    if (std::erase_if(part.machines, has_name)) part.is_changed = true;
 }
 
 void InventoryPage::convert() {
-  for (std::size_t i = 0; i < parts_.size(); ++i) {
-    const std::string key = state::inventory_key(state::inventory_part(page_, static_cast<int>(i)));
-    parts_[i].changed |= parts_[i].form != form_ && world_.mod_revision(key) != 0;
-  }
+  for (std::size_t i = 0; i < parts_.size(); ++i)
+    if (parts_[i].form != form_ && cache_.mod_revision(key(i)) != 0) parts_[i].is_changed = true;
 }
 
 void InventoryPage::record_ages(const std::function<double(const std::string&)>& rented_at) {
-  for (Part& p : parts_)
-    for (auto& m : p.machines)
-      if (m.rented_at == 0) m.rented_at = rented_at(m.name);
+  for (Part& part : parts_)
+    for (wire::MachineRecord& machine : part.machines)
+      if (machine.rented_at == 0) machine.rented_at = rented_at(machine.name);
 }
 
-wire::Transaction InventoryPage::changes(std::size_t value_bytes, const std::string& tag) {
-  wire::Transaction t;
-  const std::size_t begun = parts_.size();
-  auto text = [&](const Part& p) {
-    return wire::encode_record(wire::InventoryPageRecord{tag, p.machines, form_});
-  };
+std::size_t InventoryPage::part_with_room(std::size_t except, const wire::MachineRecord& machine,
+                                          std::size_t value_bytes, const std::string& tag) const {
+  for (std::size_t i = 0; i < parts_.size(); ++i) {
+    if (i == except) continue;
+    Part extended = parts_[i];
+    extended.machines.push_back(machine);
+    if (text(extended, tag).size() <= value_bytes) return i;
+  }
+  return parts_.size();
+}
+
+bool InventoryPage::shrink_parts(std::size_t value_bytes, const std::string& tag) {
+  // Parts that are begun meanwhile are looked at as well.
   for (std::size_t i = 0; i < parts_.size(); ++i)
-    while (parts_[i].changed && parts_[i].machines.size() > 1 &&
-           text(parts_[i]).size() > value_bytes) {
-      wire::MachineRecord m = std::move(parts_[i].machines.back());
+    while (parts_[i].is_changed && parts_[i].machines.size() > 1 &&
+           text(parts_[i], tag).size() > value_bytes) {
+      const wire::MachineRecord machine = std::move(parts_[i].machines.back());
       parts_[i].machines.pop_back();
-      // Into another part that has room, or the next one.
-      std::size_t to = 0;
-      for (; to < parts_.size(); ++to) {
-        if (to == i) continue;
-        Part with = parts_[to];
-        with.machines.push_back(m);
-        if (text(with).size() <= value_bytes) break;
-      }
-      if (to >= static_cast<std::size_t>(state::kInventoryParts)) return {};
-      put(to, m);
+      const std::size_t to = part_with_room(i, machine, value_bytes, tag);
+      if (to >= kMaxParts) return false;
+      put(to, machine);
     }
-  t.preconditions.push_back(feature_gate_.precondition());
-  // Further parts come first: whoever reads change by change sees no machine leave.
+  return true;
+}
+
+wire::Transaction InventoryPage::changes(std::size_t value_bytes, const std::string& tag) {
+  const std::size_t stored_parts = parts_.size();
+  if (!shrink_parts(value_bytes, tag)) return {};
+  wire::Transaction out;
+  out.preconditions.push_back(feature_gate_.precondition());
+  // Further parts come first: a reader that applies change by change sees no machine disappear.
   for (std::size_t i = parts_.size(); i-- > 0;) {
-    const std::string key = state::inventory_key(state::inventory_part(page_, static_cast<int>(i)));
-    t.preconditions.emplace_back(key, world_.mod_revision(key));
-    if (!parts_[i].changed) continue;
-    t.ops.push_back(
-        {key,
-         parts_[i].machines.empty() ? std::nullopt : std::optional<std::string>(text(parts_[i])),
-         0});
-  }
-  if (parts_.size() == begun && begun < static_cast<std::size_t>(state::kInventoryParts)) {
-    const std::string next =
-        state::inventory_key(state::inventory_part(page_, static_cast<int>(begun)));
-    t.preconditions.emplace_back(next, 0);
+    const Part& part = parts_[i];
+    out.preconditions.emplace_back(key(i), cache_.mod_revision(key(i)));
+    if (!part.is_changed) continue;
+    std::optional<std::string> value;
+    if (!part.machines.empty()) value = text(part, tag);
+    out.ops.push_back({key(i), std::move(value), 0});
   }
-  return t;
+  if (parts_.size() == stored_parts && stored_parts < kMaxParts)
+    out.preconditions.emplace_back(key(stored_parts), 0);
+  return out;
 }
 
 }  // namespace shunttrail::shard
--- a/src/shard/inventory_page.h
+++ b/src/shard/inventory_page.h
@@ -1,7 +1,9 @@
-// A page of the inventory as a set of machines, kept in one value or in several parts, in the form
-// of the active state level. Free of I/O.
+/// @file
+/// A page of the machine inventory as a set of machines, stored in one value or in several parts,
+/// in the form of the active state level (docs/schema.md). Free of I/O.
 #pragma once
 #include <functional>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -11,33 +13,49 @@
 
 namespace shunttrail::shard {
 
+/// A page that is being changed. It starts with what the cache holds.
 class InventoryPage {
  public:
-  InventoryPage(const state::StateCache& world, int page);
-  const wire::MachineRecord* find(const std::string& name) const;
-  void set(const wire::MachineRecord& m);  // added, or changed where it is
+  /// `cache` has to outlive the page, and must not change meanwhile.
+  InventoryPage(const state::StateCache& cache, int page);
+
+  /// A machine of this page; nullptr: there is none of this name.
+  [[nodiscard]] const wire::MachineRecord* find(const std::string& name) const;
+  /// Adds a machine, or replaces the record that there is.
+  void set(const wire::MachineRecord& machine);
+  /// Removes a machine, if it is there.
   void drop(const std::string& name);
-  // Parts that stand in another form than the active level's are written anew.
+  /// Has the parts that are stored in another form than the active level's written again.
   void convert();
-  // Where it is not recorded when a machine was rented: what is known of it here, or 0.
+  /// Fills in when machines were rented where that is not recorded. `rented_at` gives the time of
+  /// day in seconds, or 0 where it is not known.
   void record_ages(const std::function<double(const std::string&)>& rented_at);
-  // What has to be written, no value longer than `value_bytes`. A part that has become too long
-  // gives what does not fit to others in the same transaction, so that no machine is unrecorded
-  // for a moment. Every part is guarded, the next one that could be begun too: else two nodes
-  // could enter the same machine into two of them. So is the level that the form was asked of.
+
+  /// The transaction that stores the changes; without operations if they have no room in the page.
+  /// No value is longer than `value_bytes`: what does not fit a part moves to others in the same
+  /// transaction, so that no machine is unrecorded for a moment. The preconditions hold every part,
+  /// also the next one that could be begun, since otherwise two nodes could enter one machine into
+  /// two of them, and the level that decided the form. `tag` names the transaction.
   wire::Transaction changes(std::size_t value_bytes, const std::string& tag);
 
  private:
   struct Part {
-    std::vector<wire::MachineRecord> machines;  // by name
-    bool changed = false;
-    int form = 0;  // as it stands
+    std::vector<wire::MachineRecord> machines;  ///< in order of their names
+    bool is_changed = false;
+    int form = 0;  ///< in which it is stored
   };
-  void put(std::size_t part, const wire::MachineRecord& m);
+  void put(std::size_t part, const wire::MachineRecord& machine);
+  [[nodiscard]] std::string key(std::size_t part) const;
+  [[nodiscard]] std::string text(const Part& part, const std::string& tag) const;
+  /// Moves machines out of parts that are too long; false: there is no room.
+  bool shrink_parts(std::size_t value_bytes, const std::string& tag);
+  /// The first other part that has room for the machine, or the number of the next part to begin.
+  [[nodiscard]] std::size_t part_with_room(std::size_t except, const wire::MachineRecord& machine,
+                                           std::size_t value_bytes, const std::string& tag) const;
 
-  const state::StateCache& world_;
+  const state::StateCache& cache_;
   const schema::FeatureGate feature_gate_;
-  const int form_;  // to be written in
+  const int form_;  ///< in which it is to be written
   int page_;
   std::vector<Part> parts_;
 };
--- a/src/shard/leader_election.cpp
+++ b/src/shard/leader_election.cpp
@@ -2,76 +2,102 @@
 
 namespace shunttrail::shard {
 namespace {
-constexpr double kGoneFor = 0.3;     // before a shard of a node whose key is gone is taken
-constexpr double kHomeAbsent = 3.0;  // before an orphan shard's home is passed over
-constexpr double kSettled = 4.0;     // a returning node gets its shard after this
+
+/// A node's key has to be gone this long before its shards are taken.
+constexpr double kAbsenceBeforeTakeoverS = 0.3;
+/// A shard that never had a leader waits this long for its home node.
+constexpr double kHomeWaitS = 3.0;
+/// A returning node has to be alive this long before its shard is handed back.
+constexpr double kAliveBeforeHandBackS = 4.0;
+/// In `seen_since_` and `absent_since_`.
+constexpr double kNot = -1;
+
+LeadershipMove take(const std::string& key, std::uint64_t mod_revision) {
+  LeadershipMove move;
+  move.kind = LeadershipMove::take;
+  move.preconditions.emplace_back(key, mod_revision);
+  return move;
+}
+
 }  // namespace
 
-LeaderElection::LeaderElection(const config::Settings& s)
-    : settings_(s), seen_since_(s.shards(), -1), absent_since_(s.shards(), -1) {}
+LeaderElection::LeaderElection(const config::Settings& settings)
+    : settings_(settings),
+      seen_since_(settings.shards(), kNot),
+      absent_since_(settings.shards(), kNot) {}
 
-void LeaderElection::observe(const state::StateCache& w, double now) {
-  for (int n = 0; n < settings_.shards(); ++n) {
-    bool alive = w.node_revision(n) != 0;
-    if (alive) {
-      absent_since_[n] = -1;
-      if (seen_since_[n] < 0) seen_since_[n] = now;
-    } else {
-      seen_since_[n] = -1;
-      if (absent_since_[n] < 0) absent_since_[n] = now;
-    }
+void LeaderElection::observe(const state::StateCache& cache, double now) {
+  for (int node = 0; node < settings_.shards(); ++node) {
+    const bool is_alive = cache.node_revision(node) != 0;
+    double& current = is_alive ? seen_since_[node] : absent_since_[node];
+    double& other = is_alive ? absent_since_[node] : seen_since_[node];
+    other = kNot;
+    if (current < 0) current = now;
   }
 }
 
-LeadershipMove LeaderElection::decide(const state::StateCache& w, int shard, double now,
+bool LeaderElection::is_absent_for(int node, double duration_s, double now) const {
+  return absent_since_[node] >= 0 && now - absent_since_[node] >= duration_s;
+}
+
+LeadershipMove LeaderElection::decide(const state::StateCache& cache, int shard, double now,
                                       std::uint64_t spent) const {
-  LeadershipMove m;
-  const int self = settings_.self, home = shard, size = settings_.shards();
-  if (!registered_ || !w.node_revision(self)) return m;
-  const state::LeaderEntry& o = w.leader(shard);
+  const int self = settings_.self;
+  if (!registered_at_ || !cache.node_revision(self)) return {};
+  const int leader = cache.leader(shard).node;
+  if (leader == self) return decide_own(cache, shard, now, spent);
+  const bool has_leader = leader >= 0;
+  if (has_leader && !is_absent_for(leader, kAbsenceBeforeTakeoverS, now)) return {};
+  if (successor(cache, shard, now) != self) return {};
   const std::string key = state::leader_key(shard);
-  const std::uint64_t mod_revision = w.mod_revision(key);
-  auto take = [&] {
-    m.kind = LeadershipMove::take;
-    m.preconditions.emplace_back(key, mod_revision);
-  };
-  if (o.node == self) {
-    if (o.mod_revision < registered_ || spent == o.mod_revision || !o.tag.starts_with(process_)) {
-      // A former self's, one whose scheduler is closed, or handed over: ours by our own commit
-      // first.
-      take();
-    } else if (w.revision() < o.mod_revision) {
-      // Our own commit is known before what came just before it has been read: an earlier owner's
-      // last placements may be missing. A scheduler opened without them would start their tasks
-      // again.
-    } else if (home != self && seen_since_[home] >= 0 && now - seen_since_[home] > kSettled) {
-      m.kind = LeadershipMove::hand_over;
-      m.to = home;
-      m.preconditions.emplace_back(key, mod_revision);
-      // A node that has just gone must not be given a shard.
-      m.preconditions.emplace_back(state::node_key(settings_.nodes[home]), w.node_revision(home));
-    } else {
-      m.kind = LeadershipMove::lead;
-      m.token = o.mod_revision;
-    }
-    return m;
+  LeadershipMove move = take(key, cache.mod_revision(key));
+  if (has_leader) move.preconditions.emplace_back(state::node_key(settings_.nodes[leader]), 0);
+  return move;
+}
+
+LeadershipMove LeaderElection::decide_own(const state::StateCache& cache, int shard, double now,
+                                          std::uint64_t spent) const {
+  const state::LeaderEntry& entry = cache.leader(shard);
+  const std::string key = state::leader_key(shard);
+  // Granted to an earlier process of this node, or its scheduler is closed, or it was handed over
+  // by another node: this process needs a token by its own commit first.
+  if (entry.mod_revision < registered_at_ || spent == entry.mod_revision ||
+      !entry.tag.starts_with(process_))
+    return take(key, cache.mod_revision(key));
+  // Our own commit was answered before the changes just before it have been read: the last
+  // placements of an earlier leader may be missing. A scheduler opened without them would start
+  // their tasks again.
+  if (cache.revision() < entry.mod_revision) return {};
+  LeadershipMove move;
+  const int home = shard;
+  const bool is_home_back =
+      seen_since_[home] >= 0 && now - seen_since_[home] > kAliveBeforeHandBackS;
+  if (home != settings_.self && is_home_back) {
+    move.kind = LeadershipMove::hand_over;
+    move.to = home;
+    move.preconditions.emplace_back(key, cache.mod_revision(key));
+    // A node that has just gone must not be given a shard.
+    move.preconditions.emplace_back(state::node_key(settings_.nodes[home]),
+                                    cache.node_revision(home));
+    return move;
   }
-  auto gone = [&](int n, double for_s) {
-    return absent_since_[n] >= 0 && now - absent_since_[n] >= for_s;
-  };
-  if (o.node >= 0 && !gone(o.node, kGoneFor)) return m;
-  // Nobody, or a node that is gone: the home first, then the next one alive after it.
-  int heir = -1;
-  if (w.node_revision(home)) {
-    heir = home;
-  } else if (gone(home, o.node < 0 ? kHomeAbsent : kGoneFor)) {
-    for (int i = 1; i < size && heir < 0; ++i)
-      if (w.node_revision((home + i) % size)) heir = (home + i) % size;
+  move.kind = LeadershipMove::lead;
+  move.token = entry.mod_revision;
+  return move;
+}
+
+int LeaderElection::successor(const state::StateCache& cache, int shard, double now) const {
+  const int home = shard;
+  if (cache.node_revision(home)) return home;
+  const bool has_leader = cache.leader(shard).node >= 0;
+  if (!is_absent_for(home, has_leader ? kAbsenceBeforeTakeoverS : kHomeWaitS, now)) return -1;
+  // The next node that is alive.
+  const int nodes = settings_.shards();
+  for (int offset = 1; offset < nodes; ++offset) {
+    const int node = (home + offset) % nodes;
+    if (cache.node_revision(node)) return node;
   }
-  if (heir != self) return m;
-  take();
-  if (o.node >= 0) m.preconditions.emplace_back(state::node_key(settings_.nodes[o.node]), 0);
-  return m;
+  return -1;
 }
 
 }  // namespace shunttrail::shard
--- a/src/shard/leader_election.h
+++ b/src/shard/leader_election.h
@@ -1,4 +1,6 @@
-// Who owns which shard, decided from what the state service says. Free of I/O.
+/// @file
+/// Decides which shards this node should lead, from what the state service holds
+/// (docs/safety.md). Free of I/O.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -10,37 +12,59 @@
 
 namespace shunttrail::shard {
 
+/// What this node should do about a shard.
 struct LeadershipMove {
-  enum Kind { none, lead, take, hand_over } kind = none;
-  int to = -1;              // hand_over
-  std::uint64_t token = 0;  // act
-  // take, hand_over: the commit's preconditions
+  enum Kind {
+    none,      ///< another node leads it, or is to
+    lead,      ///< this node leads it under `token`
+    take,      ///< commit this node as its leader
+    hand_over  ///< commit the node `to` as its leader
+  } kind = none;
+  int to = -1;              ///< hand_over: the node's index
+  std::uint64_t token = 0;  ///< lead: the shard's token
+  /// take, hand_over: of the commit.
   std::vector<std::pair<std::string, std::uint64_t>> preconditions;
 };
 
+/// The election of shard leaders. Every node decides by itself; the commit's preconditions let one
+/// of them win. Times are seconds of the steady clock.
 class LeaderElection {
  public:
-  explicit LeaderElection(const config::Settings& s);
-  // This process's own registration; ownership granted earlier belongs to a process that is gone.
-  // `process`: what all its tags begin with, and no other process's. A token is acted on only by
-  // the process whose own commit gave it: a former self that stood still, or whose commits came
-  // late, has the same node's name. Empty: tags are not looked at.
+  /// `settings` has to outlive the election.
+  explicit LeaderElection(const config::Settings& settings);
+
+  /// This process has registered its node at this revision. A leadership granted earlier belongs to
+  /// a process that has ended.
+  /// `process`: the prefix of all tags of this process and of no other; empty: tags are not
+  /// compared. A token is used only by the process whose own commit gave it: an earlier process of
+  /// this node that was suspended, or whose commits came late, has the same node name.
   void registered(std::uint64_t mod_revision, std::string process = {}) {
-    if (!registered_) registered_ = mod_revision;
+    if (!registered_at_) registered_at_ = mod_revision;
     process_ = std::move(process);
   }
-  void observe(const state::StateCache& w, double now);
-  // `spent`: the latest token whose scheduler this process has closed. The scheduler's attempts and
-  // its knowledge of what is in flight went with it, so the token must not be acted on again: it is
-  // reclaimed under a new one.
-  LeadershipMove decide(const state::StateCache& w, int shard, double now,
-                        std::uint64_t spent) const;
+
+  /// Notes which nodes are alive; to be called before `decide`.
+  void observe(const state::StateCache& cache, double now);
+
+  /// What to do about a shard. `spent`: the latest token whose scheduler this process has closed.
+  /// The scheduler's attempts, and its knowledge of what is in flight, ended with it, so the token
+  /// must not be used again: the shard is taken anew under another one.
+  [[nodiscard]] LeadershipMove decide(const state::StateCache& cache, int shard, double now,
+                                      std::uint64_t spent) const;
 
  private:
+  /// The move of a shard that this node leads by the state service's word.
+  [[nodiscard]] LeadershipMove decide_own(const state::StateCache& cache, int shard, double now,
+                                          std::uint64_t spent) const;
+  /// The node that should take a shard without a living leader; -1: none yet.
+  [[nodiscard]] int successor(const state::StateCache& cache, int shard, double now) const;
+  [[nodiscard]] bool is_absent_for(int node, double duration_s, double now) const;
+
   const config::Settings& settings_;
-  std::uint64_t registered_ = 0;
+  std::uint64_t registered_at_ = 0;  ///< revision; 0: not yet
   std::string process_;
-  std::vector<double> seen_since_, absent_since_;  // by node; -1: not so
+  std::vector<double> seen_since_;    ///< by node; negative: it is not alive
+  std::vector<double> absent_since_;  ///< by node; negative: it is alive
 };
 
 }  // namespace shunttrail::shard
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -1,19 +1,57 @@
 #include "state/client.h"
 
 #include <algorithm>
+#include <utility>
+
+#include "state/keys.h"
 
 namespace shunttrail::state {
 
 namespace {
-// Less urgent calls leave some of the burst for the more urgent ones.
-double spare(const TokenBucket& b, RequestPriority u, double part) {
-  return b.cap() * part * static_cast<int>(u);
+
+// Connections, and requests that wait for one. The rates of the settings bound both, whatever the
+// number of machines: of 80 requests a second, a third of them here, 12 connections carry 27 a
+// second even if each takes 0.4 s. Watches block, and have their own.
+constexpr std::size_t kConnections = 12;
+constexpr std::size_t kMaxOutstanding = 256;
+constexpr std::size_t kWatchConnections = 2;
+constexpr std::size_t kMaxOutstandingWatches = 4;
+/// Requests of each priority that wait for the rate: those of 19 s at 27 a second, and each gives
+/// up sooner. The number of machines adds few: a shard has one transaction under way at a time, and
+/// so has the inventory.
+constexpr std::size_t kMaxQueued = 512;
+constexpr double kTimeoutS = 2;
+/// Requests that change no key wait this long to be sent.
+constexpr double kGiveUpS = 3;
+/// A shorter timer would fire before the bucket has the token.
+constexpr double kMinTimerS = 0.002;
+/// The part of a bucket that each step of priority leaves to the more urgent requests.
+constexpr double kSpareRequests = 0.1;
+constexpr double kSpareWrites = 0.12;
+
+constexpr int kStatusOk = 200;
+constexpr int kStatusBadRequest = 400;
+constexpr int kStatusConflict = 409;
+constexpr int kStatusTooManyRequests = 429;
+constexpr int kStatusUnavailable = 503;
+
+/// Tokens that a request of this priority leaves to the more urgent ones.
+double spare(const TokenBucket& bucket, RequestPriority priority, double part) {
+  return bucket.cap() * part * static_cast<int>(priority);
+}
+
+std::size_t longest_value(const wire::Transaction& transaction) {
+  std::size_t longest = 0;
+  for (const auto& op : transaction.ops)
+    if (op.value) longest = std::max(longest, op.value->size());
+  return longest;
 }
+
 }  // namespace
 
 void TokenBucket::refill(double now) {
-  if (now > at_) level_ = std::min(cap(), level_ + (now - at_) * rate_);
-  at_ = std::max(at_, now);
+  if (now > refilled_at_) level_ = std::min(cap(), level_ + (now - refilled_at_) * rate_);
+  refilled_at_ = std::max(refilled_at_, now);
 }
 
 void TokenBucket::set_rate(double rate) {
@@ -23,21 +61,23 @@
   level_ = std::min(level_, cap_);
 }
 
-Client::Client(actor::Loop& loop, const config::Settings& s)
+Client::Client(actor::Loop& loop, const config::Settings& settings)
     : Actor(loop),
-      http_(loop, s.state, 12, 256),
-      watch_http_(loop, s.state, 2, 4),
-      limits_(s),
-      request_pace_(s.state_limits.rps / s.shards(), s.state_next.rps / s.shards()),
-      write_pace_(s.state_limits.write_rps / s.shards(), s.state_next.write_rps / s.shards()),
-      requests_(s.state_limits.rps / s.shards(), loop.now()),
-      writes_(s.state_limits.write_rps / s.shards(), loop.now()),
+      http_(loop, settings.state, kConnections, kMaxOutstanding),
+      watch_http_(loop, settings.state, kWatchConnections, kMaxOutstandingWatches),
+      limits_(settings),
+      request_pace_(settings.state_limits.rps / settings.shards(),
+                    settings.state_next.rps / settings.shards()),
+      write_pace_(settings.state_limits.write_rps / settings.shards(),
+                  settings.state_next.write_rps / settings.shards()),
+      requests_(settings.state_limits.rps / settings.shards(), loop.now()),
+      writes_(settings.state_limits.write_rps / settings.shards(), loop.now()),
       timer_(loop, [this] { pump(); }) {}
 
 std::size_t Client::queued() const {
-  std::size_t n = 0;
-  for (const auto& q : queues_) n += q.size();
-  return n;
+  std::size_t total = 0;
+  for (const auto& queue : queues_) total += queue.size();
+  return total;
 }
 
 Client::Cost Client::cost() const {
@@ -51,136 +91,155 @@
   writes_.set_rate(write_pace_.rate(now));
 }
 
-// A 429 to a commit may be for either rate; as a rule there are far fewer changes to be had.
-void Client::heard(int status, bool wrote) {
-  if (status != 429) return;
-  double now = loop_.now();
-  (wrote ? write_pace_ : request_pace_).refused(now);
+void Client::on_status(int status, bool is_commit) {
+  if (status != kStatusTooManyRequests) return;
+  const double now = loop_.now();
+  // A commit may have exceeded either rate; that of changes is usually far lower.
+  (is_commit ? write_pace_ : request_pace_).refused(now);
   refill(now);
 }
 
-std::size_t Client::writes_now(RequestPriority u) {
+std::size_t Client::writes_now(RequestPriority priority) {
   refill(loop_.now());
-  for (int i = 0; i <= static_cast<int>(u); ++i)
-    if (!queues_[static_cast<std::size_t>(i)].empty()) return 0;
-  if (requests_.wait_for(std::min(1 + spare(requests_, u, 0.1), requests_.cap())) > 0) return 0;
-  // A full bucket is all there will ever be: at a low rate it holds less than the least
-  // transaction, which would otherwise never be made.
+  for (int p = 0; p <= static_cast<int>(priority); ++p)
+    if (!queues_[static_cast<std::size_t>(p)].empty()) return 0;
+  const double requests = 1 + spare(requests_, priority, kSpareRequests);
+  if (requests_.wait_for(std::min(requests, requests_.cap())) > 0) return 0;
+  // A full bucket never gets fuller: at a low rate it holds less than the smallest transaction,
+  // which would otherwise never be sent.
   if (writes_.level() >= writes_.cap())
     return std::max(kLeastWrites, static_cast<std::size_t>(writes_.cap()));
-  return static_cast<std::size_t>(std::max(0.0, writes_.level() - spare(writes_, u, 0.12)));
+  const double available = writes_.level() - spare(writes_, priority, kSpareWrites);
+  return static_cast<std::size_t>(std::max(0.0, available));
 }
 
-void Client::submit(Call c, RequestPriority u) {
-  auto& q = queues_[static_cast<int>(u)];
-  if (q.size() >= 512) {
-    c.done({503, {}});  // never sent: as good as refused
+void Client::submit(Call call, RequestPriority priority) {
+  auto& queue = queues_[static_cast<std::size_t>(priority)];
+  if (queue.size() >= kMaxQueued) {
+    // Never sent: the same as refused.
+    call.done({kStatusUnavailable, {}});
     return;
   }
-  c.since = loop_.now();
-  q.push_back(std::move(c));
+  call.queued_at = loop_.now();
+  queue.push_back(std::move(call));
   pump();
 }
 
+double Client::wait_for(const Call& call, RequestPriority priority) const {
+  const double requests = 1 + spare(requests_, priority, kSpareRequests);
+  const double wait_s = requests_.wait_for(std::min(requests, requests_.cap()));
+  if (call.writes <= 0) return wait_s;
+  const double writes = call.writes + spare(writes_, priority, kSpareWrites);
+  return std::max(wait_s, writes_.wait_for(std::min(writes, writes_.cap())));
+}
+
 void Client::pump() {
-  double now = loop_.now();
+  const double now = loop_.now();
   refill(now);
-  for (int u = 0; u < kRequestPriorities; ++u) {
-    auto& q = queues_[u];
-    while (!q.empty()) {
-      Call& c = q.front();
-      if (c.give_up_at < now) {
-        Call late = std::move(c);
-        q.pop_front();
-        late.done({503, {}});
-        continue;
+  for (int p = 0; p < kRequestPriorities; ++p) {
+    auto& queue = queues_[static_cast<std::size_t>(p)];
+    while (!queue.empty()) {
+      const bool is_late = queue.front().give_up_at < now;
+      if (!is_late) {
+        const double wait_s = wait_for(queue.front(), static_cast<RequestPriority>(p));
+        if (wait_s > 0) {
+          timer_.after(std::max(wait_s, kMinTimerS));
+          return;
+        }
       }
-      const auto urgency = static_cast<RequestPriority>(u);
-      double spare_r = spare(requests_, urgency, 0.1), spare_w = spare(writes_, urgency, 0.12);
-      double need_w = c.writes > 0 ? std::min(c.writes + spare_w, writes_.cap()) : 0;
-      double wait = std::max(requests_.wait_for(std::min(1 + spare_r, requests_.cap())),
-                             need_w > 0 ? writes_.wait_for(need_w) : 0.0);
-      if (wait > 0) {
-        timer_.after(std::max(wait, 0.002));
-        return;
-      }
-      requests_.take(1);
-      writes_.take(c.writes);
-      waited_s_ += now - c.since;
-      Call go = std::move(c);
-      q.pop_front();
-      http_.request(go.method, std::move(go.path), std::move(go.body), go.timeout_s,
-                    std::move(go.done));
+      Call call = std::move(queue.front());
+      queue.pop_front();
+      if (is_late)
+        call.done({kStatusUnavailable, {}});
+      else
+        send(std::move(call), now);
     }
   }
 }
 
-void Client::commit(wire::Transaction t, RequestPriority u, double give_up_s,
-                    std::function<void(CommitResult)> done) {
-  Call c;
-  c.method = "POST";
-  c.path = "/commit";
-  c.body = wire::encode_transaction(t);
-  c.writes = static_cast<double>(t.ops.size());
-  c.timeout_s = 2;
-  c.give_up_at = loop_.now() + give_up_s;
-  std::size_t longest = 0;
-  for (const auto& op : t.ops)
-    if (op.value) longest = std::max(longest, op.value->size());
-  c.done = [this, longest, ops = t.ops.size(), done = std::move(done)](net::Result r) {
-    heard(r.status, true);
-    CommitResult out;
-    try {
-      if (r.status == 200) {
-        out.revision = wire::decode_revision(r.body);
-        out.kind = CommitResult::applied;
-      } else if (r.status == 409) {
-        out.failed = wire::decode_failed(r.body);
-        out.kind = CommitResult::precondition_failed;
-      } else if (r.status == 503 || r.status == 429) {
-        out.kind = CommitResult::not_executed;
-      } else if (r.status == 400) {
-        out.kind = wire::lease_missing(r.body) ? CommitResult::no_lease : CommitResult::too_large;
-        if (out.kind == CommitResult::too_large) limits_.too_large(longest, ops);
-      }
-    } catch (const wire::Malformed&) {
-      out.kind = CommitResult::unknown;
+void Client::send(Call call, double now) {
+  requests_.take(1);
+  writes_.take(call.writes);
+  waited_s_ += now - call.queued_at;
+  http_.request(call.method, std::move(call.path), std::move(call.body), call.timeout_s,
+                std::move(call.done));
+}
+
+CommitResult Client::read_commit_answer(const net::Result& answer, std::size_t longest_value,
+                                        std::size_t ops) {
+  CommitResult out;
+  try {
+    if (answer.status == kStatusOk) {
+      out.revision = wire::decode_revision(answer.body);
+      out.kind = CommitResult::applied;
+    } else if (answer.status == kStatusConflict) {
+      out.failed = wire::decode_failed(answer.body);
+      out.kind = CommitResult::precondition_failed;
+    } else if (answer.status == kStatusUnavailable || answer.status == kStatusTooManyRequests) {
+      out.kind = CommitResult::not_executed;
+    } else if (answer.status == kStatusBadRequest) {
+      out.kind =
+          wire::lease_missing(answer.body) ? CommitResult::no_lease : CommitResult::too_large;
+      if (out.kind == CommitResult::too_large) limits_.too_large(longest_value, ops);
     }
-    done(std::move(out));
+  } catch (const wire::Malformed&) {
+    out.kind = CommitResult::unknown;
+  }
+  return out;
+}
+
+void Client::commit(wire::Transaction transaction, RequestPriority priority, double give_up_s,
+                    std::function<void(CommitResult)> done) {
+  Call call;
+  call.method = "POST";
+  call.path = "/commit";
+  call.body = wire::encode_transaction(transaction);
+  call.writes = static_cast<double>(transaction.ops.size());
+  call.timeout_s = kTimeoutS;
+  call.give_up_at = loop_.now() + give_up_s;
+  call.done = [this, longest = longest_value(transaction), ops = transaction.ops.size(),
+               done = std::move(done)](const net::Result& answer) {
+    on_status(answer.status, true);
+    done(read_commit_answer(answer, longest, ops));
   };
-  submit(std::move(c), u);
+  submit(std::move(call), priority);
 }
 
 void Client::watch(std::uint64_t after, int block_ms, std::function<void(net::Result)> done) {
   // Watches keep a connection of their own: they block, and must not hold up a commit.
   refill(loop_.now());
   requests_.take(1);
-  watch_http_.request("GET", wire::watch_path("st/", after, block_ms), "", block_ms / 1000.0 + 2.0,
-                      [this, done = std::move(done)](net::Result r) {
-                        heard(r.status, false);
-                        done(std::move(r));
+  const double timeout_s = block_ms / 1000.0 + kTimeoutS;
+  watch_http_.request("GET", wire::watch_path(kRoot, after, block_ms), "", timeout_s,
+                      [this, done = std::move(done)](net::Result answer) {
+                        on_status(answer.status, false);
+                        done(std::move(answer));
                       });
 }
 
-void Client::get(std::string path, RequestPriority u, std::function<void(net::Result)> done) {
-  call("GET", std::move(path), "", u, std::move(done));
+void Client::get(std::string path, RequestPriority priority,
+                 std::function<void(net::Result)> done) {
+  call("GET", std::move(path), "", priority, std::move(done));
 }
-void Client::post(std::string path, std::string body, RequestPriority u,
+
+void Client::post(std::string path, std::string body, RequestPriority priority,
                   std::function<void(net::Result)> done) {
-  call("POST", std::move(path), std::move(body), u, std::move(done));
+  call("POST", std::move(path), std::move(body), priority, std::move(done));
 }
-void Client::call(const char* method, std::string path, std::string body, RequestPriority u,
+
+void Client::call(const char* method, std::string path, std::string body, RequestPriority priority,
                   std::function<void(net::Result)> done) {
-  Call c;
-  c.method = method;
-  c.path = std::move(path);
-  c.body = std::move(body);
-  c.give_up_at = loop_.now() + 3;
-  c.done = [this, done = std::move(done)](net::Result r) {
-    heard(r.status, false);
-    done(std::move(r));
+  Call call;
+  call.method = method;
+  call.path = std::move(path);
+  call.body = std::move(body);
+  call.timeout_s = kTimeoutS;
+  call.give_up_at = loop_.now() + kGiveUpS;
+  call.done = [this, done = std::move(done)](net::Result answer) {
+    on_status(answer.status, false);
+    done(std::move(answer));
   };
-  submit(std::move(c), u);
+  submit(std::move(call), priority);
 }
 
 }  // namespace shunttrail::state
--- a/src/state/limits.cpp
+++ b/src/state/limits.cpp
@@ -4,55 +4,69 @@
 
 namespace shunttrail::state {
 namespace {
-constexpr std::size_t kLeastValue = 1024, kLeastOps = 2;
-constexpr double kGrowth = 0.02;     // of the announced rate, a second
-constexpr double kLeastRate = 0.25;  // of the announced rate
-constexpr double kHush = 1;          // refusals this close together count once
 
-std::size_t bytes(double kb) { return static_cast<std::size_t>(kb * 1024); }
+constexpr std::size_t kMinValueBytes = 1024;
+constexpr std::size_t kMinOps = 2;
+/// Of the announced rate, a second.
+constexpr double kGrowthPerS = 0.02;
+/// Of the announced rate.
+constexpr double kMinRateShare = 0.25;
+constexpr double kRateReduction = 0.8;
+/// Refusals this close together are of requests that were sent at one rate: they count once.
+constexpr double kRefusalWindowS = 1;
+
+std::size_t bytes(double kilobytes) { return static_cast<std::size_t>(kilobytes * 1024); }
+
+/// Less than a size that was refused, but at least `least`.
+std::size_t reduced(std::size_t refused, std::size_t least) {
+  return std::max(least, refused * 3 / 4);
+}
+
 }  // namespace
 
-Limits::Limits(const config::Settings& s)
-    : present_{bytes(s.state_limits.value_kb), static_cast<std::size_t>(s.state_limits.txn_ops),
-               4 * static_cast<std::size_t>(s.state_limits.txn_ops)},
-      transaction_limits_{std::min(present_.value_bytes, bytes(s.state_next.value_kb)),
-                          std::min(present_.ops, static_cast<std::size_t>(s.state_next.txn_ops))} {}
+Limits::Limits(const config::Settings& settings)
+    : present_{bytes(settings.state_limits.value_kb),
+               static_cast<std::size_t>(settings.state_limits.txn_ops),
+               kPreconditionsPerOp * static_cast<std::size_t>(settings.state_limits.txn_ops)},
+      transaction_limits_{
+          std::min(present_.value_bytes, bytes(settings.state_next.value_kb)),
+          std::min(present_.ops, static_cast<std::size_t>(settings.state_next.txn_ops))} {}
 
 void Limits::too_large(std::size_t longest_value, std::size_t ops) {
   ++refusals_;
-  if (!shown_) {
-    shown_ = true;
-    // What is announced explains it.
-    if (longest_value > transaction_limits_.value_bytes || ops > transaction_limits_.ops) return;
+  TransactionLimits& limits = transaction_limits_;
+  if (!is_smaller_shown_) {
+    is_smaller_shown_ = true;
+    // The announced limits explain it.
+    if (longest_value > limits.value_bytes || ops > limits.ops) return;
   }
-  // Which of the two it was is not said.
-  if (longest_value <= transaction_limits_.value_bytes)
-    transaction_limits_.value_bytes =
-        std::min(transaction_limits_.value_bytes, std::max(kLeastValue, longest_value * 3 / 4));
-  if (ops <= transaction_limits_.ops)
-    transaction_limits_.ops = std::min(transaction_limits_.ops, std::max(kLeastOps, ops * 3 / 4));
+  // The answer does not say which of the two was too large.
+  if (longest_value <= limits.value_bytes)
+    limits.value_bytes = std::min(limits.value_bytes, reduced(longest_value, kMinValueBytes));
+  if (ops <= limits.ops) limits.ops = std::min(limits.ops, reduced(ops, kMinOps));
 }
 
 double AdaptiveRate::rate(double now) {
-  double past = std::max(0.0, now - at_);
-  at_ = std::max(at_, now);
+  const double elapsed_s = std::max(0.0, now - updated_at_);
+  updated_at_ = std::max(updated_at_, now);
   if (rate_ >= present_) return rate_;
+  const double grown = rate_ + kGrowthPerS * next_ * elapsed_s;
   if (rate_ < next_)
-    rate_ = std::min(next_, rate_ + kGrowth * next_ * past);
-  else if (now - refused_at_ > backoff_)
-    rate_ = std::min(present_, rate_ + kGrowth * next_ * past);
+    rate_ = std::min(next_, grown);
+  else if (now - refused_at_ > backoff_s_)
+    rate_ = std::min(present_, grown);
   return rate_;
 }
 
 void AdaptiveRate::refused(double now) {
   ++refusals_;
-  if (now - refused_at_ < kHush) return;
+  if (now - refused_at_ < kRefusalWindowS) return;
   refused_at_ = now;
   if (rate_ > next_) {
-    if (rate_ < present_) backoff_ *= 2;
+    if (rate_ < present_) backoff_s_ *= 2;
     rate_ = next_;
   } else {
-    rate_ = std::max(kLeastRate * next_, rate_ * 0.8);
+    rate_ = std::max(kMinRateShare * next_, rate_ * kRateReduction);
   }
 }
 
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -6,31 +6,16 @@
 
 namespace shunttrail::state {
 
-std::string node_key(const std::string& node) { return "st/n/" + node; }
-std::string leader_key(int shard) { return "st/o/" + std::to_string(shard); }
-std::string job_key(const std::string& id) { return "st/j/" + id; }
-std::string waiting_key(const std::string& id) { return "st/w/" + id; }
-std::string inventory_key(int page) { return "st/m/" + std::to_string(page); }
-int inventory_page(const std::string& machine) {
-  constexpr int kPage = 32, kOdd = 1 << 24;
-  auto digits = machine.find_last_not_of("0123456789") + 1;
-  if (digits < machine.size() && machine.size() - digits < 9)
-    return std::atoi(machine.c_str() + digits) / kPage;
-  int sum = 0;
-  for (char c : machine) sum = (sum * 31 + static_cast<unsigned char>(c)) % 64;
-  return kOdd + sum;
-}
-constexpr int kPart = 1 << 26;  // beyond every page's number
-int inventory_part(int page, int part) { return page + part * kPart; }
-int inventory_base(int part) { return part % kPart; }
-std::string placement_page_key(int shard, int page) {
-  return "st/a/" + std::to_string(shard) + "/" + std::to_string(page);
-}
-std::string job_result_key(const std::string& id) { return kJobResults + id; }
+namespace {
+
+/// The number that a key's name begins with.
+int number_in(const std::string& name) { return std::atoi(name.c_str()); }
+
+}  // namespace
 
-StateCache::StateCache(const config::Settings& s)
-    : settings_(s), placement_pages_(s.shards()), leaders_(s.shards()) {
-  schema_.members.resize(static_cast<std::size_t>(s.shards()));
+StateCache::StateCache(const config::Settings& settings)
+    : settings_(settings), placement_pages_(settings.shards()), leaders_(settings.shards()) {
+  schema_.members.resize(static_cast<std::size_t>(settings.shards()));
 }
 
 std::uint64_t StateCache::mod_revision(const std::string& key) const {
@@ -57,71 +42,64 @@
 }
 
 void StateCache::for_each_job_placements(
-    const std::string& id, const std::function<void(const wire::JobPlacements&)>& f) const {
-  auto known = pages_of_job_.find(id);
+    const std::string& id, const std::function<void(const wire::JobPlacements&)>& visit) const {
+  const auto known = pages_of_job_.find(id);
   if (known == pages_of_job_.end()) return;
-  for (const auto& [shard, page] : known->second)
-    for (const auto& g : placement_pages_[static_cast<std::size_t>(shard)].at(page).jobs)
-      if (g.job == id) {
-        f(g);
-        break;
-      }
-}
-void StateCache::put_placement_page(int shard, int page,
-                                    std::optional<wire::PlacementPageRecord> r) {
-  auto& all = placement_pages_[static_cast<std::size_t>(shard)];
-  const std::pair at(shard, page);
-  if (auto old = all.find(page); old != all.end()) {
-    for (const auto& g : old->second.jobs)
-      if (auto of = pages_of_job_.find(g.job); of != pages_of_job_.end()) {
-        of->second.erase(at);
-        if (of->second.empty()) pages_of_job_.erase(of);
-      }
-    all.erase(old);
+  for (const auto& [shard, page] : known->second) {
+    const auto& jobs = placement_pages_[static_cast<std::size_t>(shard)].at(page).jobs;
+    const auto job = std::find_if(jobs.begin(), jobs.end(),
+                                  [&](const wire::JobPlacements& j) { return j.job == id; });
+    if (job != jobs.end()) visit(*job);
   }
-  if (!r) return;
-  for (const auto& g : r->jobs) pages_of_job_[g.job].insert(at);
-  all.emplace(page, std::move(*r));
 }
+
 std::map<std::uint32_t, Intervals> StateCache::done(const std::string& id) const {
   std::map<std::uint32_t, Intervals> out;
-  for_each_job_placements(id, [&](const wire::JobPlacements& g) {
-    for (const auto& [c, list] : g.done) out[c].insert(out[c].end(), list.begin(), list.end());
+  for_each_job_placements(id, [&](const wire::JobPlacements& job) {
+    for (const auto& [chunk, finished] : job.done)
+      out[chunk].insert(out[chunk].end(), finished.begin(), finished.end());
   });
   return out;
 }
-StateCache::Progress StateCache::progress(const JobEntry& j, std::uint32_t chunk_size) const {
-  const std::string& id = j.record.spec.id;
-  std::vector<bool> known(j.record.spec.tasks, false);  // done, or counted as placed
-  Progress out;
-  auto count = [&](std::uint64_t task, std::uint64_t& n) {
-    if (task >= known.size() || known[task]) return;
-    known[task] = true;
-    ++n;
+
+StateCache::Progress StateCache::progress(const JobEntry& job, std::uint32_t chunk_size) const {
+  const std::string& id = job.record.spec.id;
+  std::vector<bool> is_counted(job.record.spec.tasks, false);
+  const auto count = [&](std::uint64_t task, std::uint64_t& counter) {
+    if (task >= is_counted.size() || is_counted[task]) return;
+    is_counted[task] = true;
+    ++counter;
   };
-  for (const auto& [c, list] : done(id))
-    for (auto [a, b] : list)
-      for (std::uint64_t i = a; i <= b; ++i) count(std::uint64_t{c} * chunk_size + i, out.done);
-  for_each_job_placements(id, [&](const wire::JobPlacements& g) {
-    for (const auto& p : g.placements) count(p.task, out.placed);
+  Progress out;
+  // Tasks that are done first: a placement of such a task is not counted.
+  for (const auto& [chunk, finished] : done(id))
+    for (const auto& [first, last] : finished)
+      for (std::uint64_t i = first; i <= last; ++i)
+        count(std::uint64_t{chunk} * chunk_size + i, out.done);
+  for_each_job_placements(id, [&](const wire::JobPlacements& placements) {
+    for (const auto& placement : placements.placements) count(placement.task, out.placed);
   });
   return out;
 }
 
-void StateCache::apply(const wire::Event& e, std::vector<Change>& changes) {
-  auto known = revisions_.find(e.key);
-  if (known != revisions_.end() && known->second >= e.mod_revision) return;
-  auto tomb = tombstones_.find(e.key);
-  if (tomb != tombstones_.end() && tomb->second >= e.mod_revision) return;
-  if (e.mod_revision <= revision_) return;
-  if (e.set()) {
-    tombstones_.erase(e.key);
-    revisions_[e.key] = e.mod_revision;
-    set(e, changes);
+bool StateCache::is_deleted_since(const wire::Event& event) const {
+  const auto deleted = tombstones_.find(event.key);
+  return deleted != tombstones_.end() && deleted->second >= event.mod_revision;
+}
+
+void StateCache::apply(const wire::Event& event, std::vector<Change>& changes) {
+  const auto known = revisions_.find(event.key);
+  if (known != revisions_.end() && known->second >= event.mod_revision) return;
+  if (is_deleted_since(event)) return;
+  if (event.mod_revision <= revision_) return;
+  if (event.set()) {
+    tombstones_.erase(event.key);
+    revisions_[event.key] = event.mod_revision;
+    set(event, changes);
   } else {
-    tombstones_[e.key] = e.mod_revision;
-    revisions_.erase(e.key);
-    drop(e.key, changes);
+    tombstones_[event.key] = event.mod_revision;
+    revisions_.erase(event.key);
+    drop(event.key, changes);
   }
 }
 
@@ -134,164 +112,203 @@
 void StateCache::replace(std::uint64_t revision, const std::vector<wire::Event>& items,
                          std::vector<Change>& changes) {
   if (revision < revision_) return;
-  std::set<std::string> here;
-  for (const auto& e : items) {
-    here.insert(e.key);
-    // Dropped by a commit that was answered while the pages were read: its page is older news.
-    if (auto tomb = tombstones_.find(e.key);
-        tomb != tombstones_.end() && tomb->second >= e.mod_revision)
-      continue;
-    if (mod_revision(e.key) < e.mod_revision) {
-      revisions_[e.key] = e.mod_revision;
-      set(e, changes);
+  std::set<std::string> present;
+  for (const wire::Event& item : items) {
+    present.insert(item.key);
+    // Deleted by a commit that was answered while the pages were read: the page is older.
+    if (is_deleted_since(item)) continue;
+    if (mod_revision(item.key) < item.mod_revision) {
+      revisions_[item.key] = item.mod_revision;
+      set(item, changes);
     }
   }
-  std::vector<std::string> gone;
-  for (const auto& [k, s] : revisions_)
-    if (!here.contains(k) && s <= revision) gone.push_back(k);
-  for (const auto& k : gone) {
-    revisions_.erase(k);
-    drop(k, changes);
+  std::vector<std::string> deleted;
+  for (const auto& [key, key_revision] : revisions_)
+    if (!present.contains(key) && key_revision <= revision) deleted.push_back(key);
+  for (const std::string& key : deleted) {
+    revisions_.erase(key);
+    drop(key, changes);
   }
   advance(revision);
 }
 
-void StateCache::set(const wire::Event& e, std::vector<Change>& changes) {
-  if (e.key.size() < 6) return;
-  std::string rest = e.key.substr(5);
+std::optional<int> StateCache::shard_in(const std::string& name) const {
+  const int shard = number_in(name);
+  if (shard < 0 || shard >= settings_.shards()) return std::nullopt;
+  return shard;
+}
+
+std::optional<StateCache::PlacementPageName> StateCache::placement_page_in(
+    const std::string& name) const {
+  const auto slash = name.find('/');
+  const std::optional<int> shard = shard_in(name);
+  if (slash == std::string::npos || !shard) return std::nullopt;
+  return PlacementPageName{*shard, number_in(name.substr(slash + 1))};
+}
+
+void StateCache::set(const wire::Event& event, std::vector<Change>& changes) {
+  const std::optional<ParsedKey> key = parse_key(event.key);
+  if (!key) return;
   try {
-    switch (e.key[3]) {
-      case 'j': {
-        jobs_[rest] = {wire::decode_job_record(e), e.mod_revision};
-        changes.push_back({Change::job_set, rest, -1});
-        break;
-      }
-      case 'w':
-        waiting_[rest] = {wire::decode_job_record(e), e.mod_revision};
-        changes.push_back({Change::waiting_set, rest, -1});
-        break;
-      case 'm': {
-        const int page = std::atoi(rest.c_str());
-        wire::InventoryPageRecord r = wire::decode_inventory_page(e);
-        for (auto& pages : pages_by_form_) pages.erase(page);
-        pages_by_form_[static_cast<std::size_t>(r.form)].insert(page);
-        inventory(page, std::move(r.machines), changes);
-        break;
-      }
-      case 'l':
-        schema_set(e);
-        changes.push_back({Change::schema_version, rest, -1});
-        break;
-      case 'a': {
-        auto slash = rest.find('/');
-        int shard = std::atoi(rest.c_str());
-        if (slash == std::string::npos || shard < 0 || shard >= settings_.shards()) break;
-        put_placement_page(shard, std::atoi(rest.c_str() + slash + 1),
-                           wire::decode_placement_page(
-                               e, [&](const std::string& t) { return settings_.team_index(t); }));
-        break;
-      }
-      case 'o': {
-        int shard = std::atoi(rest.c_str());
-        if (shard < 0 || shard >= settings_.shards()) break;
-        auto r = wire::decode_leader_record(e);
-        leaders_[shard] = {settings_.node_index(r.node), r.tag, e.mod_revision};
-        changes.push_back({Change::leader, rest, shard});
-        break;
-      }
-      case 'n': {
-        int n = settings_.node_index(rest);
-        if (n < 0) break;
-        schema_.members[static_cast<std::size_t>(n)] = {e.mod_revision, schema::decode_member(e)};
-        changes.push_back({Change::node, rest, n});
-        break;
-      }
-      default:
-        break;
-    }
+    set_parsed(*key, event, changes);
   } catch (const wire::Malformed&) {
-    // A value nobody here wrote. The key's revision is kept, its meaning is not guessed.
+    // No controller wrote this value. The key's revision is kept, its meaning is not guessed.
     ++malformed_;
   }
 }
 
-void StateCache::drop(const std::string& key, std::vector<Change>& changes) {
-  if (key.size() < 6) return;
-  std::string rest = key.substr(5);
-  switch (key[3]) {
-    case 'j':
-      if (jobs_.erase(rest)) changes.push_back({Change::job_gone, rest, -1});
+void StateCache::set_parsed(const ParsedKey& key, const wire::Event& event,
+                            std::vector<Change>& changes) {
+  const std::string& name = key.name;
+  switch (key.kind) {
+    case KeyKind::job:
+      jobs_[name] = {wire::decode_job_record(event), event.mod_revision};
+      changes.push_back({Change::job_set, name, -1});
       break;
-    case 'w':
-      if (waiting_.erase(rest)) changes.push_back({Change::waiting_gone, rest, -1});
+    case KeyKind::waiting_job:
+      waiting_[name] = {wire::decode_job_record(event), event.mod_revision};
+      changes.push_back({Change::waiting_set, name, -1});
       break;
-    case 'm':
-      for (auto& pages : pages_by_form_) pages.erase(std::atoi(rest.c_str()));
-      inventory(std::atoi(rest.c_str()), {}, changes);
+    case KeyKind::inventory_page:
+      set_inventory_page(number_in(name), event, changes);
       break;
-    case 'l':
-      schema_gone(key);
-      changes.push_back({Change::schema_version, rest, -1});
+    case KeyKind::schema:
+      set_schema(event);
+      changes.push_back({Change::schema_version, name, -1});
       break;
-    case 'a': {
-      auto slash = rest.find('/');
-      int shard = std::atoi(rest.c_str());
-      if (slash == std::string::npos || shard < 0 || shard >= settings_.shards()) break;
-      put_placement_page(shard, std::atoi(rest.c_str() + slash + 1), std::nullopt);
+    case KeyKind::placement_page:
+      set_placement_page(name, event);
       break;
-    }
-    case 'o': {
-      int shard = std::atoi(rest.c_str());
-      if (shard < 0 || shard >= settings_.shards()) break;
-      leaders_[shard] = {};
-      changes.push_back({Change::leader, rest, shard});
+    case KeyKind::leader:
+      set_leader(name, event, changes);
       break;
-    }
-    case 'n': {
-      int n = settings_.node_index(rest);
-      if (n < 0) break;
-      schema_.members[static_cast<std::size_t>(n)] = {};
-      changes.push_back({Change::node, rest, n});
+    case KeyKind::node:
+      set_node(name, {event.mod_revision, schema::decode_member(event)}, changes);
       break;
-    }
-    default:
+    case KeyKind::unknown:
       break;
   }
 }
 
+void StateCache::drop(const std::string& full_key, std::vector<Change>& changes) {
+  const std::optional<ParsedKey> key = parse_key(full_key);
+  if (!key) return;
+  const std::string& name = key->name;
+  switch (key->kind) {
+    case KeyKind::job:
+      if (jobs_.erase(name)) changes.push_back({Change::job_gone, name, -1});
+      break;
+    case KeyKind::waiting_job:
+      if (waiting_.erase(name)) changes.push_back({Change::waiting_gone, name, -1});
+      break;
+    case KeyKind::inventory_page:
+      for (auto& pages : pages_by_form_) pages.erase(number_in(name));
+      replace_inventory(number_in(name), {}, changes);
+      break;
+    case KeyKind::schema:
+      drop_schema(full_key);
+      changes.push_back({Change::schema_version, name, -1});
+      break;
+    case KeyKind::placement_page:
+      if (const auto page = placement_page_in(name)) drop_placement_page(*page);
+      break;
+    case KeyKind::leader:
+      if (const auto shard = shard_in(name)) {
+        leaders_[static_cast<std::size_t>(*shard)] = {};
+        changes.push_back({Change::leader, name, *shard});
+      }
+      break;
+    case KeyKind::node:
+      set_node(name, {}, changes);
+      break;
+    case KeyKind::unknown:
+      break;
+  }
+}
+
+void StateCache::set_inventory_page(int page, const wire::Event& event,
+                                    std::vector<Change>& changes) {
+  wire::InventoryPageRecord record = wire::decode_inventory_page(event);
+  for (auto& pages : pages_by_form_) pages.erase(page);
+  pages_by_form_[static_cast<std::size_t>(record.form)].insert(page);
+  replace_inventory(page, std::move(record.machines), changes);
+}
+
+void StateCache::set_placement_page(const std::string& name, const wire::Event& event) {
+  const std::optional<PlacementPageName> page = placement_page_in(name);
+  if (!page) return;
+  wire::PlacementPageRecord record = wire::decode_placement_page(
+      event, [this](const std::string& team) { return settings_.team_index(team); });
+  drop_placement_page(*page);
+  const std::pair at(page->shard, page->page);
+  for (const auto& job : record.jobs) pages_of_job_[job.job].insert(at);
+  placement_pages_[static_cast<std::size_t>(page->shard)].emplace(page->page, std::move(record));
+}
+
+void StateCache::drop_placement_page(const PlacementPageName& name) {
+  auto& pages = placement_pages_[static_cast<std::size_t>(name.shard)];
+  const auto page = pages.find(name.page);
+  if (page == pages.end()) return;
+  for (const auto& job : page->second.jobs) {
+    const auto known = pages_of_job_.find(job.job);
+    if (known == pages_of_job_.end()) continue;
+    known->second.erase({name.shard, name.page});
+    if (known->second.empty()) pages_of_job_.erase(known);
+  }
+  pages.erase(page);
+}
+
+void StateCache::set_leader(const std::string& name, const wire::Event& event,
+                            std::vector<Change>& changes) {
+  const std::optional<int> shard = shard_in(name);
+  if (!shard) return;
+  const wire::LeaderRecord record = wire::decode_leader_record(event);
+  leaders_[static_cast<std::size_t>(*shard)] = {settings_.node_index(record.node), record.tag,
+                                                event.mod_revision};
+  changes.push_back({Change::leader, name, *shard});
+}
+
+void StateCache::set_node(const std::string& name, const schema::StoredView::Member& member,
+                          std::vector<Change>& changes) {
+  const int node = settings_.node_index(name);
+  if (node < 0) return;
+  schema_.members[static_cast<std::size_t>(node)] = member;
+  changes.push_back({Change::node, name, node});
+}
+
 int StateCache::inventory_form() const {
   return schema::FeatureGate(schema_).on(schema::Feature::machine_ages) ? 1 : 0;
 }
 double StateCache::converted() const {
-  const auto right = static_cast<double>(inventory_pages(inventory_form()).size());
-  const auto wrong = static_cast<double>(inventory_to_convert().size());
-  return right + wrong > 0 ? right / (right + wrong) : 1;
+  const auto current = static_cast<double>(inventory_pages(inventory_form()).size());
+  const auto outdated = static_cast<double>(inventory_to_convert().size());
+  return current + outdated > 0 ? current / (current + outdated) : 1;
 }
 
-// A record that cannot be read is not passed over as other garbage is: it may say that nothing that
-// stands can be read rightly by this build.
-void StateCache::schema_set(const wire::Event& e) {
-  if (e.key == schema::kActiveKey) {
-    schema_.mod_revision = e.mod_revision;
+// Unlike other malformed values, one that cannot be read is reported: it may say that this build
+// cannot read the stored state correctly.
+void StateCache::set_schema(const wire::Event& event) {
+  if (event.key == schema::kActiveKey) {
+    schema_.mod_revision = event.mod_revision;
     schema_.unreadable.clear();
     try {
-      schema_.record = schema::decode_record(e);
-    } catch (const wire::Malformed& x) {
-      schema_.unreadable = x.what();
+      schema_.record = schema::decode_record(event);
+    } catch (const wire::Malformed& error) {
+      schema_.unreadable = error.what();
       ++malformed_;
     }
-  } else if (e.key == schema::kOrdersKey) {
-    schema_.orders_revision = e.mod_revision;
+  } else if (event.key == schema::kOrdersKey) {
+    schema_.orders_revision = event.mod_revision;
     schema_.orders_unreadable = false;
     try {
-      schema_.orders = schema::decode_orders(e);
+      schema_.orders = schema::decode_orders(event);
     } catch (const wire::Malformed&) {
       schema_.orders_unreadable = true;
       ++malformed_;
     }
   }
 }
-void StateCache::schema_gone(const std::string& key) {
+void StateCache::drop_schema(const std::string& key) {
   if (key == schema::kActiveKey) {
     schema_.record = {};
     schema_.mod_revision = 0;
@@ -303,28 +320,27 @@
   }
 }
 
-// A page of the inventory as it is now: only what differs is news.
-void StateCache::inventory(int page, std::vector<wire::MachineRecord> now,
-                           std::vector<Change>& changes) {
+void StateCache::replace_inventory(int page, std::vector<wire::MachineRecord> machines,
+                                   std::vector<Change>& changes) {
   std::vector<std::string> names;
-  for (auto& m : now) {
-    names.push_back(m.name);
-    page_of_[m.name] = page;
-    auto [it, fresh] = machines_.try_emplace(m.name);
-    if (!fresh && it->second == m) continue;
-    it->second = std::move(m);
-    changes.push_back({Change::machine_set, it->first, it->second.shard});
+  for (wire::MachineRecord& machine : machines) {
+    names.push_back(machine.name);
+    page_of_[machine.name] = page;
+    auto [known, is_new] = machines_.try_emplace(machine.name);
+    if (!is_new && known->second == machine) continue;
+    known->second = std::move(machine);
+    changes.push_back({Change::machine_set, known->first, known->second.shard});
   }
   std::sort(names.begin(), names.end());
-  for (const auto& old : pages_[page])
-    if (!std::binary_search(names.begin(), names.end(), old)) {
-      // It may have moved to another part of its page.
-      auto at = page_of_.find(old);
-      if (at == page_of_.end() || at->second != page) continue;
-      page_of_.erase(at);
-      machines_.erase(old);
-      changes.push_back({Change::machine_gone, old, -1});
-    }
+  for (const std::string& old_name : pages_[page]) {
+    if (std::binary_search(names.begin(), names.end(), old_name)) continue;
+    // It may have moved to another part of its page.
+    const auto current_page = page_of_.find(old_name);
+    if (current_page == page_of_.end() || current_page->second != page) continue;
+    page_of_.erase(current_page);
+    machines_.erase(old_name);
+    changes.push_back({Change::machine_gone, old_name, -1});
+  }
   pages_[page] = std::move(names);
 }
 
