--- a/src/state/state_cache.h
+++ b/src/state/state_cache.h
@@ -1,4 +1,6 @@
-// The cache of everything under the root prefix of the state service, typed. Free of I/O.
+/// @file
+/// A typed copy of everything under the root prefix of the state service. Free of I/O: what was
+/// read is handed in.
 #pragma once
 #include <array>
 #include <functional>
@@ -8,42 +10,30 @@
 #include <set>
 #include <string>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "config/settings.h"
 #include "schema/schema.h"
+#include "state/keys.h"
 #include "wire/codec.h"
 
 namespace shunttrail::state {
 
-inline constexpr const char* kRoot = "st/";
-inline constexpr const char* kJobResults = "fin/";  // outside the root: not kept in memory
-std::string node_key(const std::string& node);
-std::string leader_key(int shard);
-std::string job_key(const std::string& id);
-// A job that awaits others lives here until it is ready. The version that knows no such jobs reads
-// past these keys, so it can never start one too early; what is ready is a job like any other.
-std::string waiting_key(const std::string& id);
-std::string inventory_key(int page);
-int inventory_page(const std::string& machine);  // machines rented together share a page
-// A page too long for one value has further parts, each under a key of its own.
-inline constexpr int kInventoryParts = 16;
-int inventory_part(int page, int part);  // part 0: the page itself
-int inventory_base(int part);            // the page that it is a part of
-std::string placement_page_key(int shard, int page);
-std::string job_result_key(const std::string& id);
-
+/// A job's record with the revision of its key.
 struct JobEntry {
   wire::JobRecord record;
   std::uint64_t mod_revision = 0;
 };
+/// A shard's leader.
 struct LeaderEntry {
-  int node = -1;  // -1: nobody, or a node not in the settings
+  int node = -1;  ///< -1: none, or a node that is not in the settings
   std::string tag;
-  std::uint64_t mod_revision = 0;  // the shard's token
+  std::uint64_t mod_revision = 0;  ///< the shard's token
 };
 using wire::Intervals;
 
+/// What a change of the cache was about.
 struct Change {
   enum Kind {
     job_set,
@@ -54,91 +44,144 @@
     machine_gone,
     leader,
     node,
-    schema_version  // the active level, or the orders about it
+    schema_version  ///< the active level, or the operators' orders about it
   } kind;
-  std::string name;
+  std::string name;  ///< of the job, machine, shard or node
+  /// The shard of a machine or leader, the index of a node; -1: none.
   int index = -1;
 };
 
+/// The cache. Every function that changes it appends what has changed to `changes`.
 class StateCache {
  public:
-  explicit StateCache(const config::Settings& s);
-  // An event of a watch, or a write of our own that was answered. Older news of a key than what
-  // is known changes nothing, so both may come in any order and more than once.
-  void apply(const wire::Event& e, std::vector<Change>& changes);
-  // All keys, read anew: what is not in `items` is gone. `revision`: of the first page. Our own
-  // commits may have been applied since.
+  /// `settings` has to outlive the cache.
+  explicit StateCache(const config::Settings& settings);
+
+  /// Applies an event of a watch, or a change of our own that was answered. An event that is older
+  /// than what is known of its key changes nothing, so the two may come in any order and
+  /// repeatedly.
+  void apply(const wire::Event& event, std::vector<Change>& changes);
+  /// Replaces everything by a full read: a key that is not in `items` is deleted, unless it was set
+  /// after `revision`, which is that of the first page read. Our own commits may have been applied
+  /// since.
   void replace(std::uint64_t revision, const std::vector<wire::Event>& items,
                std::vector<Change>& changes);
-  // Everything up to here has been applied.
+  /// All events up to this revision have been applied.
   void advance(std::uint64_t revision);
 
-  std::uint64_t revision() const { return revision_; }
-  std::uint64_t mod_revision(const std::string& key) const;
-  const JobEntry* job(const std::string& id) const;      // ready: its tasks may start
-  const JobEntry* waiting(const std::string& id) const;  // awaits others
-  const wire::MachineRecord* machine(const std::string& name) const;
-  const LeaderEntry& leader(int shard) const { return leaders_[shard]; }
-  std::uint64_t node_revision(int node) const {  // 0: not alive
+  /// The revision up to which everything is known.
+  [[nodiscard]] std::uint64_t revision() const { return revision_; }
+  /// A key's revision; 0: it does not exist.
+  [[nodiscard]] std::uint64_t mod_revision(const std::string& key) const;
+  /// A job whose tasks may start; nullptr: there is none of this id.
+  [[nodiscard]] const JobEntry* job(const std::string& id) const;
+  /// A job that waits for others; nullptr: there is none of this id.
+  [[nodiscard]] const JobEntry* waiting(const std::string& id) const;
+  /// A machine; nullptr: there is none of this name.
+  [[nodiscard]] const wire::MachineRecord* machine(const std::string& name) const;
+  [[nodiscard]] const LeaderEntry& leader(int shard) const { return leaders_[shard]; }
+  /// The revision of a node's key; 0: it is not alive.
+  [[nodiscard]] std::uint64_t node_revision(int node) const {
     return schema_.members[static_cast<std::size_t>(node)].mod_revision;
   }
-  const schema::StoredView& schema() const { return schema_; }
-  // The form that inventory pages are to be written in, by the active level.
-  int inventory_form() const;
-  // Of what stands, the share that has the active level's form.
-  double converted() const;
-  // All of it, and everything that was written before the level changed has been read.
-  bool all_converted() const { return revision_ >= schema_.mod_revision && converted() >= 1; }
-  const std::map<std::string, JobEntry>& jobs() const { return jobs_; }
-  const std::map<std::string, JobEntry>& waiting() const { return waiting_; }
-  const std::map<std::string, wire::MachineRecord>& machines() const { return machines_; }
-  std::vector<wire::MachineRecord> inventory(int page) const;
-  // Pages and parts of pages that stand in this form (0 or 1), or in another than the active
-  // level's.
-  const std::set<int>& inventory_pages(int form) const {
+  [[nodiscard]] const schema::StoredView& schema() const { return schema_; }
+  /// The form in which inventory pages are to be written at the active level.
+  [[nodiscard]] int inventory_form() const;
+  /// The share of inventory pages that have the active level's form, from 0 to 1.
+  [[nodiscard]] double converted() const;
+  /// Whether all pages have that form, and everything that was written before the level changed has
+  /// been read.
+  [[nodiscard]] bool all_converted() const {
+    return revision_ >= schema_.mod_revision && converted() >= 1;
+  }
+  /// The jobs whose tasks may start, by id.
+  [[nodiscard]] const std::map<std::string, JobEntry>& jobs() const { return jobs_; }
+  /// The jobs that wait for others, by id.
+  [[nodiscard]] const std::map<std::string, JobEntry>& waiting() const { return waiting_; }
+  /// All machines, by name.
+  [[nodiscard]] const std::map<std::string, wire::MachineRecord>& machines() const {
+    return machines_;
+  }
+  /// The machines of an inventory page or part, in order of their names.
+  [[nodiscard]] std::vector<wire::MachineRecord> inventory(int page) const;
+  /// Inventory pages and parts that are stored in this form, 0 or 1.
+  [[nodiscard]] const std::set<int>& inventory_pages(int form) const {
     return pages_by_form_[static_cast<std::size_t>(form)];
   }
-  const std::set<int>& inventory_to_convert() const {
+  /// Inventory pages and parts that are stored in another form than the active level's.
+  [[nodiscard]] const std::set<int>& inventory_to_convert() const {
     return inventory_pages(1 - inventory_form());
   }
-  const std::map<int, wire::PlacementPageRecord>& placement_pages(int shard) const {
+  /// A shard's placement pages, by number.
+  [[nodiscard]] const std::map<int, wire::PlacementPageRecord>& placement_pages(int shard) const {
     return placement_pages_[shard];
   }
-  // A job's finished intervals by chunk, relative to the chunk's start: all that any placement page
-  // holds, since what is done stays so. They may overlap.
-  std::map<std::uint32_t, Intervals> done(const std::string& id) const;
-  // For display: tasks done, and tasks placed that are not.
+  /// A job's finished tasks as intervals by chunk, from the chunk's first task. They are collected
+  /// from all placement pages, since a task that is done stays so, and may overlap.
+  [[nodiscard]] std::map<std::uint32_t, Intervals> done(const std::string& id) const;
+  /// Numbers of tasks, for display.
   struct Progress {
-    std::uint64_t done = 0, placed = 0;
+    std::uint64_t done = 0;
+    std::uint64_t placed = 0;  ///< and not done
   };
-  Progress progress(const JobEntry& j, std::uint32_t chunk_size) const;
-  std::uint64_t malformed() const { return malformed_; }
+  /// A job's progress; `chunk_size` is the number of tasks in a chunk.
+  [[nodiscard]] Progress progress(const JobEntry& job, std::uint32_t chunk_size) const;
+  /// How many values could not be read since the start.
+  [[nodiscard]] std::uint64_t malformed() const { return malformed_; }
 
  private:
-  void set(const wire::Event& e, std::vector<Change>& changes);
-  void drop(const std::string& key, std::vector<Change>& changes);
+  /// A placement page's place, as its key names it.
+  struct PlacementPageName {
+    int shard = 0;
+    int page = 0;
+  };
+
+  /// Whether the event's key was deleted at its revision or later.
+  [[nodiscard]] bool is_deleted_since(const wire::Event& event) const;
+  void set(const wire::Event& event, std::vector<Change>& changes);
+  /// Throws wire::Malformed before it has changed anything.
+  void set_parsed(const ParsedKey& key, const wire::Event& event, std::vector<Change>& changes);
+  void drop(const std::string& full_key, std::vector<Change>& changes);
+
+  /// The shard that a key's name begins with; none: it is not one of the settings'.
+  [[nodiscard]] std::optional<int> shard_in(const std::string& name) const;
+  [[nodiscard]] std::optional<PlacementPageName> placement_page_in(const std::string& name) const;
+
+  void set_inventory_page(int page, const wire::Event& event, std::vector<Change>& changes);
+  /// Only machines that differ from what is known are changes.
+  void replace_inventory(int page, std::vector<wire::MachineRecord> machines,
+                         std::vector<Change>& changes);
+  void set_placement_page(const std::string& name, const wire::Event& event);
+  void drop_placement_page(const PlacementPageName& name);
+  void set_leader(const std::string& name, const wire::Event& event, std::vector<Change>& changes);
+  void set_node(const std::string& name, const schema::StoredView::Member& member,
+                std::vector<Change>& changes);
+  void set_schema(const wire::Event& event);
+  void drop_schema(const std::string& key);
+
+  /// Visits what each placement page says about the job, by the index below: there may be thousands
+  /// of pages, and every poll for a job's state comes here.
+  void for_each_job_placements(const std::string& id,
+                               const std::function<void(const wire::JobPlacements&)>& visit) const;
 
   const config::Settings& settings_;
   std::uint64_t revision_ = 0;
+  /// The revision of each key that exists.
   std::unordered_map<std::string, std::uint64_t> revisions_;
-  // Keys dropped after `revision_`: an older set that is still on its way must not revive them.
+  /// Keys deleted after `revision_`: an older event that is still on its way must not revive them.
   std::unordered_map<std::string, std::uint64_t> tombstones_;
-  std::map<std::string, JobEntry> jobs_, waiting_;
+  std::map<std::string, JobEntry> jobs_;
+  std::map<std::string, JobEntry> waiting_;
   std::map<std::string, wire::MachineRecord> machines_;
-  std::map<int, std::vector<std::string>> pages_;  // machines by page, or part of one
+  /// Names of machines by inventory page or part, sorted.
+  std::map<int, std::vector<std::string>> pages_;
+  /// The inventory page or part of each machine.
   std::unordered_map<std::string, int> page_of_;
+  /// By shard and page.
   std::vector<std::map<int, wire::PlacementPageRecord>> placement_pages_;
-  // Every placement page's part about the job: thousands of placement pages are not looked through
-  // for each poll.
-  void for_each_job_placements(const std::string& id,
-                               const std::function<void(const wire::JobPlacements&)>& f) const;
-  void put_placement_page(int shard, int page, std::optional<wire::PlacementPageRecord> r);
-  // By job: shard and placement page of each that names it, in that order.
+  /// By job: shard and number of each placement page that names it.
   std::unordered_map<std::string, std::set<std::pair<int, int>>> pages_of_job_;
-  void inventory(int page, std::vector<wire::MachineRecord> now, std::vector<Change>& changes);
-  void schema_set(const wire::Event& e);
-  void schema_gone(const std::string& key);
-  std::vector<LeaderEntry> leaders_;
+  std::vector<LeaderEntry> leaders_;  ///< by shard
   schema::StoredView schema_;
   std::array<std::set<int>, 2> pages_by_form_;
   std::uint64_t malformed_ = 0;
--- a/src/wire/cloud_codec.cpp
+++ b/src/wire/cloud_codec.cpp
@@ -9,6 +9,7 @@
 
 /// The cloud's clock may be behind ours.
 constexpr double kLeastAgeS = -1e9;
+/// As many as the protocol allows; 4,000 machines are 8 pages.
 constexpr const char* kListPath = "/rentals?limit=500";
 
 /// Percent-encodes what may not stand in a query.
--- a/src/wire/state_codec.cpp
+++ b/src/wire/state_codec.cpp
@@ -7,16 +7,28 @@
 namespace shunttrail::wire {
 namespace {
 
-std::string precondition_text(const std::pair<std::string, std::uint64_t>& precondition) {
-  return "{\"k\":" + json(precondition.first).dump() +
-         ",\"stamp\":" + std::to_string(precondition.second) + "}";
+void append_precondition(const std::pair<std::string, std::uint64_t>& precondition,
+                         std::string& out) {
+  out += R"({"k":)";
+  out += json(precondition.first).dump();
+  out += R"(,"stamp":)";
+  out += std::to_string(precondition.second);
+  out += '}';
 }
 
-std::string op_text(const Transaction::Op& op) {
-  if (!op.value) return "{\"drop\":" + json(op.key).dump() + "}";
-  std::string out = "{\"set\":" + json(op.key).dump() + ",\"value\":" + *op.value;
-  if (op.lease) out += ",\"block\":" + std::to_string(op.lease);
-  return out + "}";
+void append_op(const Transaction::Op& op, std::string& out) {
+  out += op.value ? R"({"set":)" : R"({"drop":)";
+  out += json(op.key).dump();
+  if (op.value) {
+    // The value is JSON text already.
+    out += R"(,"value":)";
+    out += *op.value;
+    if (op.lease) {
+      out += R"(,"block":)";
+      out += std::to_string(op.lease);
+    }
+  }
+  out += '}';
 }
 
 /// Applies `f` to the parsed body and to a function that makes a pointer to a part of it; the body
@@ -49,20 +61,23 @@
 }  // namespace
 
 std::string encode_transaction(const Transaction& transaction) {
-  // Values are JSON text already: they are joined, not parsed once more.
-  std::string out = "{\"guards\":[";
+  // Joined as text: to parse the values once more would be slow.
+  std::string out = R"({"guards":[)";
   const char* separator = "";
   for (const auto& precondition : transaction.preconditions) {
-    out += separator + precondition_text(precondition);
+    out += separator;
+    append_precondition(precondition, out);
     separator = ",";
   }
-  out += "],\"writes\":[";
+  out += R"(],"writes":[)";
   separator = "";
   for (const Transaction::Op& op : transaction.ops) {
-    out += separator + op_text(op);
+    out += separator;
+    append_op(op, out);
     separator = ",";
   }
-  return out + "]}";
+  out += "]}";
+  return out;
 }
 
 std::uint64_t decode_revision(std::string_view body) {
@@ -103,6 +118,7 @@
 }
 
 std::string keys_path(const std::string& prefix, const std::string& after) {
+  // As many as the protocol allows (and 512 KiB): page follows page until there are no more.
   return "/kv?starts=" + prefix + "&limit=1000" + (after.empty() ? "" : "&after=" + after);
 }
 
