--- a/src/scheduler/failure_detector.cpp
+++ b/src/scheduler/failure_detector.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 /// Probes in flight at the same time: one for so many machines of the shard, some at least. Every
-/// machine with replicas is asked once between two heartbeats (suspected), the first ones first, and
-/// one that does not answer keeps its place for a second. With 24, of 4,000 machines the last ones
-/// were never asked; with 333, five passes a second ask 1,665, and 1,333 report, at 3 s between
-/// heartbeats.
+/// machine with replicas is asked once between two heartbeats (suspected), the first ones first,
+/// and one that does not answer keeps its place for a second. With 24, of 4,000 machines the last
+/// ones were never asked; with 333, five passes a second ask 1,665, and 1,333 report, at 3 s
+/// between heartbeats.
 constexpr std::size_t kMachinesPerProbe = 12;
 constexpr std::size_t kMinProbesInFlight = 24;
 /// Unanswered probes in a row before a machine is given up on.
--- a/src/scheduler/placement_store.cpp
+++ b/src/scheduler/placement_store.cpp
@@ -9,16 +9,16 @@
 using jobs::JobPtr;
 
 namespace {
-/// Pages of a shard to begin with. A start's cost is what its page still holds beside it: with few pages nearly
-/// all that runs is written again and again, and at the large size they are full, so that starts
-/// queue for the little room that three of them have left.
+/// Pages of a shard to begin with. A start's cost is what its page still holds beside it: with few
+/// pages nearly all that runs is written again and again, and at the large size they are full, so
+/// that starts queue for the little room that three of them have left.
 constexpr std::size_t kInitialPages = 256;
 /// Pages of a shard at the most: bounds the placements that may exist at a time. A placement takes
-/// about 30 bytes (task, attempt, name of the machine), and 150 where its job has no other one in the
-/// page. For the 256,000 placements of 4,000 machines of 64 vcpus, all in one shard, that is 2,000
-/// pages of 4 KiB, or 10,000 where each task is a job of its own; of values of 1 KiB, the least that
-/// they may shrink to, 9,000 and 43,000. Pages are added one by one as the others are full. A build
-/// with a smaller limit reads and rewrites whatever number it finds.
+/// about 30 bytes (task, attempt, name of the machine), and 150 where its job has no other one in
+/// the page. For the 256,000 placements of 4,000 machines of 64 vcpus, all in one shard, that is
+/// 2,000 pages of 4 KiB, or 10,000 where each task is a job of its own; of values of 1 KiB, the
+/// least that they may shrink to, 9,000 and 43,000. Pages are added one by one as the others are
+/// full. A build with a smaller limit reads and rewrites whatever number it finds.
 constexpr std::size_t kMaxPages = 49152;
 /// A page is never longer, in bytes, though values may be.
 constexpr std::size_t kMaxPageBytes = 5800;
--- a/tests/agent_golden_test.cpp
+++ b/tests/agent_golden_test.cpp
@@ -23,8 +23,8 @@
 namespace shunttrail::test {
 namespace {
 namespace fs = std::filesystem;
-using wire::TaskState;
 using wire::ExitReason;
+using wire::TaskState;
 
 class AgentGolden : public ::testing::Test {
  protected:
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -98,8 +98,8 @@
   EXPECT_EQ(r.tasks[0].task.index, 3u);
   EXPECT_EQ(r.tasks[0].attempt, 2u);
   EXPECT_TRUE(r.tasks[2].checkpointed);
-  using wire::TaskState;
   using wire::ExitReason;
+  using wire::TaskState;
   const std::tuple<const char*, TaskState, ExitReason> rows[] = {
       {R"("pulling")", TaskState::fetching, ExitReason::none},
       {R"("running")", TaskState::running, ExitReason::none},
