--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -82,8 +82,9 @@
 void Controller::serve_internal(const net::ExchangePtr& ex) {
   if (ex->path == "/peer/beat" && ex->post) return peer_gossip_.handle_request(ex);
   if (ex->path == "/peer/report" && ex->post)
-    return heartbeat_relay_.handle_relayed(
-        ex, [this](net::ExchangePtr passed) { worker_api_.handle_heartbeat(passed, true); });
+    return heartbeat_relay_.handle_relayed(ex, [this](net::ExchangePtr passed) {
+      worker_api_.handle_heartbeat(passed, HeartbeatPath::relayed);
+    });
   if (ex->path == "/links" && !ex->post) return ex->send({200, heartbeat_relay_.describe(), 0});
   if (ex->path == "/metrics" && !ex->post) return ex->send({200, metrics(), 0});
   if (ex->path == "/levels") return schema_.handle_request(ex);
--- a/src/controller/shard_controller.cpp
+++ b/src/controller/shard_controller.cpp
@@ -1,46 +1,70 @@
-// One shard at this node: ownership, and what changes in the cache mean to its scheduler.
 #include "controller/shard_controller.h"
 
 #include <spdlog/spdlog.h>
 
+#include <utility>
+
 #include "controller/cloud_manager.h"
 #include "controller/job_results.h"
-#include "controller/membership.h"
-#include "controller/schema_manager.h"
 
 namespace shunttrail::controller {
 namespace {
-constexpr double kTurn = 0.04;  // what reports make possible is gathered so long
+/// Between the first cause of a scheduling pass and the pass: what comes meanwhile shares it.
+constexpr double kPassDelayS = 0.04;
+/// The letters of the shards' tags begin at 'a' and are used again after so many shards.
+constexpr int kShardLetters = 20;
+/// The scheduler's random seed is its token, spread by Knuth's multiplicative hash.
+constexpr std::uint64_t kSeedMultiplier = 2654435761;
+constexpr std::uint64_t kSeedOffset = 17;
+
+char tag_letter(int shard) { return static_cast<char>('a' + shard % kShardLetters); }
 }  // namespace
 
-ShardController::ShardController(actor::Loop& loop, ControllerComponents& parts, int shard)
-    : Actor(loop), components_(parts), shard_(shard), workers_(loop), pass_timer_(loop, [this] {
-        post([this] { run_scheduling_pass(); });
-      }) {
-  components_.state_store->listen(reply<Changes>([this](Changes c) { changed(*c); }));
-}
-
-std::string ShardController::next_tag() {
-  return components_.membership->tag(static_cast<char>('a' + shard_ % 20), ++tags_);
+ShardController::ShardController(actor::Loop& loop, ControllerComponents& components, int shard)
+    : Actor(loop),
+      ShardHost(*this, loop, components, shard),
+      components_(components),
+      tags_(components, tag_letter(shard)),
+      leadership_(*this),
+      transactions_(*this),
+      heartbeats_(*this),
+      direct_commands_(*this, loop),
+      pass_timer_(loop, [this] { post([this] { run_scheduling_pass(); }); }) {
+  components_.state_store->listen(
+      Actor::reply<Changes>([this](const Changes& changes) { on_changes(*changes); }));
 }
 
 void ShardController::tick() {
   post([this] {
     if (!scheduler_) return;
-    scheduler_->tick(loop_.now());
-    send_probes();
+    scheduler_->tick(now());
+    direct_commands_.send_probes();
     run_scheduling_pass();
   });
 }
+
 void ShardController::reconsider_leadership() {
   post([this] { decide_leadership(); });
 }
+
+void ShardController::take_heartbeat(net::ExchangePtr exchange, wire::Heartbeat heartbeat,
+                                     HeartbeatPath path) {
+  post([this, exchange = std::move(exchange), heartbeat = std::move(heartbeat), path] {
+    if (path == HeartbeatPath::relayed)
+      direct_commands_.mark_unreachable(heartbeat.machine);
+    else
+      direct_commands_.mark_reachable(heartbeat.machine);
+    heartbeats_.handle(exchange, heartbeat);
+  });
+}
+
 void ShardController::set_effective_priority(std::string job, wire::Priority priority, double due) {
   post([this, job = std::move(job), priority, due] {
     if (scheduler_) scheduler_->set_effective_priority(job, priority, due);
     schedule_pass();
   });
 }
+
 void ShardController::transfer(scheduler::MachineTransfer transfer) {
   post([this, transfer = std::move(transfer)] {
     if (scheduler_) scheduler_->transfer(transfer);
@@ -50,107 +74,82 @@
 
 // ---- the cloud's answers
 
-void ShardController::cloud_requests(bool returns, std::function<void(CloudRequests)> then) {
-  post([this, returns, then = std::move(then)] {
-    CloudRequests w;
+void ShardController::cloud_requests(bool with_returns, std::function<void(CloudRequests)> then) {
+  post([this, with_returns, then = std::move(then)] {
+    CloudRequests requests;
     if (scheduler_) {
-      w.opened_under = scheduler_->opened_under();
-      if (returns) w.machines_to_return = scheduler_->machines_to_return();
-      w.scale_out = scheduler_->scale_out_requests(loop_.now());
+      requests.opened_under = scheduler_->opened_under();
+      if (with_returns) requests.machines_to_return = scheduler_->machines_to_return();
+      requests.scale_out = scheduler_->scale_out_requests(now());
     }
-    then(std::move(w));
+    then(std::move(requests));
   });
 }
-void ShardController::rented(std::uint64_t born, scheduler::ScaleOutRequest w,
+
+void ShardController::rented(std::uint64_t opened_under, scheduler::ScaleOutRequest request,
                              std::vector<std::string> machines) {
-  post([this, born, w = std::move(w), machines = std::move(machines)] {
-    // Machines rented for a scheduler that is closed report, and are adopted.
-    if (is_current(born)) scheduler_->rented(w, machines, loop_.now());
+  post([this, opened_under, request = std::move(request), machines = std::move(machines)] {
+    // Machines rented for a scheduler that is closed send heartbeats, and are adopted.
+    if (is_current(opened_under)) scheduler_->rented(request, machines, now());
     schedule_pass();
   });
 }
-void ShardController::rent_refused(std::uint64_t born, scheduler::ScaleOutRequest w,
+
+void ShardController::rent_refused(std::uint64_t opened_under, scheduler::ScaleOutRequest request,
                                    bool no_capacity) {
-  post([this, born, w = std::move(w), no_capacity] {
-    if (is_current(born)) scheduler_->rent_refused(w, 0, no_capacity, loop_.now());
+  post([this, opened_under, request = std::move(request), no_capacity] {
+    if (is_current(opened_under)) scheduler_->rent_refused(request, 0, no_capacity, now());
     schedule_pass();
   });
 }
-void ShardController::deleted(std::uint64_t born, std::vector<std::string> machines, bool ok) {
-  post([this, born, machines = std::move(machines), ok] {
+
+void ShardController::deleted(std::uint64_t opened_under, std::vector<std::string> machines,
+                              bool is_deleted) {
+  post([this, opened_under, machines = std::move(machines), is_deleted] {
     for (const auto& name : machines) {
-      if (ok) {
-        workers_.erase(name);
-        unreachable_until_.erase(name);
-        held_responses_.erase(name);
-        if (is_current(born)) scheduler_->machine_gone(name, loop_.now());
-      } else if (is_current(born)) {
+      if (is_deleted) {
+        direct_commands_.forget(name);
+        heartbeats_.forget(name);
+        if (is_current(opened_under)) scheduler_->machine_gone(name, now());
+      } else if (is_current(opened_under)) {
         scheduler_->return_failed(name);
       }
     }
     schedule_pass();
   });
 }
-void ShardController::machine_failed(std::string machine, bool unlisted) {
-  post([this, machine = std::move(machine), unlisted] {
-    if (scheduler_) scheduler_->machine_failed(machine, unlisted, loop_.now());
+
+void ShardController::machine_failed(std::string machine, bool is_unlisted) {
+  post([this, machine = std::move(machine), is_unlisted] {
+    if (scheduler_) scheduler_->machine_failed(machine, is_unlisted, now());
   });
 }
-void ShardController::set_machine_address(std::string machine, std::string addr) {
-  post([this, machine = std::move(machine), addr = std::move(addr)] {
-    if (scheduler_) scheduler_->set_machine_address(machine, addr);
+
+void ShardController::set_machine_address(std::string machine, std::string address) {
+  post([this, machine = std::move(machine), address = std::move(address)] {
+    if (scheduler_) scheduler_->set_machine_address(machine, address);
   });
 }
 
-// ---- what the cache says
+// ---- changes of the cached state
 
-void ShardController::add_job(const std::string& id, const state::JobEntry& j, int team) {
-  const double now = loop_.now(), wall = loop_.wall_now();
-  scheduler_->job_added(j.record, team, components_.state_store->cache().done(id), now, wall);
-  jobs::EffectivePriority u =
-      components_.job_results->dependencies().effective_priority(id, j.record);
-  scheduler_->set_effective_priority(id, u.priority, now + (u.due - wall));
-}
-void ShardController::add_machine(const wire::MachineRecord& m) {
-  scheduler_->machine_known(m, loop_.now());
-  if (const std::string* a = components_.cloud_manager->address(m.name))
-    scheduler_->set_machine_address(m.name, *a);
-}
-void ShardController::lose_machine(const std::string& name) {
-  scheduler_->machine_moved(name, loop_.now());
-  workers_.erase(name);
-  unreachable_until_.erase(name);
-}
-
-void ShardController::changed(const std::vector<state::Change>& changes) {
+void ShardController::on_changes(const std::vector<state::Change>& changes) {
   if (!scheduler_) return;
-  const double now = loop_.now();
-  const state::StateCache& world = components_.state_store->cache();
-  for (const auto& c : changes) {
-    switch (c.kind) {
-      case state::Change::job_set: {
-        const auto* j = world.job(c.name);
-        if (!j) break;
-        int team = components_.settings.team_index(j->record.spec.team);
-        if (team >= 0 && components_.settings.team_shard[team] == shard_) add_job(c.name, *j, team);
+  for (const auto& change : changes) {
+    switch (change.kind) {
+      case state::Change::job_set:
+        on_job_set(change.name);
         break;
-      }
       case state::Change::job_gone:
-        scheduler_->job_gone(c.name, now);
+        scheduler_->job_gone(change.name, now());
         break;
-      case state::Change::machine_set: {
-        const auto* m = world.machine(c.name);
-        if (!m || m->shard >= components_.settings.shards()) break;
-        if (m->shard == shard_)
-          add_machine(*m);
-        else
-          lose_machine(c.name);
+      case state::Change::machine_set:
+        on_machine_set(change.name);
         break;
-      }
       case state::Change::machine_gone:
         // Only what the cloud has deleted leaves the inventory, or what has gone on to another part
         // of its page: such a machine is still there, and so are its tasks.
-        if (!world.machine(c.name)) lose_machine(c.name);
+        if (!state_store().cache().machine(change.name)) lose_machine(change.name);
         break;
       default:
         break;
@@ -159,123 +158,91 @@
   schedule_pass();
 }
 
-// ---- ownership
+void ShardController::on_job_set(const std::string& id) {
+  if (const state::JobEntry* job = state_store().cache().job(id)) add_job(id, *job);
+}
 
-void ShardController::decide_leadership() {
-  const StateStore& store = *components_.state_store;
-  if (!store.loaded() || components_.cloud_manager->catalogue().empty()) return;
-  const state::StateCache& world = store.cache();
-  const double now = loop_.now();
-  if (!components_.schema->may_serve()) {
-    if (scheduler_) close_scheduler();
-    return;
-  }
-  if (scheduler_ && world.leader(shard_).mod_revision != scheduler_->token()) {
-    const auto& o = world.leader(shard_);
-    if (o.node == components_.settings.self && o.tag == token_commit_tag_)
-      scheduler_->advance_token(o.mod_revision, now);
-    else
-      close_scheduler();
-  }
-  if (leadership_in_flight_ || !store.fresh(components_.settings.staleness_bound_s())) return;
-  shard::LeadershipMove m =
-      components_.membership->election().decide(world, shard_, now, last_closed_token_);
-  if (m.kind == shard::LeadershipMove::none) return;
-  if (m.kind == shard::LeadershipMove::lead) {
-    if (!scheduler_) open_scheduler(m.token);
-    if (scheduler_->needs_new_token(now) && !scheduler_->transaction_in_flight()) advance_token();
-    return;
-  }
-  if (m.kind == shard::LeadershipMove::hand_over && scheduler_) {
-    if (scheduler_->transaction_in_flight()) return;
-    close_scheduler();
-  }
-  const std::string& node =
-      components_.settings
-          .nodes[m.kind == shard::LeadershipMove::take ? components_.settings.self : m.to];
-  wire::Transaction t;
-  t.preconditions = m.preconditions;
-  t.ops.push_back(
-      {state::leader_key(shard_), wire::encode_record(wire::LeaderRecord{node, next_tag()}), 0});
-  spdlog::info("shard {}: {} -> {}", shard_,
-               m.kind == shard::LeadershipMove::take ? "take" : "hand over", node);
-  commit_leadership(std::move(t));
+void ShardController::on_machine_set(const std::string& name) {
+  const auto* machine = state_store().cache().machine(name);
+  if (!machine || machine->shard >= settings().shards()) return;
+  if (machine->shard == shard())
+    add_machine(*machine);
+  else
+    lose_machine(name);
 }
 
-// Lost a race, or not known: nothing is done before the state service has been read again. The
-// owner's revision tells; should the commit be applied later still, the guard on that revision
-// keeps it from undoing anything newer.
-void ShardController::commit_leadership(wire::Transaction t) {
-  leadership_in_flight_ = true;
-  components_.state_store->resolve_unknown_commit(
-      std::move(t), state::RequestPriority::safety, 3,
-      reply<state::CommitResult>([this](state::CommitResult r) {
-        leadership_in_flight_ = false;
-        // The token is acted on once all before it has been read.
-        if (r.kind == state::CommitResult::applied)
-          components_.state_store->linearizable_read(
-              reply<bool>([this](bool) { decide_leadership(); }));
-        else
-          decide_leadership();
-      }));
+bool ShardController::owns_team(int team) const {
+  return team >= 0 && settings().team_shard[team] == shard();
 }
 
+// Takes the job if its team belongs to this shard.
+void ShardController::add_job(const std::string& id, const state::JobEntry& job) {
+  const int team = settings().team_index(job.record.spec.team);
+  if (!owns_team(team)) return;
+  const double loop_now = now();
+  const double wall_now = loop_.wall_now();
+  scheduler_->job_added(job.record, team, state_store().cache().done(id), loop_now, wall_now);
+  const jobs::EffectivePriority effective =
+      components_.job_results->dependencies().effective_priority(id, job.record);
+  scheduler_->set_effective_priority(id, effective.priority, loop_now + (effective.due - wall_now));
+}
+
+void ShardController::add_machine(const wire::MachineRecord& machine) {
+  scheduler_->machine_known(machine, now());
+  if (const std::string* address = components_.cloud_manager->address(machine.name))
+    scheduler_->set_machine_address(machine.name, *address);
+}
+
+void ShardController::lose_machine(const std::string& name) {
+  scheduler_->machine_moved(name, now());
+  direct_commands_.forget(name);
+}
+
+// ---- the scheduler
+
 void ShardController::open_scheduler(std::uint64_t token) {
-  const double now = loop_.now();
-  const state::StateCache& world = components_.state_store->cache();
+  const double opened_at = now();
+  const state::StateCache& cache = state_store().cache();
   scheduler_ = std::make_unique<scheduler::ShardScheduler>(
-      components_.settings, components_.tuning, components_.cloud_manager->catalogue(), shard_,
-      token, now, token * 2654435761u + 17);
-  for (const auto& [id, j] : world.jobs()) {
-    int team = components_.settings.team_index(j.record.spec.team);
-    if (team >= 0 && components_.settings.team_shard[team] == shard_) add_job(id, j, team);
-  }
-  for (const auto& [name, m] : world.machines())
-    if (m.shard == shard_) add_machine(m);
-  for (const auto& [n, page] : world.placement_pages(shard_))
-    scheduler_->recover_page(n, page, now);
-  spdlog::info("shard {}: acting under token {} {}", shard_, token, scheduler_->summary());
-  scheduler_->tick(now);
+      settings(), components_.tuning, components_.cloud_manager->catalogue(), shard(), token,
+      opened_at, token * kSeedMultiplier + kSeedOffset);
+  for (const auto& [id, job] : cache.jobs()) add_job(id, job);
+  for (const auto& [name, machine] : cache.machines())
+    if (machine.shard == shard()) add_machine(machine);
+  for (const auto& [number, page] : cache.placement_pages(shard()))
+    scheduler_->recover_page(number, page, opened_at);
+  spdlog::info("shard {}: leading under token {} {}", shard(), token, scheduler_->summary());
+  scheduler_->tick(opened_at);
   schedule_pass();
 }
 
 void ShardController::close_scheduler() {
-  spdlog::info("shard {}: closing token {}", shard_, scheduler_->token());
-  last_closed_token_ = scheduler_->token();
-  for (auto& [m, h] : held_responses_) h.exchange->send({503, "{}", 0});
-  held_responses_.clear();
-  unreachable_until_.clear();
-  workers_.clear();
+  heartbeats_.refuse_held();
+  direct_commands_.reset();
   scheduler_.reset();
-  transaction_unresolved_ = false;
-}
-
-void ShardController::advance_token() {
-  token_commit_tag_ = next_tag();
-  wire::Transaction t;
-  t.preconditions.emplace_back(state::leader_key(shard_), scheduler_->token());
-  t.ops.push_back(
-      {state::leader_key(shard_),
-       wire::encode_record(wire::LeaderRecord{components_.settings.node, token_commit_tag_}), 0});
-  spdlog::info("shard {}: raising token {}", shard_, scheduler_->token());
-  commit_leadership(std::move(t));
+  transactions_.reset();
 }
 
-// ---- turns
-
-// Work that reports and changes made possible is done in turns: a thousand reports cost one.
 void ShardController::schedule_pass() {
-  if (pass_armed_ || !scheduler_) return;
-  pass_armed_ = true;
-  pass_timer_.after(kTurn);
+  if (is_pass_armed_ || !scheduler_) return;
+  is_pass_armed_ = true;
+  pass_timer_.after(kPassDelayS);
 }
+
 void ShardController::run_scheduling_pass() {
-  pass_armed_ = false;
+  is_pass_armed_ = false;
   if (!scheduler_) return;
-  if (scheduler_->scheduling_due()) scheduler_->run_scheduling_pass(loop_.now());
-  commit_next();
+  if (scheduler_->scheduling_due()) scheduler_->run_scheduling_pass(now());
+  send_pending_work();
   flush_held_responses();
   if (scheduler_ && scheduler_->scheduling_due()) schedule_pass();
 }
 
+void ShardController::send_pending_work() {
+  if (!scheduler_ || !state_store().loaded() || leadership_.commit_in_flight()) return;
+  direct_commands_.send_commands(
+      [this](const std::string& machine) { return heartbeats_.is_held(machine); });
+  transactions_.commit_next();
+}
+
 }  // namespace shunttrail::controller
--- a/src/controller/shard_controller.h
+++ b/src/controller/shard_controller.h
@@ -1,101 +1,103 @@
-// One shard at this node: the moves of its ownership, and, while this node owns it, its scheduler
-// with the transactions that the scheduler asks for, the answers that wait for them, and direct
-// orders.
+/// One shard at this node: the actor that owns the shard's scheduler while this node leads it.
 #pragma once
-#include <map>
+#include <cstdint>
+#include <functional>
 #include <memory>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
 #include "controller/components.h"
+#include "controller/direct_command_sender.h"
+#include "controller/heartbeat_responder.h"
+#include "controller/leadership_mover.h"
+#include "controller/shard_host.h"
 #include "controller/state_store.h"
-#include "net/pool.h"
+#include "controller/tag_sequence.h"
+#include "controller/transaction_pipeline.h"
 #include "scheduler/shard_scheduler.h"
 
 namespace shunttrail::controller {
 
-class ShardController : public actor::Actor {
+/// How a heartbeat reached this node.
+enum class HeartbeatPath {
+  direct,   ///< From the worker.
+  relayed,  ///< From a sibling, since the worker does not reach this node.
+};
+
+/// Wires the parts of one shard together and brings them what concerns the shard: changes of the
+/// cached state, heartbeats, and what the cloud answers. Public methods, but for the const ones,
+/// leave a message in the actor's mailbox and return at once.
+class ShardController : public actor::Actor, private ShardHost {
  public:
-  ShardController(actor::Loop& loop, ControllerComponents& parts, int shard);
+  ShardController(actor::Loop& loop, ControllerComponents& components, int shard);
 
-  // None: this node does not own the shard.
-  const scheduler::ShardScheduler* scheduler() const { return scheduler_.get(); }
-  std::uint64_t malformed() const { return malformed_; }
+  /// Null: this node does not lead the shard.
+  [[nodiscard]] const scheduler::ShardScheduler* scheduler() const { return scheduler_.get(); }
+  /// Responses of workers that could not be decoded.
+  [[nodiscard]] std::uint64_t malformed() const { return direct_commands_.malformed(); }
 
+  /// To be called at short, regular intervals.
   void tick();
-  void reconsider_leadership();  // who owns the shard may have changed
-  // Answered now, or once a commit that it waits for is through.
-  // `passed_on`: by a sibling, since the worker does not reach this node.
-  void take_heartbeat(net::ExchangePtr ex, wire::Heartbeat r, bool passed_on = false);
+  /// The leader of the shard may have changed.
+  void reconsider_leadership();
+  /// Responds now, or once a commit that the response waits for is applied.
+  void take_heartbeat(net::ExchangePtr exchange, wire::Heartbeat heartbeat,
+                      HeartbeatPath path = HeartbeatPath::direct);
+  /// Jobs that depend on this one have come or gone. `due`: loop time.
   void set_effective_priority(std::string job, wire::Priority priority, double due);
-  // Another shard lacks machines.
+  /// Another shard lacks machines.
   void transfer(scheduler::MachineTransfer transfer);
 
-  // What the cloud is to be asked for. Answers name the scheduler by the token it was opened under:
-  // for another one they come too late.
+  /// What the cloud is to be asked for. Its answers name the scheduler by the token that it was
+  /// opened under: for another scheduler they come too late.
   struct CloudRequests {
     std::uint64_t opened_under = 0;
     std::vector<std::string> machines_to_return;
     std::vector<scheduler::ScaleOutRequest> scale_out;
   };
-  void cloud_requests(bool returns, std::function<void(CloudRequests)> then);
-  void rented(std::uint64_t born, scheduler::ScaleOutRequest w, std::vector<std::string> machines);
-  void rent_refused(std::uint64_t born, scheduler::ScaleOutRequest w, bool no_capacity);
-  void deleted(std::uint64_t born, std::vector<std::string> machines, bool ok);
-  void machine_failed(std::string machine, bool unlisted);  // says the cloud's list
-  void set_machine_address(std::string machine, std::string addr);
+  /// Hands `then` the present requests, each once; those to return machines only if `with_returns`.
+  void cloud_requests(bool with_returns, std::function<void(CloudRequests)> then);
+  /// A scale-out request was granted.
+  void rented(std::uint64_t opened_under, scheduler::ScaleOutRequest request,
+              std::vector<std::string> machines);
+  /// A scale-out request was refused; `no_capacity`: since the cloud has no such machines left.
+  void rent_refused(std::uint64_t opened_under, scheduler::ScaleOutRequest request,
+                    bool no_capacity);
+  /// The cloud answered the deletion of these machines; `is_deleted`: they are gone.
+  void deleted(std::uint64_t opened_under, std::vector<std::string> machines, bool is_deleted);
+  /// The cloud's list says that the machine failed, or (`is_unlisted`) has it no more.
+  void machine_failed(std::string machine, bool is_unlisted);
+  /// The cloud's list says where the machine is reached.
+  void set_machine_address(std::string machine, std::string address);
 
  private:
-  struct HeldResponse {
-    net::ExchangePtr exchange;
-    double until = 0;
-  };
-  bool is_current(std::uint64_t born) const {
-    return scheduler_ && scheduler_->opened_under() == born;
-  }
-  void changed(const std::vector<state::Change>& changes);
-  void decide_leadership();
-  void commit_leadership(wire::Transaction t);
-  void open_scheduler(std::uint64_t token);
-  void close_scheduler();
-  void advance_token();
-  void add_job(const std::string& id, const state::JobEntry& j, int team);
-  void add_machine(const wire::MachineRecord& m);
+  // ShardHost
+  scheduler::ShardScheduler* active_scheduler() override { return scheduler_.get(); }
+  void open_scheduler(std::uint64_t token) override;
+  void close_scheduler() override;
+  void decide_leadership() override { leadership_.decide(); }
+  void schedule_pass() override;
+  void send_pending_work() override;
+  void flush_held_responses() override { heartbeats_.flush_held(); }
+  std::string next_tag() override { return tags_.next(); }
+
+  void on_changes(const std::vector<state::Change>& changes);
+  void on_job_set(const std::string& id);
+  void on_machine_set(const std::string& name);
+  [[nodiscard]] bool owns_team(int team) const;
+  void add_job(const std::string& id, const state::JobEntry& job);
+  void add_machine(const wire::MachineRecord& machine);
   void lose_machine(const std::string& name);
-  void schedule_pass();  // something may have become possible
   void run_scheduling_pass();
-  void commit_next();
-  void send_direct_commands();
-  void send_probes();
-  net::Client& worker(const std::string& machine, const std::string& addr);
-  void transaction_done(std::uint64_t born, state::CommitResult r);
-  void resolve_transaction(std::uint64_t born);
-  void transaction_resolved(bool applied);
-  void retry_later();
-  void handle_heartbeat(const net::ExchangePtr& ex, const wire::Heartbeat& r);
-  void respond(const std::string& machine, const net::ExchangePtr& ex);
-  void flush_held_responses();
-  std::string next_tag();
 
   ControllerComponents& components_;
-  const int shard_;
+  TagSequence tags_;
   std::unique_ptr<scheduler::ShardScheduler> scheduler_;
-  std::uint64_t last_closed_token_ = 0;  // the latest token whose scheduler was closed here
-  bool leadership_in_flight_ = false;    // an ownership commit is out
-  bool transaction_unresolved_ = false;  // the transaction's fate is not known yet
-  wire::Transaction transaction_;        // kept for that
-  std::string transaction_tag_;
-  double next_commit_at_ = 0;
-  std::string token_commit_tag_;  // of the commit that raises the scheduler's own token
-  std::map<std::string, HeldResponse>
-      held_responses_;  // by machine: answers that wait for a commit
-  // By machine: until when it counts as cut off from this node. No direct order is sent there,
-  // which would hold up the start that its report's answer can bring.
-  std::unordered_map<std::string, double> unreachable_until_;
-  net::Pool workers_;  // by machine
-  std::uint64_t tags_ = 0, malformed_ = 0;
-  bool pass_armed_ = false;
+  LeadershipMover leadership_;
+  TransactionPipeline transactions_;
+  HeartbeatResponder heartbeats_;
+  DirectCommandSender direct_commands_;
+  bool is_pass_armed_ = false;
   actor::Timer pass_timer_;
 };
 
--- a/src/controller/worker_api.cpp
+++ b/src/controller/worker_api.cpp
@@ -11,8 +11,8 @@
 
 namespace shunttrail::controller {
 
-void WorkerApi::handle_heartbeat(net::ExchangePtr ex, bool passed_on) {
-  post([this, ex, passed_on] { route_heartbeat(ex, passed_on); });
+void WorkerApi::handle_heartbeat(net::ExchangePtr ex, HeartbeatPath path) {
+  post([this, ex, path] { route_heartbeat(ex, path); });
 }
 
 int WorkerApi::shard_of(const std::string& machine) const {
@@ -41,7 +41,7 @@
   return {};
 }
 
-void WorkerApi::route_heartbeat(const net::ExchangePtr& ex, bool passed_on) {
+void WorkerApi::route_heartbeat(const net::ExchangePtr& ex, HeartbeatPath path) {
   wire::Heartbeat r;
   try {
     r = wire::decode_heartbeat(ex->body);
@@ -65,11 +65,11 @@
     return ex->send({503, "{}", 0});
   }
   if (shard >= components_.settings.shards()) return ex->send({503, "{}", 0});
-  if (!passed_on && !components_.shard_controller(shard).scheduler())
+  if (path == HeartbeatPath::direct && !components_.shard_controller(shard).scheduler())
     return components_.heartbeat_relay->route_heartbeat(
         ex, r.machine, {r.incarnation, r.sequence}, components_.settings.zone_index(r.zone),
         components_.state_store->cache().leader(shard).node);
-  components_.shard_controller(shard).take_heartbeat(ex, std::move(r), passed_on);
+  components_.shard_controller(shard).take_heartbeat(ex, std::move(r), path);
 }
 
 }  // namespace shunttrail::controller
--- a/src/controller/worker_api.h
+++ b/src/controller/worker_api.h
@@ -1,6 +1,7 @@
 // What workers report: each report goes to the shard controller of its machine's shard.
 #pragma once
 #include "controller/components.h"
+#include "controller/shard_controller.h"
 #include "controller/state_store.h"
 #include "net/http.h"
 #include "wire/types.h"
@@ -10,12 +11,11 @@
 class WorkerApi : public actor::Actor {
  public:
   WorkerApi(actor::Loop& loop, ControllerComponents& parts) : Actor(loop), components_(parts) {}
-  // `passed_on`: by a sibling that the worker reaches instead of this node.
-  void handle_heartbeat(net::ExchangePtr ex, bool passed_on = false);
+  void handle_heartbeat(net::ExchangePtr ex, HeartbeatPath path = HeartbeatPath::direct);
   std::uint64_t malformed() const { return malformed_; }
 
  private:
-  void route_heartbeat(const net::ExchangePtr& ex, bool passed_on);
+  void route_heartbeat(const net::ExchangePtr& ex, HeartbeatPath path);
   int shard_of(const std::string& machine) const;  // -1: nobody's
   std::string can_lead(int shard) const;
 
