--- /dev/null
+++ b/src/controller/job_cancellation.cpp
@@ -0,0 +1,86 @@
+#include "controller/job_cancellation.h"
+
+#include <optional>
+#include <utility>
+
+#include "controller/job_results.h"
+#include "controller/state_store.h"
+#include "controller/user_responses.h"
+
+namespace shunttrail::controller {
+namespace {
+/// How often other commits on the job's keys may come first.
+constexpr int kAttempts = 4;
+/// A cancellation that could not be sent by then is given up.
+constexpr double kCommitTimeoutS = 1;
+}  // namespace
+
+void JobCancellation::handle(const net::ExchangePtr& exchange, const std::string& id) {
+  run(exchange, id, kAttempts);
+}
+
+void JobCancellation::run(const net::ExchangePtr& exchange, const std::string& id,
+                          int attempts_left) {
+  if (attempts_left == 0) return exchange->send(unavailable_response());
+  if (const auto* result = components_.job_results->final(id))
+    return exchange->send(job_result_response(id, *result, JobStateDetail::state));
+  components_.state_store->linearizable_read(
+      actor_.reply<bool>([this, exchange, id, attempts_left](bool is_read) {
+        if (!is_read) return exchange->send(unavailable_response());
+        cancel_live(exchange, id, attempts_left);
+      }));
+}
+
+void JobCancellation::cancel_live(const net::ExchangePtr& exchange, const std::string& id,
+                                  int attempts_left) {
+  const state::StateCache& cache = components_.state_store->cache();
+  if (cache.job(id)) return commit(exchange, id, attempts_left);
+  if (cache.waiting(id)) return cancel_waiting(exchange, id, attempts_left);
+  // Not live at the linearizable read: it has ended, or nobody knows it. One that is accepted just
+  // now is called unknown, and not queued: that is no response to a cancellation.
+  queries_.respond_with_result(exchange, id, JobStateDetail::state,
+                               [exchange] { exchange->send(no_such_job_response()); });
+}
+
+void JobCancellation::cancel_waiting(const net::ExchangePtr& exchange, const std::string& id,
+                                     int attempts_left) {
+  using DependencyStates = JobResults::DependencyStates;
+  components_.job_results->dependency_states(
+      {id}, actor_.reply<DependencyStates>(
+                [this, exchange, id, attempts_left](const DependencyStates& states) {
+                  // Cancelled already, with a job that it depends on.
+                  if (states.of[0] == jobs::DependencyGraph::DependencyState::cancelled)
+                    return exchange->send(cancelled_response(id));
+                  commit(exchange, id, attempts_left);
+                }));
+}
+
+// Done and cancelled race for the same keys: whichever commit comes first is how the job ended.
+void JobCancellation::commit(const net::ExchangePtr& exchange, const std::string& id,
+                             int attempts_left) {
+  const state::StateCache& cache = components_.state_store->cache();
+  const state::JobEntry* waiting_job = cache.waiting(id);
+  const state::JobEntry* job = waiting_job ? waiting_job : cache.job(id);
+  if (!job) return run(exchange, id, attempts_left - 1);
+  const std::string key = waiting_job ? state::waiting_key(id) : state::job_key(id);
+  wire::JobResultRecord result = wire::cancelled_record(job->record.spec, tags_.next());
+  wire::Transaction transaction;
+  transaction.preconditions = {{key, job->mod_revision}, {state::job_result_key(id), 0}};
+  transaction.ops.push_back({key, std::nullopt, 0});
+  transaction.ops.push_back({state::job_result_key(id), wire::encode_record(result), 0});
+  components_.state_store->commit(
+      std::move(transaction), state::RequestPriority::user, kCommitTimeoutS,
+      actor_.reply<state::CommitResult>([this, exchange, id, result = std::move(result),
+                                         attempts_left](const state::CommitResult& committed) {
+        if (committed.kind == state::CommitResult::applied) {
+          components_.job_results->result_written(id, result);
+          exchange->send(cancelled_response(id));
+        } else if (committed.kind == state::CommitResult::precondition_failed) {
+          run(exchange, id, attempts_left - 1);
+        } else {
+          exchange->send(unavailable_response());
+        }
+      }));
+}
+
+}  // namespace shunttrail::controller
--- /dev/null
+++ b/src/controller/job_queries.cpp
@@ -0,0 +1,87 @@
+#include "controller/job_queries.h"
+
+#include <utility>
+
+#include "controller/state_store.h"
+#include "jobs/job.h"
+
+namespace shunttrail::controller {
+namespace {
+/// How often final records may turn out to be missing before the query is given up.
+constexpr int kQueryAttempts = 3;
+}  // namespace
+
+void JobQueries::poll(const net::ExchangePtr& exchange, const std::string& id) {
+  respond_with_state(exchange, id, JobStateDetail::state_with_counts,
+                     [exchange] { exchange->send(no_such_job_response()); });
+}
+
+void JobQueries::respond_with_state(const net::ExchangePtr& exchange, const std::string& id,
+                                    JobStateDetail detail, std::function<void()> on_unknown) {
+  run({exchange, id, detail, std::move(on_unknown), kQueryAttempts});
+}
+
+void JobQueries::run(const Query& query) {
+  // A final record stays as it is, and needs no fresh read.
+  if (const auto* result = components_.job_results->final(query.id))
+    return query.exchange->send(job_result_response(query.id, *result, query.detail));
+  if (query.attempts_left == 0) return query.exchange->send(unavailable_response());
+  components_.state_store->linearizable_read(actor_.reply<bool>([this, query](bool is_read) {
+    if (!is_read) return query.exchange->send(unavailable_response());
+    respond_from_cache(query);
+  }));
+}
+
+// The cache holds at least what was committed before the query began.
+void JobQueries::respond_from_cache(const Query& query) {
+  const state::StateCache& cache = components_.state_store->cache();
+  if (const state::JobEntry* job = cache.job(query.id)) {
+    const auto [done, running] = cache.progress(*job, jobs::kTasksPerChunk);
+    const auto state = running ? wire::JobState::running : wire::JobState::queued;
+    return query.exchange->send(job_state_response(query.id, state, done, running, query.detail));
+  }
+  if (cache.waiting(query.id)) return respond_waiting(query);
+  respond_with_result(query.exchange, query.id, query.detail, query.on_unknown);
+}
+
+void JobQueries::respond_with_result(const net::ExchangePtr& exchange, const std::string& id,
+                                     JobStateDetail detail, std::function<void()> on_unknown) {
+  using LookupResult = JobResults::LookupResult;
+  components_.job_results->lookup(
+      id, actor_.reply<LookupResult>(
+              [this, exchange, id, detail, on_unknown = std::move(on_unknown)](LookupResult found) {
+                if (found == LookupResult::no) return on_unknown();
+                const auto* result = components_.job_results->final(id);
+                if (found == LookupResult::unread || !result)
+                  return exchange->send(unavailable_response());
+                exchange->send(job_result_response(id, *result, detail));
+              }));
+}
+
+// A waiting job's state follows from the jobs that it depends on, whoever leads its shard and
+// however far its own record is behind: a job below a cancelled one has never started.
+void JobQueries::respond_waiting(const Query& query) {
+  using DependencyStates = JobResults::DependencyStates;
+  components_.job_results->dependency_states(
+      {query.id}, actor_.reply<DependencyStates>([this, query](DependencyStates states) {
+        on_waiting_state(query, std::move(states));
+      }));
+}
+
+void JobQueries::on_waiting_state(const Query& query, JobResults::DependencyStates states) {
+  using DependencyState = jobs::DependencyGraph::DependencyState;
+  const DependencyState state = states.of[0];
+  if (state == DependencyState::unread)
+    return components_.job_results->lookup_all(
+        std::move(states.missing), actor_.reply<bool>([this, query](bool is_read) {
+          if (!is_read) return query.exchange->send(unavailable_response());
+          Query next = query;
+          --next.attempts_left;
+          run(next);
+        }));
+  const auto shown =
+      state == DependencyState::queued ? wire::JobState::queued : wire::JobState::cancelled;
+  query.exchange->send(job_state_response(query.id, shown, 0, 0, query.detail));
+}
+
+}  // namespace shunttrail::controller
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -1,57 +1,42 @@
-// What users ask: submissions, polls, withdrawals, a team's view, and the load balancer's probe.
+/// The users' HTTP interface: job submissions, queries and cancellations, a team's view, and the
+/// load balancer's health check.
 #pragma once
-#include <functional>
+#include <cstdint>
 #include <string>
-#include <vector>
 
 #include "controller/components.h"
-#include "controller/job_results.h"
-#include "controller/state_store.h"
+#include "controller/job_cancellation.h"
+#include "controller/job_queries.h"
+#include "controller/job_submission.h"
+#include "controller/tag_sequence.h"
+#include "controller/team_query.h"
 #include "net/http.h"
-#include "wire/types.h"
 
 namespace shunttrail::controller {
 
+/// Routes each user request to its handler. All handlers run in this actor's mailbox.
 class UserApi : public actor::Actor {
  public:
-  UserApi(actor::Loop& loop, ControllerComponents& parts) : Actor(loop), components_(parts) {}
-  void handle_request(net::ExchangePtr ex);
-  std::uint64_t submissions() const { return submissions_; }
-  std::uint64_t refused() const { return refused_; }
+  UserApi(actor::Loop& loop, ControllerComponents& components);
+
+  /// Responds to any request of a user; 404 if no handler has its path.
+  void handle_request(net::ExchangePtr exchange);
+
+  /// Well-formed submissions so far, and how many of them were refused as not possible now.
+  [[nodiscard]] std::uint64_t submissions() const { return submission_.submissions(); }
+  [[nodiscard]] std::uint64_t refused() const { return submission_.refused(); }
 
  private:
-  using ExchangePtr = net::ExchangePtr;
-  void route(const ExchangePtr& ex);
-  void submit(const ExchangePtr& ex);
-  void poll(const ExchangePtr& ex, const std::string& id);
-  void cancel_request(const ExchangePtr& ex, const std::string& id, int tries);
-  void cancel_completed(const ExchangePtr& ex, const std::string& id);
-  static void cancelled(const ExchangePtr& ex, const std::string& id);
-  void cancel(const ExchangePtr& ex, const std::string& id, int tries);
-  void team(const ExchangePtr& ex, const std::string& name);
-  void answer_state(const ExchangePtr& ex, const std::string& id, bool counts,
-                    const std::function<void()>& unknown, int tries = 3);
-  void answer_waiting(const ExchangePtr& ex, const std::string& id, bool counts,
-                      const std::function<void()>& unknown, int tries);
-  static void answer_result(const ExchangePtr& ex, const std::string& id,
-                            const wire::JobResultRecord& f, bool counts);
-  // A job of a team's view.
-  struct TeamJob {
-    wire::JobSpec spec;
-    bool waits = false;
-    state::StateCache::Progress progress;
-  };
-  static void answer_team(const ExchangePtr& ex, const std::string& name,
-                          const std::vector<TeamJob>& list, const JobResults::DependencyStates& s,
-                          bool more);
-  void check_dependencies(const ExchangePtr& ex, wire::JobRecord r, int look);
-  void accept(const ExchangePtr& ex, const wire::JobRecord& r, bool cancelled);
-  void answer_health(const ExchangePtr& ex);
-  int never_runs(const wire::JobSpec& s) const;  // 0: can run; else the status
-  std::string next_tag();
+  void route(const net::ExchangePtr& exchange);
+  void route_job(const net::ExchangePtr& exchange, std::string job_path);
+  void respond_health(const net::ExchangePtr& exchange) const;
 
   ControllerComponents& components_;
-  std::uint64_t submissions_ = 0, refused_ = 0, tags_ = 0;
+  TagSequence tags_;
+  JobQueries queries_;
+  TeamQuery team_query_;
+  JobSubmission submission_;
+  JobCancellation cancellation_;
 };
 
 }  // namespace shunttrail::controller
