--- a/src/scheduler/admission.cpp
+++ b/src/scheduler/admission.cpp
@@ -132,7 +132,7 @@
   const std::uint32_t index = task.task;
   if (!enter_chain(std::move(task), ChainWalk::Room::unknown, now).entered)
     context_.requeue(job, index);
-  machines_.note_idle(from, now);
+  from.note_idle(now);
 }
 
 // ---- tasks that would wait too long
@@ -190,7 +190,7 @@
   Machine& to =
       task.rented ? rentals_.order(tier->id, zone, now) : *machines_.at(tier->end.machine);
   queues_.enqueue(to, std::move(task));
-  machines_.note_idle(from, now);
+  from.note_idle(now);
 }
 
 }  // namespace shunttrail::scheduler
--- a/src/scheduler/backfill.cpp
+++ b/src/scheduler/backfill.cpp
@@ -80,7 +80,7 @@
     const auto position = TaskQueues::find(from, order);
     if (!takes(machine, *position->job, position->task, order.first, now)) continue;
     place(machine, queues_.dequeue(from, position), now);
-    machines_.note_idle(from, now);
+    from.note_idle(now);
   }
 }
 
--- a/src/scheduler/chain_walk.cpp
+++ b/src/scheduler/chain_walk.cpp
@@ -69,8 +69,7 @@
   for (const auto& [number, machine] : machines_.all()) {
     if (machine->tier() != id) continue;
     if (machine->state == Machine::up) {
-      if (auto found = candidate(*machine, scan, &seen))
-        tier.candidates.push_back(std::move(*found));
+      if (auto found = candidate(*machine, scan, &seen)) tier.candidates.push_back(*found);
     } else if (may_wait && tier.end.kind == chain::TierEnd::none && can_join_rent(*machine, scan)) {
       tier.end = {chain::TierEnd::join, number};
     }
@@ -141,7 +140,7 @@
         tier.candidates.begin(), tier.candidates.end(), found->machine,
         [](const chain::Candidate& other, int number) { return other.machine < number; });
     if (position == tier.candidates.end() || position->machine != found->machine)
-      tier.candidates.insert(position, std::move(*found));
+      tier.candidates.insert(position, *found);
   }
 }
 
--- a/src/scheduler/chain_walk.h
+++ b/src/scheduler/chain_walk.h
@@ -60,7 +60,7 @@
   };
 
   TierScan make_scan(const QueuedTask& task, int tier, Scope scope, double now);
-  chain::Tier scan_tier(int tier, const TierScan& scan) const;
+  chain::Tier scan_tier(int id, const TierScan& scan) const;
   bool can_join_rent(const Machine& machine, const TierScan& scan) const;
   std::optional<chain::Candidate> candidate(const Machine& machine, const TierScan& scan,
                                             chain::Kinds* seen) const;
--- a/src/scheduler/failure_detector.cpp
+++ b/src/scheduler/failure_detector.cpp
@@ -58,7 +58,7 @@
   int& lost = machine.losing_responses;
   lost = response_lost ? lost + 1 : std::max(0, lost - 1);
   if (loses_responses(machine))
-    Machines::avoid(machine, now + kAvoidHeartbeats * context_.settings.heartbeat_s);
+    machine.avoid(now + kAvoidHeartbeats * context_.settings.heartbeat_s);
 }
 
 // Batch tasks lose little by waiting for the proof by silence, and a machine that hangs may go on:
--- a/src/scheduler/heartbeat_processor.cpp
+++ b/src/scheduler/heartbeat_processor.cpp
@@ -104,7 +104,7 @@
       break;
     case ExitReason::no_room:
     case ExitReason::busy:
-      Machines::avoid(machine, now + kFullMachinePauseS);
+      machine.avoid(now + kFullMachinePauseS);
       break;
     default:
       break;
@@ -117,7 +117,7 @@
   if (placement.task < job.spec.tasks) mark_done(placement.job, placement.task, now);
   if (job.over || machine.type < 0) return;
   record_finish_cost(context_, placement, machine, now);
-  machines_.task_done(machine);
+  machine.task_succeeded();
   job.failed_on.clear();
   job.backoff_s = 0;
 }
@@ -127,7 +127,7 @@
   Job& job = *placement.job;
   ++context_.counters.errors;
   if (job.over) return;
-  machines_.task_failed(machine, job.spec.id, now);
+  machine.task_failed(job.spec.id, now);
   job.failed_on.insert(machine.name);
   if (job.failed_on.size() < kFailedMachinesBeforeBackoff) return;
   job.backoff_s = std::clamp(job.backoff_s * 2, kMinBackoffS, kMaxBackoffS);
@@ -153,7 +153,7 @@
     gone[i] = !shown[i] && release_if_absent(machine, placements[i], heartbeat, source, now);
   for (std::size_t i = gone.size(); i-- > 0;)
     if (gone[i]) placements.erase(placements.begin() + static_cast<long>(i));
-  machines_.note_idle(machine, now);
+  machine.note_idle(now);
 }
 
 // True: the placement is proven gone. A start sent in the response to one heartbeat is settled by
--- a/src/scheduler/machine.cpp
+++ b/src/scheduler/machine.cpp
@@ -4,6 +4,13 @@
 
 namespace shunttrail::scheduler {
 
+namespace {
+/// A machine that has failed the tasks of so many jobs is at fault.
+constexpr std::size_t kFailedJobsBeforeFaulty = 2;
+/// Pause, in seconds, before a machine that failed a task gets another.
+constexpr double kFaultPauseS = 5;
+}  // namespace
+
 bool Machine::has_replicas() const {
   return std::any_of(tasks.placements.begin(), tasks.placements.end(),
                      [](const Placement& placement) {
@@ -11,6 +18,33 @@
                      });
 }
 
+void Machine::note_idle(double now) {
+  const bool is_idle = state == up && is_empty();
+  if (is_idle && !was_idle) idle_since = now;
+  was_idle = is_idle;
+}
+
+void Machine::task_failed(const std::string& job, double now) {
+  ++faults;
+  faulty_for.insert(job);
+  avoid_until = now + kFaultPauseS;
+  // It is replaced.
+  if (is_faulty()) leaving = true;
+}
+
+void Machine::task_succeeded() {
+  faults = 0;
+  faulty_for.clear();
+}
+
+bool Machine::is_faulty() const { return faulty_for.size() >= kFailedJobsBeforeFaulty; }
+
+bool Machine::give_up() {
+  if (lost) return false;
+  leaving = lost = true;
+  return true;
+}
+
 double share_of(const jobs::Resources& need, const jobs::Resources& capacity) {
   const auto share = [](std::int64_t part, std::int64_t whole) {
     return static_cast<double>(part) / static_cast<double>(whole);
--- a/src/scheduler/machine.h
+++ b/src/scheduler/machine.h
@@ -1,5 +1,6 @@
 // One machine of a shard, with what may run on it and what waits for it.
 #pragma once
+#include <algorithm>
 #include <cstdint>
 #include <optional>
 #include <set>
@@ -88,6 +89,19 @@
   [[nodiscard]] bool is_empty() const { return tasks.placements.empty() && queue.tasks.empty(); }
   /// A replica of a service may run on it.
   [[nodiscard]] bool has_replicas() const;
+  /// It has failed the tasks of several jobs.
+  [[nodiscard]] bool is_faulty() const;
+
+  /// Notes whether it is idle now. To be called after each change of its placements or queue.
+  void note_idle(double now);
+  /// It has failed a task of the job.
+  void task_failed(const std::string& job, double now);
+  /// A task has succeeded on it.
+  void task_succeeded();
+  /// Nothing is placed here before `until`.
+  void avoid(double until) { avoid_until = std::max(avoid_until, until); }
+  /// It is not coming back. False: that was known.
+  bool give_up();
 };
 
 /// Heartbeats in a row that show lost responses, before the machine is asked whether it hears
--- a/src/scheduler/machine_transfers.cpp
+++ b/src/scheduler/machine_transfers.cpp
@@ -34,7 +34,7 @@
   if (machine.transfer_to < 0 || machine.lost || machine.returning) return;
   if (machine.tasks.placements.empty()) return;
   machine.transfer_to = -1;
-  machine.leaving = Machines::is_faulty(machine);
+  machine.leaving = machine.is_faulty();
   context_.scheduling_due = true;
 }
 
--- a/src/scheduler/machines.cpp
+++ b/src/scheduler/machines.cpp
@@ -10,10 +10,6 @@
 namespace {
 /// Images that a machine's cache keeps where its type does not tell the cache's size.
 constexpr std::size_t kDefaultCachedImages = 8;
-/// A machine that has failed the tasks of so many jobs is at fault.
-constexpr std::size_t kFailedJobsBeforeFaulty = 2;
-/// Pause, in seconds, before a machine that failed a task gets another.
-constexpr double kFaultPauseS = 5;
 }  // namespace
 
 // ---- the table
@@ -146,35 +142,6 @@
   }
 }
 
-void Machines::note_idle(Machine& machine, double now) {
-  const bool is_idle = machine.state == Machine::up && machine.is_empty();
-  if (is_idle && !machine.was_idle) machine.idle_since = now;
-  machine.was_idle = is_idle;
-}
-
-// A machine that fails the tasks of several jobs is at fault and is replaced.
-void Machines::task_failed(Machine& machine, const std::string& job, double now) {
-  ++machine.faults;
-  machine.faulty_for.insert(job);
-  machine.avoid_until = now + kFaultPauseS;
-  if (is_faulty(machine)) machine.leaving = true;
-}
-
-void Machines::task_done(Machine& machine) {
-  machine.faults = 0;
-  machine.faulty_for.clear();
-}
-
-bool Machines::is_faulty(const Machine& machine) {
-  return machine.faulty_for.size() >= kFailedJobsBeforeFaulty;
-}
-
-bool Machines::give_up(Machine& machine) {
-  if (machine.lost) return false;
-  machine.leaving = machine.lost = true;
-  return true;
-}
-
 // ---- the wait before an idle machine is returned
 
 chain::IdleWait& Machines::idle_wait(int tier) {
--- a/src/scheduler/machines.h
+++ b/src/scheduler/machines.h
@@ -1,7 +1,6 @@
 // The machines of a shard: which there are, what they can take, and what their heartbeats and tasks
 // show of the machines themselves. Free of I/O.
 #pragma once
-#include <algorithm>
 #include <cstddef>
 #include <map>
 #include <memory>
@@ -65,20 +64,6 @@
                           double now);
   /// The machine uses the image.
   void note_image(Machine& machine, int image);
-  /// Notes whether the machine is idle now. To be called after each change of its placements or
-  /// queue.
-  void note_idle(Machine& machine, double now);
-  /// The machine has failed a task of the job.
-  void task_failed(Machine& machine, const std::string& job, double now);
-  /// A task has succeeded on the machine.
-  void task_done(Machine& machine);
-  static void avoid(Machine& machine, double until) {
-    machine.avoid_until = std::max(machine.avoid_until, until);
-  }
-  /// The machine is not coming back. False: that was known.
-  bool give_up(Machine& machine);
-  /// The machine has failed the tasks of several jobs.
-  [[nodiscard]] static bool is_faulty(const Machine& machine);
 
   // ---- the wait before an idle machine is returned (DESIGN point 7)
 
--- a/src/scheduler/placement_store.cpp
+++ b/src/scheduler/placement_store.cpp
@@ -115,7 +115,7 @@
 }
 
 // Starts need their job to be there still. False: the transaction has no room for that.
-bool PlacementStore::add_precondition(Draft& draft, const jobs::Job& job) const {
+bool PlacementStore::add_precondition(Draft& draft, const jobs::Job& job) {
   auto& preconditions = draft.transaction.preconditions;
   const std::string key = state::job_key(job.spec.id);
   const bool known = std::any_of(preconditions.begin(), preconditions.end(),
@@ -128,7 +128,7 @@
 }
 
 // As many of the starts, in their order, as the page and the transaction have room for.
-void PlacementStore::add_starts(Draft& draft, PageBuilder& builder, PageWrite& write) const {
+void PlacementStore::add_starts(Draft& draft, PageBuilder& builder, PageWrite& write) {
   std::vector<PersistedPlacement>& starts = draft.starts;
   std::size_t taken = 0;
   for (; taken < starts.size(); ++taken) {
@@ -147,7 +147,7 @@
 }
 
 // As many of the results as the page has room for. True: some are written.
-bool PlacementStore::add_results(Draft& draft, PageBuilder& builder, PageWrite& write) const {
+bool PlacementStore::add_results(Draft& draft, PageBuilder& builder, PageWrite& write) {
   const std::size_t before = draft.results.size();
   std::erase_if(draft.results, [&](const ResultChunk& result) {
     const auto page = result.job->done_page.find(result.chunk);
@@ -226,7 +226,7 @@
 
 // ---- transactions
 
-void PlacementStore::end_job(Draft& draft, const jobs::Job& job) const {
+void PlacementStore::end_job(Draft& draft, const jobs::Job& job) {
   wire::Transaction& transaction = draft.transaction;
   // A job's end leaves an operation to the pages where there is one to leave.
   const std::size_t ops_needed = draft.limits.ops > kJobEndOps ? kJobEndOps + 1 : kJobEndOps;
--- a/src/scheduler/placement_store.h
+++ b/src/scheduler/placement_store.h
@@ -24,7 +24,7 @@
                  const TokenPolicy& token_policy);
 
   /// Takes over a page of the shard as it was found: all its placements may exist.
-  void recover_page(int page, const wire::PlacementPageRecord& record, double now);
+  void recover_page(int number, const wire::PlacementPageRecord& record, double now);
 
   /// The next transaction; none while one is in flight or there is nothing to store.
   [[nodiscard]] std::optional<wire::Transaction> next_transaction(
@@ -70,7 +70,7 @@
   jobs::JobPtr ended_job(const wire::JobPlacements& stored, double now) const;
 
   void add_jobs(Draft& draft, double now) const;
-  void end_job(Draft& draft, const jobs::Job& job) const;
+  static void end_job(Draft& draft, const jobs::Job& job);
   std::vector<PersistedPlacement> planned(const state::StateCache& cache) const;
 
   void prune();
@@ -78,13 +78,13 @@
   void write_pages(Draft& draft);
   bool write_page(std::size_t index, Draft& draft);
   std::uint64_t oldest_attempt(const PlacementPage& page) const;
-  bool add_precondition(Draft& draft, const jobs::Job& job) const;
-  void add_starts(Draft& draft, PageBuilder& builder, PageWrite& write) const;
-  bool add_results(Draft& draft, PageBuilder& builder, PageWrite& write) const;
+  static bool add_precondition(Draft& draft, const jobs::Job& job);
+  static void add_starts(Draft& draft, PageBuilder& builder, PageWrite& write);
+  static bool add_results(Draft& draft, PageBuilder& builder, PageWrite& write);
   static void add_result(const ResultChunk& result, PageBuilder& builder, PageWrite& write);
 
   void starts_committed(PlacementPage& page, const PageWrite& write);
-  void results_committed(PlacementPage& page, const PageWrite& write, double now);
+  static void results_committed(PlacementPage& page, const PageWrite& write, double now);
 
   ShardContext& context_;
   Machines& machines_;
--- a/src/scheduler/placements.cpp
+++ b/src/scheduler/placements.cpp
@@ -57,7 +57,7 @@
     job.round = 0;
     job.in_round.clear();
   }
-  machines_.note_idle(machine, now);
+  machine.note_idle(now);
   context_.scheduling_due = true;
 }
 
--- a/src/scheduler/queue_service.cpp
+++ b/src/scheduler/queue_service.cpp
@@ -41,7 +41,7 @@
     }
     placements_.place(machine, queues_.dequeue(machine, position));
   }
-  machines_.note_idle(machine, now);
+  machine.note_idle(now);
 }
 
 }  // namespace shunttrail::scheduler
--- a/src/scheduler/reservations.cpp
+++ b/src/scheduler/reservations.cpp
@@ -41,6 +41,12 @@
   return std::max(kMinTimeLeftS, estimate_s - (now - placement.started));
 }
 
+bool is_overdue(const Job& job, double now) {
+  if (job.placed || job.done_count() || job.not_before > now) return false;
+  const bool waits = job.queued || !job.pending.empty();
+  return waits && now - job.since > (is_urgent(job) ? kUrgentOverdueAfterS : kOverdueAfterS);
+}
+
 /// Room that becomes free.
 struct Release {
   double in_s = 0;
@@ -57,12 +63,6 @@
   });
 }
 
-bool Reservations::is_overdue(const Job& job, double now) const {
-  if (job.placed || job.done_count() || job.not_before > now) return false;
-  const bool waits = job.queued || !job.pending.empty();
-  return waits && now - job.since > (is_urgent(job) ? kUrgentOverdueAfterS : kOverdueAfterS);
-}
-
 // The longest-waiting first once they have waited for very long, the more urgent before that.
 std::vector<JobPtr> Reservations::overdue_jobs(double now) const {
   std::vector<JobPtr> found;
@@ -132,7 +132,7 @@
   if (queued == tasks.end()) return std::nullopt;
   Machine& from = *machines_.at(queued->second);
   QueuedTask task = queues_.dequeue(from, TaskQueues::find(from, queued->first));
-  machines_.note_idle(from, now);
+  from.note_idle(now);
   return task;
 }
 
--- a/src/scheduler/reservations.h
+++ b/src/scheduler/reservations.h
@@ -41,7 +41,6 @@
 
   Active expire(double now);
   bool is_large(const jobs::Job& job) const;
-  bool is_overdue(const jobs::Job& job, double now) const;
   std::vector<jobs::JobPtr> overdue_jobs(double now) const;
   bool can_be_reserved(const Machine& machine, const jobs::Job& job, double now) const;
   Machine* machine_with_room_soonest(const jobs::Job& job, double now) const;
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -83,7 +83,7 @@
     queues_.drop_job(*machine, job);
     placements_.drop_planned(*machine, job, now);
     placements_.stop_directly(*machine, job);
-    machines_.note_idle(*machine, now);
+    machine->note_idle(now);
   }
   context_.scheduling_due = true;
 }
@@ -158,11 +158,11 @@
 }
 
 void ShardScheduler::give_up_machine(Machine& machine) {
-  if (machines_.give_up(machine)) ++context_.counters.replaced;
+  if (machine.give_up()) ++context_.counters.replaced;
 }
 
-void ShardScheduler::probe_done(const std::string& name, bool answered, double now) {
-  Machine* machine = machines_.find(name);
+void ShardScheduler::probe_done(const std::string& machine_name, bool answered, double now) {
+  Machine* machine = machines_.find(machine_name);
   if (!machine || !failure_detector_.probe_done(*machine, answered, now)) return;
   give_up_machine(*machine);
   queues_.requeue_all(*machine);
@@ -225,27 +225,27 @@
   return HeartbeatResult::fresh;
 }
 
-std::vector<wire::Command> ShardScheduler::commands_for(const std::string& name, bool fresh,
+std::vector<wire::Command> ShardScheduler::commands_for(const std::string& machine_name, bool fresh,
                                                         double now) {
-  Machine* machine = machines_.find(name);
+  Machine* machine = machines_.find(machine_name);
   if (!machine) return {};
   machine->last_answer = now;
   machine->answered_token = token();
   return worker_commands_.commands_for(*machine, fresh, now);
 }
 
-std::vector<wire::Command> ShardScheduler::stop_commands(const std::string& name) const {
-  const Machine* machine = machines_.find(name);
-  return machine ? worker_commands_.stop_commands(*machine) : std::vector<wire::Command>{};
+std::vector<wire::Command> ShardScheduler::stop_commands(const std::string& machine_name) const {
+  const Machine* machine = machines_.find(machine_name);
+  return machine ? WorkerCommands::stop_commands(*machine) : std::vector<wire::Command>{};
 }
 
-bool ShardScheduler::has_unacknowledged_start(const std::string& name) const {
-  const Machine* machine = machines_.find(name);
+bool ShardScheduler::has_unacknowledged_start(const std::string& machine_name) const {
+  const Machine* machine = machines_.find(machine_name);
   return machine && worker_commands_.has_unacknowledged_start(*machine);
 }
 
-bool ShardScheduler::awaits_commit(const std::string& name) {
-  const Machine* machine = machines_.find(name);
+bool ShardScheduler::awaits_commit(const std::string& machine_name) {
+  const Machine* machine = machines_.find(machine_name);
   return machine && WorkerCommands::awaits_commit(*machine);
 }
 
@@ -305,7 +305,7 @@
   }
   check_silence(machine, others_heard, now);
   if (machine.leaving && !machine.queue.tasks.empty()) queues_.requeue_all(machine);
-  machines_.note_idle(machine, now);
+  machine.note_idle(now);
   machines_.return_idle(machine, now);
 }
 
@@ -329,7 +329,7 @@
     queues_.requeue_all(machine);
   } else if (machine.draining && others_heard && silent_s > 2 * settings.heartbeat_s) {
     // It was about to be taken and has gone silent. Deleting it proves its tasks gone.
-    machines_.give_up(machine);
+    machine.give_up();
   }
 }
 
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -104,15 +104,15 @@
   HeartbeatResult take_heartbeat(const wire::Heartbeat& heartbeat, double now,
                                  bool to_direct = false);
   /// WorkerCommands::commands_for
-  [[nodiscard]] std::vector<wire::Command> commands_for(const std::string& machine, bool fresh,
+  [[nodiscard]] std::vector<wire::Command> commands_for(const std::string& machine_name, bool fresh,
                                                         double now);
   /// A response would be worth waiting for a commit.
-  [[nodiscard]] bool awaits_commit(const std::string& machine);
+  [[nodiscard]] bool awaits_commit(const std::string& machine_name);
   /// For a heartbeat that has been overtaken: only what ends unwanted work.
-  [[nodiscard]] std::vector<wire::Command> stop_commands(const std::string& machine) const;
+  [[nodiscard]] std::vector<wire::Command> stop_commands(const std::string& machine_name) const;
   /// No response may renew this machine's lease under the present token
   /// (WorkerCommands::has_unacknowledged_start).
-  [[nodiscard]] bool has_unacknowledged_start(const std::string& machine) const;
+  [[nodiscard]] bool has_unacknowledged_start(const std::string& machine_name) const;
   /// WorkerCommands::direct_commands
   [[nodiscard]] std::vector<DirectCommands> direct_commands(
       bool fresh, const std::function<bool(const std::string&)>& skip, double now) {
@@ -124,7 +124,7 @@
   }
   /// Silent machines to be asked whether they are alive; each is answered by probe_done.
   [[nodiscard]] std::vector<Probe> probes(double now) { return failure_detector_.probes(now); }
-  void probe_done(const std::string& machine, bool answered, double now);
+  void probe_done(const std::string& machine_name, bool answered, double now);
 
   // ---- group commit
 
--- a/src/scheduler/task_queues.cpp
+++ b/src/scheduler/task_queues.cpp
@@ -88,7 +88,7 @@
   std::vector<QueuedTask>& tasks = machine.queue.tasks;
   tasks.insert(std::upper_bound(tasks.begin(), tasks.end(), task, QueuedTask::before),
                std::move(task));
-  machines_.note_idle(machine, 0);
+  machine.note_idle(0);
 }
 
 QueuedTask TaskQueues::dequeue(Machine& machine, Position position) {
--- a/src/scheduler/worker_commands.cpp
+++ b/src/scheduler/worker_commands.cpp
@@ -37,7 +37,7 @@
 
 // ---- heartbeats' responses
 
-std::vector<Command> WorkerCommands::stop_commands(const Machine& machine) const {
+std::vector<Command> WorkerCommands::stop_commands(const Machine& machine) {
   std::vector<Command> out;
   for (const Placement& placement : machine.tasks.placements)
     if (must_end(placement)) out.push_back(command(Command::Op::stop, placement));
@@ -69,7 +69,7 @@
 }
 
 // A result is kept by the worker until it is persisted; what failed or was stopped is not kept.
-bool WorkerCommands::is_result_kept(const Placement& placement) const {
+bool WorkerCommands::is_result_kept(const Placement& placement) {
   return placement.exit_reason == ExitReason::done && !placement.job->over &&
          !placement.job->persisted(placement.task);
 }
@@ -139,7 +139,7 @@
     return placement.released && !placement.seen && !placement.sent && !placement.recovered &&
            !placement.unacknowledged_token;
   });
-  machines_.note_idle(machine, now);
+  machine.note_idle(now);
 }
 
 // Unknown tasks are stopped. Their results are acknowledged once they are persisted.
--- a/src/scheduler/worker_commands.h
+++ b/src/scheduler/worker_commands.h
@@ -37,7 +37,7 @@
   /// started.
   [[nodiscard]] std::vector<wire::Command> commands_for(Machine& machine, bool fresh, double now);
   /// For a heartbeat that has been overtaken: only what ends unwanted work.
-  [[nodiscard]] std::vector<wire::Command> stop_commands(const Machine& machine) const;
+  [[nodiscard]] static std::vector<wire::Command> stop_commands(const Machine& machine);
   /// A response would be worth waiting for a commit.
   [[nodiscard]] static bool awaits_commit(const Machine& machine);
   /// A direct start of a cancelled job may still be carried out under the token that a response
@@ -65,12 +65,12 @@
                    Response& response);
   void add_start(Machine& machine, Placement& placement, bool fresh, double now,
                  Response& response);
-  bool is_result_kept(const Placement& placement) const;
+  static bool is_result_kept(const Placement& placement);
   bool must_save_now(const Machine& machine, const Placement& placement) const;
-  void drop_unsent(Machine& machine, double now);
+  static void drop_unsent(Machine& machine, double now);
   void add_unknown_tasks(const Machine& machine, std::vector<wire::Command>& commands) const;
 
-  DirectCommands resync_request(Machine& machine, double now);
+  static DirectCommands resync_request(Machine& machine, double now);
   void add_direct_command(Machine& machine, Placement& placement, bool silent,
                           std::vector<wire::Command>& commands);
   void note_sent(const Machine& machine, Placement& placement);
