--- a/src/artifacts/archive.cpp
+++ b/src/artifacts/archive.cpp
@@ -14,7 +14,9 @@
 namespace fs = std::filesystem;
 namespace {
 
-constexpr std::size_t kStep = 256 * 1024;  // bytes a step
+constexpr std::size_t kStepBytes = 256 * 1024;
+constexpr std::size_t kReadBlockBytes = 64 * 1024;
+constexpr int kPermissionBits = 0777;
 
 struct WriteFree {
   void operator()(archive* a) const { archive_write_free(a); }
@@ -25,147 +27,188 @@
 struct EntryFree {
   void operator()(archive_entry* e) const { archive_entry_free(e); }
 };
+using EntryPtr = std::unique_ptr<archive_entry, EntryFree>;
 
 // The name below the directory, or BadArchive.
-fs::path inside(const char* name) {
-  fs::path p = name ? fs::path(name) : fs::path();
-  if (p.empty() || p.is_absolute()) throw BadArchive("entry " + p.string() + ": bad name");
-  for (const auto& part : p)
-    if (part == "..") throw BadArchive("entry " + p.string() + ": leaves the directory");
-  return p;
+fs::path checked_name(const char* name) {
+  const fs::path path = name ? fs::path(name) : fs::path();
+  if (path.empty() || path.is_absolute()) throw BadArchive("entry " + path.string() + ": bad name");
+  for (const auto& part : path)
+    if (part == "..") throw BadArchive("entry " + path.string() + ": leaves the directory");
+  return path;
+}
+
+// What is packed, in order of name. A link could point anywhere when it is read again; what it
+// leads to is not the task's own.
+std::vector<fs::path> files_and_directories(const fs::path& dir) {
+  std::vector<fs::path> paths;
+  for (const auto& entry : fs::recursive_directory_iterator(dir)) {
+    if (entry.is_symlink() || !(entry.is_regular_file() || entry.is_directory())) continue;
+    paths.push_back(entry.path());
+  }
+  std::sort(paths.begin(), paths.end());
+  return paths;
 }
 
 }  // namespace
 
 struct Packer::State {
   fs::path dir, tar;
-  std::unique_ptr<archive, WriteFree> out;
-  std::vector<fs::path> todo;
-  std::size_t next = 0;
-  std::ifstream file;
-  std::uint64_t left = 0;
-};
+  std::unique_ptr<archive, WriteFree> output;
+  std::vector<fs::path> paths;
+  std::size_t next = 0;               // of `paths`
+  std::ifstream file;                 // the one that is being written
+  std::uint64_t unwritten_bytes = 0;  // of it
 
-Packer::Packer(fs::path dir, const fs::path& tar) : s_(std::make_unique<State>()) {
-  s_->dir = std::move(dir);
-  s_->tar = tar;
-  for (const auto& e : fs::recursive_directory_iterator(s_->dir)) {
-    // A link could point anywhere when it is read again; what it leads to is not the task's own.
-    if (e.is_symlink() || !(e.is_regular_file() || e.is_directory())) continue;
-    s_->todo.push_back(e.path());
+  [[noreturn]] void fail() const {
+    throw BadArchive(tar.string() + ": " + archive_error_string(output.get()));
   }
-  std::sort(s_->todo.begin(), s_->todo.end());
-  s_->out.reset(archive_write_new());
-  archive_write_set_format_pax_restricted(s_->out.get());
-  if (archive_write_open_filename(s_->out.get(), tar.c_str()) != ARCHIVE_OK)
-    throw BadArchive(tar.string() + ": " + archive_error_string(s_->out.get()));
+  void write_content();
+  void write_header();
+};
+
+Packer::Packer(fs::path dir, const fs::path& tar) : state_(std::make_unique<State>()) {
+  state_->dir = std::move(dir);
+  state_->tar = tar;
+  state_->paths = files_and_directories(state_->dir);
+  state_->output.reset(archive_write_new());
+  archive_write_set_format_pax_restricted(state_->output.get());
+  if (archive_write_open_filename(state_->output.get(), tar.c_str()) != ARCHIVE_OK) state_->fail();
 }
+
 Packer::~Packer() = default;
 
 bool Packer::step() {
-  State& s = *s_;
-  if (s.left > 0) {
-    std::string buffer(std::min<std::uint64_t>(kStep, s.left), '\0');
-    if (!s.file.read(buffer.data(), static_cast<std::streamsize>(buffer.size())))
-      throw BadArchive(s.todo[s.next].string() + ": changed while it was read");
-    if (archive_write_data(s.out.get(), buffer.data(), buffer.size()) !=
-        static_cast<la_ssize_t>(buffer.size()))
-      throw BadArchive(s.tar.string() + ": " + archive_error_string(s.out.get()));
-    s.left -= buffer.size();
-    if (s.left == 0) ++s.next;
+  if (state_->unwritten_bytes > 0) {
+    state_->write_content();
     return false;
   }
-  if (s.next == s.todo.size()) {
-    if (archive_write_close(s.out.get()) != ARCHIVE_OK)
-      throw BadArchive(s.tar.string() + ": " + archive_error_string(s.out.get()));
-    return true;
+  if (state_->next < state_->paths.size()) {
+    state_->write_header();
+    return false;
   }
-  const fs::path& p = s.todo[s.next];
-  struct stat st;
-  if (::lstat(p.c_str(), &st) != 0) throw BadArchive(p.string() + ": is gone");
-  std::unique_ptr<archive_entry, EntryFree> e(archive_entry_new());
-  archive_entry_set_pathname(e.get(), fs::relative(p, s.dir).c_str());
-  bool dir = S_ISDIR(st.st_mode);
-  archive_entry_set_filetype(e.get(), dir ? AE_IFDIR : AE_IFREG);
-  archive_entry_set_perm(e.get(), st.st_mode & 0777);
-  archive_entry_set_size(e.get(), dir ? 0 : st.st_size);
-  if (archive_write_header(s.out.get(), e.get()) != ARCHIVE_OK)
-    throw BadArchive(s.tar.string() + ": " + archive_error_string(s.out.get()));
-  if (!dir && st.st_size > 0) {
-    s.file = std::ifstream(p, std::ios::binary);
-    s.left = static_cast<std::uint64_t>(st.st_size);
-  } else {
-    ++s.next;
+  if (archive_write_close(state_->output.get()) != ARCHIVE_OK) state_->fail();
+  return true;
+}
+
+void Packer::State::write_content() {
+  std::string buffer(std::min<std::uint64_t>(kStepBytes, unwritten_bytes), '\0');
+  if (!file.read(buffer.data(), static_cast<std::streamsize>(buffer.size())))
+    throw BadArchive(paths[next].string() + ": changed while it was read");
+  const la_ssize_t written = archive_write_data(output.get(), buffer.data(), buffer.size());
+  if (written != static_cast<la_ssize_t>(buffer.size())) fail();
+  unwritten_bytes -= buffer.size();
+  if (unwritten_bytes == 0) ++next;
+}
+
+void Packer::State::write_header() {
+  const fs::path& path = paths[next];
+  struct stat status;
+  if (::lstat(path.c_str(), &status) != 0) throw BadArchive(path.string() + ": is gone");
+  const bool is_directory = S_ISDIR(status.st_mode);
+  const EntryPtr entry(archive_entry_new());
+  archive_entry_set_pathname(entry.get(), fs::relative(path, dir).c_str());
+  archive_entry_set_filetype(entry.get(), is_directory ? AE_IFDIR : AE_IFREG);
+  archive_entry_set_perm(entry.get(), status.st_mode & kPermissionBits);
+  archive_entry_set_size(entry.get(), is_directory ? 0 : status.st_size);
+  if (archive_write_header(output.get(), entry.get()) != ARCHIVE_OK) fail();
+  if (is_directory || status.st_size == 0) {
+    ++next;
+    return;
   }
-  return false;
+  file = std::ifstream(path, std::ios::binary);
+  unwritten_bytes = static_cast<std::uint64_t>(status.st_size);
 }
 
 struct Unpacker::State {
   fs::path dir;
-  std::uint64_t most = 0;
-  std::unique_ptr<archive, ReadFree> in;
-  std::ofstream file;
+  std::uint64_t bytes_left = 0;  // that may still be unpacked
+  std::unique_ptr<archive, ReadFree> input;
+  std::ofstream file;  // the one that is being read
   bool in_file = false;
+
+  [[nodiscard]] BadArchive damaged(const std::string& what) const {
+    const char* why = archive_error_string(input.get());
+    return BadArchive(what + ": " + (why ? why : "damaged"));
+  }
+  [[nodiscard]] BadArchive cannot_write() const {
+    return BadArchive("cannot write below " + dir.string());
+  }
+  void read_content();
+  void end_file();
+  [[nodiscard]] bool read_header();
+  void begin_file(const fs::path& name, fs::perms permissions);
 };
 
-Unpacker::Unpacker(const fs::path& tar, fs::path dir, std::uint64_t most)
-    : s_(std::make_unique<State>()) {
-  s_->dir = std::move(dir);
-  s_->most = most;
-  fs::create_directories(s_->dir);
-  s_->in.reset(archive_read_new());
-  archive_read_support_format_tar(s_->in.get());
-  archive_read_support_filter_gzip(s_->in.get());
-  archive_read_support_format_empty(s_->in.get());
-  if (archive_read_open_filename(s_->in.get(), tar.c_str(), 64 * 1024) != ARCHIVE_OK)
-    throw BadArchive(std::string("not an archive: ") + archive_error_string(s_->in.get()));
+Unpacker::Unpacker(const fs::path& tar, fs::path dir, std::uint64_t max_bytes)
+    : state_(std::make_unique<State>()) {
+  state_->dir = std::move(dir);
+  state_->bytes_left = max_bytes;
+  fs::create_directories(state_->dir);
+  state_->input.reset(archive_read_new());
+  archive* input = state_->input.get();
+  archive_read_support_format_tar(input);
+  archive_read_support_filter_gzip(input);
+  archive_read_support_format_empty(input);
+  if (archive_read_open_filename(input, tar.c_str(), kReadBlockBytes) != ARCHIVE_OK)
+    throw BadArchive(std::string("not an archive: ") + archive_error_string(input));
 }
+
 Unpacker::~Unpacker() = default;
 
 bool Unpacker::step() {
-  State& s = *s_;
-  auto broken = [&](const std::string& what) {
-    const char* why = archive_error_string(s.in.get());
-    return BadArchive(what + ": " + (why ? why : "damaged"));
-  };
-  if (s.in_file) {
-    std::string buffer(kStep, '\0');
-    la_ssize_t n = archive_read_data(s.in.get(), buffer.data(), buffer.size());
-    if (n < 0) throw broken("an entry's content");
-    if (n == 0) {
-      s.file.close();
-      if (!s.file) throw BadArchive("cannot write below " + s.dir.string());
-      s.in_file = false;
-      return false;
-    }
-    if (static_cast<std::uint64_t>(n) > s.most) throw BadArchive("holds more than is allowed");
-    s.most -= static_cast<std::uint64_t>(n);
-    if (!s.file.write(buffer.data(), n)) throw BadArchive("cannot write below " + s.dir.string());
-    return false;
-  }
-  archive_entry* e = nullptr;
-  int r = archive_read_next_header(s.in.get(), &e);
-  if (r == ARCHIVE_EOF) return true;
-  if (r != ARCHIVE_OK) throw broken("an entry");
-  fs::path name = inside(archive_entry_pathname(e)), to = s.dir / name;
-  auto kind = archive_entry_filetype(e);
-  if (archive_entry_hardlink(e) || kind == AE_IFLNK)
+  if (!state_->in_file) return !state_->read_header();
+  state_->read_content();
+  return false;
+}
+
+void Unpacker::State::read_content() {
+  std::string buffer(kStepBytes, '\0');
+  const la_ssize_t count = archive_read_data(input.get(), buffer.data(), buffer.size());
+  if (count < 0) throw damaged("an entry's content");
+  if (count == 0) return end_file();
+  if (static_cast<std::uint64_t>(count) > bytes_left)
+    throw BadArchive("holds more than is allowed");
+  bytes_left -= static_cast<std::uint64_t>(count);
+  if (!file.write(buffer.data(), count)) throw cannot_write();
+}
+
+void Unpacker::State::end_file() {
+  file.close();
+  if (!file) throw cannot_write();
+  in_file = false;
+}
+
+// False: there is no further entry.
+bool Unpacker::State::read_header() {
+  archive_entry* entry = nullptr;
+  const int result = archive_read_next_header(input.get(), &entry);
+  if (result == ARCHIVE_EOF) return false;
+  if (result != ARCHIVE_OK) throw damaged("an entry");
+  const fs::path name = checked_name(archive_entry_pathname(entry));
+  const auto type = archive_entry_filetype(entry);
+  const auto permissions = static_cast<fs::perms>(archive_entry_perm(entry) & kPermissionBits);
+  if (archive_entry_hardlink(entry) || type == AE_IFLNK)
     throw BadArchive("entry " + name.string() + ": is a link");
-  auto mode = static_cast<fs::perms>(archive_entry_perm(e) & 0777);
-  if (kind == AE_IFDIR) {
-    fs::create_directories(to);
-    fs::permissions(to, mode | fs::perms::owner_all);
-  } else if (kind == AE_IFREG) {
-    fs::create_directories(to.parent_path());
-    if (fs::exists(fs::symlink_status(to))) throw BadArchive("entry " + name.string() + ": twice");
-    s.file = std::ofstream(to, std::ios::binary);
-    if (!s.file) throw BadArchive("cannot write " + to.string());
-    fs::permissions(to, mode | fs::perms::owner_read | fs::perms::owner_write);
-    s.in_file = true;
+  if (type == AE_IFREG) {
+    begin_file(name, permissions);
+  } else if (type == AE_IFDIR) {
+    fs::create_directories(dir / name);
+    fs::permissions(dir / name, permissions | fs::perms::owner_all);
   } else {
     throw BadArchive("entry " + name.string() + ": is neither a file nor a directory");
   }
-  return false;
+  return true;
+}
+
+void Unpacker::State::begin_file(const fs::path& name, fs::perms permissions) {
+  const fs::path path = dir / name;
+  fs::create_directories(path.parent_path());
+  if (fs::exists(fs::symlink_status(path))) throw BadArchive("entry " + name.string() + ": twice");
+  file = std::ofstream(path, std::ios::binary);
+  if (!file) throw BadArchive("cannot write " + path.string());
+  fs::permissions(path, permissions | fs::perms::owner_read | fs::perms::owner_write);
+  in_file = true;
 }
 
 }  // namespace shunttrail::artifacts
--- a/src/artifacts/client.cpp
+++ b/src/artifacts/client.cpp
@@ -10,137 +10,161 @@
 namespace shunttrail::artifacts {
 namespace fs = std::filesystem;
 namespace {
-constexpr double kTimeout = 10;
 
-std::string fresh_upload() {
+constexpr double kTimeoutS = 10;
+constexpr std::size_t kMaxConnections = 4, kMaxQueue = 4096;
+constexpr std::size_t kUploadNameBytes = 16;
+
+std::string random_upload_name() {
   if (sodium_init() < 0) throw std::runtime_error("libsodium cannot be used");
-  unsigned char b[16];
-  randombytes_buf(b, sizeof b);
-  char out[33];
-  sodium_bin2hex(out, sizeof out, b, sizeof b);
-  return out;
+  unsigned char bytes[kUploadNameBytes];
+  randombytes_buf(bytes, sizeof bytes);
+  char digits[2 * kUploadNameBytes + 1];
+  sodium_bin2hex(digits, sizeof digits, bytes, sizeof bytes);
+  return digits;
 }
 
-Store::Named named_of(const std::string& body) {
+Store::Named parse_named(const std::string& body) {
   return decode_named(body).value_or(Store::Named{});
 }
+
+Outcome outcome_of_upload(int status) {
+  if (status == 200) return Outcome::ok;
+  return status == 422 ? Outcome::refused : Outcome::later;
+}
+
+Outcome outcome_of_put(int status) {
+  if (status == 200 || status == 201) return Outcome::ok;
+  const bool is_refused = status == 409 || status == 400 || status == 413;
+  return is_refused ? Outcome::refused : Outcome::later;
+}
+
+Outcome outcome_of_get(int status) {
+  if (status == 200) return Outcome::ok;
+  if (status == 404) return Outcome::absent;
+  return status == 400 ? Outcome::refused : Outcome::later;
+}
+
 }  // namespace
 
 struct Client::Upload {
-  std::ifstream in;
-  fs::path file;
-  std::string name = fresh_upload();
-  std::uint64_t at = 0;
+  std::ifstream input;
+  std::string name = random_upload_name();
+  std::uint64_t sent_bytes = 0;
   Hasher hasher;
   HashDone done;
 };
+
 struct Client::Download {
   std::string hash;
-  fs::path to, aside;
-  std::ofstream out;
-  std::uint64_t at = 0;
+  fs::path file;
+  fs::path aside;  // where it is written until its hash is checked
+  std::ofstream output;
+  std::uint64_t received_bytes = 0;
   Hasher hasher;
   Done done;
+
+  void end(Outcome outcome) {
+    output.close();
+    std::error_code ignored;
+    if (outcome != Outcome::ok) fs::remove(aside, ignored);
+    done(outcome);
+  }
+
+  // True: the file is written as far as the body goes.
+  bool write(const std::string& body) {
+    hasher.add(body);
+    received_bytes += body.size();
+    return static_cast<bool>(output.write(body.data(), static_cast<std::streamsize>(body.size())));
+  }
+
+  // All bytes are there. Damaged on the way or in the artifact store, they never get their name.
+  void complete() {
+    output.close();
+    if (hasher.hex() != hash) return end(Outcome::refused);
+    std::error_code failed;
+    if (output) fs::rename(aside, file, failed);
+    end(output && !failed ? Outcome::ok : Outcome::later);
+  }
 };
 
 Client::Client(actor::Loop& loop, const config::Endpoint& artifacts)
-    : http_(loop, artifacts, 4, 4096) {}
+    : http_(loop, artifacts, kMaxConnections, kMaxQueue) {}
 
 void Client::put_file(fs::path file, HashDone done) {
-  auto u = std::make_shared<Upload>();
-  u->in.open(file, std::ios::binary);
-  u->file = std::move(file);
-  u->done = std::move(done);
-  if (!u->in) return u->done(Outcome::absent, "");
-  push(u);
+  auto upload = std::make_shared<Upload>();
+  upload->input.open(file, std::ios::binary);
+  upload->done = std::move(done);
+  if (!upload->input) return upload->done(Outcome::absent, "");
+  send_part(upload);
 }
 
-void Client::push(std::shared_ptr<Upload> u) {
-  std::string part(kPart, '\0');
-  u->in.read(part.data(), static_cast<std::streamsize>(part.size()));
-  part.resize(static_cast<std::size_t>(u->in.gcount()));
-  if (part.empty()) {
-    std::string hash = u->hasher.hex();
-    http_.request("POST", "/depot/blobs/" + hash + "?from=" + u->name, "-", kTimeout,
-                  [u, hash](net::Result r) {
-                    u->done(r.status == 200   ? Outcome::ok
-                            : r.status == 422 ? Outcome::refused
-                                              : Outcome::later,
-                            hash);
-                  });
-    return;
-  }
-  u->hasher.add(part);
-  std::uint64_t after = u->at + part.size();
-  std::string path = "/depot/parts/" + u->name + "?at=" + std::to_string(u->at);
+void Client::send_part(const std::shared_ptr<Upload>& upload) {
+  std::string part(kMaxPartBytes, '\0');
+  upload->input.read(part.data(), static_cast<std::streamsize>(part.size()));
+  part.resize(static_cast<std::size_t>(upload->input.gcount()));
+  if (part.empty()) return finish_upload(upload);
+  upload->hasher.add(part);
+  const std::uint64_t sent_bytes = upload->sent_bytes + part.size();
+  std::string path = "/depot/parts/" + upload->name + "?at=" + std::to_string(upload->sent_bytes);
+  http_.request("POST", std::move(path), std::move(part), kTimeoutS,
+                [this, upload, sent_bytes](net::Result result) {
+                  const auto body = nlohmann::json::parse(result.body, nullptr, false);
+                  const bool is_stored = result.status == 200 && body.is_object() &&
+                                         body.value("size", std::uint64_t{0}) == sent_bytes;
+                  if (!is_stored) return upload->done(Outcome::later, "");
+                  upload->sent_bytes = sent_bytes;
+                  send_part(upload);
+                });
+}
+
+void Client::finish_upload(const std::shared_ptr<Upload>& upload) {
+  const std::string hash = upload->hasher.hex();
   http_.request(
-      "POST", std::move(path), std::move(part), kTimeout, [this, u, after](net::Result r) {
-        auto j = nlohmann::json::parse(r.body, nullptr, false);
-        if (r.status != 200 || !j.is_object() || j.value("size", std::uint64_t{0}) != after)
-          return u->done(Outcome::later, "");
-        u->at = after;
-        push(u);
-      });
+      "POST", "/depot/blobs/" + hash + "?from=" + upload->name, "-", kTimeoutS,
+      [upload, hash](net::Result result) { upload->done(outcome_of_upload(result.status), hash); });
 }
 
 void Client::get_file(std::string hash, fs::path to, Done done) {
-  auto d = std::make_shared<Download>();
-  d->hash = std::move(hash);
-  d->aside = to;
-  d->aside += ".part";
-  d->to = std::move(to);
-  d->done = std::move(done);
-  if (!valid_hash(d->hash)) return d->done(Outcome::refused);
-  d->out.open(d->aside, std::ios::binary | std::ios::trunc);
-  if (!d->out) return d->done(Outcome::later);
-  pull(d);
+  auto download = std::make_shared<Download>();
+  download->hash = std::move(hash);
+  download->aside = to;
+  download->aside += ".part";
+  download->file = std::move(to);
+  download->done = std::move(done);
+  if (!valid_hash(download->hash)) return download->done(Outcome::refused);
+  download->output.open(download->aside, std::ios::binary | std::ios::trunc);
+  if (!download->output) return download->done(Outcome::later);
+  fetch_part(download);
 }
 
-void Client::pull(std::shared_ptr<Download> d) {
-  http_.request("GET", "/depot/blobs/" + d->hash + "?at=" + std::to_string(d->at), "", kTimeout,
-                [this, d](net::Result r) {
-                  auto end = [&](Outcome o) {
-                    d->out.close();
-                    std::error_code ignored;
-                    if (o != Outcome::ok) fs::remove(d->aside, ignored);
-                    d->done(o);
-                  };
-                  if (r.status == 404) return end(Outcome::absent);
-                  if (r.status != 200) return end(Outcome::later);
-                  if (!r.body.empty()) {
-                    d->hasher.add(r.body);
-                    d->at += r.body.size();
-                    if (!d->out.write(r.body.data(), static_cast<std::streamsize>(r.body.size())))
-                      return end(Outcome::later);
-                    return pull(d);
-                  }
-                  d->out.close();
-                  // Damaged on the way or in the artifact store: never shown under its name.
-                  if (d->hasher.hex() != d->hash) return end(Outcome::refused);
-                  std::error_code failed;
-                  if (d->out) fs::rename(d->aside, d->to, failed);
-                  end(d->out && !failed ? Outcome::ok : Outcome::later);
-                });
+void Client::fetch_part(const std::shared_ptr<Download>& download) {
+  const std::string path =
+      "/depot/blobs/" + download->hash + "?at=" + std::to_string(download->received_bytes);
+  http_.request("GET", path, "", kTimeoutS, [this, download](net::Result result) {
+    if (result.status == 404) return download->end(Outcome::absent);
+    if (result.status != 200) return download->end(Outcome::later);
+    if (result.body.empty()) return download->complete();
+    if (!download->write(result.body)) return download->end(Outcome::later);
+    fetch_part(download);
+  });
 }
 
-void Client::put_name(std::string name, Store::Named n, NameDone done) {
-  http_.request("POST", "/depot/names/" + name, encode_named(n), kTimeout,
-                [done = std::move(done)](net::Result r) {
-                  if (r.status == 200 || r.status == 201) return done(Outcome::ok, {});
-                  if (r.status == 409) return done(Outcome::refused, named_of(r.body));
-                  done(r.status == 400 || r.status == 413 ? Outcome::refused : Outcome::later, {});
+void Client::put_name(std::string name, Store::Named value, NameDone done) {
+  http_.request("POST", "/depot/names/" + name, encode_named(value), kTimeoutS,
+                [done = std::move(done)](net::Result result) {
+                  const bool is_other = result.status == 409;
+                  done(outcome_of_put(result.status),
+                       is_other ? parse_named(result.body) : Store::Named{});
                 });
 }
 
 void Client::get_name(std::string name, NameDone done) {
-  http_.request("GET", "/depot/names/" + name, "", kTimeout,
-                [done = std::move(done)](net::Result r) {
-                  if (r.status == 200) return done(Outcome::ok, named_of(r.body));
-                  done(r.status == 404   ? Outcome::absent
-                       : r.status == 400 ? Outcome::refused
-                                         : Outcome::later,
-                       {});
-                });
+  http_.request(
+      "GET", "/depot/names/" + name, "", kTimeoutS, [done = std::move(done)](net::Result result) {
+        const bool is_there = result.status == 200;
+        done(outcome_of_get(result.status), is_there ? parse_named(result.body) : Store::Named{});
+      });
 }
 
 }  // namespace shunttrail::artifacts
--- a/src/artifacts/client.h
+++ b/src/artifacts/client.h
@@ -14,31 +14,34 @@
 
 enum class Outcome {
   ok,
-  absent,   // no such blob or name
-  refused,  // the artifact store has something else there, or the content does not match its hash
-  later,    // no answer, or the artifact store's disk is full
+  absent,   ///< no such blob or name
+  refused,  ///< the artifact store has something else there, or the content does not match its hash
+  later,    ///< no answer, or the artifact store's disk is full
 };
 
+/// Calls of one client may overlap.
 class Client {
  public:
   Client(actor::Loop& loop, const config::Endpoint& artifacts);
 
   using HashDone = std::function<void(Outcome, std::string hash)>;
-  // A file's bytes as a blob. The file must not change meanwhile.
+  /// Stores a file's bytes as a blob. The file must not change meanwhile.
   void put_file(std::filesystem::path file, HashDone done);
   using Done = std::function<void(Outcome)>;
-  // The blob as a file: written aside, its hash checked, and renamed.
+  /// Fetches a blob as a file: written aside, its hash checked, and renamed.
   void get_file(std::string hash, std::filesystem::path to, Done done);
   using NameDone = std::function<void(Outcome, Store::Named)>;
-  // With `refused` comes what is there.
-  void put_name(std::string name, Store::Named n, NameDone done);
+  /// Stores a value under a name. With `refused` comes what is there.
+  void put_name(std::string name, Store::Named value, NameDone done);
   void get_name(std::string name, NameDone done);
 
  private:
   struct Upload;
   struct Download;
-  void push(std::shared_ptr<Upload> u);
-  void pull(std::shared_ptr<Download> d);
+  void send_part(const std::shared_ptr<Upload>& upload);
+  void finish_upload(const std::shared_ptr<Upload>& upload);
+  void fetch_part(const std::shared_ptr<Download>& download);
+
   net::Client http_;
 };
 
--- a/src/artifacts/server.cpp
+++ b/src/artifacts/server.cpp
@@ -1,76 +1,98 @@
 #include "artifacts/server.h"
 
 #include <nlohmann/json.hpp>
+#include <optional>
+#include <string_view>
 
 #include "log/log.h"
 
 namespace shunttrail::artifacts {
 namespace {
+
 using nlohmann::json;
 
-std::string no(const std::string& why) {
-  return json{{"error", why}}.dump(-1, ' ', false, json::error_handler_t::replace);
+constexpr std::size_t kMaxNameBody = 1024;  // beside a part's bytes
+constexpr std::size_t kMaxOffsetDigits = 15;
+constexpr double kRetryAfterS = 1;
+constexpr const char* kEmptyObject = "{}";
+
+net::Answer refusal(int status, const std::string& why, double retry_after_s = 0) {
+  return {status, json{{"error", why}}.dump(-1, ' ', false, json::error_handler_t::replace),
+          retry_after_s};
 }
 
-std::uint64_t offset(const net::Exchange& ex) {
-  std::string s = net::query_value(ex.query, "at");
-  if (s.empty()) return 0;
-  if (s.size() > 15 || s.find_first_not_of("0123456789") != std::string::npos)
+std::uint64_t read_offset(const net::Exchange& exchange) {
+  const std::string text = net::query_value(exchange.query, "at");
+  if (text.empty()) return 0;
+  if (text.size() > kMaxOffsetDigits || text.find_first_not_of("0123456789") != std::string::npos)
     throw BadRequest("at is not a count");
-  return std::stoull(s);
+  return std::stoull(text);
+}
+
+// What stands behind the prefix of a path that has it.
+std::optional<std::string> rest_of(const std::string& path, std::string_view prefix) {
+  if (!path.starts_with(prefix)) return std::nullopt;
+  return path.substr(prefix.size());
 }
 
 }  // namespace
 
-Server::Server(actor::Loop& loop, const config::Endpoint& at, const std::filesystem::path& dir)
-    : store_(dir), http_(loop, at, kPart + 1024, [this](net::ExchangePtr ex) {
-        net::Answer a;
-        try {
-          a = answer(*ex);
-        } catch (const BadRequest& e) {
-          a = {400, no(e.what()), 0};
-        } catch (const std::exception& e) {
-          log::error("the depot's disk", {{"path", ex->path}, {"why", e.what()}});
-          a = {507, no(e.what()), 1};
-        }
-        ex->send(a);
-      }) {}
-
-net::Answer Server::answer(const net::Exchange& ex) {
-  auto rest = [&](const char* prefix) { return ex.path.substr(std::string(prefix).size()); };
-  if (ex.path == "/depot/up") return {200, "{}", 0};
-  if (ex.path.starts_with("/depot/parts/")) return parts(rest("/depot/parts/"), ex);
-  if (ex.path.starts_with("/depot/blobs/")) return blobs(rest("/depot/blobs/"), ex);
-  if (ex.path.starts_with("/depot/names/")) return names(rest("/depot/names/"), ex);
-  return {404, no("no such path"), 0};
+Server::Server(actor::Loop& loop, const config::Endpoint& address, const std::filesystem::path& dir)
+    : store_(dir),
+      http_(loop, address, kMaxPartBytes + kMaxNameBody,
+            [this](net::ExchangePtr exchange) { exchange->send(answer(*exchange)); }) {}
+
+net::Answer Server::answer(const net::Exchange& exchange) {
+  try {
+    return dispatch(exchange);
+  } catch (const BadRequest& error) {
+    return refusal(400, error.what());
+  } catch (const std::exception& error) {
+    log::error("artifact store's disk failed", {{"path", exchange.path}, {"why", error.what()}});
+    return refusal(507, error.what(), kRetryAfterS);
+  }
 }
 
-net::Answer Server::parts(const std::string& upload, const net::Exchange& ex) {
-  if (!ex.post) return {405, no("POST it"), 0};
-  return {200, json{{"size", store_.add_part(upload, offset(ex), ex.body)}}.dump(), 0};
+net::Answer Server::dispatch(const net::Exchange& exchange) {
+  const std::string& path = exchange.path;
+  if (path == "/depot/up") return {200, kEmptyObject, 0};
+  if (auto upload = rest_of(path, "/depot/parts/")) return answer_part(*upload, exchange);
+  if (auto hash = rest_of(path, "/depot/blobs/")) return answer_blob(*hash, exchange);
+  if (auto name = rest_of(path, "/depot/names/"))
+    return exchange.post ? put_name(*name, exchange.body) : get_name(*name);
+  return refusal(404, "no such path");
 }
 
-net::Answer Server::blobs(const std::string& hash, const net::Exchange& ex) {
-  if (ex.post) {
-    if (store_.finish(net::query_value(ex.query, "from"), hash)) return {200, "{}", 0};
-    return {422, no("its bytes have another hash"), 0};
-  }
-  if (auto bytes = store_.read(hash, offset(ex), kPart)) return {200, std::move(*bytes), 0};
-  return {404, no("no such blob"), 0};
+net::Answer Server::answer_part(const std::string& upload, const net::Exchange& exchange) {
+  if (!exchange.post) return refusal(405, "POST it");
+  const std::uint64_t size = store_.add_part(upload, read_offset(exchange), exchange.body);
+  return {200, json{{"size", size}}.dump(), 0};
 }
 
-net::Answer Server::names(const std::string& name, const net::Exchange& ex) {
-  if (!ex.post) {
-    if (auto n = store_.get_name(name)) return {200, encode_named(*n), 0};
-    return {404, no("no such name"), 0};
+net::Answer Server::answer_blob(const std::string& hash, const net::Exchange& exchange) {
+  if (exchange.post) {
+    const std::string upload = net::query_value(exchange.query, "from");
+    if (store_.finish(upload, hash)) return {200, kEmptyObject, 0};
+    return refusal(422, "its bytes have another hash");
   }
-  auto n = decode_named(ex.body);
-  if (!n) throw BadRequest("not a value with a version");
-  switch (store_.put_name(name, *n)) {
+  if (auto bytes = store_.read(hash, read_offset(exchange), kMaxPartBytes))
+    return {200, std::move(*bytes), 0};
+  return refusal(404, "no such blob");
+}
+
+net::Answer Server::get_name(const std::string& name) const {
+  if (auto value = store_.get_name(name)) return {200, encode_named(*value), 0};
+  return refusal(404, "no such name");
+}
+
+net::Answer Server::put_name(const std::string& name, const std::string& body) {
+  const auto value = decode_named(body);
+  if (!value) throw BadRequest("not a value with a version");
+  switch (store_.put_name(name, *value)) {
     case Store::Put::created:
-      return {201, "{}", 0};
+      return {201, kEmptyObject, 0};
     case Store::Put::same:
-      return {200, "{}", 0};
+      return {200, kEmptyObject, 0};
     case Store::Put::refused:
       break;
   }
--- a/src/artifacts/store.cpp
+++ b/src/artifacts/store.cpp
@@ -6,6 +6,8 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <cctype>
+#include <chrono>
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <sstream>
@@ -15,134 +17,179 @@
 namespace fs = std::filesystem;
 namespace {
 
+constexpr std::size_t kHashBytes = 32;
+constexpr std::string_view kHexDigits = "0123456789abcdef";
+constexpr std::size_t kLeastUploadName = 8, kMostUploadName = 64;
+constexpr std::size_t kMaxName = 200;  // bytes
+constexpr int kMaxNameParts = 6;
+constexpr std::size_t kReadBytes = 256 * 1024;
+constexpr std::chrono::hours kUploadLifetime(24);
+
 [[noreturn]] void fail(const std::string& what) {
   throw std::system_error(errno, std::generic_category(), what);
 }
 
-class Fd {
+// An open file.
+class File {
  public:
-  Fd(const fs::path& p, int flags) : fd_(::open(p.c_str(), flags | O_CLOEXEC, 0644)) {
-    if (fd_ < 0) fail(p.string());
+  File(const fs::path& path, int flags) : fd_(::open(path.c_str(), flags | O_CLOEXEC, 0644)) {
+    if (fd_ < 0) fail(path.string());
   }
-  ~Fd() { ::close(fd_); }
-  Fd(const Fd&) = delete;
-  Fd& operator=(const Fd&) = delete;
+  ~File() { ::close(fd_); }
+  File(const File&) = delete;
+  File& operator=(const File&) = delete;
   int get() const { return fd_; }
 
  private:
   int fd_;
 };
 
-void write_all(int fd, std::string_view bytes, const fs::path& p) {
+void write_all(const File& file, std::string_view bytes, const fs::path& path) {
   while (!bytes.empty()) {
-    ssize_t n = ::write(fd, bytes.data(), bytes.size());
-    if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) fail(p.string());
-    bytes.remove_prefix(static_cast<std::size_t>(n));
+    const ssize_t written = ::write(file.get(), bytes.data(), bytes.size());
+    if (written < 0 && errno == EINTR) continue;
+    if (written <= 0) fail(path.string());
+    bytes.remove_prefix(static_cast<std::size_t>(written));
+  }
+}
+
+void sync(const File& file, const fs::path& path) {
+  if (::fsync(file.get()) != 0) fail(path.string());
+}
+
+void sync_directory(const fs::path& path) { sync(File(path, O_RDONLY | O_DIRECTORY), path); }
+
+std::string hash_of_file(const File& file, const fs::path& path) {
+  Hasher hasher;
+  std::string buffer(kReadBytes, '\0');
+  while (true) {
+    const ssize_t count = ::read(file.get(), buffer.data(), buffer.size());
+    if (count < 0 && errno == EINTR) continue;
+    if (count < 0) fail(path.string());
+    if (count == 0) return hasher.hex();
+    hasher.add({buffer.data(), static_cast<std::size_t>(count)});
   }
 }
 
-void sync_dir(const fs::path& p) {
-  Fd d(p, O_RDONLY | O_DIRECTORY);
-  if (::fsync(d.get()) != 0) fail(p.string());
+bool is_hex(std::string_view text) {
+  return text.find_first_not_of(kHexDigits) == std::string_view::npos;
 }
 
-bool valid_upload(std::string_view s) {
-  return s.size() >= 8 && s.size() <= 64 &&
-         s.find_first_not_of("0123456789abcdef") == std::string_view::npos;
+bool valid_upload(std::string_view name) {
+  return name.size() >= kLeastUploadName && name.size() <= kMostUploadName && is_hex(name);
+}
+
+bool valid_name_part(std::string_view part) {
+  if (part.empty() || part == "." || part == "..") return false;
+  return std::all_of(part.begin(), part.end(), [](unsigned char c) {
+    return std::isalnum(c) || c == '.' || c == '-' || c == '_';
+  });
+}
+
+// Reads an optional count. False: it is there and is none.
+bool read_count(const nlohmann::json& fields, const char* name, std::uint64_t& count) {
+  const auto found = fields.find(name);
+  if (found == fields.end()) return true;
+  if (!found->is_number_unsigned()) return false;
+  count = found->get<std::uint64_t>();
+  return true;
 }
 
 }  // namespace
 
 struct Hasher::State {
-  crypto_generichash_state s;
+  crypto_generichash_state hash;
 };
+
 Hasher::Hasher() : state_(new State) {
   if (sodium_init() < 0) throw std::runtime_error("libsodium cannot be used");
-  crypto_generichash_init(&state_->s, nullptr, 0, 32);
+  crypto_generichash_init(&state_->hash, nullptr, 0, kHashBytes);
 }
+
 Hasher::~Hasher() { delete state_; }
-void Hasher::add(std::string_view b) {
-  crypto_generichash_update(&state_->s, reinterpret_cast<const unsigned char*>(b.data()), b.size());
+
+void Hasher::add(std::string_view bytes) {
+  crypto_generichash_update(&state_->hash, reinterpret_cast<const unsigned char*>(bytes.data()),
+                            bytes.size());
 }
+
 std::string Hasher::hex() {
-  unsigned char h[32];
-  crypto_generichash_final(&state_->s, h, sizeof h);
-  char out[65];
-  sodium_bin2hex(out, sizeof out, h, sizeof h);
-  return out;
+  unsigned char hash[kHashBytes];
+  crypto_generichash_final(&state_->hash, hash, sizeof hash);
+  char digits[2 * kHashBytes + 1];
+  sodium_bin2hex(digits, sizeof digits, hash, sizeof hash);
+  return digits;
 }
+
 std::string hash_of(std::string_view bytes) {
-  Hasher h;
-  h.add(bytes);
-  return h.hex();
+  Hasher hasher;
+  hasher.add(bytes);
+  return hasher.hex();
 }
-bool valid_hash(std::string_view s) {
-  return s.size() == 64 && s.find_first_not_of("0123456789abcdef") == std::string_view::npos;
-}
-bool valid_name(std::string_view s) {
-  if (s.empty() || s.size() > 200) return false;
-  int parts = 0;
-  while (true) {
-    auto slash = s.find('/');
-    std::string_view part = s.substr(0, slash);
-    if (part.empty() || part == "." || part == ".." || ++parts > 6) return false;
-    for (char c : part)
-      if (!std::isalnum(static_cast<unsigned char>(c)) && c != '.' && c != '-' && c != '_')
-        return false;
+
+bool valid_hash(std::string_view text) { return text.size() == 2 * kHashBytes && is_hex(text); }
+
+bool valid_name(std::string_view text) {
+  if (text.empty() || text.size() > kMaxName) return false;
+  for (int parts = 1; parts <= kMaxNameParts; ++parts) {
+    const auto slash = text.find('/');
+    if (!valid_name_part(text.substr(0, slash))) return false;
     if (slash == std::string_view::npos) return true;
-    s.remove_prefix(slash + 1);
+    text.remove_prefix(slash + 1);
   }
+  return false;
 }
 
 void write_whole(const fs::path& file, std::string_view bytes) {
   fs::path aside = file;
   aside += ".new";
   {
-    Fd f(aside, O_WRONLY | O_CREAT | O_TRUNC);
-    write_all(f.get(), bytes, aside);
-    if (::fsync(f.get()) != 0) fail(aside.string());
+    const File output(aside, O_WRONLY | O_CREAT | O_TRUNC);
+    write_all(output, bytes, aside);
+    sync(output, aside);
   }
   fs::rename(aside, file);
-  sync_dir(file.parent_path());
+  sync_directory(file.parent_path());
 }
 
 std::string read_whole(const fs::path& file) {
-  std::ifstream in(file, std::ios::binary);
-  std::ostringstream out;
-  out << in.rdbuf();
-  return out.str();
+  std::ifstream input(file, std::ios::binary);
+  std::ostringstream content;
+  content << input.rdbuf();
+  return content.str();
 }
 
-std::string encode_named(const Store::Named& n) {
-  return "{\"value\":" + n.value + ",\"version\":" + std::to_string(n.version) +
-         ",\"part\":" + std::to_string(n.part) + "}";
+std::string encode_named(const Store::Named& value) {
+  return "{\"value\":" + value.value + ",\"version\":" + std::to_string(value.version) +
+         ",\"part\":" + std::to_string(value.part) + "}";
 }
+
 std::optional<Store::Named> decode_named(std::string_view text) {
-  auto j = nlohmann::json::parse(text, nullptr, false);
-  if (!j.is_object() || !j.contains("value")) return std::nullopt;
-  Store::Named n{j["value"].dump()};
-  for (auto [name, to] : {std::pair("version", &n.version), std::pair("part", &n.part)}) {
-    auto v = j.find(name);
-    if (v == j.end()) continue;
-    if (!v->is_number_unsigned()) return std::nullopt;
-    *to = v->get<std::uint64_t>();
-  }
-  return n;
+  const auto fields = nlohmann::json::parse(text, nullptr, false);
+  if (!fields.is_object() || !fields.contains("value")) return std::nullopt;
+  Store::Named value{fields["value"].dump()};
+  if (!read_count(fields, "version", value.version)) return std::nullopt;
+  if (!read_count(fields, "part", value.part)) return std::nullopt;
+  return value;
 }
 
 Store::Store(fs::path dir) : dir_(std::move(dir)) {
-  for (const char* d : {"blobs", "names", "parts"}) fs::create_directories(dir_ / d);
-  // Uploads that nobody has gone on with for a day were given up.
-  for (const auto& e : fs::directory_iterator(dir_ / "parts"))
-    if (fs::file_time_type::clock::now() - e.last_write_time() > std::chrono::hours(24))
-      fs::remove(e.path());
+  for (const char* name : {"blobs", "names", "parts"}) fs::create_directories(dir_ / name);
+  const auto now = fs::file_time_type::clock::now();
+  for (const auto& upload : fs::directory_iterator(dir_ / "parts"))
+    if (now - upload.last_write_time() > kUploadLifetime) fs::remove(upload.path());
+}
+
+fs::path Store::upload_path(const std::string& upload) const {
+  if (!valid_upload(upload)) throw BadRequest("not an upload's name");
+  return dir_ / "parts" / upload;
 }
 
 fs::path Store::blob_path(const std::string& hash) const {
   if (!valid_hash(hash)) throw BadRequest("not a hash");
   return dir_ / "blobs" / hash.substr(0, 2) / hash;
 }
+
 // Values end in ".json": "a" and "a/b" may both be names, a file and a directory.
 fs::path Store::name_path(const std::string& name) const {
   if (!valid_name(name)) throw BadRequest("not a name");
@@ -150,53 +197,44 @@
 }
 
 std::uint64_t Store::add_part(const std::string& upload, std::uint64_t at, std::string_view bytes) {
-  if (!valid_upload(upload)) throw BadRequest("not an upload's name");
-  fs::path p = dir_ / "parts" / upload;
-  Fd f(p, O_WRONLY | O_CREAT);
-  struct stat st;
-  if (::fstat(f.get(), &st) != 0) fail(p.string());
-  auto size = static_cast<std::uint64_t>(st.st_size);
+  const fs::path path = upload_path(upload);
+  const File file(path, O_WRONLY | O_CREAT);
+  struct stat status;
+  if (::fstat(file.get(), &status) != 0) fail(path.string());
+  const auto size = static_cast<std::uint64_t>(status.st_size);
   if (at != size) return size;
-  if (::lseek(f.get(), 0, SEEK_END) < 0) fail(p.string());
+  if (::lseek(file.get(), 0, SEEK_END) < 0) fail(path.string());
   try {
-    write_all(f.get(), bytes, p);
+    write_all(file, bytes, path);
   } catch (const std::system_error&) {
     // A full disk leaves no half part behind: the sender goes on where it was.
-    if (::ftruncate(f.get(), st.st_size) != 0) fs::remove(p);
+    if (::ftruncate(file.get(), status.st_size) != 0) fs::remove(path);
     throw;
   }
   return size + bytes.size();
 }
 
 bool Store::finish(const std::string& upload, const std::string& hash) {
-  if (!valid_upload(upload)) throw BadRequest("not an upload's name");
-  fs::path to = blob_path(hash), from = dir_ / "parts" / upload;
+  const fs::path from = upload_path(upload), to = blob_path(hash);
   if (fs::exists(to)) {
     fs::remove(from);
     return true;
   }
-  if (!fs::exists(from)) Fd(from, O_WRONLY | O_CREAT);  // of no bytes
-  Hasher h;
+  if (!fs::exists(from)) File(from, O_WRONLY | O_CREAT);  // of no bytes
+  std::string found;
   {
-    Fd f(from, O_RDWR);
-    std::string buffer(256 * 1024, '\0');
-    while (true) {
-      ssize_t n = ::read(f.get(), buffer.data(), buffer.size());
-      if (n < 0 && errno == EINTR) continue;
-      if (n < 0) fail(from.string());
-      if (n == 0) break;
-      h.add({buffer.data(), static_cast<std::size_t>(n)});
-    }
-    if (::fsync(f.get()) != 0) fail(from.string());
+    const File file(from, O_RDWR);
+    found = hash_of_file(file, from);
+    sync(file, from);
   }
-  if (h.hex() != hash) {
+  if (found != hash) {
     fs::remove(from);
     return false;
   }
   fs::create_directories(to.parent_path());
   fs::rename(from, to);
-  sync_dir(to.parent_path());
-  sync_dir(dir_ / "blobs");
+  sync_directory(to.parent_path());
+  sync_directory(dir_ / "blobs");
   return true;
 }
 
@@ -204,36 +242,37 @@
 
 std::optional<std::string> Store::read(const std::string& hash, std::uint64_t at,
                                        std::size_t most) const {
-  fs::path p = blob_path(hash);
-  std::ifstream in(p, std::ios::binary);
-  if (!in) return std::nullopt;
-  auto size = static_cast<std::uint64_t>(fs::file_size(p));
+  const fs::path path = blob_path(hash);
+  std::ifstream input(path, std::ios::binary);
+  if (!input) return std::nullopt;
+  const auto size = static_cast<std::uint64_t>(fs::file_size(path));
   if (at >= size) return std::string();
-  std::string out(std::min<std::uint64_t>(most, size - at), '\0');
-  in.seekg(static_cast<std::streamoff>(at));
-  if (!in.read(out.data(), static_cast<std::streamsize>(out.size()))) fail(p.string());
-  return out;
-}
-
-Store::Put Store::put_name(const std::string& name, const Named& n) {
-  fs::path p = name_path(name);
-  if (auto was = get_name(name)) {
-    if (*was == n) return Put::same;
-    if (n.version == 0 || was->version == 0 ||
-        std::pair(n.version, n.part) <= std::pair(was->version, was->part))
-      return Put::refused;
+  std::string bytes(std::min<std::uint64_t>(most, size - at), '\0');
+  input.seekg(static_cast<std::streamoff>(at));
+  if (!input.read(bytes.data(), static_cast<std::streamsize>(bytes.size()))) fail(path.string());
+  return bytes;
+}
+
+Store::Put Store::put_name(const std::string& name, const Named& value) {
+  const fs::path path = name_path(name);
+  if (const auto current = get_name(name)) {
+    if (*current == value) return Put::same;
+    const bool is_written_once = value.version == 0 || current->version == 0;
+    const bool is_newer =
+        std::pair(value.version, value.part) > std::pair(current->version, current->part);
+    if (is_written_once || !is_newer) return Put::refused;
   }
-  fs::create_directories(p.parent_path());
-  write_whole(p, encode_named(n));
+  fs::create_directories(path.parent_path());
+  write_whole(path, encode_named(value));
   return Put::created;
 }
 
 std::optional<Store::Named> Store::get_name(const std::string& name) const {
-  fs::path p = name_path(name);
-  if (!fs::exists(p)) return std::nullopt;
-  auto n = decode_named(read_whole(p));
-  if (!n) throw std::runtime_error("the depot's name " + name + " is damaged");
-  return n;
+  const fs::path path = name_path(name);
+  if (!fs::exists(path)) return std::nullopt;
+  auto value = decode_named(read_whole(path));
+  if (!value) throw std::runtime_error("the depot's name " + name + " is damaged");
+  return value;
 }
 
 }  // namespace shunttrail::artifacts
