--- a/src/agent/settings.cpp
+++ b/src/agent/settings.cpp
@@ -6,51 +6,73 @@
 
 using namespace config;
 
-Settings parse_settings(const std::string& xml) {
-  pugi::xml_document doc;
-  pugi::xml_node root = load_xml(doc, xml, "shunt-agent");
-  Settings s;
-  auto text = [](std::string& to) {
-    return [&to](pugi::xml_node n, const std::string& at) { to = xml_text(n, at); };
+namespace {
+
+using Reader = std::function<void(pugi::xml_node, const std::string& place)>;
+
+Reader text_into(std::string& to) {
+  return [&to](pugi::xml_node node, const std::string& place) { to = xml_text(node, place); };
+}
+
+Reader flag_into(bool& to) {
+  return [&to](pugi::xml_node node, const std::string& place) {
+    to = xml_flag(node.child_value(), place);
   };
-  auto flag = [](bool& to) {
-    return [&to](pugi::xml_node n, const std::string& at) { to = xml_flag(n.child_value(), at); };
+}
+
+Reader endpoint_into(Endpoint& to) {
+  return [&to](pugi::xml_node node, const std::string& place) {
+    to = parse_endpoint(node.child_value(), place);
   };
-  auto endpoint = [](Endpoint& to) {
-    return [&to](pugi::xml_node n, const std::string& at) {
-      to = parse_endpoint(n.child_value(), at);
-    };
+}
+
+Settings::Controller read_controller(pugi::xml_node node, const std::string& place) {
+  return {xml_attribute(node, place, "name"),
+          parse_endpoint(xml_attribute(node, place, "address"), place)};
+}
+
+Reader controllers_into(std::vector<Settings::Controller>& to) {
+  return [&to](pugi::xml_node list, const std::string& list_place) {
+    read_children(list, list_place,
+                  {{"controller", [&to](pugi::xml_node node, const std::string& place) {
+                      to.push_back(read_controller(node, place));
+                    }}});
   };
+}
+
+void check(const Settings& settings) {
+  if (settings.controllers.empty()) bad_at("shunt-agent.controllers", "names none");
+  if (settings.lease_s < 2 * settings.report_s)
+    bad_at("shunt-agent.lease-s", "leaves no room above report-s");
+}
+
+}  // namespace
+
+Settings parse_settings(const std::string& xml) {
+  pugi::xml_document document;
+  const pugi::xml_node root = load_xml(document, xml, "shunt-agent");
+  Settings settings;
   read_children(root, "shunt-agent",
-                {{"machine", text(s.machine)},
-                 {"type", text(s.type)},
-                 {"zone", text(s.zone)},
-                 {"address", endpoint(s.address)},
-                 {"spot", flag(s.spot)},
-                 {"cpus", xml_into(s.room.cpus, 0, 1e6)},
-                 {"gpus", xml_into(s.room.gpus, 0, 1e6)},
-                 {"mem-gb", xml_into(s.room.mem_gb, 0, 1e6)},
-                 {"report-s", xml_into(s.report_s, 0.1, 3600)},
-                 {"lease-s", xml_into(s.lease_s, 1, 86400)},
-                 {"controllers",
-                  [&](pugi::xml_node n, const std::string& at) {
-                    read_children(
-                        n, at, {{"controller", [&](pugi::xml_node c, const std::string& where) {
-                                   s.controllers.push_back(
-                                       {xml_attribute(c, where, "name"),
-                                        parse_endpoint(xml_attribute(c, where, "address"), where)});
-                                 }}});
-                  }},
-                 {"depot", endpoint(s.artifacts)},
-                 {"cache-gb", xml_into(s.cache_gb, 0, 1e6)},
-                 {"disk-reserve-mb", xml_into(s.disk_reserve_mb, 0, 1e9)},
-                 {"file-mb", xml_into(s.file_mb, 0, 1e9)},
-                 {"recall-s", xml_into(s.recall_s, 0, 86400)},
-                 {"memory-limit", flag(s.memory_limit)}},
+                {{"machine", text_into(settings.machine)},
+                 {"type", text_into(settings.type)},
+                 {"zone", text_into(settings.zone)},
+                 {"address", endpoint_into(settings.address)},
+                 {"spot", flag_into(settings.spot)},
+                 {"cpus", xml_into(settings.room.cpus, 0, 1e6)},
+                 {"gpus", xml_into(settings.room.gpus, 0, 1e6)},
+                 {"mem-gb", xml_into(settings.room.mem_gb, 0, 1e6)},
+                 {"report-s", xml_into(settings.report_s, 0.1, 3600)},
+                 {"lease-s", xml_into(settings.lease_s, 1, 86400)},
+                 {"controllers", controllers_into(settings.controllers)},
+                 {"depot", endpoint_into(settings.artifacts)},
+                 {"cache-gb", xml_into(settings.cache_gb, 0, 1e6)},
+                 {"disk-reserve-mb", xml_into(settings.disk_reserve_mb, 0, 1e9)},
+                 {"file-mb", xml_into(settings.file_mb, 0, 1e9)},
+                 {"recall-s", xml_into(settings.recall_s, 0, 86400)},
+                 {"memory-limit", flag_into(settings.memory_limit)}},
                 {"machine", "type", "zone", "address", "cpus", "mem-gb", "controllers", "depot"});
-  if (s.controllers.empty()) bad_at("shunt-agent.controllers", "names none");
-  if (s.lease_s < 2 * s.report_s) bad_at("shunt-agent.lease-s", "leaves no room above report-s");
-  return s;
+  check(settings);
+  return settings;
 }
 
 }  // namespace shunttrail::agent
--- a/src/cli/service_client.cpp
+++ b/src/cli/service_client.cpp
@@ -8,19 +8,24 @@
 #include "config/xml.h"
 
 namespace shunttrail::cli {
+using artifacts::Outcome;
+using Named = artifacts::Store::Named;
 namespace {
 
-constexpr double kWithin = 5;      // PROTOCOL: no response within 5 s
-constexpr double kInsistFor = 60;  // for up to 60 s in total
+constexpr double kAnswerTimeoutS = 5;  // PROTOCOL: no response within 5 s
+constexpr double kRetryForS = 60;      // for up to 60 s in total
+constexpr double kLeastRetryDelayS = 1, kMostRetryDelayS = 30;
+constexpr double kArtifactRetryDelayS = 1;
+constexpr std::size_t kMaxConnections = 1, kMaxQueue = 4;
 
-config::Endpoint endpoint(std::string url) {
-  static const std::string scheme = "http://";
-  if (url.starts_with(scheme)) url.erase(0, scheme.size());
+config::Endpoint parse_url(std::string url) {
+  static const std::string kScheme = "http://";
+  if (url.starts_with(kScheme)) url.erase(0, kScheme.size());
   while (!url.empty() && url.back() == '/') url.pop_back();
   try {
     return config::parse_endpoint(url, "--server");
-  } catch (const config::SettingsError& e) {
-    throw RequestFailed(e.what());
+  } catch (const config::SettingsError& error) {
+    throw RequestFailed(error.what());
   }
 }
 
@@ -28,174 +33,185 @@
   return status == 200 || status == 201 || status == 400 || status == 404 || status == 422;
 }
 
-std::string reason(const net::Result& r) {
-  if (r.status == 0) return "no answer";
-  auto j = nlohmann::json::parse(r.body, nullptr, false);
-  std::string why = j.is_object() ? j.value("error", "") : "";
-  return std::to_string(r.status) + (why.empty() ? "" : " (" + why + ")");
+std::string reason(const net::Result& result) {
+  if (result.status == 0) return "no answer";
+  const auto body = nlohmann::json::parse(result.body, nullptr, false);
+  const std::string why = body.is_object() ? body.value("error", "") : "";
+  return std::to_string(result.status) + (why.empty() ? "" : " (" + why + ")");
+}
+
+[[noreturn]] void refused(const net::Result& result) {
+  throw RequestFailed("refused: " + reason(result));
 }
 
 }  // namespace
 
 ServiceClient::ServiceClient(const std::string& url)
-    : at_(endpoint(url)), http_(loop_, at_, 1, 4), artifacts_(loop_, at_) {}
-
-template <class... A, class Call, class Then>
-void ServiceClient::wait(Call call, Then then) {
-  bool over = false;
-  call([&](A... a) {
-    then(std::move(a)...);
-    over = true;
+    : address_(parse_url(url)),
+      http_(loop_, address_, kMaxConnections, kMaxQueue),
+      artifacts_(loop_, address_) {}
+
+template <class... Arguments, class Call, class Then>
+void ServiceClient::wait_for(Call call, Then then) {
+  bool is_over = false;
+  call([&](Arguments... arguments) {
+    then(std::move(arguments)...);
+    is_over = true;
     loop_.stop();
   });
-  while (!over) loop_.run();
+  while (!is_over) loop_.run();
 }
 
-artifacts::Outcome ServiceClient::ask(const std::function<artifacts::Outcome()>& once) {
-  double until = actor::steady_now() + kInsistFor;
-  while (true) {
-    artifacts::Outcome o = once();
-    if (o != artifacts::Outcome::later) return o;
-    if (actor::steady_now() > until) throw RequestFailed("gave up: the depot does not answer");
-    sleep(1);
-  }
+void ServiceClient::sleep(double seconds) {
+  bool is_over = false;
+  actor::Timer timer(loop_, [&] {
+    is_over = true;
+    loop_.stop();
+  });
+  timer.after(seconds);
+  while (!is_over) loop_.run();
 }
 
-net::Result ServiceClient::once(const char* method, const std::string& path,
-                                const std::string& body) {
-  net::Result out;
-  wait<net::Result>(
+net::Result ServiceClient::request_once(const char* method, const std::string& path,
+                                        const std::string& body) {
+  net::Result answer;
+  wait_for<net::Result>(
       [&](std::function<void(net::Result)> done) {
-        http_.request(method, path, body, kWithin, std::move(done));
+        http_.request(method, path, body, kAnswerTimeoutS, std::move(done));
       },
-      [&](net::Result r) { out = std::move(r); });
-  return out;
+      [&](net::Result result) { answer = std::move(result); });
+  return answer;
 }
 
-void ServiceClient::sleep(double seconds) {
-  bool over = false;
-  actor::Timer t(loop_, [&] {
-    over = true;
-    loop_.stop();
-  });
-  t.after(seconds);
-  while (!over) loop_.run();
+net::Result ServiceClient::request(const char* method, const std::string& path,
+                                   const std::string& body) {
+  const double give_up_at = actor::steady_now() + kRetryForS;
+  while (true) {
+    const net::Result result = request_once(method, path, body);
+    if (is_final(result.status)) return result;
+    const double delay_s = std::clamp(result.retry_after_s, kLeastRetryDelayS, kMostRetryDelayS);
+    if (actor::steady_now() + delay_s > give_up_at)
+      throw RequestFailed("gave up: " + reason(result));
+    sleep(delay_s);
+  }
 }
 
-net::Result ServiceClient::insist(const char* method, const std::string& path,
-                                  const std::string& body) {
-  double until = actor::steady_now() + kInsistFor;
+Outcome ServiceClient::ask(const std::function<Outcome()>& ask_once) {
+  const double give_up_at = actor::steady_now() + kRetryForS;
   while (true) {
-    net::Result r = once(method, path, body);
-    if (is_final(r.status)) return r;
-    double pause = std::clamp(r.retry_after_s, 1.0, 30.0);
-    if (actor::steady_now() + pause > until) throw RequestFailed("gave up: " + reason(r));
-    sleep(pause);
+    const Outcome outcome = ask_once();
+    if (outcome != Outcome::later) return outcome;
+    if (actor::steady_now() > give_up_at) throw RequestFailed("gave up: the depot does not answer");
+    sleep(kArtifactRetryDelayS);
   }
 }
 
-client_protocol::JobAnswer ServiceClient::submit(const client_protocol::JobDescription& d) {
-  const std::string text = client_protocol::encode_description(d);
-  artifacts::Outcome outcome = ask([&] {
-    artifacts::Outcome got = artifacts::Outcome::later;
-    wait<artifacts::Outcome, artifacts::Store::Named>(
-        [&](auto done) {
-          artifacts_.put_name(client_protocol::description_name(d.job.id), {text}, done);
-        },
-        [&](artifacts::Outcome o, artifacts::Store::Named) { got = o; });
-    return got;
+Outcome ServiceClient::put_description(const client_protocol::JobDescription& description) {
+  const std::string name = client_protocol::description_name(description.job.id);
+  const std::string text = client_protocol::encode_description(description);
+  return ask([&] {
+    Outcome outcome = Outcome::later;
+    wait_for<Outcome, Named>([&](auto done) { artifacts_.put_name(name, {text}, done); },
+                             [&](Outcome answer, Named) { outcome = answer; });
+    return outcome;
   });
-  if (outcome != artifacts::Outcome::ok)
-    throw RequestFailed(d.job.id + ": the depot has another job of this id");
-  net::Result r = insist("POST", "/v2/runs", wire::encode_job(d.job));
-  if (r.status != 200 && r.status != 201) throw RequestFailed("refused: " + reason(r));
-  return client_protocol::decode_job_state(r.body);
+}
+
+client_protocol::JobAnswer ServiceClient::submit(
+    const client_protocol::JobDescription& description) {
+  if (put_description(description) != Outcome::ok)
+    throw RequestFailed(description.job.id + ": the depot has another job of this id");
+  const net::Result result = request("POST", "/v2/runs", wire::encode_job(description.job));
+  if (result.status != 200 && result.status != 201) refused(result);
+  return client_protocol::decode_job_state(result.body);
 }
 
 std::optional<client_protocol::JobAnswer> ServiceClient::status(const std::string& id) {
-  net::Result r = get("/v2/runs/" + id);
-  if (r.status == 404) return std::nullopt;
-  return client_protocol::decode_job_state(r.body);
+  const net::Result result = get("/v2/runs/" + id);
+  if (result.status == 404) return std::nullopt;
+  return client_protocol::decode_job_state(result.body);
 }
 
 net::Result ServiceClient::get(const std::string& path) {
-  net::Result r = insist("GET", path, "");
-  if (r.status != 200 && r.status != 404) throw RequestFailed("refused: " + reason(r));
-  return r;
+  net::Result result = request("GET", path, "");
+  if (result.status != 200 && result.status != 404) refused(result);
+  return result;
 }
 
 net::Result ServiceClient::order(const std::string& path, const std::string& body) {
-  net::Result r = insist("POST", path, body);
-  if (r.status != 200) throw RequestFailed("refused: " + reason(r));
-  return r;
+  net::Result result = request("POST", path, body);
+  if (result.status != 200) refused(result);
+  return result;
 }
 
 client_protocol::JobAnswer ServiceClient::withdraw(const std::string& id) {
-  net::Result r = insist("POST", "/v2/runs/" + id + "/withdraw", "{}");
-  if (r.status != 200) throw RequestFailed("refused: " + reason(r));
-  return client_protocol::decode_job_state(r.body);
-}
-
-bool ServiceClient::up() { return once("GET", "/up", "").status == 200; }
-
-std::optional<artifacts::Store::Named> ServiceClient::named(const std::string& name) {
-  artifacts::Store::Named out;
-  artifacts::Outcome outcome = ask([&] {
-    artifacts::Outcome got = artifacts::Outcome::later;
-    wait<artifacts::Outcome, artifacts::Store::Named>(
-        [&](auto done) { artifacts_.get_name(name, done); },
-        [&](artifacts::Outcome o, artifacts::Store::Named n) {
-          got = o;
-          out = std::move(n);
-        });
-    return got;
+  const net::Result result = request("POST", "/v2/runs/" + id + "/withdraw", "{}");
+  if (result.status != 200) refused(result);
+  return client_protocol::decode_job_state(result.body);
+}
+
+bool ServiceClient::up() { return request_once("GET", "/up", "").status == 200; }
+
+std::optional<Named> ServiceClient::find_name(const std::string& name) {
+  Named found;
+  const Outcome outcome = ask([&] {
+    Outcome last = Outcome::later;
+    wait_for<Outcome, Named>([&](auto done) { artifacts_.get_name(name, done); },
+                             [&](Outcome answer, Named value) {
+                               last = answer;
+                               found = std::move(value);
+                             });
+    return last;
   });
-  if (outcome == artifacts::Outcome::refused) throw RequestFailed(name + ": refused by the depot");
-  if (outcome == artifacts::Outcome::absent) return std::nullopt;
-  return out;
+  if (outcome == Outcome::refused) throw RequestFailed(name + ": refused by the depot");
+  if (outcome == Outcome::absent) return std::nullopt;
+  return found;
 }
 
 std::optional<client_protocol::JobDescription> ServiceClient::description(const std::string& id) {
-  auto n = named(client_protocol::description_name(id));
-  if (!n) return std::nullopt;
-  return client_protocol::decode_description(n->value);
+  const auto found = find_name(client_protocol::description_name(id));
+  if (!found) return std::nullopt;
+  return client_protocol::decode_description(found->value);
 }
-std::optional<client_protocol::TaskResult> ServiceClient::result(const wire::TaskId& t) {
-  auto n = named(client_protocol::result_name(t));
-  if (!n) return std::nullopt;
-  return client_protocol::decode_result(n->value);
+
+std::optional<client_protocol::TaskResult> ServiceClient::result(const wire::TaskId& task) {
+  const auto found = find_name(client_protocol::result_name(task));
+  if (!found) return std::nullopt;
+  return client_protocol::decode_result(found->value);
 }
 
 bool ServiceClient::fetch(const std::string& hash, const std::string& file) {
-  return ask([&] {
-           artifacts::Outcome got = artifacts::Outcome::later;
-           wait<artifacts::Outcome>([&](auto done) { artifacts_.get_file(hash, file, done); },
-                                    [&](artifacts::Outcome o) { got = o; });
-           return got;
-         }) == artifacts::Outcome::ok;
+  const Outcome outcome = ask([&] {
+    Outcome last = Outcome::later;
+    wait_for<Outcome>([&](auto done) { artifacts_.get_file(hash, file, done); },
+                      [&](Outcome answer) { last = answer; });
+    return last;
+  });
+  return outcome == Outcome::ok;
 }
 
 std::string ServiceClient::upload(const std::string& file) {
   std::string hash;
-  artifacts::Outcome outcome = ask([&] {
-    artifacts::Outcome got = artifacts::Outcome::later;
-    wait<artifacts::Outcome, std::string>([&](auto done) { artifacts_.put_file(file, done); },
-                                          [&](artifacts::Outcome o, std::string h) {
-                                            got = o;
-                                            hash = std::move(h);
-                                          });
-    return got;
+  const Outcome outcome = ask([&] {
+    Outcome last = Outcome::later;
+    wait_for<Outcome, std::string>([&](auto done) { artifacts_.put_file(file, done); },
+                                   [&](Outcome answer, std::string stored) {
+                                     last = answer;
+                                     hash = std::move(stored);
+                                   });
+    return last;
   });
-  if (outcome != artifacts::Outcome::ok) throw RequestFailed(file + ": cannot be read");
+  if (outcome != Outcome::ok) throw RequestFailed(file + ": cannot be read");
   return hash;
 }
 
 std::string fresh_id() {
-  std::random_device chance;
+  constexpr unsigned kRandomRange = 1000000;
+  std::random_device random;
   char id[32];
   std::snprintf(id, sizeof id, "run-%013llu%06u",
                 static_cast<unsigned long long>(actor::wall_now() * 1000),
-                static_cast<unsigned>(chance() % 1000000));
+                static_cast<unsigned>(random() % kRandomRange));
   return id;
 }
 
