--- a/src/actor/loop.h
+++ b/src/actor/loop.h
@@ -9,35 +9,42 @@
 namespace shunttrail::actor {
 
 struct EventFree {
-  void operator()(event* e) const { event_free(e); }
-  void operator()(event_base* b) const { event_base_free(b); }
+  void operator()(event* freed) const { event_free(freed); }
+  void operator()(event_base* freed) const { event_base_free(freed); }
 };
 using EventPtr = std::unique_ptr<event, EventFree>;
 
-double steady_now();  // this machine's steady clock, seconds
-double wall_now();    // its time of day, seconds
+/// This machine's steady clock, in seconds.
+[[nodiscard]] double steady_now();
+/// This machine's time of day, in seconds since 1970.
+[[nodiscard]] double wall_now();
 
-// What drives a loop instead of this machine's clocks and events: a simulated host
+/// What drives a loop instead of this machine's clocks and events: a simulated host
 // (src/simulation).
 class EventSource {
  public:
-  using Handle = std::shared_ptr<void>;  // released: it does not run any more
+  using Handle = std::shared_ptr<void>;  ///< released: the event does not run any more
   virtual ~EventSource() = default;
   virtual double now() const = 0;
   virtual double wall_now() const = 0;
-  // Runs `fn` once, in a turn of its own, so many seconds from now.
+  /// Runs `fn` once, as an event of its own, so many seconds from now.
   [[nodiscard]] virtual Handle schedule(double seconds, std::function<void()> fn) = 0;
 };
 
+/// The event loop of a process, or of a simulated host.
 class Loop {
  public:
+  /// Throws std::runtime_error.
   Loop();
   explicit Loop(EventSource& simulated) : simulated_(&simulated) {}
-  event_base* base() const { return base_.get(); }
-  EventSource* simulated() const { return simulated_; }  // none: this machine's clocks
-  double now() const { return simulated_ ? simulated_->now() : steady_now(); }
-  double wall_now() const { return simulated_ ? simulated_->wall_now() : actor::wall_now(); }
-  // Of this machine's events alone.
+  [[nodiscard]] event_base* base() const { return base_.get(); }
+  /// Null: the loop runs on this machine's clocks.
+  [[nodiscard]] EventSource* simulated() const { return simulated_; }
+  [[nodiscard]] double now() const { return simulated_ ? simulated_->now() : steady_now(); }
+  [[nodiscard]] double wall_now() const {
+    return simulated_ ? simulated_->wall_now() : actor::wall_now();
+  }
+  /// Runs this machine's events, until stop(). Not for a simulated host.
   void run() { event_base_dispatch(base_.get()); }
   void stop() { event_base_loopbreak(base_.get()); }
 
@@ -46,6 +53,7 @@
   std::unique_ptr<event_base, EventFree> base_;
 };
 
+/// Calls a function once, some time after it was set; setting it again replaces the time.
 class Timer {
  public:
   Timer(Loop& loop, std::function<void()> fn);
@@ -61,8 +69,8 @@
   EventPtr event_;
 };
 
-// An actor owns its state. Others leave messages in its mailbox; they are taken one at a time,
-// in order, each in a turn of its own, so no handler ever runs inside another one.
+/// An actor owns its state. Others leave messages in its mailbox; they are handled one at a time,
+/// in order, so no handler ever runs inside another one.
 class Actor {
  public:
   using Message = std::function<void()>;
@@ -70,14 +78,15 @@
   virtual ~Actor() = default;
   Actor(const Actor&) = delete;
   Actor& operator=(const Actor&) = delete;
-  void post(Message m);
-  std::size_t waiting() const { return mailbox_.size(); }
+  void post(Message message);
+  /// How many messages wait.
+  [[nodiscard]] std::size_t waiting() const { return mailbox_.size(); }
 
-  // A reply address: calling it leaves a message here that runs `fn` with the values.
-  template <class... A, class F>
-  std::function<void(A...)> reply(F fn) {
-    return [this, fn = std::move(fn)](A... a) {
-      post([fn, ... a = std::move(a)]() mutable { fn(std::move(a)...); });
+  /// A reply address: calling it leaves a message here that runs `handler` with the values.
+  template <class... Values, class Handler>
+  std::function<void(Values...)> reply(Handler handler) {
+    return [this, handler = std::move(handler)](Values... values) {
+      post([handler, ... values = std::move(values)]() mutable { handler(std::move(values)...); });
     };
   }
 
--- a/src/agent/command_server.cpp
+++ b/src/agent/command_server.cpp
@@ -1,7 +1,5 @@
 #include "agent/command_server.h"
 
-#include <nlohmann/json.hpp>
-
 #include "log/log.h"
 
 namespace shunttrail::agent {
@@ -12,13 +10,6 @@
 
 net::Answer unavailable() { return {503, "{}", kRetryAfterS}; }
 
-net::Answer bad_request(const std::string& why) {
-  return {
-      400,
-      nlohmann::json{{"error", why}}.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace),
-      0};
-}
-
 }  // namespace
 
 CommandServer::CommandServer(actor::Loop& loop, const Settings& settings, AgentState& state,
@@ -32,7 +23,7 @@
   if (!state_.check_lease()) return unavailable();
   if (exchange.path == "/status" && !exchange.post) return heartbeat_answer(200);
   if (exchange.path == "/orders" && exchange.post) return execute(exchange.body);
-  return {404, "{\"error\":\"no such path\"}", 0};
+  return net::error_response(404, "no such path");
 }
 
 net::Answer CommandServer::execute(const std::string& body) {
@@ -41,9 +32,10 @@
     commands = client_protocol::decode_heartbeat_response(body);
   } catch (const wire::Malformed& error) {
     log::info("malformed direct command", {{"why", error.what()}});
-    return bad_request(error.what());
+    return net::error_response(400, error.what());
   }
-  if (!commands.token || !commands.session) return bad_request("token or session is missing");
+  if (!commands.token || !commands.session)
+    return net::error_response(400, "token or session is missing");
   const bool counts = state_.attempts().accepts(commands.token) &&
                       *commands.session == state_.attempts().incarnation;
   if (counts && !callbacks_.execute(commands)) return unavailable();
--- a/src/artifacts/server.cpp
+++ b/src/artifacts/server.cpp
@@ -16,11 +16,6 @@
 constexpr double kRetryAfterS = 1;
 constexpr const char* kEmptyObject = "{}";
 
-net::Answer refusal(int status, const std::string& why, double retry_after_s = 0) {
-  return {status, json{{"error", why}}.dump(-1, ' ', false, json::error_handler_t::replace),
-          retry_after_s};
-}
-
 std::uint64_t read_offset(const net::Exchange& exchange) {
   const std::string text = net::query_value(exchange.query, "at");
   if (text.empty()) return 0;
@@ -46,10 +41,10 @@
   try {
     return dispatch(exchange);
   } catch (const BadRequest& error) {
-    return refusal(400, error.what());
+    return net::error_response(400, error.what());
   } catch (const std::exception& error) {
     log::error("artifact store's disk failed", {{"path", exchange.path}, {"why", error.what()}});
-    return refusal(507, error.what(), kRetryAfterS);
+    return net::error_response(507, error.what(), kRetryAfterS);
   }
 }
 
@@ -60,11 +55,11 @@
   if (auto hash = rest_of(path, "/depot/blobs/")) return answer_blob(*hash, exchange);
   if (auto name = rest_of(path, "/depot/names/"))
     return exchange.post ? put_name(*name, exchange.body) : get_name(*name);
-  return refusal(404, "no such path");
+  return net::error_response(404, "no such path");
 }
 
 net::Answer Server::answer_part(const std::string& upload, const net::Exchange& exchange) {
-  if (!exchange.post) return refusal(405, "POST it");
+  if (!exchange.post) return net::error_response(405, "POST it");
   const std::uint64_t size = store_.add_part(upload, read_offset(exchange), exchange.body);
   return {200, json{{"size", size}}.dump(), 0};
 }
@@ -73,16 +68,16 @@
   if (exchange.post) {
     const std::string upload = net::query_value(exchange.query, "from");
     if (store_.finish(upload, hash)) return {200, kEmptyObject, 0};
-    return refusal(422, "its bytes have another hash");
+    return net::error_response(422, "its bytes have another hash");
   }
   if (auto bytes = store_.read(hash, read_offset(exchange), kMaxPartBytes))
     return {200, std::move(*bytes), 0};
-  return refusal(404, "no such blob");
+  return net::error_response(404, "no such blob");
 }
 
 net::Answer Server::get_name(const std::string& name) const {
   if (auto value = store_.get_name(name)) return {200, encode_named(*value), 0};
-  return refusal(404, "no such name");
+  return net::error_response(404, "no such name");
 }
 
 net::Answer Server::put_name(const std::string& name, const std::string& body) {
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -8,30 +8,36 @@
 
 namespace shunttrail::log {
 namespace {
+
+// Of the whole process.
 std::string& program_name() {
   static std::string name;
   return name;
 }
+
+spdlog::level::level_enum level_of_environment() {
+  const char* value = std::getenv("LOG_LEVEL");
+  const std::string name = value ? value : "info";
+  if (name == "debug") return spdlog::level::debug;
+  return name == "error" ? spdlog::level::err : spdlog::level::info;
+}
+
 }  // namespace
 
 void open(const char* program) {
   program_name() = program;
   spdlog::set_default_logger(spdlog::stderr_logger_st(program));
   spdlog::set_pattern("%v");
-  const char* level = std::getenv("LOG_LEVEL");
-  std::string lv = level ? level : "info";
-  spdlog::set_level(lv == "debug"   ? spdlog::level::debug
-                    : lv == "error" ? spdlog::level::err
-                                    : spdlog::level::info);
+  spdlog::set_level(level_of_environment());
 }
 
-void write(spdlog::level::level_enum level, const char* what, nlohmann::json f) {
+void write(spdlog::level::level_enum level, const char* what, nlohmann::json fields) {
   if (!spdlog::should_log(level)) return;
-  f["at"] = actor::wall_now();
-  f["level"] = spdlog::level::to_string_view(level).data();
-  f["program"] = program_name();
-  f["what"] = what;
-  spdlog::log(level, "{}", f.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
+  fields["at"] = actor::wall_now();
+  fields["level"] = spdlog::level::to_string_view(level).data();
+  fields["program"] = program_name();
+  fields["what"] = what;
+  spdlog::log(level, "{}", fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
 }  // namespace shunttrail::log
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -6,19 +6,21 @@
 
 namespace shunttrail::log {
 
-// Sets the level from LOG_LEVEL (error, info or debug; `info` if it is not set) and the form.
+/// Names the program in each line, and sets the level from LOG_LEVEL (error, info or debug; `info`
+/// if it is not set). Called once, before the first line.
 void open(const char* program);
-// Times are wall clock, for people; nothing is decided by them.
+/// Writes a line: the fields, and `at` (wall clock, for people; nothing is decided by it), `level`,
+/// `program` and `what`.
 void write(spdlog::level::level_enum level, const char* what, nlohmann::json fields);
 
-inline void error(const char* what, nlohmann::json f = nlohmann::json::object()) {
-  write(spdlog::level::err, what, std::move(f));
+inline void error(const char* what, nlohmann::json fields = nlohmann::json::object()) {
+  write(spdlog::level::err, what, std::move(fields));
 }
-inline void info(const char* what, nlohmann::json f = nlohmann::json::object()) {
-  write(spdlog::level::info, what, std::move(f));
+inline void info(const char* what, nlohmann::json fields = nlohmann::json::object()) {
+  write(spdlog::level::info, what, std::move(fields));
 }
-inline void debug(const char* what, nlohmann::json f = nlohmann::json::object()) {
-  write(spdlog::level::debug, what, std::move(f));
+inline void debug(const char* what, nlohmann::json fields = nlohmann::json::object()) {
+  write(spdlog::level::debug, what, std::move(fields));
 }
 
 }  // namespace shunttrail::log
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -13,14 +13,18 @@
 namespace shunttrail::net {
 namespace {
 
-std::string take(evbuffer* b) {
-  std::string s(evbuffer_get_length(b), '\0');
-  if (!s.empty()) evbuffer_remove(b, s.data(), s.size());
-  return s;
+constexpr ssize_t kMaxHeaderBytes = 16 * 1024;
+constexpr int kServerTimeoutS = 60;
+
+// All that is in the buffer.
+std::string take(evbuffer* buffer) {
+  std::string bytes(evbuffer_get_length(buffer), '\0');
+  if (!bytes.empty()) evbuffer_remove(buffer, bytes.data(), bytes.size());
+  return bytes;
 }
 
 struct BufferFree {
-  void operator()(evbuffer* b) const { evbuffer_free(b); }
+  void operator()(evbuffer* buffer) const { evbuffer_free(buffer); }
 };
 
 const char* reason(int status) {
@@ -48,6 +52,34 @@
   }
 }
 
+evhttp_cmd_type command_of(const char* method) {
+  if (!std::strcmp(method, "POST")) return EVHTTP_REQ_POST;
+  if (!std::strcmp(method, "DELETE")) return EVHTTP_REQ_DELETE;
+  return EVHTTP_REQ_GET;
+}
+
+const char* method_of(evhttp_cmd_type command) {
+  if (command == EVHTTP_REQ_POST) return "POST";
+  return command == EVHTTP_REQ_DELETE ? "DELETE" : "GET";
+}
+
+timeval to_timeval(double seconds) {
+  const double whole = std::floor(seconds);
+  return {static_cast<time_t>(seconds), static_cast<suseconds_t>((seconds - whole) * 1e6)};
+}
+
+// The answer of a request that libevent has finished.
+Result to_result(evhttp_request* request) {
+  Result result;
+  if (request) result.status = evhttp_request_get_response_code(request);
+  if (!result.status) return result;
+  result.body = take(evhttp_request_get_input_buffer(request));
+  const evkeyvalq* headers = evhttp_request_get_input_headers(request);
+  if (const char* retry_after = evhttp_find_header(headers, "Retry-After"))
+    result.retry_after_s = std::atof(retry_after);
+  return result;
+}
+
 }  // namespace
 
 Answer error_response(int status, const std::string& why, double retry_after_s) {
@@ -57,73 +89,80 @@
       retry_after_s};
 }
 
-Exchange::Exchange(evhttp_request* r) : req_(r) {
-  post = evhttp_request_get_command(r) == EVHTTP_REQ_POST;
-  del = evhttp_request_get_command(r) == EVHTTP_REQ_DELETE;
-  if (const evhttp_uri* u = evhttp_request_get_evhttp_uri(r)) {
-    if (const char* p = evhttp_uri_get_path(u)) path = p;
-    if (const char* q = evhttp_uri_get_query(u)) query = q;
+Exchange::Exchange(evhttp_request* request) : request_(request) {
+  post = evhttp_request_get_command(request) == EVHTTP_REQ_POST;
+  del = evhttp_request_get_command(request) == EVHTTP_REQ_DELETE;
+  if (const evhttp_uri* uri = evhttp_request_get_evhttp_uri(request)) {
+    if (const char* text = evhttp_uri_get_path(uri)) path = text;
+    if (const char* text = evhttp_uri_get_query(uri)) query = text;
   }
-  body = take(evhttp_request_get_input_buffer(r));
+  body = take(evhttp_request_get_input_buffer(request));
 }
-Exchange::Exchange(const std::string& method, const std::string& path_and_query, std::string b,
-                   std::function<void(const Answer&)> reply)
+
+Exchange::Exchange(const std::string& method, const std::string& path_and_query,
+                   std::string request_body, std::function<void(const Answer&)> reply)
     : post(method == "POST"),
       del(method == "DELETE"),
       path(path_and_query.substr(0, path_and_query.find('?'))),
-      body(std::move(b)),
-      req_(nullptr),
+      body(std::move(request_body)),
+      request_(nullptr),
       reply_(std::move(reply)) {
   if (path.size() < path_and_query.size()) query = path_and_query.substr(path.size() + 1);
 }
+
 Exchange::~Exchange() {
   if (!answered()) send({503, "{\"error\":\"dropped\"}", 1});
 }
-void Exchange::send(const Answer& a) {
-  if (auto reply = std::exchange(reply_, nullptr)) return reply(a);
-  if (!req_) return;
-  evhttp_request* r = std::exchange(req_, nullptr);
-  evkeyvalq* h = evhttp_request_get_output_headers(r);
-  evhttp_add_header(h, "Content-Type", "application/json");
-  if (a.retry_after_s > 0)
-    evhttp_add_header(h, "Retry-After",
-                      std::to_string(static_cast<int>(std::ceil(a.retry_after_s))).c_str());
-  std::unique_ptr<evbuffer, BufferFree> out(evbuffer_new());
-  evbuffer_add(out.get(), a.body.data(), a.body.size());
-  evhttp_send_reply(r, a.status, reason(a.status), out.get());
+
+void Exchange::send(const Answer& answer) {
+  if (auto reply = std::exchange(reply_, nullptr)) return reply(answer);
+  if (!request_) return;
+  evhttp_request* request = std::exchange(request_, nullptr);
+  evkeyvalq* headers = evhttp_request_get_output_headers(request);
+  evhttp_add_header(headers, "Content-Type", "application/json");
+  if (answer.retry_after_s > 0) {
+    const int seconds = static_cast<int>(std::ceil(answer.retry_after_s));
+    evhttp_add_header(headers, "Retry-After", std::to_string(seconds).c_str());
+  }
+  const std::unique_ptr<evbuffer, BufferFree> body_buffer(evbuffer_new());
+  evbuffer_add(body_buffer.get(), answer.body.data(), answer.body.size());
+  evhttp_send_reply(request, answer.status, reason(answer.status), body_buffer.get());
 }
 
 std::string query_value(const std::string& query, const std::string& name) {
-  evkeyvalq kv;
-  std::string out;
-  if (evhttp_parse_query_str(query.c_str(), &kv) == 0) {
-    if (const char* v = evhttp_find_header(&kv, name.c_str())) out = v;
-    evhttp_clear_headers(&kv);
-  }
-  return out;
+  evkeyvalq parameters;
+  if (evhttp_parse_query_str(query.c_str(), &parameters) != 0) return "";
+  const char* found = evhttp_find_header(&parameters, name.c_str());
+  const std::string value = found ? found : "";
+  evhttp_clear_headers(&parameters);
+  return value;
 }
 
 Server::Server(actor::Loop& loop, const config::Endpoint& at, std::size_t max_body, Handler handler,
                bool deletes)
     : handler_(std::move(handler)) {
-  if (auto* network = dynamic_cast<Network*>(loop.simulated())) {
+  if (auto* network = dynamic_cast<Network*>(loop.simulated()))
     listening_ = network->listen(at, handler_);
-    return;
-  }
+  else
+    listen(loop, at, max_body, deletes);
+}
+
+void Server::listen(actor::Loop& loop, const config::Endpoint& at, std::size_t max_body,
+                    bool deletes) {
   http_.reset(evhttp_new(loop.base()));
-  evhttp* h = http_.get();
-  evhttp_set_max_body_size(h, static_cast<ssize_t>(max_body));
-  evhttp_set_max_headers_size(h, 16 * 1024);
-  evhttp_set_timeout(h, 60);
-  evhttp_set_allowed_methods(h,
-                             EVHTTP_REQ_GET | EVHTTP_REQ_POST | (deletes ? EVHTTP_REQ_DELETE : 0));
+  evhttp* http = http_.get();
+  evhttp_set_max_body_size(http, static_cast<ssize_t>(max_body));
+  evhttp_set_max_headers_size(http, kMaxHeaderBytes);
+  evhttp_set_timeout(http, kServerTimeoutS);
+  const int deletion = deletes ? EVHTTP_REQ_DELETE : 0;
+  evhttp_set_allowed_methods(http, EVHTTP_REQ_GET | EVHTTP_REQ_POST | deletion);
   evhttp_set_gencb(
-      h,
-      [](evhttp_request* r, void* self) {
-        static_cast<Server*>(self)->handler_(std::make_shared<Exchange>(r));
+      http,
+      [](evhttp_request* request, void* self) {
+        static_cast<Server*>(self)->handler_(std::make_shared<Exchange>(request));
       },
       this);
-  if (evhttp_bind_socket(h, at.host.c_str(), at.port) != 0)
+  if (evhttp_bind_socket(http, at.host.c_str(), at.port) != 0)
     throw std::runtime_error("cannot listen on " + at.host + ":" + std::to_string(at.port));
 }
 
@@ -133,8 +172,8 @@
   std::string path, body;
   double timeout_s = 0;
   Done done;
-  ConnPtr conn;
-  Network::Handle flight;  // on a simulated network
+  ConnectionPtr connection;
+  Network::Handle in_flight;  // on a simulated network
 };
 
 Client::Client(actor::Loop& loop, const config::Endpoint& to, std::size_t max_connections,
@@ -143,107 +182,109 @@
       to_(to),
       max_connections_(max_connections),
       max_queue_(max_queue),
-      reap_(loop, [this] { dead_.clear(); }) {}
+      free_timer_(loop, [this] { dead_.clear(); }) {}
+
 Client::~Client() = default;
 
 void Client::request(const char* method, std::string path, std::string body, double timeout_s,
                      Done done) {
   auto call = std::make_unique<Call>();
   call->owner = this;
-  call->method = !std::strcmp(method, "POST")     ? EVHTTP_REQ_POST
-                 : !std::strcmp(method, "DELETE") ? EVHTTP_REQ_DELETE
-                                                  : EVHTTP_REQ_GET;
+  call->method = command_of(method);
   call->path = std::move(path);
   call->body = std::move(body);
   call->timeout_s = timeout_s;
   call->done = std::move(done);
-  if (busy_.size() >= max_connections_) {
-    if (queue_.size() >= max_queue_) {
-      call->done(Result{});
-      return;
-    }
+  if (busy_.size() < max_connections_)
+    start(std::move(call));
+  else if (queue_.size() < max_queue_)
     queue_.push_back(std::move(call));
-    return;
-  }
-  start(std::move(call));
+  else
+    call->done(Result{});
 }
 
 void Client::start(std::unique_ptr<Call> call) {
-  if (auto* network = dynamic_cast<Network*>(loop_.simulated())) {
-    Call* c = call.get();
-    busy_.push_back(std::move(call));
-    const char* method = c->method == EVHTTP_REQ_POST     ? "POST"
-                         : c->method == EVHTTP_REQ_DELETE ? "DELETE"
-                                                          : "GET";
-    c->flight = network->request(to_, method, c->path, c->body, c->timeout_s,
-                                 [this, c](Result r) { over(c, std::move(r)); });
-    return;
-  }
-  if (!idle_.empty()) {
-    call->conn = std::move(idle_.back());
-    idle_.pop_back();
-  } else {
-    call->conn.reset(evhttp_connection_base_new(loop_.base(), nullptr, to_.host.c_str(), to_.port));
-  }
-  if (!call->conn) {
+  if (auto* network = dynamic_cast<Network*>(loop_.simulated()))
+    return start_simulated(*network, std::move(call));
+  call->connection = take_connection();
+  if (!call->connection) {
     call->done(Result{});
     return;
   }
-  timeval tv{static_cast<time_t>(call->timeout_s),
-             static_cast<suseconds_t>((call->timeout_s - std::floor(call->timeout_s)) * 1e6)};
-  evhttp_connection_set_timeout_tv(call->conn.get(), &tv);
-  evhttp_request* r = evhttp_request_new(
-      [](evhttp_request* req, void* arg) {
-        Call* c = static_cast<Call*>(arg);
-        c->owner->finished(c, req);
-      },
-      call.get());
-  evkeyvalq* h = evhttp_request_get_output_headers(r);
-  evhttp_add_header(h, "Host", (to_.host + ":" + std::to_string(to_.port)).c_str());
-  if (!call->body.empty()) {
-    evhttp_add_header(h, "Content-Type", "application/json");
-    evbuffer_add(evhttp_request_get_output_buffer(r), call->body.data(), call->body.size());
-  }
-  Call* c = call.get();
+  const timeval timeout = to_timeval(call->timeout_s);
+  evhttp_connection_set_timeout_tv(call->connection.get(), &timeout);
+  evhttp_request* request = make_request(*call);
+  Call* started = call.get();
   busy_.push_back(std::move(call));
-  if (evhttp_make_request(c->conn.get(), r, c->method, c->path.c_str()) != 0) {
-    finished(c, nullptr);
-  }
+  const int error = evhttp_make_request(started->connection.get(), request, started->method,
+                                        started->path.c_str());
+  if (error != 0) finished(started, nullptr);
 }
 
-void Client::finished(Call* call, evhttp_request* r) {
-  Result res;
-  if (r) {
-    res.status = evhttp_request_get_response_code(r);
-    if (res.status) {
-      res.body = take(evhttp_request_get_input_buffer(r));
-      const char* later = evhttp_find_header(evhttp_request_get_input_headers(r), "Retry-After");
-      if (later) res.retry_after_s = std::atof(later);
-    }
-  }
-  over(call, std::move(res));
-}
-
-void Client::over(Call* call, Result res) {
-  auto it = std::find_if(busy_.begin(), busy_.end(), [&](auto& p) { return p.get() == call; });
-  if (it == busy_.end()) return;
-  std::unique_ptr<Call> mine = std::move(*it);
-  busy_.erase(it);
-  if (!mine->conn) {
-    // A simulated network has no connections.
-  } else if (res.status) {
-    idle_.push_back(std::move(mine->conn));
-  } else {
-    // libevent still uses the connection when this callback returns.
-    dead_.push_back(std::move(mine->conn));
-    reap_.after(0);
+void Client::start_simulated(Network& network, std::unique_ptr<Call> call) {
+  Call* started = call.get();
+  busy_.push_back(std::move(call));
+  started->in_flight = network.request(
+      to_, method_of(started->method), started->path, started->body, started->timeout_s,
+      [this, started](Result result) { over(started, std::move(result)); });
+}
+
+// An idle connection, or a new one; null: there is none to be had.
+Client::ConnectionPtr Client::take_connection() {
+  if (idle_.empty())
+    return ConnectionPtr(
+        evhttp_connection_base_new(loop_.base(), nullptr, to_.host.c_str(), to_.port));
+  ConnectionPtr connection = std::move(idle_.back());
+  idle_.pop_back();
+  return connection;
+}
+
+evhttp_request* Client::make_request(Call& call) const {
+  evhttp_request* request = evhttp_request_new(
+      [](evhttp_request* finished_request, void* argument) {
+        Call* finished_call = static_cast<Call*>(argument);
+        finished_call->owner->finished(finished_call, finished_request);
+      },
+      &call);
+  evkeyvalq* headers = evhttp_request_get_output_headers(request);
+  evhttp_add_header(headers, "Host", (to_.host + ":" + std::to_string(to_.port)).c_str());
+  if (!call.body.empty()) {
+    evhttp_add_header(headers, "Content-Type", "application/json");
+    evbuffer_add(evhttp_request_get_output_buffer(request), call.body.data(), call.body.size());
   }
-  if (!queue_.empty()) {
-    auto next = std::move(queue_.front());
-    queue_.pop_front();
-    start(std::move(next));
+  return request;
+}
+
+void Client::finished(Call* call, evhttp_request* request) { over(call, to_result(request)); }
+
+void Client::over(Call* call, Result result) {
+  auto found = std::find_if(busy_.begin(), busy_.end(),
+                            [&](const auto& busy) { return busy.get() == call; });
+  if (found == busy_.end()) return;
+  const std::unique_ptr<Call> owned = std::move(*found);
+  busy_.erase(found);
+  release_connection(std::move(owned->connection), result.status != 0);
+  start_next();
+  owned->done(std::move(result));
+}
+
+// A simulated network has no connections.
+void Client::release_connection(ConnectionPtr connection, bool is_usable) {
+  if (!connection) return;
+  if (is_usable) {
+    idle_.push_back(std::move(connection));
+    return;
   }
-  mine->done(std::move(res));
+  // libevent still uses the connection when this callback returns.
+  dead_.push_back(std::move(connection));
+  free_timer_.after(0);
+}
+
+void Client::start_next() {
+  if (queue_.empty()) return;
+  auto next = std::move(queue_.front());
+  queue_.pop_front();
+  start(std::move(next));
 }
 
 }  // namespace shunttrail::net
