--- a/src/client_protocol/client_protocol.cpp
+++ b/src/client_protocol/client_protocol.cpp
@@ -7,8 +7,15 @@
 using namespace wire;
 
 namespace {
-const char* why_name(ExitReason w) {
-  switch (w) {
+
+// Limits of the cloud and the state service (PROTOCOL).
+constexpr std::uint64_t kMaxRented = 50;  // machines in one request
+constexpr std::size_t kMaxDeleted = 100;  // machines in one request
+constexpr std::size_t kMaxKeyBytes = 200;
+constexpr std::uint64_t kLeastLeaseMs = 100, kMostLeaseMs = 600000;
+
+const char* exit_reason_name(ExitReason reason) {
+  switch (reason) {
     case ExitReason::done:
       return "done";
     case ExitReason::stopped:
@@ -24,204 +31,240 @@
   }
 }
 
-Command command_of(const json& j) {
-  Command c;
-  std::string op = text(j, "order");
-  if (op == "start") {
-    c.op = Command::Op::start;
-  } else if (op == "halt") {
-    c.op = Command::Op::stop;
-    if (const json* g = find(j, "brake_s")) c.grace_s = as_number(*g, "brake_s", 0);
-  } else if (op == "reap") {
-    c.op = Command::Op::acknowledge;
-  } else {
-    throw Malformed("order " + op + " is unknown");
-  }
-  c.task = task_id(text(j, "car"));
-  c.attempt = whole(j, "departure");
-  return c;
+Command::Op parse_operation(const std::string& name) {
+  if (name == "start") return Command::Op::start;
+  if (name == "halt") return Command::Op::stop;
+  if (name == "reap") return Command::Op::acknowledge;
+  throw Malformed("order " + name + " is unknown");
+}
+
+Command decode_command(const json& fields) {
+  Command command;
+  command.op = parse_operation(text(fields, "order"));
+  if (command.op == Command::Op::stop)
+    if (const json* grace = find(fields, "brake_s"))
+      command.grace_s = as_number(*grace, "brake_s", 0);
+  command.task = task_id(text(fields, "car"));
+  command.attempt = whole(fields, "departure");
+  return command;
 }
-}  // namespace
 
-std::string encode_heartbeat(const Heartbeat& r) {
-  json cars = json::array();
-  for (const TaskStatus& t : r.tasks) {
-    json c = {{"car", task_name(t.task)},
-              {"departure", t.attempt},
-              {"signal", kTaskStateNames[static_cast<int>(t.state)]}};
-    if (t.state == TaskState::exited) {
-      c["stop_cause"] = why_name(t.exit_reason);
-      if (t.exit_reason == ExitReason::stopped) c["kept"] = t.checkpointed;
+json encode_task(const TaskStatus& task) {
+  json fields = {{"car", task_name(task.task)},
+                 {"departure", task.attempt},
+                 {"signal", kTaskStateNames[static_cast<int>(task.state)]}};
+  if (task.state != TaskState::exited) return fields;
+  fields["stop_cause"] = exit_reason_name(task.exit_reason);
+  if (task.exit_reason == ExitReason::stopped) fields["kept"] = task.checkpointed;
+  return fields;
+}
+
+// Each entry by itself: one that makes no sense is refused, the others are taken.
+void decode_commands(const json& list, HeartbeatResponse& response) {
+  if (!list.is_array()) throw Malformed("orders is not a list");
+  for (std::size_t i = 0; i < list.size(); ++i) {
+    try {
+      response.commands.push_back(decode_command(list[i]));
+    } catch (const Malformed& error) {
+      response.refused.push_back("orders[" + std::to_string(i) + "]: " + error.what());
     }
-    cars.push_back(std::move(c));
   }
-  json j = {{"engine", r.machine},    {"address", r.addr},        {"stock", r.type},
-            {"yard", r.zone},         {"borrowed_stock", r.spot}, {"shift", r.incarnation},
-            {"waybill", r.sequence},  {"staff", r.token},         {"recall_s", nullptr},
-            {"cars", std::move(cars)}};
-  if (r.notice_s) j["recall_s"] = *r.notice_s;
-  return j.dump();
+}
+
+JobState parse_job_state(const std::string& name) {
+  for (JobState state : {JobState::queued, JobState::running, JobState::done, JobState::cancelled})
+    if (name == state_name(state)) return state;
+  throw Malformed("signal is unknown");
+}
+
+std::string decode_state_key(const json& value, const char* field) {
+  std::string key = as_text(value, field);
+  if (key.size() > kMaxKeyBytes || key.find(' ') != std::string::npos)
+    throw Malformed(std::string(field) + " is not a key");
+  return key;
+}
+
+Transaction::Op decode_write(const json& write) {
+  Transaction::Op operation;
+  const json* key = find(write, "set");
+  if (!key) {
+    operation.key = decode_state_key(need(write, "drop"), "drop");
+    return operation;
+  }
+  operation.key = decode_state_key(*key, "set");
+  const auto value = write.find("value");
+  if (value == write.end()) throw Malformed("value is missing");
+  operation.value = value->dump();
+  if (const json* lease = find(write, "block")) operation.lease = as_whole(*lease, "block");
+  return operation;
+}
+
+// The list of this name; null: there is none.
+const json* find_list(const json& fields, const char* name) {
+  const json* list = find(fields, name);
+  if (list && !list->is_array()) throw Malformed(std::string(name) + " is not a list");
+  return list;
+}
+
+std::string join(const std::vector<std::string>& items) {
+  std::string out;
+  for (const std::string& item : items) out += (out.empty() ? "" : ",") + item;
+  return out;
+}
+
+std::string encode_event(const Event& event) {
+  const std::string key = json(event.key).dump();
+  const std::string change =
+      event.value ? "{\"set\":" + key + ",\"value\":" + *event.value : "{\"drop\":" + key;
+  return change + ",\"stamp\":" + std::to_string(event.mod_revision) + "}";
+}
+
+}  // namespace
+
+std::string encode_heartbeat(const Heartbeat& heartbeat) {
+  json tasks = json::array();
+  for (const TaskStatus& task : heartbeat.tasks) tasks.push_back(encode_task(task));
+  json fields = {{"engine", heartbeat.machine},
+                 {"address", heartbeat.addr},
+                 {"stock", heartbeat.type},
+                 {"yard", heartbeat.zone},
+                 {"borrowed_stock", heartbeat.spot},
+                 {"shift", heartbeat.incarnation},
+                 {"waybill", heartbeat.sequence},
+                 {"staff", heartbeat.token},
+                 {"recall_s", nullptr},
+                 {"cars", std::move(tasks)}};
+  if (heartbeat.notice_s) fields["recall_s"] = *heartbeat.notice_s;
+  return fields.dump();
 }
 
 HeartbeatResponse decode_heartbeat_response(std::string_view body) {
-  return guarded(body, [](const json& j) {
-    HeartbeatResponse o;
-    if (const json* v = find(j, "staff")) o.token = as_whole(*v, "staff");
-    if (const json* v = find(j, "shift")) o.session = as_whole(*v, "shift");
-    if (const json* v = find(j, "orders")) {
-      if (!v->is_array()) throw Malformed("orders is not a list");
-      for (std::size_t i = 0; i < v->size(); ++i) {
-        try {
-          o.commands.push_back(command_of((*v)[i]));
-        } catch (const Malformed& e) {
-          o.refused.push_back("orders[" + std::to_string(i) + "]: " + e.what());
-        }
-      }
-    }
-    return o;
+  return guarded(body, [](const json& fields) {
+    HeartbeatResponse response;
+    if (const json* token = find(fields, "staff")) response.token = as_whole(*token, "staff");
+    if (const json* session = find(fields, "shift")) response.session = as_whole(*session, "shift");
+    if (const json* commands = find(fields, "orders")) decode_commands(*commands, response);
+    return response;
   });
 }
 
 std::string redirect_of(std::string_view body) {
   try {
-    return guarded(body, [](const json& j) { return text_or(j, "dispatcher", ""); });
+    return guarded(body, [](const json& fields) { return text_or(fields, "dispatcher", ""); });
   } catch (const Malformed&) {
     return {};
   }
 }
 
 JobAnswer decode_job_state(std::string_view body) {
-  return guarded(body, [](const json& j) {
-    JobAnswer a;
-    a.id = text(j, "uid");
-    std::string s = text(j, "signal");
-    int k = 0;
-    while (k < 4 && s != state_name(static_cast<JobState>(k))) ++k;
-    if (k == 4) throw Malformed("signal is unknown");
-    a.state = static_cast<JobState>(k);
-    if (const json* v = find(j, "done")) a.done = as_whole(*v, "done");
-    if (const json* v = find(j, "running")) a.running = as_whole(*v, "running");
-    return a;
+  return guarded(body, [](const json& fields) {
+    JobAnswer answer;
+    answer.id = text(fields, "uid");
+    answer.state = parse_job_state(text(fields, "signal"));
+    if (const json* done = find(fields, "done")) answer.done = as_whole(*done, "done");
+    if (const json* running = find(fields, "running"))
+      answer.running = as_whole(*running, "running");
+    return answer;
   });
 }
 
 std::string encode_types(const std::vector<MachineType>& types) {
-  json l = json::array();
-  for (const auto& t : types)
-    l.push_back({{"name", t.name},
-                 {"vcpus", t.cpus},
-                 {"cards", t.gpus},
-                 {"mem_gb", t.mem_gb},
-                 {"local_gb", t.cache_gb},
-                 {"hourly", t.price},
-                 {"market_price", t.spot_price},
-                 {"startup_s", t.boot_s},
-                 {"yards", t.zones}});
-  return json{{"stock_types", std::move(l)}}.dump();
+  json list = json::array();
+  for (const MachineType& type : types)
+    list.push_back({{"name", type.name},
+                    {"vcpus", type.cpus},
+                    {"cards", type.gpus},
+                    {"mem_gb", type.mem_gb},
+                    {"local_gb", type.cache_gb},
+                    {"hourly", type.price},
+                    {"market_price", type.spot_price},
+                    {"startup_s", type.boot_s},
+                    {"yards", type.zones}});
+  return json{{"stock_types", std::move(list)}}.dump();
 }
+
 RentRequest decode_rent(std::string_view body) {
-  return guarded(body, [](const json& j) {
-    RentRequest r{text(j, "charter"), text(j, "stock"), text(j, "yard"), flag(j, "borrowed_stock"),
-                  0};
-    std::uint64_t n = whole(j, "count");
-    if (n < 1 || n > 50) throw Malformed("count is out of range");
-    r.count = static_cast<int>(n);
-    return r;
+  return guarded(body, [](const json& fields) {
+    RentRequest request{text(fields, "charter"), text(fields, "stock"), text(fields, "yard"),
+                        flag(fields, "borrowed_stock"), 0};
+    const std::uint64_t count = whole(fields, "count");
+    if (count < 1 || count > kMaxRented) throw Malformed("count is out of range");
+    request.count = static_cast<int>(count);
+    return request;
   });
 }
+
 std::string encode_rented(const std::vector<std::string>& machines) {
   return json{{"engines", machines}}.dump();
 }
+
 std::string encode_machines(const MachineList& list) {
-  json l = json::array();
-  for (const auto& m : list.machines)
-    l.push_back({{"uid", m.name},
-                 {"address", m.addr},
-                 {"stock", m.type},
-                 {"yard", m.zone},
-                 {"borrowed_stock", m.spot},
-                 {"signal", m.state},
-                 {"held_s", m.age_s}});
-  return json{{"engines", std::move(l)}, {"has_next", list.more}}.dump();
+  json machines = json::array();
+  for (const ListedMachine& machine : list.machines)
+    machines.push_back({{"uid", machine.name},
+                        {"address", machine.addr},
+                        {"stock", machine.type},
+                        {"yard", machine.zone},
+                        {"borrowed_stock", machine.spot},
+                        {"signal", machine.state},
+                        {"held_s", machine.age_s}});
+  return json{{"engines", std::move(machines)}, {"has_next", list.more}}.dump();
 }
+
 std::vector<std::string> decode_delete(std::string_view body) {
   auto names = decode_rented(body);
-  if (names.size() > 100) throw Malformed("engines names too many");
+  if (names.size() > kMaxDeleted) throw Malformed("engines names too many");
   return names;
 }
 
 Transaction decode_transaction(std::string_view body) {
-  return guarded(body, [](const json& j) {
-    auto key = [](const json& v, const char* name) {
-      std::string k = as_text(v, name);
-      if (k.size() > 200 || k.find(' ') != std::string::npos)
-        throw Malformed(std::string(name) + " is not a key");
-      return k;
-    };
-    Transaction t;
-    if (const json* v = find(j, "guards")) {
-      if (!v->is_array()) throw Malformed("guards is not a list");
-      for (const json& g : *v)
-        t.preconditions.emplace_back(key(need(g, "k"), "k"), whole(g, "stamp"));
-    }
-    if (const json* v = find(j, "writes")) {
-      if (!v->is_array()) throw Malformed("writes is not a list");
-      for (const json& w : *v) {
-        Transaction::Op op;
-        if (const json* k = find(w, "set")) {
-          op.key = key(*k, "set");
-          auto value = w.find("value");
-          if (value == w.end()) throw Malformed("value is missing");
-          op.value = value->dump();
-          if (const json* b = find(w, "block")) op.lease = as_whole(*b, "block");
-        } else {
-          op.key = key(need(w, "drop"), "drop");
-        }
-        t.ops.push_back(std::move(op));
-      }
-    }
-    return t;
+  return guarded(body, [](const json& fields) {
+    Transaction transaction;
+    if (const json* guards = find_list(fields, "guards"))
+      for (const json& guard : *guards)
+        transaction.preconditions.emplace_back(decode_state_key(need(guard, "k"), "k"),
+                                               whole(guard, "stamp"));
+    if (const json* writes = find_list(fields, "writes"))
+      for (const json& write : *writes) transaction.ops.push_back(decode_write(write));
+    return transaction;
   });
 }
+
 std::uint64_t decode_life_ms(std::string_view body) {
-  return guarded(body, [](const json& j) {
-    std::uint64_t ms = whole(j, "life_ms");
-    if (ms < 100 || ms > 600000) throw Malformed("life_ms is out of range");
-    return ms;
+  return guarded(body, [](const json& fields) {
+    const std::uint64_t life_ms = whole(fields, "life_ms");
+    if (life_ms < kLeastLeaseMs || life_ms > kMostLeaseMs)
+      throw Malformed("life_ms is out of range");
+    return life_ms;
   });
 }
+
 std::string encode_entry(const std::string& key, const std::string& value,
                          std::uint64_t mod_revision, std::uint64_t lease) {
-  std::string s = "{\"k\":" + json(key).dump() + ",\"value\":" + value +
-                  ",\"stamp\":" + std::to_string(mod_revision);
-  if (lease) s += ",\"block\":" + std::to_string(lease);
-  return s + "}";
+  std::string entry = "{\"k\":" + json(key).dump() + ",\"value\":" + value +
+                      ",\"stamp\":" + std::to_string(mod_revision);
+  if (lease) entry += ",\"block\":" + std::to_string(lease);
+  return entry + "}";
 }
+
 std::string encode_watch(std::uint64_t revision, const std::vector<Event>& events) {
-  std::string s = "{\"ledger\":" + std::to_string(revision) + ",\"events\":[";
-  for (std::size_t i = 0; i < events.size(); ++i) {
-    const Event& e = events[i];
-    if (i) s += ',';
-    s += e.value ? "{\"set\":" + json(e.key).dump() + ",\"value\":" + *e.value
-                 : "{\"drop\":" + json(e.key).dump();
-    s += ",\"stamp\":" + std::to_string(e.mod_revision) + "}";
-  }
-  return s + "]}";
+  std::vector<std::string> encoded;
+  for (const Event& event : events) encoded.push_back(encode_event(event));
+  return "{\"ledger\":" + std::to_string(revision) + ",\"events\":[" + join(encoded) + "]}";
 }
+
 std::string encode_page(const std::vector<std::string>& entries, bool more,
                         std::uint64_t revision) {
-  std::string s = "{\"entries\":[";
-  for (std::size_t i = 0; i < entries.size(); ++i) {
-    if (i) s += ',';
-    s += entries[i];
-  }
-  return s + "],\"has_next\":" + (more ? "true" : "false") +
+  return "{\"entries\":[" + join(entries) + "],\"has_next\":" + (more ? "true" : "false") +
          ",\"ledger\":" + std::to_string(revision) + "}";
 }
+
 std::string encode_failed(const std::vector<std::string>& keys, std::uint64_t revision) {
   return json{{"failed", keys}, {"ledger", revision}}.dump();
 }
+
 std::string encode_revision(std::uint64_t revision) { return json{{"ledger", revision}}.dump(); }
+
 std::string encode_lease(std::uint64_t lease) { return json{{"block", lease}}.dump(); }
 
 }  // namespace shunttrail::client_protocol
--- a/src/client_protocol/job_description.cpp
+++ b/src/client_protocol/job_description.cpp
@@ -7,77 +7,106 @@
 using namespace wire;
 
 namespace {
+
+constexpr std::size_t kMaxArgumentBytes = 32768;
+constexpr std::size_t kHashDigits = 64;
+constexpr std::uint64_t kLeastExit = 1, kMostExit = 255;
+
 // Longer than other texts, and of any bytes but NUL, which no argument can hold.
-std::string argument(const json& v, const char* name) {
-  if (!v.is_string()) throw Malformed(std::string(name) + " holds what is not a string");
-  const auto& s = v.get_ref<const std::string&>();
-  if (s.size() > 32768) throw Malformed(std::string(name) + " is too long");
-  if (s.find('\0') != std::string::npos) throw Malformed(std::string(name) + " holds a NUL");
-  return s;
+std::string decode_argument(const json& value, const char* name) {
+  if (!value.is_string()) throw Malformed(std::string(name) + " holds what is not a string");
+  const auto& argument = value.get_ref<const std::string&>();
+  if (argument.size() > kMaxArgumentBytes) throw Malformed(std::string(name) + " is too long");
+  if (argument.find('\0') != std::string::npos) throw Malformed(std::string(name) + " holds a NUL");
+  return argument;
+}
+
+std::vector<std::string> decode_command(const json& arguments) {
+  std::vector<std::string> command;
+  for (const json& argument : arguments) command.push_back(decode_argument(argument, "command"));
+  if (command.empty() || command[0].empty()) throw Malformed("command is empty");
+  return command;
+}
+
+std::map<std::string, std::string> decode_environment(const json& fields) {
+  if (!fields.is_object()) throw Malformed("env is not an object");
+  std::map<std::string, std::string> environment;
+  for (auto it = fields.begin(); it != fields.end(); ++it) {
+    if (it.key().empty() || it.key().find('=') != std::string::npos)
+      throw Malformed("env holds a bad name");
+    environment[it.key()] = decode_argument(it.value(), "env");
+  }
+  return environment;
 }
+
+std::string decode_image(const json& value) {
+  std::string hash = as_text(value, "image");
+  if (hash.size() != kHashDigits || hash.find_first_not_of("0123456789abcdef") != std::string::npos)
+    throw Malformed("image is not a hash");
+  return hash;
+}
+
+std::vector<int> decode_retry_exits(const json& list) {
+  if (!list.is_array()) throw Malformed("retry_exits is not a list");
+  std::vector<int> exits;
+  for (const json& value : list) {
+    const std::uint64_t exit = as_whole(value, "retry_exits");
+    if (exit < kLeastExit || exit > kMostExit) throw Malformed("retry_exits is out of range");
+    exits.push_back(static_cast<int>(exit));
+  }
+  return exits;
+}
+
 }  // namespace
 
-std::string encode_description(const JobDescription& d) {
-  json j = {{"job", json::parse(encode_job(d.job))}, {"command", d.command}};
-  if (!d.env.empty()) j["env"] = d.env;
-  if (!d.image.empty()) j["image"] = d.image;
-  if (d.limit_s > 0) j["limit_s"] = d.limit_s;
-  j["retry_exits"] = d.retry_exits;
-  return j.dump();
+std::string encode_description(const JobDescription& description) {
+  json fields = {{"job", json::parse(encode_job(description.job))},
+                 {"command", description.command}};
+  if (!description.env.empty()) fields["env"] = description.env;
+  if (!description.image.empty()) fields["image"] = description.image;
+  if (description.limit_s > 0) fields["limit_s"] = description.limit_s;
+  fields["retry_exits"] = description.retry_exits;
+  return fields.dump();
 }
 
 JobDescription decode_description(std::string_view body) {
-  return guarded(body, [](const json& j) {
-    JobDescription d;
-    d.job = decode_job(need(j, "job").dump());
-    for (const json& a : list(j, "command")) d.command.push_back(argument(a, "command"));
-    if (d.command.empty() || d.command[0].empty()) throw Malformed("command is empty");
-    if (const json* env = find(j, "env")) {
-      if (!env->is_object()) throw Malformed("env is not an object");
-      for (auto it = env->begin(); it != env->end(); ++it) {
-        if (it.key().empty() || it.key().find('=') != std::string::npos)
-          throw Malformed("env holds a bad name");
-        d.env[it.key()] = argument(it.value(), "env");
-      }
-    }
-    if (const json* v = find(j, "image")) {
-      d.image = as_text(*v, "image");
-      if (d.image.size() != 64 ||
-          d.image.find_first_not_of("0123456789abcdef") != std::string::npos)
-        throw Malformed("image is not a hash");
-    }
-    if (const json* v = find(j, "limit_s")) d.limit_s = as_number(*v, "limit_s", 0);
-    if (const json* v = find(j, "retry_exits")) {
-      d.retry_exits.clear();
-      if (!v->is_array()) throw Malformed("retry_exits is not a list");
-      for (const json& e : *v) {
-        auto n = as_whole(e, "retry_exits");
-        if (n < 1 || n > 255) throw Malformed("retry_exits is out of range");
-        d.retry_exits.push_back(static_cast<int>(n));
-      }
-    }
-    return d;
+  return guarded(body, [](const json& fields) {
+    JobDescription description;
+    description.job = decode_job(need(fields, "job").dump());
+    description.command = decode_command(list(fields, "command"));
+    if (const json* environment = find(fields, "env"))
+      description.env = decode_environment(*environment);
+    if (const json* image = find(fields, "image")) description.image = decode_image(*image);
+    if (const json* limit = find(fields, "limit_s"))
+      description.limit_s = as_number(*limit, "limit_s", 0);
+    if (const json* exits = find(fields, "retry_exits"))
+      description.retry_exits = decode_retry_exits(*exits);
+    return description;
   });
 }
 
-std::string encode_result(const TaskResult& r) {
-  json j = {{"attempt", r.attempt}, {"machine", r.machine}, {"exit", r.exit}, {"ran_s", r.ran_s}};
-  if (!r.reason.empty()) j["reason"] = r.reason;
-  if (!r.out.empty()) j["out"] = r.out;
-  if (!r.err.empty()) j["err"] = r.err;
-  return j.dump();
+std::string encode_result(const TaskResult& result) {
+  json fields = {{"attempt", result.attempt},
+                 {"machine", result.machine},
+                 {"exit", result.exit},
+                 {"ran_s", result.ran_s}};
+  if (!result.reason.empty()) fields["reason"] = result.reason;
+  if (!result.out.empty()) fields["out"] = result.out;
+  if (!result.err.empty()) fields["err"] = result.err;
+  return fields.dump();
 }
+
 TaskResult decode_result(std::string_view body) {
-  return guarded(body, [](const json& j) {
-    TaskResult r;
-    r.attempt = whole(j, "attempt");
-    r.machine = text_or(j, "machine", "");
-    r.exit = static_cast<int>(whole(j, "exit"));
-    r.reason = text_or(j, "reason", "");
-    r.out = text_or(j, "out", "");
-    r.err = text_or(j, "err", "");
-    r.ran_s = number(j, "ran_s", 0);
-    return r;
+  return guarded(body, [](const json& fields) {
+    TaskResult result;
+    result.attempt = whole(fields, "attempt");
+    result.machine = text_or(fields, "machine", "");
+    result.exit = static_cast<int>(whole(fields, "exit"));
+    result.reason = text_or(fields, "reason", "");
+    result.out = text_or(fields, "out", "");
+    result.err = text_or(fields, "err", "");
+    result.ran_s = number(fields, "ran_s", 0);
+    return result;
   });
 }
 
