--- a/tests/agent_attempt_table_test.cpp
+++ b/tests/agent_attempt_table_test.cpp
@@ -178,7 +178,7 @@
 }
 
 // Guard: a start that the network held back until after its own reap ran the task once more.
-TEST(AttemptTable, AStartAfterItsReapDoesNothing) {
+TEST(AttemptTable, AStartAfterItsAcknowledgementDoesNothing) {
   AttemptTable b;
   auto first = b.execute({make(Command::Op::start, kA)});
   ASSERT_EQ(first.size(), 1u);
@@ -198,7 +198,7 @@
   EXPECT_EQ(b.tasks().size(), 1u);
 }
 
-TEST(AttemptTable, SavesOnlyWithTimeEnoughAndASecondHaltEndsIt) {
+TEST(AttemptTable, SavesOnlyWithTimeEnoughAndASecondStopEndsIt) {
   AttemptTable b;
   b.execute({make(Command::Op::start, kA)});
   ASSERT_TRUE(b.described(kA, {1, 0, 1}, true, 4, {4, 0, 8}));
@@ -215,7 +215,7 @@
   EXPECT_EQ(b.tasks().size(), 1u);
 }
 
-TEST(AttemptTable, RoomCountsWhatIsFetchedAndTokensGoUpOnly) {
+TEST(AttemptTable, RoomCountsWhatIsFetchedAndTokensOnlyIncrease) {
   AttemptTable b;
   const agent::Resources machine{4, 0, 8};
   const Key other{"run-100002", 0, 1};
@@ -230,7 +230,7 @@
   EXPECT_FALSE(b.accepts(std::nullopt));
 }
 
-TEST(AgentLease, CountsFromWhenAReportWasSent) {
+TEST(AgentLease, CountsFromWhenAHeartbeatWasSent) {
   agent::Lease l(20, 100);
   EXPECT_FALSE(l.over(120));
   EXPECT_TRUE(l.over(120.01));
@@ -253,7 +253,7 @@
 
 // Guard: each renewal showed no incarnation for a moment, and a supervisor that looked then killed
 // its task.
-TEST(AgentLease, ARenewalIsNeverSeenAsTheEndOfTheSession) {
+TEST(AgentLease, ARenewalIsNeverSeenAsTheEndOfTheIncarnation) {
   TempDir dir;
   agent::LeaseFile writer(dir.path / "lease", agent::LeaseFile::Open::write);
   writer.set(3, 1);
@@ -287,7 +287,7 @@
   EXPECT_TRUE(agent::try_lock(dir.path / "lock"));
 }
 
-TEST(FarCodec, OrdersAreRefusedOneByOneAndTheEnvelopeWhole) {
+TEST(ClientProtocol, CommandsAreRefusedOneByOneAndTheEnvelopeWhole) {
   auto o = client_protocol::decode_heartbeat_response(
       R"({"staff":41,"shift":2,"later":1,"orders":[
         {"order":"start","car":"run-000412/4","departure":2},
@@ -306,7 +306,7 @@
   EXPECT_FALSE(client_protocol::decode_heartbeat_response("{}").token);
 }
 
-RC_GTEST_PROP(FarCodec, ReportsArriveAsTheyWereSent, ()) {
+RC_GTEST_PROP(ClientProtocol, HeartbeatsRoundTrip, ()) {
   wire::Heartbeat r;
   r.machine = "m-000001";
   r.addr = "127.0.0.1:1";
@@ -338,7 +338,7 @@
   }
 }
 
-TEST(FarCodec, GoldenDescriptionResultOrderAndEnd) {
+TEST(ClientProtocol, GoldenDescriptionResultCommandAndEnd) {
   const std::string text =
       R"({"command":["sh","-c","echo"],"env":{"A":"b"},"job":{"borrowed_stock":true,"cards":0.0,"cars":3,"consist":"c","couple_s":1.0,"crew":"t","haul":"batch","manifest":"img","mem_gb":2.0,"milepost_s":30.0,"precedence":"high","run_s":60.0,"same_place":false,"scatter":false,"size_gb":0.0,"uid":"run-000412","vcpus":1.0},"limit_s":90.0,"retry_exits":[75]})";
   auto d = client_protocol::decode_description(text);
@@ -407,7 +407,7 @@
   }
 }
 
-TEST(DepotArchive, KeepsWhatWasThereAndRefusesWhatLeavesItsDirectory) {
+TEST(ArtifactArchive, KeepsWhatWasThereAndRefusesWhatLeavesItsDirectory) {
   TempDir t;
   fs::create_directories(t.path / "in" / "sub");
   std::ofstream(t.path / "in" / "sub" / "file") << std::string(700000, 'x');
@@ -436,7 +436,7 @@
   EXPECT_THROW(unpack(t.path / "torn.tar", t.path / "torn"), artifacts::BadArchive);
 }
 
-TEST(DepotStore, ShowsABlobOnlyWholeAndANameByItsRule) {
+TEST(ArtifactStore, ShowsABlobOnlyWholeAndANameByItsRule) {
   TempDir t;
   const std::string bytes(300000, 'q'), hash = artifacts::hash_of(bytes);
   {
--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -56,7 +56,7 @@
 }
 
 // Guard: with the agent dead, only the supervisor knows that the lease is over.
-TEST(AgentProcess, TheLeaseIsKeptWhileTheAgentIsDeadAndTheNextSessionBegins) {
+TEST(AgentProcess, TheLeaseIsKeptWhileTheAgentIsDeadAndTheNextIncarnationBegins) {
   Rig rig(3);
   std::string id = rig.add("sleep 1000");
   rig.start();
@@ -72,7 +72,7 @@
   EXPECT_EQ(rig.logged("overlap"), 0);
 }
 
-TEST(AgentProcess, HungBeyondItsLeaseItGoesOnWithTheNextSession) {
+TEST(AgentProcess, HungBeyondItsLeaseItGoesOnWithTheNextIncarnation) {
   Rig rig(3);
   std::string id = rig.add("sleep 1000");
   rig.start();
@@ -90,7 +90,7 @@
 
 // Guard: the next incarnation was begun while a task of the last one was still there, because the
 // lease was over on paper and its supervisor stood still.
-TEST(AgentProcess, ASessionBeginsOnlyWhenTheLastOnesTasksAreGone) {
+TEST(AgentProcess, AnIncarnationBeginsOnlyWhenTheLastOnesTasksAreGone) {
   Rig rig(3);
   std::string id = rig.add("sleep 1000");
   rig.start();
@@ -120,7 +120,7 @@
 
 // A supervisor that is killed takes the task with it, and the agent ends what the task had put into
 // incarnations of its own.
-TEST(AgentProcess, AShepherdIsKilledAndNothingOfItsTaskStays) {
+TEST(AgentProcess, AKilledSupervisorLeavesNothingOfItsTask) {
   Rig rig;
   std::string id = rig.add("[ $SHUNT_ATTEMPT = 2 ] && exit 0; setsid sleep 1000 & echo forked >> " +
                            rig.log().string() + "; sleep 1000");
@@ -135,7 +135,7 @@
 }
 
 // The task ignores what it is told, and what it has started is not its child any more.
-TEST(AgentProcess, AHaltEndsATaskThatIgnoresItAndAllThatItForked) {
+TEST(AgentProcess, AStopEndsATaskThatIgnoresItAndAllThatItForked) {
   Rig rig;
   std::string id = rig.add(
       "trap '' TERM INT HUP USR1; (setsid bash -c 'trap \"\" TERM; sleep 1000' &); echo forked "
@@ -152,7 +152,7 @@
 }
 
 // A supervisor that stands still is not waited for: a cancelled task has to be gone in time.
-TEST(AgentProcess, AHaltDoesNotWaitForAShepherdThatStandsStill) {
+TEST(AgentProcess, AStopDoesNotWaitForAFrozenSupervisor) {
   Rig rig;
   std::string id = rig.add("sleep 1000");
   rig.start();
@@ -214,7 +214,7 @@
 }
 
 // Guard: such an attempt had no end.json, and the next agent looked for it for ever.
-TEST(AgentProcess, ACheckpointOutlivesItsShepherdAndTheAgent) {
+TEST(AgentProcess, ACheckpointOutlivesItsSupervisorAndTheAgent) {
   Rig rig;
   std::string id = rig.add(
       "[ $SHUNT_ATTEMPT = 2 ] && { echo from $(cat $SHUNT_SAVE_DIR/last/n) >> " +
@@ -257,7 +257,7 @@
   EXPECT_EQ(rig.tasks[id].failed, 0);
 }
 
-TEST(AgentProcess, AResultWaitsForTheDepotAndForTheControllers) {
+TEST(AgentProcess, AResultWaitsForTheArtifactStoreAndTheControllers) {
   Rig rig;
   std::string id = rig.add("echo the result; until [ -e " + (rig.dir / "go").string() +
                            " ]; do sleep 0.05; done");
@@ -358,7 +358,7 @@
   rig.tasks[c].wanted = rig.tasks[d].wanted = false;
 }
 
-TEST(AgentProcess, DirectOrdersByTokenAndSessionAndGarbageByItself) {
+TEST(AgentProcess, DirectCommandsAreCheckedByTokenAndIncarnationAndMalformedOnesRefused) {
   Rig rig;
   rig.start();
   ASSERT_TRUE(rig.until([&] { return rig.reports > 1; }));
--- a/tests/chain_test.cpp
+++ b/tests/chain_test.cpp
@@ -81,7 +81,7 @@
 
 Candidate seat(int n, bool accept, bool empty) { return {n, learner(), Context{}, accept, empty}; }
 
-TEST(Walk, EndsAtTheFirstAccept) {
+TEST(ChainWalk, EndsAtTheFirstAccept) {
   Rng rng(1);
   std::vector<Tier> t(1);
   t[0].candidates = {seat(1, true, false), seat(2, true, false)};
@@ -92,7 +92,7 @@
   EXPECT_EQ(o.steps.size(), 1u);
 }
 
-TEST(Walk, BarredAcceptPassesOnAndRentsAtTheEnd) {
+TEST(ChainWalk, BarredAcceptPassesOnAndRentsAtTheEnd) {
   Rng rng(1);
   std::vector<Tier> t(1);
   t[0].candidates = {seat(1, false, false), seat(2, false, false)};
@@ -106,7 +106,7 @@
   EXPECT_EQ(o.machine, 9);
 }
 
-TEST(Walk, EmptyMachinesCannotPass) {
+TEST(ChainWalk, EmptyMachinesCannotPass) {
   Rng rng(1);
   std::vector<Tier> t(1);
   t[0].candidates = {seat(1, true, true)};
@@ -115,7 +115,7 @@
   EXPECT_EQ(walk(t, rng).kind, Outcome::accepted);
 }
 
-TEST(Walk, DownLeadsToTheNextTierAndTheLastHasNone) {
+TEST(ChainWalk, DownLeadsToTheNextTierAndTheLastHasNone) {
   Rng rng(1);
   std::vector<Tier> t(2);
   t[0].id = 1;
@@ -136,7 +136,7 @@
 // Walks through a fleet of hundreds took a quarter of a controller's time, most of it for seats
 // that learners cannot tell apart. One of each kind, and the last, lead to the same outcome, by the
 // same random numbers.
-TEST(Walk, OneSeatOfAKindStandsForAllThatFollow) {
+TEST(ChainWalk, OneCandidateOfAKindStandsForAllThatFollow) {
   Rng gen(11);
   for (int round = 0; round < 400; ++round) {
     Bandit learner(4);
@@ -176,7 +176,7 @@
   }
 }
 
-TEST(Walk, WithoutARentItFallsBackToTheFirstThatMayAccept) {
+TEST(ChainWalk, WithoutARentItFallsBackToTheFirstThatMayAccept) {
   Rng rng(1);
   std::vector<Tier> t(1);
   t[0].candidates = {seat(1, true, false), seat(2, false, false)};
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -58,7 +58,7 @@
   EXPECT_THROW(decode_job(std::string(60000, '[')), Malformed);
 }
 
-RC_GTEST_PROP(Codec, GarbageIsMalformedAndNothingElse, ()) {
+RC_GTEST_PROP(Codec, ArbitraryBytesAreMalformedAndNothingElse, ()) {
   static const std::vector<std::string> bases = {
       kGood,
       R"({"engine":"m-1","address":"a:1","stock":"g","yard":"a","borrowed_stock":true,"shift":1,
@@ -90,14 +90,14 @@
   attempt([](const std::string& s) { decode_job_record({"", s, 0}); });
 }
 
-RC_GTEST_PROP(Codec, FinishedSetsComeBack, (const std::vector<bool>& bits)) {
+RC_GTEST_PROP(Codec, FinishedTasksRoundTrip, (const std::vector<bool>& bits)) {
   std::vector<bool> back(bits.size(), false);
   for (auto [a, b] : intervals(bits))
     for (auto i = a; i <= b; ++i) back.at(i) = true;
   RC_ASSERT(back == bits);
 }
 
-RC_GTEST_PROP(Codec, SheetsComeBack, ()) {
+RC_GTEST_PROP(Codec, PlacementPagesRoundTrip, ()) {
   PlacementPageRecord r;
   r.tag = "x.1.2";
   int n = *rc::gen::inRange(0, 20);
@@ -131,7 +131,7 @@
   }
 }
 
-RC_GTEST_PROP(Codec, RostersComeBack, ()) {
+RC_GTEST_PROP(Codec, InventoryPagesRoundTrip, ()) {
   InventoryPageRecord r;
   r.tag = "x";
   int n = *rc::gen::inRange(0, 32);
@@ -143,18 +143,18 @@
   RC_ASSERT(b.tag == r.tag);
 }
 
-TEST(Codec, JobRecordsComeBack) {
+TEST(Codec, JobRecordsRoundTrip) {
   JobRecord r{decode_job(kGood), 12.5};
   JobRecord b = decode_job_record({"", encode_record(r), 0});
   EXPECT_EQ(b.submitted_at, 12.5);
   EXPECT_EQ(encode_record(b), encode_record(r));
 }
 
-RC_GTEST_PROP(Peer, GarbageIsNoBeat, (const std::string& bytes)) {
+RC_GTEST_PROP(Peer, MalformedHeartbeatsAreRefused, (const std::string& bytes)) {
   auto b = peer::decode(bytes, 3);
   if (b) RC_ASSERT(b->node >= 0 && b->node < 3 && b->tokens.size() == 3u);
 }
-TEST(Peer, BeatsComeBack) {
+TEST(Peer, HeartbeatsRoundTrip) {
   peer::PeerHeartbeat b;
   b.node = 2;
   b.serving = true;
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -158,7 +158,7 @@
 }
 
 // A key that is gone proves nothing: the job may have been cancelled.
-TEST(DependencyGraph, OnlyAFinalRecordProvesThatAJobIsDone) {
+TEST(DependencyGraph, OnlyAResultRecordProvesThatAJobIsDone) {
   View v;
   v.submit(0, {});
   v.submit(1, {0});
@@ -175,7 +175,7 @@
 
 // A copy of a move that comes late, after the job was moved by another node and is over, or was
 // withdrawn, changes nothing: each of its preconditions is enough for that.
-TEST(DependencyGraph, ALateMoveIsRefusedByEachOfItsGuards) {
+TEST(DependencyGraph, ALateTransitionIsRefusedByEachOfItsPreconditions) {
   for (bool withdrawn : {true, false}) {
     View v;
     v.submit(0, {});
@@ -220,7 +220,7 @@
 }
 
 // The deadline of the last job leaves room for the path to it, and goes when that job goes.
-TEST(DependencyGraph, UrgencyComesAndGoesWithWhatNeedsAJob) {
+TEST(DependencyGraph, EffectivePriorityFollowsDependents) {
   View v;
   v.submit(0, {});
   v.submit(1, {0});
--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -161,8 +161,8 @@
 const auto kName = [](const auto& i) { return std::string(i.param.name); };
 
 // Asked at all nodes within milliseconds, submitted again, some called off at once.
-class CloseLooks : public ::testing::TestWithParam<With> {};
-TEST_P(CloseLooks, NeverGetAnOlderAnswer) {
+class RepeatedQuestions : public ::testing::TestWithParam<With> {};
+TEST_P(RepeatedQuestions, NeverGetAnOlderAnswer) {
   const Users u = expect_users(
       1, 25,
       [](SimulatedCluster& set) {
@@ -172,12 +172,12 @@
       GetParam().troubles);
   EXPECT_GT(u.looks, u.histories * 400);
 }
-INSTANTIATE_TEST_SUITE_P(With, CloseLooks, kTroubles, kName);
+INSTANTIATE_TEST_SUITE_P(With, RepeatedQuestions, kTroubles, kName);
 
 // A cancellation, a question at each node, a repeated submission, at the moment of the last task's
 // end.
-class AnEndThatIsMet : public ::testing::TestWithParam<With> {};
-TEST_P(AnEndThatIsMet, HasOneOutcomeForAll) {
+class ConcurrentRequestsAtJobEnd : public ::testing::TestWithParam<With> {};
+TEST_P(ConcurrentRequestsAtJobEnd, SeeOneOutcome) {
   const Users u = expect_users(
       101, 125,
       [](SimulatedCluster& set) {
@@ -187,7 +187,7 @@
       GetParam().troubles);
   EXPECT_GT(u.ends, u.histories * 10);
 }
-INSTANTIATE_TEST_SUITE_P(With, AnEndThatIsMet, kTroubles, kName);
+INSTANTIATE_TEST_SUITE_P(With, ConcurrentRequestsAtJobEnd, kTroubles, kName);
 
 // ---- lost answers, by kind of transaction
 
@@ -276,7 +276,7 @@
 // A job was accepted by a node that did not know yet that what it names had ended, and every node
 // had read that end before the new job's key: none told its pipelines of it then, and none read it
 // again. The job stood still, and each question about it was answered 503.
-TEST(Answers, AJobThatNamesOneThatIsJustEndingRuns) {
+TEST(JobResults, AJobThatDependsOnOneThatIsJustEndingRuns) {
   for (const int controllers : {1, 2, 3}) {
     SCOPED_TRACE(controllers);
     ClusterOptions scale;
@@ -612,7 +612,7 @@
 
 // Four a second, a quarter of them called off. What the state service holds beside the final
 // records depends on what is unfinished, not on what has been.
-TEST(ManySmallJobs, LeaveNothingButTheirFinalRecords) {
+TEST(ManySmallJobs, LeaveNothingButTheirResultRecords) {
   ClusterOptions scale;
   scale.machines = 12;
   scale.team_limit = 24;
--- a/tests/fault_combinations_cancel_test.cpp
+++ b/tests/fault_combinations_cancel_test.cpp
@@ -52,7 +52,7 @@
   }
 };
 
-TEST(Cancelled, AStartHeldOnItsWayDoesNotOutliveTheCancellation) {
+TEST(Cancellation, ADelayedStartDoesNotOutliveIt) {
   for (bool raises : {false, true})
     for (double margin : {5.0, 8.0, 20.0})
       for (double beyond : {2.0, 6.0, 30.0}) {
@@ -69,7 +69,7 @@
 // A machine hangs with a cancelled task, within its lease, and the owner has just taken over when
 // it goes on. Its report is on its way while it answers the new owner's greeting: the report has
 // been overtaken, and the answer to it renews the lease. Then nothing gets through to the machine.
-TEST(Cancelled, AReportThatIsOvertakenDoesNotKeepItsTasks) {
+TEST(Cancellation, AnOvertakenHeartbeatDoesNotKeepItsTasks) {
   int overtaken = 0;
   for (unsigned seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE(seed);
--- a/tests/fault_combinations_digest_test.cpp
+++ b/tests/fault_combinations_digest_test.cpp
@@ -44,17 +44,17 @@
   EXPECT_NE(one.value(), other.value());
 }
 
-TEST(MeetingsDigest, TheSameSeedGivesTheSameHistory) {
+TEST(FaultCombinationsDigest, TheSameSeedGivesTheSameHistory) {
   for (unsigned seed : {1u, 2u, 3u}) EXPECT_EQ(play(seed).digest, play(seed).digest) << seed;
 }
 
-TEST(MeetingsDigest, AnotherSeedGivesAnotherHistory) {
+TEST(FaultCombinationsDigest, AnotherSeedGivesAnotherHistory) {
   std::set<std::uint64_t> digests;
   for (unsigned seed = 1; seed <= 5; ++seed) digests.insert(play(seed).digest);
   EXPECT_EQ(digests.size(), 5u);
 }
 
-TEST(MeetingsDigest, ANamedTroubleChangesTheHistory) {
+TEST(FaultCombinationsDigest, ANamedFaultChangesTheHistory) {
   EXPECT_NE(play(1).digest, play(1, {"cloud down"}).digest);
 }
 
--- a/tests/fault_combinations_emulators_test.cpp
+++ b/tests/fault_combinations_emulators_test.cpp
@@ -67,7 +67,7 @@
   }
 };
 
-TEST(StandInWorker, SavesWhenItIsStoppedWithTime) {
+TEST(WorkerEmulator, SavesWhenItIsStoppedWithTime) {
   Bench b;
   b.order("start");
   b.pass(2);
@@ -81,7 +81,7 @@
   EXPECT_EQ(b.worker->tasks().front().why, wire::ExitReason::stopped);
 }
 
-TEST(StandInWorker, EndsAtOnceWithoutTimeOrWithoutCheckpoints) {
+TEST(WorkerEmulator, EndsAtOnceWithoutTimeOrWithoutCheckpoints) {
   for (const bool checkpoints : {true, false}) {
     Bench b;
     b.work.checkpoint_s = checkpoints ? 10 : 0;
@@ -95,7 +95,7 @@
 }
 
 // Another halt with time prolongs nothing; one without ends it.
-TEST(StandInWorker, ASavingTaskIsEndedByAHaltWithoutTimeAlone) {
+TEST(WorkerEmulator, ASavingTaskIsEndedByAStopWithoutTimeAlone) {
   for (const double second : {30.0, 1.0, 0.0}) {
     Bench b;
     b.order("start");
@@ -113,7 +113,7 @@
 
 // Orders that came while it hung, its due tasks, its lease and its report come in any order as it
 // goes on; nothing of a lease that is over is run, and no start for its incarnation is taken.
-TEST(StandInWorker, NothingSurvivesALeaseThatIsOver) {
+TEST(WorkerEmulator, NothingSurvivesALeaseThatIsOver) {
   for (unsigned seed = 1; seed <= 40; ++seed) {
     Bench b(seed);
     b.work.run_s = 4;
@@ -132,7 +132,7 @@
   }
 }
 
-TEST(StandInWorker, GoesOnWithinItsLeaseInAnyOrder) {
+TEST(WorkerEmulator, GoesOnWithinItsLeaseInAnyOrder) {
   std::set<std::vector<TaskState>> seen;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     Bench b(seed);
@@ -154,7 +154,7 @@
 }
 
 // With every answer that waited longer than its patience dropped, the lease ends by itself.
-TEST(StandInWorker, AnAnswerThatWaitedForAHangRenewsNoLease) {
+TEST(WorkerEmulator, AnAnswerThatWaitedForAHangRenewsNoLease) {
   for (unsigned seed = 1; seed <= 40; ++seed) {
     Bench b(seed);
     b.pass(1.3);  // a report of its own is on its way now and then
@@ -167,7 +167,7 @@
   }
 }
 
-TEST(StandInState, RefusesAboveItsRates) {
+TEST(StateServiceEmulator, RefusesAboveItsRates) {
   Simulation sim(1);
   Host service(sim, "state"), user(sim, "node-0");
   emulators::StateServiceEmulator state(service.loop(), {"state", 1}, "");
--- a/tests/fault_combinations_state_test.cpp
+++ b/tests/fault_combinations_state_test.cpp
@@ -47,7 +47,7 @@
 // A page holds what was so when it was read: all that is known of the keys of the first one is as
 // old as that. An owner that counted from the last page went on answering workers for longer than S
 // after a cancellation that it did not know of.
-TEST(Store, AReadOfManyPagesBeganWithTheFirst) {
+TEST(StateStore, AReadOfManyPagesBeganWithTheFirst) {
   SlowPages p;
   p.store->tick();
   p.sim.run_until(30);
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -16,7 +16,7 @@
   return true;
 }();
 
-TEST(FaultCombinations, ACalmSetRunsEverything) {
+TEST(FaultCombinations, WithoutFaultsAllJobsComplete) {
   SimulatedCluster set(1, ClusterOptions{});
   set.pass(15);
   for (int i = 0; i < 6; ++i) set.users().submit(spec(i % 2 ? "red" : "blue", 5), 10);
@@ -77,7 +77,7 @@
   }
 };
 
-TEST(FaultCombinations, CancelledThroughAnotherWhileTheLeaderAloneIsRefusedThenDownForAll) {
+TEST(FaultCombinations, CancelledWhileTheLeaderAloneIsRefusedThenOutageForAll) {
   int cancelled = 0;
   for (unsigned seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE(seed);
@@ -91,7 +91,7 @@
 
 // The bound S is what holds it: without it, or with one too long by the lease, the rule is broken
 // and the check sees it.
-TEST(FaultCombinations, WithoutTheBoundOnStaleOwnersTheRuleBreaks) {
+TEST(FaultCombinations, WithoutTheStalenessBoundTheRuleBreaks) {
   for (double too_much : {1e6, 26.5}) {
     int broken = 0;
     for (unsigned seed = 1; seed <= 20; ++seed) {
@@ -107,7 +107,7 @@
 // stands still between that read and its next turn, whichever that is. The new owner reaches none
 // of its machines and cannot delete them: it has the proof by silence alone, which what the old one
 // answers when it goes on must not outlast.
-TEST(FaultCombinations, AnOwnerThatStandsStillJustAsItLearnsOfItsSuccessorRenewsNoLease) {
+TEST(FaultCombinations, ALeaderFrozenAsItLearnsOfItsSuccessorRenewsNoLease) {
   int taken_over = 0, begun_anew = 0;
   for (std::uint64_t turn = 1; turn <= 30; ++turn)
     for (double cut_s : {13.5, 14.5, 15.5}) {
@@ -173,14 +173,14 @@
   if (std::sscanf(more, "%u-%u", &first, &last) != 2) ADD_FAILURE() << more;
   return true;
 }
-class Meeting : public ::testing::TestWithParam<Named> {};
-TEST_P(Meeting, BreaksNoRuleAndForgetsNoJob) {
+class NamedFaults : public ::testing::TestWithParam<Named> {};
+TEST_P(NamedFaults, BreakNoRuleAndForgetNoJob) {
   unsigned first = 1, last = 25;
   seeds(first, last);
   expect_whole(first, last, GetParam().troubles);
 }
 INSTANTIATE_TEST_SUITE_P(
-    Operators, Meeting,
+    Operators, NamedFaults,
     ::testing::Values(
         Named{"OldReportsAcrossATakeover", {"late reports", "leader cut from state"}},
         Named{"OldReportsAcrossARestart", {"late reports", "leader ends"}},
@@ -238,13 +238,13 @@
 }
 
 // Any two or three of them at once.
-class Drawn : public ::testing::TestWithParam<unsigned> {};
-TEST_P(Drawn, BreakNoRuleAndForgetNoJob) {
+class DrawnFaults : public ::testing::TestWithParam<unsigned> {};
+TEST_P(DrawnFaults, BreakNoRuleAndForgetNoJob) {
   unsigned first = GetParam() * 60 + 1, last = first + 59;
   if (seeds(first, last) && GetParam()) GTEST_SKIP() << "the first one plays them all";
   expect_whole(first, last);
 }
-INSTANTIATE_TEST_SUITE_P(Troubles, Drawn, ::testing::Range(0u, 4u));
+INSTANTIATE_TEST_SUITE_P(Troubles, DrawnFaults, ::testing::Range(0u, 4u));
 
 }  // namespace
 }  // namespace shunttrail::test
--- a/tests/local_cluster_test.cpp
+++ b/tests/local_cluster_test.cpp
@@ -90,7 +90,7 @@
   }
 };
 
-TEST(LocalSet, RunsCommandsShowsTheirOutputAndGoesOnAfterItsEnd) {
+TEST(LocalCluster, RunsCommandsShowsTheirOutputAndGoesOnAfterItsEnd) {
   Set set;
   set.start();
   auto [code, id] =
@@ -124,7 +124,7 @@
 }
 
 // Three controllers of one build reach its level by themselves; orders hold it and let it go again.
-TEST(LocalSet, TheStateLevelIsRaisedHeldAndLowered) {
+TEST(LocalCluster, TheSchemaVersionIsRaisedHeldAndLowered) {
   Set set;
   set.start();
   EXPECT_NE(set.ctl("links").second.find("passes reports on: switched off"), std::string::npos);
@@ -164,7 +164,7 @@
 
 // State of a level that no controller here can read: none of them serves, none is registered, none
 // writes; and all go on by themselves when it can be read again.
-TEST(LocalSet, NobodyServesBesideStateThatNoBuildReads) {
+TEST(LocalCluster, NobodyServesBesideStateThatNoBuildReads) {
   Set set;
   set.start();
   ASSERT_EQ(set.ctl("submit --wait -- true").first, 0);
@@ -198,7 +198,7 @@
 }
 
 // A shorter run of the trial of docs/results.md.
-TEST(LocalSet, KillsAtRandomLeaveEachTaskOneAnswer) {
+TEST(LocalCluster, RandomKillsLeaveEachTaskOneAnswer) {
   std::string name = fs::temp_directory_path() / "shunt-trial-XXXXXX";
   chaos::ChaosPlan p;
   p.dir = ::mkdtemp(name.data());
@@ -213,7 +213,7 @@
   fs::remove_all(p.dir);
 }
 
-TEST(Checker, FindsEachFault) {
+TEST(Chaos, FindsEachFault) {
   auto faults = [](const std::string& log, std::vector<std::uint64_t> answers) {
     chaos::Attempts a;
     std::istringstream in(log);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -80,7 +80,7 @@
 }
 
 // Bytes that are no request end their own connection at most; the next request is served.
-RC_GTEST_PROP(Net, GarbageHarmsNobodyElse, (std::string bytes)) {
+RC_GTEST_PROP(Net, MalformedRequestsHarmNobodyElse, (std::string bytes)) {
   Echo e;
   e.raw(bytes);
   e.raw("POST /x HTTP/1.1\r\nContent-Length: 99\r\n\r\n" + bytes.substr(0, 50));
@@ -107,7 +107,7 @@
 }
 
 // A user that hangs up before its answer must not be written to, nor end the process.
-TEST(Net, AnAnswerToOneWhoHungUpIsDropped) {
+TEST(Net, AnAnswerToAClosedConnectionIsDropped) {
   Echo e;
   e.hold = true;
   e.raw("GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -37,7 +37,7 @@
   EXPECT_EQ(d.decide("m-4", order(), 1, 2, 40), Decision::redirect);
 }
 
-TEST(RelayRoutes, TrialsEndItOnceAWorkerStaysAway) {
+TEST(RelayRoutes, ProbesEndARouteOnceAWorkerStaysAway) {
   RelayRoutes d;
   d.decide("m-1", order(), 0, 2, 10);
   d.decide("m-1", order(), 0, 2, 15);
@@ -51,7 +51,7 @@
   EXPECT_TRUE(d.open().empty());
 }
 
-TEST(RelayRoutes, AnOwnerThatDoesNotAnswerIsNotAskedAtOnceAgain) {
+TEST(RelayRoutes, ALeaderThatDoesNotAnswerIsNotAskedAtOnceAgain) {
   RelayRoutes d;
   d.decide("m-1", order(), 0, 2, 10);
   EXPECT_EQ(d.decide("m-1", order(), 0, 2, 15), Decision::relay);
@@ -69,7 +69,7 @@
 
 // Copies of reports come late: one that had been sent away before looked like a worker that had
 // come back, and every report of its zone took a hop.
-TEST(RelayRoutes, ACopyOpensNothingAndEndsNoTrial) {
+TEST(RelayRoutes, ACopyOpensNothingAndEndsNoProbe) {
   RelayRoutes d;
   EXPECT_EQ(d.decide("m-1", {1, 7}, 0, 2, 10), Decision::redirect);
   EXPECT_EQ(d.decide("m-1", {1, 7}, 0, 2, 12), Decision::redirect);
@@ -84,7 +84,7 @@
   EXPECT_EQ(d.open().begin()->second.probing, "");
 }
 
-TEST(RelayRoutes, WhatNobodyComesByIsForgotten) {
+TEST(RelayRoutes, UnusedRoutesExpire) {
   RelayRoutes d;
   for (int i = 0; i < 500; ++i) d.decide("m-" + std::to_string(i), order(), 0, 2, 10);
   d.decide("m-1", order(), 0, 2, 12);
@@ -180,7 +180,7 @@
 
 // Whatever comes in whatever order: nothing is passed on before a worker has come back, and what is
 // remembered stays in proportion to what came lately.
-RC_GTEST_PROP(RelayRoutes, AnythingMayCome, ()) {
+RC_GTEST_PROP(RelayRoutes, HoldTheirInvariantsUnderAnyInput, ()) {
   auto steps = *rc::gen::container<std::vector<std::tuple<int, int, int, int>>>(
       200, rc::gen::tuple(rc::gen::inRange(0, 12), rc::gen::inRange(-1, 2), rc::gen::inRange(0, 3),
                           rc::gen::inRange(0, 40)));
@@ -205,7 +205,7 @@
 
 // ---- between controllers
 
-TEST(Passed, ItsFormIsTheRecordedOneAndOthersAreNotGuessedAt) {
+TEST(RelayedHeartbeat, ItsFormIsTheRecordedOneAndOthersAreRefused) {
   const std::string report = R"({"engine":"m-000231"})";
   const std::string bytes = peer::encode(peer::RelayedHeartbeat{1, 2, report});
   EXPECT_EQ(bytes.substr(0, 17), std::string("\1\1\0\0\0\2\0\0\0\x15\0\0\0\0\0\0\0", 17));
@@ -221,7 +221,8 @@
   // A heartbeat is no report, and a report no heartbeat.
   EXPECT_FALSE(peer::decode(bytes, 3));
 }
-RC_GTEST_PROP(Passed, GarbageIsRefused, (std::string bytes, std::string report)) {
+RC_GTEST_PROP(RelayedHeartbeat, MalformedBodiesAreRefused,
+              (std::string bytes, std::string report)) {
   auto p = peer::decode_relayed(bytes, 3);
   if (p) RC_ASSERT(p->heartbeat.size() + 17 == bytes.size());
   auto back = peer::decode_relayed(peer::encode(peer::RelayedHeartbeat{1, 0, report}), 3);
@@ -274,7 +275,7 @@
   }
 };
 
-TEST(Relay, TheOwnersAnswerGoesBackInTheSameExchange) {
+TEST(Relay, TheLeadersAnswerGoesBackInTheSameExchange) {
   Pass p;
   net::Result first = p.report("one");
   EXPECT_EQ(first.status, 421);
@@ -297,7 +298,7 @@
   for (int i = 0; i < 3; ++i) EXPECT_EQ(p.report("more").status, 421);
   EXPECT_NE(p.relay->describe().find(R"("passed":1,)"), std::string::npos);
 }
-TEST(Relay, AnOwnerThatStandsStillCostsTheWorkerLessThanItsPatience) {
+TEST(Relay, AFrozenLeaderCostsTheWorkerLessThanItsTimeout) {
   Pass p;
   p.owner_says = 0;
   p.report("one");
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -148,7 +148,7 @@
   std::size_t changes_ = 0, longest_ = 0;
 };
 
-TEST(FleetHistory, HundredsOfMachinesAndThousandsOfTasksWithFewChanges) {
+TEST(SchedulerHistory, HundredsOfMachinesAndThousandsOfTasksWithFewChanges) {
   for (unsigned seed = 1; seed <= 3; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     Fleet f(seed);
--- a/tests/schema_test.cpp
+++ b/tests/schema_test.cpp
@@ -49,7 +49,7 @@
 }
 
 // Builds of level 0 that come back read past what is new, and drop it when they write.
-TEST(Schema, ABuildOfLevel0ReadsTheNewPageAsItsOwn) {
+TEST(Schema, ABuildOfVersion0ReadsTheNewPageAsItsOwn) {
   std::string as_read = kRosterOf1;
   const std::string news = R"("t":[1733000000,[35,null,0]],)";
   as_read.erase(as_read.find(news), news.size());
@@ -108,7 +108,7 @@
   }
 };
 
-TEST(Schema, ARaiseNeedsEveryNodeAndItsGuardsNameThemAll) {
+TEST(Schema, AnUpgradeNeedsEveryNodeAndItsPreconditionsNameThemAll) {
   Three t;
   auto s = t.look().step;
   ASSERT_EQ(s.kind, Step::raise);
@@ -139,7 +139,7 @@
   EXPECT_EQ(t.held(), "orders cannot be read; ");
 }
 
-TEST(Schema, OneLevelAtATimeAndTheWayBack) {
+TEST(Schema, OneVersionAtATimeUpAndDown) {
   Three t;
   t.v.record = {1, 0, 1, "x"};
   t.v.mod_revision = 40;
@@ -199,7 +199,7 @@
 
 // Limits that have fallen since a page was written: it is parted on its way to the new form, and at
 // no moment is a machine unrecorded or recorded twice. And the way back.
-TEST(Schema, ConversionPartsWhatHasBecomeTooLongAndGoesBothWays) {
+TEST(Schema, ConversionSplitsWhatHasBecomeTooLongAndGoesBothWays) {
   config::Settings s = make_settings();
   Store store;
   state::StateCache w(s);
@@ -246,7 +246,7 @@
 
 // A watch that is too old has everything read anew: the level and the orders as they are then, what
 // was there before and is not any more included.
-TEST(Schema, ReadAnewTheLevelIsWhatStandsNow) {
+TEST(Schema, AfterARereadTheVersionIsTheStoredOne) {
   config::Settings s = make_settings();
   state::StateCache w(s);
   std::vector<state::Change> ch;
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -11,7 +11,7 @@
 
 // When arrays were through, replicas stood on hundreds of machines, one or two on each, for as long
 // as their services ran.
-TEST(Packing, ReplicasOnNearlyEmptyMachinesAreMovedTogether) {
+TEST(ReplicaConsolidation, ReplicasOnNearlyEmptyMachinesAreMovedTogether) {
   Site d;
   d.machine("m-1", 0);
   d.job(1, 1, 1, true, 0);
@@ -48,7 +48,7 @@
   EXPECT_EQ(d.scheduler->machines_to_return(), std::vector<std::string>{"m-1"});
 }
 
-TEST(Packing, WhatHasJustStartedIsNotMovedAgain) {
+TEST(ReplicaConsolidation, WhatHasJustStartedIsNotMovedAgain) {
   Site d;
   for (int i = 0; i < 20; ++i) {
     d.machine("m-" + std::to_string(100 + i), 0);
@@ -78,7 +78,7 @@
 }
 
 // Replicas on a machine that died waited 65 s for the proof by silence.
-TEST(Doubts, AMachineWithReplicasThatDoesNotAnswerIsDeletedLongBeforeItsLeaseIsOver) {
+TEST(FailureDetector, ASilentMachineWithReplicasIsDeletedLongBeforeItsLeaseIsOver) {
   Site d;
   for (int i = 1; i <= 4; ++i) {
     d.machine("m-" + std::to_string(i), 0);
@@ -110,7 +110,7 @@
 }
 
 // Where a network is cut, or this node stood still, hundreds are silent at once: none is deleted.
-TEST(Doubts, ACutZoneIsNotDeletedNorMoreThanAShareAtOnce) {
+TEST(FailureDetector, ACutZoneIsNotDeletedNorMoreThanAShareAtOnce) {
   Site d;
   for (int i = 1; i <= 40; ++i) {
     d.machine("m-" + std::to_string(100 + i), 0, i % 2 ? "a" : "b");
@@ -139,7 +139,7 @@
 }
 
 // A switch takes most of a zone with it, though not all: the few that answer are no evidence.
-TEST(Doubts, MostOfAZoneSilentIsACutThoughSomeAnswer) {
+TEST(FailureDetector, MostOfAZoneSilentIsACutThoughSomeAnswer) {
   Site d;
   std::set<std::string> dead;
   for (int i = 1; i <= 30; ++i) {
@@ -159,7 +159,7 @@
 
 // A machine whose reports arrive and whose answers do not looked alive for ever; every start on it
 // was lost.
-TEST(Doubts, AMachineThatHearsNothingGetsNothingNewAndIsReplaced) {
+TEST(FailureDetector, AMachineThatLosesResponsesGetsNoWorkAndIsReplaced) {
   Site d;
   d.machine("m-1", 0);
   d.machine("m-2", 0);
@@ -175,7 +175,7 @@
   EXPECT_EQ(d.scheduler->machines_to_return(), std::vector<std::string>{"m-1"});
   EXPECT_EQ(d.on("m-1"), 0u);
 }
-TEST(Doubts, AMachineThatHearsAgainIsTakenBack) {
+TEST(FailureDetector, AMachineThatRespondsAgainIsTakenBack) {
   Site d;
   d.machine("m-1", 0);
   d.machine("m-2", 0);
@@ -196,7 +196,7 @@
 
 // Copies of a report come late, over and over: they put off the proof by silence, and were answered
 // with starts that nobody got.
-TEST(Copies, AReportThatComesAgainProvesAndRenewsNothing) {
+TEST(DuplicateHeartbeat, ProvesAndRenewsNothing) {
   Site d;
   d.machine("m-1", 0);
   d.job(1, 1, 4, false, 0);
@@ -266,7 +266,7 @@
 }
 
 // First come, first served kept arrays of 35 s behind arrays of 150 s that had minutes to spare.
-TEST(Order, StandardWorkGoesByWhenItShouldStartAndNothingIsPassedOverForLong) {
+TEST(ServiceOrder, StandardWorkGoesByItsDueStartAndNothingStarves) {
   Site d;
   d.machine("m-1", 0);
   auto running = d.job(1, 1, 4, false, 0, 1000);
@@ -286,7 +286,7 @@
 }
 
 // In a full fleet a replica waited until an array's task had been stopped and had saved.
-TEST(Reserve, ALittleRoomIsKeptForUrgentWorkWhereItIsLittle) {
+TEST(UrgentHeadroom, ALittleRoomIsKeptForUrgentWorkWhereItIsLittle) {
   Site d;
   for (int i = 0; i < 60; ++i) d.machine("m-" + std::to_string(100 + i), 0, i % 2 ? "a" : "b");
   d.job(1, 3, 1, true, 0);
@@ -310,7 +310,7 @@
 
 // Asked about in the worst order, the youngest first, each range held one question more and no
 // other: 1,000 questions took 1,000 reads.
-TEST(ResultReader, TheOrderOfTheQuestionsDoesNotMatter) {
+TEST(ResultReader, TheOrderOfRequestsDoesNotMatter) {
   using jobs::ResultReader;
   for (const int step : {1, -1, 7, -7, 331}) {
     SCOPED_TRACE(step);
@@ -338,7 +338,7 @@
 
 // Each question had a read of its own, served within three seconds or not at all: with thousands of
 // jobs over and many asked about, every answer came too late for its user.
-RC_GTEST_PROP(ResultReader, EveryQuestionIsAnsweredWithinFewReadsAndTruly, ()) {
+RC_GTEST_PROP(ResultReader, EveryRequestIsAnsweredCorrectlyWithinFewReads, ()) {
   using jobs::Found;
   using jobs::ResultReader;
   ResultReader reads;
--- a/tests/shard_scheduler_test.cpp
+++ b/tests/shard_scheduler_test.cpp
@@ -107,7 +107,7 @@
 }
 
 // A result that was reaped before it was persisted would be run again after a crash.
-TEST(ShardScheduler, AResultIsReapedOnlyOnceItIsPersisted) {
+TEST(ShardScheduler, AResultIsAcknowledgedOnlyOnceItIsPersisted) {
   OneDesk d;
   d.machine("m-1");
   d.job(make_job(1, 2, 1));
@@ -136,7 +136,7 @@
 // A chunk's results move to another placement page as they grow, and an older copy stays behind. An
 // owner that took the older copy for the one that counts dropped the newer one with the next change
 // of its placement page: after one more takeover, finished tasks that had been reaped ran again.
-TEST(ShardScheduler, FinishedTasksStayOnRecordWhicheverSheetHoldsTheNewestCopy) {
+TEST(ShardScheduler, FinishedTasksStayRecordedWhicheverPageHoldsTheNewestCopy) {
   for (int newest : {3, 5}) {
     SCOPED_TRACE(newest);
     OneDesk d;
@@ -190,7 +190,7 @@
 
 // The cloud had none; nothing else happened in the shard, which had no machine: it never asked
 // again.
-TEST(ShardScheduler, WorkIsTriedAgainAfterARefusalThoughNothingStirs) {
+TEST(ShardScheduler, WorkIsRetriedAfterARefusalWithoutFurtherEvents) {
   OneDesk d;
   d.job(make_job(1, 2, 1));
   double asked = -1;  // last
@@ -307,7 +307,7 @@
 // What an earlier owner's last answer, given S after the takeover at the latest, can have kept
 // alive is not given up before that lease is over, though its machine says nothing and is not
 // deleted.
-TEST(ShardScheduler, SilenceProvesNothingBeforeTheEarlierOwnersLastLeaseIsOver) {
+TEST(ShardScheduler, SilenceProvesNothingBeforeTheEarlierLeadersLastLeaseIsOver) {
   OneDesk d;
   d.machine("m-1");
   d.machine("m-2");
@@ -325,7 +325,7 @@
 
 // A direct order was held up and taken for lost, then carried out, and then the machine's lease
 // ended: its task counted as running for good.
-TEST(ShardScheduler, ATaskOfALateDirectOrderIsGivenUpWithItsSession) {
+TEST(ShardScheduler, ATaskOfALateDirectCommandIsGivenUpWithItsIncarnation) {
   OneDesk d;
   d.machine("m-1");
   d.heartbeat("m-1", 1);
@@ -389,7 +389,7 @@
   d.scheduler->job_gone(make_job(2, 1, 1).spec.id, 6.5);
   EXPECT_TRUE(d.scheduler->needs_new_token(6.5));
 }
-TEST(ShardScheduler, AnAnswerSettlesACancelledStart) {
+TEST(ShardScheduler, AnAnswerAcknowledgesACancelledStart) {
   for (int status : {200, 409}) {
     OneDesk d;
     d.machine("m-1");
@@ -409,7 +409,7 @@
 
 // What runs of a cancelled job is told so at once, also on a machine whose reports do not come, and
 // by the answer to a report that has been overtaken.
-TEST(ShardScheduler, ACancelledJobsTasksAreStoppedWithoutWaitingForAReport) {
+TEST(ShardScheduler, ACancelledJobsTasksAreStoppedWithoutWaitingForAHeartbeat) {
   OneDesk d;
   d.machine("m-1");
   d.job(make_job(1, 2, 1));
@@ -460,7 +460,7 @@
 }
 
 // A direct start without an answer may be carried out later: not reaped before a higher token.
-TEST(ShardScheduler, ALooseAttemptIsReapedOnlyUnderAHigherToken) {
+TEST(ShardScheduler, AnUnacknowledgedAttemptIsReleasedOnlyUnderAHigherToken) {
   OneDesk d;
   d.machine("m-1");
   d.heartbeat("m-1", 1);
@@ -490,7 +490,7 @@
 
 // An earlier owner's start may still be on its way to a worker that has not seen our token: a
 // report without the task proves nothing before that. Giving it up would run the task twice.
-TEST(ShardScheduler, AnEarlierOwnersPlacementIsGivenUpOnlyUnderOurToken) {
+TEST(ShardScheduler, AnEarlierLeadersPlacementIsGivenUpOnlyUnderTheCurrentToken) {
   OneDesk d;
   auto r = make_job(1, 1, 1);
   d.machine("m-1");
@@ -514,7 +514,7 @@
 }
 
 // A machine that goes to another shard is empty.
-TEST(ShardScheduler, OnlyAnEmptyMachineIsGiven) {
+TEST(ShardScheduler, OnlyAnEmptyMachineIsTransferred) {
   OneDesk d;
   d.machine("m-1");
   d.machine("m-2");
@@ -539,7 +539,7 @@
 // A wish to give a machine away waited while its scheduler was closed and opened again under
 // another token; the new scheduler had work there by the time the wish was carried out. The
 // scheduler is asked again.
-TEST(ShardScheduler, AWishToGiveOutlivesItsDeskButIsNotCarriedOut) {
+TEST(ShardScheduler, ATransferRequestOutlivesItsSchedulerButIsNotExecuted) {
   OneDesk d;
   d.machine("m-1");
   d.heartbeat("m-1", 1);
@@ -567,7 +567,7 @@
 
 // Services were promised along with their machines, which stood half empty for minutes, closed to
 // new work: guimaraes-montagem had 4,000 vcpus like that. And a promise outlived the lack.
-TEST(ShardScheduler, AMachineWithAReplicaIsNotPromisedAndAPromiseNotWantedIsTakenBack) {
+TEST(ShardScheduler, AMachineWithAReplicaIsNotReservedAndAnUnusedReservationEnds) {
   OneDesk d;
   d.machine("m-1");
   auto service = make_job(1, 1, 1);
@@ -604,7 +604,7 @@
 }
 
 // Gifts were counted in machines: eight of the largest went for what two would have done.
-TEST(ShardScheduler, GiftsAreCountedInWhatFitsNotInMachines) {
+TEST(ShardScheduler, TransfersAreCountedInWhatFitsNotInMachines) {
   OneDesk d;
   d.c.load({{"t4", 4, 0, 16, 0.4, 0.1, 10, {"a", "b"}}, {"t16", 16, 0, 64, 1.6, 0.4, 10, {"a"}}},
            d.s);
@@ -635,7 +635,7 @@
 // A grown deployment starts far more tasks a second than the state service takes changes: one
 // change must carry the starts of many machines, and a placement page must stay within the value's
 // limit.
-TEST(ShardScheduler, ManyStartsShareAChangeAndSheetsStayWithinTheLimit) {
+TEST(ShardScheduler, ManyStartsShareATransactionAndPagesStayWithinTheLimit) {
   OneDesk d;
   std::vector<wire::MachineRecord> fleet;
   for (int i = 0; i < 200; ++i)
@@ -674,7 +674,7 @@
 
 // After minutes of work every placement page holds things long over. Starts queued by thousands for
 // the few placement pages that seemed empty, since the others were never looked into.
-TEST(ShardScheduler, WhatIsOverTakesNoRoomInSheets) {
+TEST(ShardScheduler, FinishedJobsTakeNoRoomInPages) {
   OneDesk d;
   d.s.teams[0].cpus_max = 1e6;
   std::vector<wire::MachineRecord> fleet;
@@ -801,7 +801,7 @@
 
 // A machine that was being emptied for another shard kept starts that it was never sent: it was
 // never empty, and the tasks never ran.
-TEST(ShardScheduler, AMachineThatLeavesLetsGoOfWhatItWasNotSent) {
+TEST(ShardScheduler, AMachineThatLeavesReleasesTasksThatWereNotSent) {
   OneDesk d;
   d.machine("m-1");
   d.heartbeat("m-1", 1);
@@ -818,7 +818,7 @@
 
 // Nothing may be placed on a machine that the inventory does not hold: a new owner would not look
 // for it there.
-TEST(ShardScheduler, NothingIsPlacedOnAMachineBeforeTheRosterHoldsIt) {
+TEST(ShardScheduler, NothingIsPlacedOnAMachineBeforeTheInventoryHoldsIt) {
   OneDesk d;
   d.job(make_job(1, 1, 1));
   d.scheduler->run_scheduling_pass(1);
--- a/tests/shard_test.cpp
+++ b/tests/shard_test.cpp
@@ -12,7 +12,7 @@
 using shard::Load;
 
 // A shard with thousands of waiting tasks stood beside others' idle machines for minutes.
-TEST(Balance, SurplusGoesWhereWorkLacksIt) {
+TEST(MachineTransfer, SurplusGoesWhereWorkLacksIt) {
   std::vector<Load> l = {{100, 50, 300}, {100, 20, 20}, {100, 60, 60}};
   auto from1 = shard::transfers(l, 1), from2 = shard::transfers(l, 2);
   EXPECT_GT(from1[0], 30);
@@ -21,7 +21,7 @@
   EXPECT_EQ(shard::transfers(l, 0), std::vector<int>(3, 0));
 }
 
-TEST(Balance, GuaranteesComeBeforeWhatIsBorrowed) {
+TEST(MachineTransfer, GuaranteesComeBeforeWhatIsBorrowed) {
   std::vector<Load> l = {{150, 40, 400}, {50, 100, 100}};
   EXPECT_EQ(shard::transfers(l, 0)[1], 50);
   EXPECT_EQ(shard::transfers(l, 1)[0], 0);
@@ -29,7 +29,7 @@
 
 // What is lacking here and to spare there is often less than a machine each. Rounded down it left a
 // team's shard without any machine for minutes, while three others had half of one too many.
-TEST(Balance, PartsOfMachinesComeTogether) {
+TEST(MachineTransfer, PartsOfMachinesComeTogether) {
   std::vector<Load> l = {{2, 0, 3}, {2, 0, 3}, {2, 0, 3}, {0, 0, 3}};
   int got = 0;
   for (int k = 0; k < 3; ++k) got += shard::transfers(l, k)[3];
@@ -39,7 +39,7 @@
   EXPECT_EQ(shard::transfers(l, 0)[1], 1);
 }
 
-TEST(Balance, WhoeverHasWorkHasAMachineWhereThatIsPossible) {
+TEST(MachineTransfer, EveryShardWithWorkHasAMachineWherePossible) {
   const std::vector<Load> l = {{3, 2, 100}, {0, 0, 0.1}};
   EXPECT_EQ(shard::transfers(l, 0)[1], 1);
   EXPECT_EQ(shard::transfers({{2, 100, 100}, {1, 0, 0.1}}, 1)[0], 0);  // its last one stays
@@ -50,7 +50,7 @@
 // machine of a shard that has work; what each owner gives, all together, is all that moves: shared
 // out again, with the same work, nothing goes on or back. Beyond its goal nobody gives, nor gets, a
 // whole machine.
-RC_GTEST_PROP(Balance, MachinesDoNotGoToAndFro, ()) {
+RC_GTEST_PROP(MachineTransfer, MachinesDoNotOscillateBetweenShards, ()) {
   const int n = *rc::gen::inRange(2, 6);
   const int most = *rc::gen::element(8, 60, 30000);
   auto part = rc::gen::map(rc::gen::inRange(0, most), [](int x) { return x / 10.0; });
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -10,7 +10,7 @@
 
 // Own writes are applied when answered, before or after the watch brings them; whatever the
 // order, the cache ends as the store is, and a job that has gone does not come back on the way.
-RC_GTEST_PROP(StateCache, EndsAsTheStoreWhateverTheOrder, ()) {
+RC_GTEST_PROP(StateCache, ConvergesToTheStoreWhateverTheOrder, ()) {
   config::Settings s = make_settings();
   Store store;
   state::StateCache w(s);
@@ -68,7 +68,7 @@
 // answered and before the watch goes on from the first page's: the cache still ends as the store,
 // and a job that was known to be gone is not live in between. (A job whose cancellation was
 // answered during the reading came back for good: the watch's drop was taken for old news.)
-RC_GTEST_PROP(StateCache, EndsAsTheStoreWhenAllIsReadAnewMeanwhile, ()) {
+RC_GTEST_PROP(StateCache, ConvergesToTheStoreWhenAllIsReadAgainMeanwhile, ()) {
   config::Settings s = make_settings();
   Store store;
   state::StateCache w(s);
@@ -120,7 +120,7 @@
               (store.mod_revision(key(n)) != 0));
   }
 }
-TEST(StateCache, AJobThatGoesWhileAllIsReadAnewStaysGone) {
+TEST(StateCache, AJobDeletedDuringAFullReadStaysDeleted) {
   config::Settings s = make_settings();
   state::StateCache w(s);
   std::vector<state::Change> ch;
@@ -151,7 +151,7 @@
 // Nodes come, go and decide in any order, on caches of any age. Every commit that is let through
 // gives a higher token, and a node acts on a token only while no higher one was granted, as far
 // as it has read.
-RC_GTEST_PROP(LeaderElection, TokensRiseAndOneNodeHoldsEach, ()) {
+RC_GTEST_PROP(LeaderElection, TokensIncreaseAndOneNodeHoldsEach, ()) {
   Cluster c;
   std::vector<config::Settings> settings;
   for (int n = 0; n < 3; ++n) {
@@ -235,7 +235,7 @@
   EXPECT_NE(w.job("run-100000"), nullptr);
 }
 
-TEST(LeaderElection, ATokenWhoseDeskWasClosedIsReclaimed) {
+TEST(LeaderElection, ATokenWhoseSchedulerWasClosedIsReclaimed) {
   config::Settings s = make_settings(1);
   state::StateCache w(s);
   Store store;
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -52,7 +52,7 @@
   EXPECT_EQ(ready, kJob);
 }
 
-TEST(Upgrade, FinalAndOwnerRecordsAreThoseOfTheVersionInProduction) {
+TEST(Upgrade, ResultAndLeaderRecordsAreThoseOfTheVersionInProduction) {
   for (const auto& text : {kDone, kCancelled}) {
     auto f = wire::decode_job_result(text);
     EXPECT_EQ(f.cancelled, text == kCancelled);
@@ -62,7 +62,7 @@
   EXPECT_EQ(wire::encode_record(wire::decode_leader_record(event(kOwner))), kOwner);
 }
 
-TEST(Upgrade, SheetsAndRosterPagesAreThoseOfTheVersionInProduction) {
+TEST(Upgrade, PlacementAndInventoryPagesAreThoseOfTheVersionInProduction) {
   auto names = [](int t) { return std::string(t ? "red" : "vision"); };
   auto page =
       wire::decode_placement_page(event(kSheet), [](const std::string& t) { return t == "red"; });
@@ -75,7 +75,7 @@
   EXPECT_EQ(wire::encode_record(inventory), kRoster);
 }
 
-TEST(Upgrade, BeatsAndRedirectsAreThoseOfTheVersionInProduction) {
+TEST(Upgrade, HeartbeatsAndRedirectsAreThoseOfTheVersionInProduction) {
   std::string bytes;
   for (std::size_t i = 0; i < kBeat.size(); i += 2)
     bytes += static_cast<char>(std::stoi(kBeat.substr(i, 2), nullptr, 16));
@@ -169,7 +169,7 @@
 
 // A inventory page too long for one new value is parted, and at no moment is a machine unrecorded
 // or recorded twice: whatever of several nodes' changes come through.
-RC_GTEST_PROP(InventoryPage, PartedPagesHoldEveryMachineOnce, ()) {
+RC_GTEST_PROP(InventoryPage, SplitPagesHoldEveryMachineOnce, ()) {
   config::Settings s = make_settings();
   Store store;
   std::map<std::string, int> truth;
@@ -226,7 +226,7 @@
 
 // Two nodes that do not know of the same limits yet enter one machine at the same time: one into
 // the page itself, the other into a new part of it. Only one may come through.
-TEST(InventoryPage, TheNextPartIsGuarded) {
+TEST(InventoryPage, TheNextPartIsAPrecondition) {
   config::Settings s = make_settings();
   Store store;
   state::StateCache w(s);
@@ -253,7 +253,7 @@
 // A placement page written when values could be larger stays as it is until what it holds is over,
 // and new starts go elsewhere: no value is longer than what is taken now, nothing that is held is
 // lost.
-TEST(Limits, SheetsTooLongForANewValueAreLeftAlone) {
+TEST(Limits, PlacementPagesTooLongForANewValueAreLeftAlone) {
   config::Settings s = make_settings(1);
   s.teams[0].cpus_max = 100000;
   config::Tuning tuning;
@@ -350,7 +350,7 @@
 
 // A takeover finds every placement page too long for what a value may hold by now: none of them is
 // written, a further one is begun, and what is recorded stays recorded.
-TEST(Limits, WhereEverySheetIsTooLongAFurtherOneIsBegun) {
+TEST(Limits, WhereEveryPlacementPageIsTooLongAnotherIsBegun) {
   config::Settings s = make_settings(1);
   s.teams[0].cpus_max = 100000;
   config::Tuning tuning;
