--- a/tests/fault_combinations_held_test.cpp
+++ b/tests/fault_combinations_held_test.cpp
@@ -1,6 +1,7 @@
 // Starts that are held up while their job is cancelled.
 #include <gtest/gtest.h>
 
+#include <functional>
 #include <map>
 #include <string>
 
@@ -9,6 +10,50 @@
 namespace shunttrail::test {
 namespace {
 
+// A cluster of two controllers in which the first direct start of a job meets a fault.
+class HeldStart {
+ public:
+  // When `machine` last sent a heartbeat is known by its host.
+  using Fault = std::function<void(HeldStart& start, int machine, const std::string& host)>;
+
+  HeldStart(unsigned seed, const ClusterOptions& options) : cluster(seed, options) {}
+
+  // Submits a job once machines with room are there; as its start is sent, its user cancels it and
+  // the fault begins.
+  void play(const Fault& fault) {
+    cluster.sim().way = [this, fault, way = cluster.sim().way](const simulation::Request& r) {
+      if (r.path == "/agent/beat") reported_[r.from] = cluster.now();
+      if (!met && is_start(r)) {
+        met = true;
+        fault(*this, cluster.machines().find_host(r.to), r.to);
+      }
+      return way(r);
+    };
+    cluster.pass(12);
+    cluster.users().submit(spec("red", 5), 200);  // so that machines with room are there
+    cluster.pass(20 + cluster.sim().draw(0, 5));
+    job_ = cluster.users().submit(spec("red", 1), 60);
+    cluster.pass(120);
+  }
+
+  void cancel() { cluster.users().cancel(job_); }
+  // Until just before the end of the lease that the last heartbeat from this host has earned.
+  double until_lease_end(const std::string& host) {
+    return reported_[host] + cluster.options().lease_s - 0.3 - cluster.now();
+  }
+
+  SimulatedCluster cluster;
+  bool met = false;  // the start has met the fault
+
+ private:
+  bool is_start(const simulation::Request& r) const {
+    return !job_.empty() && r.path == "/orders" && r.body.find(job_ + "/") != std::string::npos;
+  }
+
+  std::string job_;
+  std::map<std::string, double> reported_;  // when each machine last sent a heartbeat, by host
+};
+
 // A start that is sent straight to a machine as it begins to hang, and whose job is cancelled at
 // once. The machine goes on within its lease for a moment, in which it reports what it had, is
 // answered, and takes the start; and it hangs again within the lease that this answer has renewed.
@@ -16,33 +61,20 @@
   int hung = 0, obeyed_late = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
-    ClusterOptions scale;
-    scale.controllers = 2;
-    SimulatedCluster set(seed, scale);
-    std::map<std::string, double> reported;  // when each machine last sent a report
-    std::string job;
-    bool done = false;
-    set.sim().way = [&, way = set.sim().way](const simulation::Request& r) {
-      if (r.path == "/agent/beat") reported[r.from] = set.now();
-      if (done || job.empty() || r.path != "/orders" || r.body.find(job + "/") == std::string::npos)
-        return way(r);
-      done = true;
-      const int machine = set.machines().find_host(r.to);
-      set.users().cancel(job);
-      const double first = reported[r.to] + scale.lease_s - 0.3 - set.now();
-      set.faults().hang(machine, first);
-      set.sim().at(set.now() + first + 0.05,
-                   [&set, machine, &scale] { set.faults().hang(machine, scale.lease_s - 0.3); });
-      return way(r);
-    };
-    set.pass(12);
-    set.users().submit(spec("red", 5), 200);  // so that machines with room are there
-    set.pass(20 + set.sim().draw(0, 5));
-    job = set.users().submit(spec("red", 1), 60);
-    set.pass(120);
-    hung += done;
-    obeyed_late += set.rules().after_cancel().obeyed > 10;
-    EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
+    ClusterOptions options;
+    options.controllers = 2;
+    HeldStart start(seed, options);
+    start.play([&](HeldStart& s, int machine, const std::string& host) {
+      s.cancel();
+      const double first = s.until_lease_end(host);
+      s.cluster.faults().hang(machine, first);
+      s.cluster.sim().at(s.cluster.now() + first + 0.05, [&s, machine, &options] {
+        s.cluster.faults().hang(machine, options.lease_s - 0.3);
+      });
+    });
+    hung += start.met;
+    obeyed_late += start.cluster.rules().after_cancel().obeyed > 10;
+    EXPECT_EQ(start.cluster.rules().broken(), std::vector<std::string>{});
   }
   EXPECT_GT(hung, 20);
   EXPECT_GT(obeyed_late, 10);
@@ -54,35 +86,21 @@
   int held = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
-    ClusterOptions scale;
-    scale.controllers = 2;
-    scale.cancel_s = scale.lease_s + 5;
-    scale.heartbeat_s = 2 + seed % 7;
-    SimulatedCluster set(seed, scale);
-    std::map<std::string, double> reported;  // when each machine last sent a report
-    std::string job;
-    bool done = false;
-    set.sim().way = [&, way = set.sim().way](const simulation::Request& r) {
-      if (r.path == "/agent/beat") reported[r.from] = set.now();
-      if (done || job.empty() || r.path != "/orders" || r.body.find(job + "/") == std::string::npos)
-        return way(r);
-      done = true;
-      const int machine = set.machines().find_host(r.to);
+    ClusterOptions options;
+    options.controllers = 2;
+    options.cancel_s = options.lease_s + 5;
+    options.heartbeat_s = 2 + seed % 7;
+    HeldStart start(seed, options);
+    start.play([&](HeldStart& s, int machine, const std::string& host) {
       const double late = 0.3 * (1 + seed);
-      set.users().cancel(job);
-      set.faults().hold_direct_commands(machine, late);
-      set.sim().at(set.now() + late + 0.05, [&, machine, host = r.to] {
-        set.faults().hang(machine, reported[host] + scale.lease_s - 0.3 - set.now());
+      s.cancel();
+      s.cluster.faults().hold_direct_commands(machine, late);
+      s.cluster.sim().at(s.cluster.now() + late + 0.05, [&s, machine, host] {
+        s.cluster.faults().hang(machine, s.until_lease_end(host));
       });
-      return way(r);
-    };
-    set.pass(12);
-    set.users().submit(spec("red", 5), 200);  // so that machines with room are there
-    set.pass(20 + set.sim().draw(0, 5));
-    job = set.users().submit(spec("red", 1), 60);
-    set.pass(120);
-    held += done;
-    EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
+    });
+    held += start.met;
+    EXPECT_EQ(start.cluster.rules().broken(), std::vector<std::string>{});
   }
   EXPECT_GT(held, 20);
 }
--- a/tests/shard_scheduler_test.cpp
+++ b/tests/shard_scheduler_test.cpp
@@ -6,32 +6,41 @@
 namespace shunttrail::test {
 namespace {
 
-struct OneDesk {
-  config::Settings s = make_settings(1);
-  config::Tuning t;
-  scheduler::MachineCatalogue c = make_catalogue(s);
+/// One scheduler, which leads shard 0, with its state service.
+struct OneScheduler {
+  config::Settings settings = make_settings(1);
+  config::Tuning tuning;
+  scheduler::MachineCatalogue catalogue = make_catalogue(settings);
   Store store;
-  state::StateCache w{s};
+  state::StateCache cache{settings};
   std::unique_ptr<scheduler::ShardScheduler> scheduler;
-  std::uint64_t seq = 0;
-  std::vector<wire::Transaction> made;  // and carried out
+  std::uint64_t sequence = 0;  // of the last heartbeat
+  std::vector<wire::Transaction> committed;
 
-  OneDesk() {
+  OneScheduler() {
     wire::Transaction own;
     own.ops.push_back(
         {state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", "x"}), 0});
     store.commit(own);
     read();
-    scheduler =
-        std::make_unique<scheduler::ShardScheduler>(s, t, c, 0, w.leader(0).mod_revision, 0, 7);
+    scheduler = std::make_unique<scheduler::ShardScheduler>(settings, tuning, catalogue, 0,
+                                                            cache.leader(0).mod_revision, 0, 7);
+  }
+  /// Submits a job of one task, which is placed and is due to be sent to its machine directly.
+  std::vector<scheduler::DirectCommands> start_directly(int number, double now) {
+    job(make_job(number, 1, 1));
+    scheduler->tick(now);
+    commit(now);
+    const auto unreachable = [](const std::string&) { return false; };
+    return scheduler->direct_commands(true, unreachable, now);
   }
   void read() {
     std::vector<state::Change> ch;
-    store.read(w, ch);
+    store.read(cache, ch);
   }
   void machine(const std::string& name) {
     wire::MachineRecord r{name, "t4", "a", false, 0, 0};
-    store.commit(roster_txn(w, {r}));
+    store.commit(roster_txn(cache, {r}));
     read();
     scheduler->machine_known(r, 0);
   }
@@ -44,9 +53,9 @@
   }
   void commit(double now) {
     scheduler->run_scheduling_pass(now);
-    while (auto txn = scheduler->next_transaction(w, state::TransactionLimits{}, "t", now)) {
+    while (auto txn = scheduler->next_transaction(cache, state::TransactionLimits{}, "t", now)) {
       bool ok = store.commit(*txn).has_value();
-      if (ok) made.push_back(*txn);
+      if (ok) committed.push_back(*txn);
       read();
       ok ? scheduler->transaction_applied(now) : scheduler->transaction_failed(now);
       if (!ok) return;
@@ -61,7 +70,7 @@
     r.type = "t4";
     r.zone = "a";
     r.incarnation = session;
-    r.sequence = ++seq;
+    r.sequence = ++sequence;
     r.token = scheduler->token();
     r.tasks = std::move(tasks);
     scheduler->take_heartbeat(r, now);
@@ -72,7 +81,7 @@
 
 // A gang whose tasks carried attempts of their own gathered for ever: workers match mates by it.
 TEST(ShardScheduler, AGangSharesItsAttemptAndChangesItTogether) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   auto r = make_job(1, 3, 1);
   r.spec.gang = true;
@@ -94,7 +103,7 @@
 
 // Idle room stood beside waiting tasks: a task must take it, whatever the learners say.
 TEST(ShardScheduler, ATaskNeitherWaitsNorRentsWhileAMachineHasRoom) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   d.machine("m-2");
   d.heartbeat("m-1", 1);
@@ -108,7 +117,7 @@
 
 // A result that was reaped before it was persisted would be run again after a crash.
 TEST(ShardScheduler, AResultIsAcknowledgedOnlyOnceItIsPersisted) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   d.job(make_job(1, 2, 1));
   auto starts = d.heartbeat("m-1", 1);
@@ -118,7 +127,7 @@
   r.type = "t4";
   r.zone = "a";
   r.incarnation = 1;
-  r.sequence = ++d.seq;
+  r.sequence = ++d.sequence;
   r.token = d.scheduler->token();
   r.tasks = {{starts[0].task, starts[0].attempt, wire::TaskState::exited, wire::ExitReason::done},
              {starts[1].task, starts[1].attempt, wire::TaskState::running, wire::ExitReason::none}};
@@ -139,7 +148,7 @@
 TEST(ShardScheduler, FinishedTasksStayRecordedWhicheverPageHoldsTheNewestCopy) {
   for (int newest : {3, 5}) {
     SCOPED_TRACE(newest);
-    OneDesk d;
+    OneScheduler d;
     const int older = 8 - newest;
     auto r = make_job(1, 4, 1);
     // Every other placement page holds more, so that these two are written first.
@@ -173,25 +182,26 @@
     // The takeover.
     d.read();
     d.machine("m-1");
-    for (const auto& [id, j] : d.w.jobs())
-      if (id == r.spec.id) d.scheduler->job_added(j.record, 0, d.w.done(id), 0, 0);
-    for (const auto& j : fillers) d.scheduler->job_added(j, 0, d.w.done(j.spec.id), 0, 0);
-    for (const auto& [n, page] : d.w.placement_pages(0)) d.scheduler->recover_page(n, page, 0);
+    for (const auto& [id, j] : d.cache.jobs())
+      if (id == r.spec.id) d.scheduler->job_added(j.record, 0, d.cache.done(id), 0, 0);
+    for (const auto& j : fillers) d.scheduler->job_added(j, 0, d.cache.done(j.spec.id), 0, 0);
+    for (const auto& [n, page] : d.cache.placement_pages(0)) d.scheduler->recover_page(n, page, 0);
     // Whatever starts next is written into the emptiest placement pages.
     for (int i = 0; i < 4; ++i) d.heartbeat("m-1", 1 + i);
     std::set<std::uint32_t> done;
-    for (const auto& [chunk, list] : d.w.done(r.spec.id))
+    for (const auto& [chunk, list] : d.cache.done(r.spec.id))
       for (auto [a, b] : list)
         for (std::uint32_t t = a; t <= b; ++t) done.insert(t);
     EXPECT_EQ(done, (std::set<std::uint32_t>{0, 1, 2}));
-    EXPECT_NE(d.w.placement_pages(0).at(newest).tag + d.w.placement_pages(0).at(older).tag, "00");
+    EXPECT_NE(d.cache.placement_pages(0).at(newest).tag + d.cache.placement_pages(0).at(older).tag,
+              "00");
   }
 }
 
 // The cloud had none; nothing else happened in the shard, which had no machine: it never asked
 // again.
 TEST(ShardScheduler, WorkIsRetriedAfterARefusalWithoutFurtherEvents) {
-  OneDesk d;
+  OneScheduler d;
   d.job(make_job(1, 2, 1));
   double asked = -1;  // last
   for (double now = 0; now < 60; now += 0.2) {
@@ -208,7 +218,7 @@
 // A task was accepted by a machine full of replicas while the cloud had none, and stood there for
 // good.
 TEST(ShardScheduler, ATaskDoesNotWaitForAServicesEndOnceAMachineCanBeHad) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   auto service = make_job(1, 2, 2);
   service.spec.service = true;
@@ -238,7 +248,7 @@
 // A list is served in order: a small task stood behind a large one, beside room that it fitted, for
 // as long as the large one waited. It does not wait there for 90 s, and does not slip past at once.
 TEST(ShardScheduler, ATaskBehindOneThatDoesNotFitTakesTheRoomThatIsLeftOver) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   d.job(make_job(1, 1, 3));
   std::vector<wire::TaskStatus> running;
@@ -277,7 +287,7 @@
   for (unsigned seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE(seed);
     std::mt19937 rng(seed);
-    OneDesk d;
+    OneScheduler d;
     std::map<std::string, std::vector<wire::TaskStatus>> there;
     for (const char* m : {"m-1", "m-2", "m-3"}) d.machine(m), there[m] = {};
     int jobs = 0;
@@ -295,12 +305,12 @@
             tasks.push_back({c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none});
         }
       }
-      for (const auto& t : d.made) {
+      for (const auto& t : d.committed) {
         Store copy = d.store;
         EXPECT_FALSE(copy.commit(t)) << "at " << now;
       }
     }
-    EXPECT_GT(d.made.size(), 20u);
+    EXPECT_GT(d.committed.size(), 20u);
   }
 }
 
@@ -308,7 +318,7 @@
 // alive is not given up before that lease is over, though its machine says nothing and is not
 // deleted.
 TEST(ShardScheduler, SilenceProvesNothingBeforeTheEarlierLeadersLastLeaseIsOver) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   d.machine("m-2");
   d.job(make_job(1, 1, 1));
@@ -320,20 +330,16 @@
     d.scheduler->tick(now);
     if (d.scheduler->summary().find("\"lost\":0") == std::string::npos) given_up = now;
   }
-  EXPECT_GE(given_up, d.s.staleness_bound_s() + d.s.lease_s);
+  EXPECT_GE(given_up, d.settings.staleness_bound_s() + d.settings.lease_s);
 }
 
 // A direct order was held up and taken for lost, then carried out, and then the machine's lease
 // ended: its task counted as running for good.
 TEST(ShardScheduler, ATaskOfALateDirectCommandIsGivenUpWithItsIncarnation) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   d.heartbeat("m-1", 1);
-  d.job(make_job(1, 1, 1));
-  d.scheduler->tick(2);
-  d.commit(2);
-  auto direct = d.scheduler->direct_commands(
-      true, [](const std::string&) { return false; }, 2);
+  auto direct = d.start_directly(1, 2);
   ASSERT_EQ(direct.size(), 1u);
   ASSERT_EQ(direct[0].commands.size(), 1u);
   d.scheduler->direct_commands_done(direct[0], 0);
@@ -349,14 +355,10 @@
 // A direct start without an answer, of a job that is cancelled by now: no answer renews that
 // machine's lease under the token that the start would be carried out under.
 TEST(ShardScheduler, ALeaseIsNotRenewedWhileACancelledTaskMayStillBeStarted) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   d.heartbeat("m-1", 1);
-  d.job(make_job(1, 1, 1));
-  d.scheduler->tick(2);
-  d.commit(2);
-  auto direct = d.scheduler->direct_commands(
-      true, [](const std::string&) { return false; }, 2);
+  auto direct = d.start_directly(1, 2);
   ASSERT_EQ(direct.size(), 1u);
   EXPECT_FALSE(d.scheduler->has_unacknowledged_start("m-1"));
   d.scheduler->job_gone(make_job(1, 1, 1).spec.id, 3);
@@ -378,11 +380,7 @@
   EXPECT_FALSE(d.scheduler->needs_new_token(20));
   // The next one that needs it does not wait for ten seconds.
   d.heartbeat("m-1", 5);
-  d.job(make_job(2, 1, 1));
-  d.scheduler->tick(6);
-  d.commit(6);
-  direct = d.scheduler->direct_commands(
-      true, [](const std::string&) { return false; }, 6);
+  direct = d.start_directly(2, 6);
   ASSERT_EQ(direct.size(), 1u);
   d.scheduler->direct_commands_done(direct[0], 0);
   EXPECT_FALSE(d.scheduler->needs_new_token(6.5));
@@ -391,14 +389,10 @@
 }
 TEST(ShardScheduler, AnAnswerAcknowledgesACancelledStart) {
   for (int status : {200, 409}) {
-    OneDesk d;
+    OneScheduler d;
     d.machine("m-1");
     d.heartbeat("m-1", 1);
-    d.job(make_job(1, 1, 1));
-    d.scheduler->tick(2);
-    d.commit(2);
-    auto direct = d.scheduler->direct_commands(
-        true, [](const std::string&) { return false; }, 2);
+    auto direct = d.start_directly(1, 2);
     ASSERT_EQ(direct.size(), 1u);
     d.scheduler->job_gone(make_job(1, 1, 1).spec.id, 3);
     d.scheduler->direct_commands_done(direct[0], status);
@@ -410,7 +404,7 @@
 // What runs of a cancelled job is told so at once, also on a machine whose reports do not come, and
 // by the answer to a report that has been overtaken.
 TEST(ShardScheduler, ACancelledJobsTasksAreStoppedWithoutWaitingForAHeartbeat) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   d.job(make_job(1, 2, 1));
   d.job(make_job(2, 1, 1));
@@ -445,7 +439,7 @@
 
 // An end is an end: should a machine show the same attempt running after it, it is stopped.
 TEST(ShardScheduler, AnAttemptThatRunsAfterItsEndIsStopped) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   d.job(make_job(1, 1, 1));
   auto starts = d.heartbeat("m-1", 1);
@@ -461,14 +455,10 @@
 
 // A direct start without an answer may be carried out later: not reaped before a higher token.
 TEST(ShardScheduler, AnUnacknowledgedAttemptIsReleasedOnlyUnderAHigherToken) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   d.heartbeat("m-1", 1);
-  d.job(make_job(1, 1, 1));
-  d.scheduler->tick(2);
-  d.commit(2);
-  auto direct = d.scheduler->direct_commands(
-      true, [](const std::string&) { return false; }, 2);
+  auto direct = d.start_directly(1, 2);
   ASSERT_EQ(direct.size(), 1u);
   auto c = direct[0].commands.at(0);
   d.scheduler->direct_commands_done(direct[0], 0);
@@ -491,7 +481,7 @@
 // An earlier owner's start may still be on its way to a worker that has not seen our token: a
 // report without the task proves nothing before that. Giving it up would run the task twice.
 TEST(ShardScheduler, AnEarlierLeadersPlacementIsGivenUpOnlyUnderTheCurrentToken) {
-  OneDesk d;
+  OneScheduler d;
   auto r = make_job(1, 1, 1);
   d.machine("m-1");
   d.machine("m-2");
@@ -503,7 +493,7 @@
   old.type = "t4";
   old.zone = "a";
   old.incarnation = 1;
-  old.sequence = ++d.seq;
+  old.sequence = ++d.sequence;
   old.token = d.scheduler->token() - 1;
   d.scheduler->take_heartbeat(old, 2);
   d.commit(2);
@@ -515,7 +505,7 @@
 
 // A machine that goes to another shard is empty.
 TEST(ShardScheduler, OnlyAnEmptyMachineIsTransferred) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   d.machine("m-2");
   d.job(make_job(1, 1, 1));
@@ -527,7 +517,7 @@
   EXPECT_EQ(wishes[0].kind, scheduler::InventoryChange::transfer);
   EXPECT_EQ(wishes[0].machine.shard, 5);
   std::set<std::string> busy;
-  for (const auto& [n, page] : d.w.placement_pages(0))
+  for (const auto& [n, page] : d.cache.placement_pages(0))
     for (const auto& g : page.jobs)
       for (const auto& p : g.placements) busy.insert(p.machine);
   EXPECT_EQ(busy.size(), 1u);
@@ -540,7 +530,7 @@
 // another token; the new scheduler had work there by the time the wish was carried out. The
 // scheduler is asked again.
 TEST(ShardScheduler, ATransferRequestOutlivesItsSchedulerButIsNotExecuted) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   d.heartbeat("m-1", 1);
   d.scheduler->transfer({5, 1, {1, 1}});
@@ -555,9 +545,9 @@
                            shard == 5;
                   })
                   .empty());
-  d.scheduler =
-      std::make_unique<scheduler::ShardScheduler>(d.s, d.t, d.c, 0, d.scheduler->token(), 2, 8);
-  d.scheduler->machine_known(*d.w.machine("m-1"), 2);
+  d.scheduler = std::make_unique<scheduler::ShardScheduler>(d.settings, d.tuning, d.catalogue, 0,
+                                                            d.scheduler->token(), 2, 8);
+  d.scheduler->machine_known(*d.cache.machine("m-1"), 2);
   EXPECT_EQ(d.scheduler->transfer_target("m-1"), -1);
   d.job(make_job(1, 1, 1));
   d.heartbeat("m-1", 2);
@@ -568,7 +558,7 @@
 // Services were promised along with their machines, which stood half empty for minutes, closed to
 // new work: guimaraes-montagem had 4,000 vcpus like that. And a promise outlived the lack.
 TEST(ShardScheduler, AMachineWithAReplicaIsNotReservedAndAnUnusedReservationEnds) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   auto service = make_job(1, 1, 1);
   service.spec.service = true;
@@ -605,14 +595,15 @@
 
 // Gifts were counted in machines: eight of the largest went for what two would have done.
 TEST(ShardScheduler, TransfersAreCountedInWhatFitsNotInMachines) {
-  OneDesk d;
-  d.c.load({{"t4", 4, 0, 16, 0.4, 0.1, 10, {"a", "b"}}, {"t16", 16, 0, 64, 1.6, 0.4, 10, {"a"}}},
-           d.s);
+  OneScheduler d;
+  d.catalogue.load(
+      {{"t4", 4, 0, 16, 0.4, 0.1, 10, {"a", "b"}}, {"t16", 16, 0, 64, 1.6, 0.4, 10, {"a"}}},
+      d.settings);
   std::uint64_t seq = 0;
   for (int i = 1; i <= 4; ++i) {
     const std::string name = "m-" + std::to_string(i), type = i == 2 ? "t4" : "t16";
     wire::MachineRecord m{name, type, "a", false, 0, 0};
-    d.store.commit(roster_txn(d.w, {m}));
+    d.store.commit(roster_txn(d.cache, {m}));
     d.read();
     d.scheduler->machine_known(m, 0);
     wire::Heartbeat r;
@@ -636,17 +627,17 @@
 // change must carry the starts of many machines, and a placement page must stay within the value's
 // limit.
 TEST(ShardScheduler, ManyStartsShareATransactionAndPagesStayWithinTheLimit) {
-  OneDesk d;
+  OneScheduler d;
   std::vector<wire::MachineRecord> fleet;
   for (int i = 0; i < 200; ++i)
     fleet.push_back({"m-" + std::to_string(100000 + i), "t4", "a", false, 0, 0});
-  d.s.teams[0].cpus_max = 1e6;
-  d.store.commit(roster_txn(d.w, fleet));
+  d.settings.teams[0].cpus_max = 1e6;
+  d.store.commit(roster_txn(d.cache, fleet));
   d.read();
   for (const auto& m : fleet) {
     d.scheduler->machine_known(m, 0);
-    wire::Heartbeat r{m.name,  "10.0.0.1:1",         "t4", "a", false, 1,
-                      ++d.seq, d.scheduler->token(), {},   {}};
+    wire::Heartbeat r{m.name,       "10.0.0.1:1",         "t4", "a", false, 1,
+                      ++d.sequence, d.scheduler->token(), {},   {}};
     d.scheduler->take_heartbeat(r, 1);
   }
   d.job(make_job(1, 3000, 1));
@@ -655,10 +646,11 @@
   d.scheduler->run_scheduling_pass(1);
   d.scheduler->run_scheduling_pass(1);
   std::size_t changes = 0;
-  while (auto txn = d.scheduler->next_transaction(d.w, state::TransactionLimits{}, "t", 1)) {
+  while (auto txn = d.scheduler->next_transaction(d.cache, state::TransactionLimits{}, "t", 1)) {
     changes += txn->ops.size();
-    EXPECT_LE(txn->ops.size(), static_cast<std::size_t>(d.s.state_limits.txn_ops));
-    EXPECT_LE(txn->preconditions.size(), static_cast<std::size_t>(d.s.state_limits.txn_ops) * 4);
+    EXPECT_LE(txn->ops.size(), static_cast<std::size_t>(d.settings.state_limits.txn_ops));
+    EXPECT_LE(txn->preconditions.size(),
+              static_cast<std::size_t>(d.settings.state_limits.txn_ops) * 4);
     for (const auto& op : txn->ops) EXPECT_LE(op.value->size(), 4096u);
     ASSERT_TRUE(d.store.commit(*txn));
     d.read();
@@ -667,7 +659,7 @@
   EXPECT_GT(d.store.revision, before);
   EXPECT_LE(changes, 12u);
   std::size_t placed = 0;
-  for (const auto& [n, page] : d.w.placement_pages(0))
+  for (const auto& [n, page] : d.cache.placement_pages(0))
     for (const auto& g : page.jobs) placed += g.placements.size();
   EXPECT_EQ(placed, 800u);
 }
@@ -675,12 +667,12 @@
 // After minutes of work every placement page holds things long over. Starts queued by thousands for
 // the few placement pages that seemed empty, since the others were never looked into.
 TEST(ShardScheduler, FinishedJobsTakeNoRoomInPages) {
-  OneDesk d;
-  d.s.teams[0].cpus_max = 1e6;
+  OneScheduler d;
+  d.settings.teams[0].cpus_max = 1e6;
   std::vector<wire::MachineRecord> fleet;
   for (int i = 0; i < 100; ++i)
     fleet.push_back({"m-" + std::to_string(100000 + i), "t4", "a", false, 0, 0});
-  d.store.commit(roster_txn(d.w, fleet));
+  d.store.commit(roster_txn(d.cache, fleet));
   d.read();
   for (const auto& m : fleet) d.scheduler->machine_known(m, 0);
   std::map<std::string, std::vector<wire::TaskStatus>> there;
@@ -693,17 +685,18 @@
       for (auto& t : tasks)  // one in forty runs for long
         if (t.task.index % 40 || t.attempt % 23 == 0)
           t.state = wire::TaskState::exited, t.exit_reason = wire::ExitReason::done;
-      wire::Heartbeat r{m.name,  "10.0.0.1:1",         "t4", "a",  false, 1,
-                        ++d.seq, d.scheduler->token(), {},   tasks};
+      wire::Heartbeat r{m.name,       "10.0.0.1:1",         "t4", "a",  false, 1,
+                        ++d.sequence, d.scheduler->token(), {},   tasks};
       d.scheduler->take_heartbeat(r, now);
     }
     d.scheduler->run_scheduling_pass(now);
     std::size_t changes = 0;
-    while (auto txn = d.scheduler->next_transaction(d.w, state::TransactionLimits{}, "t", now)) {
+    while (auto txn =
+               d.scheduler->next_transaction(d.cache, state::TransactionLimits{}, "t", now)) {
       for (const auto& op : txn->ops) changes += op.key.starts_with("st/a/");
       ASSERT_TRUE(d.store.commit(*txn));
       std::vector<state::Change> ch;
-      d.store.read(d.w, ch);
+      d.store.read(d.cache, ch);
       d.scheduler->transaction_applied(now);
     }
     worst = std::max(worst, changes);
@@ -723,8 +716,8 @@
 // Freed room went to idle work on that machine's own list while urgent tasks waited on other, full
 // machines: on a full fleet of hundreds they waited for minutes.
 TEST(ShardScheduler, RoomGoesToUrgentTasksThatWaitElsewhereFirst) {
-  OneDesk d;
-  d.s.teams[0].cpus_max = 1e6;
+  OneScheduler d;
+  d.settings.teams[0].cpus_max = 1e6;
   auto task_of = [](const wire::Command& c) {
     return wire::TaskStatus{c.task, c.attempt, wire::TaskState::running, wire::ExitReason::none};
   };
@@ -763,10 +756,10 @@
 
 // A team's guarantee waited behind work that another team had borrowed the machines for.
 TEST(ShardScheduler, GuaranteedWorkGoesBeforeWhatOthersBorrow) {
-  OneDesk d;
-  d.s.teams = {{"red", 1, 100, 0, 0}, {"blue", 4, 100, 0, 0}};
-  d.scheduler = std::make_unique<scheduler::ShardScheduler>(d.s, d.t, d.c, 0,
-                                                            d.w.leader(0).mod_revision, 0, 7);
+  OneScheduler d;
+  d.settings.teams = {{"red", 1, 100, 0, 0}, {"blue", 4, 100, 0, 0}};
+  d.scheduler = std::make_unique<scheduler::ShardScheduler>(d.settings, d.tuning, d.catalogue, 0,
+                                                            d.cache.leader(0).mod_revision, 0, 7);
   d.machine("m-1");
   d.heartbeat("m-1", 1);
   d.job(make_job(1, 12, 1));  // red, far beyond its guarantee
@@ -802,7 +795,7 @@
 // A machine that was being emptied for another shard kept starts that it was never sent: it was
 // never empty, and the tasks never ran.
 TEST(ShardScheduler, AMachineThatLeavesReleasesTasksThatWereNotSent) {
-  OneDesk d;
+  OneScheduler d;
   d.machine("m-1");
   d.heartbeat("m-1", 1);
   d.job(make_job(1, 2, 1));
@@ -819,14 +812,14 @@
 // Nothing may be placed on a machine that the inventory does not hold: a new owner would not look
 // for it there.
 TEST(ShardScheduler, NothingIsPlacedOnAMachineBeforeTheInventoryHoldsIt) {
-  OneDesk d;
+  OneScheduler d;
   d.job(make_job(1, 1, 1));
   d.scheduler->run_scheduling_pass(1);
   auto wishes = d.scheduler->scale_out_requests(1);
   ASSERT_EQ(wishes.size(), 1u);
   d.scheduler->rented(wishes[0], {"m-7"}, 1);
   EXPECT_TRUE(d.heartbeat("m-7", 2).empty());
-  EXPECT_TRUE(d.w.placement_pages(0).empty());
+  EXPECT_TRUE(d.cache.placement_pages(0).empty());
   auto add = d.scheduler->inventory_changes();
   ASSERT_EQ(add.size(), 1u);
   d.scheduler->machine_known(add[0].machine, 3);
@@ -836,8 +829,8 @@
 // Bridge checks and rush jobs waited a second or two for images that lay ready on other machines
 // with room: the learners are told the cost of whole runs, in which that hardly shows.
 TEST(ShardScheduler, AMachineWithRoomAndTheImageGoesBeforeOneThatWouldFetchIt) {
-  OneDesk d;
-  d.s.teams[0].cpus_max = 100;
+  OneScheduler d;
+  d.settings.teams[0].cpus_max = 100;
   for (int i = 0; i < 6; ++i) d.machine("m-" + std::to_string(i));
   for (int i = 0; i < 6; ++i) d.heartbeat("m-" + std::to_string(i), 1);
   // Others fill the first five, so that one task fetches the image on the last.
@@ -867,7 +860,7 @@
   }
   d.commit(6);
   std::size_t on_it = 0;
-  for (const auto& [n, page] : d.w.placement_pages(0))
+  for (const auto& [n, page] : d.cache.placement_pages(0))
     for (const auto& g : page.jobs)
       for (const auto& p : g.placements) on_it += p.machine == warm;
   EXPECT_EQ(on_it, 4u);
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -208,51 +208,54 @@
   }
 }
 
-// A grown day saw a task started twice: the new owner knew of its own commit before it had read
-// the old owner's last placements, which were committed just before.
-TEST(LeaderElection, ATokenIsActedOnOnlyOnceAllBeforeItHasBeenRead) {
-  config::Settings s = make_settings(1);
-  state::StateCache w(s);
+// One node that is registered with the state service, and takes part in elections.
+struct OneNode {
+  config::Settings settings = make_settings(1);
+  state::StateCache cache{settings};
   Store store;
-  shard::LeaderElection o(s);
-  std::vector<state::Change> ch;
-  wire::Transaction t;
-  t.ops.push_back({state::node_key("node-0"), "{}", 0});
-  store.commit(t);
-  o.registered(store.revision);
-  store.read(w, ch);
-  o.observe(w, 1);
-  EXPECT_EQ(o.decide(w, 0, 100, 0).kind, shard::LeadershipMove::take);
-  store.commit({{}, {{state::job_key("run-100000"), wire::encode_record(make_job(0, 1, 1)), 0}}});
-  wire::Transaction own;
-  own.ops.push_back(
-      {state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", ""}), 0});
-  auto rev = store.commit(own);
-  w.apply({own.ops[0].key, own.ops[0].value, *rev}, ch);  // answered, not yet read
-  EXPECT_EQ(o.decide(w, 0, 101, 0).kind, shard::LeadershipMove::none);
-  store.read(w, ch);
-  EXPECT_EQ(o.decide(w, 0, 101, 0).kind, shard::LeadershipMove::lead);
-  EXPECT_NE(w.job("run-100000"), nullptr);
+  shard::LeaderElection election{settings};
+  std::vector<state::Change> changes;
+
+  OneNode() {
+    wire::Transaction node;
+    node.ops.push_back({state::node_key("node-0"), "{}", 0});
+    store.commit(node);
+    election.registered(store.revision);
+  }
+  void read() { store.read(cache, changes); }
+  static wire::Transaction take_leadership() {
+    wire::Transaction own;
+    own.ops.push_back(
+        {state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", ""}), 0});
+    return own;
+  }
+};
+
+// A grown day saw a task started twice: the new leader knew of its own commit before it had read
+// the old leader's last placements, which were committed just before.
+TEST(LeaderElection, ATokenIsActedOnOnlyOnceAllBeforeItHasBeenRead) {
+  OneNode n;
+  n.read();
+  n.election.observe(n.cache, 1);
+  EXPECT_EQ(n.election.decide(n.cache, 0, 100, 0).kind, shard::LeadershipMove::take);
+  n.store.commit({{}, {{state::job_key("run-100000"), wire::encode_record(make_job(0, 1, 1)), 0}}});
+  const wire::Transaction own = OneNode::take_leadership();
+  auto rev = n.store.commit(own);
+  n.cache.apply({own.ops[0].key, own.ops[0].value, *rev}, n.changes);  // answered, not yet read
+  EXPECT_EQ(n.election.decide(n.cache, 0, 101, 0).kind, shard::LeadershipMove::none);
+  n.read();
+  EXPECT_EQ(n.election.decide(n.cache, 0, 101, 0).kind, shard::LeadershipMove::lead);
+  EXPECT_NE(n.cache.job("run-100000"), nullptr);
 }
 
 TEST(LeaderElection, ATokenWhoseSchedulerWasClosedIsReclaimed) {
-  config::Settings s = make_settings(1);
-  state::StateCache w(s);
-  Store store;
-  shard::LeaderElection o(s);
-  std::vector<state::Change> ch;
-  wire::Transaction t;
-  t.ops.push_back({state::node_key("node-0"), "{}", 0});
-  store.commit(t);
-  o.registered(store.revision);
-  wire::Transaction own;
-  own.ops.push_back(
-      {state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", ""}), 0});
-  store.commit(own);
-  store.read(w, ch);
-  o.observe(w, 1);
-  EXPECT_EQ(o.decide(w, 0, 1, 0).kind, shard::LeadershipMove::lead);
-  EXPECT_EQ(o.decide(w, 0, 1, w.leader(0).mod_revision).kind, shard::LeadershipMove::take);
+  OneNode n;
+  n.store.commit(OneNode::take_leadership());
+  n.read();
+  n.election.observe(n.cache, 1);
+  EXPECT_EQ(n.election.decide(n.cache, 0, 1, 0).kind, shard::LeadershipMove::lead);
+  EXPECT_EQ(n.election.decide(n.cache, 0, 1, n.cache.leader(0).mod_revision).kind,
+            shard::LeadershipMove::take);
 }
 
 }  // namespace
