--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -1,6 +1,6 @@
-// Simulated time, hosts and the network between them, for the library's own actors: one process, no
-// sockets, no wall clock, and with the same seed the same history. A host is one life of one
-// process: its loop drives whatever is made on it, and ends with it. Not thread-safe.
+/// Simulated time, hosts and the network between them, for the library's own actors: one process,
+/// no sockets, no wall clock, and with the same seed the same history. All times are seconds. Not
+/// thread-safe.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -20,10 +20,11 @@
 
 class Simulation;
 
+/// One life of one process: its loop drives whatever is made on it, and ends with it.
 class Host final : public actor::EventSource, public net::Network {
  public:
-  // `rate`: seconds that its steady clock shows in one second (PROTOCOL: apart by 0.05% at most).
-  // `wall_off_s`: the time of day wanders by so much to either side.
+  /// `rate`: seconds that its steady clock shows in one second (PROTOCOL: apart by 0.05% at most).
+  /// `wall_off_s`: the time of day wanders by so much to either side.
   Host(Simulation& sim, std::string name, double rate = 1, double wall_off_s = 0);
   ~Host() override;
   Host(const Host&) = delete;
@@ -31,12 +32,12 @@
 
   const std::string& name() const { return name_; }
   actor::Loop& loop() { return loop_; }
-  // It stands still until this moment of the simulation; what comes meanwhile waits.
+  /// The process stands still until this moment of the simulation; what comes meanwhile waits.
   void freeze(double until);
-  // After so many more of its turns, between two of them, for so long; further ones count from
-  // when it goes on. What it is held up by otherwise is no turn.
+  /// The process stands still for so long after so many more of its turns (events that its loop
+  /// handles); the turns of a further call count from when it goes on.
   void freeze_after(std::uint64_t turns, double for_s) { life_->next.push_back({turns, for_s}); }
-  // As it goes on, what has come meanwhile and what fell due come in any order.
+  /// After a freeze, what has come meanwhile and what fell due is handled in a drawn order.
   void any_order_after_freezes() { life_->any_order = true; }
 
   double now() const override;
@@ -65,20 +66,22 @@
   actor::Loop loop_{*this};
 };
 
+/// An HTTP request on its way.
 struct Request {
-  std::string from, to;  // hosts' names
+  std::string from, to;  ///< hosts' names
   std::string method, path, body;
 };
 
-// What becomes of a request on its way.
+/// What becomes of a request on its way.
 struct Delivery {
-  double there_s = 0.002, back_s = 0.002;
-  bool arrives = true;             // otherwise it is lost, and nobody answers
-  bool answered = true;            // otherwise the answer is lost
-  int refused = 0;                 // answered so on the way, and not carried out
-  std::vector<double> copies_s{};  // arrives again so much later; those copies' answers are lost
+  double there_s = 0.002, back_s = 0.002;  ///< one-way delays
+  bool arrives = true;                     ///< otherwise it is lost, and nobody answers
+  bool answered = true;                    ///< otherwise the answer is lost
+  int refused = 0;                 ///< status by which it is refused on the way; 0: it is not
+  std::vector<double> copies_s{};  ///< delivered again so much later, without an answer
 };
 
+/// The order of all events.
 class Simulation {
  public:
   explicit Simulation(unsigned seed) : rng_(seed) {}
@@ -87,23 +90,27 @@
 
   double now() const { return now_; }
   std::mt19937& rng() { return rng_; }
+  /// Uniformly distributed.
   double draw(double from, double to) { return std::uniform_real_distribution<>(from, to)(rng_); }
+  /// True with this probability.
   bool chance(double share) { return draw(0, 1) < share; }
 
+  /// Handles all events up to this moment.
   void run_until(double at);
-  // Of the simulation itself, outside of every host.
+  /// Schedules an event of the simulation itself, outside of every host.
   void at(double when, std::function<void()> fn);
-  // A request that nobody waits for: a copy from somewhere on the way.
+  /// A request that nobody waits for: a copy from somewhere on the way.
   void send_copy(Request r, const config::Endpoint& to);
 
-  // Identifies the history so far: a hash of every request, as it is sent and as the receiving host
-  // takes it, and of every answer as it is given, each with its simulated time, in order. Equal
-  // digests mean the same history; keeping it draws no random numbers and reorders no events.
+  /// Identifies the history so far: a hash of every request, as it is sent and as the receiving
+  /// host takes it, and of every answer as it is given, each with its simulated time, in order.
+  /// Equal digests mean the same history; keeping it draws no random numbers and reorders no
+  /// events.
   std::uint64_t digest() const { return digest_.value(); }
 
-  // Asked as each request leaves. None: nothing is ever lost.
+  /// Asked as each request leaves. None: nothing is ever lost.
   std::function<Delivery(const Request&)> way;
-  // Asked as its answer leaves: seconds that it is held up, or below 0: it is lost.
+  /// Asked as its answer leaves: seconds that it is held up, or below 0: it is lost.
   std::function<double(const Request&)> hold_answer;
 
  private:
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -244,7 +244,7 @@
   if (seeds(first, last) && GetParam()) GTEST_SKIP() << "the first one plays them all";
   expect_whole(first, last);
 }
-INSTANTIATE_TEST_SUITE_P(Troubles, DrawnFaults, ::testing::Range(0u, 4u));
+INSTANTIATE_TEST_SUITE_P(Seeds, DrawnFaults, ::testing::Range(0u, 4u));
 
 }  // namespace
 }  // namespace shunttrail::test
--- a/tests/shard_scheduler_test.cpp
+++ b/tests/shard_scheduler_test.cpp
@@ -31,8 +31,8 @@
     job(make_job(number, 1, 1));
     scheduler->tick(now);
     commit(now);
-    const auto unreachable = [](const std::string&) { return false; };
-    return scheduler->direct_commands(true, unreachable, now);
+    const auto skip_none = [](const std::string&) { return false; };
+    return scheduler->direct_commands(true, skip_none, now);
   }
   void read() {
     std::vector<state::Change> ch;
