--- a/model/check.sh
+++ b/model/check.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
 # Checks a model exhaustively with spin. Without a macro it must hold; with one, which removes a
-# guard, the fault must be found.
+# safeguard, the fault must be found.
 #   check.sh MODEL.pml [MACRO]
 set -euo pipefail
 model=$(realpath "$1")
