--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -50,7 +50,7 @@
 }
 
 /// A job and where it stands, for messages.
-inline std::string describe(const SimulatedCluster& set, const SimulatedJob& j) {
+inline std::string describe(const SimulatedCluster& cluster, const SimulatedJob& j) {
   const wire::JobSpec& s = j.spec;
   std::string out = s.id + ": " + s.team + ", band " +
                     std::to_string(static_cast<int>(s.priority)) + ", " + std::to_string(s.tasks) +
@@ -60,7 +60,7 @@
                     (s.anti_affinity ? ", spread" : "") + (s.zone ? ", zone " + *s.zone : "") +
                     (j.cancel_asked ? ", cancelled" : "");
   for (const auto& a : s.dependencies) out += ", awaits " + a;
-  for (int m : set.machines().with_job(s.id)) out += ", on machine " + std::to_string(m);
+  for (int m : cluster.machines().with_job(s.id)) out += ", on machine " + std::to_string(m);
   return out;
 }
 
--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -19,16 +19,16 @@
 
 using nlohmann::json;
 
-// A user of its own beside the set's: one question, and its answer.
+// A user of its own beside the cluster's: one question, and its answer.
 class Asker {
  public:
-  explicit Asker(SimulatedCluster& set) : set_(set), host_(set.sim(), "asker") {}
+  explicit Asker(SimulatedCluster& cluster) : cluster_(cluster), host_(cluster.sim(), "asker") {}
   net::Result ask(const config::Endpoint& to, const char* method, const std::string& path,
                   const std::string& body = "") {
     std::optional<net::Result> answer;
     auto kept = host_.request(to, method, path, body, 5,
                               [&answer](net::Result r) { answer = std::move(r); });
-    while (!answer) set_.pass(0.02);
+    while (!answer) cluster_.pass(0.02);
     return *answer;
   }
   net::Result ask(int node, const char* method, const std::string& path,
@@ -40,13 +40,13 @@
     for (int tries = 0; tries < 10; ++tries) {
       net::Result r = ask(node, "POST", "/v2/runs", body);
       if (r.status != 503) return r;
-      set_.pass(1);
+      cluster_.pass(1);
     }
     return {};
   }
 
  private:
-  SimulatedCluster& set_;
+  SimulatedCluster& cluster_;
   simulation::Host host_;
 };
 
@@ -65,59 +65,61 @@
 // Jobs come for a minute and a half, most of one to three short tasks; faults begin within the
 // first; then it is quiet, and every accepted job has to be known everywhere, and to be over.
 Users play_users(unsigned seed, const Tweak& tweak, const std::vector<std::string>& named) {
-  ClusterOptions scale;
-  scale.controllers = 2 + static_cast<int>(seed % 4);
-  scale.machines = 4 + static_cast<int>(seed % 5);
-  SimulatedCluster set(seed, scale);
-  auto& sim = set.sim();
-  tweak(set);
-  set.pass(12);
+  ClusterOptions options;
+  options.controllers = 2 + static_cast<int>(seed % 4);
+  options.machines = 4 + static_cast<int>(seed % 5);
+  SimulatedCluster cluster(seed, options);
+  auto& sim = cluster.sim();
+  tweak(cluster);
+  cluster.pass(12);
   std::vector<std::string> jobs;
   for (const auto& t : named_faults())
     if (std::find(named.begin(), named.end(), t.name) != named.end())
       for (int round = 0; round < 2; ++round)
-        sim.at(set.now() + sim.draw(5, 30) + 40 * round, [&set, &t] {
-          if (set.machines().size() > 0) t.begin(set);
+        sim.at(cluster.now() + sim.draw(5, 30) + 40 * round, [&cluster, &t] {
+          if (cluster.machines().size() > 0) t.begin(cluster);
         });
-  for (const double until = set.now() + 90; set.now() < until;) {
+  for (const double until = cluster.now() + 90; cluster.now() < until;) {
     wire::JobSpec s = spec(sim.chance(0.5) ? "red" : "blue", 1 + sim.rng()() % 3);
     s.service = sim.chance(0.05);
     s.gang = !s.service && sim.chance(0.1);
     if (sim.chance(0.2) && !jobs.empty())
       if (const auto& a = jobs[sim.rng()() % jobs.size()];
-          set.users().jobs().at(a).accepted && !set.users().jobs().at(a).spec.service)
+          cluster.users().jobs().at(a).accepted && !cluster.users().jobs().at(a).spec.service)
         s.dependencies = {a};
-    jobs.push_back(set.users().submit(std::move(s), sim.draw(0.5, 6)));
-    if (sim.chance(0.15)) set.users().cancel(jobs[sim.rng()() % jobs.size()]);
-    set.pass(sim.draw(0.2, 4));
+    jobs.push_back(cluster.users().submit(std::move(s), sim.draw(0.5, 6)));
+    if (sim.chance(0.15)) cluster.users().cancel(jobs[sim.rng()() % jobs.size()]);
+    cluster.pass(sim.draw(0.2, 4));
   }
-  set.pass(60);  // the longest fault is over
+  cluster.pass(60);  // the longest fault is over
   Users out;
-  set.options().late_writes = set.options().heartbeat_copies = set.options().lost_answers = 0;
-  set.options().close_looks = set.options().meet_ends = set.options().cancel_at_once = 0;
-  set.pass(240);
-  set.ask_everywhere();
-  for (const auto& [id, j] : set.users().jobs()) {
+  cluster.options().late_writes = cluster.options().heartbeat_copies =
+      cluster.options().lost_answers = 0;
+  cluster.options().close_looks = cluster.options().meet_ends = cluster.options().cancel_at_once =
+      0;
+  cluster.pass(240);
+  cluster.ask_everywhere();
+  for (const auto& [id, j] : cluster.users().jobs()) {
     out.accepted += j.accepted;
     const bool over = j.told_done >= 0 || j.told_cancelled >= 0;
     out.over += over;
     if (j.spec.service)
-      set.users().cancel(id);
+      cluster.users().cancel(id);
     else
       out.unfinished += j.accepted && !over;
   }
-  set.pass(60);
-  const net::Result level =
-      Asker(set).ask(config::Endpoint{"state", 1}, "GET", std::string("/kv/") + schema::kActiveKey);
+  cluster.pass(60);
+  const net::Result level = Asker(cluster).ask(config::Endpoint{"state", 1}, "GET",
+                                               std::string("/kv/") + schema::kActiveKey);
   if (level.status == 200) {
     const auto record = schema::decode_record(wire::decode_key(level.body));
     out.level_settled = record.active > 0 && record.settled();
   }
-  out.broken = set.rules().broken();
-  out.begun_again = set.rules().begun_again();
-  out.looks = set.users().close_questions();
-  out.ends = set.users().ends_met();
-  out.lost = set.faults().answers_lost();
+  out.broken = cluster.rules().broken();
+  out.begun_again = cluster.rules().begun_again();
+  out.looks = cluster.users().close_questions();
+  out.ends = cluster.users().ends_met();
+  out.lost = cluster.faults().answers_lost();
   return out;
 }
 
@@ -148,10 +150,10 @@
 
 struct With {
   const char* name;
-  std::vector<std::string> troubles;
+  std::vector<std::string> faults;
 };
 void PrintTo(const With& w, std::ostream* out) { *out << w.name; }
-const auto kTroubles = ::testing::Values(
+const auto kFaults = ::testing::Values(
     With{"Nothing", {}}, With{"ALeaderThatEnds", {"leader ends"}},
     With{"ARollAndBack", {"roll and back"}}, With{"ASlowStateService", {"slow state service"}},
     With{"LateWrites", {"late writes"}}, With{"ALeaderRefusedAlone", {"leader refused alone"}},
@@ -165,14 +167,14 @@
 TEST_P(RepeatedQuestions, NeverGetAnOlderAnswer) {
   const Users u = expect_users(
       1, 25,
-      [](SimulatedCluster& set) {
-        set.options().close_looks = 0.7;
-        set.options().cancel_at_once = 0.2;
+      [](SimulatedCluster& cluster) {
+        cluster.options().close_looks = 0.7;
+        cluster.options().cancel_at_once = 0.2;
       },
-      GetParam().troubles);
+      GetParam().faults);
   EXPECT_GT(u.looks, u.histories * 400);
 }
-INSTANTIATE_TEST_SUITE_P(With, RepeatedQuestions, kTroubles, kName);
+INSTANTIATE_TEST_SUITE_P(With, RepeatedQuestions, kFaults, kName);
 
 // A cancellation, a question at each node, a repeated submission, at the moment of the last task's
 // end.
@@ -180,14 +182,14 @@
 TEST_P(ConcurrentRequestsAtJobEnd, SeeOneOutcome) {
   const Users u = expect_users(
       101, 125,
-      [](SimulatedCluster& set) {
-        set.options().meet_ends = 0.8;
-        set.options().close_looks = 0.15;
+      [](SimulatedCluster& cluster) {
+        cluster.options().meet_ends = 0.8;
+        cluster.options().close_looks = 0.15;
       },
-      GetParam().troubles);
+      GetParam().faults);
   EXPECT_GT(u.ends, u.histories * 10);
 }
-INSTANTIATE_TEST_SUITE_P(With, ConcurrentRequestsAtJobEnd, kTroubles, kName);
+INSTANTIATE_TEST_SUITE_P(With, ConcurrentRequestsAtJobEnd, kFaults, kName);
 
 // ---- lost answers, by kind of transaction
 
@@ -230,15 +232,15 @@
 TEST_P(LostAnswers, MisleadNobody) {
   const Users u = expect_users(
       201, 225,
-      [](SimulatedCluster& set) {
-        set.options().lost_answers = GetParam().share;
-        set.options().lose_answer_of = [kind = GetParam().kind](const std::string& body) {
+      [](SimulatedCluster& cluster) {
+        cluster.options().lost_answers = GetParam().share;
+        cluster.options().lose_answer_of = [kind = GetParam().kind](const std::string& body) {
           return kind_of(body) == kind;
         };
-        set.options().close_looks = 0.3;
+        cluster.options().close_looks = 0.3;
         // What waits is rarely called off otherwise.
-        set.options().cancel_at_once = GetParam().kind == "waiting cancelled" ? 0.4 : 0.1;
-        set.options().meet_ends = 0.2;
+        cluster.options().cancel_at_once = GetParam().kind == "waiting cancelled" ? 0.4 : 0.1;
+        cluster.options().meet_ends = 0.2;
       },
       {"roll and back", "leader cut from state"});
   EXPECT_GE(u.lost * 25, GetParam().least * u.histories);
@@ -260,9 +262,9 @@
   std::map<std::string, int> seen;
   for (unsigned seed = 1; seed <= 6; ++seed)
     play_users(seed,
-               [&seen](SimulatedCluster& set) {
-                 set.options().lost_answers = 1e-12;
-                 set.options().lose_answer_of = [&seen](const std::string& body) {
+               [&seen](SimulatedCluster& cluster) {
+                 cluster.options().lost_answers = 1e-12;
+                 cluster.options().lose_answer_of = [&seen](const std::string& body) {
                    ++seen[kind_of(body)];
                    return false;
                  };
@@ -279,15 +281,15 @@
 TEST(JobResults, AJobThatDependsOnOneThatIsJustEndingRuns) {
   for (const int controllers : {1, 2, 3}) {
     SCOPED_TRACE(controllers);
-    ClusterOptions scale;
-    scale.controllers = controllers;
-    scale.state_latency_s = 0.2;
-    SimulatedCluster set(5, scale);
-    auto& sim = set.sim();
-    set.pass(15);
+    ClusterOptions options;
+    options.controllers = controllers;
+    options.state_latency_s = 0.2;
+    SimulatedCluster cluster(5, options);
+    auto& sim = cluster.sim();
+    cluster.pass(15);
     std::set<std::string> named;
     std::size_t waited = 0;
-    sim.way = [way = sim.way, &set, &sim, &named, &waited](const simulation::Request& r) {
+    sim.way = [way = sim.way, &cluster, &sim, &named, &waited](const simulation::Request& r) {
       if (r.path != "/commit") return way(r);
       const std::string kind = kind_of(r.body);
       waited += r.body.find("\"needs\"") != std::string::npos;
@@ -295,37 +297,37 @@
         for (const auto& op : client_protocol::decode_transaction(r.body).ops) {
           if (!op.key.starts_with("fin/")) continue;
           const std::string ending = op.key.substr(4);
-          if (!set.users().jobs().at(ending).spec.dependencies.empty() ||
+          if (!cluster.users().jobs().at(ending).spec.dependencies.empty() ||
               !named.insert(ending).second)
             continue;
           const int owner = std::stoi(r.from.substr(5));
-          sim.at(sim.now() + sim.draw(0, 0.15), [&set, ending, owner] {
+          sim.at(sim.now() + sim.draw(0, 0.15), [&cluster, ending, owner] {
             wire::JobSpec s = spec("red", 1);
             s.dependencies = {ending};
-            set.users().submit(std::move(s), 1, owner);
+            cluster.users().submit(std::move(s), 1, owner);
           });
-          for (int n = 0; n < set.options().controllers; ++n)
+          for (int n = 0; n < cluster.options().controllers; ++n)
             if (n != owner)
               sim.at(sim.now() + sim.draw(0.05, 0.4),
-                     [&set, ending, n] { set.users().ask_once(ending, n); });
+                     [&cluster, ending, n] { cluster.users().ask_once(ending, n); });
         }
       return way(r);
     };
     for (int i = 0; i < 40; ++i) {
-      set.users().submit(spec("red", 1), 1);
-      set.pass(2);
+      cluster.users().submit(spec("red", 1), 1);
+      cluster.pass(2);
     }
-    set.pass(120);
+    cluster.pass(120);
     EXPECT_EQ(named.size(), 40u);
     EXPECT_GT(waited, 10u);  // had to: what was known to be over is not awaited
-    for (const auto& [id, j] : set.users().jobs()) EXPECT_GE(j.told_done, 0) << id;
-    EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
+    for (const auto& [id, j] : cluster.users().jobs()) EXPECT_GE(j.told_done, 0) << id;
+    EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
   }
 }
 
 // ---- odd requests
 
-// A whole submission, as PROTOCOL shows one, that fits the set.
+// A whole submission, as PROTOCOL shows one, that fits the cluster.
 json whole_job(const std::string& id) {
   return {{"uid", id},
           {"consist", "c"},
@@ -413,18 +415,18 @@
 }
 
 struct OddRequests : ::testing::Test {
-  SimulatedCluster set{7, scale()};
-  Asker user{set};
+  SimulatedCluster cluster{7, options()};
+  Asker user{cluster};
   int next = 0;
-  static ClusterOptions scale() {
+  static ClusterOptions options() {
     ClusterOptions s;
     wire::MachineType lone{"u4", s.machine_cpus, 0, 64, 0.4, 0.1, 3, {"a"}};
     s.more_types = {{lone, 2}};
     return s;
   }
-  OddRequests() { set.pass(12); }
+  OddRequests() { cluster.pass(12); }
   std::string fresh() { return "run-" + std::to_string(700000 + next++); }
-  int node() { return next % set.options().controllers; }
+  int node() { return next % cluster.options().controllers; }
   // Refused so, and unknown at another node afterwards.
   void refused(int status, const std::string& id, const std::string& body) {
     EXPECT_EQ(user.submit(node(), body).status, status) << body;
@@ -457,7 +459,7 @@
   for (const char* body :
        {"", "null", "3", "\"run-1\"", "[]", "{", "{}", "[{}]", "{\"uid\":\"run-1\"}", "\xff"})
     refused(400, "", body);
-  EXPECT_EQ(set.rules().starts(), 0u);
+  EXPECT_EQ(cluster.rules().starts(), 0u);
 }
 
 TEST_F(OddRequests, WhatMayBeNullMayBeOmittedAndWhatIsUnknownIsIgnored) {
@@ -515,7 +517,7 @@
     const std::string id = fresh();
     refused(422, id, changed(id, change));
   }
-  EXPECT_EQ(set.rules().starts(), 0u);
+  EXPECT_EQ(cluster.rules().starts(), 0u);
   // Their neighbours can run.
   const std::vector<json> can = {
       {{"vcpus", 4}},
@@ -540,59 +542,59 @@
   std::uint64_t asked = 0;
   for (int i = 0; i < 12; ++i) {
     // Nodes that have not heard of it yet, and can't ask.
-    if (i > 5) set.faults().cut(1, FaultInjector::state, 4);
-    if (i > 8) set.faults().refuse(2, 4);
-    const std::string id = set.users().submit(spec("red", 1 + i % 3), 1, 0);
-    while (set.users().jobs().at(id).told_accepted < 0) set.pass(0.005);
+    if (i > 5) cluster.faults().cut(1, FaultInjector::state, 4);
+    if (i > 8) cluster.faults().refuse(2, 4);
+    const std::string id = cluster.users().submit(spec("red", 1 + i % 3), 1, 0);
+    while (cluster.users().jobs().at(id).told_accepted < 0) cluster.pass(0.005);
     for (int n = 0; n < 12; ++n, ++asked)
-      set.users().submit_once(id, n % 3, set.users().other_body(id));
-    if (i % 3 == 0) set.users().cancel(id);
+      cluster.users().submit_once(id, n % 3, cluster.users().other_body(id));
+    if (i % 3 == 0) cluster.users().cancel(id);
     for (int n = 0; n < 12; ++n, ++asked) {
-      set.pass(0.2);
-      set.users().submit_once(id, n % 3, set.users().other_body(id));
+      cluster.pass(0.2);
+      cluster.users().submit_once(id, n % 3, cluster.users().other_body(id));
     }
   }
-  set.pass(120);
-  for (const auto& [id, j] : set.users().jobs()) {
+  cluster.pass(120);
+  for (const auto& [id, j] : cluster.users().jobs()) {
     EXPECT_TRUE(j.told_done >= 0 || j.told_cancelled >= 0) << id;
-    const json answer = json::parse(user.submit(node(), set.users().other_body(id)).body);
+    const json answer = json::parse(user.submit(node(), cluster.users().other_body(id)).body);
     EXPECT_EQ(answer.at("uid"), id);
     EXPECT_EQ(answer.at("signal"), j.told_done >= 0 ? "done" : "cancelled");
   }
-  EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
 }
 
 // A cancellation is answered by an outcome, also one that comes beside the submission itself.
 TEST_F(OddRequests, ACancellationBesideTheSubmission) {
-  set.sim().way = [way = set.sim().way, this](const simulation::Request& r) {
+  cluster.sim().way = [way = cluster.sim().way, this](const simulation::Request& r) {
     auto w = way(r);
-    if (r.path == "/v2/runs") w.there_s += set.sim().draw(0, 0.03);
+    if (r.path == "/v2/runs") w.there_s += cluster.sim().draw(0, 0.03);
     return w;
   };
   for (int i = 0; i < 150; ++i) {
-    const std::string id = set.users().submit(spec("red", 1), 1, i % 3);
+    const std::string id = cluster.users().submit(spec("red", 1), 1, i % 3);
     for (int n = 1; n <= 1 + i % 2; ++n)
-      set.sim().at(set.now() + set.sim().draw(0, 0.012),
-                   [this, id, i, n] { set.users().cancel_once(id, (i + n) % 3); });
-    set.pass(0.3);
+      cluster.sim().at(cluster.now() + cluster.sim().draw(0, 0.012),
+                       [this, id, i, n] { cluster.users().cancel_once(id, (i + n) % 3); });
+    cluster.pass(0.3);
   }
-  set.pass(60);
+  cluster.pass(60);
   std::size_t cancelled = 0, done = 0;
-  for (const auto& [id, j] : set.users().jobs()) {
+  for (const auto& [id, j] : cluster.users().jobs()) {
     cancelled += j.told_cancelled >= 0;
     done += j.told_done >= 0;
   }
   EXPECT_EQ(cancelled + done, 150u);
   EXPECT_GT(cancelled, 15u);
   EXPECT_GT(done, 15u);
-  EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
 }
 
 // Questions about jobs that nobody submitted; cancellations of them, and of what is done.
 TEST_F(OddRequests, NobodysJobsAreUnknownAndADoneOneStaysDone) {
-  const std::string id = set.users().submit(spec("red", 2), 1);
-  set.pass(60);
-  ASSERT_GE(set.users().jobs().at(id).told_done, 0);
+  const std::string id = cluster.users().submit(spec("red", 2), 1);
+  cluster.pass(60);
+  ASSERT_GE(cluster.users().jobs().at(id).told_done, 0);
   for (int n = 0; n < 3; ++n) {
     for (const char* path :
          {"/v2/runs/run-9", "/v2/runs/run-", "/v2/runs/", "/v2/runs/x", "/v2/runs/run-900000/2"}) {
@@ -605,7 +607,7 @@
       EXPECT_EQ(client_protocol::decode_job_state(r.body).state, wire::JobState::done);
     }
   }
-  EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
 }
 
 // ---- minutes of one-task jobs
@@ -613,11 +615,11 @@
 // Four a second, a quarter of them called off. What the state service holds beside the final
 // records depends on what is unfinished, not on what has been.
 TEST(ManySmallJobs, LeaveNothingButTheirResultRecords) {
-  ClusterOptions scale;
-  scale.machines = 12;
-  scale.team_limit = 24;
-  SimulatedCluster set(11, scale);
-  Asker user(set);
+  ClusterOptions options;
+  options.machines = 12;
+  options.team_limit = 24;
+  SimulatedCluster cluster(11, options);
+  Asker user(cluster);
   struct Held {
     std::size_t keys = 0, bytes = 0, finals = 0, jobs = 0;
   };
@@ -644,19 +646,20 @@
     }
     return h;
   };
-  set.pass(20);
+  cluster.pass(20);
   std::size_t submitted = 0, cancelled = 0;
   Held most[2];  // in each half of the time
   for (int s = 0; s < 240; ++s) {
     for (int i = 0; i < 4; ++i) {
       const std::string id =
-          set.users().submit(spec(i % 2 ? "red" : "blue", 1), set.sim().draw(1, 5));
+          cluster.users().submit(spec(i % 2 ? "red" : "blue", 1), cluster.sim().draw(1, 5));
       ++submitted;
       if (i == s % 4) {
         ++cancelled;
-        set.sim().at(set.now() + set.sim().draw(0, 6), [&set, id] { set.users().cancel(id); });
+        cluster.sim().at(cluster.now() + cluster.sim().draw(0, 6),
+                         [&cluster, id] { cluster.users().cancel(id); });
       }
-      set.pass(0.25);
+      cluster.pass(0.25);
     }
     const Held now = held();
     Held& m = most[s / 120];
@@ -664,9 +667,9 @@
     m.bytes = std::max(m.bytes, now.bytes);
     m.jobs = std::max(m.jobs, now.jobs);
   }
-  set.pass(60);
+  cluster.pass(60);
   std::size_t over = 0, said_cancelled = 0;
-  for (const auto& [id, j] : set.users().jobs()) {
+  for (const auto& [id, j] : cluster.users().jobs()) {
     over += j.told_done >= 0 || j.told_cancelled >= 0;
     said_cancelled += j.told_cancelled >= 0;
   }
@@ -680,10 +683,10 @@
   // Bounded by what is unfinished: no more in the second half than in the first.
   EXPECT_LT(most[1].keys, most[0].keys * 1.5 + 10);
   EXPECT_LT(most[1].bytes, most[0].bytes * 1.5 + 4096);
-  set.ask_everywhere();
-  EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
-  EXPECT_EQ(set.rules().begun_again(), 0u);
-  EXPECT_EQ(set.machines().leases_lost(), 0u);
+  cluster.ask_everywhere();
+  EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.rules().begun_again(), 0u);
+  EXPECT_EQ(cluster.machines().leases_lost(), 0u);
 }
 
 }  // namespace
--- a/tests/fault_combinations_emulators_test.cpp
+++ b/tests/fault_combinations_emulators_test.cpp
@@ -23,7 +23,7 @@
 using wire::TaskState;
 
 // One worker, a controller that answers its reports 200 without commands while `answers`, and
-// whoever sends it direct orders.
+// whoever sends it direct commands.
 struct Bench {
   Simulation sim;
   Host node{sim, "node-0"}, machine{sim, "w-1"};
--- a/tests/fault_combinations_limits_test.cpp
+++ b/tests/fault_combinations_limits_test.cpp
@@ -28,64 +28,66 @@
   }
 }
 
-// Nothing faults the set any more: all jobs end, users are answered, and no machine stays rented
-// without work.
-void calm_down(SimulatedCluster& set) {
-  set.options().late_writes = set.options().lost_answers = set.options().slow_links_s = 0;
-  set.rules().faults_are_over();
-  set.pass(kCalm);
-  set.ask_everywhere();
+// Nothing faults the cluster any more: all jobs end, users are answered, and no machine stays
+// rented without work.
+void calm_down(SimulatedCluster& cluster) {
+  cluster.options().late_writes = cluster.options().lost_answers = cluster.options().slow_links_s =
+      0;
+  cluster.rules().faults_are_over();
+  cluster.pass(kCalm);
+  cluster.ask_everywhere();
   Strings unfinished;
-  for (const auto& [id, j] : set.users().jobs())
+  for (const auto& [id, j] : cluster.users().jobs())
     if (j.spec.service)
-      set.users().cancel(id);
+      cluster.users().cancel(id);
     else if (j.accepted && j.told_done < 0 && j.told_cancelled < 0)
       unfinished.push_back(id);
   EXPECT_EQ(unfinished, Strings{});
-  set.pass(120);
-  EXPECT_EQ(set.rented(), 0u);
+  cluster.pass(120);
+  EXPECT_EQ(cluster.rented(), 0u);
 }
 // And no job waits beside room.
-void expect_calm(SimulatedCluster& set) {
-  calm_down(set);
-  EXPECT_EQ(set.rules().broken(), Strings{});
+void expect_calm(SimulatedCluster& cluster) {
+  calm_down(cluster);
+  EXPECT_EQ(cluster.rules().broken(), Strings{});
 }
 
-Strings broken_so(const SimulatedCluster& set, const std::string& rule, bool so = true) {
+Strings broken_so(const SimulatedCluster& cluster, const std::string& rule, bool so = true) {
   Strings out;
-  for (const auto& b : set.rules().broken())
+  for (const auto& b : cluster.rules().broken())
     if ((b.find(rule) != std::string::npos) == so) out.push_back(b);
   return out;
 }
 
 // A leader goes, one way or another, for at most a minute.
-void leader_goes(SimulatedCluster& set) {
-  auto& sim = set.sim();
-  const int leader = set.controllers().random_leader();
+void leader_goes(SimulatedCluster& cluster) {
+  auto& sim = cluster.sim();
+  const int leader = cluster.controllers().random_leader();
   switch (sim.rng()() % 5) {
     case 0:
-      return set.faults().kill(leader, sim.draw(0.05, 20));
+      return cluster.faults().kill(leader, sim.draw(0.05, 20));
     case 1:
-      return set.faults().cut(leader, FaultInjector::state, sim.draw(8, 50));
+      return cluster.faults().cut(leader, FaultInjector::state, sim.draw(8, 50));
     case 2:
-      return set.faults().cut(leader, FaultInjector::state | FaultInjector::peers, sim.draw(8, 50));
+      return cluster.faults().cut(leader, FaultInjector::state | FaultInjector::peers,
+                                  sim.draw(8, 50));
     case 3:
-      return set.faults().freeze(leader, sim.draw(8, 35));
+      return cluster.faults().freeze(leader, sim.draw(8, 35));
     default:
-      return set.faults().refuse(leader, sim.draw(8, 50));
+      return cluster.faults().refuse(leader, sim.draw(8, 50));
   }
 }
 
 // ---- room
 
 // Four jobs that fit, and limits by which the controllers place fewer, or more.
-SimulatedCluster& limited(SimulatedCluster& set) {
-  set.pass(12);
-  for (int i = 0; i < 4; ++i) set.users().submit(spec("red", 2), 150);
-  set.pass(60);
-  set.rules().faults_are_over();
-  set.pass(130);
-  return set;
+SimulatedCluster& limited(SimulatedCluster& cluster) {
+  cluster.pass(12);
+  for (int i = 0; i < 4; ++i) cluster.users().submit(spec("red", 2), 150);
+  cluster.pass(60);
+  cluster.rules().faults_are_over();
+  cluster.pass(130);
+  return cluster;
 }
 
 TEST(Limits, WorkLeftWaitingBesideRoomIsSeen) {
@@ -111,9 +113,9 @@
 // Every team is at its limit, with more that waits. Some of the jobs are cancelled, and their
 // machines can't be asked, each in its own way, while the leader changes.
 struct AtLimit {
-  SimulatedCluster set;
+  SimulatedCluster cluster;
   int at_limit = 0, cancelled = 0;
-  static ClusterOptions scale(unsigned seed) {
+  static ClusterOptions options(unsigned seed) {
     ClusterOptions s;
     s.controllers = 2 + static_cast<int>(seed % 4);
     s.teams = 4;
@@ -122,51 +124,51 @@
     return s;
   }
   // `first`: the leader goes before anything is cancelled.
-  AtLimit(unsigned seed, bool first) : set(seed, scale(seed)) {
-    auto& sim = set.sim();
-    set.pass(12);
+  AtLimit(unsigned seed, bool first) : cluster(seed, options(seed)) {
+    auto& sim = cluster.sim();
+    cluster.pass(12);
     for (int round = 0; round < 3; ++round)
       for (const char* team : kTeam) {
-        set.users().submit(spec(team, 2), sim.draw(40, 110));
-        set.users().submit(spec(team, 1, 2), sim.draw(40, 110));
+        cluster.users().submit(spec(team, 2), sim.draw(40, 110));
+        cluster.users().submit(spec(team, 1, 2), sim.draw(40, 110));
       }
-    set.pass(sim.draw(25, 35));
+    cluster.pass(sim.draw(25, 35));
     for (const char* team : kTeam)
-      at_limit += set.rules().used(team) > set.options().team_limit - 1e-9;
+      at_limit += cluster.rules().used(team) > cluster.options().team_limit - 1e-9;
     if (first) {
-      leader_goes(set);
-      set.pass(sim.draw(0, 25));
+      leader_goes(cluster);
+      cluster.pass(sim.draw(0, 25));
     }
     std::vector<std::string> running;
-    for (const auto& [id, j] : set.users().jobs())
-      if (!set.machines().with_job(id).empty()) running.push_back(id);
+    for (const auto& [id, j] : cluster.users().jobs())
+      if (!cluster.machines().with_job(id).empty()) running.push_back(id);
     for (const auto& id : running) {
       if (!sim.chance(0.5)) continue;
       ++cancelled;
-      for (int m : set.machines().with_job(id)) unasked(m);
-      sim.at(sim.now() + sim.draw(0, 3), [this, id] { set.users().cancel(id); });
+      for (int m : cluster.machines().with_job(id)) unasked(m);
+      sim.at(sim.now() + sim.draw(0, 3), [this, id] { cluster.users().cancel(id); });
     }
-    set.pass(sim.draw(0, 4));
-    if (!first) leader_goes(set);
-    set.pass(sim.draw(0, 30));
-    if (sim.chance(0.5)) leader_goes(set);
-    set.pass(kLongest);
+    cluster.pass(sim.draw(0, 4));
+    if (!first) leader_goes(cluster);
+    cluster.pass(sim.draw(0, 30));
+    if (sim.chance(0.5)) leader_goes(cluster);
+    cluster.pass(kLongest);
   }
   void unasked(int machine) {
-    auto& sim = set.sim();
+    auto& sim = cluster.sim();
     const double for_s = sim.draw(3, 60);
     switch (sim.rng()() % 6) {
       case 0:
-        return set.faults().lose_responses(machine, for_s);
+        return cluster.faults().lose_responses(machine, for_s);
       case 1:
-        return set.faults().cut_heartbeats(machine, for_s);
+        return cluster.faults().cut_heartbeats(machine, for_s);
       case 2:
-        return set.faults().hang(machine, for_s);
+        return cluster.faults().hang(machine, for_s);
       case 3:
-        return set.faults().hold_direct_commands(machine, for_s);
+        return cluster.faults().hold_direct_commands(machine, for_s);
       case 4:
-        set.faults().lose_responses(machine, for_s);
-        return set.faults().cut_heartbeats(machine, for_s);
+        cluster.faults().lose_responses(machine, for_s);
+        return cluster.faults().cut_heartbeats(machine, for_s);
       default:
         return;
     }
@@ -177,9 +179,9 @@
   int seeds = 0, at_limit = 0, cancelled = 0;
   each_seed([&](unsigned seed) {
     AtLimit m(seed, leader_first);
-    calm_down(m.set);
+    calm_down(m.cluster);
     // Room beside waiting work has tests of its own.
-    EXPECT_EQ(broken_so(m.set, "neglected", false), Strings{});
+    EXPECT_EQ(broken_so(m.cluster, "neglected", false), Strings{});
     ++seeds;
     at_limit += m.at_limit;
     cancelled += m.cancelled;
@@ -200,8 +202,8 @@
   each_seed([&](unsigned seed) {
     for (const bool leader_first : {false, true}) {
       AtLimit m(seed, leader_first);
-      calm_down(m.set);
-      EXPECT_EQ(broken_so(m.set, "neglected"), Strings{});
+      calm_down(m.cluster);
+      EXPECT_EQ(broken_so(m.cluster, "neglected"), Strings{});
     }
   });
 }
@@ -211,17 +213,17 @@
   ClusterOptions s;
   s.controllers = 1;
   s.machines = 1;
-  SimulatedCluster set(1, s);
-  set.pass(12);
-  set.users().submit(spec("red", 1, 3), 300);
-  set.pass(15);
-  set.users().submit(spec("red", 1, 2), 20);
-  set.pass(3);
-  set.users().submit(spec("red", 1, 1), 20);
-  set.pass(5);
-  set.rules().faults_are_over();
-  set.pass(150);
-  EXPECT_EQ(set.rules().broken(), Strings{});
+  SimulatedCluster cluster(1, s);
+  cluster.pass(12);
+  cluster.users().submit(spec("red", 1, 3), 300);
+  cluster.pass(15);
+  cluster.users().submit(spec("red", 1, 2), 20);
+  cluster.pass(3);
+  cluster.users().submit(spec("red", 1, 1), 20);
+  cluster.pass(5);
+  cluster.rules().faults_are_over();
+  cluster.pass(150);
+  EXPECT_EQ(cluster.rules().broken(), Strings{});
 }
 
 // Each team's controller has a machine, and there is no other to be had: one is full, the other one
@@ -230,16 +232,16 @@
   ClusterOptions s;
   s.controllers = 2;
   s.machines = 2;
-  SimulatedCluster set(1, s);
-  set.pass(12);
-  set.users().submit(spec("red", 1, 1), 300);
-  set.users().submit(spec("blue", 1, 4), 300);
-  set.pass(15);
-  set.users().submit(spec("blue", 1, 2), 20);
-  set.pass(5);
-  set.rules().faults_are_over();
-  set.pass(150);
-  EXPECT_EQ(set.rules().broken(), Strings{});
+  SimulatedCluster cluster(1, s);
+  cluster.pass(12);
+  cluster.users().submit(spec("red", 1, 1), 300);
+  cluster.users().submit(spec("blue", 1, 4), 300);
+  cluster.pass(15);
+  cluster.users().submit(spec("blue", 1, 2), 20);
+  cluster.pass(5);
+  cluster.rules().faults_are_over();
+  cluster.pass(150);
+  EXPECT_EQ(cluster.rules().broken(), Strings{});
 }
 
 // ---- new machines
@@ -258,36 +260,38 @@
     s.big_machines = 3;
     s.quick_boots_s = 2;
     s.list_lag_s = 3;
-    SimulatedCluster set(seed, s);
-    auto& sim = set.sim();
-    set.pass(12);
+    SimulatedCluster cluster(seed, s);
+    auto& sim = cluster.sim();
+    cluster.pass(12);
     std::vector<std::string> jobs;
     for (int i = 0; i < 9; ++i) {
       wire::JobSpec j = spec(kTeam[i % 3], 1 + sim.rng()() % 3, sim.chance(0.3) ? 2 : 1);
       if (sim.chance(0.4)) j.types = {{sim.chance(0.5) ? "t4" : "t8"}};
       if (sim.chance(0.2)) j.cpus = 6;  // a large machine's
       // One at a time within the limit: three jobs of three such tasks are over in six minutes.
-      jobs.push_back(set.users().submit(j, sim.draw(5, j.cpus > s.team_limit / 2 ? 20 : 60)));
+      jobs.push_back(cluster.users().submit(j, sim.draw(5, j.cpus > s.team_limit / 2 ? 20 : 60)));
     }
-    set.faults().slow_state(sim.draw(0.2, 2.5), sim.draw(10, 60));
-    if (sim.chance(0.6)) set.options().late_writes = sim.draw(0.1, 0.4);
-    if (sim.chance(0.6)) set.options().lost_answers = sim.draw(0.1, 0.4);
+    cluster.faults().slow_state(sim.draw(0.2, 2.5), sim.draw(10, 60));
+    if (sim.chance(0.6)) cluster.options().late_writes = sim.draw(0.1, 0.4);
+    if (sim.chance(0.6)) cluster.options().lost_answers = sim.draw(0.1, 0.4);
     const double ends = sim.draw(0.5, 10);
     const double cancels = sim.draw(0.5, 12);
-    sim.at(sim.now() + ends, [&set, &sim] {
-      set.faults().kill(set.controllers().random_leader(), sim.draw(0.05, 15));
+    sim.at(sim.now() + ends, [&cluster, &sim] {
+      cluster.faults().kill(cluster.controllers().random_leader(), sim.draw(0.05, 15));
     });
     for (const auto& id : jobs)
       if (sim.chance(0.4)) {
         ++cancelled;
-        sim.at(sim.now() + cancels + sim.draw(0, 4), [&set, id] { set.users().cancel(id); });
+        sim.at(sim.now() + cancels + sim.draw(0, 4),
+               [&cluster, id] { cluster.users().cancel(id); });
       }
-    set.pass(5);
-    quick += set.machines().size() > 0;
-    set.pass(20);
-    if (sim.chance(0.5)) set.faults().kill(set.controllers().random_leader(), sim.draw(0.05, 15));
-    set.pass(kLongest);
-    expect_calm(set);
+    cluster.pass(5);
+    quick += cluster.machines().size() > 0;
+    cluster.pass(20);
+    if (sim.chance(0.5))
+      cluster.faults().kill(cluster.controllers().random_leader(), sim.draw(0.05, 15));
+    cluster.pass(kLongest);
+    expect_calm(cluster);
   });
   EXPECT_GT(quick, 0);
   EXPECT_GT(cancelled, seeds);
@@ -305,9 +309,9 @@
     ClusterOptions s;
     s.controllers = 2 + static_cast<int>(seed % 4);
     s.machines = 8;
-    SimulatedCluster set(seed, s);
-    auto& sim = set.sim();
-    set.pass(12);
+    SimulatedCluster cluster(seed, s);
+    auto& sim = cluster.sim();
+    cluster.pass(12);
     for (int i = 0; i < 12; ++i) {
       wire::JobSpec j = spec(kTeam[i % 2], 1 + sim.rng()() % 6);
       switch (sim.rng()() % 4) {
@@ -325,20 +329,20 @@
       }
       j.same_zone |= j.zone && sim.chance(0.3);
       j.gang = sim.chance(0.15);
-      set.users().submit(j, sim.draw(5, 40));
+      cluster.users().submit(j, sim.draw(5, 40));
     }
-    set.pass(sim.draw(12, 30));
+    cluster.pass(sim.draw(12, 30));
     for (int round = 0; round < 2; ++round) {
-      const int there = set.machines().size();
-      set.faults().lose_zone(sim.chance(0.5) ? "a" : "b", sim.draw(20, 90));
+      const int there = cluster.machines().size();
+      cluster.faults().lose_zone(sim.chance(0.5) ? "a" : "b", sim.draw(20, 90));
       lost += there > 0;
-      if (sim.chance(0.6)) leader_goes(set);
-      if (sim.chance(0.3)) set.faults().slow_state(sim.draw(0.2, 2), sim.draw(5, 30));
-      set.pass(sim.draw(5, 60));
+      if (sim.chance(0.6)) leader_goes(cluster);
+      if (sim.chance(0.3)) cluster.faults().slow_state(sim.draw(0.2, 2), sim.draw(5, 30));
+      cluster.pass(sim.draw(5, 60));
     }
-    set.pass(90);
-    expect_calm(set);
-    done += set.rules().done_tasks();
+    cluster.pass(90);
+    expect_calm(cluster);
+    done += cluster.rules().done_tasks();
   });
   EXPECT_GT(lost, 0);
   EXPECT_GT(done, static_cast<unsigned>(seeds) * 20u);
@@ -356,15 +360,15 @@
     s.controllers = 2 + static_cast<int>(seed % 3);
     s.team_limit = 12;
     s.machines = 5;
-    SimulatedCluster set(seed, s);
-    auto& sim = set.sim();
-    set.pass(12);
+    SimulatedCluster cluster(seed, s);
+    auto& sim = cluster.sim();
+    cluster.pass(12);
     // One team has it all at first; then the other one's work needs machines of the first.
     for (int i = 0; i < 5; ++i)
-      set.users().submit(spec("red", 1 + sim.rng()() % 3), sim.draw(8, 30));
-    set.pass(sim.draw(10, 20));
+      cluster.users().submit(spec("red", 1 + sim.rng()() % 3), sim.draw(8, 30));
+    cluster.pass(sim.draw(10, 20));
     for (int i = 0; i < 8; ++i)
-      set.users().submit(spec("blue", 1 + sim.rng()() % 3), sim.draw(15, 60));
+      cluster.users().submit(spec("blue", 1 + sim.rng()() % 3), sim.draw(15, 60));
     std::vector<int> owners(static_cast<std::size_t>(s.controllers), -1);
     int left = 0;  // looks in which users cancel
     for (int look = 0; look < 360; ++look) {
@@ -373,14 +377,14 @@
           const bool roll = sim.chance(0.6);
           if (!roll && n > 0) break;
           const double at = sim.now() + n * sim.draw(0.3, 4);
-          sim.at(at, [&set, &sim, n, roll] {
-            set.faults().kill(roll ? n : set.controllers().random_leader(),
-                              sim.draw(0.05, roll ? 1 : 14));
+          sim.at(at, [&cluster, &sim, n, roll] {
+            cluster.faults().kill(roll ? n : cluster.controllers().random_leader(),
+                                  sim.draw(0.05, roll ? 1 : 14));
           });
         }
       for (int shard = 0; shard < s.controllers; ++shard) {
         int& was = owners[static_cast<std::size_t>(shard)];
-        const int is = set.controllers().leader(shard);
+        const int is = cluster.controllers().leader(shard);
         if (is != was) {
           ++changes;
           left = 12;
@@ -388,17 +392,18 @@
         was = is;
       }
       if (left-- > 0)
-        for (const auto& [id, j] : set.users().jobs())
+        for (const auto& [id, j] : cluster.users().jobs())
           if (j.accepted && !j.cancel_asked && j.told_done < 0 && sim.chance(0.02)) {
             ++cancelled;
-            set.users().cancel(id);
+            cluster.users().cancel(id);
             break;
           }
-      if (look % 20 == 0) set.users().submit(spec(kTeam[look / 20 % 2], 1 + sim.rng()() % 3), 20);
-      set.pass(0.25);
+      if (look % 20 == 0)
+        cluster.users().submit(spec(kTeam[look / 20 % 2], 1 + sim.rng()() % 3), 20);
+      cluster.pass(0.25);
     }
-    set.pass(30);
-    expect_calm(set);
+    cluster.pass(30);
+    expect_calm(cluster);
   });
   EXPECT_GT(changes, seeds * 8);
   EXPECT_GT(cancelled, seeds);
@@ -434,10 +439,10 @@
 // Classes of all bands, sizes and kinds, and four teams, draw more work than there is room, over
 // slow links.
 struct Overload {
-  SimulatedCluster set;
+  SimulatedCluster cluster;
   std::vector<Submitted> all;
   double from = 0;
-  static ClusterOptions scale(unsigned seed) {
+  static ClusterOptions options(unsigned seed) {
     ClusterOptions s;
     s.controllers = 2 + static_cast<int>(seed % 3);
     s.teams = 4;
@@ -445,19 +450,19 @@
     s.team_limit = 12;
     return s;
   }
-  double room() const { return set.options().machines * set.options().machine_cpus; }
+  double room() const { return cluster.options().machines * cluster.options().machine_cpus; }
   bool possible(const Submitted& j) const {
-    return test::possible(j, all, from, room(), set.options().team_limit);
+    return test::possible(j, all, from, room(), cluster.options().team_limit);
   }
   bool begun(const Submitted& j, double within) const {
-    const double at = set.rules().begun_at(j.id);
+    const double at = cluster.rules().begun_at(j.id);
     return at >= 0 && at - j.at <= within;
   }
-  explicit Overload(unsigned seed) : set(seed, scale(seed)) {
-    auto& sim = set.sim();
-    const ClusterOptions& s = set.options();
-    set.pass(12);
-    set.options().slow_links_s = sim.draw(0.05, 0.4);
+  explicit Overload(unsigned seed) : cluster(seed, options(seed)) {
+    auto& sim = cluster.sim();
+    const ClusterOptions& s = cluster.options();
+    cluster.pass(12);
+    cluster.options().slow_links_s = sim.draw(0.05, 0.4);
     from = sim.now();
     const double arrivals = 240;
     const double load = sim.draw(1.1, 1.7);  // of the room
@@ -516,13 +521,13 @@
       // Spread over the time by its share of the work.
       sub.at = from + work / (load * room());
       work += sub.work;
-      if (sub.at > sim.now()) set.pass(sub.at - sim.now());
-      sub.id = set.users().submit(j, k.run_s);
+      if (sub.at > sim.now()) cluster.pass(sub.at - sim.now());
+      sub.id = cluster.users().submit(j, k.run_s);
       sub.at = sim.now();
       all.push_back(sub);
     }
-    set.pass(kBegin + 10);
-    set.options().slow_links_s = 0;
+    cluster.pass(kBegin + 10);
+    cluster.options().slow_links_s = 0;
   }
 };
 
@@ -552,9 +557,9 @@
     }
     expect_half(served);
     for (const auto& j : o.all)
-      if (o.set.users().jobs().at(j.id).spec.service) o.set.users().cancel(j.id);
-    calm_down(o.set);
-    EXPECT_EQ(broken_so(o.set, "neglected", false), Strings{});
+      if (o.cluster.users().jobs().at(j.id).spec.service) o.cluster.users().cancel(j.id);
+    calm_down(o.cluster);
+    EXPECT_EQ(broken_so(o.cluster, "neglected", false), Strings{});
   });
   EXPECT_GT(waited, seeds * 10);  // there was more work than room
   ::testing::Test::RecordProperty("never_begun", unserved);
@@ -575,12 +580,12 @@
       ++n.of;
       n.begun += o.begun(j, kBegin);
       if (o.begun(j, kBegin)) continue;
-      const wire::JobSpec& k = o.set.users().jobs().at(j.id).spec;
+      const wire::JobSpec& k = o.cluster.users().jobs().at(j.id).spec;
       n.late += "\n" + j.id + " of " + j.team + ", band " +
                 std::to_string(static_cast<int>(k.priority)) + ", " + std::to_string(k.tasks) +
                 " of " + std::to_string(k.cpus) + (k.gang ? ", a gang" : "") +
                 (k.same_zone ? ", one zone" : "") + ", submitted at " + std::to_string(j.at) +
-                ", begun at " + std::to_string(o.set.rules().begun_at(j.id));
+                ", begun at " + std::to_string(o.cluster.rules().begun_at(j.id));
     }
     expect_half(largest);
   });
--- a/tests/fault_combinations_state_test.cpp
+++ b/tests/fault_combinations_state_test.cpp
@@ -45,8 +45,8 @@
 };
 
 // A page holds what was so when it was read: all that is known of the keys of the first one is as
-// old as that. An owner that counted from the last page went on answering workers for longer than S
-// after a cancellation that it did not know of.
+// old as that. An leader that counted from the last page went on answering workers for longer than
+// S after a cancellation that it did not know of.
 TEST(StateStore, AReadOfManyPagesBeganWithTheFirst) {
   SlowPages p;
   p.store->tick();
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -1,4 +1,4 @@
-// Troubles that meet: the library's own controllers in simulated time, with the rules of the
+// Faults that meet: the library's own controllers in simulated time, with the rules of the
 // protocol checked on the machines and in what users are told.
 #include "fault_combinations.h"
 
@@ -17,18 +17,18 @@
 }();
 
 TEST(FaultCombinations, WithoutFaultsAllJobsComplete) {
-  SimulatedCluster set(1, ClusterOptions{});
-  set.pass(15);
-  for (int i = 0; i < 6; ++i) set.users().submit(spec(i % 2 ? "red" : "blue", 5), 10);
-  set.pass(150);
-  for (const auto& [id, j] : set.users().jobs()) {
+  SimulatedCluster cluster(1, ClusterOptions{});
+  cluster.pass(15);
+  for (int i = 0; i < 6; ++i) cluster.users().submit(spec(i % 2 ? "red" : "blue", 5), 10);
+  cluster.pass(150);
+  for (const auto& [id, j] : cluster.users().jobs()) {
     EXPECT_TRUE(j.accepted) << id;
     EXPECT_GE(j.told_done, 0) << id;
   }
-  set.ask_everywhere();
-  EXPECT_EQ(set.rules().broken(), std::vector<std::string>{});
-  EXPECT_EQ(set.rules().done_tasks(), 30u);
-  EXPECT_EQ(set.machines().leases_lost(), 0u);
+  cluster.ask_everywhere();
+  EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.rules().done_tasks(), 30u);
+  EXPECT_EQ(cluster.machines().leases_lost(), 0u);
 }
 
 // The fault combination that broke most: the state service refuses the leading controller alone,
@@ -36,44 +36,44 @@
 // the workers go on reporting to the leader. `told_cancel_s`: what the controllers take cancel_s
 // for.
 struct Gap {
-  SimulatedCluster set;
+  SimulatedCluster cluster;
   int cancelled = 0;
-  static ClusterOptions scale(unsigned seed, double told_cancel_s) {
+  static ClusterOptions options(unsigned seed, double told_cancel_s) {
     ClusterOptions s;
     s.controllers = 2 + static_cast<int>(seed % 4);
     s.told_cancel_s = told_cancel_s;
     return s;
   }
-  Gap(unsigned seed, double told_cancel_s) : set(seed, scale(seed, told_cancel_s)) {
-    auto& sim = set.sim();
-    set.pass(12);
+  Gap(unsigned seed, double told_cancel_s) : cluster(seed, options(seed, told_cancel_s)) {
+    auto& sim = cluster.sim();
+    cluster.pass(12);
     std::vector<std::string> jobs;
     for (int i = 0; i < 8; ++i)
       jobs.push_back(
-          set.users().submit(spec(i % 2 ? "red" : "blue", 1 + i % 3), sim.draw(90, 160)));
-    set.pass(sim.draw(8, 25));
-    const int leader = set.controllers().leader(0);
+          cluster.users().submit(spec(i % 2 ? "red" : "blue", 1 + i % 3), sim.draw(90, 160)));
+    cluster.pass(sim.draw(8, 25));
+    const int leader = cluster.controllers().leader(0);
     const double lone = sim.draw(1, 14);  // until it is down for all
     if (leader < 0) return;
-    set.faults().refuse(leader, lone + sim.draw(0, 30));
+    cluster.faults().refuse(leader, lone + sim.draw(0, 30));
     // Cancelled in every state that a task can be in: some have only just been submitted.
     const double first = sim.draw(0, 0.8 * lone);
     for (std::size_t i = 0; i < jobs.size(); ++i) {
       if (!sim.chance(0.8)) continue;
       ++cancelled;
       const int other =
-          (leader + 1 + static_cast<int>(sim.rng()() % (set.options().controllers - 1))) %
-          set.options().controllers;
+          (leader + 1 + static_cast<int>(sim.rng()() % (cluster.options().controllers - 1))) %
+          cluster.options().controllers;
       sim.at(sim.now() + sim.draw(first, lone),
-             [this, id = jobs[i], other] { set.users().cancel(id, other); });
+             [this, id = jobs[i], other] { cluster.users().cancel(id, other); });
     }
-    set.pass(lone);
-    const double down = set.options().cancel_s + sim.draw(5, 30);
-    set.faults().outage(down);
+    cluster.pass(lone);
+    const double down = cluster.options().cancel_s + sim.draw(5, 30);
+    cluster.faults().outage(down);
     if (sim.chance(0.3))
-      set.faults().kill((leader + 1) % set.options().controllers, sim.draw(0.05, 8));
-    if (sim.chance(0.2)) set.faults().freeze(leader, sim.draw(1, 20));
-    set.pass(down + 40);
+      cluster.faults().kill((leader + 1) % cluster.options().controllers, sim.draw(0.05, 8));
+    if (sim.chance(0.2)) cluster.faults().freeze(leader, sim.draw(1, 20));
+    cluster.pass(down + 40);
   }
 };
 
@@ -83,8 +83,8 @@
     SCOPED_TRACE(seed);
     Gap g(seed, 0);
     cancelled += g.cancelled;
-    g.set.ask_everywhere();
-    ASSERT_EQ(g.set.rules().broken(), std::vector<std::string>{});
+    g.cluster.ask_everywhere();
+    ASSERT_EQ(g.cluster.rules().broken(), std::vector<std::string>{});
   }
   EXPECT_GT(cancelled, 60 * 4);
 }
@@ -96,15 +96,15 @@
     int broken = 0;
     for (unsigned seed = 1; seed <= 20; ++seed) {
       Gap g(seed, ClusterOptions{}.cancel_s + too_much);
-      for (const auto& b : g.set.rules().broken())
+      for (const auto& b : g.cluster.rules().broken())
         broken += b.find("ran_cancelled") != std::string::npos;
     }
     EXPECT_GT(broken, 0) << too_much;
   }
 }
 
-// An owner cut off from the state service is replaced, reads of it at the last moment of S, and
-// stands still between that read and its next turn, whichever that is. The new owner reaches none
+// An leader cut off from the state service is replaced, reads of it at the last moment of S, and
+// stands still between that read and its next turn, whichever that is. The new leader reaches none
 // of its machines and cannot delete them: it has the proof by silence alone, which what the old one
 // answers when it goes on must not outlast.
 TEST(FaultCombinations, ALeaderFrozenAsItLearnsOfItsSuccessorRenewsNoLease) {
@@ -112,23 +112,23 @@
   for (std::uint64_t turn = 1; turn <= 30; ++turn)
     for (double cut_s : {13.5, 14.5, 15.5}) {
       SCOPED_TRACE(std::to_string(turn) + ", " + std::to_string(cut_s));
-      ClusterOptions scale;
-      scale.controllers = 2;
-      scale.machines = 12;
-      scale.relay = false;
-      SimulatedCluster set(static_cast<unsigned>(turn), scale);
-      set.pass(12);
-      for (int i = 0; i < 4; ++i) set.users().submit(spec("red", 3), 120);
-      set.pass(15);
-      const int old = set.controllers().leader(0);
+      ClusterOptions options;
+      options.controllers = 2;
+      options.machines = 12;
+      options.relay = false;
+      SimulatedCluster cluster(static_cast<unsigned>(turn), options);
+      cluster.pass(12);
+      for (int i = 0; i < 4; ++i) cluster.users().submit(spec("red", 3), 120);
+      cluster.pass(15);
+      const int old = cluster.controllers().leader(0);
       ASSERT_GE(old, 0);
       const std::string successor = "node-" + std::to_string(1 - old);
-      const int there = set.machines().size();
-      const double until = set.now() + 100;
-      set.sim().way = [way = set.sim().way, &set, successor, there,
-                       until](const simulation::Request& r) {
+      const int there = cluster.machines().size();
+      const double until = cluster.now() + 100;
+      cluster.sim().way = [way = cluster.sim().way, &cluster, successor, there,
+                           until](const simulation::Request& r) {
         auto w = way(r);
-        if (set.now() > until) return w;
+        if (cluster.now() > until) return w;
         if (r.path == "/rentals/delete") w.refused = 503;
         const std::string& other = r.from == successor ? r.to : r.from;
         if (other.starts_with("w-") && (r.from == successor || r.to == successor) &&
@@ -136,25 +136,25 @@
           w.arrives = false;
         return w;
       };
-      set.faults().cut(old, FaultInjector::state | FaultInjector::peers, cut_s);
-      set.pass(cut_s - 0.05);
-      taken_over += set.controllers().leads(1 - old, 0);
+      cluster.faults().cut(old, FaultInjector::state | FaultInjector::peers, cut_s);
+      cluster.pass(cut_s - 0.05);
+      taken_over += cluster.controllers().leads(1 - old, 0);
       // The first read that tells of the successor is on its way back.
       auto read = std::make_shared<bool>(false);
-      set.sim().hold_answer = [hold = set.sim().hold_answer, &set, read, old,
-                               turn](const simulation::Request& r) {
+      cluster.sim().hold_answer = [hold = cluster.sim().hold_answer, &cluster, read, old,
+                                   turn](const simulation::Request& r) {
         const double held = hold(r);
         if (!*read && held >= 0 && r.from == "node-" + std::to_string(old) &&
             r.path.starts_with("/watch")) {
           *read = true;
-          set.faults().freeze_after(old, turn, 16.5);
+          cluster.faults().freeze_after(old, turn, 16.5);
         }
         return held;
       };
-      const std::uint64_t starts = set.rules().starts();
-      set.pass(150);
-      begun_anew += set.rules().starts() > starts;
-      ASSERT_EQ(set.rules().broken(), std::vector<std::string>{});
+      const std::uint64_t starts = cluster.rules().starts();
+      cluster.pass(150);
+      begun_anew += cluster.rules().starts() > starts;
+      ASSERT_EQ(cluster.rules().broken(), std::vector<std::string>{});
     }
   EXPECT_EQ(taken_over, 90);
   EXPECT_GT(begun_anew, 20);
@@ -163,7 +163,7 @@
 // The fault combinations that the operators named, each with others beside it.
 struct Named {
   const char* name;
-  std::vector<std::string> troubles;
+  std::vector<std::string> faults;
 };
 void PrintTo(const Named& n, std::ostream* out) { *out << n.name; }
 // SHUNTTRAIL_HISTORIES=FIRST-LAST plays these histories instead. False: it does not say so.
@@ -177,7 +177,7 @@
 TEST_P(NamedFaults, BreakNoRuleAndForgetNoJob) {
   unsigned first = 1, last = 25;
   seeds(first, last);
-  expect_whole(first, last, GetParam().troubles);
+  expect_whole(first, last, GetParam().faults);
 }
 INSTANTIATE_TEST_SUITE_P(
     Operators, NamedFaults,
