--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -18,12 +18,12 @@
 
 // More small tasks than there is room for, urgent ones too, for as long as it goes.
 struct Crowd {
-  Site d;
+  SchedulerSite d;
   int jobs = 100;
   std::mt19937 rng;
   Crowd(unsigned seed, int machines, double limit) : rng(seed) {
     d.rng.seed(seed);
-    if (limit > 0) d.s.teams[0].cpus_max = limit;
+    if (limit > 0) d.settings.teams[0].cpus_max = limit;
     for (int i = 0; i < machines; ++i) d.machine("m-" + std::to_string(i + 1), 0);
   }
   void second(double now, double room) {
@@ -31,7 +31,7 @@
     std::poisson_distribution<int> come(1.2 * room / 22);
     for (int n = come(rng); n > 0; --n)
       d.submit(sized(jobs++, 1, rng() % 3 ? wire::Priority::standard : wire::Priority::high), now);
-    d.second(now);
+    d.pass_second(now);
   }
 };
 
@@ -67,18 +67,18 @@
 // What a reservation keeps free is used again before others have waited beside it for 90 s, though
 // what it waits for runs for much longer than was estimated.
 TEST(Reservations, RoomIsNotKeptForLong) {
-  Site d;
+  SchedulerSite d;
   d.machine("m-1", 0);
   d.submit(sized(1, 1, wire::Priority::standard), 0);
-  d.second(1);
-  ASSERT_EQ(d.on("m-1"), 1u);
+  d.pass_second(1);
+  ASSERT_EQ(d.live_tasks("m-1"), 1u);
   d.workers.at("m-1").tasks[0].ends = 1e9;
   const auto large = d.submit(sized(2, 4, wire::Priority::standard), 2);
   double now = 2, longest = 0;
   for (int n = 3; n < 40; ++n) {
     const auto small = d.submit(sized(n, 1, wire::Priority::standard), now);
     const double at = now;
-    do d.second(++now);
+    do d.pass_second(++now);
     while (!d.begun(small.spec.id) && now - at < 200);
     longest = std::max(longest, now - at);
   }
@@ -89,23 +89,23 @@
 
 // Replicas have no end: one on each machine kept every machine from a task that needs all of one.
 TEST(Reservations, AReplicaMakesRoomForWhatNeedsAWholeMachine) {
-  Site d;
+  SchedulerSite d;
   d.machine("m-1", 0);
   d.machine("m-2", 0);
   // One on each: the second comes when the first machine is full for a while.
   d.submit(sized(1, 3, wire::Priority::standard), 0);
   const auto one = d.job(2, 1, 1, true, 0);
-  d.second(1);
+  d.pass_second(1);
   d.submit(sized(3, 3, wire::Priority::standard), 1);
   const auto other = d.job(4, 1, 1, true, 1);
-  d.second(2);
-  ASSERT_EQ(d.on("m-1"), 2u);
-  ASSERT_EQ(d.on("m-2"), 2u);
+  d.pass_second(2);
+  ASSERT_EQ(d.live_tasks("m-1"), 2u);
+  ASSERT_EQ(d.live_tasks("m-2"), 2u);
   const auto large = d.submit(sized(5, 4, wire::Priority::critical), 2);
   double now = 2;
-  while (now < 2 + 2 * kBegin && !d.begun(large.spec.id)) d.second(++now);
+  while (now < 2 + 2 * kBegin && !d.begun(large.spec.id)) d.pass_second(++now);
   EXPECT_LE(now - 2, kBegin);
-  for (int i = 0; i < 5; ++i) d.second(++now);
+  for (int i = 0; i < 5; ++i) d.pass_second(++now);
   // Both replicas run, one of them elsewhere than before.
   std::map<std::string, int> live;
   for (const auto& [name, k] : d.workers)
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -12,23 +12,24 @@
 // When arrays were through, replicas stood on hundreds of machines, one or two on each, for as long
 // as their services ran.
 TEST(ReplicaConsolidation, ReplicasOnNearlyEmptyMachinesAreMovedTogether) {
-  Site d;
+  SchedulerSite d;
   d.machine("m-1", 0);
   d.job(1, 1, 1, true, 0);
   d.all_report(1);
   auto filler = d.job(2, 1, 3, false, 1);
   d.all_report(2);
-  ASSERT_EQ(d.on("m-1"), 2u);
+  ASSERT_EQ(d.live_tasks("m-1"), 2u);
   d.machine("m-2", 2);
   d.job(3, 1, 1, true, 2);
   d.job(4, 1, 1, true, 2);
   d.all_report(3);
-  ASSERT_EQ(d.on("m-2"), 2u);
-  d.end("m-1", filler.spec.id);
+  ASSERT_EQ(d.live_tasks("m-2"), 2u);
+  d.complete("m-1", filler.spec.id);
   for (double now = 4; now < 40; now += 2) {
     d.all_report(now);
     d.scheduler->tick(now);
-    ASSERT_EQ(d.on("m-1") + d.on("m-2"), 3u) << "moved at " << now << ", before it had settled";
+    ASSERT_EQ(d.live_tasks("m-1") + d.live_tasks("m-2"), 3u)
+        << "moved at " << now << ", before it had settled";
   }
   // The fuller one stays; the other's replica is stopped, and starts again there.
   for (double now = 40; now < 240; now += 1) {
@@ -43,13 +44,13 @@
     }
     d.all_report(now + 0.5);
   }
-  EXPECT_EQ(d.on("m-2"), 3u);
-  EXPECT_EQ(d.on("m-1"), 0u);
+  EXPECT_EQ(d.live_tasks("m-2"), 3u);
+  EXPECT_EQ(d.live_tasks("m-1"), 0u);
   EXPECT_EQ(d.scheduler->machines_to_return(), std::vector<std::string>{"m-1"});
 }
 
 TEST(ReplicaConsolidation, WhatHasJustStartedIsNotMovedAgain) {
-  Site d;
+  SchedulerSite d;
   for (int i = 0; i < 20; ++i) {
     d.machine("m-" + std::to_string(100 + i), 0);
     d.job(100 + i, 4, 1, true, 0);
@@ -63,7 +64,7 @@
   d.all_report(4);
   d.job(3, 2, 1, true, 4);
   d.all_report(5);
-  d.end("m-x", filler.spec.id);
+  d.complete("m-x", filler.spec.id);
   // Room enough for its replica, and moves enough in hand, from the first look on.
   for (double now = 6; now < 40; now += 2) {
     d.all_report(now);
@@ -79,7 +80,7 @@
 
 // Replicas on a machine that died waited 65 s for the proof by silence.
 TEST(FailureDetector, ASilentMachineWithReplicasIsDeletedLongBeforeItsLeaseIsOver) {
-  Site d;
+  SchedulerSite d;
   for (int i = 1; i <= 4; ++i) {
     d.machine("m-" + std::to_string(i), 0);
     d.job(i, 4, 1, true, 0);
@@ -97,21 +98,21 @@
     }
   }
   EXPECT_GT(gone, 6);
-  EXPECT_LT(gone, 6 + d.s.lease_s / 2);
+  EXPECT_LT(gone, 6 + d.settings.lease_s / 2);
   // Nothing of it runs elsewhere before the deletion is answered.
   EXPECT_EQ(d.scheduler->load(gone).capacity, 3);
   d.machine("m-5", gone);
   d.all_report(gone, dead);
-  EXPECT_EQ(d.on("m-5"), 0u);
+  EXPECT_EQ(d.live_tasks("m-5"), 0u);
   d.scheduler->machine_gone("m-1", gone);
   d.commit(gone);
   d.all_report(gone + 1, dead);
-  EXPECT_EQ(d.on("m-5"), 4u);
+  EXPECT_EQ(d.live_tasks("m-5"), 4u);
 }
 
 // Where a network is cut, or this node stood still, hundreds are silent at once: none is deleted.
 TEST(FailureDetector, ACutZoneIsNotDeletedNorMoreThanAShareAtOnce) {
-  Site d;
+  SchedulerSite d;
   for (int i = 1; i <= 40; ++i) {
     d.machine("m-" + std::to_string(100 + i), 0, i % 2 ? "a" : "b");
     d.job(i, 4, 1, true, 0);
@@ -140,7 +141,7 @@
 
 // A switch takes most of a zone with it, though not all: the few that answer are no evidence.
 TEST(FailureDetector, MostOfAZoneSilentIsACutThoughSomeAnswer) {
-  Site d;
+  SchedulerSite d;
   std::set<std::string> dead;
   for (int i = 1; i <= 30; ++i) {
     const std::string name = "m-" + std::to_string(100 + i);
@@ -160,7 +161,7 @@
 // A machine whose reports arrive and whose answers do not looked alive for ever; every start on it
 // was lost.
 TEST(FailureDetector, AMachineThatLosesResponsesGetsNoWorkAndIsReplaced) {
-  Site d;
+  SchedulerSite d;
   d.machine("m-1", 0);
   d.machine("m-2", 0);
   d.machine("m-3", 0);
@@ -173,10 +174,10 @@
   EXPECT_FALSE(d.probe(6.1, {"m-1"}) == 0);
   d.probe(7, {"m-1"});
   EXPECT_EQ(d.scheduler->machines_to_return(), std::vector<std::string>{"m-1"});
-  EXPECT_EQ(d.on("m-1"), 0u);
+  EXPECT_EQ(d.live_tasks("m-1"), 0u);
 }
 TEST(FailureDetector, AMachineThatRespondsAgainIsTakenBack) {
-  Site d;
+  SchedulerSite d;
   d.machine("m-1", 0);
   d.machine("m-2", 0);
   d.all_report(1);
@@ -191,17 +192,17 @@
     d.probe(now, {});
   }
   EXPECT_TRUE(d.scheduler->machines_to_return().empty());
-  EXPECT_EQ(d.on("m-1") + d.on("m-2"), 2u);
+  EXPECT_EQ(d.live_tasks("m-1") + d.live_tasks("m-2"), 2u);
 }
 
 // Copies of a report come late, over and over: they put off the proof by silence, and were answered
 // with starts that nobody got.
 TEST(DuplicateHeartbeat, ProvesAndRenewsNothing) {
-  Site d;
+  SchedulerSite d;
   d.machine("m-1", 0);
   d.job(1, 1, 4, false, 0);
   d.all_report(1);
-  ASSERT_EQ(d.on("m-1"), 1u);
+  ASSERT_EQ(d.live_tasks("m-1"), 1u);
   auto copy = d.workers.at("m-1").report();
   d.scheduler->take_heartbeat(copy, 2);
   d.scheduler->commands_for("m-1", true, 2);
@@ -218,14 +219,14 @@
   }
   // It is over a lease and two reports after the last that was heard of it, copies or not, and not
   // before every lease that an answer may have renewed is over.
-  EXPECT_GE(again, 6 + d.s.lease_s);
-  EXPECT_LE(again, 8 + d.s.lease_s + 2 * d.s.heartbeat_s);
+  EXPECT_GE(again, 6 + d.settings.lease_s);
+  EXPECT_LE(again, 8 + d.settings.lease_s + 2 * d.settings.heartbeat_s);
 }
 
 // With the whole fleet rented, up to 1,000 machines stood ordered at a time, each refusal sent
 // their tasks through the chain again, and a controller was at its processor limit.
 TEST(Rents, AreGrantedStepByStepAfterARefusal) {
-  Site d;
+  SchedulerSite d;
   d.job(1, 400, 4, false, 0);
   d.commit(0);
   std::size_t first = 0;
@@ -267,16 +268,16 @@
 
 // First come, first served kept arrays of 35 s behind arrays of 150 s that had minutes to spare.
 TEST(ServiceOrder, StandardWorkGoesByItsDueStartAndNothingStarves) {
-  Site d;
+  SchedulerSite d;
   d.machine("m-1", 0);
   auto running = d.job(1, 1, 4, false, 0, 1000);
   d.all_report(0.5);
   d.job(2, 1, 4, false, 1, 500);  // first, but with time to spare
   auto tight = d.job(3, 1, 4, false, 2, 60);
   d.all_report(3);
-  d.end("m-1", running.spec.id);
+  d.complete("m-1", running.spec.id);
   d.all_report(4);
-  ASSERT_EQ(d.on("m-1"), 1u);
+  ASSERT_EQ(d.live_tasks("m-1"), 1u);
   EXPECT_TRUE(std::any_of(d.workers.at("m-1").tasks.begin(), d.workers.at("m-1").tasks.end(),
                           [&](const auto& k) { return k.id.job == tight.spec.id; }));
   // What came 120 s later goes behind it, however tight.
@@ -287,7 +288,7 @@
 
 // In a full fleet a replica waited until an array's task had been stopped and had saved.
 TEST(UrgentHeadroom, ALittleRoomIsKeptForUrgentWorkWhereItIsLittle) {
-  Site d;
+  SchedulerSite d;
   for (int i = 0; i < 60; ++i) d.machine("m-" + std::to_string(100 + i), 0, i % 2 ? "a" : "b");
   d.job(1, 3, 1, true, 0);
   d.all_report(1);
@@ -295,14 +296,14 @@
   d.job(2, 300, 1, false, 2);
   for (int k = 0; k < 4; ++k) d.all_report(3 + k);
   std::size_t running = 0;
-  for (const auto& [name, k] : d.workers) running += d.on(name);
+  for (const auto& [name, k] : d.workers) running += d.live_tasks(name);
   EXPECT_GE(running, 240u - 4);
   EXPECT_LE(running, 240u - 2);
   // It goes to the next urgent job at once.
   d.job(3, 2, 1, true, 8);
   d.all_report(9);
   running = 0;
-  for (const auto& [name, k] : d.workers) running += d.on(name);
+  for (const auto& [name, k] : d.workers) running += d.live_tasks(name);
   EXPECT_GE(running, 240u - 2);
 }
 
