--- /dev/null
+++ b/src/wire/state_codec.cpp
@@ -0,0 +1,143 @@
+#include "wire/state_codec.h"
+
+#include <memory>
+
+#include "wire/fields.h"
+
+namespace shunttrail::wire {
+namespace {
+
+void append_precondition(const std::pair<std::string, std::uint64_t>& precondition,
+                         std::string& out) {
+  out += R"({"k":)";
+  out += json(precondition.first).dump();
+  out += R"(,"stamp":)";
+  out += std::to_string(precondition.second);
+  out += '}';
+}
+
+void append_op(const Transaction::Op& op, std::string& out) {
+  out += op.value ? R"({"set":)" : R"({"drop":)";
+  out += json(op.key).dump();
+  if (op.value) {
+    // The value is JSON text already.
+    out += R"(,"value":)";
+    out += *op.value;
+    if (op.lease) {
+      out += R"(,"block":)";
+      out += std::to_string(op.lease);
+    }
+  }
+  out += '}';
+}
+
+/// Applies `f` to the parsed body and to a function that makes a pointer to a part of it; the body
+/// lives as long as any such pointer.
+template <class F>
+auto guarded_shared(std::string_view body, F f) {
+  try {
+    auto document = std::make_shared<const json>(parse(body));
+    return f(*document, [&document](const json& part) {
+      return std::shared_ptr<const void>(document, &part);
+    });
+  } catch (const json::exception& e) {
+    throw Malformed(e.what());
+  }
+}
+
+template <class Share>
+Event event_from_json(const json& j, Share share) {
+  Event event;
+  if (const json* key = find(j, "set")) {
+    event.key = as_text(*key, "set");
+    event.parsed = share(need(j, "value"));
+  } else {
+    event.key = text(j, "drop");
+  }
+  event.mod_revision = whole(j, "stamp");
+  return event;
+}
+
+}  // namespace
+
+std::string encode_transaction(const Transaction& transaction) {
+  // Joined as text: to parse the values once more would be slow.
+  std::string out = R"({"guards":[)";
+  const char* separator = "";
+  for (const auto& precondition : transaction.preconditions) {
+    out += separator;
+    append_precondition(precondition, out);
+    separator = ",";
+  }
+  out += R"(],"writes":[)";
+  separator = "";
+  for (const Transaction::Op& op : transaction.ops) {
+    out += separator;
+    append_op(op, out);
+    separator = ",";
+  }
+  out += "]}";
+  return out;
+}
+
+std::uint64_t decode_revision(std::string_view body) {
+  return guarded(body, [](const json& j) { return whole(j, "ledger"); });
+}
+
+std::vector<std::string> decode_failed(std::string_view body) {
+  return guarded(body, [](const json& j) {
+    const json* keys = find(j, "failed");
+    return keys ? texts(*keys, "failed") : std::vector<std::string>();
+  });
+}
+
+bool lease_missing(std::string_view body) {
+  return body.find("no such lease") != std::string_view::npos;
+}
+
+std::string encode_lease(double life_s) {
+  return json{{"life_ms", static_cast<std::uint64_t>(life_s * 1000)}}.dump();
+}
+
+std::uint64_t decode_lease(std::string_view body) {
+  return guarded(body, [](const json& j) { return whole(j, "block"); });
+}
+
+std::string watch_path(const std::string& prefix, std::uint64_t after, int block_ms) {
+  return "/watch?starts=" + prefix + "&after=" + std::to_string(after) +
+         "&block_ms=" + std::to_string(block_ms);
+}
+
+WatchAnswer decode_watch(std::string_view body) {
+  return guarded_shared(body, [](const json& j, auto share) {
+    WatchAnswer out;
+    out.revision = whole(j, "ledger");
+    for (const json& event : list(j, "events")) out.events.push_back(event_from_json(event, share));
+    return out;
+  });
+}
+
+std::string keys_path(const std::string& prefix, const std::string& after) {
+  // As many as the protocol allows (and 512 KiB): page follows page until there are no more.
+  return "/kv?starts=" + prefix + "&limit=1000" + (after.empty() ? "" : "&after=" + after);
+}
+
+KeyPage decode_keys(std::string_view body) {
+  return guarded_shared(body, [](const json& j, auto share) {
+    KeyPage out;
+    out.revision = whole(j, "ledger");
+    out.more = flag_or_false(j, "has_next");
+    for (const json& entry : list(j, "entries"))
+      out.items.push_back(
+          {text(entry, "k"), std::nullopt, whole(entry, "stamp"), share(need(entry, "value"))});
+    return out;
+  });
+}
+
+Event decode_key(std::string_view body) {
+  return guarded(body, [](const json& j) {
+    return Event{text(j, "k"), need(j, "value").dump(), whole(j, "stamp")};
+  });
+}
+
+}  // namespace shunttrail::wire
