--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -10,7 +10,7 @@
 
 // Own writes are applied when answered, before or after the watch brings them; whatever the
 // order, the cache ends as the store is, and a job that has gone does not come back on the way.
-RC_GTEST_PROP(StateCache, EndsAsTheStoreWhateverTheOrder, ()) {
+RC_GTEST_PROP(StateCache, ConvergesToTheStoreWhateverTheOrder, ()) {
   config::Settings s = make_settings();
   Store store;
   state::StateCache w(s);
@@ -68,7 +68,7 @@
 // answered and before the watch goes on from the first page's: the cache still ends as the store,
 // and a job that was known to be gone is not live in between. (A job whose cancellation was
 // answered during the reading came back for good: the watch's drop was taken for old news.)
-RC_GTEST_PROP(StateCache, EndsAsTheStoreWhenAllIsReadAnewMeanwhile, ()) {
+RC_GTEST_PROP(StateCache, ConvergesToTheStoreWhenAllIsReadAgainMeanwhile, ()) {
   config::Settings s = make_settings();
   Store store;
   state::StateCache w(s);
@@ -120,7 +120,7 @@
               (store.mod_revision(key(n)) != 0));
   }
 }
-TEST(StateCache, AJobThatGoesWhileAllIsReadAnewStaysGone) {
+TEST(StateCache, AJobDeletedDuringAFullReadStaysDeleted) {
   config::Settings s = make_settings();
   state::StateCache w(s);
   std::vector<state::Change> ch;
@@ -151,7 +151,7 @@
 // Nodes come, go and decide in any order, on caches of any age. Every commit that is let through
 // gives a higher token, and a node acts on a token only while no higher one was granted, as far
 // as it has read.
-RC_GTEST_PROP(LeaderElection, TokensRiseAndOneNodeHoldsEach, ()) {
+RC_GTEST_PROP(LeaderElection, TokensIncreaseAndOneNodeHoldsEach, ()) {
   Cluster c;
   std::vector<config::Settings> settings;
   for (int n = 0; n < 3; ++n) {
@@ -208,51 +208,54 @@
   }
 }
 
-// A grown day saw a task started twice: the new owner knew of its own commit before it had read
-// the old owner's last placements, which were committed just before.
-TEST(LeaderElection, ATokenIsActedOnOnlyOnceAllBeforeItHasBeenRead) {
-  config::Settings s = make_settings(1);
-  state::StateCache w(s);
+// One node that is registered with the state service, and takes part in elections.
+struct OneNode {
+  config::Settings settings = make_settings(1);
+  state::StateCache cache{settings};
   Store store;
-  shard::LeaderElection o(s);
-  std::vector<state::Change> ch;
-  wire::Transaction t;
-  t.ops.push_back({state::node_key("node-0"), "{}", 0});
-  store.commit(t);
-  o.registered(store.revision);
-  store.read(w, ch);
-  o.observe(w, 1);
-  EXPECT_EQ(o.decide(w, 0, 100, 0).kind, shard::LeadershipMove::take);
-  store.commit({{}, {{state::job_key("run-100000"), wire::encode_record(make_job(0, 1, 1)), 0}}});
-  wire::Transaction own;
-  own.ops.push_back(
-      {state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", ""}), 0});
-  auto rev = store.commit(own);
-  w.apply({own.ops[0].key, own.ops[0].value, *rev}, ch);  // answered, not yet read
-  EXPECT_EQ(o.decide(w, 0, 101, 0).kind, shard::LeadershipMove::none);
-  store.read(w, ch);
-  EXPECT_EQ(o.decide(w, 0, 101, 0).kind, shard::LeadershipMove::lead);
-  EXPECT_NE(w.job("run-100000"), nullptr);
+  shard::LeaderElection election{settings};
+  std::vector<state::Change> changes;
+
+  OneNode() {
+    wire::Transaction node;
+    node.ops.push_back({state::node_key("node-0"), "{}", 0});
+    store.commit(node);
+    election.registered(store.revision);
+  }
+  void read() { store.read(cache, changes); }
+  static wire::Transaction take_leadership() {
+    wire::Transaction own;
+    own.ops.push_back(
+        {state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", ""}), 0});
+    return own;
+  }
+};
+
+// A grown day saw a task started twice: the new leader knew of its own commit before it had read
+// the old leader's last placements, which were committed just before.
+TEST(LeaderElection, ATokenIsActedOnOnlyOnceAllBeforeItHasBeenRead) {
+  OneNode n;
+  n.read();
+  n.election.observe(n.cache, 1);
+  EXPECT_EQ(n.election.decide(n.cache, 0, 100, 0).kind, shard::LeadershipMove::take);
+  n.store.commit({{}, {{state::job_key("run-100000"), wire::encode_record(make_job(0, 1, 1)), 0}}});
+  const wire::Transaction own = OneNode::take_leadership();
+  auto rev = n.store.commit(own);
+  n.cache.apply({own.ops[0].key, own.ops[0].value, *rev}, n.changes);  // answered, not yet read
+  EXPECT_EQ(n.election.decide(n.cache, 0, 101, 0).kind, shard::LeadershipMove::none);
+  n.read();
+  EXPECT_EQ(n.election.decide(n.cache, 0, 101, 0).kind, shard::LeadershipMove::lead);
+  EXPECT_NE(n.cache.job("run-100000"), nullptr);
 }
 
-TEST(LeaderElection, ATokenWhoseDeskWasClosedIsReclaimed) {
-  config::Settings s = make_settings(1);
-  state::StateCache w(s);
-  Store store;
-  shard::LeaderElection o(s);
-  std::vector<state::Change> ch;
-  wire::Transaction t;
-  t.ops.push_back({state::node_key("node-0"), "{}", 0});
-  store.commit(t);
-  o.registered(store.revision);
-  wire::Transaction own;
-  own.ops.push_back(
-      {state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", ""}), 0});
-  store.commit(own);
-  store.read(w, ch);
-  o.observe(w, 1);
-  EXPECT_EQ(o.decide(w, 0, 1, 0).kind, shard::LeadershipMove::lead);
-  EXPECT_EQ(o.decide(w, 0, 1, w.leader(0).mod_revision).kind, shard::LeadershipMove::take);
+TEST(LeaderElection, ATokenWhoseSchedulerWasClosedIsReclaimed) {
+  OneNode n;
+  n.store.commit(OneNode::take_leadership());
+  n.read();
+  n.election.observe(n.cache, 1);
+  EXPECT_EQ(n.election.decide(n.cache, 0, 1, 0).kind, shard::LeadershipMove::lead);
+  EXPECT_EQ(n.election.decide(n.cache, 0, 1, n.cache.leader(0).mod_revision).kind,
+            shard::LeadershipMove::take);
 }
 
 }  // namespace
