--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -1,195 +1,270 @@
 #include "controller/cloud_manager.h"
 
+#include <algorithm>
+#include <utility>
+
 #include "controller/inventory.h"
 #include "controller/membership.h"
 
 namespace shunttrail::controller {
 namespace {
-constexpr double kTypesGap = 60;      // prices change
-constexpr double kRentGap = 0.4;      // rents are gathered this long
-constexpr double kListGap = 6;        // between two reads of the machine list, at least
-constexpr double kListShare = 0.2;    // of this node's cloud calls that go into the list
-constexpr double kUnknownFor = 20;    // a listed machine without a record is adopted after this
-constexpr double kRemovedKept = 600;  // late reports of deleted machines are refused this long
-constexpr std::size_t kDeleteMost = 100;
+/// Between two reads of the machine types: prices change.
+constexpr double kTypesIntervalS = 60;
+/// Between two collections of what the shards want: requests that come meanwhile are grouped.
+constexpr double kCollectIntervalS = 0.4;
+/// Between two reads of the machine list, at least.
+constexpr double kMinListIntervalS = 6;
+/// The share of this node's cloud calls that goes into the list.
+constexpr double kListCallShare = 0.2;
+/// Machines that a page of the list holds.
+constexpr double kListPageMachines = 500;
+/// Lists in a row that lack a machine before it counts as gone: lists come out of order.
+constexpr int kListsUntilGone = 2;
+/// A listed machine without a record is adopted after so long.
+constexpr double kAdoptAfterS = 20;
+/// Late heartbeats of deleted machines are refused for so long.
+constexpr double kRemovedKeptS = 600;
+/// Machines that one call deletes.
+constexpr std::size_t kMaxDeletions = 100;
 }  // namespace
 
-CloudManager::CloudManager(actor::Loop& loop, ControllerComponents& parts)
-    : Actor(loop), components_(parts), client_(loop, parts.settings) {
-  // Whoever deleted it, what has left the inventory is gone: a late copy of its last reports must
-  // not bring it back.
-  components_.state_store->listen(reply<Changes>([this](Changes changes) {
-    for (const auto& c : *changes)
-      if (c.kind == state::Change::machine_gone &&
-          !components_.state_store->cache().machine(c.name))
-        removed_[c.name] = loop_.now();
-  }));
+CloudManager::CloudManager(actor::Loop& loop, ControllerComponents& components)
+    : Actor(loop), components_(components), client_(loop, components.settings) {
+  components_.state_store->listen(
+      reply<Changes>([this](const Changes& changes) { on_changes(*changes); }));
+}
+
+// Whoever deleted it, what has left the inventory is gone: a late copy of its last heartbeats must
+// not bring it back.
+void CloudManager::on_changes(const std::vector<state::Change>& changes) {
+  const state::StateCache& cache = components_.state_store->cache();
+  for (const auto& change : changes)
+    if (change.kind == state::Change::machine_gone && !cache.machine(change.name))
+      removed_at_[change.name] = loop_.now();
 }
 
 const std::string* CloudManager::address(const std::string& machine) const {
-  auto a = seen_.find(machine);
-  return a == seen_.end() ? nullptr : &a->second.addr;
+  auto known = known_.find(machine);
+  return known == known_.end() ? nullptr : &known->second.address;
 }
+
 double CloudManager::rented_at(const std::string& machine) const {
-  auto a = seen_.find(machine);
-  return a == seen_.end() ? 0 : a->second.rented_at;
+  auto known = known_.find(machine);
+  return known == known_.end() ? 0 : known->second.rented_at;
 }
-void CloudManager::unknown_machine_reported(std::string machine, std::string addr) {
-  post(
-      [this, machine = std::move(machine), addr = std::move(addr)] { seen_[machine].addr = addr; });
+
+void CloudManager::unknown_machine_reported(std::string machine, std::string address) {
+  post([this, machine = std::move(machine), address = std::move(address)] {
+    known_[machine].address = address;
+  });
 }
 
 void CloudManager::tick() {
   post([this] {
     const double now = loop_.now();
-    if (catalogue_.empty() || now - types_at_ > kTypesGap) load_types();
-    rent_and_return();
-    if (now > list_at_ && !list_busy_ && components_.state_store->loaded()) list("");
+    if (catalogue_.empty() || now - types_read_at_ > kTypesIntervalS) load_types();
+    if (now >= next_collect_at_) collect_requests();
+    if (now > next_list_at_ && !is_listing_ && components_.state_store->loaded()) start_list();
   });
 }
 
 void CloudManager::load_types() {
-  if (types_busy_) return;
-  types_busy_ = true;
-  client_.types(reply<std::vector<wire::MachineType>>([this](std::vector<wire::MachineType> l) {
-    types_busy_ = false;
-    if (l.empty()) return;
-    types_at_ = loop_.now();
-    catalogue_.load(l, components_.settings);
+  if (is_reading_types_) return;
+  is_reading_types_ = true;
+  using Types = std::vector<wire::MachineType>;
+  client_.types(reply<Types>([this](const Types& types) {
+    is_reading_types_ = false;
+    if (types.empty()) return;
+    types_read_at_ = loop_.now();
+    catalogue_.load(types, components_.settings);
     components_.membership->reconsider();
   }));
 }
 
+// ---- rents and returns
+
 // One deletion at a time, of one shard: what leaves meanwhile goes with the next. Calls are scarcer
 // than machines, and a call for every one that leaves would keep hundreds on the bill.
-void CloudManager::rent_and_return() {
-  const double now = loop_.now();
-  if (now < rent_at_) return;
-  rent_at_ = now + kRentGap;
-  std::erase_if(removed_, [&](const auto& r) { return now - r.second > kRemovedKept; });
-  // Without a name of its own this process rents nothing: a request's name is never used twice.
+void CloudManager::collect_requests() {
+  next_collect_at_ = loop_.now() + kCollectIntervalS;
+  forget_removed();
+  // Without an id of its own this process rents nothing: a request's name is never used twice.
   if (!components_.membership->process_id()) return;
-  const int shards = components_.settings.shards();
-  int to_return = -1;
-  for (int i = 0; i < shards && !deleting_ && to_return < 0; ++i)
-    if (int k = (next_to_return_ + i) % shards; components_.shard_controller(k).scheduler())
-      to_return = k;
-  if (to_return >= 0) {
-    deleting_ = true;
-    next_to_return_ = to_return + 1;
+  const int shard_to_return = is_deleting_ ? -1 : next_shard_to_return();
+  if (shard_to_return >= 0) {
+    is_deleting_ = true;
+    next_shard_to_return_ = shard_to_return + 1;
   }
-  for (int k = 0; k < shards; ++k) {
-    const bool returns = k == to_return;
-    if (components_.shard_controller(k).scheduler())
-      components_.shard_controller(k).cloud_requests(
-          returns, reply<ShardController::CloudRequests>(
-                       [this, k, returns](ShardController::CloudRequests w) {
-                         execute(k, std::move(w), returns);
-                       }));
+  for (int shard = 0; shard < components_.settings.shards(); ++shard) {
+    ShardController& controller = components_.shard_controller(shard);
+    if (!controller.scheduler()) continue;
+    const bool with_returns = shard == shard_to_return;
+    using Requests = ShardController::CloudRequests;
+    controller.cloud_requests(with_returns,
+                              reply<Requests>([this, shard, with_returns](Requests requests) {
+                                execute(shard, std::move(requests), with_returns);
+                              }));
   }
 }
 
-void CloudManager::execute(int shard, ShardController::CloudRequests w, bool returns) {
-  if (returns) {
-    if (w.machines_to_return.empty())
-      deleting_ = false;
-    else
-      return_machines(shard, w.opened_under, std::move(w.machines_to_return));
+// The next shard in turn that this node leads; -1: none.
+int CloudManager::next_shard_to_return() const {
+  const int shards = components_.settings.shards();
+  for (int i = 0; i < shards; ++i) {
+    const int shard = (next_shard_to_return_ + i) % shards;
+    if (components_.shard_controller(shard).scheduler()) return shard;
   }
-  for (const auto& r : w.scale_out) {
-    // The name holds the first hold's id, which no other process has, and a counter.
-    std::string charter = "c-" + std::to_string(components_.membership->process_id()) + "-" +
-                          std::to_string(++charters_);
-    client_.rent(
-        charter, catalogue_.types[r.tier / 2].spec.name, components_.settings.zones[r.zone],
-        r.tier % 2, static_cast<int>(r.machines.size()),
-        reply<cloud::RentResult>([this, shard, born = w.opened_under, r](cloud::RentResult got) {
-          ShardController& runner = components_.shard_controller(shard);
-          if (got.kind == cloud::RentResult::rented)
-            runner.rented(born, r, std::move(got.machines));
-          else
-            runner.rent_refused(born, r, got.kind == cloud::RentResult::no_capacity);
-        }));
+  return -1;
+}
+
+void CloudManager::forget_removed() {
+  const double now = loop_.now();
+  std::erase_if(removed_at_,
+                [&](const auto& removed) { return now - removed.second > kRemovedKeptS; });
+}
+
+void CloudManager::execute(int shard, ShardController::CloudRequests requests, bool with_returns) {
+  if (with_returns) {
+    if (requests.machines_to_return.empty())
+      is_deleting_ = false;
+    else
+      return_machines(shard, requests.opened_under, std::move(requests.machines_to_return));
   }
+  for (const auto& request : requests.scale_out) rent(shard, requests.opened_under, request);
+}
+
+void CloudManager::rent(int shard, std::uint64_t opened_under,
+                        const scheduler::ScaleOutRequest& request) {
+  // The process id, which no other process has, and a counter: no request's name is used twice.
+  const std::string name = "c-" + std::to_string(components_.membership->process_id()) + "-" +
+                           std::to_string(++rent_requests_);
+  const std::string& type = catalogue_.types[request.tier / 2].spec.name;
+  const bool is_spot = request.tier % 2;
+  client_.rent(
+      name, type, components_.settings.zones[request.zone], is_spot,
+      static_cast<int>(request.machines.size()),
+      reply<cloud::RentResult>([this, shard, opened_under, request](cloud::RentResult result) {
+        ShardController& controller = components_.shard_controller(shard);
+        if (result.kind == cloud::RentResult::rented)
+          controller.rented(opened_under, request, std::move(result.machines));
+        else
+          controller.rent_refused(opened_under, request,
+                                  result.kind == cloud::RentResult::no_capacity);
+      }));
 }
 
-void CloudManager::return_machines(int shard, std::uint64_t born, std::vector<std::string> back) {
-  if (back.size() > kDeleteMost) {
-    components_.shard_controller(shard).deleted(born, {back.begin() + kDeleteMost, back.end()},
-                                                false);
-    back.resize(kDeleteMost);
+void CloudManager::return_machines(int shard, std::uint64_t opened_under,
+                                   std::vector<std::string> machines) {
+  if (machines.size() > kMaxDeletions) {
+    components_.shard_controller(shard).deleted(
+        opened_under, {machines.begin() + kMaxDeletions, machines.end()}, false);
+    machines.resize(kMaxDeletions);
   }
-  client_.remove(back, reply<bool>([this, shard, born, back](bool ok) {
-                   deleting_ = false;
-                   // Gone, whoever owns its shard by now.
-                   for (const auto& name : back) {
-                     if (!ok) continue;
-                     removed_[name] = loop_.now();
-                     components_.inventory->drop(name);
-                   }
-                   components_.shard_controller(shard).deleted(born, back, ok);
+  client_.remove(machines, reply<bool>([this, shard, opened_under, machines](bool is_deleted) {
+                   on_deleted(shard, opened_under, machines, is_deleted);
                  }));
 }
 
-// Every node reads the list for its own machines; the one that owns the first shard also looks
-// for machines that nobody knows.
-void CloudManager::list(std::string after) {
-  list_busy_ = true;
-  if (after.empty()) list_now_.clear();
-  client_.list(after, reply<bool, wire::MachineList>([this](bool ok, wire::MachineList l) {
-                 if (!ok) {
-                   list_busy_ = false;
-                   list_at_ = loop_.now() + kListGap;
+void CloudManager::on_deleted(int shard, std::uint64_t opened_under,
+                              const std::vector<std::string>& machines, bool is_deleted) {
+  is_deleting_ = false;
+  if (is_deleted) {
+    // Gone, whoever leads the shard by now.
+    for (const auto& name : machines) {
+      removed_at_[name] = loop_.now();
+      components_.inventory->drop(name);
+    }
+  }
+  components_.shard_controller(shard).deleted(opened_under, machines, is_deleted);
+}
+
+// ---- the list
+
+// Every node reads the list for its own machines; the one that leads the first shard also looks for
+// machines that have no record.
+void CloudManager::start_list() {
+  listed_now_.clear();
+  read_list_page("");
+}
+
+void CloudManager::read_list_page(const std::string& after) {
+  is_listing_ = true;
+  client_.list(after, reply<bool, wire::MachineList>([this](bool is_read, wire::MachineList page) {
+                 if (!is_read) {
+                   is_listing_ = false;
+                   next_list_at_ = loop_.now() + kMinListIntervalS;
                    return;
                  }
-                 for (const auto& m : l.machines) listed(m);
-                 if (l.more && !l.machines.empty()) return list(l.machines.back().name);
-                 list_over();
+                 for (const auto& machine : page.machines) on_listed(machine);
+                 if (page.more && !page.machines.empty())
+                   return read_list_page(page.machines.back().name);
+                 finish_list();
                }));
 }
 
-void CloudManager::listed(const wire::ListedMachine& m) {
+void CloudManager::on_listed(const wire::ListedMachine& machine) {
+  listed_now_.insert(machine.name);
+  listed_.insert(machine.name);
+  known_[machine.name] = {machine.addr, loop_.wall_now() - machine.age_s};
+  if (const auto* record = components_.state_store->cache().machine(machine.name))
+    on_listed_known(machine, record->shard);
+  else
+    on_listed_unknown(machine);
+}
+
+void CloudManager::on_listed_known(const wire::ListedMachine& machine, int shard) {
+  unknown_since_.erase(machine.name);
+  if (shard >= components_.settings.shards()) return;
+  ShardController& controller = components_.shard_controller(shard);
+  if (!controller.scheduler()) return;
+  controller.set_machine_address(machine.name, machine.addr);
+  if (machine.state == "failed") controller.machine_failed(machine.name, false);
+}
+
+void CloudManager::on_listed_unknown(const wire::ListedMachine& machine) {
+  const bool leads_first_shard = components_.shard_controller(0).scheduler() != nullptr;
+  if (!leads_first_shard || removed(machine.name)) return;
   const double now = loop_.now();
-  list_now_.insert(m.name);
-  seen_listed_.insert(m.name);
-  seen_[m.name] = {m.addr, loop_.wall_now() - m.age_s};
-  if (const auto* known = components_.state_store->cache().machine(m.name)) {
-    unknown_since_.erase(m.name);
-    int k = known->shard;
-    if (k >= components_.settings.shards() || !components_.shard_controller(k).scheduler()) return;
-    components_.shard_controller(k).set_machine_address(m.name, m.addr);
-    if (m.state == "failed") components_.shard_controller(k).machine_failed(m.name, false);
-    return;
-  }
-  if (!components_.shard_controller(0).scheduler() || removed_.contains(m.name)) return;
-  double since = unknown_since_.try_emplace(m.name, now).first->second;
-  if (now - since > kUnknownFor)
-    components_.inventory->adopt_orphan({m.name, m.type, m.zone, m.spot, 0, 0, 0});
-}
-
-// Once listed, a machine stays listed until it is gone; but lists come out of order, so it takes
-// two without it.
-void CloudManager::list_over() {
-  for (auto it = seen_listed_.begin(); it != seen_listed_.end();) {
-    if (list_now_.contains(*it)) {
-      missing_.erase(*it);
+  const double since = unknown_since_.try_emplace(machine.name, now).first->second;
+  if (now - since > kAdoptAfterS)
+    components_.inventory->adopt_orphan(
+        {machine.name, machine.type, machine.zone, machine.spot, 0, 0, 0});
+}
+
+void CloudManager::finish_list() {
+  report_unlisted();
+  is_listing_ = false;
+  next_list_at_ = loop_.now() + list_interval();
+}
+
+// Once listed, a machine stays listed until it is gone.
+void CloudManager::report_unlisted() {
+  for (auto it = listed_.begin(); it != listed_.end();) {
+    const std::string& name = *it;
+    if (listed_now_.contains(name)) {
+      unlisted_.erase(name);
       ++it;
       continue;
     }
-    if (++missing_[*it] < 2) {
+    if (++unlisted_[name] < kListsUntilGone) {
       ++it;
       continue;
     }
-    for (auto& r : components_.shard_controllers) r->machine_failed(*it, true);
-    missing_.erase(*it);
-    unknown_since_.erase(*it);
-    seen_.erase(*it);
-    it = seen_listed_.erase(it);
+    for (const auto& controller : components_.shard_controllers)
+      controller->machine_failed(name, true);
+    unlisted_.erase(name);
+    unknown_since_.erase(name);
+    known_.erase(name);
+    it = listed_.erase(it);
   }
-  list_busy_ = false;
-  double pages = 1 + static_cast<double>(list_now_.size()) / 500;
-  double share = components_.settings.cloud_rps / components_.settings.shards() * kListShare;
-  list_at_ = loop_.now() + std::max(kListGap, pages / share);
+}
+
+// In seconds: long lists are read less often, since each page is a call.
+double CloudManager::list_interval() const {
+  const double pages = 1 + static_cast<double>(listed_now_.size()) / kListPageMachines;
+  const double calls_per_s =
+      components_.settings.cloud_rps / components_.settings.shards() * kListCallShare;
+  return std::max(kMinListIntervalS, pages / calls_per_s);
 }
 
 }  // namespace shunttrail::controller
--- a/src/controller/cloud_manager.h
+++ b/src/controller/cloud_manager.h
@@ -1,6 +1,7 @@
-// What the cloud is asked for: types, rents, returns, and the list. Its faults are met here: the
-// shard controllers learn what was rented, refused and deleted, and nothing of calls that failed.
+/// The cloud's machines: types, rents, returns and the list of what runs.
 #pragma once
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <set>
 #include <string>
@@ -14,46 +15,72 @@
 
 namespace shunttrail::controller {
 
+/// Carries out what the shard controllers ask of the cloud and handles the failures of its API: the
+/// shard controllers learn what was rented, refused and deleted, and nothing of calls that failed.
 class CloudManager : public actor::Actor {
  public:
-  CloudManager(actor::Loop& loop, ControllerComponents& parts);
+  CloudManager(actor::Loop& loop, ControllerComponents& components);
+  /// To be called at short, regular intervals.
   void tick();
-  // A report named a machine that nobody knows.
-  void unknown_machine_reported(std::string machine, std::string addr);
+  /// A heartbeat came from a machine without a record.
+  void unknown_machine_reported(std::string machine, std::string address);
 
-  const scheduler::MachineCatalogue& catalogue() const { return catalogue_; }
-  // As last listed or reported; none: never.
-  const std::string* address(const std::string& machine) const;
-  // Time of day, by the latest list; 0: not listed yet.
-  double rented_at(const std::string& machine) const;
-  bool removed(const std::string& machine) const { return removed_.contains(machine); }
+  /// The machine types; empty: not read yet.
+  [[nodiscard]] const scheduler::MachineCatalogue& catalogue() const { return catalogue_; }
+  /// The machine's address as last listed or reported; null: unknown.
+  [[nodiscard]] const std::string* address(const std::string& machine) const;
+  /// When the machine was rented (time of day, seconds), by the latest list; 0: not listed yet.
+  [[nodiscard]] double rented_at(const std::string& machine) const;
+  /// Whether the machine was deleted lately: heartbeats of it are late copies.
+  [[nodiscard]] bool removed(const std::string& machine) const {
+    return removed_at_.contains(machine);
+  }
 
  private:
+  struct KnownMachine {
+    std::string address;
+    double rented_at = 0;  ///< Time of day, seconds.
+  };
+  void on_changes(const std::vector<state::Change>& changes);
   void load_types();
-  void rent_and_return();
-  void execute(int shard, ShardController::CloudRequests w, bool returns);
-  void return_machines(int shard, std::uint64_t born, std::vector<std::string> machines);
-  void list(std::string after);
-  void listed(const wire::ListedMachine& m);
-  void list_over();
+  void collect_requests();
+  [[nodiscard]] int next_shard_to_return() const;
+  void forget_removed();
+  void execute(int shard, ShardController::CloudRequests requests, bool with_returns);
+  void rent(int shard, std::uint64_t opened_under, const scheduler::ScaleOutRequest& request);
+  void return_machines(int shard, std::uint64_t opened_under, std::vector<std::string> machines);
+  void on_deleted(int shard, std::uint64_t opened_under, const std::vector<std::string>& machines,
+                  bool is_deleted);
+  void start_list();
+  void read_list_page(const std::string& after);
+  void on_listed(const wire::ListedMachine& machine);
+  void on_listed_known(const wire::ListedMachine& machine, int shard);
+  void on_listed_unknown(const wire::ListedMachine& machine);
+  void finish_list();
+  void report_unlisted();
+  [[nodiscard]] double list_interval() const;
 
   ControllerComponents& components_;
   cloud::Client client_;
   scheduler::MachineCatalogue catalogue_;
-  bool types_busy_ = false, list_busy_ = false;
-  bool deleting_ = false;  // a deletion is out, or a shard has been asked for one
-  int next_to_return_ = 0;
-  double types_at_ = -1e9, list_at_ = 0, rent_at_ = 0;
-  std::uint64_t charters_ = 0;
-  std::map<std::string, double> unknown_since_;  // listed machines without a record
-  std::map<std::string, double> removed_;        // machines deleted lately
-  std::set<std::string> seen_listed_, list_now_;
-  struct Seen {
-    std::string addr;
-    double rented_at = 0;
-  };
-  std::unordered_map<std::string, Seen> seen_;
-  std::map<std::string, int> missing_;
+  double types_read_at_ = -1e9;
+  bool is_reading_types_ = false;
+
+  double next_collect_at_ = 0;
+  int next_shard_to_return_ = 0;
+  /// A deletion is in flight, or a shard has been asked for what to delete.
+  bool is_deleting_ = false;
+  std::uint64_t rent_requests_ = 0;
+  std::map<std::string, double> removed_at_;  ///< Machines deleted lately, loop time.
+
+  double next_list_at_ = 0;
+  bool is_listing_ = false;
+  std::set<std::string> listed_;         ///< Machines of earlier lists that are not known gone.
+  std::set<std::string> listed_now_;     ///< Machines of the list that is being read.
+  std::map<std::string, int> unlisted_;  ///< Of `listed_`: how many lists in a row lacked it.
+  /// Listed machines without a record, and since when (loop time).
+  std::map<std::string, double> unknown_since_;
+  std::unordered_map<std::string, KnownMachine> known_;
 };
 
 }  // namespace shunttrail::controller
--- a/src/controller/components.h
+++ b/src/controller/components.h
@@ -1,7 +1,6 @@
-// The parts of one controller. Each is an actor that owns its state: the others read what it shows
-// as const, and change it by its messages, each of which runs in a turn of the owner's. Answers
-// come to the asker by a reply address (Actor::reply).
+/// The parts of one controller, as they know one another.
 #pragma once
+#include <cstddef>
 #include <memory>
 #include <vector>
 
@@ -10,31 +9,34 @@
 
 namespace shunttrail::controller {
 
-class StateStore;       // the state service as this node knows it
-class SchemaManager;    // the active state level, and whether this build may serve
-class Membership;       // the key that shows this node alive, and who owns what
-class JobResults;       // how jobs ended, and jobs that await others
-class CloudManager;     // types, rents, returns, the list
-class Inventory;        // which shard a machine belongs to
-class PeerGossip;       // what the other controllers say
-class HeartbeatRelay;   // workers by way of a sibling
-class ShardController;  // one shard, while this node owns it
+class StateStore;
+class SchemaManager;
+class Membership;
+class JobResults;
+class CloudManager;
+class Inventory;
+class PeerGossip;
+class HeartbeatRelay;
+class ShardController;
 
+/// Each part is an actor that owns its state: the others read what it shows as const, and change it
+/// by its messages, each of which runs in a turn of the owner's. Answers come to whoever asked by a
+/// reply address (actor::Actor::reply). Controller sets all pointers before any message is taken.
 struct ControllerComponents {
   const config::Settings& settings;
   const config::Tuning& tuning;
   state::Client& state_client;
-  StateStore* state_store = nullptr;
-  SchemaManager* schema = nullptr;
-  Membership* membership = nullptr;
-  JobResults* job_results = nullptr;
-  CloudManager* cloud_manager = nullptr;
-  Inventory* inventory = nullptr;
-  PeerGossip* peer_gossip = nullptr;
-  HeartbeatRelay* heartbeat_relay = nullptr;
-  std::vector<std::unique_ptr<ShardController>> shard_controllers{};  // by shard
+  StateStore* state_store = nullptr;          ///< The cached state, reads and commits.
+  SchemaManager* schema = nullptr;            ///< Whether this build may serve.
+  Membership* membership = nullptr;           ///< This process's lease, and who leads what.
+  JobResults* job_results = nullptr;          ///< How jobs ended; jobs that wait for others.
+  CloudManager* cloud_manager = nullptr;      ///< Machine types, rents, returns and the list.
+  Inventory* inventory = nullptr;             ///< Which shard a machine belongs to.
+  PeerGossip* peer_gossip = nullptr;          ///< What the other controllers say.
+  HeartbeatRelay* heartbeat_relay = nullptr;  ///< Heartbeats by way of a sibling.
+  std::vector<std::unique_ptr<ShardController>> shard_controllers{};  ///< By shard.
 
-  ShardController& shard_controller(int shard) const {
+  [[nodiscard]] ShardController& shard_controller(int shard) const {
     return *shard_controllers[static_cast<std::size_t>(shard)];
   }
 };
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -3,21 +3,24 @@
 #include <spdlog/spdlog.h>
 
 #include <nlohmann/json.hpp>
+#include <utility>
 
 namespace shunttrail::controller {
 namespace {
-constexpr double kTick = 0.2;
-constexpr double kLogGap = 10;
-constexpr std::size_t kBodyMost = 64 * 1024;
-constexpr std::size_t kPassedMost = kBodyMost + 64;  // a report, with what a sibling puts before it
+constexpr double kTickIntervalS = 0.2;
+constexpr double kLogIntervalS = 10;
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;
+/// A heartbeat, with what a sibling that relays it puts before it.
+constexpr std::size_t kMaxInternalBodyBytes = kMaxBodyBytes + 64;
 }  // namespace
 
-Controller::Controller(actor::Loop& loop, const config::Settings& s, const config::Tuning& t,
-                       schema::Build build)
+Controller::Controller(actor::Loop& loop, const config::Settings& settings,
+                       const config::Tuning& tuning, schema::Build build)
     : Actor(loop),
-      state_client_(loop, s),
-      components_{s, t, state_client_},
-      state_store_(loop, s, state_client_),
+      state_client_(loop, settings),
+      components_{settings, tuning, state_client_},
+      state_store_(loop, settings, state_client_),
+      // From here on the parts listen to the state store as they are made.
       schema_(loop, (components_.state_store = &state_store_, components_), build),
       job_results_(loop, components_),
       membership_(loop, components_),
@@ -28,9 +31,15 @@
       user_api_(loop, components_),
       worker_api_(loop, components_),
       timer_(loop, [this] { post([this] { tick(); }); }),
-      public_server_(loop, s.front, kBodyMost, [this](net::ExchangePtr ex) { serve_public(ex); }),
-      internal_server_(loop, s.internal, kPassedMost,
-                       [this](net::ExchangePtr ex) { serve_internal(ex); }) {
+      public_server_(loop, settings.front, kMaxBodyBytes,
+                     [this](const net::ExchangePtr& exchange) { serve_public(exchange); }),
+      internal_server_(loop, settings.internal, kMaxInternalBodyBytes,
+                       [this](const net::ExchangePtr& exchange) { serve_internal(exchange); }) {
+  set_components(loop);
+  post([this] { tick(); });
+}
+
+void Controller::set_components(actor::Loop& loop) {
   components_.schema = &schema_;
   components_.job_results = &job_results_;
   components_.membership = &membership_;
@@ -38,85 +47,93 @@
   components_.inventory = &inventory_;
   components_.peer_gossip = &peer_gossip_;
   components_.heartbeat_relay = &heartbeat_relay_;
-  for (int k = 0; k < s.shards(); ++k)
+  for (int shard = 0; shard < components_.settings.shards(); ++shard)
     components_.shard_controllers.push_back(
-        std::make_unique<ShardController>(loop, components_, k));
-  post([this] { tick(); });
+        std::make_unique<ShardController>(loop, components_, shard));
 }
 
 void Controller::tick() {
-  timer_.after(kTick);
+  timer_.after(kTickIntervalS);
   state_store_.tick();
   schema_.tick();
   membership_.tick();
   job_results_.tick();
-  for (auto& r : components_.shard_controllers) r->tick();
+  for (const auto& controller : components_.shard_controllers) controller->tick();
   cloud_manager_.tick();
   inventory_.tick();
   peer_gossip_.tick();
-  if (loop_.now() > log_at_) log();
+  if (loop_.now() > next_log_at_) log_status();
 }
 
-void Controller::log() {
-  log_at_ = loop_.now() + kLogGap;
-  for (const auto& r : components_.shard_controllers)
-    if (r->scheduler()) spdlog::info("desk {}", r->scheduler()->summary());
+void Controller::log_status() {
+  next_log_at_ = loop_.now() + kLogIntervalS;
+  for (const auto& controller : components_.shard_controllers)
+    if (controller->scheduler()) spdlog::info("scheduler {}", controller->scheduler()->summary());
   const auto cost = state_client_.cost();
   spdlog::info(
-      "state service: {} answered 429, {:.1f} s waited, {:.1f} changes a second, {} queued; "
-      "{} jobs wait for others, {} made ready, {} ended with them",
+      "state service: {} answered 429, {:.1f} s waited, {:.1f} writes a second, {} queued; "
+      "{} jobs wait for others, {} made ready, {} cancelled with others",
       cost.refused, cost.waited_s, cost.write_rate, state_client_.queued(),
       state_store_.cache().waiting().size(), job_results_.made_ready(),
       job_results_.ended_with_others());
-  spdlog::info("levels {}", schema_.describe());
-  spdlog::info("links {}", heartbeat_relay_.describe());
+  spdlog::info("schema {}", schema_.describe());
+  spdlog::info("relay {}", heartbeat_relay_.describe());
 }
 
-void Controller::serve_public(const net::ExchangePtr& ex) {
-  if (ex->path == "/agent/beat" && ex->post)
-    worker_api_.handle_heartbeat(ex);
+void Controller::serve_public(const net::ExchangePtr& exchange) {
+  if (exchange->path == "/agent/beat" && exchange->post)
+    worker_api_.handle_heartbeat(exchange);
   else
-    user_api_.handle_request(ex);
+    user_api_.handle_request(exchange);
 }
 
-void Controller::serve_internal(const net::ExchangePtr& ex) {
-  if (ex->path == "/peer/beat" && ex->post) return peer_gossip_.handle_request(ex);
-  if (ex->path == "/peer/report" && ex->post)
-    return heartbeat_relay_.handle_relayed(ex, [this](net::ExchangePtr passed) {
-      worker_api_.handle_heartbeat(passed, HeartbeatPath::relayed);
+void Controller::serve_internal(const net::ExchangePtr& exchange) {
+  const std::string& path = exchange->path;
+  const bool is_post = exchange->post;
+  if (path == "/peer/beat" && is_post) return peer_gossip_.handle_request(exchange);
+  if (path == "/peer/report" && is_post)
+    return heartbeat_relay_.handle_relayed(exchange, [this](const net::ExchangePtr& relayed) {
+      worker_api_.handle_heartbeat(relayed, HeartbeatPath::relayed);
     });
-  if (ex->path == "/links" && !ex->post) return ex->send({200, heartbeat_relay_.describe(), 0});
-  if (ex->path == "/metrics" && !ex->post) return ex->send({200, metrics(), 0});
-  if (ex->path == "/levels") return schema_.handle_request(ex);
-  ex->send({404, "{}", 0});
+  if (path == "/links" && !is_post) return exchange->send({200, heartbeat_relay_.describe(), 0});
+  if (path == "/metrics" && !is_post) return exchange->send({200, metrics(), 0});
+  if (path == "/levels") return schema_.handle_request(exchange);
+  exchange->send({404, "{}", 0});
+}
+
+// Messages and stored values that could not be decoded.
+std::uint64_t Controller::malformed() const {
+  std::uint64_t count = worker_api_.malformed() + peer_gossip_.malformed() +
+                        heartbeat_relay_.malformed() + state_store_.cache().malformed();
+  for (const auto& controller : components_.shard_controllers) count += controller->malformed();
+  return count;
 }
 
 std::string Controller::metrics() const {
+  using nlohmann::json;
   const auto cost = state_client_.cost();
-  const state::StateCache& world = state_store_.cache();
-  std::uint64_t garbage = worker_api_.malformed() + peer_gossip_.malformed() +
-                          heartbeat_relay_.malformed() + world.malformed();
-  for (const auto& r : components_.shard_controllers) garbage += r->malformed();
-  nlohmann::json j = {{"node", components_.settings.node},
-                      {"revision", world.revision()},
-                      {"jobs", world.jobs().size()},
-                      {"machines", world.machines().size()},
-                      {"submissions", user_api_.submissions()},
-                      {"refused", user_api_.refused()},
-                      {"waiting", world.waiting().size()},
-                      {"made_ready", job_results_.made_ready()},
-                      {"ended_with_others", job_results_.ended_with_others()},
-                      {"state_429", cost.refused},
-                      {"state_too_large", state_client_.limits().refusals()},
-                      {"state_waited_s", cost.waited_s},
-                      {"state_write_rate", cost.write_rate},
-                      {"garbage", garbage},
-                      {"levels", nlohmann::json::parse(schema_.describe())},
-                      {"links", nlohmann::json::parse(heartbeat_relay_.describe())},
-                      {"desks", nlohmann::json::array()}};
-  for (const auto& r : components_.shard_controllers)
-    if (r->scheduler()) j["desks"].push_back(nlohmann::json::parse(r->scheduler()->summary()));
-  return j.dump();
+  const state::StateCache& cache = state_store_.cache();
+  json values = {{"node", components_.settings.node},
+                 {"revision", cache.revision()},
+                 {"jobs", cache.jobs().size()},
+                 {"machines", cache.machines().size()},
+                 {"submissions", user_api_.submissions()},
+                 {"refused", user_api_.refused()},
+                 {"waiting", cache.waiting().size()},
+                 {"made_ready", job_results_.made_ready()},
+                 {"ended_with_others", job_results_.ended_with_others()},
+                 {"state_429", cost.refused},
+                 {"state_too_large", state_client_.limits().refusals()},
+                 {"state_waited_s", cost.waited_s},
+                 {"state_write_rate", cost.write_rate},
+                 {"garbage", malformed()},
+                 {"levels", json::parse(schema_.describe())},
+                 {"links", json::parse(heartbeat_relay_.describe())},
+                 {"desks", json::array()}};
+  for (const auto& controller : components_.shard_controllers)
+    if (controller->scheduler())
+      values["desks"].push_back(json::parse(controller->scheduler()->summary()));
+  return values.dump();
 }
 
 }  // namespace shunttrail::controller
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,6 +1,7 @@
-// One controller: its parts, wired together, and its two doors.
+/// One controller: its parts, wired together, and its two HTTP servers.
 #pragma once
-#include <memory>
+#include <cstdint>
+#include <string>
 
 #include "actor/loop.h"
 #include "config/settings.h"
@@ -21,24 +22,33 @@
 
 namespace shunttrail::controller {
 
+/// Owns the parts, gives each its regular tick, and hands requests to them: those of users and
+/// workers from the public server, those of siblings and operators from the internal one.
 class Controller : public actor::Actor {
  public:
-  Controller(actor::Loop& loop, const config::Settings& s, const config::Tuning& t,
+  /// `settings` and `tuning` have to outlive the controller.
+  Controller(actor::Loop& loop, const config::Settings& settings, const config::Tuning& tuning,
              schema::Build build = schema::current_build());
-  // This node owns the shard, and its scheduler is open.
-  bool leads(int shard) const { return components_.shard_controller(shard).scheduler() != nullptr; }
+
+  /// Whether this node leads the shard and its scheduler is open.
+  [[nodiscard]] bool leads(int shard) const {
+    return components_.shard_controller(shard).scheduler() != nullptr;
+  }
 
  private:
+  void set_components(actor::Loop& loop);
   void tick();
-  void log();
-  void serve_public(const net::ExchangePtr& ex);
-  void serve_internal(const net::ExchangePtr& ex);
-  std::string metrics() const;
+  void log_status();
+  void serve_public(const net::ExchangePtr& exchange);
+  void serve_internal(const net::ExchangePtr& exchange);
+  [[nodiscard]] std::string metrics() const;
+  [[nodiscard]] std::uint64_t malformed() const;
 
   state::Client state_client_;
   ControllerComponents components_;
   StateStore state_store_;
-  // Told of changes in this order: the level, what jobs await, who is alive, then the shards.
+  // Told of changes in this order: the schema version, the dependencies between jobs, the members,
+  // then the shards.
   SchemaManager schema_;
   JobResults job_results_;
   Membership membership_;
@@ -48,9 +58,10 @@
   HeartbeatRelay heartbeat_relay_;
   UserApi user_api_;
   WorkerApi worker_api_;
-  double log_at_ = 0;
+  double next_log_at_ = 0;
   actor::Timer timer_;
-  net::Server public_server_, internal_server_;
+  net::Server public_server_;
+  net::Server internal_server_;
 };
 
 }  // namespace shunttrail::controller
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -3,108 +3,125 @@
 #include <spdlog/spdlog.h>
 
 #include <nlohmann/json.hpp>
+#include <utility>
 
 #include "peer/peer.h"
 #include "wire/codec.h"
 
 namespace shunttrail::controller {
 namespace {
-constexpr double kWithin = 2.5;   // of the 4 s that a worker waits
-constexpr std::size_t kOut = 48;  // reports on their way to one sibling; none wait for that
+/// For a sibling's response, of the 4 s that a worker waits.
+constexpr double kRelayTimeoutS = 2.5;
+/// Heartbeats in flight to one sibling; none are queued beyond that.
+constexpr std::size_t kMaxInFlight = 48;
+constexpr std::size_t kMaxQueued = 0;
+/// The version of relayed heartbeats that this build sends.
+constexpr std::uint32_t kRelayVersion = 1;
 }  // namespace
 
-HeartbeatRelay::HeartbeatRelay(actor::Loop& loop, ControllerComponents& parts)
-    : Actor(loop), components_(parts), counts_(parts.settings.nodes.size()) {
-  for (const auto& n : components_.settings.nodes) {
+HeartbeatRelay::HeartbeatRelay(actor::Loop& loop, ControllerComponents& components)
+    : Actor(loop), components_(components), counters_(components.settings.nodes.size()) {
+  for (const auto& node : components_.settings.nodes) {
     clients_.emplace_back();
-    for (const auto& p : components_.settings.peers)
-      if (p.node == n) clients_.back() = std::make_unique<net::Client>(loop, p.addr, kOut, 0);
+    for (const auto& peer : components_.settings.peers)
+      if (peer.node == node)
+        clients_.back() = std::make_unique<net::Client>(loop, peer.addr, kMaxInFlight, kMaxQueued);
   }
 }
 
-void HeartbeatRelay::route_heartbeat(net::ExchangePtr ex, std::string machine,
-                                     relay::RelayRoutes::Order order, int zone, int owner) {
-  post([this, ex, machine = std::move(machine), order, zone, owner] {
-    decide(ex, machine, order, zone, owner);
+void HeartbeatRelay::route_heartbeat(net::ExchangePtr exchange, std::string machine,
+                                     relay::RelayRoutes::Order order, int zone, int leader) {
+  post([this, exchange = std::move(exchange), machine = std::move(machine), order, zone, leader] {
+    route(exchange, machine, order, zone, leader);
   });
 }
 
-void HeartbeatRelay::decide(const net::ExchangePtr& ex, const std::string& machine,
-                            relay::RelayRoutes::Order order, int zone, int owner) {
-  const bool other = owner >= 0 && owner != components_.settings.self;
-  const std::string to = other ? components_.settings.nodes[static_cast<std::size_t>(owner)] : "";
-  auto way = relay::Decision::redirect;
-  if (other && components_.tuning.relay)
-    way = routes_.decide(machine, order, zone, owner, loop_.now());
-  switch (way) {
+void HeartbeatRelay::route(const net::ExchangePtr& exchange, const std::string& machine,
+                           relay::RelayRoutes::Order order, int zone, int leader) {
+  const bool is_other_node = leader >= 0 && leader != components_.settings.self;
+  auto decision = relay::Decision::redirect;
+  if (is_other_node && components_.tuning.relay)
+    decision = routes_.decide(machine, order, zone, leader, loop_.now());
+  switch (decision) {
     case relay::Decision::redirect:
-      return ex->send({421, wire::encode_redirect(to), 0});
+      return exchange->send(
+          {421, wire::encode_redirect(is_other_node ? node_name(leader) : std::string()), 0});
     case relay::Decision::refuse:
-      return ex->send({503, "{}", 0});
+      return exchange->send({503, "{}", 0});
     case relay::Decision::relay:
-      return relay_to(ex, owner);
+      return relay_to(exchange, leader);
   }
 }
 
-void HeartbeatRelay::relay_to(const net::ExchangePtr& ex, int owner) {
-  const auto n = static_cast<std::size_t>(owner);
-  ++counts_[n].relayed;
-  std::string body = peer::encode(peer::RelayedHeartbeat{1, components_.settings.self, ex->body});
-  clients_[n]->request("POST", "/peer/report", std::move(body), kWithin,
-                       reply<net::Result>([this, ex, owner, n](net::Result r) {
-                         const double now = loop_.now();
-                         routes_.relayed(owner, r.status != 0, now);
-                         if (r.status == 0) ++counts_[n].unanswered;
-                         // 404, 400: a build that takes no reports from siblings, or none of this
-                         // version.
-                         if (r.status == 404 || r.status == 400) {
-                           spdlog::info("{} takes no reports passed on",
-                                        components_.settings.nodes[n]);
-                           routes_.unavailable(owner, now);
-                         }
-                         if (r.status == 200 || r.status == 421)
-                           ex->send({r.status, std::move(r.body), 0});
-                         else
-                           ex->send({503, "{}", 0});
-                       }));
+void HeartbeatRelay::relay_to(const net::ExchangePtr& exchange, int leader) {
+  ++counters(leader).relayed;
+  std::string body = peer::encode(
+      peer::RelayedHeartbeat{kRelayVersion, components_.settings.self, exchange->body});
+  clients_[static_cast<std::size_t>(leader)]->request(
+      "POST", "/peer/report", std::move(body), kRelayTimeoutS,
+      reply<net::Result>([this, exchange, leader](net::Result response) {
+        on_response(exchange, leader, std::move(response));
+      }));
 }
 
-void HeartbeatRelay::handle_relayed(const net::ExchangePtr& ex,
+void HeartbeatRelay::on_response(const net::ExchangePtr& exchange, int leader,
+                                 net::Result response) {
+  const double now = loop_.now();
+  const bool is_answered = response.status != 0;
+  routes_.relayed(leader, is_answered, now);
+  if (!is_answered) ++counters(leader).unanswered;
+  // The sibling's build takes no relayed heartbeats (404), or none of this version (400).
+  const bool is_unsupported = response.status == 404 || response.status == 400;
+  if (is_unsupported) {
+    spdlog::info("{} takes no relayed heartbeats", node_name(leader));
+    routes_.unavailable(leader, now);
+  }
+  const bool is_for_worker = response.status == 200 || response.status == 421;
+  if (is_for_worker)
+    exchange->send({response.status, std::move(response.body), 0});
+  else
+    exchange->send({503, "{}", 0});
+}
+
+void HeartbeatRelay::handle_relayed(const net::ExchangePtr& exchange,
                                     const std::function<void(net::ExchangePtr)>& then) {
-  auto p = peer::decode_relayed(ex->body, components_.settings.shards());
-  if (!p) {
+  auto relayed = peer::decode_relayed(exchange->body, components_.settings.shards());
+  if (!relayed) {
     ++malformed_;
-    return ex->send({400, "{}", 0});
+    return exchange->send({400, "{}", 0});
   }
-  ++counts_[static_cast<std::size_t>(p->node)].taken;
-  ex->body = std::move(p->heartbeat);
-  then(ex);
+  ++counters(relayed->node).taken;
+  exchange->body = std::move(relayed->heartbeat);
+  then(exchange);
 }
 
 std::string HeartbeatRelay::describe() const {
   using nlohmann::json;
+  const config::Settings& settings = components_.settings;
   const double now = loop_.now();
-  json cut = json::array(), siblings = json::array();
-  for (const auto& [key, d] : routes_.open())
-    cut.push_back(
-        {{"to", components_.settings.nodes[static_cast<std::size_t>(key.first)]},
-         {"workers_in", key.second < 0
-                            ? std::string()
-                            : components_.settings.zones[static_cast<std::size_t>(key.second)]},
-         {"state", "cut"},
-         {"since_s", now - d.since},
-         {"by", components_.settings.node}});
-  for (std::size_t n = 0; n < counts_.size(); ++n) {
-    const Count& c = counts_[n];
-    if (clients_[n])
-      siblings.push_back({{"to", components_.settings.nodes[n]},
-                          {"passed", c.relayed},
-                          {"unanswered", c.unanswered},
-                          {"taken", c.taken}});
+  json links = json::array();
+  for (const auto& [leader_and_zone, open_route] : routes_.open()) {
+    const auto [leader, zone] = leader_and_zone;
+    const std::string zone_name =
+        zone < 0 ? std::string() : settings.zones[static_cast<std::size_t>(zone)];
+    links.push_back({{"to", node_name(leader)},
+                     {"workers_in", zone_name},
+                     {"state", "cut"},
+                     {"since_s", now - open_route.since},
+                     {"by", settings.node}});
+  }
+  json siblings = json::array();
+  for (std::size_t node = 0; node < counters_.size(); ++node) {
+    if (!clients_[node]) continue;
+    const Counters& count = counters_[node];
+    siblings.push_back({{"to", settings.nodes[node]},
+                        {"passed", count.relayed},
+                        {"unanswered", count.unanswered},
+                        {"taken", count.taken}});
   }
-  return json{{"node", components_.settings.node},
+  return json{{"node", settings.node},
               {"relay", components_.tuning.relay},
-              {"links", std::move(cut)},
+              {"links", std::move(links)},
               {"reports", std::move(siblings)}}
       .dump();
 }
--- a/src/controller/inventory.cpp
+++ b/src/controller/inventory.cpp
@@ -6,183 +6,242 @@
 #include <set>
 
 #include "controller/cloud_manager.h"
-#include "controller/membership.h"
 #include "controller/schema_manager.h"
 #include "controller/shard_controller.h"
 
 namespace shunttrail::controller {
 namespace {
-constexpr std::size_t kPagesPerTxn = 6;
-constexpr int kUneven = 4;  // a shard with so many more machines than another takes no more
+using scheduler::InventoryChange;
+
+constexpr char kTagLetter = 'm';
+/// Pages that one transaction changes.
+constexpr std::size_t kMaxPagesPerTransaction = 6;
+/// A shard with so many more machines than the one with the fewest adopts none.
+constexpr int kMaxShardImbalance = 4;
+constexpr double kCommitTimeoutS = 3;
+/// Nodes that race for a page come back at different times, so far apart.
+constexpr double kRetryStepS = 0.1;
+
+// Machines rented together have names that end in consecutive numbers: these spread them evenly.
+std::size_t spread_key(const std::string& machine) {
+  const auto digits = machine.find_last_not_of("0123456789") + 1;
+  if (digits < machine.size()) return std::strtoull(machine.c_str() + digits, nullptr, 10);
+  return std::hash<std::string>{}(machine);
+}
 }  // namespace
 
-Inventory::Inventory(actor::Loop& loop, ControllerComponents& parts)
-    : Actor(loop), components_(parts) {}
+bool Inventory::Batch::has_room() const {
+  return transaction.ops.size() < std::min(kMaxPagesPerTransaction, limits.ops);
+}
+
+Inventory::Inventory(actor::Loop& loop, ControllerComponents& components)
+    : Actor(loop), components_(components), tags_(components, kTagLetter) {}
 
 void Inventory::tick() {
   post([this] { write_next(); });
 }
-void Inventory::adopt_orphan(wire::MachineRecord found) {
-  post([this, found = std::move(found)] { add_orphan(found); });
+
+void Inventory::adopt_orphan(wire::MachineRecord machine) {
+  post([this, machine = std::move(machine)] { add_orphan(machine); });
 }
+
 void Inventory::drop(std::string machine) {
   post([this, machine = std::move(machine)] {
-    pending_changes_.insert_or_assign(
-        machine, scheduler::InventoryChange{
-                     scheduler::InventoryChange::drop, {machine, {}, {}, false, 0, 0, 0}, 0});
+    InventoryChange change;
+    change.kind = InventoryChange::drop;
+    change.machine.name = machine;
+    pending_changes_.insert_or_assign(machine, std::move(change));
   });
 }
 
-void Inventory::add_orphan(const wire::MachineRecord& found) {
-  if (pending_changes_.contains(found.name)) return;
-  const int shards = components_.settings.shards();
-  std::vector<int> have(static_cast<std::size_t>(shards), 0);
+// ---- adoption
+
+void Inventory::add_orphan(const wire::MachineRecord& machine) {
+  if (pending_changes_.contains(machine.name)) return;
+  InventoryChange change;
+  change.kind = InventoryChange::add;
+  change.machine = machine;
+  change.machine.shard = shard_for_orphan(machine.name);
+  pending_changes_.emplace(machine.name, std::move(change));
+}
+
+// Several nodes adopt at once when a fleet is found running, so the choice rests on the machine's
+// name; but a shard that has far fewer machines comes first.
+int Inventory::shard_for_orphan(const std::string& machine) const {
+  const std::vector<int> counts = machines_by_shard();
+  const auto fewest = std::min_element(counts.begin(), counts.end());
+  const std::size_t preferred = spread_key(machine) % counts.size();
+  if (counts[preferred] > *fewest + kMaxShardImbalance)
+    return static_cast<int>(fewest - counts.begin());
+  return static_cast<int>(preferred);
+}
+
+// Including those that are to be added.
+std::vector<int> Inventory::machines_by_shard() const {
+  std::vector<int> counts(static_cast<std::size_t>(components_.settings.shards()), 0);
   auto count = [&](int shard) {
-    if (shard < shards) ++have[static_cast<std::size_t>(shard)];
+    if (shard < components_.settings.shards()) ++counts[static_cast<std::size_t>(shard)];
   };
-  for (const auto& [n, m] : components_.state_store->cache().machines()) count(m.shard);
-  for (const auto& [n, w] : pending_changes_)
-    if (w.kind == scheduler::InventoryChange::add) count(w.machine.shard);
-  // Several nodes adopt at once when a fleet is found running: its names spread it evenly.
-  auto least = std::min_element(have.begin(), have.end());
-  std::size_t first = std::hash<std::string>{}(found.name) % have.size();
-  if (auto digits = found.name.find_last_not_of("0123456789") + 1; digits < found.name.size())
-    first = std::strtoull(found.name.c_str() + digits, nullptr, 10) % have.size();
-  scheduler::InventoryChange w;
-  w.machine = found;
-  // A shard that has far fewer comes first.
-  w.machine.shard = static_cast<int>(have[first] > *least + kUneven ? least - have.begin()
-                                                                    : static_cast<long>(first));
-  pending_changes_.emplace(found.name, std::move(w));
+  for (const auto& [name, machine] : components_.state_store->cache().machines())
+    count(machine.shard);
+  for (const auto& [name, change] : pending_changes_)
+    if (change.kind == InventoryChange::add) count(change.machine.shard);
+  return counts;
+}
+
+// ---- writing
+
+bool Inventory::can_write() const {
+  return components_.state_store->loaded() && !is_commit_in_flight_ && loop_.now() >= retry_at_ &&
+         components_.schema->may_serve();
 }
 
 void Inventory::write_next() {
-  if (!components_.state_store->loaded() || commit_in_flight_ || loop_.now() < retry_after_ ||
-      !components_.schema->may_serve())
-    return;
+  if (!can_write()) return;
   collect_changes();
-  wire::Transaction t;
-  const std::string tag = components_.membership->tag('m', ++tags_);
-  const state::TransactionLimits size = components_.state_client.limits().present();
-  std::map<int, std::vector<std::string>> pages;
-  for (const auto& [name, w] : pending_changes_) pages[state::inventory_page(name)].push_back(name);
-  for (const auto& [page, names] : pages) {
-    if (t.ops.size() >= std::min(kPagesPerTxn, size.ops)) break;
-    shard::InventoryPage here(components_.state_store->cache(), page);
-    Preconditions owners;
-    if (apply_changes(here, names, owners)) append_page(t, here, std::move(owners), size, tag);
-  }
-  // Conversion takes what the rate leaves over.
-  auto urgency = state::RequestPriority::work;
-  if (t.ops.empty() && components_.schema->converts()) {
-    urgency = state::RequestPriority::sweep;
-    convert(t, size, tag);
+  Batch batch{{}, components_.state_client.limits().present(), tags_.next()};
+  append_changes(batch);
+  auto priority = state::RequestPriority::work;
+  if (batch.transaction.ops.empty() && components_.schema->converts()) {
+    // Conversion takes what the write rate leaves over.
+    priority = state::RequestPriority::sweep;
+    append_conversions(batch);
   }
-  if (t.ops.empty()) return;
-  commit_in_flight_ = true;
+  if (!batch.transaction.ops.empty()) commit(std::move(batch.transaction), priority);
+}
+
+void Inventory::commit(wire::Transaction transaction, state::RequestPriority priority) {
+  is_commit_in_flight_ = true;
   components_.state_store->resolve_unknown_commit(
-      std::move(t), urgency, 3, reply<state::CommitResult>([this](state::CommitResult c) {
-        commit_in_flight_ = false;
-        // Lost a race, or not known: what was read since decides anew. Nodes that
-        // race for a page come back at different times.
-        if (c.kind != state::CommitResult::applied)
-          retry_after_ = loop_.now() + 0.1 * (1 + components_.settings.self);
+      std::move(transaction), priority, kCommitTimeoutS,
+      reply<state::CommitResult>([this](const state::CommitResult& result) {
+        is_commit_in_flight_ = false;
+        // It lost a race, or its outcome is not known: what was read since decides anew.
+        if (result.kind != state::CommitResult::applied)
+          retry_at_ = loop_.now() + kRetryStepS * (1 + components_.settings.self);
       }));
 }
 
+bool Inventory::is_pending(const std::string& machine, InventoryChange::Kind kind,
+                           int shard) const {
+  auto pending = pending_changes_.find(machine);
+  return pending != pending_changes_.end() && pending->second.kind == kind &&
+         pending->second.machine.shard == shard;
+}
+
+// Takes over what the schedulers of this node's shards ask for.
 void Inventory::collect_changes() {
-  const double now = loop_.now();
-  for (auto& r : components_.shard_controllers)
-    if (r->scheduler())
-      for (auto& w : r->scheduler()->inventory_changes(
-               [this](const std::string&name, scheduler::InventoryChange::Kind kind, int shard) {
-                 auto known = pending_changes_.find(name);
-                 return known != pending_changes_.end() && known->second.kind == kind &&
-                        known->second.machine.shard == shard;
-               })) {
-        const std::string name = w.machine.name;
-        if (w.kind == scheduler::InventoryChange::add)
-          w.machine.rented_at = loop_.wall_now() - (now - w.rented_at);
-        pending_changes_.insert_or_assign(name, std::move(w));
-      }
-}
-
-// Wishes for one page's machines; what is over by now is forgotten. True if something is left.
-bool Inventory::apply_changes(shard::InventoryPage& here, const std::vector<std::string>& names,
-                              Preconditions& owners) {
-  bool changed = false;
-  for (const auto& name : names) {
-    const scheduler::InventoryChange& w = pending_changes_.at(name);
-    const wire::MachineRecord* m = here.find(name);
-    bool over = false;
-    switch (w.kind) {
-      case scheduler::InventoryChange::add:
-        over = m != nullptr;  // here already, perhaps as another's
-        if (!over) here.set(w.machine);
-        break;
-      case scheduler::InventoryChange::drop:
-        over = m == nullptr;
-        if (!over) here.drop(name);
-        break;
-      case scheduler::InventoryChange::transfer: {
-        // Only its shard's owner gives a machine away, and only while it is the owner. The
-        // scheduler is asked now: the one that wished it may be closed, and its successor have work
-        // there.
-        over = !m || m->shard >= components_.settings.shards();
-        if (over) break;
-        const scheduler::ShardScheduler* giver = components_.shard_controller(m->shard).scheduler();
-        const int to = giver ? giver->transfer_target(name) : -1;
-        over = to < 0 || to == m->shard;
-        if (over) break;
-        owners.emplace_back(state::leader_key(m->shard), giver->token());
-        wire::MachineRecord given = *m;
-        given.shard = to;
-        given.token = giver->token();
-        here.set(given);
-        break;
-      }
+  auto is_known = [this](const std::string& machine, InventoryChange::Kind kind, int shard) {
+    return is_pending(machine, kind, shard);
+  };
+  for (const auto& controller : components_.shard_controllers) {
+    if (!controller->scheduler()) continue;
+    for (auto& change : controller->scheduler()->inventory_changes(is_known)) {
+      const std::string name = change.machine.name;
+      if (change.kind == InventoryChange::add)
+        change.machine.rented_at = loop_.wall_now() - (loop_.now() - change.rented_at);
+      pending_changes_.insert_or_assign(name, std::move(change));
     }
-    if (over)
-      pending_changes_.erase(name);
+  }
+}
+
+void Inventory::append_changes(Batch& batch) {
+  std::map<int, std::vector<std::string>> machines_by_page;
+  for (const auto& [name, change] : pending_changes_)
+    machines_by_page[state::inventory_page(name)].push_back(name);
+  for (const auto& [number, machines] : machines_by_page) {
+    if (!batch.has_room()) break;
+    shard::InventoryPage page(components_.state_store->cache(), number);
+    Preconditions leaders;
+    if (apply_changes(page, machines, leaders)) append_page(batch, page, std::move(leaders));
+  }
+}
+
+// Pages that stand in another form than the active schema version's. Each transaction converts a
+// few; one that fails, or whose node dies, leaves them as they were.
+void Inventory::append_conversions(Batch& batch) {
+  const state::StateCache& cache = components_.state_store->cache();
+  std::set<int> bases;  // the parts of a page are converted together
+  for (const int part : cache.inventory_to_convert()) {
+    if (!batch.has_room()) break;
+    const int base = state::inventory_base(part);
+    if (!bases.insert(base).second) continue;
+    shard::InventoryPage page(cache, base);
+    page.convert();
+    append_page(batch, page, {});
+  }
+}
+
+// Applies the pending changes of these machines, all of one page; obsolete ones are forgotten. True
+// if the page has changed. `leaders`: further preconditions of the page's write.
+bool Inventory::apply_changes(shard::InventoryPage& page, const std::vector<std::string>& machines,
+                              Preconditions& leaders) {
+  bool is_changed = false;
+  for (const auto& name : machines) {
+    if (apply_change(page, pending_changes_.at(name), leaders) == Outcome::applied)
+      is_changed = true;
     else
-      changed = true;
+      pending_changes_.erase(name);
   }
-  return changed;
-}
-
-// Puts a page's changes into the transaction, if there is room for them.
-void Inventory::append_page(wire::Transaction& t, shard::InventoryPage& here, Preconditions owners,
-                            const state::TransactionLimits& size, const std::string& tag) {
-  here.record_ages(
-      [this](const std::string& name) { return components_.cloud_manager->rented_at(name); });
-  wire::Transaction mine = here.changes(size.value_bytes, tag);
-  for (auto& g : owners) mine.preconditions.push_back(std::move(g));
-  std::erase_if(mine.preconditions, [&](const auto& g) {
-    return std::find(t.preconditions.begin(), t.preconditions.end(), g) != t.preconditions.end();
-  });
-  // A page that has to be parted takes several changes; another one may have room beside it.
-  if (t.ops.size() + mine.ops.size() > size.ops ||
-      t.preconditions.size() + mine.preconditions.size() > size.preconditions)
-    return;
-  for (auto& g : mine.preconditions)
-    if (std::find(t.preconditions.begin(), t.preconditions.end(), g) == t.preconditions.end())
-      t.preconditions.push_back(std::move(g));
-  for (auto& op : mine.ops) t.ops.push_back(std::move(op));
-}
-
-// Pages that stand in another form than the active level's. Each transaction brings a few over; one
-// that fails, or whose node dies, leaves them as they were.
-void Inventory::convert(wire::Transaction& t, const state::TransactionLimits& size,
-                        const std::string& tag) {
-  const state::StateCache& world = components_.state_store->cache();
-  std::set<int> bases;  // parts of a page come over together
-  for (int page : world.inventory_to_convert()) {
-    if (t.ops.size() >= std::min(kPagesPerTxn, size.ops)) break;
-    if (!bases.insert(state::inventory_base(page)).second) continue;
-    shard::InventoryPage here(world, state::inventory_base(page));
-    here.convert();
-    append_page(t, here, {}, size, tag);
+  return is_changed;
+}
+
+Inventory::Outcome Inventory::apply_change(shard::InventoryPage& page,
+                                           const InventoryChange& change, Preconditions& leaders) {
+  const std::string& name = change.machine.name;
+  const bool is_recorded = page.find(name) != nullptr;
+  switch (change.kind) {
+    case InventoryChange::add:
+      if (is_recorded) return Outcome::obsolete;  // perhaps as another shard's
+      page.set(change.machine);
+      return Outcome::applied;
+    case InventoryChange::drop:
+      if (!is_recorded) return Outcome::obsolete;
+      page.drop(name);
+      return Outcome::applied;
+    case InventoryChange::transfer:
+      return apply_transfer(page, name, leaders);
   }
+  return Outcome::obsolete;
+}
+
+// Only the leader of its shard gives a machine away, and only while it leads. Its scheduler is
+// asked now: the one that made the change may be closed, and its successor have work there.
+Inventory::Outcome Inventory::apply_transfer(shard::InventoryPage& page, const std::string& machine,
+                                             Preconditions& leaders) {
+  const wire::MachineRecord* recorded = page.find(machine);
+  if (!recorded || recorded->shard >= components_.settings.shards()) return Outcome::obsolete;
+  const int from = recorded->shard;
+  const scheduler::ShardScheduler* giver = components_.shard_controller(from).scheduler();
+  const int to = giver ? giver->transfer_target(machine) : -1;
+  if (to < 0 || to == from) return Outcome::obsolete;
+  leaders.emplace_back(state::leader_key(from), giver->token());
+  wire::MachineRecord given = *recorded;
+  given.shard = to;
+  given.token = giver->token();
+  page.set(given);
+  return Outcome::applied;
+}
+
+// Puts the page's changes into the transaction, if there is room for them.
+void Inventory::append_page(Batch& batch, shard::InventoryPage& page, Preconditions leaders) {
+  page.record_ages(
+      [this](const std::string& machine) { return components_.cloud_manager->rented_at(machine); });
+  wire::Transaction& all = batch.transaction;
+  auto is_in_batch = [&](const auto& precondition) {
+    return std::find(all.preconditions.begin(), all.preconditions.end(), precondition) !=
+           all.preconditions.end();
+  };
+  wire::Transaction changes = page.changes(batch.limits.value_bytes, batch.tag);
+  for (auto& leader : leaders) changes.preconditions.push_back(std::move(leader));
+  std::erase_if(changes.preconditions, is_in_batch);
+  // A page that has to be split takes several operations; another one may have room beside it.
+  if (all.ops.size() + changes.ops.size() > batch.limits.ops ||
+      all.preconditions.size() + changes.preconditions.size() > batch.limits.preconditions)
+    return;
+  for (auto& precondition : changes.preconditions)
+    if (!is_in_batch(precondition)) all.preconditions.push_back(std::move(precondition));
+  for (auto& op : changes.ops) all.ops.push_back(std::move(op));
 }
 
 }  // namespace shunttrail::controller
--- a/src/controller/inventory.h
+++ b/src/controller/inventory.h
@@ -1,42 +1,71 @@
-// The inventory: which shard each machine belongs to. Its pages are shared by all nodes, so every
-// write is conditional on its page's revision, and what failed is decided anew from what is there
-// then.
+/// The inventory: which shard each machine belongs to.
 #pragma once
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <string>
+#include <utility>
+#include <vector>
 
 #include "controller/components.h"
 #include "controller/state_store.h"
+#include "controller/tag_sequence.h"
 #include "scheduler/shard_scheduler.h"
 #include "shard/inventory_page.h"
 
 namespace shunttrail::controller {
 
+/// Writes machines into the inventory's pages and out of them. All nodes write the same pages, so
+/// every write is conditional on its page's revision, and what failed is decided anew from what is
+/// stored then.
 class Inventory : public actor::Actor {
  public:
-  Inventory(actor::Loop& loop, ControllerComponents& parts);
+  Inventory(actor::Loop& loop, ControllerComponents& components);
+  /// To be called at short, regular intervals.
   void tick();
-  // Nobody's machine has been found: some shard takes it.
-  void adopt_orphan(wire::MachineRecord found);
-  // The cloud has answered its deletion.
+  /// A machine without a record was found: some shard takes it.
+  void adopt_orphan(wire::MachineRecord machine);
+  /// The cloud has confirmed the machine's deletion.
   void drop(std::string machine);
 
  private:
-  void add_orphan(const wire::MachineRecord& found);
   using Preconditions = std::vector<std::pair<std::string, std::uint64_t>>;
+  /// A transaction that is being filled, within the limits of the state service.
+  struct Batch {
+    wire::Transaction transaction;
+    state::TransactionLimits limits;
+    std::string tag;
+    [[nodiscard]] bool has_room() const;
+  };
+  /// What becomes of a pending change.
+  enum class Outcome {
+    applied,   ///< To the page in memory.
+    obsolete,  ///< There is nothing left to be done.
+  };
+  void add_orphan(const wire::MachineRecord& machine);
+  [[nodiscard]] int shard_for_orphan(const std::string& machine) const;
+  [[nodiscard]] std::vector<int> machines_by_shard() const;
   void write_next();
+  [[nodiscard]] bool can_write() const;
+  void commit(wire::Transaction transaction, state::RequestPriority priority);
   void collect_changes();
-  bool apply_changes(shard::InventoryPage& here, const std::vector<std::string>& names,
-                     Preconditions& owners);
-  void append_page(wire::Transaction& t, shard::InventoryPage& here, Preconditions owners,
-                   const state::TransactionLimits& size, const std::string& tag);
-  void convert(wire::Transaction& t, const state::TransactionLimits& size, const std::string& tag);
+  [[nodiscard]] bool is_pending(const std::string& machine, scheduler::InventoryChange::Kind kind,
+                                int shard) const;
+  void append_changes(Batch& batch);
+  void append_conversions(Batch& batch);
+  bool apply_changes(shard::InventoryPage& page, const std::vector<std::string>& machines,
+                     Preconditions& leaders);
+  Outcome apply_change(shard::InventoryPage& page, const scheduler::InventoryChange& change,
+                       Preconditions& leaders);
+  Outcome apply_transfer(shard::InventoryPage& page, const std::string& machine,
+                         Preconditions& leaders);
+  void append_page(Batch& batch, shard::InventoryPage& page, Preconditions leaders);
 
   ControllerComponents& components_;
-  std::map<std::string, scheduler::InventoryChange> pending_changes_;  // by machine
-  bool commit_in_flight_ = false;
-  double retry_after_ = 0;
-  std::uint64_t tags_ = 0;
+  std::map<std::string, scheduler::InventoryChange> pending_changes_;  ///< By machine.
+  bool is_commit_in_flight_ = false;
+  double retry_at_ = 0;
+  TagSequence tags_;
 };
 
 }  // namespace shunttrail::controller
--- a/src/controller/job_results.cpp
+++ b/src/controller/job_results.cpp
@@ -2,51 +2,70 @@
 
 #include <spdlog/spdlog.h>
 
-#include "controller/membership.h"
+#include <memory>
+#include <string_view>
+#include <utility>
+
 #include "controller/schema_manager.h"
 #include "controller/shard_controller.h"
 
 namespace shunttrail::controller {
 namespace {
+constexpr char kTagLetter = 'j';
+/// Final records kept in memory; the oldest are dropped first.
 constexpr std::size_t kFinalsKept = 4000;
-constexpr std::size_t kReadsOut = 6;  // final records that are read ahead at the same time
-constexpr double kReadGap = 0.2;      // after a read that failed
-constexpr double kOwnersTime = 2;     // before others move what the owner should have
-constexpr double kMoveGap = 0.3;      // after a move that failed
-constexpr double kTurn = 0.04;        // what changes make possible is gathered so long
+/// Final records that are read ahead at the same time.
+constexpr std::size_t kMaxReadAhead = 6;
+/// After a read ahead that failed.
+constexpr double kReadRetryDelayS = 0.2;
+/// Before other nodes move a job that its shard's leader should have moved.
+constexpr double kLeaderGraceS = 2;
+/// After a transition that was not applied.
+constexpr double kTransitionRetryDelayS = 0.3;
+constexpr double kTransitionTimeoutS = 3;
+/// Between the first change and what it makes possible: what comes meanwhile shares it.
+constexpr double kAdvanceDelayS = 0.04;
+/// Entries of `movable_since_` beyond twice the movable jobs, before it is cleaned.
+constexpr std::size_t kMovableSlack = 16;
 }  // namespace
 
-JobResults::JobResults(actor::Loop& loop, ControllerComponents& parts)
+JobResults::JobResults(actor::Loop& loop, ControllerComponents& components)
     : Actor(loop),
-      components_(parts),
-      dependencies_(parts.state_store->cache()),
+      components_(components),
+      dependencies_(components.state_store->cache()),
+      tags_(components, kTagLetter),
       advance_timer_(loop, [this] { post([this] { advance(); }); }) {
-  components_.state_store->listen(reply<Changes>([this](Changes c) { changed(*c); }));
+  components_.state_store->listen(
+      reply<Changes>([this](const Changes& changes) { on_changes(*changes); }));
 }
 
 void JobResults::tick() {
   post([this] { advance(); });
 }
+
 void JobResults::schedule_advance() {
-  if (advance_armed_) return;
-  advance_armed_ = true;
-  advance_timer_.after(kTurn);
+  if (is_advance_armed_) return;
+  is_advance_armed_ = true;
+  advance_timer_.after(kAdvanceDelayS);
 }
 
+// ---- final records
+
 const wire::JobResultRecord* JobResults::final(const std::string& id) const {
-  auto f = results_.find(id);
-  return f == results_.end() ? nullptr : &f->second;
+  auto result = results_.find(id);
+  return result == results_.end() ? nullptr : &result->second;
 }
 
-void JobResults::result_written(std::string id, wire::JobResultRecord f) {
-  post([this, id = std::move(id), f = std::move(f)] {
-    remember(id, f);
+void JobResults::result_written(std::string id, wire::JobResultRecord result) {
+  post([this, id = std::move(id), result = std::move(result)] {
+    remember(id, result);
     schedule_advance();
   });
 }
-void JobResults::remember(const std::string& id, const wire::JobResultRecord& f) {
-  dependencies_.job_ended(id, f.cancelled);
-  if (!results_.emplace(id, f).second) return;
+
+void JobResults::remember(const std::string& id, const wire::JobResultRecord& result) {
+  dependencies_.job_ended(id, result.cancelled);
+  if (!results_.emplace(id, result).second) return;
   results_by_age_.push_back(id);
   if (results_by_age_.size() > kFinalsKept) {
     results_.erase(results_by_age_.front());
@@ -57,172 +76,208 @@
 void JobResults::lookup(std::string id, std::function<void(LookupResult)> then) {
   post([this, id = std::move(id), then = std::move(then)] { read(id, then); });
 }
+
+void JobResults::lookup_all(std::vector<std::string> ids, std::function<void(bool)> then) {
+  if (ids.empty()) return then(true);
+  post([this, ids = std::move(ids), then = std::move(then)] {
+    auto pending = std::make_shared<std::size_t>(ids.size());
+    auto are_all_read = std::make_shared<bool>(true);
+    for (const auto& id : ids)
+      read(id, [pending, are_all_read, then](LookupResult result) {
+        *are_all_read &= result != LookupResult::unread;
+        if (--*pending == 0) then(*are_all_read);
+      });
+  });
+}
+
 void JobResults::read(const std::string& id, std::function<void(LookupResult)> then) {
   if (results_.contains(id)) return then(LookupResult::yes);
   if (!reader_.request(id, then)) return then(LookupResult::unread);
-  read_next();
+  send_reads();
 }
-void JobResults::read_next() {
+
+void JobResults::send_reads() {
   while (auto next = reader_.next()) {
     const std::string key = state::job_result_key(next->id);
-    components_.state_client.get(
+    const std::string path =
         next->range ? wire::keys_path(state::kJobResults, jobs::ResultReader::key_before(key))
-                    : "/kv/" + key,
-        state::RequestPriority::user, reply<net::Result>([this, ask = *next](net::Result r) {
-          read_answered(ask, r);
-          this->read_next();
+                    : "/kv/" + key;
+    components_.state_client.get(
+        path, state::RequestPriority::user,
+        reply<net::Result>([this, read = *next](const net::Result& response) {
+          on_read_response(read, response);
+          send_reads();
         }));
   }
 }
-void JobResults::read_answered(const jobs::ResultReader::Read& ask, const net::Result& r) {
+
+void JobResults::on_read_response(const jobs::ResultReader::Read& read,
+                                  const net::Result& response) {
+  if (!read.range && response.status == 404) return reader_.answered(read, {}, false);
+  if (response.status != 200) return reader_.failed(read);
   std::vector<std::string> found;
-  bool more = false;
+  bool has_more = false;
   try {
-    if (!ask.range && r.status == 404) return reader_.answered(ask, found, more);
-    if (r.status != 200) throw wire::Malformed("no answer");
-    if (ask.range) {
-      wire::KeyPage p = wire::decode_keys(r.body);
-      more = p.more;
-      for (const auto& e : p.items) {
-        found.push_back(e.key.substr(std::string(state::kJobResults).size()));
-        // Only what is waited for is kept: the rest would push it out. One that cannot be read is
-        // there all the same, and keeps no other from its answer.
-        if (!e.value || !reader_.is_waiting(found.back())) continue;
-        try {
-          remember(found.back(), wire::decode_job_result(*e.value));
-        } catch (const wire::Malformed& bad) {
-          spdlog::error("{}: {}", e.key, bad.what());
-        }
-      }
+    if (read.range) {
+      const wire::KeyPage page = wire::decode_keys(response.body);
+      has_more = page.more;
+      found = take_range(page);
     } else {
-      remember(ask.id, wire::decode_job_result(*wire::decode_key(r.body).value));
-      found.push_back(ask.id);
+      remember(read.id, wire::decode_job_result(*wire::decode_key(response.body).value));
+      found.push_back(read.id);
     }
   } catch (const wire::Malformed&) {
-    return reader_.failed(ask);
+    return reader_.failed(read);
   }
-  reader_.answered(ask, found, more);
+  reader_.answered(read, found, has_more);
 }
-void JobResults::lookup_all(std::vector<std::string> ids, std::function<void(bool)> then) {
-  if (ids.empty()) return then(true);
-  post([this, ids = std::move(ids), then = std::move(then)] {
-    auto left = std::make_shared<std::size_t>(ids.size());
-    auto ok = std::make_shared<bool>(true);
-    for (const auto& id : ids)
-      read(id, [left, ok, then](LookupResult f) {
-        *ok &= f != LookupResult::unread;
-        if (--*left == 0) then(*ok);
-      });
-  });
+
+// The jobs of the page, all of which have ended. Only records that are waited for are kept: the
+// rest would push these out. One that cannot be decoded is there all the same, and keeps no other
+// from its response.
+std::vector<std::string> JobResults::take_range(const wire::KeyPage& page) {
+  constexpr std::string_view kPrefix = state::kJobResults;
+  std::vector<std::string> found;
+  for (const auto& item : page.items) {
+    found.push_back(item.key.substr(kPrefix.size()));
+    if (!item.value || !reader_.is_waiting(found.back())) continue;
+    try {
+      remember(found.back(), wire::decode_job_result(*item.value));
+    } catch (const wire::Malformed& error) {
+      spdlog::error("{}: {}", item.key, error.what());
+    }
+  }
+  return found;
 }
 
+// ---- waiting jobs
+
 // By message, and not read from another actor's turn: what the cache has told this actor comes
 // before what is asked of it. A job below a cancelled one must not be called queued again.
 void JobResults::dependency_states(std::vector<std::string> ids,
                                    std::function<void(DependencyStates)> then) {
   post([this, ids = std::move(ids), then = std::move(then)] {
-    DependencyStates out;
-    for (const auto& id : ids) out.of.push_back(dependencies_.state_of(id, &out.missing));
-    then(std::move(out));
+    DependencyStates states;
+    for (const auto& id : ids) states.of.push_back(dependencies_.state_of(id, &states.missing));
+    then(std::move(states));
   });
 }
 
-// ---- jobs that await others
-
-void JobResults::changed(const std::vector<state::Change>& changes) {
-  for (const auto& c : changes) switch (c.kind) {
+void JobResults::on_changes(const std::vector<state::Change>& changes) {
+  for (const auto& change : changes) {
+    switch (change.kind) {
       case state::Change::job_set:
       case state::Change::job_gone:
       case state::Change::waiting_gone:
-        dependencies_.key_changed(c.name);
+        dependencies_.key_changed(change.name);
         break;
       case state::Change::waiting_set:
-        dependencies_.key_changed(c.name);
-        // What it awaits may have ended, and been read for somebody else, before anything awaited
-        // it: what is known is not read again.
-        if (const auto* w = components_.state_store->cache().waiting(c.name))
-          for (const auto& a : w->record.spec.dependencies)
-            if (const auto* f = final(a)) dependencies_.job_ended(a, f->cancelled);
+        on_waiting_set(change.name);
         break;
       default:
         break;
     }
+  }
   send_effective_priorities();
   schedule_advance();
 }
 
+// What the job depends on may have ended, and been read for somebody else, before anything depended
+// on it: what is known is not read again.
+void JobResults::on_waiting_set(const std::string& id) {
+  dependencies_.key_changed(id);
+  const state::JobEntry* job = components_.state_store->cache().waiting(id);
+  if (!job) return;
+  for (const auto& dependency : job->record.spec.dependencies)
+    if (const auto* result = final(dependency))
+      dependencies_.job_ended(dependency, result->cancelled);
+}
+
 void JobResults::send_effective_priorities() {
-  const double now = loop_.now(), wall = loop_.wall_now();
-  const state::StateCache& world = components_.state_store->cache();
+  const double now = loop_.now();
+  const double wall_now = loop_.wall_now();
+  const state::StateCache& cache = components_.state_store->cache();
   for (const auto& id : dependencies_.take_changed()) {
-    const auto* j = world.job(id);
-    int team = j ? components_.settings.team_index(j->record.spec.team) : -1;
+    const state::JobEntry* job = cache.job(id);
+    const int team = job ? components_.settings.team_index(job->record.spec.team) : -1;
     if (team < 0) continue;
-    jobs::EffectivePriority u = dependencies_.effective_priority(id, j->record);
+    const jobs::EffectivePriority effective = dependencies_.effective_priority(id, job->record);
     components_.shard_controller(components_.settings.team_shard[team])
-        .set_effective_priority(id, u.priority, now + (u.due - wall));
+        .set_effective_priority(id, effective.priority, now + (effective.due - wall_now));
   }
 }
 
-// The owner of a job's shard moves it. If it does not, being dead, cut off or of a version that
+// The leader of a job's shard moves it. If it does not, being dead, cut off or of a version that
 // knows no such jobs, the others do, one after the other.
 bool JobResults::may_move(const std::string& id) {
-  const auto* j = components_.state_store->cache().waiting(id);
-  if (!j) return false;
-  double now = loop_.now();
-  double since = move_since_.try_emplace(id, now).first->second;
-  int team = components_.settings.team_index(j->record.spec.team);
+  const state::JobEntry* job = components_.state_store->cache().waiting(id);
+  if (!job) return false;
+  const double now = loop_.now();
+  const double since = movable_since_.try_emplace(id, now).first->second;
+  const int team = components_.settings.team_index(job->record.spec.team);
   if (team >= 0 && components_.shard_controller(components_.settings.team_shard[team]).scheduler())
     return true;
-  return now - since > kOwnersTime + components_.settings.self;
+  return now - since > kLeaderGraceS + components_.settings.self;
 }
 
 void JobResults::advance() {
-  advance_armed_ = false;
+  is_advance_armed_ = false;
   const StateStore& store = *components_.state_store;
   if (!store.loaded()) return;
-  const double now = loop_.now();
-  if (now >= read_after_)
-    for (const auto& id : dependencies_.unread()) {
-      if (reading_.size() >= kReadsOut) break;
-      if (results_.contains(id) || !reading_.insert(id).second) continue;
-      read(id, [this, id](LookupResult f) {
-        reading_.erase(id);
-        if (f != LookupResult::yes) read_after_ = loop_.now() + kReadGap;
-        schedule_advance();
-      });
-    }
+  if (loop_.now() >= next_read_at_) read_dependencies();
   if (!store.fresh(components_.settings.staleness_bound_s()) || !components_.schema->may_serve())
     return;
-  move_waiting(true);
-  move_waiting(false);
-  if (move_since_.size() > 2 * (dependencies_.ready().size() + dependencies_.doomed().size()) + 16)
-    std::erase_if(move_since_, [&](const auto& m) { return !store.cache().waiting(m.first); });
-}
-
-// Several share a transaction; a cascade over thousands goes on at the rate that is left over.
-void JobResults::move_waiting(bool ready) {
-  TransitionWriter& mover = ready ? ready_writer_ : cancelled_writer_;
-  if (mover.in_flight || loop_.now() < mover.not_before) return;
-  jobs::StateTransitions m =
-      jobs::state_transitions(components_.state_store->cache(), dependencies_, ready,
-                              components_.state_client.limits().transaction_limits(),
-                              loop_.wall_now(), components_.membership->tag('j', ++tags_),
-                              [this](const std::string& id) { return may_move(id); });
-  if (m.txn.ops.empty()) return;
-  mover.in_flight = true;
-  const std::size_t jobs = m.txn.ops.size() / 2;
+  write_transition(Transition::to_ready);
+  write_transition(Transition::to_cancelled);
+  forget_moved_jobs();
+}
+
+// Reads ahead how the jobs ended that waiting ones depend on.
+void JobResults::read_dependencies() {
+  for (const auto& id : dependencies_.unread()) {
+    if (reading_.size() >= kMaxReadAhead) break;
+    if (results_.contains(id) || !reading_.insert(id).second) continue;
+    read(id, [this, id](LookupResult result) {
+      reading_.erase(id);
+      if (result != LookupResult::yes) next_read_at_ = loop_.now() + kReadRetryDelayS;
+      schedule_advance();
+    });
+  }
+}
+
+void JobResults::forget_moved_jobs() {
+  const std::size_t movable = dependencies_.ready().size() + dependencies_.doomed().size();
+  if (movable_since_.size() <= 2 * movable + kMovableSlack) return;
+  const state::StateCache& cache = components_.state_store->cache();
+  std::erase_if(movable_since_, [&](const auto& entry) { return !cache.waiting(entry.first); });
+}
+
+// Several jobs share a transaction; a cascade of cancellations over thousands goes on at the write
+// rate that is left over.
+void JobResults::write_transition(Transition transition) {
+  const bool is_ready = transition == Transition::to_ready;
+  TransitionWriter& writer = is_ready ? ready_writer_ : cancelled_writer_;
+  if (writer.is_in_flight || loop_.now() < writer.retry_at) return;
+  jobs::StateTransitions transitions = jobs::state_transitions(
+      components_.state_store->cache(), dependencies_, is_ready,
+      components_.state_client.limits().transaction_limits(), loop_.wall_now(), tags_.next(),
+      [this](const std::string& id) { return may_move(id); });
+  if (transitions.txn.ops.empty()) return;
+  writer.is_in_flight = true;
+  const std::size_t moved_jobs = transitions.txn.ops.size() / 2;  // each drops a key and sets one
+  const auto priority = is_ready ? state::RequestPriority::work : state::RequestPriority::sweep;
   components_.state_store->resolve_unknown_commit(
-      std::move(m.txn), ready ? state::RequestPriority::work : state::RequestPriority::sweep, 3,
+      std::move(transitions.txn), priority, kTransitionTimeoutS,
       reply<state::CommitResult>(
-          [this, jobs, finals = std::move(m.results), &mover](state::CommitResult c) {
-            mover.in_flight = false;
-            if (c.kind == state::CommitResult::applied) {
-              mover.moved += jobs;
-              for (const auto& [id, f] : finals) remember(id, f);
+          [this, &writer, moved_jobs,
+           results = std::move(transitions.results)](const state::CommitResult& committed) {
+            writer.is_in_flight = false;
+            if (committed.kind == state::CommitResult::applied) {
+              writer.moved_jobs += moved_jobs;
+              for (const auto& [id, result] : results) remember(id, result);
             } else {
-              // Lost a race, or not known: what was read since decides anew.
-              mover.not_before = loop_.now() + kMoveGap;
+              // It lost a race, or its outcome is not known: what was read since decides anew.
+              writer.retry_at = loop_.now() + kTransitionRetryDelayS;
             }
             schedule_advance();
           }));
--- a/src/controller/job_results.h
+++ b/src/controller/job_results.h
@@ -1,7 +1,6 @@
-// How jobs ended, as far as it has been read, and jobs that await others: their way from waiting to
-// ready, or to cancelled, through the state service. Any controller may move one; its shard's owner
-// does so first.
+/// How jobs ended, as far as it has been read, and the transitions of jobs that wait for others.
 #pragma once
+#include <cstdint>
 #include <deque>
 #include <functional>
 #include <set>
@@ -11,52 +10,67 @@
 
 #include "controller/components.h"
 #include "controller/state_store.h"
+#include "controller/tag_sequence.h"
 #include "jobs/dependency_graph.h"
 #include "jobs/result_reader.h"
 
 namespace shunttrail::controller {
 
+/// Reads final records, keeps the latest ones, and moves waiting jobs on to ready or to cancelled
+/// through the state service. Any controller may move a job; its shard's leader does so first.
+/// Callbacks are reply addresses (actor::Actor::reply).
 class JobResults : public actor::Actor {
  public:
-  JobResults(actor::Loop& loop, ControllerComponents& parts);
+  JobResults(actor::Loop& loop, ControllerComponents& components);
+  /// To be called at short, regular intervals.
   void tick();
 
-  // None: not known here.
-  const wire::JobResultRecord* final(const std::string& id) const;
-  const jobs::DependencyGraph& dependencies() const { return dependencies_; }
-  std::uint64_t made_ready() const { return ready_writer_.moved; }
-  std::uint64_t ended_with_others() const { return cancelled_writer_.moved; }
+  /// The job's final record; null: not known here, whether or not there is one.
+  [[nodiscard]] const wire::JobResultRecord* final(const std::string& id) const;
+  [[nodiscard]] const jobs::DependencyGraph& dependencies() const { return dependencies_; }
+  /// Jobs that this node has made ready.
+  [[nodiscard]] std::uint64_t made_ready() const { return ready_writer_.moved_jobs; }
+  /// Jobs that this node has cancelled with a job that they depend on.
+  [[nodiscard]] std::uint64_t ended_with_others() const { return cancelled_writer_.moved_jobs; }
 
-  // What waiting jobs are called, after every change that the cache holds by now; where that cannot
-  // be told, the final records that have to be read first are in `missing`.
+  /// The states of waiting jobs. Where one is unread, `missing` has the jobs whose final records
+  /// have to be read first.
   struct DependencyStates {
-    std::vector<jobs::DependencyGraph::DependencyState> of;
+    std::vector<jobs::DependencyGraph::DependencyState> of;  ///< In the order of the ids asked for.
     std::vector<std::string> missing;
   };
+  /// The states after every change that the cache holds by now.
   void dependency_states(std::vector<std::string> ids, std::function<void(DependencyStates)> then);
-  // A final record that this node has written.
-  void result_written(std::string id, wire::JobResultRecord f);
-  // Whatever is found is known before `then` is told.
+  /// This node has written a final record.
+  void result_written(std::string id, wire::JobResultRecord result);
+
   using LookupResult = jobs::Found;
+  /// Reads one final record. What is found is known (`final`) before `then` is told.
   void lookup(std::string id, std::function<void(LookupResult)> then);
-  // All of them at the same time; `then` learns whether all were answered, found or not.
+  /// Reads several at the same time; `then` is told whether all reads succeeded, found or not.
   void lookup_all(std::vector<std::string> ids, std::function<void(bool)> then);
 
  private:
+  enum class Transition { to_ready, to_cancelled };
+  /// The commits of one kind of transition: one in flight at most.
   struct TransitionWriter {
-    bool in_flight = false;
-    double not_before = 0;
-    std::uint64_t moved = 0;
+    bool is_in_flight = false;
+    double retry_at = 0;
+    std::uint64_t moved_jobs = 0;
   };
-  void changed(const std::vector<state::Change>& changes);
-  void remember(const std::string& id, const wire::JobResultRecord& f);
+  void on_changes(const std::vector<state::Change>& changes);
+  void on_waiting_set(const std::string& id);
+  void remember(const std::string& id, const wire::JobResultRecord& result);
   void read(const std::string& id, std::function<void(LookupResult)> then);
-  void read_next();
-  void read_answered(const jobs::ResultReader::Read& ask, const net::Result& r);
+  void send_reads();
+  void on_read_response(const jobs::ResultReader::Read& read, const net::Result& response);
+  std::vector<std::string> take_range(const wire::KeyPage& page);
   void send_effective_priorities();
   void schedule_advance();
   void advance();
-  void move_waiting(bool ready);
+  void read_dependencies();
+  void write_transition(Transition transition);
+  void forget_moved_jobs();
   bool may_move(const std::string& id);
 
   ControllerComponents& components_;
@@ -64,12 +78,14 @@
   std::unordered_map<std::string, wire::JobResultRecord> results_;
   std::deque<std::string> results_by_age_;
   jobs::ResultReader reader_;
-  std::set<std::string> reading_;                       // final records on their way
-  std::unordered_map<std::string, double> move_since_;  // waiting jobs to be moved, since when
-  TransitionWriter ready_writer_, cancelled_writer_;
-  double read_after_ = 0;
-  std::uint64_t tags_ = 0;
-  bool advance_armed_ = false;
+  std::set<std::string> reading_;  ///< Jobs whose final records are read ahead.
+  /// Waiting jobs that have to be moved, and since when (loop time).
+  std::unordered_map<std::string, double> movable_since_;
+  TransitionWriter ready_writer_;
+  TransitionWriter cancelled_writer_;
+  double next_read_at_ = 0;
+  TagSequence tags_;
+  bool is_advance_armed_ = false;
   actor::Timer advance_timer_;
 };
 
--- a/src/controller/membership.cpp
+++ b/src/controller/membership.cpp
@@ -1,122 +1,157 @@
 #include "controller/membership.h"
 
 #include <algorithm>
+#include <optional>
+#include <utility>
 
 #include "controller/schema_manager.h"
 #include "controller/shard_controller.h"
 
 namespace shunttrail::controller {
 namespace {
-constexpr double kDisplacedGap = 1;  // between registrations over one that is not ours
+/// Between two registrations over a node key that this process did not write.
+constexpr double kOverwriteIntervalS = 1;
+/// The lease is renewed so many times while it lasts.
+constexpr double kRenewalsPerLease = 4;
+/// A commit on the node key that could not be sent by then is given up.
+constexpr double kCommitTimeoutS = 3;
 }  // namespace
 
-Membership::Membership(actor::Loop& loop, ControllerComponents& parts)
-    : Actor(loop), components_(parts), election_(parts.settings) {
-  components_.state_store->listen(reply<Changes>([this](Changes c) { changed(*c); }));
+Membership::Membership(actor::Loop& loop, ControllerComponents& components)
+    : Actor(loop), components_(components), election_(components.settings) {
+  components_.state_store->listen(
+      reply<Changes>([this](const Changes& changes) { on_changes(*changes); }));
 }
 
-std::string Membership::tags() const {
+std::string Membership::tag_prefix() const {
   return components_.settings.node + "." + std::to_string(process_id_) + ".";
 }
+
 std::string Membership::tag(char letter, std::uint64_t n) const {
-  return tags() + letter + std::to_string(n);
+  return tag_prefix() + letter + std::to_string(n);
 }
 
 void Membership::tick() {
   post([this] {
-    renew_node_lease();
+    keep_registered();
     observe();
   });
 }
+
 void Membership::reconsider() {
   post([this] { observe(); });
 }
 
-void Membership::changed(const std::vector<state::Change>& changes) {
-  if (std::any_of(changes.begin(), changes.end(), [](const state::Change& c) {
-        return c.kind == state::Change::leader || c.kind == state::Change::node;
-      }))
-    observe();
+void Membership::on_changes(const std::vector<state::Change>& changes) {
+  const bool concerns_leaders =
+      std::any_of(changes.begin(), changes.end(), [](const state::Change& change) {
+        return change.kind == state::Change::leader || change.kind == state::Change::node;
+      });
+  if (concerns_leaders) observe();
 }
 
 void Membership::observe() {
   if (!components_.state_store->loaded()) return;
   election_.observe(components_.state_store->cache(), loop_.now());
-  for (auto& r : components_.shard_controllers) r->reconsider_leadership();
+  for (const auto& controller : components_.shard_controllers) controller->reconsider_leadership();
 }
 
-void Membership::renew_node_lease() {
-  double now = loop_.now();
-  if (lease_busy_ || !components_.state_store->loaded()) return;
-  // A build that cannot do with the state as it stands is nobody: it is not registered, and if it
-  // was, others need not wait for the hold to end.
+// ---- the lease
+
+void Membership::keep_registered() {
+  if (is_lease_request_in_flight_ || !components_.state_store->loaded()) return;
+  // A build that cannot read the stored state is no member: it is not registered, and if it was,
+  // others need not wait for the lease to end.
   if (!components_.schema->may_serve()) return leave();
-  if (!node_lease_) {
-    lease_busy_ = true;
-    components_.state_client.post("/holds", wire::encode_lease(components_.tuning.node_lease_s),
-                                  state::RequestPriority::safety,
-                                  reply<net::Result>([this](net::Result r) {
-                                    lease_busy_ = false;
-                                    try {
-                                      if (r.status != 200) return;
-                                      node_lease_ = wire::decode_lease(r.body);
-                                    } catch (const wire::Malformed&) {
-                                      return;
-                                    }
-                                    if (!process_id_) process_id_ = node_lease_;
-                                    renew_at_ = loop_.now() + components_.tuning.node_lease_s / 4;
-                                    register_node();
-                                  }));
+  if (!lease_id_) return acquire_lease();
+  restore_node_key();
+  if (loop_.now() >= renew_at_) renew_lease();
+}
+
+double Membership::next_renewal() const {
+  return loop_.now() + components_.tuning.node_lease_s / kRenewalsPerLease;
+}
+
+void Membership::acquire_lease() {
+  is_lease_request_in_flight_ = true;
+  components_.state_client.post(
+      "/holds", wire::encode_lease(components_.tuning.node_lease_s), state::RequestPriority::safety,
+      reply<net::Result>([this](const net::Result& response) { on_lease(response); }));
+}
+
+void Membership::on_lease(const net::Result& response) {
+  is_lease_request_in_flight_ = false;
+  if (response.status != 200) return;
+  try {
+    lease_id_ = wire::decode_lease(response.body);
+  } catch (const wire::Malformed&) {
     return;
   }
-  const std::uint64_t stands =
-      components_.state_store->cache().node_revision(components_.settings.self);
-  // A former self's registration may come late, and another process may have been started under
-  // this name: the key is written anew, but two that do so must not fill the state service.
-  if ((!own_key_revision_ || stands != own_key_revision_) && (!stands || now >= displaced_after_)) {
-    displaced_after_ = now + kDisplacedGap;
-    register_node();
-  }
-  if (now < renew_at_) return;
-  lease_busy_ = true;
-  renew_at_ = now + components_.tuning.node_lease_s / 4;
-  components_.state_client.post("/holds/" + std::to_string(node_lease_) + "/renew", "",
+  if (!process_id_) process_id_ = lease_id_;
+  renew_at_ = next_renewal();
+  register_node();
+}
+
+void Membership::renew_lease() {
+  is_lease_request_in_flight_ = true;
+  renew_at_ = next_renewal();
+  components_.state_client.post("/holds/" + std::to_string(lease_id_) + "/renew", "",
                                 state::RequestPriority::safety,
-                                reply<net::Result>([this](net::Result r) {
-                                  lease_busy_ = false;
-                                  if (r.status == 404) node_lease_ = 0;
+                                reply<net::Result>([this](const net::Result& response) {
+                                  is_lease_request_in_flight_ = false;
+                                  if (response.status == 404) lease_id_ = 0;
                                 }));
 }
 
+// ---- the node key
+
+// The registration of an earlier process of this node may come late, and another process may have
+// been started under this name: the key is written anew, but two that do so must not fill the state
+// service.
+void Membership::restore_node_key() {
+  const std::uint64_t key_revision =
+      components_.state_store->cache().node_revision(components_.settings.self);
+  if (own_key_revision_ && key_revision == own_key_revision_) return;
+  const bool is_taken = key_revision != 0;
+  if (is_taken && loop_.now() < overwrite_after_) return;
+  overwrite_after_ = loop_.now() + kOverwriteIntervalS;
+  register_node();
+}
+
 void Membership::leave() {
   const std::string key = state::node_key(components_.settings.node);
-  const std::uint64_t mod_revision =
+  const std::uint64_t key_revision =
       components_.state_store->cache().node_revision(components_.settings.self);
-  if (registering_ || !mod_revision) return;
-  registering_ = true;
+  if (is_commit_in_flight_ || !key_revision) return;
+  is_commit_in_flight_ = true;
   own_key_revision_ = 0;
-  wire::Transaction t{{{key, mod_revision}}, {{key, std::nullopt, 0}}};
+  wire::Transaction transaction{{{key, key_revision}}, {{key, std::nullopt, 0}}};
   components_.state_store->resolve_unknown_commit(
-      std::move(t), state::RequestPriority::safety, 3,
-      reply<state::CommitResult>([this](state::CommitResult) { registering_ = false; }));
+      std::move(transaction), state::RequestPriority::safety, kCommitTimeoutS,
+      reply<state::CommitResult>(
+          [this](const state::CommitResult&) { is_commit_in_flight_ = false; }));
 }
 
 void Membership::register_node() {
-  if (registering_ || !node_lease_) return;
-  auto t = schema::enroll(components_.state_store->cache().schema(), components_.settings.node,
-                          process_id_, components_.schema->build(), node_lease_);
-  if (!t) return;
-  registering_ = true;
+  if (is_commit_in_flight_ || !lease_id_) return;
+  auto transaction =
+      schema::enroll(components_.state_store->cache().schema(), components_.settings.node,
+                     process_id_, components_.schema->build(), lease_id_);
+  if (!transaction) return;
+  is_commit_in_flight_ = true;
   components_.state_store->resolve_unknown_commit(
-      std::move(*t), state::RequestPriority::safety, 3,
-      reply<state::CommitResult>([this](state::CommitResult r) {
-        registering_ = false;
-        if (r.kind == state::CommitResult::no_lease) node_lease_ = 0;
-        if (r.kind != state::CommitResult::applied) return;
-        own_key_revision_ = r.revision;
-        election_.registered(r.revision, tags());
-        observe();
-      }));
+      std::move(*transaction), state::RequestPriority::safety, kCommitTimeoutS,
+      reply<state::CommitResult>(
+          [this](const state::CommitResult& result) { on_registered(result); }));
+}
+
+void Membership::on_registered(const state::CommitResult& result) {
+  is_commit_in_flight_ = false;
+  if (result.kind == state::CommitResult::no_lease) lease_id_ = 0;
+  if (result.kind != state::CommitResult::applied) return;
+  own_key_revision_ = result.revision;
+  election_.registered(result.revision, tag_prefix());
+  observe();
 }
 
 }  // namespace shunttrail::controller
--- a/src/controller/membership.h
+++ b/src/controller/membership.h
@@ -1,8 +1,8 @@
-// This process among the controllers: the hold that shows it alive, its node key, the names that no
-// other process has, and who owns which shard.
+/// This process among the controllers: its lease, its node key, and who leads which shard.
 #pragma once
 #include <cstdint>
 #include <string>
+#include <vector>
 
 #include "actor/loop.h"
 #include "controller/components.h"
@@ -11,34 +11,47 @@
 
 namespace shunttrail::controller {
 
+/// Keeps the node key under a lease, so that others see that this process lives, and tells the
+/// shard controllers when leadership may have changed. The first lease's id names the process.
 class Membership : public actor::Actor {
  public:
-  Membership(actor::Loop& loop, ControllerComponents& parts);
+  Membership(actor::Loop& loop, ControllerComponents& components);
+  /// To be called at short, regular intervals.
   void tick();
-  // Somebody has news of an owner that the cache may not have yet: the shard controllers look
-  // again.
+  /// A leader may have changed in a way that the cache does not show: the shard controllers check.
   void reconsider();
 
-  const shard::LeaderElection& election() const { return election_; }
-  // The first hold's id: no other process has it. 0: none yet.
-  std::uint64_t process_id() const { return process_id_; }
-  // Names what this process writes; `letter` tells its parts apart, `n` is counted by each.
-  std::string tag(char letter, std::uint64_t n) const;
-  std::string tags() const;  // what all of this process's names begin with
+  [[nodiscard]] const shard::LeaderElection& election() const { return election_; }
+  /// An id that no other process has: that of its first lease. 0: none yet.
+  [[nodiscard]] std::uint64_t process_id() const { return process_id_; }
+  /// A tag for what this process writes; `letter` tells its writers apart, each counts `n`.
+  [[nodiscard]] std::string tag(char letter, std::uint64_t n) const;
 
  private:
-  void changed(const std::vector<state::Change>& changes);
+  void on_changes(const std::vector<state::Change>& changes);
   void observe();
-  void renew_node_lease();
-  void register_node();
+  void keep_registered();
+  void acquire_lease();
+  void on_lease(const net::Result& response);
+  void restore_node_key();
+  void renew_lease();
   void leave();
+  void register_node();
+  void on_registered(const state::CommitResult& result);
+  [[nodiscard]] std::string tag_prefix() const;
+  [[nodiscard]] double next_renewal() const;
 
   ControllerComponents& components_;
   shard::LeaderElection election_;
-  std::uint64_t node_lease_ = 0, process_id_ = 0;
-  std::uint64_t own_key_revision_ = 0;  // the revision of the node key that this process wrote
-  bool lease_busy_ = false, registering_ = false;
-  double renew_at_ = 0, displaced_after_ = 0;
+  std::uint64_t lease_id_ = 0;  ///< 0: none.
+  std::uint64_t process_id_ = 0;
+  /// The revision of the node key as this process wrote it; 0: not written.
+  std::uint64_t own_key_revision_ = 0;
+  bool is_lease_request_in_flight_ = false;
+  bool is_commit_in_flight_ = false;
+  double renew_at_ = 0;
+  /// Before that, a node key that another process wrote is not overwritten.
+  double overwrite_after_ = 0;
 };
 
 }  // namespace shunttrail::controller
--- a/src/controller/peer_gossip.cpp
+++ b/src/controller/peer_gossip.cpp
@@ -1,134 +1,184 @@
 #include "controller/peer_gossip.h"
 
 #include <algorithm>
+#include <utility>
 
 #include "controller/cloud_manager.h"
 #include "controller/membership.h"
 #include "controller/schema_manager.h"
 #include "controller/shard_controller.h"
+#include "jobs/job.h"
 
 namespace shunttrail::controller {
 namespace {
-constexpr double kBeatGap = 1;
-constexpr double kLoadFresh = 2.5;  // a shard's load is acted on for so long
-constexpr double kGiveGap = 2.5;    // what was given has to show before more is
-constexpr double kServesFor = 3;    // a peer's word that it can serve
+constexpr double kHeartbeatIntervalS = 1;
+constexpr double kHeartbeatTimeoutS = 2;
+/// A shard's load is acted on for so long.
+constexpr double kLoadValidS = 2.5;
+/// Between two transfers from one shard: the first has to show in the loads before the second.
+constexpr double kTransferIntervalS = 2.5;
+/// This node says that it serves if it has read the state service so recently.
+constexpr double kServingReadAgeS = 3;
+/// Connections to one sibling, and requests that wait for one.
+constexpr int kMaxConnections = 2;
+constexpr int kMaxQueuedRequests = 4;
+/// Loads are sent in hundredths of a machine, and cut off beyond so many machines.
+constexpr double kLoadScale = 100;
+constexpr double kMaxSentLoad = 1e7;
+
+std::uint32_t encode_load(double machines) {
+  return static_cast<std::uint32_t>(std::clamp(machines, 0.0, kMaxSentLoad) * kLoadScale);
+}
+
+shard::Load decode_load(const peer::PeerHeartbeat::Load& load) {
+  return {load.capacity / kLoadScale, load.entitled / kLoadScale, load.demand / kLoadScale};
+}
 }  // namespace
 
-PeerGossip::PeerGossip(actor::Loop& loop, ControllerComponents& parts)
+PeerGossip::PeerGossip(actor::Loop& loop, ControllerComponents& components)
     : Actor(loop),
-      components_(parts),
-      peer_status_(parts.settings.shards()),
-      loads_(parts.settings.shards()),
-      transferred_at_(parts.settings.shards(), -1e9),
+      components_(components),
+      peer_status_(components.settings.shards()),
+      loads_(components.settings.shards()),
+      transferred_at_(components.settings.shards(), -1e9),
       started_at_(loop.now()) {
-  for (const auto& n : components_.settings.nodes) {
+  for (const auto& node : components_.settings.nodes) {
     clients_.emplace_back();
-    for (const auto& p : components_.settings.peers)
-      if (p.node == n) clients_.back() = std::make_unique<net::Client>(loop, p.addr, 2, 4);
+    for (const auto& peer : components_.settings.peers)
+      if (peer.node == node)
+        clients_.back() =
+            std::make_unique<net::Client>(loop, peer.addr, kMaxConnections, kMaxQueuedRequests);
   }
 }
 
 void PeerGossip::tick() {
   post([this] {
-    if (loop_.now() > heartbeat_at_) send_heartbeats();
+    if (loop_.now() > next_heartbeat_at_) send_heartbeats();
   });
 }
-void PeerGossip::handle_request(net::ExchangePtr ex) {
-  post([this, ex] { take_heartbeat(ex); });
+
+void PeerGossip::handle_request(net::ExchangePtr exchange) {
+  post([this, exchange = std::move(exchange)] { take_heartbeat(exchange); });
 }
 
 bool PeerGossip::another_serves() const {
   return peer::another_serves(peer_status_, started_at_, loop_.now());
 }
 
-void PeerGossip::take_heartbeat(const net::ExchangePtr& ex) {
+// ---- heartbeats
+
+void PeerGossip::take_heartbeat(const net::ExchangePtr& exchange) {
   const int shards = components_.settings.shards();
-  auto b = peer::decode(ex->body, shards);
-  if (!b) {
+  const auto heartbeat = peer::decode(exchange->body, shards);
+  if (!heartbeat) {
     ++malformed_;
-    return ex->send({400, "{}", 0});
+    return exchange->send({400, "{}", 0});
   }
-  const double now = loop_.now();
-  peer_status_[b->node] = {now, b->serving};
-  bool newer = false;
-  for (int k = 0; k < shards; ++k) {
-    if (const auto& l = b->loads[k]; l.owned)
-      loads_[k] = {now, {l.capacity / 100.0, l.entitled / 100.0, l.demand / 100.0}};
-    const scheduler::ShardScheduler* d = components_.shard_controller(k).scheduler();
-    newer |= d && b->tokens[k] > d->token();
-  }
-  if (newer)
+  peer_status_[heartbeat->node] = {loop_.now(), heartbeat->serving};
+  bool may_be_replaced = false;
+  for (int shard = 0; shard < shards; ++shard)
+    may_be_replaced |= take_shard_status(shard, *heartbeat);
+  if (may_be_replaced)
     components_.state_store->linearizable_read(
         reply<bool>([this](bool) { components_.membership->reconsider(); }));
-  ex->send({200, "{}", 0});
+  exchange->send({200, "{}", 0});
+}
+
+// True if the sibling knows a newer token of a shard that this node leads.
+bool PeerGossip::take_shard_status(int shard, const peer::PeerHeartbeat& heartbeat) {
+  const peer::PeerHeartbeat::Load& load = heartbeat.loads[shard];
+  if (load.owned) loads_[shard] = {loop_.now(), decode_load(load)};
+  const scheduler::ShardScheduler* scheduler = components_.shard_controller(shard).scheduler();
+  return scheduler && heartbeat.tokens[shard] > scheduler->token();
 }
 
 void PeerGossip::send_heartbeats() {
-  const double now = loop_.now();
-  heartbeat_at_ = now + kBeatGap;
-  peer::PeerHeartbeat b;
-  b.node = components_.settings.self;
-  b.serving = components_.state_store->fresh(kServesFor) && components_.schema->may_serve();
-  for (int k = 0; k < components_.settings.shards(); ++k) {
-    b.tokens.push_back(components_.state_store->cache().leader(k).mod_revision);
-    peer::PeerHeartbeat::Load l;
-    if (const scheduler::ShardScheduler* d = components_.shard_controller(k).scheduler()) {
-      loads_[k] = {now, d->load(now)};
-      auto whole = [](double x) {
-        return static_cast<std::uint32_t>(std::clamp(x, 0.0, 1e7) * 100);
-      };
-      const shard::Load& mine = loads_[k].load;
-      l = {whole(mine.capacity), whole(mine.entitled), whole(mine.demand), true};
-    }
-    b.loads.push_back(l);
-  }
-  std::string body = peer::encode(b);
-  for (auto& c : clients_)
-    if (c) c->request("POST", "/peer/beat", body, 2, [](net::Result) {});
+  next_heartbeat_at_ = loop_.now() + kHeartbeatIntervalS;
+  const std::string body = peer::encode(make_heartbeat());
+  for (const auto& client : clients_)
+    if (client) client->request("POST", "/peer/beat", body, kHeartbeatTimeoutS, [](net::Result) {});
   rebalance();
 }
 
-// Machines go to the shards that lack them, as far as every shard's load is known.
+peer::PeerHeartbeat PeerGossip::make_heartbeat() {
+  const StateStore& store = *components_.state_store;
+  peer::PeerHeartbeat heartbeat;
+  heartbeat.node = components_.settings.self;
+  heartbeat.serving = store.fresh(kServingReadAgeS) && components_.schema->may_serve();
+  for (int shard = 0; shard < components_.settings.shards(); ++shard) {
+    heartbeat.tokens.push_back(store.cache().leader(shard).mod_revision);
+    heartbeat.loads.push_back(report_load(shard));
+  }
+  return heartbeat;
+}
+
+// The shard's present load, which is kept as well; nothing unless this node leads it.
+peer::PeerHeartbeat::Load PeerGossip::report_load(int shard) {
+  const scheduler::ShardScheduler* scheduler = components_.shard_controller(shard).scheduler();
+  if (!scheduler) return {};
+  const double now = loop_.now();
+  loads_[shard] = {now, scheduler->load(now)};
+  const shard::Load& load = loads_[shard].load;
+  return {encode_load(load.capacity), encode_load(load.entitled), encode_load(load.demand), true};
+}
+
+// ---- transfers
+
+// Machines go to the shards that lack them, once every shard's load is known.
 void PeerGossip::rebalance() {
+  const std::vector<shard::Load> loads = recent_loads();
+  if (loads.size() < loads_.size()) return;
+  for (int shard = 0; shard < components_.settings.shards(); ++shard)
+    transfer_machines(shard, loads);
+}
+
+// By shard, up to the first one whose load is not known.
+std::vector<shard::Load> PeerGossip::recent_loads() const {
   const double now = loop_.now();
-  std::vector<shard::Load> all;
-  for (const auto& l : loads_) {
-    if (now - l.at > kLoadFresh) return;
-    all.push_back(l.load);
+  std::vector<shard::Load> loads;
+  for (const auto& report : loads_) {
+    if (now - report.at > kLoadValidS) break;
+    loads.push_back(report.load);
   }
-  for (int k = 0; k < components_.settings.shards(); ++k) {
-    const scheduler::ShardScheduler* scheduler = components_.shard_controller(k).scheduler();
-    if (!scheduler || now < transferred_at_[k] + kGiveGap) continue;
-    transferred_at_[k] = now;
-    // What is marked to go already is part of what there is to give, in every owner's eyes: else
-    // each would see less than there is, and promise once more what another has promised.
-    const double pledged = scheduler->transferring();
-    auto gifts = shard::transfers(all, k);
-    for (int to = 0; to < components_.settings.shards(); ++to)
-      if (const int n = gifts[static_cast<std::size_t>(to)]; to != k && (n > 0 || pledged > 0))
-        components_.shard_controller(k).transfer({to, static_cast<double>(n), waiting(to)});
+  return loads;
+}
+
+void PeerGossip::transfer_machines(int from, const std::vector<shard::Load>& loads) {
+  const scheduler::ShardScheduler* scheduler = components_.shard_controller(from).scheduler();
+  const double now = loop_.now();
+  if (!scheduler || now < transferred_at_[from] + kTransferIntervalS) return;
+  transferred_at_[from] = now;
+  // What is marked to go already is part of what there is to give, in every leader's eyes: else
+  // each would see less than there is, and promise once more what another has promised.
+  const bool has_pledged = scheduler->transferring() > 0;
+  const std::vector<int> transfers = shard::transfers(loads, from);
+  for (int to = 0; to < components_.settings.shards(); ++to) {
+    const int machines = transfers[static_cast<std::size_t>(to)];
+    if (to == from || (machines <= 0 && !has_pledged)) continue;
+    components_.shard_controller(from).transfer(
+        {to, static_cast<double>(machines), waiting_vcpus_by_tier(to)});
   }
 }
 
-// By tier, how many vcpus of a shard's work that stands nowhere yet it could take.
-std::vector<double> PeerGossip::waiting(int shard) const {
-  const scheduler::MachineCatalogue& c = components_.cloud_manager->catalogue();
-  const state::StateCache& world = components_.state_store->cache();
-  std::vector<double> out(c.types.size() * 2, 0);
-  for (const auto& [id, j] : world.jobs()) {
-    const wire::JobSpec& spec = j.record.spec;
-    const int team = components_.settings.team_index(spec.team);
-    if (team < 0 || components_.settings.team_shard[static_cast<std::size_t>(team)] != shard)
-      continue;
-    const auto p = world.progress(j, jobs::kTasksPerChunk);
-    if (p.done + p.placed >= spec.tasks) continue;
+// By tier, how many vCPUs of the shard's work that is not placed yet it could take.
+std::vector<double> PeerGossip::waiting_vcpus_by_tier(int shard) const {
+  const scheduler::MachineCatalogue& catalogue = components_.cloud_manager->catalogue();
+  const state::StateCache& cache = components_.state_store->cache();
+  const config::Settings& settings = components_.settings;
+  std::vector<double> vcpus(catalogue.types.size() * 2, 0);
+  for (const auto& [id, job] : cache.jobs()) {
+    const wire::JobSpec& spec = job.record.spec;
+    const int team = settings.team_index(spec.team);
+    if (team < 0 || settings.team_shard[static_cast<std::size_t>(team)] != shard) continue;
+    const auto progress = cache.progress(job, jobs::kTasksPerChunk);
+    const std::uint64_t placed = progress.done + progress.placed;
+    if (placed >= spec.tasks) continue;
     const auto need = jobs::Resources::of(spec.cpus, spec.gpus, spec.mem_gb);
-    const double amount = static_cast<double>(spec.tasks - p.done - p.placed) * spec.cpus;
-    for (std::size_t tier = 0; tier < out.size(); ++tier)
-      if (c.accepts(static_cast<int>(tier), spec, need)) out[tier] += amount;
+    const double amount = static_cast<double>(spec.tasks - placed) * spec.cpus;
+    for (std::size_t tier = 0; tier < vcpus.size(); ++tier)
+      if (catalogue.accepts(static_cast<int>(tier), spec, need)) vcpus[tier] += amount;
   }
-  return out;
+  return vcpus;
 }
 
 }  // namespace shunttrail::controller
--- a/src/controller/peer_gossip.h
+++ b/src/controller/peer_gossip.h
@@ -1,7 +1,8 @@
-// What controllers say to one another: who can serve, which tokens they know, and the loads of
-// their shards, by which machines are shared out. Nothing here is needed for safety.
+/// The heartbeats between controllers, and the transfers of machines that rest on them.
 #pragma once
+#include <cstdint>
 #include <memory>
+#include <string>
 #include <vector>
 
 #include "controller/components.h"
@@ -12,34 +13,44 @@
 
 namespace shunttrail::controller {
 
+/// Tells the siblings which tokens this node knows, whether it can serve, and the loads of the
+/// shards that it leads; keeps what they tell. Nothing here is needed for safety.
 class PeerGossip : public actor::Actor {
  public:
-  PeerGossip(actor::Loop& loop, ControllerComponents& parts);
+  PeerGossip(actor::Loop& loop, ControllerComponents& components);
+  /// To be called at short, regular intervals.
   void tick();
-  void handle_request(net::ExchangePtr ex);
+  /// A sibling's heartbeat: 200, or 400 if it cannot be decoded.
+  void handle_request(net::ExchangePtr exchange);
 
-  // Some other node has said lately that it can serve, or may be able to: just started, this one
-  // has not heard of the others yet, or hears none of them any more.
-  bool another_serves() const;
-  std::uint64_t malformed() const { return malformed_; }
+  /// Whether a sibling may be able to serve: it has said so lately, or none is heard
+  /// (peer::another_serves).
+  [[nodiscard]] bool another_serves() const;
+  /// Heartbeats that could not be decoded.
+  [[nodiscard]] std::uint64_t malformed() const { return malformed_; }
 
  private:
-  void take_heartbeat(const net::ExchangePtr& ex);
+  struct ShardLoadReport {
+    double at = -1e9;  ///< Loop time.
+    shard::Load load;
+  };
+  void take_heartbeat(const net::ExchangePtr& exchange);
+  bool take_shard_status(int shard, const peer::PeerHeartbeat& heartbeat);
   void send_heartbeats();
+  [[nodiscard]] peer::PeerHeartbeat make_heartbeat();
+  [[nodiscard]] peer::PeerHeartbeat::Load report_load(int shard);
   void rebalance();
-  std::vector<double> waiting(int shard) const;
+  void transfer_machines(int from, const std::vector<shard::Load>& loads);
+  [[nodiscard]] std::vector<shard::Load> recent_loads() const;
+  [[nodiscard]] std::vector<double> waiting_vcpus_by_tier(int shard) const;
 
   ControllerComponents& components_;
-  std::vector<std::unique_ptr<net::Client>> clients_;  // by node; none: this one
-  std::vector<peer::PeerStatus> peer_status_;          // by node
-  struct ShardLoadReport {
-    double at = -1e9;
-    shard::Load load;
-  };
-  std::vector<ShardLoadReport> loads_;  // by shard
-  std::vector<double> transferred_at_;  // by shard
+  std::vector<std::unique_ptr<net::Client>> clients_;  ///< By node; null: this one.
+  std::vector<peer::PeerStatus> peer_status_;          ///< By node.
+  std::vector<ShardLoadReport> loads_;                 ///< By shard.
+  std::vector<double> transferred_at_;                 ///< By shard, loop time.
   const double started_at_;
-  double heartbeat_at_ = 0;
+  double next_heartbeat_at_ = 0;
   std::uint64_t malformed_ = 0;
 };
 
--- a/src/controller/schema_manager.cpp
+++ b/src/controller/schema_manager.cpp
@@ -4,39 +4,51 @@
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
+#include <utility>
 
 #include "controller/membership.h"
 
 namespace shunttrail::controller {
 namespace {
-constexpr double kTurnOfNode = 0.5;  // any node may make a step; they try one after the other
-constexpr double kFresh = 3;         // what a step is decided by was read so lately
-constexpr double kOrderWithin = 3;
+constexpr char kTagLetter = 'l';
+/// Any node may commit a step; they try one after the other, so far apart.
+constexpr double kNodeDelayS = 0.5;
+/// A step is decided by a read that is not older.
+constexpr double kMaxReadAgeS = 3;
+constexpr double kStepTimeoutS = 3;
+constexpr double kOrderTimeoutS = 3;
+constexpr double kOrderRetryAfterS = 1;
 }  // namespace
 
 using net::error_response;
 
-SchemaManager::SchemaManager(actor::Loop& loop, ControllerComponents& parts, schema::Build build)
-    : Actor(loop), components_(parts), build_(build) {
-  components_.state_store->listen(reply<Changes>([this](Changes c) {
-    if (std::any_of(c->begin(), c->end(), [](const state::Change& x) {
-          return x.kind == state::Change::schema_version || x.kind == state::Change::node;
-        }))
-      evaluate();
-  }));
+SchemaManager::SchemaManager(actor::Loop& loop, ControllerComponents& components,
+                             schema::Build build)
+    : Actor(loop), components_(components), build_(build), tags_(components, kTagLetter) {
+  components_.state_store->listen(
+      reply<Changes>([this](const Changes& changes) { on_changes(*changes); }));
+}
+
+void SchemaManager::on_changes(const std::vector<state::Change>& changes) {
+  const bool concerns_schema =
+      std::any_of(changes.begin(), changes.end(), [](const state::Change& change) {
+        return change.kind == state::Change::schema_version || change.kind == state::Change::node;
+      });
+  if (concerns_schema) evaluate();
 }
 
 void SchemaManager::tick() {
   post([this] {
     evaluate();
-    step();
+    commit_step();
   });
 }
-void SchemaManager::handle_request(net::ExchangePtr ex) {
-  post([this, ex] {
-    if (ex->post) return handle_order(ex);
+
+void SchemaManager::handle_request(net::ExchangePtr exchange) {
+  post([this, exchange = std::move(exchange)] {
+    if (exchange->post) return handle_order(exchange);
     evaluate();
-    ex->send({200, describe(), 0});
+    exchange->send({200, describe(), 0});
   });
 }
 
@@ -45,116 +57,157 @@
 }
 
 bool SchemaManager::converts() const {
-  const auto& v = components_.state_store->cache().schema();
-  for (std::size_t n = 0; n < v.members.size(); ++n)
-    if (v.members[n].mod_revision && schema::refusal(v, v.members[n].build).empty())
-      return static_cast<int>(n) == components_.settings.self;
+  const schema::StoredView& view = components_.state_store->cache().schema();
+  for (std::size_t node = 0; node < view.members.size(); ++node) {
+    const schema::StoredView::Member& member = view.members[node];
+    const bool may_convert =
+        member.mod_revision != 0 && schema::refusal(view, member.build).empty();
+    if (may_convert) return static_cast<int>(node) == components_.settings.self;
+  }
   return false;
 }
 
+// ---- steps
+
 void SchemaManager::evaluate() {
   if (!components_.state_store->loaded()) return;
+  log_refusal();
+  const state::StateCache& cache = components_.state_store->cache();
+  rollout_status_ = schema::rollout_status(cache.schema(), components_.settings.nodes, build_,
+                                           cache.all_converted());
+  update_blockers();
+  update_step();
+}
+
+void SchemaManager::log_refusal() {
+  std::string reason = refusal();
+  if (reason == logged_refusal_) return;
+  if (!reason.empty()) spdlog::error("this node serves nothing: {}", reason);
+  logged_refusal_ = std::move(reason);
+}
+
+void SchemaManager::update_blockers() {
   const double now = loop_.now();
-  const state::StateCache& w = components_.state_store->cache();
-  const auto& v = w.schema();
-  if (std::string why = refusal(); why != logged_refusal_) {
-    if (!why.empty()) spdlog::error("this node serves nothing: {}", why);
-    logged_refusal_ = std::move(why);
-  }
-  rollout_status_ =
-      schema::rollout_status(v, components_.settings.nodes, build_, w.all_converted());
-  std::map<std::pair<std::string, std::string>, double> held;
-  for (const auto& o : rollout_status_.blocked_by) {
-    auto was = held_since_.find({o.by, o.reason});
-    held[{o.by, o.reason}] = was == held_since_.end() ? now : was->second;
-    if (was == held_since_.end())
-      spdlog::info("levels: {} is active; held by {}, which {}", v.record.active, o.by, o.reason);
-  }
-  held_since_ = std::move(held);
-  if (rollout_status_.step.kind == schema::Step::none || v.record.active != step_from_)
-    step_since_ = 0;
-  step_from_ = v.record.active;
-  if (rollout_status_.step.kind != schema::Step::none && step_since_ == 0) {
-    step_since_ = now;
-    step();
+  const int active = components_.state_store->cache().schema().record.active;
+  std::map<BlockerKey, double> blocked_since;
+  for (const auto& blocker : rollout_status_.blocked_by) {
+    const BlockerKey key{blocker.by, blocker.reason};
+    const auto known = blocked_since_.find(key);
+    const bool is_new = known == blocked_since_.end();
+    blocked_since[key] = is_new ? now : known->second;
+    if (is_new)
+      spdlog::info("schema: version {} is active; blocked by {}, which {}", active, blocker.by,
+                   blocker.reason);
   }
+  blocked_since_ = std::move(blocked_since);
 }
 
-void SchemaManager::step() {
-  const double now = loop_.now();
-  if (commit_in_flight_ || step_since_ == 0 || !components_.state_store->fresh(kFresh) ||
-      !components_.membership->process_id() ||
-      now < step_since_ + kTurnOfNode * components_.settings.self)
-    return;
-  const schema::VersionRecord to = rollout_status_.step.record;
-  commit_in_flight_ = true;
+void SchemaManager::update_step() {
+  const int active = components_.state_store->cache().schema().record.active;
+  if (!has_step() || active != step_from_version_) step_since_ = 0;
+  step_from_version_ = active;
+  if (!has_step() || step_since_ != 0) return;
+  step_since_ = loop_.now();
+  commit_step();
+}
+
+bool SchemaManager::may_commit_step() const {
+  const bool is_due =
+      step_since_ != 0 && loop_.now() >= step_since_ + kNodeDelayS * components_.settings.self;
+  return is_due && !is_commit_in_flight_ && components_.state_store->fresh(kMaxReadAgeS) &&
+         components_.membership->process_id() != 0;
+}
+
+void SchemaManager::commit_step() {
+  if (!may_commit_step()) return;
+  const schema::VersionRecord next = rollout_status_.step.record;
+  is_commit_in_flight_ = true;
   step_since_ = 0;
   components_.state_store->resolve_unknown_commit(
-      schema::commit_of(rollout_status_.step, components_.membership->tag('l', ++tags_)),
-      state::RequestPriority::safety, 3,
-      reply<state::CommitResult>([this, to](state::CommitResult r) {
-        commit_in_flight_ = false;
-        if (r.kind == state::CommitResult::applied)
-          spdlog::info("levels: {} is active, {} to {} may stand", to.active, to.lowest,
-                       to.highest);
+      schema::commit_of(rollout_status_.step, tags_.next()), state::RequestPriority::safety,
+      kStepTimeoutS, reply<state::CommitResult>([this, next](const state::CommitResult& result) {
+        is_commit_in_flight_ = false;
+        if (result.kind == state::CommitResult::applied)
+          spdlog::info("schema: version {} is active, forms of {} to {} may be stored", next.active,
+                       next.lowest, next.highest);
         evaluate();
       }));
 }
 
-void SchemaManager::handle_order(const net::ExchangePtr& ex) {
-  schema::Order o;
+// ---- orders
+
+void SchemaManager::handle_order(const net::ExchangePtr& exchange) {
+  schema::Order order;
   try {
-    o = schema::decode_order(ex->body);
-  } catch (const wire::Malformed& e) {
-    return ex->send(error_response(400, e.what()));
+    order = schema::decode_order(exchange->body);
+  } catch (const wire::Malformed& error) {
+    return exchange->send(error_response(400, error.what()));
   }
-  components_.state_store->linearizable_read(reply<bool>([this, ex, o](bool ok) {
-    if (!ok) return ex->send(error_response(503, "the state service cannot be read", 1));
-    const auto& v = components_.state_store->cache().schema();
-    if (std::string why = schema::refused(v, components_.settings.nodes, o); !why.empty())
-      return ex->send(error_response(400, why));
-    schema::Orders after = schema::with(v.orders, o);
-    // Repeating an order is harmless, and costs nothing.
-    if (after == v.orders) return ex->send({200, describe(), 0});
-    components_.state_store->resolve_unknown_commit(
-        schema::commit_of(v, std::move(after), components_.membership->tag('l', ++tags_)),
-        state::RequestPriority::user, kOrderWithin,
-        reply<state::CommitResult>([this, ex](state::CommitResult r) {
-          evaluate();
-          if (r.kind != state::CommitResult::applied)
-            return ex->send(error_response(503, "not carried out, or not known", 1));
-          ex->send({200, describe(), 0});
-        }));
-  }));
+  components_.state_store->linearizable_read(
+      reply<bool>([this, exchange, order = std::move(order)](bool is_read) {
+        if (is_read) return commit_order(exchange, order);
+        exchange->send(error_response(503, "the state service cannot be read", kOrderRetryAfterS));
+      }));
 }
 
-std::string SchemaManager::describe() const {
-  using nlohmann::json;
-  const double now = loop_.now();
-  const auto& v = components_.state_store->cache().schema();
-  json nodes = json::array(), held = json::array();
-  for (std::size_t n = 0; n < v.members.size(); ++n) {
-    const auto& m = v.members[n];
-    json j = {{"name", components_.settings.nodes[n]}, {"alive", m.mod_revision != 0}};
-    if (m.mod_revision) {
-      j["reads"] = {m.build.lowest, m.build.highest};
-      j["writes"] = m.build.writes;
+void SchemaManager::commit_order(const net::ExchangePtr& exchange, const schema::Order& order) {
+  const schema::StoredView& view = components_.state_store->cache().schema();
+  const std::string reason = schema::refused(view, components_.settings.nodes, order);
+  if (!reason.empty()) return exchange->send(error_response(400, reason));
+  schema::Orders orders = schema::with(view.orders, order);
+  // Repeating an order is harmless, and costs nothing.
+  if (orders == view.orders) return exchange->send({200, describe(), 0});
+  components_.state_store->resolve_unknown_commit(
+      schema::commit_of(view, std::move(orders), tags_.next()), state::RequestPriority::user,
+      kOrderTimeoutS,
+      reply<state::CommitResult>([this, exchange](const state::CommitResult& result) {
+        evaluate();
+        if (result.kind == state::CommitResult::applied)
+          return exchange->send({200, describe(), 0});
+        exchange->send(error_response(503, "not carried out, or not known", kOrderRetryAfterS));
+      }));
+}
+
+nlohmann::json SchemaManager::describe_nodes() const {
+  const schema::StoredView& view = components_.state_store->cache().schema();
+  nlohmann::json nodes = nlohmann::json::array();
+  for (std::size_t node = 0; node < view.members.size(); ++node) {
+    const schema::StoredView::Member& member = view.members[node];
+    const std::string& name = components_.settings.nodes[node];
+    const bool is_alive = member.mod_revision != 0;
+    nlohmann::json entry = {{"name", name}, {"alive", is_alive}};
+    if (is_alive) {
+      entry["reads"] = {member.build.lowest, member.build.highest};
+      entry["writes"] = member.build.writes;
     }
-    if (v.orders.gone.contains(components_.settings.nodes[n])) j["gone"] = true;
-    nodes.push_back(std::move(j));
+    if (view.orders.gone.contains(name)) entry["gone"] = true;
+    nodes.push_back(std::move(entry));
   }
-  for (const auto& [o, since] : held_since_)
-    held.push_back({{"by", o.first}, {"why", o.second}, {"since_s", now - since}});
-  json out = {{"active", v.record.active},
-              {"stands", {v.record.lowest, v.record.highest}},
-              {"node", components_.settings.node},
-              {"reads", {build_.lowest, build_.highest}},
-              {"nodes", std::move(nodes)},
-              {"held_by", std::move(held)},
-              {"converted", components_.state_store->cache().converted()}};
-  if (v.orders.max_version) out["hold"] = *v.orders.max_version;
-  if (std::string why = refusal(); !why.empty()) out["serves_nothing"] = why;
-  return out.dump();
+  return nodes;
+}
+
+nlohmann::json SchemaManager::describe_blockers() const {
+  const double now = loop_.now();
+  nlohmann::json blockers = nlohmann::json::array();
+  for (const auto& [blocker, since] : blocked_since_)
+    blockers.push_back({{"by", blocker.first}, {"why", blocker.second}, {"since_s", now - since}});
+  return blockers;
+}
+
+std::string SchemaManager::describe() const {
+  const state::StateCache& cache = components_.state_store->cache();
+  const schema::StoredView& view = cache.schema();
+  nlohmann::json status;
+  status["active"] = view.record.active;
+  status["stands"] = {view.record.lowest, view.record.highest};
+  status["node"] = components_.settings.node;
+  status["reads"] = {build_.lowest, build_.highest};
+  status["nodes"] = describe_nodes();
+  status["held_by"] = describe_blockers();
+  status["converted"] = cache.converted();
+  if (view.orders.max_version) status["hold"] = *view.orders.max_version;
+  if (const std::string reason = refusal(); !reason.empty()) status["serves_nothing"] = reason;
+  return status.dump();
 }
 
 }  // namespace shunttrail::controller
--- a/src/controller/state_store.cpp
+++ b/src/controller/state_store.cpp
@@ -2,193 +2,232 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+#include <utility>
+
 namespace shunttrail::controller {
 namespace {
-constexpr double kWatchGap = 0.15;       // between watches: changes come in bundles
-constexpr double kBarrierGap = 0.06;     // between reads that polls wait for
-constexpr double kBarrierStart = 0.004;  // requests that come together share a read
+
+/// Between the beginnings of two watches: changes come in bundles.
+constexpr double kWatchIntervalS = 0.15;
 constexpr int kWatchBlockMs = 1000;
+constexpr double kWatchBackoffStepS = 0.1;
+constexpr double kMaxWatchBackoffS = 1;
+/// Between two linearizable reads.
+constexpr double kReadIntervalS = 0.06;
+/// Before the first one: requests that come together share it.
+constexpr double kReadDelayS = 0.004;
+
+/// The response to a watch from a revision that the state service has compacted.
+constexpr int kRevisionCompacted = 410;
+
+void require_ok(const net::Result& response) {
+  if (response.status != 200) throw wire::Malformed("status " + std::to_string(response.status));
+}
+
+// The events that the cache takes: only they are kept beside a commit in flight.
+std::vector<wire::Event> cached_events(const wire::Transaction& transaction) {
+  std::vector<wire::Event> events;
+  for (const auto& op : transaction.ops)
+    if (op.key.starts_with(state::kRoot)) events.push_back({op.key, op.value, 0});
+  return events;
+}
+
 }  // namespace
 
-StateStore::StateStore(actor::Loop& loop, const config::Settings& s, state::Client& client)
+StateStore::StateStore(actor::Loop& loop, const config::Settings& settings, state::Client& client)
     : Actor(loop),
       client_(client),
-      cache_(s),
-      watch_timer_(loop, [this] { post([this] { watch_loop(); }); }),
+      cache_(settings),
+      watch_timer_(loop, [this] { post([this] { continue_watch(); }); }),
       read_timer_(loop, [this] { post([this] { start_linearizable_read(); }); }) {}
 
-bool StateStore::fresh(double within) const {
-  return loaded_ && loop_.now() - last_read_at_ < within;
+bool StateStore::fresh(double max_age_s) const {
+  return is_loaded_ && loop_.now() - last_read_at_ < max_age_s;
 }
 
 void StateStore::tick() {
   post([this] {
-    if (!loaded_ && !loading_) reload();
+    if (!is_loaded_ && !is_loading_) reload();
   });
 }
 
 void StateStore::notify(std::vector<state::Change> changes) {
   if (changes.empty()) return;
-  auto shared = std::make_shared<const std::vector<state::Change>>(std::move(changes));
-  for (const auto& l : listeners_) l(shared);
+  const auto shared = std::make_shared<const std::vector<state::Change>>(std::move(changes));
+  for (const auto& listener : listeners_) listener(shared);
 }
 
-// ---- reading
+// ---- the full read
 
 void StateStore::reload() {
-  loading_ = true;
-  load(loop_.now(), "", 0, {});
+  is_loading_ = true;
+  // What is known of the first keys is as old as the first request, so the age of the whole read
+  // counts from there.
+  FullRead read;
+  read.began_at = loop_.now();
+  read_page(std::move(read));
 }
-// `began`: the first page. What is known of its keys is as old as that, and S counts from there.
-void StateStore::load(double began, std::string after, std::uint64_t revision,
-                      std::vector<wire::Event> items) {
+
+void StateStore::read_page(FullRead read) {
+  const std::string path = wire::keys_path(state::kRoot, read.last_key);
   client_.get(
-      wire::keys_path(state::kRoot, after), state::RequestPriority::safety,
-      reply<net::Result>([this, began, revision, items = std::move(items)](net::Result r) mutable {
-        try {
-          if (r.status != 200) throw wire::Malformed("status " + std::to_string(r.status));
-          wire::KeyPage p = wire::decode_keys(r.body);
-          // The first page's revision: what changes while the pages are read is read
-          // again by the watch.
-          if (!revision) revision = p.revision;
-          for (auto& e : p.items) items.push_back(std::move(e));
-          if (p.more && !p.items.empty()) {
-            std::string last = items.back().key;
-            load(began, last, revision, std::move(items));
-            return;
-          }
-        } catch (const wire::Malformed& e) {
-          spdlog::info("cannot read the state service: {}", e.what());
-          loading_ = false;
-          return;
-        }
-        std::vector<state::Change> changes;
-        cache_.replace(revision, items, changes);
-        loading_ = false;
-        loaded_ = true;
-        last_read_at_ = std::max(last_read_at_, began);
-        notify(std::move(changes));
-        watch_loop();
+      path, state::RequestPriority::safety,
+      reply<net::Result>([this, read = std::move(read)](const net::Result& response) mutable {
+        on_page(std::move(read), response);
       }));
 }
 
-void StateStore::watch_loop() {
-  if (watching_ || !loaded_) return;
-  double now = loop_.now();
-  if (now < next_watch_) {
-    watch_timer_.after(next_watch_ - now);
+void StateStore::on_page(FullRead read, const net::Result& response) {
+  wire::KeyPage page;
+  try {
+    require_ok(response);
+    page = wire::decode_keys(response.body);
+  } catch (const wire::Malformed& error) {
+    spdlog::info("cannot read the state service: {}", error.what());
+    is_loading_ = false;
     return;
   }
-  watching_ = true;
-  next_watch_ = now + kWatchGap;
-  client_.watch(cache_.revision(), kWatchBlockMs, reply<net::Result>([this, now](net::Result r) {
-                  watching_ = false;
-                  watched(now, r);
-                  watch_loop();
+  // The first page's revision counts: what changes while the pages are read is read again by the
+  // watch.
+  if (!read.revision) read.revision = page.revision;
+  const bool has_next = page.more && !page.items.empty();
+  for (auto& item : page.items) read.items.push_back(std::move(item));
+  if (!has_next) return finish_full_read(read);
+  read.last_key = read.items.back().key;
+  read_page(std::move(read));
+}
+
+void StateStore::finish_full_read(const FullRead& read) {
+  std::vector<state::Change> changes;
+  cache_.replace(read.revision, read.items, changes);
+  is_loading_ = false;
+  is_loaded_ = true;
+  last_read_at_ = std::max(last_read_at_, read.began_at);
+  notify(std::move(changes));
+  continue_watch();
+}
+
+// ---- the watch
+
+void StateStore::continue_watch() {
+  if (is_watching_ || !is_loaded_) return;
+  const double now = loop_.now();
+  if (now < next_watch_at_) return watch_timer_.after(next_watch_at_ - now);
+  is_watching_ = true;
+  next_watch_at_ = now + kWatchIntervalS;
+  client_.watch(cache_.revision(), kWatchBlockMs,
+                reply<net::Result>([this, now](const net::Result& response) {
+                  is_watching_ = false;
+                  on_watch_response(now, response);
+                  continue_watch();
                 }));
 }
 
-void StateStore::watched(double began, const net::Result& r) {
-  if (r.status == 410) {
-    loaded_ = false;
-    spdlog::info("the watch is too old: reading all keys");
+void StateStore::on_watch_response(double began_at, const net::Result& response) {
+  if (response.status == kRevisionCompacted) {
+    is_loaded_ = false;
+    spdlog::info("the watch revision is compacted: reading all keys");
     return;
   }
   try {
-    if (r.status != 200) throw wire::Malformed("status " + std::to_string(r.status));
-    wire::WatchAnswer w = wire::decode_watch(r.body);
-    std::vector<state::Change> changes;
-    for (const auto& e : w.events) cache_.apply(e, changes);
-    cache_.advance(w.revision);
-    last_read_at_ = std::max(last_read_at_, began);
-    watch_fail_ = 0;
-    notify(std::move(changes));
-  } catch (const wire::Malformed& e) {
-    watch_fail_ = std::min(1.0, watch_fail_ * 2 + 0.1);
-    next_watch_ = loop_.now() + watch_fail_;
-    spdlog::debug("watch: {}", e.what());
+    require_ok(response);
+    apply_watch(began_at, response.body);
+  } catch (const wire::Malformed& error) {
+    delay_watch(error.what());
   }
 }
 
-// ---- barriers
+void StateStore::apply_watch(double began_at, const std::string& body) {
+  const wire::WatchAnswer answer = wire::decode_watch(body);
+  std::vector<state::Change> changes;
+  for (const auto& event : answer.events) cache_.apply(event, changes);
+  cache_.advance(answer.revision);
+  last_read_at_ = std::max(last_read_at_, began_at);
+  watch_backoff_s_ = 0;
+  notify(std::move(changes));
+}
+
+void StateStore::delay_watch(const char* why) {
+  watch_backoff_s_ = std::min(kMaxWatchBackoffS, watch_backoff_s_ * 2 + kWatchBackoffStepS);
+  next_watch_at_ = loop_.now() + watch_backoff_s_;
+  spdlog::debug("watch: {}", why);
+}
+
+// ---- linearizable reads
 
 void StateStore::linearizable_read(std::function<void(bool)> then) {
   post([this, then = std::move(then)]() mutable { wait_for_read(std::move(then)); });
 }
+
 void StateStore::wait_for_read(std::function<void(bool)> then) {
-  if (!loaded_) return then(false);
+  if (!is_loaded_) return then(false);
   read_waiters_.push_back(std::move(then));
-  if (!read_in_flight_ && !read_armed_) {
-    read_armed_ = true;
-    read_timer_.after(kBarrierStart);
-  }
+  if (!is_read_in_flight_ && !is_read_armed_) arm_linearizable_read(kReadDelayS);
 }
+
+void StateStore::arm_linearizable_read(double delay_s) {
+  is_read_armed_ = true;
+  read_timer_.after(delay_s);
+}
+
 void StateStore::start_linearizable_read() {
-  read_armed_ = false;
-  if (read_in_flight_ || read_waiters_.empty()) return;
-  read_in_flight_ = true;
-  auto waiting = std::make_shared<std::vector<std::function<void(bool)>>>();
-  waiting->swap(read_waiters_);
-  double began = loop_.now();
+  is_read_armed_ = false;
+  if (is_read_in_flight_ || read_waiters_.empty()) return;
+  is_read_in_flight_ = true;
+  auto waiters = std::make_shared<std::vector<std::function<void(bool)>>>();
+  waiters->swap(read_waiters_);
+  const double began_at = loop_.now();
   client_.get(wire::watch_path(state::kRoot, cache_.revision(), 0), state::RequestPriority::user,
-              reply<net::Result>([this, waiting, began](net::Result r) {
-                read_in_flight_ = false;
-                if (r.status == 200 || r.status == 410) watched(began, r);
-                for (auto& w : *waiting) w(r.status == 200 && last_read_at_ >= began);
-                if (!read_waiters_.empty()) {
-                  read_armed_ = true;
-                  read_timer_.after(kBarrierGap);
-                }
+              reply<net::Result>([this, waiters, began_at](const net::Result& response) {
+                is_read_in_flight_ = false;
+                const bool is_ok = response.status == 200;
+                if (is_ok || response.status == kRevisionCompacted)
+                  on_watch_response(began_at, response);
+                const bool is_read = is_ok && last_read_at_ >= began_at;
+                for (const auto& waiter : *waiters) waiter(is_read);
+                if (!read_waiters_.empty()) arm_linearizable_read(kReadIntervalS);
               }));
 }
 
 // ---- commits
 
-namespace {
-// Only what the cache takes is kept beside a request.
-std::vector<wire::Event> events_of(const wire::Transaction& t) {
-  std::vector<wire::Event> out;
-  for (const auto& op : t.ops)
-    if (op.key.starts_with(state::kRoot)) out.push_back({op.key, op.value, 0});
-  return out;
-}
-}  // namespace
-
-void StateStore::applied(std::vector<wire::Event> events, std::uint64_t revision) {
+void StateStore::apply(std::vector<wire::Event> events, std::uint64_t revision) {
   std::vector<state::Change> changes;
-  for (auto& e : events) {
-    e.mod_revision = revision;
-    cache_.apply(e, changes);
+  for (auto& event : events) {
+    event.mod_revision = revision;
+    cache_.apply(event, changes);
   }
   notify(std::move(changes));
 }
 
-void StateStore::commit(wire::Transaction t, state::RequestPriority u, double give_up_s,
-                        std::function<void(state::CommitResult)> done) {
-  auto events = events_of(t);
-  client_.commit(std::move(t), u, give_up_s,
+void StateStore::commit(wire::Transaction transaction, state::RequestPriority priority,
+                        double timeout_s, std::function<void(state::CommitResult)> done) {
+  auto events = cached_events(transaction);
+  client_.commit(std::move(transaction), priority, timeout_s,
                  reply<state::CommitResult>([this, events = std::move(events),
-                                             done = std::move(done)](state::CommitResult r) {
-                   if (r.kind == state::CommitResult::applied) applied(events, r.revision);
-                   done(std::move(r));
+                                             done = std::move(done)](state::CommitResult result) {
+                   if (result.kind == state::CommitResult::applied) apply(events, result.revision);
+                   done(std::move(result));
                  }));
 }
 
-void StateStore::apply_commit(const wire::Transaction& t, std::uint64_t revision,
+void StateStore::apply_commit(const wire::Transaction& transaction, std::uint64_t revision,
                               std::function<void()> done) {
-  post([this, events = events_of(t), revision, done = std::move(done)] {
-    applied(events, revision);
+  post([this, events = cached_events(transaction), revision, done = std::move(done)] {
+    apply(events, revision);
     done();
   });
 }
 
-void StateStore::resolve_unknown_commit(wire::Transaction t, state::RequestPriority u,
-                                        double give_up_s,
+void StateStore::resolve_unknown_commit(wire::Transaction transaction,
+                                        state::RequestPriority priority, double timeout_s,
                                         std::function<void(state::CommitResult)> done) {
-  commit(std::move(t), u, give_up_s, [this, done = std::move(done)](state::CommitResult r) {
-    if (r.kind == state::CommitResult::applied) return done(std::move(r));
-    wait_for_read([r = std::move(r), done](bool) { done(r); });
-  });
+  commit(std::move(transaction), priority, timeout_s,
+         [this, done = std::move(done)](state::CommitResult result) {
+           if (result.kind == state::CommitResult::applied) return done(std::move(result));
+           wait_for_read([result = std::move(result), done](bool) { done(result); });
+         });
 }
 
 }  // namespace shunttrail::controller
--- a/src/controller/worker_api.cpp
+++ b/src/controller/worker_api.cpp
@@ -2,74 +2,91 @@
 
 #include <spdlog/spdlog.h>
 
+#include <utility>
+
 #include "controller/cloud_manager.h"
 #include "controller/heartbeat_relay.h"
 #include "controller/inventory.h"
 #include "controller/schema_manager.h"
-#include "controller/shard_controller.h"
 #include "wire/codec.h"
 
 namespace shunttrail::controller {
 
-void WorkerApi::handle_heartbeat(net::ExchangePtr ex, HeartbeatPath path) {
-  post([this, ex, path] { route_heartbeat(ex, path); });
+void WorkerApi::handle_heartbeat(net::ExchangePtr exchange, HeartbeatPath path) {
+  post([this, exchange = std::move(exchange), path] { route_heartbeat(exchange, path); });
 }
 
-int WorkerApi::shard_of(const std::string& machine) const {
-  if (const auto* m = components_.state_store->cache().machine(machine)) return m->shard;
-  // Just rented: a scheduler has it before the inventory does.
-  int shard = -1;
-  for (int k = 0; k < components_.settings.shards(); ++k)
-    if (const auto* d = components_.shard_controller(k).scheduler(); d && d->has_machine(machine))
-      shard = k;
-  return shard;
+// The machine's shard by the inventory, or, if it was rented just now, by the scheduler that has it
+// before the inventory does. None: nobody's machine.
+std::optional<int> WorkerApi::shard_of(const std::string& machine) const {
+  if (const auto* record = components_.state_store->cache().machine(machine)) return record->shard;
+  std::optional<int> found;
+  for (int shard = 0; shard < components_.settings.shards(); ++shard) {
+    const scheduler::ShardScheduler* scheduler = components_.shard_controller(shard).scheduler();
+    if (scheduler && scheduler->has_machine(machine)) found = shard;
+  }
+  return found;
 }
 
-// A node whose build can do with the state as it stands: the owner of the shard, if it is known.
-std::string WorkerApi::can_lead(int shard) const {
-  const state::StateCache& world = components_.state_store->cache();
-  const schema::StoredView& v = world.schema();
-  auto fit = [&](int n) {
-    if (n < 0 || n == components_.settings.self) return false;
-    const auto& m = v.members[static_cast<std::size_t>(n)];
-    return m.mod_revision != 0 && schema::refusal(v, m.build).empty();
-  };
-  if (shard >= 0 && shard < components_.settings.shards() && fit(world.leader(shard).node))
-    return components_.settings.nodes[static_cast<std::size_t>(world.leader(shard).node)];
-  for (int n = 0; n < components_.settings.shards(); ++n)
-    if (fit(n)) return components_.settings.nodes[static_cast<std::size_t>(n)];
+bool WorkerApi::may_serve_elsewhere(int node) const {
+  if (node < 0 || node == components_.settings.self) return false;
+  const schema::StoredView& view = components_.state_store->cache().schema();
+  const schema::StoredView::Member& member = view.members[static_cast<std::size_t>(node)];
+  return member.mod_revision != 0 && schema::refusal(view, member.build).empty();
+}
+
+// Another node whose build can read the stored state: the shard's leader, if it is known. Empty:
+// there is none.
+std::string WorkerApi::node_that_may_serve(std::optional<int> shard) const {
+  const config::Settings& settings = components_.settings;
+  if (shard && *shard < settings.shards()) {
+    const int leader = components_.state_store->cache().leader(*shard).node;
+    if (may_serve_elsewhere(leader)) return settings.nodes[static_cast<std::size_t>(leader)];
+  }
+  for (int node = 0; node < settings.shards(); ++node)
+    if (may_serve_elsewhere(node)) return settings.nodes[static_cast<std::size_t>(node)];
   return {};
 }
 
-void WorkerApi::route_heartbeat(const net::ExchangePtr& ex, HeartbeatPath path) {
-  wire::Heartbeat r;
+void WorkerApi::route_heartbeat(const net::ExchangePtr& exchange, HeartbeatPath path) {
+  wire::Heartbeat heartbeat;
   try {
-    r = wire::decode_heartbeat(ex->body);
-  } catch (const wire::Malformed& e) {
+    heartbeat = wire::decode_heartbeat(exchange->body);
+  } catch (const wire::Malformed& error) {
     ++malformed_;
-    spdlog::info("garbage report: {}", e.what());
-    return ex->send({400, "{}", 0});
+    spdlog::info("malformed heartbeat: {}", error.what());
+    return exchange->send({400, "{}", 0});
   }
-  // An owner that has not read the state service for S may have been replaced, and may not know
-  // of cancellations: it must let the leases run out.
+  // A leader that has not read the state service within the staleness bound may have been replaced,
+  // and may not know of cancellations: it must let the leases run out.
   if (!components_.state_store->fresh(components_.settings.staleness_bound_s()))
-    return ex->send({503, "{}", 0});
-  const int shard = shard_of(r.machine);
+    return exchange->send({503, "{}", 0});
+  const std::optional<int> shard = shard_of(heartbeat.machine);
   if (!components_.schema->may_serve())
-    return ex->send({421, wire::encode_redirect(can_lead(shard)), 0});
-  if (shard < 0) {
-    if (components_.cloud_manager->removed(r.machine)) return ex->send({503, "{}", 0});
-    // Nobody's: adopted. Nothing can have been placed on what the inventory does not hold.
-    components_.cloud_manager->unknown_machine_reported(r.machine, r.addr);
-    components_.inventory->adopt_orphan({r.machine, r.type, r.zone, r.spot, 0, 0, 0});
-    return ex->send({503, "{}", 0});
-  }
-  if (shard >= components_.settings.shards()) return ex->send({503, "{}", 0});
-  if (path == HeartbeatPath::direct && !components_.shard_controller(shard).scheduler())
-    return components_.heartbeat_relay->route_heartbeat(
-        ex, r.machine, {r.incarnation, r.sequence}, components_.settings.zone_index(r.zone),
-        components_.state_store->cache().leader(shard).node);
-  components_.shard_controller(shard).take_heartbeat(ex, std::move(r), path);
+    return exchange->send({421, wire::encode_redirect(node_that_may_serve(shard)), 0});
+  if (shard) return route_to_shard(exchange, std::move(heartbeat), *shard, path);
+  if (!components_.cloud_manager->removed(heartbeat.machine)) adopt(heartbeat);
+  exchange->send({503, "{}", 0});
+}
+
+// Nothing can have been placed on a machine that the inventory does not hold.
+void WorkerApi::adopt(const wire::Heartbeat& heartbeat) {
+  components_.cloud_manager->unknown_machine_reported(heartbeat.machine, heartbeat.addr);
+  components_.inventory->adopt_orphan(
+      {heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, 0, 0, 0});
+}
+
+void WorkerApi::route_to_shard(const net::ExchangePtr& exchange, wire::Heartbeat heartbeat,
+                               int shard, HeartbeatPath path) {
+  if (shard >= components_.settings.shards()) return exchange->send({503, "{}", 0});
+  ShardController& controller = components_.shard_controller(shard);
+  // A relayed heartbeat is never relayed again.
+  const bool may_relay = path == HeartbeatPath::direct && !controller.scheduler();
+  if (!may_relay) return controller.take_heartbeat(exchange, std::move(heartbeat), path);
+  components_.heartbeat_relay->route_heartbeat(exchange, heartbeat.machine,
+                                               {heartbeat.incarnation, heartbeat.sequence},
+                                               components_.settings.zone_index(heartbeat.zone),
+                                               components_.state_store->cache().leader(shard).node);
 }
 
 }  // namespace shunttrail::controller
--- a/src/controller/worker_api.h
+++ b/src/controller/worker_api.h
@@ -1,5 +1,9 @@
-// What workers report: each report goes to the shard controller of its machine's shard.
+/// The workers' HTTP interface: each heartbeat goes to the controller of its machine's shard.
 #pragma once
+#include <cstdint>
+#include <optional>
+#include <string>
+
 #include "controller/components.h"
 #include "controller/shard_controller.h"
 #include "controller/state_store.h"
@@ -8,16 +12,27 @@
 
 namespace shunttrail::controller {
 
+/// Routes heartbeats: to the shard controller here, to the shard's leader elsewhere, or, of
+/// machines without a record, to their adoption.
 class WorkerApi : public actor::Actor {
  public:
-  WorkerApi(actor::Loop& loop, ControllerComponents& parts) : Actor(loop), components_(parts) {}
-  void handle_heartbeat(net::ExchangePtr ex, HeartbeatPath path = HeartbeatPath::direct);
-  std::uint64_t malformed() const { return malformed_; }
+  WorkerApi(actor::Loop& loop, ControllerComponents& components)
+      : Actor(loop), components_(components) {}
+
+  /// 200 by the shard controller; 400: malformed; 421: another node leads the machine's shard; 503:
+  /// this node cannot tell, or has just had the machine adopted.
+  void handle_heartbeat(net::ExchangePtr exchange, HeartbeatPath path = HeartbeatPath::direct);
+  /// Heartbeats that could not be decoded.
+  [[nodiscard]] std::uint64_t malformed() const { return malformed_; }
 
  private:
-  void route_heartbeat(const net::ExchangePtr& ex, HeartbeatPath path);
-  int shard_of(const std::string& machine) const;  // -1: nobody's
-  std::string can_lead(int shard) const;
+  void route_heartbeat(const net::ExchangePtr& exchange, HeartbeatPath path);
+  void route_to_shard(const net::ExchangePtr& exchange, wire::Heartbeat heartbeat, int shard,
+                      HeartbeatPath path);
+  void adopt(const wire::Heartbeat& heartbeat);
+  [[nodiscard]] std::optional<int> shard_of(const std::string& machine) const;
+  [[nodiscard]] std::string node_that_may_serve(std::optional<int> shard) const;
+  [[nodiscard]] bool may_serve_elsewhere(int node) const;
 
   ControllerComponents& components_;
   std::uint64_t malformed_ = 0;
