--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -2,6 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
 
