--- a/src/scheduler/admission.cpp
+++ b/src/scheduler/admission.cpp
@@ -92,7 +92,7 @@
 
 // Before the machine's own queue has been served, only more urgent tasks come: else room would go
 // to low work here while urgent tasks wait for machines that are full.
-bool Admission::goes_before_queue(const ServiceOrder& order, const Machine& machine) const {
+bool Admission::goes_before_queue(const ServiceOrder& order, const Machine& machine) {
   if (machine.queue.tasks.empty()) return true;
   const ServiceOrder head = machine.queue.tasks.front().service_order();
   return TaskQueues::is_ordered_by_start(order.first) ? order < head : order.first < head.first;
--- a/src/scheduler/admission.h
+++ b/src/scheduler/admission.h
@@ -63,7 +63,7 @@
   void enter_again(Machine& from, TaskQueues::Position position, double now);
   void admit_job(const jobs::JobPtr& job, Pass& pass, double now);
   void pull_urgent(Machine& machine, double now);
-  bool goes_before_queue(const ServiceOrder& order, const Machine& machine) const;
+  static bool goes_before_queue(const ServiceOrder& order, const Machine& machine);
   bool is_blocked_by_replicas(const Machine& machine, const QueuedTask& task) const;
   std::vector<std::pair<ServiceOrder, int>> blocked_tasks(double now) const;
   void move_to_tier_end(Machine& from, TaskQueues::Position position, double now);
--- a/src/scheduler/machine_transfers.cpp
+++ b/src/scheduler/machine_transfers.cpp
@@ -51,7 +51,7 @@
 
 // A machine with a replica is not promised: it would stand half empty for as long as the service
 // runs.
-bool MachineTransfers::can_be_given(const Machine& machine) const {
+bool MachineTransfers::can_be_given(const Machine& machine) {
   if (machine.state != Machine::up || !machine.in_inventory || machine.type < 0) return false;
   if (machine.leaving || machine.draining || machine.queue.reserved_for) return false;
   return !machine.has_replicas();
--- a/src/scheduler/machine_transfers.h
+++ b/src/scheduler/machine_transfers.h
@@ -58,7 +58,7 @@
   double units(const Machine& machine) const;
   void keep(Machine& machine);
   double trim_marked(const MachineTransfer& transfer);
-  bool can_be_given(const Machine& machine) const;
+  static bool can_be_given(const Machine& machine);
 
   ShardContext& context_;
   Machines& machines_;
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -14,7 +14,7 @@
 constexpr double kMaxLostWorkS = 8;
 }  // namespace
 
-bool Preemption::can_be_stopped(const Placement& placement, double now) const {
+bool Preemption::can_be_stopped(const Placement& placement, double now) {
   if (!placement.seen || placement.released || placement.preempted) return false;
   if (placement.state == TaskState::exited || placement.job->spec.gang) return false;
   const bool saves_progress = placement.job->spec.checkpoint_s > 0;
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -24,7 +24,7 @@
   void make_room(Machine& machine, double now);
 
  private:
-  bool can_be_stopped(const Placement& placement, double now) const;
+  static bool can_be_stopped(const Placement& placement, double now);
   bool yields_to(const Placement& placement, const QueuedTask& task) const;
   std::vector<Placement*> victims(Machine& machine, const QueuedTask& task, double now) const;
 
--- a/src/scheduler/replica_consolidation.h
+++ b/src/scheduler/replica_consolidation.h
@@ -33,7 +33,7 @@
     std::map<std::pair<const jobs::Job*, int>, int> in_zone;
   };
 
-  bool is_settled(const Placement& placement, double now) const;
+  static bool is_settled(const Placement& placement, double now);
   /// What draining the machine would save a move, in price a second; 0: it is not to be drained.
   double saving(const Machine& machine, double now) const;
   std::vector<DrainCandidate> drain_candidates(double now) const;
