--- a/src/scheduler/failure_detector.cpp
+++ b/src/scheduler/failure_detector.cpp
@@ -45,7 +45,8 @@
 // Most of the zone's machines are heard. Where most are silent at once a network is cut, or this
 // node stood still: nothing is concluded about one machine, and none is deleted.
 bool FailureDetector::zone_heard(int zone, double now) const {
-  std::size_t all = 0, heard = 0;
+  std::size_t all = 0;
+  std::size_t heard = 0;
   for (const auto& [number, machine] : machines_.all()) {
     if (machine->state != Machine::up || machine->zone != zone || machine->lost) continue;
     ++all;
@@ -54,7 +55,7 @@
   return heard > 0 && 2 * heard >= all;
 }
 
-void FailureDetector::heartbeat_received(Machine& machine, bool response_lost, double now) {
+void FailureDetector::heartbeat_received(Machine& machine, bool response_lost, double now) const {
   int& lost = machine.losing_responses;
   lost = response_lost ? lost + 1 : std::max(0, lost - 1);
   if (loses_responses(machine))
--- a/src/scheduler/failure_detector.h
+++ b/src/scheduler/failure_detector.h
@@ -26,7 +26,7 @@
   /// A heartbeat, and whether it shows that the response to an earlier one was lost. Such a machine
   /// looks alive for ever, while every start on it is lost: nothing new goes there, and it is
   /// probed as a silent one is.
-  void heartbeat_received(Machine& machine, bool response_lost, double now);
+  void heartbeat_received(Machine& machine, bool response_lost, double now) const;
   /// Probes to send now; each is answered by probe_done.
   [[nodiscard]] std::vector<Probe> probes(double now);
   /// True: the machine has not answered, again, and is to be given up on.
--- a/src/scheduler/finish_cost.cpp
+++ b/src/scheduler/finish_cost.cpp
@@ -1,6 +1,7 @@
 #include "scheduler/finish_cost.h"
 
 #include <algorithm>
+#include <array>
 
 namespace shunttrail::scheduler {
 
@@ -9,7 +10,7 @@
 
 namespace {
 /// What a second of waiting costs by priority, urgent first.
-const double kPriorityWeight[wire::kPriorities] = {8, 4, 1, 0.5};
+constexpr std::array<double, wire::kPriorities> kPriorityWeight{8, 4, 1, 0.5};
 /// Run time, in seconds, that a replica's cost counts: as long as it keeps others from its room at
 /// least.
 constexpr double kReplicaRunS = 60;
@@ -33,7 +34,7 @@
   const double rate = context.catalogue.rate(machine.tier());
   const double share = largest_share(job.need, type.room);
   const double weight =
-      kPriorityWeight[static_cast<int>(job.priority)] * context.catalogue.base_rate;
+      kPriorityWeight[static_cast<std::size_t>(job.priority)] * context.catalogue.base_rate;
   const double started = placement.started > 0 ? placement.started : now;
   const double waited_s = std::max(0.0, started - placement.queued_task.since);
   double cost = rate * share * (job.spec.service ? kReplicaRunS : now - started);
