--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -194,8 +194,8 @@
   return std::max(kMinS, cancel_s - lease_s - kMarginS);
 }
 
-Settings parse_settings(const std::string& input) {
-  const json document = json::parse(input, nullptr, false);
+Settings parse_settings(const std::string& text) {
+  const json document = json::parse(text, nullptr, false);
   if (document.is_discarded()) bad_at("settings", "are not JSON");
   if (!document.is_object()) bad_at("settings", "are not an object");
   const Section root(document, "");
--- a/src/config/xml.cpp
+++ b/src/config/xml.cpp
@@ -37,7 +37,9 @@
                    const std::vector<std::string>& required) {
   for (pugi::xml_node child : parent.children()) {
     if (child.type() != pugi::node_element) continue;
-    const std::string child_place = place + "." + child.name();
+    std::string child_place = place;
+    child_place += '.';
+    child_place += child.name();
     const auto reader = readers.find(child.name());
     if (reader == readers.end()) bad_at(child_place, "is not a known setting");
     reader->second(child, child_place);
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -85,12 +85,12 @@
   /// Disconnects a job from the jobs that it needs.
   void detach(int node);
   /// Dooms a job and all waiting jobs that need it.
-  void mark_doomed(int node);
+  void mark_doomed(int first);
   /// Passes a job's urgency on to the jobs that it needs, through all levels.
-  void propagate(int node);
+  void propagate(int first);
   /// Computes a node's effective priority anew; false: it is the same.
   bool update_effective(int node);
-  [[nodiscard]] EffectivePriority compute_effective(const Node& node) const;
+  [[nodiscard]] EffectivePriority compute_effective(const Node& job) const;
   static EffectivePriority own_of(const wire::JobRecord& record);
 
   const state::StateCache& cache_;
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -50,7 +50,7 @@
 class Job {
  public:
   /// `zones`: their number in the settings; `wall_now`: the time of day in seconds.
-  Job(const wire::JobRecord& record, int team, int job_class, int zones, double now,
+  Job(const wire::JobRecord& record, int team_index, int class_index, int zones, double now,
       double wall_now);
 
   const wire::JobSpec spec;
--- a/src/jobs/result_reader.cpp
+++ b/src/jobs/result_reader.cpp
@@ -33,7 +33,7 @@
   if (waiting_.size() >= kMinJobsForRange) {
     if (is_range_read_) return std::nullopt;
     // If each range began with the oldest question, questions in descending order of keys would be
-    // answered one a read (docs/incidents/fault combinations-2.md).
+    // answered one a read (docs/incidents/meetings-2.md).
     auto first = waiting_.upper_bound(last_read_);
     if (first == waiting_.end()) first = waiting_.begin();
     is_range_read_ = true;
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -6,11 +6,11 @@
 namespace shunttrail::schema {
 
 const std::vector<Version>& table() {
-  static const std::vector<Version> all = {
+  static const std::vector<Version> kAll = {
       {0, "first", "the forms of builds that know no levels", false},
       {1, "machine-ages", "roster pages tell when each machine was rented", true},
   };
-  return all;
+  return kAll;
 }
 
 bool can_downgrade(int level) {
--- a/src/state/client.h
+++ b/src/state/client.h
@@ -108,7 +108,7 @@
 
  private:
   struct Call {
-    const char* method;
+    const char* method = nullptr;
     std::string path;
     std::string body;
     double writes = 0;
--- a/src/wire/cloud_codec.cpp
+++ b/src/wire/cloud_codec.cpp
@@ -14,7 +14,7 @@
 
 /// Percent-encodes what may not stand in a query.
 std::string escape(const std::string& value) {
-  static const char kHexDigits[] = "0123456789ABCDEF";
+  constexpr std::string_view kHexDigits = "0123456789ABCDEF";
   std::string out;
   for (unsigned char c : value) {
     if (std::isalnum(c) || c == '-' || c == '_' || c == '.' || c == '/') {
--- a/src/wire/fields.h
+++ b/src/wire/fields.h
@@ -2,6 +2,7 @@
 /// Strict reading of JSON fields, shared by all codecs and included by codecs only. Every function
 /// throws Malformed, which names the field, and nothing else.
 #pragma once
+#include <array>
 #include <cmath>
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -163,7 +164,8 @@
 }
 
 /// The wire names of task states, by TaskState.
-inline constexpr const char* const kTaskStateNames[] = {"pulling", "running", "flushing", "exited"};
+inline constexpr std::array<const char*, 4> kTaskStateNames = {"pulling", "running", "flushing",
+                                                               "exited"};
 
 /// Applies `f` to the parsed body, and turns whatever the JSON library throws into Malformed.
 template <class F>
@@ -179,7 +181,7 @@
 template <class F>
 auto of_value(const Event& event, F f) {
   if (!event.parsed)
-    return guarded(event.value ? std::string_view(*event.value) : std::string_view(), f);
+    return guarded(event.value ? std::string_view{*event.value} : std::string_view{}, f);
   try {
     const json& value = *static_cast<const json*>(event.parsed.get());
     check_object(value);
--- a/src/wire/job_spec_json.cpp
+++ b/src/wire/job_spec_json.cpp
@@ -1,5 +1,6 @@
 #include "wire/job_spec_json.h"
 
+#include <array>
 #include <set>
 
 #include "wire/user_codec.h"
@@ -8,7 +9,8 @@
 namespace {
 
 /// By Priority.
-constexpr const char* kPriorityNames[kPriorities] = {"critical", "high", "standard", "idle"};
+constexpr std::array<const char*, kPriorities> kPriorityNames = {"critical", "high", "standard",
+                                                                 "idle"};
 constexpr std::size_t kMaxMachineTypes = 1000;
 
 const char* kind_name(const JobSpec& spec) {
--- a/src/wire/user_codec.cpp
+++ b/src/wire/user_codec.cpp
@@ -1,5 +1,7 @@
 #include "wire/user_codec.h"
 
+#include <array>
+
 #include "wire/fields.h"
 #include "wire/job_spec_json.h"
 
@@ -23,7 +25,7 @@
 }
 
 const char* state_name(JobState state) {
-  static const char* const kNames[] = {"queued", "running", "done", "cancelled"};
+  static constexpr std::array<const char*, 4> kNames = {"queued", "running", "done", "cancelled"};
   return kNames[static_cast<int>(state)];
 }
 
