--- a/src/config/xml.cpp
+++ b/src/config/xml.cpp
@@ -35,17 +35,16 @@
 
 void read_children(pugi::xml_node parent, const std::string& place, const Readers& readers,
                    const std::vector<std::string>& required) {
+  const std::string prefix = place + ".";
   for (pugi::xml_node child : parent.children()) {
     if (child.type() != pugi::node_element) continue;
-    std::string child_place = place;
-    child_place += '.';
-    child_place += child.name();
+    const std::string child_place = prefix + child.name();
     const auto reader = readers.find(child.name());
     if (reader == readers.end()) bad_at(child_place, "is not a known setting");
     reader->second(child, child_place);
   }
   for (const std::string& name : required)
-    if (!parent.child(name.c_str())) bad_at(place + "." + name, "is missing");
+    if (!parent.child(name.c_str())) bad_at(prefix + name, "is missing");
 }
 
 std::string xml_text(pugi::xml_node node, const std::string& place) {
