--- a/src/pbs/values.cpp
+++ b/src/pbs/values.cpp
@@ -173,7 +173,7 @@
   for (auto [at, one] : parts(text, ',')) {
     const auto equals = one.find('=');
     std::string_view key = one.substr(0, equals);
-    if (!fits<p::seq<name, p::eof>>(key)) throw BadValue(at, "has no resource'text name here");
+    if (!fits<p::seq<name, p::eof>>(key)) throw BadValue(at, "has no resource's name here");
     Resource resource{std::string(key), "", at, at};
     if (equals != std::string_view::npos) {
       resource.value = one.substr(equals + 1);
