--- a/src/controller/heartbeat_responder.cpp
+++ b/src/controller/heartbeat_responder.cpp
@@ -9,7 +9,7 @@
 namespace {
 net::Answer unavailable() { return {503, "{}", 0}; }
 
-net::Answer response(std::uint64_t token, const std::vector<wire::Command>& commands) {
+net::Answer heartbeat_response(std::uint64_t token, const std::vector<wire::Command>& commands) {
   return {200, wire::encode_heartbeat_response(token, commands), 0};
 }
 }  // namespace
@@ -64,7 +64,7 @@
                                               const std::string& machine) {
   const scheduler::ShardScheduler& scheduler = *host_.active_scheduler();
   if (scheduler.has_unacknowledged_start(machine)) return exchange->send(unavailable());
-  exchange->send(response(scheduler.token(), scheduler.stop_commands(machine)));
+  exchange->send(heartbeat_response(scheduler.token(), scheduler.stop_commands(machine)));
 }
 
 // A newer heartbeat of the machine is here: the one whose response is held is answered by 503.
@@ -81,7 +81,7 @@
   // renewed: not before the token is advanced, or the direct command answered.
   if (scheduler.has_unacknowledged_start(machine)) return exchange->send(unavailable());
   const auto commands = scheduler.commands_for(machine, host_.may_start_tasks(), host_.now());
-  exchange->send(response(scheduler.token(), commands));
+  exchange->send(heartbeat_response(scheduler.token(), commands));
 }
 
 void HeartbeatResponder::flush_held() {
--- a/src/controller/worker_api.cpp
+++ b/src/controller/worker_api.cpp
@@ -70,7 +70,7 @@
 }
 
 // Nothing can have been placed on a machine that the inventory does not hold.
-void WorkerApi::adopt(const wire::Heartbeat& heartbeat) {
+void WorkerApi::adopt(const wire::Heartbeat& heartbeat) const {
   components_.cloud_manager->unknown_machine_reported(heartbeat.machine, heartbeat.addr);
   components_.inventory->adopt_orphan(
       {heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, 0, 0, 0});
--- a/src/controller/worker_api.h
+++ b/src/controller/worker_api.h
@@ -29,7 +29,7 @@
   void route_heartbeat(const net::ExchangePtr& exchange, HeartbeatPath path);
   void route_to_shard(const net::ExchangePtr& exchange, wire::Heartbeat heartbeat, int shard,
                       HeartbeatPath path);
-  void adopt(const wire::Heartbeat& heartbeat);
+  void adopt(const wire::Heartbeat& heartbeat) const;
   [[nodiscard]] std::optional<int> shard_of(const std::string& machine) const;
   [[nodiscard]] std::string node_that_may_serve(std::optional<int> shard) const;
   [[nodiscard]] bool may_serve_elsewhere(int node) const;
