--- a/tests/agent_golden_test.cpp
+++ b/tests/agent_golden_test.cpp
@@ -41,7 +41,7 @@
   fs::path dir_;
 };
 
-TEST_F(AgentGolden, ReportsOfWorkers) {
+TEST_F(AgentGolden, HeartbeatsOfWorkers) {
   const std::tuple<TaskState, ExitReason, bool, const char*> rows[] = {
       {TaskState::fetching, ExitReason::none, false, R"("pulling")"},
       {TaskState::running, ExitReason::none, false, R"("running")"},
@@ -218,7 +218,7 @@
 // ---- the set that runs on one machine
 
 // A log with each kind of line: what is made of it at a start, and what a commit adds.
-TEST_F(AgentGolden, LogOfTheStateServiceStandIn) {
+TEST_F(AgentGolden, LogOfTheStateServiceEmulator) {
   put("state.log",
       R"({"ledger":5,"next_hold":3}
 {"hold":2,"life_s":5.0}
@@ -260,7 +260,7 @@
   EXPECT_EQ(ask("GET", "/kv/c", ""), R"(404 {"ledger":8})");
 }
 
-TEST_F(AgentGolden, FileOfTheCloudStandIn) {
+TEST_F(AgentGolden, FileOfTheCloudEmulator) {
   const std::string first =
       R"({"name":"m-000001","rented_at":1733000000.5,"spot":true,"type":"t4","zone":"a"})";
   auto file = [&](const std::string& machines) {
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -438,7 +438,7 @@
 }
 
 // Names that do not end in a number share 64 pages: 4,000 of them fit, each once.
-TEST(LargeFleet, TheRosterHoldsMachinesWhateverTheirNames) {
+TEST(LargeFleet, TheInventoryHoldsMachinesWhateverTheirNames) {
   Cluster c(3, 4);
   std::vector<wire::MachineRecord> records;
   for (int n = 0; n < kMachines; ++n)
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -80,7 +80,7 @@
 }
 
 // Each state and each cause that a worker may report, and what this version has no word for.
-TEST(WireGolden, ReportsOfWorkers) {
+TEST(WireGolden, HeartbeatsOfWorkers) {
   auto car = [](const std::string& rest) {
     return R"({"car":"run-000412/3","departure":2,"signal":)" + rest + "}";
   };
@@ -124,7 +124,7 @@
   }
 }
 
-TEST(WireGolden, OrdersToWorkers) {
+TEST(WireGolden, CommandsToWorkers) {
   using Op = wire::Command::Op;
   const std::vector<wire::Command> commands = {{Op::start, {"run-000412", 4}, 2},
                                                {Op::stop, {"run-000377", 1}, 1, 10},
@@ -343,7 +343,7 @@
           R"(,"machines":1,"made_ready":0,"node":"node-0","refused":0,"revision":50,"state_429":0,"state_too_large":0,"state_waited_s":N,"state_write_rate":12.5,"submissions":N,"waiting":1})");
 }
 
-TEST(WireGolden, CountersOfADesk) {
+TEST(WireGolden, CountersOfAScheduler) {
   SchedulerSite d;
   d.machine("m-1", 0);
   d.job(1, 6, 1, false, 0);
