--- a/tests/agent_rig.h
+++ b/tests/agent_rig.h
@@ -1,4 +1,4 @@
-// Real agents on loopback, with a artifact store and a controller's emulator in the test's own
+// Real agents on loopback, with an artifact store and a controller's emulator in the test's own
 // loop.
 #pragma once
 #include <arpa/inet.h>
@@ -48,7 +48,7 @@
   struct Task {
     std::uint64_t attempt = 0, session = 0;  // what was last asked for, and in which incarnation
     bool sent = false, wanted = true, cancelled = false;
-    int done = 0, failed = 0, lost = 0;  // final answers, other ends, ends with a incarnation
+    int done = 0, failed = 0, lost = 0;  // final answers, other ends, ends with an incarnation
     std::string why;
   };
 
