--- a/app/shunttrail-local.cpp
+++ b/app/shunttrail-local.cpp
@@ -98,7 +98,7 @@
 }
 
 CLI::App* add_state_command(CLI::App& app, Options& options) {
-  CLI::App* command = app.add_subcommand("state", "the state service's stand-in")->group("");
+  CLI::App* command = app.add_subcommand("state", "the state service's emulator")->group("");
   command->add_option("--listen", options.listen)->required();
   command->add_option("--file", options.state_file);
   return command;
--- a/tests/agent_golden_test.cpp
+++ b/tests/agent_golden_test.cpp
@@ -1,6 +1,6 @@
 // Golden values of what is beside the controllers: what workers, users, the cloud and the state
 // service say, and what the agent, the artifact store and the one-machine set keep on disk.
-// Descriptions, orders and ends of tasks are in agent_book_test.cpp.
+// Descriptions, orders and ends of tasks are in agent_attempt_table_test.cpp.
 #include <gtest/gtest.h>
 #include <sqlite3.h>
 
