--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -356,7 +356,8 @@
   d.job(1, 6, 1, false, 0);
   d.all_report(1);
   std::string keys;
-  for (const auto& [key, value] : nlohmann::json::parse(d.scheduler->summary()).items()) {
+  const nlohmann::json summary = nlohmann::json::parse(d.scheduler->summary());
+  for (const auto& [key, value] : summary.items()) {
     EXPECT_TRUE(value.is_number()) << key;
     keys += key + " ";
   }
