--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -366,7 +366,12 @@
   EXPECT_EQ(rig.order(R"({"orders":[]})").status, 400);
   EXPECT_EQ(rig.order(R"({"staff":4,"shift":1,"orders":[]})").status, 409);
   EXPECT_EQ(rig.order(R"({"staff":5,"shift":2,"orders":[]})").status, 409);
-  EXPECT_EQ(rig.order(std::string(70000, ' ')).status, 413);
+  // The agent answers and closes before it has read all: the answer can be lost with what is still
+  // being written, and is then asked for again.
+  net::Result too_long;
+  for (int i = 0; i < 20 && too_long.status == 0; ++i)
+    too_long = rig.order(std::string(70000, ' '));
+  EXPECT_EQ(too_long.status, 413);
   auto r = rig.order(R"({"staff":6,"shift":1,"orders":[{"order":"dance"},
                          {"order":"start","car":"run-999999/0","departure":3}]})");
   EXPECT_EQ(r.status, 200);
--- a/tests/agent_rig.h
+++ b/tests/agent_rig.h
@@ -53,6 +53,8 @@
   };
 
   explicit Rig(double lease_s = 60, const std::string& more = "") : lease_s_(lease_s), more_(more) {
+    // As every program does: a connection that the agent closes early is an error of one write.
+    ::signal(SIGPIPE, SIG_IGN);
     std::string name = fs::temp_directory_path() / "shunt-rig-XXXXXX";
     dir = ::mkdtemp(name.data());
     open_depot();
