--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -69,8 +69,8 @@
   /// By when it should be done, for its own sake or for that of jobs that depend on it. Its own
   /// deadline counts from its submission, however long it waited. Infinite: no deadline.
   double due;
-  bool over = false;  ///< cancelled or done: none of its tasks may start
-  int image = -1;     ///< dense index of its image; -1: not assigned yet
+  bool ended = false;  ///< cancelled or done: none of its tasks may start
+  int image = -1;      ///< dense index of its image; -1: not assigned yet
   /// It fits into its team's guarantee together with the team's earlier unfinished jobs.
   bool within_guarantee = false;
   /// Its team belongs to another shard, whose leader has delegated tasks of it to this shard.
--- a/src/scheduler/delegation_planner.cpp
+++ b/src/scheduler/delegation_planner.cpp
@@ -178,7 +178,7 @@
   std::vector<JobPtr> found;
   for (const auto& [id, job] : context_.jobs) {
     const bool waits = job->queued || !job->pending.empty();
-    if (waits && !job->is_foreign && !job->over && job->not_before <= now) found.push_back(job);
+    if (waits && !job->is_foreign && !job->ended && job->not_before <= now) found.push_back(job);
   }
   const auto rank = [](const JobPtr& job) {
     return std::tuple(job->priority_band(), job->latest_start());
--- a/src/scheduler/heartbeat_processor.cpp
+++ b/src/scheduler/heartbeat_processor.cpp
@@ -87,7 +87,7 @@
     }
     if (exited_now && !placement.released) exited(machine, placement, now);
   }
-  if (!exited_now && !placement.job->over) machines_.note_image(machine, placement.job->image);
+  if (!exited_now && !placement.job->ended) machines_.note_image(machine, placement.job->image);
 }
 
 void HeartbeatProcessor::exited(Machine& machine, Placement& placement, double now) {
@@ -115,7 +115,7 @@
 void HeartbeatProcessor::task_succeeded(Machine& machine, Placement& placement, double now) {
   Job& job = *placement.job;
   if (placement.task < job.spec.tasks) mark_done(placement.job, placement.task, now);
-  if (job.over || machine.type < 0) return;
+  if (job.ended || machine.type < 0) return;
   record_finish_cost(context_, placement, machine, now);
   machine.task_succeeded();
   job.failed_on.clear();
@@ -126,7 +126,7 @@
 void HeartbeatProcessor::task_failed(Machine& machine, Placement& placement, double now) {
   Job& job = *placement.job;
   ++context_.counters.errors;
-  if (job.over) return;
+  if (job.ended) return;
   machine.task_failed(job.spec.id, now);
   job.failed_on.insert(machine.name);
   if (job.failed_on.size() < kFailedMachinesBeforeBackoff) return;
@@ -135,7 +135,7 @@
 }
 
 void HeartbeatProcessor::mark_done(const JobPtr& job, std::uint32_t task, double now) {
-  if (job->over || job->done(task)) return;
+  if (job->ended || job->done(task)) return;
   if (!job->finish(task, now)) return;
   ++context_.counters.dones;
   if (job->queued) finished_tasks_.push_back({job, task});
@@ -185,7 +185,7 @@
     placements_.release(machine, placement, now);
     return true;
   }
-  const bool is_unwanted = placement.job->over || placement.job->done(placement.task);
+  const bool is_unwanted = placement.job->ended || placement.job->done(placement.task);
   if (is_unwanted && placement.phase == Phase::committed &&
       TokenPolicy::is_acknowledged(machine, placement)) {
     // Not there, nothing on its way, and none will be sent.
--- a/src/scheduler/placement_store.cpp
+++ b/src/scheduler/placement_store.cpp
@@ -102,7 +102,7 @@
   record.spec.mem_gb = stored.mem_gb;
   const int zones = static_cast<int>(context_.settings.zones.size());
   auto job = std::make_shared<jobs::Job>(record, stored.team, 0, zones, now, 0);
-  job->over = true;
+  job->ended = true;
   const auto& team_shard = context_.settings.team_shard;
   const auto team = static_cast<std::size_t>(std::max(stored.team, 0));
   job->is_foreign =
@@ -138,7 +138,7 @@
       return !placement || placement->released;
     });
     std::erase_if(pages_[i].results, [&](const ResultChunk& result) {
-      return result.job->over || result.job->done_page[result.chunk] != static_cast<int>(i);
+      return result.job->ended || result.job->done_page[result.chunk] != static_cast<int>(i);
     });
   }
 }
@@ -331,7 +331,7 @@
   for (const auto& [number, machine] : machines_.all()) {
     if (!machine->in_inventory) continue;
     for (const Placement& placement : machine->tasks.placements) {
-      if (placement.phase != Phase::planned || placement.released || placement.job->over) continue;
+      if (placement.phase != Phase::planned || placement.released || placement.job->ended) continue;
       if (!may_start(placement)) continue;
       starts.push_back({number, placement.job, placement.task, placement.attempt});
     }
--- a/src/scheduler/placements.cpp
+++ b/src/scheduler/placements.cpp
@@ -151,7 +151,7 @@
 
 void Placements::undo(Machine& machine, Placement& placement, double now) {
   placement.phase = Phase::planned;
-  if (!placement.job->over && !placement.job->is_withheld(placement.task)) return;
+  if (!placement.job->ended && !placement.job->is_withheld(placement.task)) return;
   release_for_good(machine, placement, now);
   std::erase_if(machine.tasks.placements, [](const Placement& other) {
     return other.phase == Phase::planned && other.released;
--- a/src/scheduler/replica_consolidation.cpp
+++ b/src/scheduler/replica_consolidation.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 bool ReplicaConsolidation::is_settled(const Placement& placement, double now) {
-  if (!placement.job->spec.service || placement.job->over) return false;
+  if (!placement.job->spec.service || placement.job->ended) return false;
   if (placement.released || placement.preempted || !placement.seen) return false;
   return placement.state == TaskState::running && now - placement.started >= kSettleTimeS;
 }
--- a/src/scheduler/shard_context.h
+++ b/src/scheduler/shard_context.h
@@ -51,7 +51,7 @@
 
   /// A task without a placement is to enter the chain again.
   void requeue(const jobs::JobPtr& job, std::uint32_t task) {
-    if (job->over || job->done(task) || task >= job->spec.tasks) return;
+    if (job->ended || job->done(task) || task >= job->spec.tasks) return;
     if (job->placements[task] == 0 && !job->is_withheld(task)) job->pending.insert(task);
     scheduling_due = true;
   }
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -81,7 +81,7 @@
   const auto entry = context_.jobs.find(id);
   if (entry == context_.jobs.end()) return;
   const JobPtr job = entry->second;
-  job->over = true;
+  job->ended = true;
   job->pending.clear();
   context_.jobs.erase(entry);
   for (const auto& [number, machine] : machines_.all()) {
--- a/src/scheduler/team_quota.cpp
+++ b/src/scheduler/team_quota.cpp
@@ -75,7 +75,7 @@
     const JobPtr& job = reservation.job;
     if (!job) continue;
     const bool expired = now - reservation.reserved_at > kReservationDurationS;
-    if (job->over || job->placed || expired) reservation.job = nullptr;
+    if (job->ended || job->placed || expired) reservation.job = nullptr;
   }
 }
 
--- a/src/scheduler/token_policy.cpp
+++ b/src/scheduler/token_policy.cpp
@@ -10,7 +10,7 @@
 }  // namespace
 
 bool TokenPolicy::may_start_late(const Placement& placement) const {
-  return placement.unacknowledged_token == token_ && placement.job->over && !placement.seen &&
+  return placement.unacknowledged_token == token_ && placement.job->ended && !placement.seen &&
          !placement.released;
 }
 
@@ -24,7 +24,7 @@
     for (const Placement& placement : machine->tasks.placements) {
       if (may_start_late(placement)) return true;
       const bool unacknowledged = placement.unacknowledged_token == token_;
-      const bool unwanted = placement.released || placement.job->over;
+      const bool unwanted = placement.released || placement.job->ended;
       if (long_ago && unacknowledged && unwanted) return true;
     }
   }
--- a/src/scheduler/worker_commands.cpp
+++ b/src/scheduler/worker_commands.cpp
@@ -29,7 +29,7 @@
 // The placement's job is over, and it may be there, or get there: also what no heartbeat has shown
 // yet, since a direct start that is on its way may come before the response that this is for.
 bool must_end(const Placement& placement) {
-  return placement.job->over && !placement.released &&
+  return placement.job->ended && !placement.released &&
          (placement.seen || placement.sent || placement.unacknowledged_token ||
           placement.recovered);
 }
@@ -70,7 +70,7 @@
 
 // A result is kept by the worker until it is persisted; what failed or was stopped is not kept.
 bool WorkerCommands::is_result_kept(const Placement& placement) {
-  return placement.exit_reason == ExitReason::done && !placement.job->over &&
+  return placement.exit_reason == ExitReason::done && !placement.job->ended &&
          !placement.job->persisted(placement.task);
 }
 
@@ -93,7 +93,7 @@
     }
     return;
   }
-  if (placement.job->over || placement.job->done(placement.task)) {
+  if (placement.job->ended || placement.job->done(placement.task)) {
     if (must_end(placement) || placement.seen)
       commands.push_back(command(Command::Op::stop, placement));
     return;
@@ -202,7 +202,7 @@
   const bool running = placement.seen && !placement.released;
   // A machine that reports to nobody may still get this, and one that hangs finds it when it goes
   // on.
-  if (placement.job->over && running && !placement.end_sent) {
+  if (placement.job->ended && running && !placement.end_sent) {
     placement.end_sent = true;
     commands.push_back(command(Command::Op::stop, placement));
     return;
@@ -214,7 +214,7 @@
     commands.push_back(command(Command::Op::stop, placement, stop_grace(*placement.job)));
     return;
   }
-  const bool wanted = !machine.leaving && !placement.released && !placement.job->over &&
+  const bool wanted = !machine.leaving && !placement.released && !placement.job->ended &&
                       !placement.job->done(placement.task);
   const bool unsent = placement.phase == Phase::committed && !placement.seen &&
                       !placement.recovered && !placement.sent && !placement.unacknowledged_token;
