--- a/src/jobs/job.cpp
+++ b/src/jobs/job.cpp
@@ -119,7 +119,7 @@
 
 double Job::latest_start() const { return std::min(due - spec.estimate_s, since + kMaxWaitS); }
 
-std::uint32_t Job::zone_room(int zone) const {
+std::uint32_t Job::tasks_allowed_in_zone(int zone) const {
   if (only_zone) return *only_zone == zone ? spec.tasks : 0;
   if (spec.same_zone)
     for (std::size_t other = 0; other < in_zone.size(); ++other)
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -121,7 +121,7 @@
   std::vector<std::uint32_t> in_zone;  ///< by zone: how many placements may exist
   std::uint32_t placed = 0;            ///< number of placements
   /// By zone: how many tasks may be placed by another shard; empty: none.
-  std::vector<std::uint32_t> away_in_zone;
+  std::vector<std::uint32_t> delegated_in_zone;
   /// Of a foreign job: the only zone in which this shard may place its tasks. Its team's shard
   /// counts them against what the job allows. Absent: any that the job allows.
   std::optional<int> only_zone;
@@ -147,16 +147,16 @@
   double backoff_s = 0;   ///< the last wait
 
   /// Whether one more of its tasks may be placed in this zone beside the placements that may exist.
-  [[nodiscard]] bool zone_ok(int zone) const { return zone_room(zone) > 0; }
+  [[nodiscard]] bool allows_zone(int zone) const { return tasks_allowed_in_zone(zone) > 0; }
   /// How many more.
-  [[nodiscard]] std::uint32_t zone_room(int zone) const;
+  [[nodiscard]] std::uint32_t tasks_allowed_in_zone(int zone) const;
 
  private:
   std::vector<bool> done_;       ///< by task
   std::vector<bool> persisted_;  ///< by task
   std::vector<bool> withheld_;   ///< by task; empty: none
   [[nodiscard]] std::uint32_t placed_in(std::size_t zone) const {
-    return in_zone[zone] + (zone < away_in_zone.size() ? away_in_zone[zone] : 0);
+    return in_zone[zone] + (zone < delegated_in_zone.size() ? delegated_in_zone[zone] : 0);
   }
   std::uint32_t done_count_ = 0;
 };
--- a/src/scheduler/chain_walk.cpp
+++ b/src/scheduler/chain_walk.cpp
@@ -57,7 +57,7 @@
   scan.learner = &learners_.try_emplace(tier, context_.tuning.ring).first->second;
   scan.size = chain::size_bucket(share_of(job.need, capacity));
   for (std::size_t zone = 0; zone < context_.settings.zones.size(); ++zone)
-    scan.zone_allowed.push_back(machines_.zone_ok(job, static_cast<int>(zone)));
+    scan.zone_allowed.push_back(machines_.allows_zone(job, static_cast<int>(zone)));
   return scan;
 }
 
--- a/src/scheduler/delegated_work.cpp
+++ b/src/scheduler/delegated_work.cpp
@@ -25,7 +25,7 @@
     if (held_.contains(id) || cache.delegated().contains(id)) return false;
     const auto job = context_.jobs.find(id);
     if (job == context_.jobs.end() || job->second->is_foreign) return true;
-    job->second->away_in_zone.clear();
+    job->second->delegated_in_zone.clear();
     withhold(job->second, {}, now);
     return true;
   });
@@ -55,14 +55,14 @@
 // Of a job with rules about zones, all that the other shard may run is in one zone.
 void DelegatedWork::set_zones(const JobPtr& job, const wire::Delegation& delegation,
                               const std::vector<bool>& withheld) const {
-  job->away_in_zone.assign(context_.settings.zones.size(), 0);
+  job->delegated_in_zone.assign(context_.settings.zones.size(), 0);
   job->only_zone.reset();
   if (!delegation.zone) return;
   const int zone = context_.settings.zone_index(*delegation.zone);
   if (job->is_foreign)
     job->only_zone = zone;
   else if (zone >= 0)
-    job->away_in_zone[static_cast<std::size_t>(zone)] =
+    job->delegated_in_zone[static_cast<std::size_t>(zone)] =
         static_cast<std::uint32_t>(std::count(withheld.begin(), withheld.end(), true));
 }
 
@@ -113,9 +113,10 @@
     quota_.add_delegating(*job);
   }
   job->withhold(std::move(held));
-  job->away_in_zone.resize(context_.settings.zones.size(), 0);
+  job->delegated_in_zone.resize(context_.settings.zones.size(), 0);
   if (zone)
-    job->away_in_zone[static_cast<std::size_t>(*zone)] += static_cast<std::uint32_t>(tasks.size());
+    job->delegated_in_zone[static_cast<std::size_t>(*zone)] +=
+        static_cast<std::uint32_t>(tasks.size());
   restricted_.insert(job->spec.id);
   held_.insert(job->spec.id);
 }
--- a/src/scheduler/machines.cpp
+++ b/src/scheduler/machines.cpp
@@ -91,15 +91,15 @@
   return type >= 0 && context_.catalogue.accepts(2 * type + (spot ? 1 : 0), job.spec, job.need);
 }
 
-bool Machines::zone_ok(const Job& job, int zone) const {
+bool Machines::allows_zone(const Job& job, int zone) const {
   if (job.spec.zone && context_.settings.zone_index(*job.spec.zone) != zone) return false;
-  return job.zone_ok(zone);
+  return job.allows_zone(zone);
 }
 
 bool Machines::usable(const Machine& machine, const Job& job, double now) const {
   if (machine.leaving || machine.draining) return false;
   if (machine.avoid_until > now || machine.zone < 0) return false;
-  return type_ok(job, machine.type, machine.spot) && zone_ok(job, machine.zone);
+  return type_ok(job, machine.type, machine.spot) && allows_zone(job, machine.zone);
 }
 
 // ---- what is heard of a machine
--- a/src/scheduler/machines.h
+++ b/src/scheduler/machines.h
@@ -52,7 +52,7 @@
   /// The job's tasks may run on machines of the type and kind.
   [[nodiscard]] bool type_ok(const jobs::Job& job, int type, bool spot) const;
   /// One more of the job's tasks may be placed in the zone.
-  [[nodiscard]] bool zone_ok(const jobs::Job& job, int zone) const;
+  [[nodiscard]] bool allows_zone(const jobs::Job& job, int zone) const;
   /// One more of the job's tasks may be placed on the machine, once there is room.
   [[nodiscard]] bool usable(const Machine& machine, const jobs::Job& job, double now) const;
 
--- a/src/scheduler/offer_fit.cpp
+++ b/src/scheduler/offer_fit.cpp
@@ -34,7 +34,7 @@
   std::vector<std::size_t> limits;
   for (std::size_t zone = 0; zone < settings_.zones.size(); ++zone) {
     const bool is_allowed = !job.spec.zone || *job.spec.zone == settings_.zones[zone];
-    limits.push_back(is_allowed ? job.zone_room(static_cast<int>(zone)) : 0);
+    limits.push_back(is_allowed ? job.tasks_allowed_in_zone(static_cast<int>(zone)) : 0);
   }
   return limits;
 }
--- a/src/scheduler/rentals.cpp
+++ b/src/scheduler/rentals.cpp
@@ -36,7 +36,7 @@
   int best = -1;
   for (std::size_t index = 0; index < zones; ++index) {
     const int zone = static_cast<int>(index);
-    if (!type.in_zone[index] || !machines_.zone_ok(job, zone)) continue;
+    if (!type.in_zone[index] || !machines_.allows_zone(job, zone)) continue;
     if (refused_lately(tier, zone, now)) continue;
     // Hundreds of tasks that join orders which come to nothing walk the chain for nothing.
     const auto limit = order_limits_.find({tier, zone});
--- a/src/scheduler/replica_consolidation.cpp
+++ b/src/scheduler/replica_consolidation.cpp
@@ -60,7 +60,7 @@
   Resources& taken = moves.room[to.number];
   if (!job.need.fits(machines_.room(to) - taken)) return false;
   int& moved_to_zone = moves.in_zone[{&job, to.zone}];
-  if (to.zone != from.zone && (moved_to_zone || !machines_.zone_ok(job, to.zone))) return false;
+  if (to.zone != from.zone && (moved_to_zone || !machines_.allows_zone(job, to.zone))) return false;
   ++moved_to_zone;
   taken += job.need;
   return true;
