--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -137,9 +137,9 @@
 
   /// The tasks of a gang find one another by a common attempt, the round. It ends when none of its
   /// placements is left; until then a task that was in it cannot join it again.
-  std::uint64_t round = 0;
+  std::uint64_t gang_attempt = 0;
   /// Tasks that were in the round.
-  std::set<std::uint32_t> in_round;
+  std::set<std::uint32_t> gang_members;
 
   /// Machines on which its tasks failed. A job that fails everywhere waits longer and longer.
   std::set<std::string> failed_on;
--- a/src/scheduler/placements.cpp
+++ b/src/scheduler/placements.cpp
@@ -54,8 +54,8 @@
   if (placement.task < job.placements.size()) --job.placements[placement.task];
   if (machine.zone >= 0) --job.in_zone[static_cast<std::size_t>(machine.zone)];
   if (--job.placed == 0) {
-    job.round = 0;
-    job.in_round.clear();
+    job.gang_attempt = 0;
+    job.gang_members.clear();
   }
   machine.note_idle(now);
   context_.scheduling_due = true;
@@ -81,10 +81,10 @@
   placement.job = task.job;
   placement.task = task.task;
   // The tasks of a gang find one another by a common attempt.
-  placement.attempt = job.spec.gang && job.round ? job.round : ++last_attempt_;
+  placement.attempt = job.spec.gang && job.gang_attempt ? job.gang_attempt : ++last_attempt_;
   if (job.spec.gang) {
-    job.round = placement.attempt;
-    job.in_round.insert(placement.task);
+    job.gang_attempt = placement.attempt;
+    job.gang_members.insert(placement.task);
   }
   placement.queued_task = std::move(task);
   reserve_room(machine, placement);
@@ -105,8 +105,8 @@
   reserve_room(machine, placement);
   Job& job = *placement.job;
   if (job.spec.gang) {
-    job.round = placement.attempt;
-    for (std::uint32_t task = 0; task < job.spec.tasks; ++task) job.in_round.insert(task);
+    job.gang_attempt = placement.attempt;
+    for (std::uint32_t task = 0; task < job.spec.tasks; ++task) job.gang_members.insert(task);
   }
   machine.tasks.needs_resync = true;
   note_direct_due(machine);
--- a/src/scheduler/queue_service.cpp
+++ b/src/scheduler/queue_service.cpp
@@ -4,7 +4,7 @@
 
 bool QueueService::may_be_placed(const jobs::Job& job, std::uint32_t task) const {
   // A task of a gang joins its round once (Job::round).
-  if (job.spec.gang && job.in_round.contains(task)) return false;
+  if (job.spec.gang && job.gang_members.contains(task)) return false;
   return quota_.allows(job, TeamQuota::Counted::placed);
 }
 
