--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -40,7 +40,7 @@
 void CloudManager::on_changes(const std::vector<state::Change>& changes) {
   const state::StateCache& cache = components_.state_store->cache();
   for (const auto& change : changes)
-    if (change.kind == state::Change::machine_gone && !cache.machine(change.name))
+    if (change.kind == state::Change::machine_deleted && !cache.machine(change.name))
       removed_at_[change.name] = loop_.now();
 }
 
--- a/src/controller/job_results.cpp
+++ b/src/controller/job_results.cpp
@@ -168,8 +168,8 @@
   for (const auto& change : changes) {
     switch (change.kind) {
       case state::Change::job_set:
-      case state::Change::job_gone:
-      case state::Change::waiting_gone:
+      case state::Change::job_deleted:
+      case state::Change::waiting_deleted:
         dependencies_.key_changed(change.name);
         break;
       case state::Change::waiting_set:
--- a/src/controller/shard_controller.cpp
+++ b/src/controller/shard_controller.cpp
@@ -147,13 +147,13 @@
       case state::Change::job_set:
         on_job_set(change.name);
         break;
-      case state::Change::job_gone:
+      case state::Change::job_deleted:
         scheduler_->job_gone(change.name, now());
         break;
       case state::Change::machine_set:
         on_machine_set(change.name);
         break;
-      case state::Change::machine_gone:
+      case state::Change::machine_deleted:
         // Only what the cloud has deleted leaves the inventory, or what has gone on to another part
         // of its page: such a machine is still there, and so are its tasks.
         if (!state_store().cache().machine(change.name)) lose_machine(change.name);
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -224,10 +224,10 @@
     case KeyKind::job:
       if (!jobs_.contains(name)) break;
       drop_job(name, full_key);
-      changes.push_back({Change::job_gone, name, -1});
+      changes.push_back({Change::job_deleted, name, -1});
       break;
     case KeyKind::waiting_job:
-      if (waiting_.erase(name)) changes.push_back({Change::waiting_gone, name, -1});
+      if (waiting_.erase(name)) changes.push_back({Change::waiting_deleted, name, -1});
       break;
     case KeyKind::inventory_page:
       for (auto& pages : pages_by_form_) pages.erase(number_in(name));
@@ -407,7 +407,7 @@
     if (current_page == page_of_.end() || current_page->second != page) continue;
     page_of_.erase(current_page);
     machines_.erase(old_name);
-    changes.push_back({Change::machine_gone, old_name, -1});
+    changes.push_back({Change::machine_deleted, old_name, -1});
   }
   pages_[page] = std::move(names);
 }
--- a/src/state/state_cache.h
+++ b/src/state/state_cache.h
@@ -37,11 +37,11 @@
 struct Change {
   enum Kind {
     job_set,
-    job_gone,
+    job_deleted,
     waiting_set,
-    waiting_gone,
+    waiting_deleted,
     machine_set,
-    machine_gone,
+    machine_deleted,
     leader,
     node,
     schema_version  ///< the active level, or the operators' orders about it
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -83,14 +83,14 @@
     n.fresh = now_;
     if (n.scheduler && n.world.leader(0).mod_revision != n.scheduler->token()) close(n);
     for (const auto& ch : changes) {
-      if (ch.kind <= state::Change::waiting_gone) n.pipelines.key_changed(ch.name);
+      if (ch.kind <= state::Change::waiting_deleted) n.pipelines.key_changed(ch.name);
       if (!n.scheduler) continue;
       if (ch.kind == state::Change::job_set && n.world.job(ch.name))
         n.scheduler->job_added(n.world.job(ch.name)->record, 0, n.world.done(ch.name), now_, now_);
-      if (ch.kind == state::Change::job_gone) n.scheduler->job_gone(ch.name, now_);
+      if (ch.kind == state::Change::job_deleted) n.scheduler->job_gone(ch.name, now_);
       if (ch.kind == state::Change::machine_set && n.world.machine(ch.name))
         n.scheduler->machine_known(*n.world.machine(ch.name), now_);
-      if (ch.kind == state::Change::machine_gone && !n.world.machine(ch.name))
+      if (ch.kind == state::Change::machine_deleted && !n.world.machine(ch.name))
         n.scheduler->machine_moved(ch.name, now_);
     }
     for (const auto& id : n.pipelines.take_changed())
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -189,7 +189,7 @@
     std::vector<state::Change> changes;
     if (read) store.read(w, changes);
     for (const auto& c : changes)
-      if (c.kind == state::Change::machine_gone && !w.machine(c.name))
+      if (c.kind == state::Change::machine_deleted && !w.machine(c.name))
         RC_ASSERT(!truth.contains(c.name));
     const std::string name = "m-" + std::to_string(320000 + machine);
     shard::InventoryPage page(w, state::inventory_page(name));
