--- a/src/controller/transaction_pipeline.cpp
+++ b/src/controller/transaction_pipeline.cpp
@@ -47,8 +47,8 @@
   // the write rate, and twice as many would be made.
   state::Client& client = host_.components().state_client;
   state::TransactionLimits limits = client.limits().transaction_limits();
-  const std::size_t budget = client.writes_now(state::RequestPriority::work);
-  if (budget < state::kLeastWrites) {
+  const std::size_t budget = client.available_writes(state::RequestPriority::work);
+  if (budget < state::kMinTransactionWrites) {
     host_.schedule_pass();
     return false;
   }
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -99,7 +99,7 @@
   refill(now);
 }
 
-std::size_t Client::writes_now(RequestPriority priority) {
+std::size_t Client::available_writes(RequestPriority priority) {
   refill(loop_.now());
   for (int p = 0; p <= static_cast<int>(priority); ++p)
     if (!queues_[static_cast<std::size_t>(p)].empty()) return 0;
@@ -108,7 +108,7 @@
   // A full bucket never gets fuller: at a low rate it holds less than the smallest transaction,
   // which would otherwise never be sent.
   if (writes_.level() >= writes_.cap())
-    return std::max(kLeastWrites, static_cast<std::size_t>(writes_.cap()));
+    return std::max(kMinTransactionWrites, static_cast<std::size_t>(writes_.cap()));
   const double available = writes_.level() - spare(writes_, priority, kSpareWrites);
   return static_cast<std::size_t>(std::max(0.0, available));
 }
--- a/src/state/client.h
+++ b/src/state/client.h
@@ -52,7 +52,7 @@
 };
 
 /// Changes of the smallest useful transaction: the end of a job, or the move of a task.
-inline constexpr std::size_t kLeastWrites = 2;
+inline constexpr std::size_t kMinTransactionWrites = 2;
 
 /// The order in which requests are sent, the most urgent first.
 enum class RequestPriority { safety, user, work, sweep };
@@ -95,7 +95,7 @@
   /// How many changes could be sent at once at this priority, as far as the rates go. A transaction
   /// that is built only then has everything that came up to that moment; built earlier, it would
   /// wait here while more comes.
-  std::size_t writes_now(RequestPriority priority);
+  std::size_t available_writes(RequestPriority priority);
   [[nodiscard]] const Limits& limits() const { return limits_; }
 
   /// What the rates have cost.
