--- a/src/controller/inventory.cpp
+++ b/src/controller/inventory.cpp
@@ -165,7 +165,7 @@
   std::set<int> bases;  // the parts of a page are converted together
   for (const int part : cache.inventory_to_convert()) {
     if (!batch.has_room()) break;
-    const int base = state::inventory_base(part);
+    const int base = state::page_of_inventory_part(part);
     if (!bases.insert(base).second) continue;
     shard::InventoryPage page(cache, base);
     page.convert();
--- a/src/state/keys.cpp
+++ b/src/state/keys.cpp
@@ -64,7 +64,7 @@
 std::string job_result_key(const std::string& id) { return kJobResults + id; }
 
 int inventory_part(int page, int part) { return page + part * kPartStride; }
-int inventory_base(int part) { return part % kPartStride; }
+int page_of_inventory_part(int part) { return part % kPartStride; }
 
 std::optional<ParsedKey> parse_key(const std::string& key) {
   if (key.size() <= kNamePosition) return std::nullopt;
--- a/src/state/keys.h
+++ b/src/state/keys.h
@@ -38,7 +38,7 @@
 /// The number that stands for a part of a page in `inventory_key`; part 0 is the page itself.
 [[nodiscard]] int inventory_part(int page, int part);
 /// The page that a part belongs to.
-[[nodiscard]] int inventory_base(int part);
+[[nodiscard]] int page_of_inventory_part(int part);
 
 /// What a key under the root is about.
 enum class KeyKind : std::uint8_t {
--- a/tests/schema_test.cpp
+++ b/tests/schema_test.cpp
@@ -219,7 +219,8 @@
     int rounds = 0;
     for (; !w.inventory_to_convert().empty() && rounds < 20; ++rounds) {
       EXPECT_LT(w.converted(), 1);
-      shard::InventoryPage page(w, state::inventory_base(*w.inventory_to_convert().begin()));
+      shard::InventoryPage page(w,
+                                state::page_of_inventory_part(*w.inventory_to_convert().begin()));
       page.convert();
       page.record_ages([](const std::string&) { return 1733000500.0; });
       wire::Transaction t = page.changes(900, "t");
@@ -467,7 +468,7 @@
     Node& me = nodes_[static_cast<std::size_t>(n)];
     if (!serves(me) || me.legacy) return;
     for (int p : me.world->inventory_to_convert()) {
-      shard::InventoryPage page(*me.world, state::inventory_base(p));
+      shard::InventoryPage page(*me.world, state::page_of_inventory_part(p));
       page.convert();
       wire::Transaction t = page.changes(4096, "t");
       if (!t.ops.empty()) commit(t, me, arg);
