--- a/src/controller/schema_manager.cpp
+++ b/src/controller/schema_manager.cpp
@@ -53,7 +53,7 @@
 }
 
 std::string SchemaManager::refusal() const {
-  return schema::refusal(components_.state_store->cache().schema(), build_);
+  return schema::serving_refusal(components_.state_store->cache().schema(), build_);
 }
 
 bool SchemaManager::converts() const {
@@ -61,7 +61,7 @@
   for (std::size_t node = 0; node < view.members.size(); ++node) {
     const schema::StoredView::Member& member = view.members[node];
     const bool may_convert =
-        member.mod_revision != 0 && schema::refusal(view, member.build).empty();
+        member.mod_revision != 0 && schema::serving_refusal(view, member.build).empty();
     if (may_convert) return static_cast<int>(node) == components_.settings.self;
   }
   return false;
@@ -152,9 +152,9 @@
 
 void SchemaManager::commit_order(const net::ExchangePtr& exchange, const schema::Order& order) {
   const schema::StoredView& view = components_.state_store->cache().schema();
-  const std::string reason = schema::refused(view, components_.settings.nodes, order);
+  const std::string reason = schema::order_refusal(view, components_.settings.nodes, order);
   if (!reason.empty()) return exchange->send(error_response(400, reason));
-  schema::Orders orders = schema::with(view.orders, order);
+  schema::Orders orders = schema::apply_order(view.orders, order);
   // Repeating an order is harmless, and costs nothing.
   if (orders == view.orders) return exchange->send({200, describe(), 0});
   components_.state_store->resolve_unknown_commit(
--- a/src/controller/worker_api.cpp
+++ b/src/controller/worker_api.cpp
@@ -32,7 +32,7 @@
   if (node < 0 || node == components_.settings.self) return false;
   const schema::StoredView& view = components_.state_store->cache().schema();
   const schema::StoredView::Member& member = view.members[static_cast<std::size_t>(node)];
-  return member.mod_revision != 0 && schema::refusal(view, member.build).empty();
+  return member.mod_revision != 0 && schema::serving_refusal(view, member.build).empty();
 }
 
 // Another node whose build can read the stored state: the shard's leader, if it is known. Empty:
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -5,7 +5,7 @@
 
 namespace shunttrail::schema {
 
-const std::vector<Version>& table() {
+const std::vector<Version>& known_versions() {
   static const std::vector<Version> kAll = {
       {0, "first", "the forms of builds that know no levels", false},
       {1, "machine-ages", "roster pages tell when each machine was rented", true},
@@ -16,11 +16,11 @@
 
 bool can_downgrade(int level) {
   const auto position = static_cast<std::size_t>(level);
-  return level > 0 && position < table().size() && table()[position].downgrade;
+  return level > 0 && position < known_versions().size() && known_versions()[position].downgrade;
 }
 
 Build current_build(bool delegation) {
-  const int highest = static_cast<int>(table().size()) - 1;
+  const int highest = static_cast<int>(known_versions().size()) - 1;
   return {0, highest, delegation ? highest : version_of(Feature::delegation) - 1};
 }
 
@@ -54,8 +54,8 @@
 };
 
 /// Why a node does not meet the requirement; none: it does.
-std::optional<std::string> objection(const StoredView::Member& member, bool is_gone,
-                                     const Requirement& requirement) {
+std::optional<std::string> unmet_requirement(const StoredView::Member& member, bool is_gone,
+                                             const Requirement& requirement) {
   const bool is_alive = member.mod_revision != 0;
   if (!is_alive) {
     if (requirement.all_present && !is_gone) return "is not there";
@@ -137,7 +137,7 @@
     for (std::size_t n = 0; n < names_.size(); ++n) {
       const StoredView::Member& member = view_.members[n];
       const bool is_gone = view_.orders.gone.contains(names_[n]);
-      if (const auto reason = objection(member, is_gone, requirement))
+      if (const auto reason = unmet_requirement(member, is_gone, requirement))
         block(names_[n], *reason);
       else
         // Of absent nodes as well: if one comes back in between, the commit fails.
@@ -160,7 +160,7 @@
 
 }  // namespace
 
-std::string refusal(const StoredView& view, const Build& build) {
+std::string serving_refusal(const StoredView& view, const Build& build) {
   if (!view.unreadable.empty()) return "the level record cannot be read: " + view.unreadable;
   const VersionRecord& record = view.record;
   if (build.reads(record.lowest, record.highest)) return {};
@@ -173,7 +173,7 @@
   RolloutPlan plan(view, names, own);
   if (!view.unreadable.empty())
     plan.block("record", view.unreadable);
-  else if (!refusal(view, own).empty())
+  else if (!serving_refusal(view, own).empty())
     return {};  // a build that must not serve changes nothing
   else if (!view.record.settled())
     plan.plan_settling(converted);
@@ -191,7 +191,7 @@
 std::optional<wire::Transaction> enroll(const StoredView& view, const std::string& node,
                                         std::uint64_t boot, const Build& build,
                                         std::uint64_t lease) {
-  if (!refusal(view, build).empty()) return std::nullopt;
+  if (!serving_refusal(view, build).empty()) return std::nullopt;
   return wire::Transaction{{{kActiveKey, view.mod_revision}},
                            {{node_key(node), encode_member(boot, build), lease}}};
 }
@@ -204,14 +204,14 @@
 
 namespace {
 
-std::string refused_hold(const StoredView& view, int version) {
+std::string hold_refusal(const StoredView& view, int version) {
   for (int active = view.record.active; active > version; --active)
     if (!can_downgrade(active))
       return "hold: " + version_text(active) + " is active and cannot be lowered";
   return {};
 }
 
-std::string refused_node(const StoredView& view, const std::vector<std::string>& names,
+std::string node_refusal(const StoredView& view, const std::vector<std::string>& names,
                          const Order& order) {
   const bool is_gone = order.kind == Order::gone;
   const std::string field = is_gone ? "gone: " : "here: ";
@@ -224,23 +224,23 @@
 
 }  // namespace
 
-std::string refused(const StoredView& view, const std::vector<std::string>& names,
-                    const Order& order) {
+std::string order_refusal(const StoredView& view, const std::vector<std::string>& names,
+                          const Order& order) {
   if (!view.unreadable.empty()) return "the level record cannot be read: " + view.unreadable;
   if (view.orders_unreadable) return "the orders as they stand cannot be read";
   switch (order.kind) {
     case Order::hold:
-      return refused_hold(view, order.version);
+      return hold_refusal(view, order.version);
     case Order::release:
       return {};
     case Order::gone:
     case Order::here:
-      return refused_node(view, names, order);
+      return node_refusal(view, names, order);
   }
   return {};
 }
 
-Orders with(const Orders& before, const Order& order) {
+Orders apply_order(const Orders& before, const Order& order) {
   Orders after = before;
   switch (order.kind) {
     case Order::hold:
--- a/src/schema/schema.h
+++ b/src/schema/schema.h
@@ -35,7 +35,7 @@
   bool downgrade;
 };
 /// All levels that this build knows; a level's number is its position.
-const std::vector<Version>& table();
+const std::vector<Version>& known_versions();
 /// Whether an active level can be lowered again; false for one that this build does not know.
 [[nodiscard]] bool can_downgrade(int level);
 /// What this build can do. It takes part in delegation only where the operators have said so
@@ -107,7 +107,7 @@
 };
 
 /// Why a build must not serve with this state; empty: it may.
-[[nodiscard]] std::string refusal(const StoredView& view, const Build& build);
+[[nodiscard]] std::string serving_refusal(const StoredView& view, const Build& build);
 
 /// Decides for one transaction in which forms it writes. Its precondition makes the transaction
 /// fail if the level has changed since.
@@ -176,10 +176,10 @@
 /// The body of an order.
 [[nodiscard]] std::string encode(const Order& order);
 /// Why an order is not accepted; empty: it is.
-[[nodiscard]] std::string refused(const StoredView& view, const std::vector<std::string>& names,
-                                  const Order& order);
+[[nodiscard]] std::string order_refusal(const StoredView& view,
+                                        const std::vector<std::string>& names, const Order& order);
 /// The stored orders after one more.
-[[nodiscard]] Orders with(const Orders& before, const Order& order);
+[[nodiscard]] Orders apply_order(const Orders& before, const Order& order);
 /// The transaction that stores the orders `after` in place of those in `view`. `tag` names it.
 [[nodiscard]] wire::Transaction commit_of(const StoredView& view, Orders after,
                                           const std::string& tag);
--- a/tests/schema_test.cpp
+++ b/tests/schema_test.cpp
@@ -73,20 +73,22 @@
     state::StateCache w(s);
     std::vector<state::Change> ch;
     w.apply({schema::kActiveKey, text, 5}, ch);
-    EXPECT_EQ(schema::refusal(w.schema(), schema::current_build()),
+    EXPECT_EQ(schema::serving_refusal(w.schema(), schema::current_build()),
               "the level record cannot be read: " + why);
     ASSERT_EQ(ch.size(), 1u);
     auto out = schema::rollout_status(w.schema(), s.nodes, schema::current_build(), true);
     EXPECT_EQ(out.step.kind, Step::none);
     EXPECT_EQ(out.blocked_by.at(0).by, "record");
     w.apply({schema::kActiveKey, std::nullopt, 6}, ch);
-    EXPECT_EQ(schema::refusal(w.schema(), schema::current_build()), "");
+    EXPECT_EQ(schema::serving_refusal(w.schema(), schema::current_build()), "");
   }
   StoredView v;
   v.record = {1, 0, 1, "x"};
-  EXPECT_EQ(schema::refusal(v, {0, 0, 0}), "state of level 0 to 1 stands, this build reads 0");
-  EXPECT_EQ(schema::refusal(v, {1, 2, 2}), "state of level 0 to 1 stands, this build reads 1 to 2");
-  EXPECT_EQ(schema::refusal(v, {0, 1, 1}), "");
+  EXPECT_EQ(schema::serving_refusal(v, {0, 0, 0}),
+            "state of level 0 to 1 stands, this build reads 0");
+  EXPECT_EQ(schema::serving_refusal(v, {1, 2, 2}),
+            "state of level 0 to 1 stands, this build reads 1 to 2");
+  EXPECT_EQ(schema::serving_refusal(v, {0, 1, 1}), "");
 }
 
 // ---- what holds a level back
@@ -170,7 +172,7 @@
   Three t;
   auto refused = [&](const std::string& body) {
     try {
-      return schema::refused(t.v, t.names, schema::decode_order(body));
+      return schema::order_refusal(t.v, t.names, schema::decode_order(body));
     } catch (const wire::Malformed& e) {
       return std::string(e.what());
     }
@@ -192,8 +194,8 @@
        {R"({"hold":1})", R"({"hold":null})", R"({"gone":"a"})", R"({"here":"a"})"}) {
     schema::Order o = schema::decode_order(body);
     EXPECT_EQ(schema::encode(o), body);
-    auto once = schema::with(t.v.orders, o);
-    EXPECT_EQ(schema::with(once, o), once);
+    auto once = schema::apply_order(t.v.orders, o);
+    EXPECT_EQ(schema::apply_order(once, o), once);
   }
 }
 
@@ -265,7 +267,7 @@
   EXPECT_EQ(w.schema().orders, schema::Orders{});
   EXPECT_EQ(w.schema().orders_revision, 0u);
   EXPECT_EQ(w.node_revision(1), 0u);
-  EXPECT_NE(schema::refusal(w.schema(), schema::current_build()), "");
+  EXPECT_NE(schema::serving_refusal(w.schema(), schema::current_build()), "");
 }
 
 // ---- rollouts
@@ -357,7 +359,7 @@
     store_.read(*me.world, ch);
   }
   bool serves(const Node& me) const {
-    return me.up && (me.legacy || schema::refusal(me.world->schema(), me.build).empty());
+    return me.up && (me.legacy || schema::serving_refusal(me.world->schema(), me.build).empty());
   }
 
   // Applied now, lost, or applied late.
@@ -483,8 +485,8 @@
     o.version = arg % 3;
     o.node = s_.nodes[static_cast<std::size_t>(arg / 4 % kNodes)];
     const auto& v = me.world->schema();
-    if (!schema::refused(v, s_.nodes, o).empty()) return;
-    commit(schema::commit_of(v, schema::with(v.orders, o), "t"), me, arg);
+    if (!schema::order_refusal(v, s_.nodes, o).empty()) return;
+    commit(schema::commit_of(v, schema::apply_order(v.orders, o), "t"), me, arg);
   }
 
   config::Settings s_;
