--- a/app/shunttrailctl.cpp
+++ b/app/shunttrailctl.cpp
@@ -346,9 +346,10 @@
   std::vector<schema::Order> orders;
   if (options.hold_level) orders.push_back({schema::Order::hold, *options.hold_level, {}});
   if (options.release) orders.push_back({schema::Order::release, 0, {}});
-  if (!options.gone_node.empty()) orders.push_back({schema::Order::gone, 0, options.gone_node});
+  if (!options.gone_node.empty())
+    orders.push_back({schema::Order::exclude_node, 0, options.gone_node});
   if (!options.returned_node.empty())
-    orders.push_back({schema::Order::here, 0, options.returned_node});
+    orders.push_back({schema::Order::include_node, 0, options.returned_node});
   if (orders.size() > 1)
     throw cli::UsageError("schema: give one of --hold, --release, --gone, --here");
   if (orders.empty()) return std::nullopt;
--- a/src/controller/peer_gossip.cpp
+++ b/src/controller/peer_gossip.cpp
@@ -92,7 +92,7 @@
 // True if the sibling knows a newer token of a shard that this node leads.
 bool PeerGossip::take_shard_status(int shard, const peer::PeerHeartbeat& heartbeat) {
   const peer::PeerHeartbeat::Load& load = heartbeat.loads[shard];
-  if (load.owned) loads_[shard] = {loop_.now(), decode_load(load)};
+  if (load.sender_leads) loads_[shard] = {loop_.now(), decode_load(load)};
   const scheduler::ShardScheduler* scheduler = components_.shard_controller(shard).scheduler();
   return scheduler && heartbeat.tokens[shard] > scheduler->token();
 }
@@ -205,7 +205,7 @@
     const auto offers = scheduler->room_offers(loop_.now());
     own.insert(own.end(), offers.begin(), offers.end());
   }
-  if (own.size() > peer::kMaxRoomOffers) own.resize(peer::kMaxRoomOffers);
+  if (own.size() > peer::kMaxCapacityOffers) own.resize(peer::kMaxCapacityOffers);
   return own;
 }
 
@@ -214,7 +214,7 @@
   if (offers.empty() && !has_sent_offers_) return;
   has_sent_offers_ = !offers.empty();
   const scheduler::MachineCatalogue& catalogue = components_.cloud_manager->catalogue();
-  peer::RoomOffers message;
+  peer::CapacityOffers message;
   message.node = components_.settings.self;
   for (const scheduler::RoomOffer& offer : offers)
     message.offers.push_back({offer.shard,
@@ -227,7 +227,7 @@
 }
 
 void PeerGossip::take_room_offers(const net::ExchangePtr& exchange) {
-  const auto message = peer::decode_room_offers(exchange->body, components_.settings.shards());
+  const auto message = peer::decode_capacity_offers(exchange->body, components_.settings.shards());
   if (!message) {
     ++malformed_;
     return exchange->send({400, "{}", 0});
@@ -235,7 +235,7 @@
   const scheduler::MachineCatalogue& catalogue = components_.cloud_manager->catalogue();
   OfferReport& report = offers_[message->node];
   report = {loop_.now(), {}};
-  for (const peer::RoomOffers::Offer& offer : message->offers) {
+  for (const peer::CapacityOffers::Offer& offer : message->offers) {
     const int type = catalogue.type_index(offer.type);
     const int zone = components_.settings.zone_index(offer.zone);
     if (type < 0 || zone < 0) continue;
--- a/src/peer/peer.cpp
+++ b/src/peer/peer.cpp
@@ -11,7 +11,7 @@
 
 template <class Archive>
 void serialize(Archive& archive, PeerHeartbeat::Load& load) {
-  archive(load.capacity, load.entitled, load.demand, load.owned);
+  archive(load.capacity, load.entitled, load.demand, load.sender_leads);
 }
 template <class Archive>
 void serialize(Archive& archive, PeerHeartbeat& heartbeat) {
@@ -23,11 +23,11 @@
 }
 
 template <class Archive>
-void serialize(Archive& archive, RoomOffers::Offer& offer) {
+void serialize(Archive& archive, CapacityOffers::Offer& offer) {
   archive(offer.shard, offer.type, offer.zone, offer.spot, offer.cpus, offer.gpus, offer.mem);
 }
 template <class Archive>
-void serialize(Archive& archive, RoomOffers& offers) {
+void serialize(Archive& archive, CapacityOffers& offers) {
   archive(offers.version, offers.node, offers.offers);
 }
 
@@ -49,7 +49,7 @@
 constexpr std::size_t kLoadBytes = 3 * sizeof(std::uint32_t) + kFlagBytes;
 
 template <class Message>
-std::string bytes_of(const Message& message) {
+std::string serialize_message(const Message& message) {
   std::ostringstream out(std::ios::binary);
   {
     // An archive has written everything only when it is destroyed.
@@ -60,18 +60,18 @@
 }
 
 /// Malformed bytes that the archive itself accepts.
-struct BadMessage : std::runtime_error {
-  BadMessage() : std::runtime_error("bad message") {}
+struct MalformedMessage : std::runtime_error {
+  MalformedMessage() : std::runtime_error("bad message") {}
 };
 
-void check(bool is_valid) {
-  if (!is_valid) throw BadMessage();
+void require(bool is_valid) {
+  if (!is_valid) throw MalformedMessage();
 }
 
 bool read_flag(Input& archive) {
   std::uint8_t value = 0;
   archive(value);
-  check(value <= 1);
+  require(value <= 1);
   return value != 0;
 }
 
@@ -80,13 +80,13 @@
 void read_length(Input& archive, std::size_t expected) {
   std::uint64_t length = 0;
   archive(length);
-  check(length == expected);
+  require(length == expected);
 }
 
 PeerHeartbeat read_peer_heartbeat(Input& archive, std::size_t nodes) {
   PeerHeartbeat heartbeat;
   archive(heartbeat.version, heartbeat.node);
-  check(heartbeat.version == PeerHeartbeat{}.version);
+  require(heartbeat.version == PeerHeartbeat{}.version);
   heartbeat.serving = read_flag(archive);
   read_length(archive, nodes);
   heartbeat.tokens.resize(nodes);
@@ -95,7 +95,7 @@
   heartbeat.loads.resize(nodes);
   for (PeerHeartbeat::Load& load : heartbeat.loads) {
     archive(load.capacity, load.entitled, load.demand);
-    load.owned = read_flag(archive);
+    load.sender_leads = read_flag(archive);
   }
   return heartbeat;
 }
@@ -105,21 +105,21 @@
   constexpr std::uint64_t kMaxNameBytes = 256;
   std::uint64_t length = 0;
   archive(length);
-  check(length <= kMaxNameBytes);
+  require(length <= kMaxNameBytes);
   std::string name(length, ' ');
   for (char& letter : name) archive(letter);
   return name;
 }
 
-RoomOffers::Offer read_offer(Input& archive, int nodes) {
-  RoomOffers::Offer offer;
+CapacityOffers::Offer read_offer(Input& archive, int nodes) {
+  CapacityOffers::Offer offer;
   archive(offer.shard);
-  check(offer.shard >= 0 && offer.shard < nodes);
+  require(offer.shard >= 0 && offer.shard < nodes);
   offer.type = read_name(archive);
   offer.zone = read_name(archive);
   offer.spot = read_flag(archive);
   archive(offer.cpus, offer.gpus, offer.mem);
-  check(offer.cpus >= 0 && offer.gpus >= 0 && offer.mem >= 0);
+  require(offer.cpus >= 0 && offer.gpus >= 0 && offer.mem >= 0);
   return offer;
 }
 
@@ -130,7 +130,7 @@
     std::istringstream in(bytes, std::ios::binary);
     Input archive(in);
     Message message = read(archive);
-    check(message.node >= 0 && message.node < nodes);
+    require(message.node >= 0 && message.node < nodes);
     return message;
   } catch (const std::exception&) {
     return std::nullopt;
@@ -150,18 +150,18 @@
   return !is_any_heard && nodes.size() > 1;
 }
 
-std::string encode(const PeerHeartbeat& heartbeat) { return bytes_of(heartbeat); }
-std::string encode(const RelayedHeartbeat& relayed) { return bytes_of(relayed); }
-std::string encode(const RoomOffers& offers) { return bytes_of(offers); }
+std::string encode(const PeerHeartbeat& heartbeat) { return serialize_message(heartbeat); }
+std::string encode(const RelayedHeartbeat& relayed) { return serialize_message(relayed); }
+std::string encode(const CapacityOffers& offers) { return serialize_message(offers); }
 
-std::optional<RoomOffers> decode_room_offers(const std::string& bytes, int nodes) {
-  return read_message<RoomOffers>(bytes, nodes, [&](Input& archive) {
-    RoomOffers offers;
+std::optional<CapacityOffers> decode_capacity_offers(const std::string& bytes, int nodes) {
+  return read_message<CapacityOffers>(bytes, nodes, [&](Input& archive) {
+    CapacityOffers offers;
     archive(offers.version, offers.node);
-    check(offers.version == RoomOffers{}.version);
+    require(offers.version == CapacityOffers{}.version);
     std::uint64_t count = 0;
     archive(count);
-    check(count <= kMaxRoomOffers);
+    require(count <= kMaxCapacityOffers);
     for (std::uint64_t i = 0; i < count; ++i) offers.offers.push_back(read_offer(archive, nodes));
     return offers;
   });
@@ -173,7 +173,7 @@
   return read_message<RelayedHeartbeat>(bytes, nodes, [&](Input& archive) {
     RelayedHeartbeat relayed;
     archive(relayed.version, relayed.node);
-    check(relayed.version == RelayedHeartbeat{}.version);
+    require(relayed.version == RelayedHeartbeat{}.version);
     read_length(archive, bytes.size() - kHeadBytes);
     relayed.heartbeat = bytes.substr(kHeadBytes);
     return relayed;
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -21,7 +21,7 @@
     std::uint32_t capacity = 0;
     std::uint32_t entitled = 0;
     std::uint32_t demand = 0;
-    bool owned = false;  ///< the sender leads the shard
+    bool sender_leads = false;  ///< the sender leads the shard
     friend bool operator==(const Load&, const Load&) = default;
   };
   std::vector<Load> loads;  ///< by shard
@@ -37,7 +37,7 @@
 
 /// Room on machines of the shards that a node leads, for tasks of other shards
 /// (docs/delegation.md). Beside PeerHeartbeat, so that builds which do not know it read that one.
-struct RoomOffers {
+struct CapacityOffers {
   std::uint32_t version = 1;  ///< of the message's form
   std::int32_t node = -1;     ///< the sender's index
   /// Room of one machine, as jobs::Resources counts it.
@@ -54,7 +54,7 @@
   std::vector<Offer> offers;
 };
 /// Offers in one message; the sender leaves out what is beyond.
-inline constexpr std::size_t kMaxRoomOffers = 256;
+inline constexpr std::size_t kMaxCapacityOffers = 256;
 
 /// What a node last told, and when.
 struct PeerStatus {
@@ -72,10 +72,11 @@
 /// Reads a heartbeat of a cluster of `nodes` nodes; none: it is malformed or of another version.
 [[nodiscard]] std::optional<PeerHeartbeat> decode(const std::string& bytes, int nodes);
 
-[[nodiscard]] std::string encode(const RoomOffers& offers);
+[[nodiscard]] std::string encode(const CapacityOffers& offers);
 /// Reads the offers of a node of a cluster of `nodes` nodes; none: they are malformed or of another
 /// version.
-[[nodiscard]] std::optional<RoomOffers> decode_room_offers(const std::string& bytes, int nodes);
+[[nodiscard]] std::optional<CapacityOffers> decode_capacity_offers(const std::string& bytes,
+                                                                   int nodes);
 
 [[nodiscard]] std::string encode(const RelayedHeartbeat& relayed);
 /// Reads a relayed heartbeat; none: it is malformed or of another version.
--- a/src/relay/relay_routes.cpp
+++ b/src/relay/relay_routes.cpp
@@ -23,8 +23,8 @@
 constexpr double kForgetIntervalS = 5;
 
 /// Whether the time noted for a leader has not come yet.
-bool is_before(const std::map<int, double>& until, int owner, double now) {
-  const auto entry = until.find(owner);
+bool is_before(const std::map<int, double>& until, int leader, double now) {
+  const auto entry = until.find(leader);
   return entry != until.end() && now < entry->second;
 }
 
@@ -39,14 +39,14 @@
                 [&](const auto& entry) { return now - entry.second.used_at > kUnusedRouteS; });
 }
 
-Decision RelayRoutes::decide(const std::string& machine, Order order, int zone, int owner,
+Decision RelayRoutes::decide(const std::string& machine, Order order, int zone, int leader,
                              double now) {
   forget_old(now);
-  if (is_before(unavailable_until_, owner, now)) return Decision::redirect;
+  if (is_before(unavailable_until_, leader, now)) return Decision::redirect;
   const Decision pass_on =
-      is_before(silent_until_, owner, now) ? Decision::refuse : Decision::relay;
-  const auto known = open_.find({owner, zone});
-  if (known == open_.end()) return decide_without_route(machine, order, zone, owner, pass_on, now);
+      is_before(silent_until_, leader, now) ? Decision::refuse : Decision::relay;
+  const auto known = open_.find({leader, zone});
+  if (known == open_.end()) return decide_without_route(machine, order, zone, leader, pass_on, now);
   Route& route = known->second;
   route.used_at = now;
   if (!route.probing.empty()) return decide_while_probing(machine, order, known, pass_on, now);
@@ -58,11 +58,11 @@
 }
 
 Decision RelayRoutes::decide_without_route(const std::string& machine, Order order, int zone,
-                                           int owner, Decision pass_on, double now) {
+                                           int leader, Decision pass_on, double now) {
   const auto last = redirected_.find(machine);
-  if (last == redirected_.end() || last->second.owner != owner ||
+  if (last == redirected_.end() || last->second.leader != leader ||
       now - last->second.at > kComesBackWithinS) {
-    redirected_[machine] = {owner, now, order};
+    redirected_[machine] = {leader, now, order};
     return Decision::redirect;
   }
   const bool is_copy = order <= last->second.order;
@@ -73,7 +73,7 @@
   route.probe_at = now + kFirstProbeIntervalS;
   route.probe_interval = kFirstProbeIntervalS;
   route.used_at = now;
-  open_[{owner, zone}] = route;
+  open_[{leader, zone}] = route;
   return pass_on;
 }
 
@@ -96,16 +96,16 @@
   return Decision::redirect;
 }
 
-void RelayRoutes::relayed(int owner, bool answered, double now) {
+void RelayRoutes::relayed(int leader, bool answered, double now) {
   if (answered)
-    silent_until_.erase(owner);
+    silent_until_.erase(leader);
   else
-    silent_until_[owner] = now + kSilenceS;
+    silent_until_[leader] = now + kSilenceS;
 }
 
-void RelayRoutes::unavailable(int owner, double now) {
-  unavailable_until_[owner] = now + kUnavailableS;
-  std::erase_if(open_, [&](const auto& entry) { return entry.first.first == owner; });
+void RelayRoutes::unavailable(int leader, double now) {
+  unavailable_until_[leader] = now + kUnavailableS;
+  std::erase_if(open_, [&](const auto& entry) { return entry.first.first == leader; });
 }
 
 }  // namespace shunttrail::relay
--- a/src/relay/relay_routes.h
+++ b/src/relay/relay_routes.h
@@ -26,12 +26,12 @@
   /// A heartbeat's incarnation and sequence. Only one that is newer than the one that was
   /// redirected shows that its worker has come back; a copy that comes late shows nothing.
   using Order = std::pair<std::uint64_t, std::uint64_t>;
-  /// Decides about a heartbeat of a machine in this zone, whose shard the node `owner` leads.
-  Decision decide(const std::string& machine, Order order, int zone, int owner, double now);
-  /// A relayed heartbeat was answered by `owner`, or was not.
-  void relayed(int owner, bool answered, double now);
-  /// `owner` speaks no version of the relay that this node knows.
-  void unavailable(int owner, double now);
+  /// Decides about a heartbeat of a machine in this zone, whose shard the node `leader` leads.
+  Decision decide(const std::string& machine, Order order, int zone, int leader, double now);
+  /// A relayed heartbeat was answered by `leader`, or was not.
+  void relayed(int leader, bool answered, double now);
+  /// `leader` speaks no version of the relay that this node knows.
+  void unavailable(int leader, double now);
 
   /// A route from a zone's workers to a leader, in use.
   struct Route {
@@ -50,13 +50,13 @@
 
  private:
   struct Redirected {
-    int owner = -1;
+    int leader = -1;
     double at = 0;
     Order order{};
   };
   void forget_old(double now);
   /// Without a route: redirects, or opens one if the machine has come back.
-  Decision decide_without_route(const std::string& machine, Order order, int zone, int owner,
+  Decision decide_without_route(const std::string& machine, Order order, int zone, int leader,
                                 Decision pass_on, double now);
   /// While a probe is under way: whether it has failed, or has succeeded.
   Decision decide_while_probing(const std::string& machine, Order order,
--- a/src/schema/codec.cpp
+++ b/src/schema/codec.cpp
@@ -104,9 +104,9 @@
       return json{{"hold", order.version}}.dump();
     case Order::release:
       return json{{"hold", nullptr}}.dump();
-    case Order::gone:
+    case Order::exclude_node:
       return json{{"gone", order.node}}.dump();
-    case Order::here:
+    case Order::include_node:
       return json{{"here", order.node}}.dump();
   }
   return "{}";
@@ -121,8 +121,8 @@
       o.kind = j["hold"].is_null() ? Order::release : Order::hold;
       if (o.kind == Order::hold) o.version = level(j["hold"], "hold");
     } else {
-      o.kind = j.contains("gone") ? Order::gone : Order::here;
-      o.node = wire::text(j, o.kind == Order::gone ? "gone" : "here");
+      o.kind = j.contains("gone") ? Order::exclude_node : Order::include_node;
+      o.node = wire::text(j, o.kind == Order::exclude_node ? "gone" : "here");
     }
     return o;
   });
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -213,7 +213,7 @@
 
 std::string node_refusal(const StoredView& view, const std::vector<std::string>& names,
                          const Order& order) {
-  const bool is_gone = order.kind == Order::gone;
+  const bool is_gone = order.kind == Order::exclude_node;
   const std::string field = is_gone ? "gone: " : "here: ";
   const auto name = std::find(names.begin(), names.end(), order.node);
   if (name == names.end()) return field + order.node + " is none of the nodes";
@@ -233,8 +233,8 @@
       return hold_refusal(view, order.version);
     case Order::release:
       return {};
-    case Order::gone:
-    case Order::here:
+    case Order::exclude_node:
+    case Order::include_node:
       return node_refusal(view, names, order);
   }
   return {};
@@ -249,10 +249,10 @@
     case Order::release:
       after.max_version.reset();
       break;
-    case Order::gone:
+    case Order::exclude_node:
       after.gone.insert(order.node);
       break;
-    case Order::here:
+    case Order::include_node:
       after.gone.erase(order.node);
       break;
   }
--- a/src/schema/schema.h
+++ b/src/schema/schema.h
@@ -63,9 +63,9 @@
 };
 /// The stored orders of the operators.
 struct Orders {
-  std::optional<int> max_version;  ///< the active level is at most this
-  std::set<std::string> gone;      ///< nodes that are not waited for
-  std::string tag;                 ///< names the transaction that wrote them
+  std::optional<int> max_version;        ///< the active level is at most this
+  std::set<std::string> excluded_nodes;  ///< nodes that are not waited for
+  std::string tag;                       ///< names the transaction that wrote them
   friend bool operator==(const Orders&, const Orders&) = default;
 };
 
@@ -167,7 +167,7 @@
 struct Order {
   /// hold: the level is at most `version`; release: it is not limited any more; gone, here: a node
   /// is not waited for, or is again.
-  enum Kind { hold, release, gone, here } kind = hold;
+  enum Kind { hold, release, exclude_node, include_node } kind = hold;
   int version = 0;   ///< hold
   std::string node;  ///< gone, here
 };
--- a/tests/delegation_test.cpp
+++ b/tests/delegation_test.cpp
@@ -212,7 +212,7 @@
 
 // ---- offers
 
-TEST(RoomOffers, GoToWhereMostOfTheTasksFit) {
+TEST(CapacityOffers, GoToWhereMostOfTheTasksFit) {
   const config::Settings settings = make_settings();
   const scheduler::MachineCatalogue catalogue = make_catalogue(settings);
   const auto offer = [](int shard, int zone, double cpus) {
@@ -252,25 +252,25 @@
   EXPECT_EQ(offers.best_fit(job(spec), 4).shard, 1);
 }
 
-TEST(RoomOffers, RoundTripAndMalformedBytesAreRefused) {
-  peer::RoomOffers offers;
+TEST(CapacityOffers, RoundTripAndMalformedBytesAreRefused) {
+  peer::CapacityOffers offers;
   offers.node = 1;
   offers.offers = {{0, "t4", "a", true, 2000000, 0, 8000000}, {1, "t8", "b", false, 1, 2, 3}};
   const std::string bytes = peer::encode(offers);
-  const auto again = peer::decode_room_offers(bytes, 2);
+  const auto again = peer::decode_capacity_offers(bytes, 2);
   ASSERT_TRUE(again);
   EXPECT_EQ(again->node, 1);
   EXPECT_EQ(again->offers, offers.offers);
-  EXPECT_FALSE(peer::decode_room_offers(bytes, 1));  // no such shard
+  EXPECT_FALSE(peer::decode_capacity_offers(bytes, 1));  // no such shard
   for (std::size_t size = 0; size < bytes.size(); ++size)
-    EXPECT_FALSE(peer::decode_room_offers(bytes.substr(0, size), 2)) << size;
+    EXPECT_FALSE(peer::decode_capacity_offers(bytes.substr(0, size), 2)) << size;
   std::mt19937 rng(3);
   for (int i = 0; i < 2000; ++i) {
     std::string other = bytes;
     other[rng() % other.size()] = static_cast<char>(rng());
-    const auto decoded = peer::decode_room_offers(other, 2);
+    const auto decoded = peer::decode_capacity_offers(other, 2);
     if (!decoded) continue;
-    EXPECT_LE(decoded->offers.size(), peer::kMaxRoomOffers);
+    EXPECT_LE(decoded->offers.size(), peer::kMaxCapacityOffers);
     for (const auto& offer : decoded->offers) EXPECT_LT(offer.shard, 2);
   }
 }
