--- a/src/jobs/delegation.cpp
+++ b/src/jobs/delegation.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-std::vector<bool> tasks_in(const wire::Intervals& intervals, std::uint32_t tasks) {
+std::vector<bool> flags_of(const wire::Intervals& intervals, std::uint32_t tasks) {
   std::vector<bool> out(tasks, false);
   for (const auto& [first, last] : intervals)
     for (std::uint64_t task = first; task <= last && task < tasks; ++task) out[task] = true;
   return out;
 }
 
-void remove(std::vector<bool>& tasks, const std::vector<bool>& others) {
+void clear_tasks(std::vector<bool>& tasks, const std::vector<bool>& others) {
   for (std::size_t task = 0; task < tasks.size(); ++task)
     if (others[task]) tasks[task] = false;
 }
 
-void add(std::vector<bool>& tasks, const std::vector<bool>& more) {
+void add_tasks(std::vector<bool>& tasks, const std::vector<bool>& more) {
   for (std::size_t task = 0; task < tasks.size(); ++task)
     if (more[task]) tasks[task] = true;
 }
@@ -34,8 +34,8 @@
 
   void add_job(const state::JobEntry& job) {
     const wire::JobSpec& spec = job.record.spec;
-    const std::vector<bool> away = tasks_away(cache_, job);
-    const auto count = std::count(away.begin(), away.end(), true);
+    const std::vector<bool> held = tasks_held_by_delegate(cache_, job);
+    const auto count = std::count(held.begin(), held.end(), true);
     const int team = settings_.team_index(spec.team);
     if (!is_own(team) || count == 0) return;
     add_tasks(team, Resources::of(spec.cpus, spec.gpus, spec.mem_gb), count);
@@ -87,29 +87,31 @@
   return job.record.delegation->is_closed && cache.revision() >= job.mod_revision;
 }
 
-std::vector<bool> tasks_away(const state::StateCache& cache, const state::JobEntry& job) {
+std::vector<bool> tasks_held_by_delegate(const state::StateCache& cache,
+                                         const state::JobEntry& job) {
   const wire::JobSpec& spec = job.record.spec;
   const wire::Delegation& delegation = *job.record.delegation;
   if (!delegation.is_readable) return std::vector<bool>(spec.tasks, true);
   std::vector<bool> placed = cache.placed(spec.id, delegation.shard, spec.tasks);
   const bool is_any_placed = std::find(placed.begin(), placed.end(), true) != placed.end();
   if (is_closing_read(cache, job) && !(is_any_placed && spec.gang)) return placed;
-  std::vector<bool> away = tasks_in(delegation.tasks, spec.tasks);
-  remove(away, done_tasks(cache.done(spec.id), spec.tasks));
+  std::vector<bool> held = flags_of(delegation.tasks, spec.tasks);
+  clear_tasks(held, done_tasks(cache.done(spec.id), spec.tasks));
   // A task that is done may still stand in a page, where nothing proves that no later attempt runs.
-  add(away, placed);
-  return away;
+  add_tasks(held, placed);
+  return held;
 }
 
 std::vector<bool> withheld_tasks(const state::StateCache& cache, const state::JobEntry& job,
                                  int shard, int team_shard) {
   const wire::JobSpec& spec = job.record.spec;
   const std::optional<wire::Delegation>& delegation = job.record.delegation;
-  if (shard == team_shard) return delegation ? tasks_away(cache, job) : std::vector<bool>{};
+  if (shard == team_shard)
+    return delegation ? tasks_held_by_delegate(cache, job) : std::vector<bool>{};
   const bool may_start =
       delegation && delegation->is_readable && !delegation->is_closed && delegation->shard == shard;
   if (!may_start) return std::vector<bool>(spec.tasks, true);
-  std::vector<bool> withheld = tasks_in(delegation->tasks, spec.tasks);
+  std::vector<bool> withheld = flags_of(delegation->tasks, spec.tasks);
   withheld.flip();
   return withheld;
 }
@@ -119,8 +121,8 @@
   DelegatedUse use(cache, settings, shard);
   for (const std::string& id : cache.delegated()) use.add_job(*cache.job(id));
   for (const auto& [id, job] : cache.ended_delegated()) use.add_job(job);
-  for (const auto& [owner, number] : cache.foreign_pages(shard))
-    use.add_page(cache.placement_pages(owner).at(number));
+  for (const auto& [delegate_shard, number] : cache.foreign_pages(shard))
+    use.add_page(cache.placement_pages(delegate_shard).at(number));
   return use.take();
 }
 
--- a/src/jobs/delegation.h
+++ b/src/jobs/delegation.h
@@ -25,8 +25,8 @@
 
 /// By task: the shard that the job is delegated to may run it, now or later, so its own shard must
 /// not. The job has to have a delegation.
-[[nodiscard]] std::vector<bool> tasks_away(const state::StateCache& cache,
-                                           const state::JobEntry& job);
+[[nodiscard]] std::vector<bool> tasks_held_by_delegate(const state::StateCache& cache,
+                                                       const state::JobEntry& job);
 
 /// By task: the shard must not start it. `team_shard`: the shard of the job's team.
 [[nodiscard]] std::vector<bool> withheld_tasks(const state::StateCache& cache,
