--- a/src/jobs/dependency_graph.cpp
+++ b/src/jobs/dependency_graph.cpp
@@ -5,7 +5,7 @@
 
 namespace shunttrail::jobs {
 
-EffectivePriority DependencyGraph::own_of(const wire::JobRecord& record) {
+EffectivePriority DependencyGraph::own_priority(const wire::JobRecord& record) {
   EffectivePriority own;
   own.priority = record.spec.priority;
   if (record.spec.deadline_s) own.due = record.submitted_at + *record.spec.deadline_s;
@@ -23,7 +23,7 @@
   return reused;
 }
 
-int DependencyGraph::node(const std::string& id) {
+int DependencyGraph::find_or_add_node(const std::string& id) {
   const auto [known, is_new] = index_.try_emplace(id, -1);
   if (!is_new) return known->second;
   const int n = allocate_node();
@@ -33,7 +33,7 @@
   const state::JobEntry* waiting = cache_.waiting(id);
   set_kind(n, waiting ? Node::waiting : live ? Node::live : Node::absent);
   if (const state::JobEntry* entry = waiting ? waiting : live)
-    at(n).own = at(n).effective = own_of(entry->record);
+    at(n).own = at(n).effective = own_priority(entry->record);
   return n;
 }
 
@@ -62,12 +62,12 @@
 }
 
 void DependencyGraph::attach(int n, const wire::JobRecord& record) {
-  at(n).own = own_of(record);
-  at(n).run_s = record.spec.estimate_s;
+  at(n).own = own_priority(record);
+  at(n).estimate_s = record.spec.estimate_s;
   std::vector<int> dependencies;
   for (const std::string& id : record.spec.dependencies) {
     if (id == record.spec.id) continue;
-    const int dependency = node(id);
+    const int dependency = find_or_add_node(id);
     dependencies.push_back(dependency);
     at(dependency).dependents.push_back(n);
   }
@@ -105,7 +105,7 @@
   const state::JobEntry* waiting = cache_.waiting(id);
   // A job that needs none and that none needs is not held here.
   if (!waiting && !index_.contains(id)) return;
-  const int n = node(id);
+  const int n = find_or_add_node(id);
   if (!waiting) {
     detach(n);
     set_kind(n, cache_.job(id) ? Node::live : Node::absent);
@@ -168,7 +168,7 @@
     const Node& dependent = at(n);
     if (dependent.kind != Node::waiting || dependent.doomed) continue;
     out.priority = std::min(out.priority, dependent.effective.priority);
-    out.due = std::min(out.due, dependent.effective.due - dependent.run_s);
+    out.due = std::min(out.due, dependent.effective.due - dependent.estimate_s);
   }
   return out;
 }
@@ -216,7 +216,7 @@
 EffectivePriority DependencyGraph::effective_priority(const std::string& id,
                                                       const wire::JobRecord& own) const {
   auto it = index_.find(id);
-  return it == index_.end() ? own_of(own) : at(it->second).effective;
+  return it == index_.end() ? own_priority(own) : at(it->second).effective;
 }
 
 std::vector<std::string> DependencyGraph::take_changed() {
@@ -253,12 +253,12 @@
 StateTransitions state_transitions(const state::StateCache& cache, const DependencyGraph& graph,
                                    bool ready, const state::TransactionLimits& limits,
                                    double wall_now, const std::string& tag,
-                                   const std::function<bool(const std::string&)>& is_ours) {
+                                   const std::function<bool(const std::string&)>& is_led_here) {
   StateTransitions out;
   for (const std::string& id : ready ? graph.ready() : graph.doomed()) {
     if (out.txn.ops.size() + kOpsPerJob > limits.ops) break;
     const state::JobEntry* job = cache.waiting(id);
-    if (!job || !is_ours(id)) continue;
+    if (!job || !is_led_here(id)) continue;
     out.txn.preconditions.emplace_back(state::waiting_key(id), job->mod_revision);
     out.txn.preconditions.emplace_back(state::job_result_key(id), 0);
     out.txn.ops.push_back({state::waiting_key(id), std::nullopt, 0});
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -70,12 +70,12 @@
     std::vector<int> dependents;    ///< nodes of the waiting jobs that need it
     EffectivePriority own;
     EffectivePriority effective;
-    double run_s = 0;  ///< its estimated run time
+    double estimate_s = 0;  ///< its estimated run time
   };
   Node& at(int node) { return nodes_[static_cast<std::size_t>(node)]; }
   [[nodiscard]] const Node& at(int node) const { return nodes_[static_cast<std::size_t>(node)]; }
   /// Finds a job's node, or makes one with the kind that the cache gives.
-  int node(const std::string& id);
+  int find_or_add_node(const std::string& id);
   int allocate_node();
   /// Frees a node that does not wait and that no waiting job needs.
   void drop_if_unused(int node);
@@ -91,7 +91,7 @@
   /// Computes a node's effective priority anew; false: it is the same.
   bool update_effective(int node);
   [[nodiscard]] EffectivePriority compute_effective(const Node& job) const;
-  static EffectivePriority own_of(const wire::JobRecord& record);
+  static EffectivePriority own_priority(const wire::JobRecord& record);
 
   const state::StateCache& cache_;
   std::unordered_map<std::string, int> index_;  ///< node by job
@@ -113,10 +113,10 @@
 /// doomed jobs get a result, as users are told already. The preconditions hold the waiting keys, so
 /// that a late or repeated copy undoes nothing.
 /// `limits`: of the transaction; `wall_now`: time of day in seconds; `tag`: names the transaction;
-/// `is_ours`: whether this node leads the job's shard.
+/// `is_led_here`: whether this node leads the job's shard.
 [[nodiscard]] StateTransitions state_transitions(
     const state::StateCache& cache, const DependencyGraph& graph, bool ready,
     const state::TransactionLimits& limits, double wall_now, const std::string& tag,
-    const std::function<bool(const std::string&)>& is_ours);
+    const std::function<bool(const std::string&)>& is_led_here);
 
 }  // namespace shunttrail::jobs
