--- a/src/controller/inventory.cpp
+++ b/src/controller/inventory.cpp
@@ -226,7 +226,7 @@
 
 // Puts the page's changes into the transaction, if there is room for them.
 void Inventory::append_page(Batch& batch, shard::InventoryPage& page, Preconditions leaders) {
-  page.record_ages(
+  page.fill_rental_times(
       [this](const std::string& machine) { return components_.cloud_manager->rented_at(machine); });
   wire::Transaction& all = batch.transaction;
   auto is_in_batch = [&](const auto& precondition) {
--- a/src/shard/inventory_page.cpp
+++ b/src/shard/inventory_page.cpp
@@ -32,7 +32,7 @@
   return state::inventory_key(state::inventory_part(page_, static_cast<int>(part)));
 }
 
-std::string InventoryPage::text(const Part& part, const std::string& tag) const {
+std::string InventoryPage::encode_part(const Part& part, const std::string& tag) const {
   return wire::encode_record(wire::InventoryPageRecord{tag, part.machines, form_});
 }
 
@@ -43,7 +43,7 @@
   return nullptr;
 }
 
-void InventoryPage::put(std::size_t part, const wire::MachineRecord& machine) {
+void InventoryPage::insert_machine(std::size_t part, const wire::MachineRecord& machine) {
   if (part >= parts_.size()) parts_.resize(part + 1);
   auto& machines = parts_[part].machines;
   machines.insert(std::upper_bound(machines.begin(), machines.end(), machine, by_name), machine);
@@ -58,7 +58,7 @@
         part.is_changed = true;
         return;
       }
-  put(0, machine);
+  insert_machine(0, machine);
 }
 
 void InventoryPage::drop(const std::string& name) {
@@ -72,19 +72,21 @@
     if (parts_[i].form != form_ && cache_.mod_revision(key(i)) != 0) parts_[i].is_changed = true;
 }
 
-void InventoryPage::record_ages(const std::function<double(const std::string&)>& rented_at) {
+void InventoryPage::fill_rental_times(const std::function<double(const std::string&)>& rented_at) {
   for (Part& part : parts_)
     for (wire::MachineRecord& machine : part.machines)
       if (machine.rented_at == 0) machine.rented_at = rented_at(machine.name);
 }
 
-std::size_t InventoryPage::part_with_room(std::size_t except, const wire::MachineRecord& machine,
-                                          std::size_t value_bytes, const std::string& tag) const {
+std::size_t InventoryPage::part_with_capacity(std::size_t except,
+                                              const wire::MachineRecord& machine,
+                                              std::size_t value_bytes,
+                                              const std::string& tag) const {
   for (std::size_t i = 0; i < parts_.size(); ++i) {
     if (i == except) continue;
     Part extended = parts_[i];
     extended.machines.push_back(machine);
-    if (text(extended, tag).size() <= value_bytes) return i;
+    if (encode_part(extended, tag).size() <= value_bytes) return i;
   }
   return parts_.size();
 }
@@ -93,12 +95,12 @@
   // Parts that are begun meanwhile are looked at as well.
   for (std::size_t i = 0; i < parts_.size(); ++i)
     while (parts_[i].is_changed && parts_[i].machines.size() > 1 &&
-           text(parts_[i], tag).size() > value_bytes) {
+           encode_part(parts_[i], tag).size() > value_bytes) {
       const wire::MachineRecord machine = std::move(parts_[i].machines.back());
       parts_[i].machines.pop_back();
-      const std::size_t to = part_with_room(i, machine, value_bytes, tag);
+      const std::size_t to = part_with_capacity(i, machine, value_bytes, tag);
       if (to >= kMaxParts) return false;
-      put(to, machine);
+      insert_machine(to, machine);
     }
   return true;
 }
@@ -114,7 +116,7 @@
     out.preconditions.emplace_back(key(i), cache_.mod_revision(key(i)));
     if (!part.is_changed) continue;
     std::optional<std::string> value;
-    if (!part.machines.empty()) value = text(part, tag);
+    if (!part.machines.empty()) value = encode_part(part, tag);
     out.ops.push_back({key(i), std::move(value), 0});
   }
   if (parts_.size() == stored_parts && stored_parts < kMaxParts)
--- a/src/shard/inventory_page.h
+++ b/src/shard/inventory_page.h
@@ -29,7 +29,7 @@
   void convert();
   /// Fills in when machines were rented where that is not recorded. `rented_at` gives the time of
   /// day in seconds, or 0 where it is not known.
-  void record_ages(const std::function<double(const std::string&)>& rented_at);
+  void fill_rental_times(const std::function<double(const std::string&)>& rented_at);
 
   /// The transaction that stores the changes; without operations if they have no room in the page.
   /// No value is longer than `value_bytes`: what does not fit a part moves to others in the same
@@ -44,14 +44,16 @@
     bool is_changed = false;
     int form = 0;  ///< in which it is stored
   };
-  void put(std::size_t part, const wire::MachineRecord& machine);
+  void insert_machine(std::size_t part, const wire::MachineRecord& machine);
   [[nodiscard]] std::string key(std::size_t part) const;
-  [[nodiscard]] std::string text(const Part& part, const std::string& tag) const;
+  [[nodiscard]] std::string encode_part(const Part& part, const std::string& tag) const;
   /// Moves machines out of parts that are too long; false: there is no room.
   bool shrink_parts(std::size_t value_bytes, const std::string& tag);
   /// The first other part that has room for the machine, or the number of the next part to begin.
-  [[nodiscard]] std::size_t part_with_room(std::size_t except, const wire::MachineRecord& machine,
-                                           std::size_t value_bytes, const std::string& tag) const;
+  [[nodiscard]] std::size_t part_with_capacity(std::size_t except,
+                                               const wire::MachineRecord& machine,
+                                               std::size_t value_bytes,
+                                               const std::string& tag) const;
 
   const state::StateCache& cache_;
   const schema::FeatureGate feature_gate_;
--- a/src/shard/leader_election.cpp
+++ b/src/shard/leader_election.cpp
@@ -9,8 +9,8 @@
 constexpr double kHomeWaitS = 3.0;
 /// A returning node has to be alive this long before its shard is handed back.
 constexpr double kAliveBeforeHandBackS = 4.0;
-/// In `seen_since_` and `absent_since_`.
-constexpr double kNot = -1;
+/// In `alive_since_` and `absent_since_`.
+constexpr double kNotObserved = -1;
 
 LeadershipMove take(const std::string& key, std::uint64_t mod_revision) {
   LeadershipMove move;
@@ -23,15 +23,15 @@
 
 LeaderElection::LeaderElection(const config::Settings& settings)
     : settings_(settings),
-      seen_since_(settings.shards(), kNot),
-      absent_since_(settings.shards(), kNot) {}
+      alive_since_(settings.shards(), kNotObserved),
+      absent_since_(settings.shards(), kNotObserved) {}
 
 void LeaderElection::observe(const state::StateCache& cache, double now) {
   for (int node = 0; node < settings_.shards(); ++node) {
     const bool is_alive = cache.node_revision(node) != 0;
-    double& current = is_alive ? seen_since_[node] : absent_since_[node];
-    double& other = is_alive ? absent_since_[node] : seen_since_[node];
-    other = kNot;
+    double& current = is_alive ? alive_since_[node] : absent_since_[node];
+    double& other = is_alive ? absent_since_[node] : alive_since_[node];
+    other = kNotObserved;
     if (current < 0) current = now;
   }
 }
@@ -41,11 +41,11 @@
 }
 
 LeadershipMove LeaderElection::decide(const state::StateCache& cache, int shard, double now,
-                                      std::uint64_t spent) const {
+                                      std::uint64_t closed_token) const {
   const int self = settings_.self;
   if (!registered_at_ || !cache.node_revision(self)) return {};
   const int leader = cache.leader(shard).node;
-  if (leader == self) return decide_own(cache, shard, now, spent);
+  if (leader == self) return decide_led_shard(cache, shard, now, closed_token);
   const bool has_leader = leader >= 0;
   if (has_leader && !is_absent_for(leader, kAbsenceBeforeTakeoverS, now)) return {};
   if (successor(cache, shard, now) != self) return {};
@@ -55,13 +55,13 @@
   return move;
 }
 
-LeadershipMove LeaderElection::decide_own(const state::StateCache& cache, int shard, double now,
-                                          std::uint64_t spent) const {
+LeadershipMove LeaderElection::decide_led_shard(const state::StateCache& cache, int shard,
+                                                double now, std::uint64_t closed_token) const {
   const state::LeaderEntry& entry = cache.leader(shard);
   const std::string key = state::leader_key(shard);
   // Granted to an earlier process of this node, or its scheduler is closed, or it was handed over
   // by another node: this process needs a token by its own commit first.
-  if (entry.mod_revision < registered_at_ || spent == entry.mod_revision ||
+  if (entry.mod_revision < registered_at_ || closed_token == entry.mod_revision ||
       !entry.tag.starts_with(process_))
     return take(key, cache.mod_revision(key));
   // Our own commit was answered before the changes just before it have been read: the last
@@ -71,7 +71,7 @@
   LeadershipMove move;
   const int home = shard;
   const bool is_home_back =
-      seen_since_[home] >= 0 && now - seen_since_[home] > kAliveBeforeHandBackS;
+      alive_since_[home] >= 0 && now - alive_since_[home] > kAliveBeforeHandBackS;
   if (home != settings_.self && is_home_back) {
     move.kind = LeadershipMove::hand_over;
     move.to = home;
--- a/src/shard/leader_election.h
+++ b/src/shard/leader_election.h
@@ -46,16 +46,16 @@
   /// Notes which nodes are alive; to be called before `decide`.
   void observe(const state::StateCache& cache, double now);
 
-  /// What to do about a shard. `spent`: the latest token whose scheduler this process has closed.
-  /// The scheduler's attempts, and its knowledge of what is in flight, ended with it, so the token
-  /// must not be used again: the shard is taken anew under another one.
+  /// What to do about a shard. `closed_token`: the latest token whose scheduler this process has
+  /// closed. The scheduler's attempts, and its knowledge of what is in flight, ended with it, so
+  /// the token must not be used again: the shard is taken anew under another one.
   [[nodiscard]] LeadershipMove decide(const state::StateCache& cache, int shard, double now,
-                                      std::uint64_t spent) const;
+                                      std::uint64_t closed_token) const;
 
  private:
   /// The move of a shard that this node leads by the state service's word.
-  [[nodiscard]] LeadershipMove decide_own(const state::StateCache& cache, int shard, double now,
-                                          std::uint64_t spent) const;
+  [[nodiscard]] LeadershipMove decide_led_shard(const state::StateCache& cache, int shard,
+                                                double now, std::uint64_t closed_token) const;
   /// The node that should take a shard without a living leader; -1: none yet.
   [[nodiscard]] int successor(const state::StateCache& cache, int shard, double now) const;
   [[nodiscard]] bool is_absent_for(int node, double duration_s, double now) const;
@@ -63,7 +63,7 @@
   const config::Settings& settings_;
   std::uint64_t registered_at_ = 0;  ///< revision; 0: not yet
   std::string process_;
-  std::vector<double> seen_since_;    ///< by node; negative: it is not alive
+  std::vector<double> alive_since_;   ///< by node; negative: it is not alive
   std::vector<double> absent_since_;  ///< by node; negative: it is alive
 };
 
--- a/tests/schema_test.cpp
+++ b/tests/schema_test.cpp
@@ -224,7 +224,7 @@
       shard::InventoryPage page(w,
                                 state::page_of_inventory_part(*w.inventory_to_convert().begin()));
       page.convert();
-      page.record_ages([](const std::string&) { return 1733000500.0; });
+      page.fill_rental_times([](const std::string&) { return 1733000500.0; });
       wire::Transaction t = page.changes(900, "t");
       ASSERT_TRUE(store.commit(t));
       // The same once more, or late: its preconditions let it be applied once.
