--- a/src/schema/codec.cpp
+++ b/src/schema/codec.cpp
@@ -12,18 +12,19 @@
 
 namespace {
 
-constexpr int kMaxLevel = 1000;
+constexpr int kMaxVersion = 1000;
 /// Of an unknown field's name in an error.
 constexpr std::size_t kMaxNameInError = 64;
 
-int level(const json& v, const char* name) {
+int read_version(const json& v, const char* name) {
   const std::uint64_t number = wire::as_whole(v, name);
-  if (number > kMaxLevel) throw Malformed::out_of_range(name, "0 to " + std::to_string(kMaxLevel));
+  if (number > kMaxVersion)
+    throw Malformed::out_of_range(name, "0 to " + std::to_string(kMaxVersion));
   return static_cast<int>(number);
 }
 
 /// Throws if there are other fields than these.
-void only(const json& j, std::initializer_list<const char*> known) {
+void check_known_fields(const json& j, std::initializer_list<const char*> known) {
   for (auto it = j.begin(); it != j.end(); ++it) {
     const std::string& name = it.key();
     if (std::none_of(known.begin(), known.end(), [&](const char* k) { return name == k; }))
@@ -35,8 +36,8 @@
   const std::string expected = "the lowest, highest and written level";
   if (!levels.is_array() || levels.size() != 3)
     throw Malformed::bad_value("levels", "is bad", expected);
-  const Build build{level(levels[0], "levels"), level(levels[1], "levels"),
-                    level(levels[2], "levels")};
+  const Build build{read_version(levels[0], "levels"), read_version(levels[1], "levels"),
+                    read_version(levels[2], "levels")};
   if (build.lowest > build.highest || build.writes > build.highest)
     throw Malformed::bad_value("levels", "is bad", expected);
   return build;
@@ -55,10 +56,10 @@
 VersionRecord decode_record(const wire::Event& event) {
   return wire::of_value(event, [](const json& j) {
     wire::check_object(j);
-    only(j, {"level", "lowest", "highest", "w"});
-    VersionRecord r{level(wire::need(j, "level"), "level"),
-                    level(wire::need(j, "lowest"), "lowest"),
-                    level(wire::need(j, "highest"), "highest"), wire::text(j, "w")};
+    check_known_fields(j, {"level", "lowest", "highest", "w"});
+    VersionRecord r{read_version(wire::need(j, "level"), "level"),
+                    read_version(wire::need(j, "lowest"), "lowest"),
+                    read_version(wire::need(j, "highest"), "highest"), wire::text(j, "w")};
     if (r.active < r.lowest || r.active > r.highest)
       throw Malformed::bad_value("level", "is out of its range", "lowest to highest");
     return r;
@@ -74,10 +75,10 @@
 Orders decode_orders(const wire::Event& event) {
   return wire::of_value(event, [](const json& j) {
     wire::check_object(j);
-    only(j, {"gone", "most", "w"});
+    check_known_fields(j, {"gone", "most", "w"});
     Orders o;
     for (const json& n : wire::list(j, "gone")) o.gone.insert(wire::as_text(n, "gone"));
-    if (const json* m = wire::find(j, "most")) o.max_version = level(*m, "most");
+    if (const json* m = wire::find(j, "most")) o.max_version = read_version(*m, "most");
     o.tag = wire::text(j, "w");
     return o;
   });
@@ -114,12 +115,12 @@
 
 Order decode_order(std::string_view body) {
   return wire::guarded(body, [](const json& j) {
-    only(j, {"hold", "gone", "here"});
+    check_known_fields(j, {"hold", "gone", "here"});
     if (j.size() != 1) throw Malformed("give one of hold, gone, here");
     Order o;
     if (j.contains("hold")) {
       o.kind = j["hold"].is_null() ? Order::release : Order::hold;
-      if (o.kind == Order::hold) o.version = level(j["hold"], "hold");
+      if (o.kind == Order::hold) o.version = read_version(j["hold"], "hold");
     } else {
       o.kind = j.contains("gone") ? Order::exclude_node : Order::include_node;
       o.node = wire::text(j, o.kind == Order::exclude_node ? "gone" : "here");
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -14,9 +14,10 @@
   return kAll;
 }
 
-bool can_downgrade(int level) {
-  const auto position = static_cast<std::size_t>(level);
-  return level > 0 && position < known_versions().size() && known_versions()[position].downgrade;
+bool can_downgrade(int version) {
+  const auto position = static_cast<std::size_t>(version);
+  return version > 0 \&\& position < known_versions().size() &&
+         known_versions()[position].downgrade;
 }
 
 Build current_build(bool delegation) {
--- a/src/schema/schema.h
+++ b/src/schema/schema.h
@@ -37,7 +37,7 @@
 /// All levels that this build knows; a level's number is its position.
 const std::vector<Version>& known_versions();
 /// Whether an active level can be lowered again; false for one that this build does not know.
-[[nodiscard]] bool can_downgrade(int level);
+[[nodiscard]] bool can_downgrade(int version);
 /// What this build can do. It takes part in delegation only where the operators have said so
 /// (config::Tuning), since builds that know no levels do not count delegated tasks.
 [[nodiscard]] Build current_build(bool delegation = false);
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -22,12 +22,12 @@
 constexpr std::size_t kMaxQueued = 512;
 constexpr double kTimeoutS = 2;
 /// Requests that change no key wait this long to be sent.
-constexpr double kGiveUpS = 3;
+constexpr double kMaxSendDelayS = 3;
 /// A shorter timer would fire before the bucket has the token.
 constexpr double kMinTimerS = 0.002;
 /// The part of a bucket that each step of priority leaves to the more urgent requests.
-constexpr double kSpareRequests = 0.1;
-constexpr double kSpareWrites = 0.12;
+constexpr double kReservedRequestShare = 0.1;
+constexpr double kReservedWriteShare = 0.12;
 
 constexpr int kStatusOk = 200;
 constexpr int kStatusBadRequest = 400;
@@ -36,8 +36,8 @@
 constexpr int kStatusUnavailable = 503;
 
 /// Tokens that a request of this priority leaves to the more urgent ones.
-double spare(const TokenBucket& bucket, RequestPriority priority, double part) {
-  return bucket.cap() * part * static_cast<int>(priority);
+double reserved_tokens(const TokenBucket& bucket, RequestPriority priority, double share) {
+  return bucket.cap() * share * static_cast<int>(priority);
 }
 
 std::size_t longest_value(const wire::Transaction& transaction) {
@@ -66,12 +66,12 @@
       http_(loop, settings.state, kConnections, kMaxOutstanding),
       watch_http_(loop, settings.state, kWatchConnections, kMaxOutstandingWatches),
       limits_(settings),
-      request_pace_(settings.state_limits.rps / settings.shards(),
+      request_rate_(settings.state_limits.rps / settings.shards(),
                     settings.state_next.rps / settings.shards()),
-      write_pace_(settings.state_limits.write_rps / settings.shards(),
+      write_rate_(settings.state_limits.write_rps / settings.shards(),
                   settings.state_next.write_rps / settings.shards()),
-      requests_(settings.state_limits.rps / settings.shards(), loop.now()),
-      writes_(settings.state_limits.write_rps / settings.shards(), loop.now()),
+      request_tokens_(settings.state_limits.rps / settings.shards(), loop.now()),
+      write_tokens_(settings.state_limits.write_rps / settings.shards(), loop.now()),
       timer_(loop, [this] { pump(); }) {}
 
 std::size_t Client::queued() const {
@@ -81,21 +81,21 @@
 }
 
 Client::Cost Client::cost() const {
-  return {request_pace_.refusals() + write_pace_.refusals(), waited_s_, writes_.rate()};
+  return {request_rate_.refusals() + write_rate_.refusals(), waited_s_, write_tokens_.rate()};
 }
 
 void Client::refill(double now) {
-  requests_.refill(now);
-  writes_.refill(now);
-  requests_.set_rate(request_pace_.rate(now));
-  writes_.set_rate(write_pace_.rate(now));
+  request_tokens_.refill(now);
+  write_tokens_.refill(now);
+  request_tokens_.set_rate(request_rate_.rate(now));
+  write_tokens_.set_rate(write_rate_.rate(now));
 }
 
 void Client::on_status(int status, bool is_commit) {
   if (status != kStatusTooManyRequests) return;
   const double now = loop_.now();
   // A commit may have exceeded either rate; that of changes is usually far lower.
-  (is_commit ? write_pace_ : request_pace_).refused(now);
+  (is_commit ? write_rate_ : request_rate_).refused(now);
   refill(now);
 }
 
@@ -103,13 +103,14 @@
   refill(loop_.now());
   for (int p = 0; p <= static_cast<int>(priority); ++p)
     if (!queues_[static_cast<std::size_t>(p)].empty()) return 0;
-  const double requests = 1 + spare(requests_, priority, kSpareRequests);
-  if (requests_.wait_for(std::min(requests, requests_.cap())) > 0) return 0;
+  const double requests = 1 + reserved_tokens(request_tokens_, priority, kReservedRequestShare);
+  if (request_tokens_.wait_for(std::min(requests, request_tokens_.cap())) > 0) return 0;
   // A full bucket never gets fuller: at a low rate it holds less than the smallest transaction,
   // which would otherwise never be sent.
-  if (writes_.level() >= writes_.cap())
-    return std::max(kMinTransactionWrites, static_cast<std::size_t>(writes_.cap()));
-  const double available = writes_.level() - spare(writes_, priority, kSpareWrites);
+  if (write_tokens_.level() >= write_tokens_.cap())
+    return std::max(kMinTransactionWrites, static_cast<std::size_t>(write_tokens_.cap()));
+  const double available =
+      write_tokens_.level() - reserved_tokens(write_tokens_, priority, kReservedWriteShare);
   return static_cast<std::size_t>(std::max(0.0, available));
 }
 
@@ -126,11 +127,11 @@
 }
 
 double Client::wait_for(const Call& call, RequestPriority priority) const {
-  const double requests = 1 + spare(requests_, priority, kSpareRequests);
-  const double wait_s = requests_.wait_for(std::min(requests, requests_.cap()));
+  const double requests = 1 + reserved_tokens(request_tokens_, priority, kReservedRequestShare);
+  const double wait_s = request_tokens_.wait_for(std::min(requests, request_tokens_.cap()));
   if (call.writes <= 0) return wait_s;
-  const double writes = call.writes + spare(writes_, priority, kSpareWrites);
-  return std::max(wait_s, writes_.wait_for(std::min(writes, writes_.cap())));
+  const double writes = call.writes + reserved_tokens(write_tokens_, priority, kReservedWriteShare);
+  return std::max(wait_s, write_tokens_.wait_for(std::min(writes, write_tokens_.cap())));
 }
 
 void Client::pump() {
@@ -158,8 +159,8 @@
 }
 
 void Client::send(Call call, double now) {
-  requests_.take(1);
-  writes_.take(call.writes);
+  request_tokens_.take(1);
+  write_tokens_.take(call.writes);
   waited_s_ += now - call.queued_at;
   http_.request(call.method, std::move(call.path), std::move(call.body), call.timeout_s,
                 std::move(call.done));
@@ -208,7 +209,7 @@
 void Client::watch(std::uint64_t after, int block_ms, std::function<void(net::Result)> done) {
   // Watches keep a connection of their own: they block, and must not hold up a commit.
   refill(loop_.now());
-  requests_.take(1);
+  request_tokens_.take(1);
   const double timeout_s = block_ms / 1000.0 + kTimeoutS;
   watch_http_.request("GET", wire::watch_path(kRoot, after, block_ms), "", timeout_s,
                       [this, done = std::move(done)](net::Result answer) {
@@ -234,7 +235,7 @@
   call.path = std::move(path);
   call.body = std::move(body);
   call.timeout_s = kTimeoutS;
-  call.give_up_at = loop_.now() + kGiveUpS;
+  call.give_up_at = loop_.now() + kMaxSendDelayS;
   call.done = [this, done = std::move(done)](net::Result answer) {
     on_status(answer.status, false);
     done(std::move(answer));
--- a/src/state/client.h
+++ b/src/state/client.h
@@ -134,10 +134,10 @@
   net::Client http_;
   net::Client watch_http_;
   Limits limits_;
-  AdaptiveRate request_pace_;
-  AdaptiveRate write_pace_;
-  TokenBucket requests_;
-  TokenBucket writes_;
+  AdaptiveRate request_rate_;
+  AdaptiveRate write_rate_;
+  TokenBucket request_tokens_;
+  TokenBucket write_tokens_;
   double waited_s_ = 0;
   std::array<std::deque<Call>, kRequestPriorities> queues_;
   actor::Timer timer_;
--- a/src/state/limits.cpp
+++ b/src/state/limits.cpp
@@ -17,9 +17,9 @@
 
 std::size_t bytes(double kilobytes) { return static_cast<std::size_t>(kilobytes * 1024); }
 
-/// Less than a size that was refused, but at least `least`.
-std::size_t reduced(std::size_t refused, std::size_t least) {
-  return std::max(least, refused * 3 / 4);
+/// Less than a size that was refused, but at minimum `minimum`.
+std::size_t reduced(std::size_t refused, std::size_t minimum) {
+  return std::max(minimum, refused * 3 / 4);
 }
 
 }  // namespace
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -39,7 +39,7 @@
 }
 std::vector<wire::MachineRecord> StateCache::inventory(int page) const {
   std::vector<wire::MachineRecord> out;
-  if (auto it = pages_.find(page); it != pages_.end())
+  if (auto it = machines_by_page_.find(page); it != machines_by_page_.end())
     for (const auto& name : it->second) out.push_back(machines_.at(name));
   return out;
 }
@@ -393,23 +393,23 @@
   std::vector<std::string> names;
   for (wire::MachineRecord& machine : machines) {
     names.push_back(machine.name);
-    page_of_[machine.name] = page;
+    page_by_machine_[machine.name] = page;
     auto [known, is_new] = machines_.try_emplace(machine.name);
     if (!is_new && known->second == machine) continue;
     known->second = std::move(machine);
     changes.push_back({Change::machine_set, known->first, known->second.shard});
   }
   std::sort(names.begin(), names.end());
-  for (const std::string& old_name : pages_[page]) {
+  for (const std::string& old_name : machines_by_page_[page]) {
     if (std::binary_search(names.begin(), names.end(), old_name)) continue;
     // It may have moved to another part of its page.
-    const auto current_page = page_of_.find(old_name);
-    if (current_page == page_of_.end() || current_page->second != page) continue;
-    page_of_.erase(current_page);
+    const auto current_page = page_by_machine_.find(old_name);
+    if (current_page == page_by_machine_.end() || current_page->second != page) continue;
+    page_by_machine_.erase(current_page);
     machines_.erase(old_name);
     changes.push_back({Change::machine_deleted, old_name, -1});
   }
-  pages_[page] = std::move(names);
+  machines_by_page_[page] = std::move(names);
 }
 
 }  // namespace shunttrail::state
--- a/src/state/state_cache.h
+++ b/src/state/state_cache.h
@@ -206,9 +206,9 @@
   std::map<std::string, JobEntry> waiting_;
   std::map<std::string, wire::MachineRecord> machines_;
   /// Names of machines by inventory page or part, sorted.
-  std::map<int, std::vector<std::string>> pages_;
+  std::map<int, std::vector<std::string>> machines_by_page_;
   /// The inventory page or part of each machine.
-  std::unordered_map<std::string, int> page_of_;
+  std::unordered_map<std::string, int> page_by_machine_;
   /// By shard and page.
   std::vector<std::map<int, wire::PlacementPageRecord>> placement_pages_;
   /// By job: shard and number of each placement page that names it.
