--- a/src/controller/schema_manager.cpp
+++ b/src/controller/schema_manager.cpp
@@ -180,7 +180,7 @@
       entry["reads"] = {member.build.lowest, member.build.highest};
       entry["writes"] = member.build.writes;
     }
-    if (view.orders.gone.contains(name)) entry["gone"] = true;
+    if (view.orders.excluded_nodes.contains(name)) entry["gone"] = true;
     nodes.push_back(std::move(entry));
   }
   return nodes;
--- a/src/schema/codec.cpp
+++ b/src/schema/codec.cpp
@@ -67,7 +67,7 @@
 }
 
 std::string encode(const Orders& orders) {
-  json j = {{"gone", orders.gone}, {"w", orders.tag}};
+  json j = {{"gone", orders.excluded_nodes}, {"w", orders.tag}};
   if (orders.max_version) j["most"] = *orders.max_version;
   return j.dump();
 }
@@ -77,7 +77,7 @@
     wire::check_object(j);
     check_known_fields(j, {"gone", "most", "w"});
     Orders o;
-    for (const json& n : wire::list(j, "gone")) o.gone.insert(wire::as_text(n, "gone"));
+    for (const json& n : wire::list(j, "gone")) o.excluded_nodes.insert(wire::as_text(n, "gone"));
     if (const json* m = wire::find(j, "most")) o.max_version = read_version(*m, "most");
     o.tag = wire::text(j, "w");
     return o;
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -16,8 +16,7 @@
 
 bool can_downgrade(int version) {
   const auto position = static_cast<std::size_t>(version);
-  return version > 0 \&\& position < known_versions().size() &&
-         known_versions()[position].downgrade;
+  return version > 0 && position < known_versions().size() && known_versions()[position].downgrade;
 }
 
 Build current_build(bool delegation) {
@@ -55,11 +54,11 @@
 };
 
 /// Why a node does not meet the requirement; none: it does.
-std::optional<std::string> unmet_requirement(const StoredView::Member& member, bool is_gone,
+std::optional<std::string> unmet_requirement(const StoredView::Member& member, bool is_excluded,
                                              const Requirement& requirement) {
   const bool is_alive = member.mod_revision != 0;
   if (!is_alive) {
-    if (requirement.all_present && !is_gone) return "is not there";
+    if (requirement.all_present && !is_excluded) return "is not there";
     return std::nullopt;
   }
   if (!member.build.reads(requirement.from, requirement.to)) {
@@ -137,8 +136,8 @@
   void require(const Requirement& requirement) {
     for (std::size_t n = 0; n < names_.size(); ++n) {
       const StoredView::Member& member = view_.members[n];
-      const bool is_gone = view_.orders.gone.contains(names_[n]);
-      if (const auto reason = unmet_requirement(member, is_gone, requirement))
+      const bool is_excluded = view_.orders.excluded_nodes.contains(names_[n]);
+      if (const auto reason = unmet_requirement(member, is_excluded, requirement))
         block(names_[n], *reason);
       else
         // Of absent nodes as well: if one comes back in between, the commit fails.
@@ -214,12 +213,12 @@
 
 std::string node_refusal(const StoredView& view, const std::vector<std::string>& names,
                          const Order& order) {
-  const bool is_gone = order.kind == Order::exclude_node;
-  const std::string field = is_gone ? "gone: " : "here: ";
+  const bool is_excluded = order.kind == Order::exclude_node;
+  const std::string field = is_excluded ? "gone: " : "here: ";
   const auto name = std::find(names.begin(), names.end(), order.node);
   if (name == names.end()) return field + order.node + " is none of the nodes";
   const auto node = static_cast<std::size_t>(name - names.begin());
-  if (is_gone && view.members[node].mod_revision != 0) return field + order.node + " is there";
+  if (is_excluded && view.members[node].mod_revision != 0) return field + order.node + " is there";
   return {};
 }
 
@@ -251,10 +250,10 @@
       after.max_version.reset();
       break;
     case Order::exclude_node:
-      after.gone.insert(order.node);
+      after.excluded_nodes.insert(order.node);
       break;
     case Order::include_node:
-      after.gone.erase(order.node);
+      after.excluded_nodes.erase(order.node);
       break;
   }
   return after;
--- a/tests/schema_test.cpp
+++ b/tests/schema_test.cpp
@@ -127,7 +127,7 @@
   EXPECT_EQ(t.look().step.kind, Step::none);
   EXPECT_TRUE(t.look().step.preconditions.empty());
   // Declared gone, it is not waited for; should it come back in between, the guard fails.
-  t.v.orders.gone = {"b"};
+  t.v.orders.excluded_nodes = {"b"};
   s = t.look().step;
   ASSERT_EQ(s.kind, Step::raise);
   EXPECT_EQ(s.preconditions[1], (std::pair<std::string, std::uint64_t>{"st/n/b", 0}));
@@ -414,7 +414,7 @@
     for (const auto& name : s_.nodes) {
       auto key = keys.find(state::node_key(name));
       if (key == keys.end()) {
-        RC_ASSERT(o.gone.contains(name));
+        RC_ASSERT(o.excluded_nodes.contains(name));
         continue;
       }
       Build b = schema::decode_member(event(key->second.value));
