--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -81,13 +81,13 @@
                                  net::Result response) {
   const double now = loop_.now();
   const bool is_answered = response.status != 0;
-  routes_.relayed(leader, is_answered, now);
+  routes_.record_response(leader, is_answered, now);
   if (!is_answered) ++counters(leader).unanswered;
   // The sibling's build takes no relayed heartbeats (404), or none of this version (400).
   const bool is_unsupported = response.status == 404 || response.status == 400;
   if (is_unsupported) {
     spdlog::info("{} takes no relayed heartbeats", node_name(leader));
-    routes_.unavailable(leader, now);
+    routes_.record_unsupported(leader, now);
   }
   const bool is_for_worker = response.status == 200 || response.status == 421;
   if (is_for_worker)
@@ -113,7 +113,7 @@
   const config::Settings& settings = components_.settings;
   const double now = loop_.now();
   json links = json::array();
-  for (const auto& [leader_and_zone, open_route] : routes_.open()) {
+  for (const auto& [leader_and_zone, open_route] : routes_.routes()) {
     const auto [leader, zone] = leader_and_zone;
     const std::string zone_name =
         zone < 0 ? std::string() : settings.zones[static_cast<std::size_t>(zone)];
--- a/src/relay/relay_routes.cpp
+++ b/src/relay/relay_routes.cpp
@@ -9,59 +9,61 @@
 // may be another one first.
 
 /// A machine that comes within this time after a redirect has come back.
-constexpr double kComesBackWithinS = 13;
+constexpr double kReturnWindowS = 13;
 /// A probe that has not come back after this time has reached the leader.
-constexpr double kProbeStaysAwayS = 7;
+constexpr double kProbeSuccessS = 7;
 constexpr double kFirstProbeIntervalS = 3;
 constexpr double kMaxProbeIntervalS = 16;
 /// A leader that has not answered is not asked again for this long.
-constexpr double kSilenceS = 2;
+constexpr double kUnresponsiveS = 2;
 /// A leader of an older build may be replaced in this time.
-constexpr double kUnavailableS = 60;
+constexpr double kUnsupportedS = 60;
 /// A route that no heartbeat has used for this long is closed.
 constexpr double kUnusedRouteS = 30;
-constexpr double kForgetIntervalS = 5;
+constexpr double kExpiryIntervalS = 5;
 
 /// Whether the time noted for a leader has not come yet.
-bool is_before(const std::map<int, double>& until, int leader, double now) {
+bool is_blocked(const std::map<int, double>& until, int leader, double now) {
   const auto entry = until.find(leader);
   return entry != until.end() && now < entry->second;
 }
 
 }  // namespace
 
-void RelayRoutes::forget_old(double now) {
-  if (now < forgotten_at_ + kForgetIntervalS) return;
-  forgotten_at_ = now;
+void RelayRoutes::remove_expired(double now) {
+  if (now < last_expiry_at_ + kExpiryIntervalS) return;
+  last_expiry_at_ = now;
   std::erase_if(redirected_,
-                [&](const auto& entry) { return now - entry.second.at > kComesBackWithinS; });
-  std::erase_if(open_,
+                [&](const auto& entry) { return now - entry.second.at > kReturnWindowS; });
+  std::erase_if(routes_,
                 [&](const auto& entry) { return now - entry.second.used_at > kUnusedRouteS; });
 }
 
 Decision RelayRoutes::decide(const std::string& machine, Order order, int zone, int leader,
                              double now) {
-  forget_old(now);
-  if (is_before(unavailable_until_, leader, now)) return Decision::redirect;
-  const Decision pass_on =
-      is_before(silent_until_, leader, now) ? Decision::refuse : Decision::relay;
-  const auto known = open_.find({leader, zone});
-  if (known == open_.end()) return decide_without_route(machine, order, zone, leader, pass_on, now);
+  remove_expired(now);
+  if (is_blocked(unsupported_until_, leader, now)) return Decision::redirect;
+  const Decision relay_or_refuse =
+      is_blocked(unresponsive_until_, leader, now) ? Decision::refuse : Decision::relay;
+  const auto known = routes_.find({leader, zone});
+  if (known == routes_.end())
+    return decide_without_route(machine, order, zone, leader, relay_or_refuse, now);
   Route& route = known->second;
   route.used_at = now;
-  if (!route.probing.empty()) return decide_while_probing(machine, order, known, pass_on, now);
-  if (now < route.probe_at || pass_on == Decision::refuse) return pass_on;
-  route.probing = machine;
+  if (!route.probed_machine.empty())
+    return decide_while_probing(machine, order, known, relay_or_refuse, now);
+  if (now < route.probe_at || relay_or_refuse == Decision::refuse) return relay_or_refuse;
+  route.probed_machine = machine;
   route.probe_order = order;
-  route.sent_at = now;
+  route.probe_sent_at = now;
   return Decision::redirect;
 }
 
 Decision RelayRoutes::decide_without_route(const std::string& machine, Order order, int zone,
-                                           int leader, Decision pass_on, double now) {
+                                           int leader, Decision relay_or_refuse, double now) {
   const auto last = redirected_.find(machine);
   if (last == redirected_.end() || last->second.leader != leader ||
-      now - last->second.at > kComesBackWithinS) {
+      now - last->second.at > kReturnWindowS) {
     redirected_[machine] = {leader, now, order};
     return Decision::redirect;
   }
@@ -73,39 +75,39 @@
   route.probe_at = now + kFirstProbeIntervalS;
   route.probe_interval = kFirstProbeIntervalS;
   route.used_at = now;
-  open_[{leader, zone}] = route;
-  return pass_on;
+  routes_[{leader, zone}] = route;
+  return relay_or_refuse;
 }
 
 Decision RelayRoutes::decide_while_probing(const std::string& machine, Order order,
                                            std::map<std::pair<int, int>, Route>::iterator known,
-                                           Decision pass_on, double now) {
+                                           Decision relay_or_refuse, double now) {
   Route& route = known->second;
-  if (machine == route.probing) {
+  if (machine == route.probed_machine) {
     const bool is_copy = order <= route.probe_order;
-    if (is_copy) return pass_on;
+    if (is_copy) return relay_or_refuse;
     // It has come back: the link is still cut.
-    route.probing.clear();
+    route.probed_machine.clear();
     route.probe_interval = std::min(route.probe_interval * 2, kMaxProbeIntervalS);
     route.probe_at = now + route.probe_interval;
-    return pass_on;
+    return relay_or_refuse;
   }
-  if (now - route.sent_at <= kProbeStaysAwayS) return pass_on;
+  if (now - route.probe_sent_at <= kProbeSuccessS) return relay_or_refuse;
   // It has stayed with the leader: all workers are redirected again.
-  open_.erase(known);
+  routes_.erase(known);
   return Decision::redirect;
 }
 
-void RelayRoutes::relayed(int leader, bool answered, double now) {
+void RelayRoutes::record_response(int leader, bool answered, double now) {
   if (answered)
-    silent_until_.erase(leader);
+    unresponsive_until_.erase(leader);
   else
-    silent_until_[leader] = now + kSilenceS;
+    unresponsive_until_[leader] = now + kUnresponsiveS;
 }
 
-void RelayRoutes::unavailable(int leader, double now) {
-  unavailable_until_[leader] = now + kUnavailableS;
-  std::erase_if(open_, [&](const auto& entry) { return entry.first.first == leader; });
+void RelayRoutes::record_unsupported(int leader, double now) {
+  unsupported_until_[leader] = now + kUnsupportedS;
+  std::erase_if(routes_, [&](const auto& entry) { return entry.first.first == leader; });
 }
 
 }  // namespace shunttrail::relay
--- a/src/relay/relay_routes.h
+++ b/src/relay/relay_routes.h
@@ -29,24 +29,24 @@
   /// Decides about a heartbeat of a machine in this zone, whose shard the node `leader` leads.
   Decision decide(const std::string& machine, Order order, int zone, int leader, double now);
   /// A relayed heartbeat was answered by `leader`, or was not.
-  void relayed(int leader, bool answered, double now);
+  void record_response(int leader, bool answered, double now);
   /// `leader` speaks no version of the relay that this node knows.
-  void unavailable(int leader, double now);
+  void record_unsupported(int leader, double now);
 
   /// A route from a zone's workers to a leader, in use.
   struct Route {
     double since = 0;
-    double probe_at = 0;        ///< when the next worker is redirected as a probe
-    double probe_interval = 0;  ///< between two probes that fail
-    std::string probing;        ///< the machine redirected as a probe; empty: none
-    Order probe_order{};        ///< of the heartbeat that was redirected
-    double sent_at = 0;         ///< when it was redirected
-    double used_at = 0;         ///< when the last heartbeat came by
+    double probe_at = 0;         ///< when the next worker is redirected as a probe
+    double probe_interval = 0;   ///< between two probes that fail
+    std::string probed_machine;  ///< the machine redirected as a probe; empty: none
+    Order probe_order{};         ///< of the heartbeat that was redirected
+    double probe_sent_at = 0;    ///< when it was redirected
+    double used_at = 0;          ///< when the last heartbeat came by
   };
   /// All routes, by leader and zone.
-  [[nodiscard]] const std::map<std::pair<int, int>, Route>& open() const { return open_; }
+  [[nodiscard]] const std::map<std::pair<int, int>, Route>& routes() const { return routes_; }
   /// How many redirected machines are remembered.
-  [[nodiscard]] std::size_t remembered() const { return redirected_.size(); }
+  [[nodiscard]] std::size_t redirected_count() const { return redirected_.size(); }
 
  private:
   struct Redirected {
@@ -54,20 +54,20 @@
     double at = 0;
     Order order{};
   };
-  void forget_old(double now);
+  void remove_expired(double now);
   /// Without a route: redirects, or opens one if the machine has come back.
   Decision decide_without_route(const std::string& machine, Order order, int zone, int leader,
-                                Decision pass_on, double now);
+                                Decision relay_or_refuse, double now);
   /// While a probe is under way: whether it has failed, or has succeeded.
   Decision decide_while_probing(const std::string& machine, Order order,
                                 std::map<std::pair<int, int>, Route>::iterator known,
-                                Decision pass_on, double now);
+                                Decision relay_or_refuse, double now);
 
   std::map<std::string, Redirected> redirected_;  ///< by machine: the last redirect
-  std::map<std::pair<int, int>, Route> open_;
-  std::map<int, double> silent_until_;       ///< by leader: it does not answer this node either
-  std::map<int, double> unavailable_until_;  ///< by leader: it cannot relay
-  double forgotten_at_ = 0;
+  std::map<std::pair<int, int>, Route> routes_;
+  std::map<int, double> unresponsive_until_;  ///< by leader: it does not answer this node either
+  std::map<int, double> unsupported_until_;   ///< by leader: it cannot relay
+  double last_expiry_at_ = 0;
 };
 
 }  // namespace shunttrail::relay
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -48,21 +48,21 @@
   EXPECT_EQ(d.decide("m-3", order(), 0, 2, 30), Decision::redirect);  // on trial
   EXPECT_EQ(d.decide("m-1", order(), 0, 2, 36), Decision::relay);
   EXPECT_EQ(d.decide("m-1", order(), 0, 2, 38), Decision::redirect);  // m-3 stayed there
-  EXPECT_TRUE(d.open().empty());
+  EXPECT_TRUE(d.routes().empty());
 }
 
 TEST(RelayRoutes, ALeaderThatDoesNotAnswerIsNotAskedAtOnceAgain) {
   RelayRoutes d;
   d.decide("m-1", order(), 0, 2, 10);
   EXPECT_EQ(d.decide("m-1", order(), 0, 2, 15), Decision::relay);
-  d.relayed(2, false, 17.5);
+  d.record_response(2, false, 17.5);
   EXPECT_EQ(d.decide("m-2", order(), 0, 2, 18), Decision::refuse);
   EXPECT_EQ(d.decide("m-2", order(), 0, 2, 19.6), Decision::redirect);  // a trial is due
   EXPECT_EQ(d.decide("m-1", order(), 0, 2, 19.7), Decision::relay);
-  d.relayed(2, true, 19.8);
+  d.record_response(2, true, 19.8);
   EXPECT_EQ(d.decide("m-1", order(), 0, 2, 19.9), Decision::relay);
-  d.unavailable(2, 20);
-  EXPECT_TRUE(d.open().empty());
+  d.record_unsupported(2, 20);
+  EXPECT_TRUE(d.routes().empty());
   for (double at : {20.5, 24.0, 28.0})
     EXPECT_EQ(d.decide("m-1", order(), 0, 2, at), Decision::redirect);
 }
@@ -74,24 +74,24 @@
   EXPECT_EQ(d.decide("m-1", {1, 7}, 0, 2, 10), Decision::redirect);
   EXPECT_EQ(d.decide("m-1", {1, 7}, 0, 2, 12), Decision::redirect);
   EXPECT_EQ(d.decide("m-1", {1, 5}, 0, 2, 13), Decision::redirect);
-  EXPECT_TRUE(d.open().empty());
+  EXPECT_TRUE(d.routes().empty());
   EXPECT_EQ(d.decide("m-1", {1, 8}, 0, 2, 14), Decision::relay);
   EXPECT_EQ(d.decide("m-2", {4, 1}, 0, 2, 18.5), Decision::redirect);  // on trial
   EXPECT_EQ(d.decide("m-2", {3, 9}, 0, 2, 19),
             Decision::relay);  // a copy of an earlier incarnation
-  EXPECT_EQ(d.open().begin()->second.probing, "m-2");
+  EXPECT_EQ(d.routes().begin()->second.probed_machine, "m-2");
   EXPECT_EQ(d.decide("m-2", {5, 1}, 0, 2, 20), Decision::relay);  // itself, in a new incarnation
-  EXPECT_EQ(d.open().begin()->second.probing, "");
+  EXPECT_EQ(d.routes().begin()->second.probed_machine, "");
 }
 
 TEST(RelayRoutes, UnusedRoutesExpire) {
   RelayRoutes d;
   for (int i = 0; i < 500; ++i) d.decide("m-" + std::to_string(i), order(), 0, 2, 10);
   d.decide("m-1", order(), 0, 2, 12);
-  EXPECT_EQ(d.open().size(), 1u);
+  EXPECT_EQ(d.routes().size(), 1u);
   d.decide("m-x", order(), 1, 0, 100);
-  EXPECT_TRUE(d.open().empty());
-  EXPECT_EQ(d.remembered(), 1u);
+  EXPECT_TRUE(d.routes().empty());
+  EXPECT_EQ(d.redirected_count(), 1u);
 }
 
 // Three nodes, workers of two zones with leases; the owner is reached by no worker, by one zone's
@@ -189,7 +189,7 @@
   std::map<std::tuple<int, int>, double> redirected;  // machine, owner
   for (auto [machine, zone, owner, past] : steps) {
     now += past / 10.0;
-    const bool was = d.open().contains({owner, zone});
+    const bool was = d.routes().contains({owner, zone});
     Decision w = d.decide("m-" + std::to_string(machine), order(), zone, owner, now);
     if (w != Decision::redirect && !was) {
       auto at = redirected.find({machine, owner});
@@ -197,9 +197,9 @@
       RC_ASSERT(came_back);
     }
     if (w == Decision::redirect) redirected[{machine, owner}] = now;
-    if (past % 7 == 0) d.relayed(owner, past % 2 == 0, now);
-    RC_ASSERT(d.open().size() <= 9u);
-    RC_ASSERT(d.remembered() <= 12u);
+    if (past % 7 == 0) d.record_response(owner, past % 2 == 0, now);
+    RC_ASSERT(d.routes().size() <= 9u);
+    RC_ASSERT(d.redirected_count() <= 12u);
   }
 }
 
