--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -1,8 +1,8 @@
 /// @file
-/// The graph of jobs that wait for others: which are ready, which will never run because a job
-/// that they need was cancelled, and how urgent each job is for the sake of those that need it.
-/// It is kept up to date change by change. Free of I/O: what the state service holds is read from
-/// the cache, and job results are handed in.
+/// The graph of waiting jobs and the jobs that they depend on. It tells which waiting jobs are
+/// ready, which can never run because a dependency was cancelled, and the effective priority that
+/// each job inherits from its dependents. The graph is updated incrementally. Free of I/O: stored
+/// state is read from the cache, and the caller passes in job results.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -19,76 +19,81 @@
 
 namespace shunttrail::jobs {
 
-/// A job's own priority and due time, or those of a job that needs it where they are more urgent.
+/// A job's priority and due time, raised to those of its dependents where they are more urgent.
 struct EffectivePriority {
   wire::Priority priority = wire::Priority::idle;
-  /// Time of day in seconds by which it should be done, so that jobs that need it can be in time.
+  /// The time of day, in seconds, by which the job must be done for its dependents to be in time.
   double due = std::numeric_limits<double>::infinity();
   friend bool operator==(const EffectivePriority&, const EffectivePriority&) = default;
 };
 
-/// The graph. It holds the waiting jobs and those that they need.
+/// The dependency graph. It holds the waiting jobs and their dependencies.
 class DependencyGraph {
  public:
   /// `cache` has to outlive the graph.
   explicit DependencyGraph(const state::StateCache& cache) : cache_(cache) {}
 
-  /// The key of this job was set or deleted. The cache has the new state already.
+  /// Updates the graph after the key of this job was set or deleted. The cache must already hold
+  /// the new state.
   void key_changed(const std::string& id);
-  /// The job's result was read. Only that proves how a job has ended; that its key is gone does
-  /// not.
+  /// Records a job's result. Only the result proves how a job ended; a deleted key alone does not.
   void job_ended(const std::string& id, bool cancelled);
   [[nodiscard]] bool contains(const std::string& id) const { return index_.contains(id); }
 
-  /// Jobs whose result has to be read: they have no key, and a waiting job needs them.
+  /// Returns the jobs whose results must be read: they have no key, and a waiting job depends on
+  /// them.
   [[nodiscard]] const std::set<std::string>& unread() const { return unread_; }
-  /// Waiting jobs that need no job any more: the results of all say that they are done.
+  /// Returns the waiting jobs whose dependencies are all done, as shown by their results.
   [[nodiscard]] const std::set<std::string>& ready() const { return ready_; }
-  /// Waiting jobs that need a cancelled one, directly or through others. They never run.
+  /// Returns the waiting jobs with a cancelled dependency, direct or indirect. They never run.
   [[nodiscard]] const std::set<std::string>& doomed() const { return doomed_; }
 
-  /// What users are told of a waiting job; unread: a result has to be read first.
+  /// The state that users see for a waiting job; unread: the result of a dependency must be read
+  /// first.
   enum class DependencyState { queued, cancelled, unread };
-  /// A waiting job's state. Jobs whose result has to be read are appended to `missing`.
+  /// Returns a waiting job's state. Appends the dependencies whose results must be read to
+  /// `missing`.
   DependencyState state_of(const std::string& id,
                            std::vector<std::string>* missing = nullptr) const;
 
-  /// A job's priority for its own sake, by its record, or that of a job that needs it.
+  /// Returns a job's effective priority; for a job that is not in the graph, that of its record
+  /// `own`.
   [[nodiscard]] EffectivePriority effective_priority(const std::string& id,
                                                      const wire::JobRecord& own) const;
-  /// Jobs whose effective priority has changed since the last call.
+  /// Returns the jobs whose effective priority has changed since the last call, and resets the
+  /// list.
   std::vector<std::string> take_changed();
 
  private:
   struct Node {
     std::string id;
-    /// absent: it has no key, and its result has not been read.
+    /// absent: the job has no key, and its result has not been read.
     enum Kind { absent, waiting, live, done, cancelled } kind = absent;
     bool doomed = false;
     std::size_t unfinished = 0;     ///< dependencies that are not known to be done
-    std::vector<int> dependencies;  ///< nodes of the jobs that it needs
-    std::vector<int> dependents;    ///< nodes of the waiting jobs that need it
+    std::vector<int> dependencies;  ///< node indexes of the job's dependencies
+    std::vector<int> dependents;    ///< node indexes of the waiting jobs that depend on it
     EffectivePriority own;
     EffectivePriority effective;
-    double estimate_s = 0;  ///< its estimated run time
+    double estimate_s = 0;  ///< the estimated run time
   };
   Node& at(int node) { return nodes_[static_cast<std::size_t>(node)]; }
   [[nodiscard]] const Node& at(int node) const { return nodes_[static_cast<std::size_t>(node)]; }
-  /// Finds a job's node, or makes one with the kind that the cache gives.
+  /// Returns the index of a job's node. Creates a missing node with the kind that the cache shows.
   int find_or_add_node(const std::string& id);
   int allocate_node();
-  /// Frees a node that does not wait and that no waiting job needs.
+  /// Frees a node that is not waiting and has no dependents.
   void drop_if_unused(int node);
   void set_kind(int node, Node::Kind kind);
-  /// Connects a waiting job with the jobs that it needs.
+  /// Adds the edges from a waiting job to its dependencies.
   void attach(int node, const wire::JobRecord& record);
-  /// Disconnects a job from the jobs that it needs.
+  /// Removes the edges from a job to its dependencies.
   void detach(int node);
-  /// Dooms a job and all waiting jobs that need it.
+  /// Marks a job, and all waiting jobs that depend on it, as unable ever to run.
   void mark_doomed(int first);
-  /// Passes a job's urgency on to the jobs that it needs, through all levels.
+  /// Updates the effective priorities of all direct and indirect dependencies of a job.
   void propagate(int first);
-  /// Computes a node's effective priority anew; false: it is the same.
+  /// Recomputes a node's effective priority. Returns false if it has not changed.
   bool update_effective(int node);
   [[nodiscard]] EffectivePriority compute_effective(const Node& job) const;
   static EffectivePriority own_priority(const wire::JobRecord& record);
@@ -103,17 +108,18 @@
   std::set<std::string> changed_;
 };
 
-/// A transaction that ends the waiting of jobs.
+/// A transaction that moves jobs out of the waiting state.
 struct StateTransitions {
   wire::Transaction txn;
-  /// The results that it writes, by job.
+  /// The results that the transaction writes, by job.
   std::vector<std::pair<std::string, wire::JobResultRecord>> results;
 };
-/// Builds the transaction: jobs that are `ready` move to the key of jobs that may start; otherwise
-/// doomed jobs get a result, as users are told already. The preconditions hold the waiting keys, so
-/// that a late or repeated copy undoes nothing.
-/// `limits`: of the transaction; `wall_now`: time of day in seconds; `tag`: names the transaction;
-/// `is_led_here`: whether this node leads the job's shard.
+/// Builds a transaction for waiting jobs. With `ready`, ready jobs move to the key of jobs that may
+/// start; otherwise doomed jobs get the cancelled result that users already see. Preconditions on
+/// the revisions of the waiting keys and on the absence of results make a late or repeated copy of
+/// the transaction fail.
+/// `limits` bounds the transaction's size; `wall_now` is the time of day in seconds; `tag` names
+/// the transaction; `is_led_here` returns whether this node leads the job's shard.
 [[nodiscard]] StateTransitions state_transitions(
     const state::StateCache& cache, const DependencyGraph& graph, bool ready,
     const state::TransactionLimits& limits, double wall_now, const std::string& tag,
--- a/src/jobs/result_reader.h
+++ b/src/jobs/result_reader.h
@@ -1,9 +1,10 @@
 /// @file
-/// Decides which job results are read from the state service, for answers that wait for them. Where
-/// few wait, each is read by its key, the oldest first. Where many wait, ranges of keys answer
-/// hundreds at once, each going on where the last one ended, round and round: every caller is
-/// answered within one round, whatever the order of the questions (docs/design.md, "Answers about
-/// jobs that are over"). Free of I/O: the caller makes the reads and hands in their answers.
+/// Schedules reads of job results from the state service for callers that wait for them. If few
+/// results are requested, each is read by its key, the oldest request first. If many are, range
+/// reads return hundreds at once: each range continues where the last one ended and wraps around,
+/// so every caller is answered within one pass over the keys, in whatever order the requests came
+/// (docs/design.md, "Answers about jobs that are over"). Free of I/O: the caller makes the reads
+/// and passes in their responses.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -17,36 +18,37 @@
 
 namespace shunttrail::jobs {
 
-/// Whether a job has a result; unread: the read failed, and it is not known.
+/// The outcome of a lookup of a job's result; unread: the read failed, so the outcome is unknown.
 enum class Found { yes, no, unread };
 
-/// The queue of results to read.
+/// The queue of result reads.
 class ResultReader {
  public:
   using Callback = std::function<void(Found)>;
-  /// Asks for a job's result; false: too many wait, and `done` will not be called.
+  /// Requests a job's result. Returns false, and never calls `done`, if too many jobs are queued.
   bool request(const std::string& id, Callback done);
 
-  /// A read to make.
+  /// A read that the caller is to make.
   struct Read {
-    std::string id;            ///< the job whose result is read, or the first of the range
-    bool range = false;        ///< also those that follow it, as many as an answer holds
-    std::uint64_t ticket = 0;  ///< its place in the order of requests and reads
+    std::string id;            ///< the job whose result is read, or the start of the range
+    bool range = false;        ///< read also the results that follow, as many as a response holds
+    std::uint64_t ticket = 0;  ///< the position in the order of requests and reads
   };
-  /// The next read to make; none: nothing waits, or enough reads are under way.
+  /// Returns the next read to make; none if nothing is queued or enough reads are in flight.
   std::optional<Read> next();
-  /// A read was answered. `found`: the jobs with a result, in order, which the caller has noted
-  /// already; `more`: of a range, whether more results follow the last one. That there is no result
-  /// is told only to those who asked before the read began.
+  /// Handles the response to a read. `found` lists the jobs that have a result, in key order; the
+  /// caller has stored these results already. `more` says, for a range, whether further results
+  /// follow the last one. The absence of a result is reported only to requests made before the read
+  /// began.
   void answered(const Read& read, const std::vector<std::string>& found, bool more);
-  /// A read failed: those who asked before it began are told `unread`.
+  /// Handles a failed read: requests made before it began get Found::unread.
   void failed(const Read& read);
-  /// The number of jobs whose result is waited for.
+  /// Returns the number of jobs whose results are requested.
   [[nodiscard]] std::size_t waiting() const { return waiting_.size(); }
   [[nodiscard]] bool is_waiting(const std::string& id) const { return waiting_.contains(id); }
 
-  /// A key that is before `key` and after all others that are: to read a range that begins with
-  /// `key`, as the state service's pages begin after a key.
+  /// Returns a key that sorts before `key` and after every shorter or smaller job key. Pages of the
+  /// state service begin after a given key, so this reads a range that begins with `key`.
   [[nodiscard]] static std::string key_before(std::string key);
 
  private:
@@ -54,17 +56,17 @@
     std::uint64_t ticket = 0;
     Callback done;
   };
-  /// Callbacks are collected and called at the end: they may ask again.
+  /// Callbacks are collected and called last, since a callback may make new requests.
   using Calls = std::vector<std::pair<Callback, Found>>;
   void resolve(const std::string& id, bool is_found, std::uint64_t ticket, Calls& calls);
   void finished(const Read& read);
 
   std::uint64_t last_ticket_ = 0;
   std::map<std::string, std::vector<Waiter>> waiting_;  ///< by job
-  std::deque<std::string> by_age_;  ///< the oldest first; may hold jobs that do not wait any more
+  std::deque<std::string> by_age_;      ///< oldest first; may contain jobs that were answered
   std::set<std::string> single_reads_;  ///< jobs being read by their keys
   bool is_range_read_ = false;
-  std::string last_read_;  ///< the last result of the last range; empty: a new round begins
+  std::string last_read_;  ///< the last key of the last range; empty: start from the first key
 };
 
 }  // namespace shunttrail::jobs
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -1,6 +1,6 @@
 /// @file
 /// Messages between controllers, in cereal's portable binary form. Safety does not depend on them:
-/// they make a change of leader quicker, and tell whether peers can serve.
+/// they speed up a change of leader and tell whether other nodes can serve users.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -9,38 +9,39 @@
 
 namespace shunttrail::peer {
 
-/// What a node tells the others at intervals.
+/// The heartbeat that a node sends to the other nodes at regular intervals.
 struct PeerHeartbeat {
-  std::uint32_t version = 3;          ///< of the message's form
+  std::uint32_t version = 3;          ///< of the message format
   std::int32_t node = -1;             ///< the sender's index
-  bool serving = false;               ///< it has read the state service recently
-  std::vector<std::uint64_t> tokens;  ///< by shard: the highest that it knows
-  /// A shard's machines, in hundredths of a machine; see shard::Load. Zero unless the sender leads
-  /// the shard.
+  bool serving = false;               ///< whether the sender has read the state service recently
+  std::vector<std::uint64_t> tokens;  ///< by shard: the highest token that the sender knows
+  /// A shard's capacity and demand, in hundredths of a machine; see shard::Load. All are zero
+  /// unless the sender leads the shard.
   struct Load {
     std::uint32_t capacity = 0;
     std::uint32_t entitled = 0;
     std::uint32_t demand = 0;
-    bool sender_leads = false;  ///< the sender leads the shard
+    bool sender_leads = false;  ///< whether the sender leads the shard
     friend bool operator==(const Load&, const Load&) = default;
   };
   std::vector<Load> loads;  ///< by shard
 };
 
-/// A worker's heartbeat that reached a node which does not lead its shard, unchanged. The leader's
-/// answer to it goes back to the worker.
+/// A worker's heartbeat that a node which does not lead its shard forwards unchanged to the leader.
+/// The leader's response goes back to the worker.
 struct RelayedHeartbeat {
   std::uint32_t version = 1;  ///< of the message's form
-  std::int32_t node = -1;     ///< the index of the node that relays it
-  std::string heartbeat;      ///< the worker's body
+  std::int32_t node = -1;     ///< the index of the relaying node
+  std::string heartbeat;      ///< the body of the worker's request
 };
 
-/// Room on machines of the shards that a node leads, for tasks of other shards
-/// (docs/delegation.md). Beside PeerHeartbeat, so that builds which do not know it read that one.
+/// Free capacity on machines of the shards that a node leads, offered to tasks of other shards
+/// (docs/delegation.md). It is a message of its own, so that builds that do not know it still read
+/// PeerHeartbeat.
 struct CapacityOffers {
   std::uint32_t version = 1;  ///< of the message's form
   std::int32_t node = -1;     ///< the sender's index
-  /// Room of one machine, as jobs::Resources counts it.
+  /// The free capacity of one machine, in the units of jobs::Resources.
   struct Offer {
     std::int32_t shard = -1;
     std::string type;  ///< the machine type's name
@@ -53,33 +54,35 @@
   };
   std::vector<Offer> offers;
 };
-/// Offers in one message; the sender leaves out what is beyond.
+/// The largest number of offers in one message; the sender drops the rest.
 inline constexpr std::size_t kMaxCapacityOffers = 256;
 
-/// What a node last told, and when.
+/// The last status that a node reported.
 struct PeerStatus {
-  double at = -1e9;  ///< seconds of the steady clock
+  double at = -1e9;  ///< when the report was received, in seconds of the steady clock
   bool serving = false;
 };
-/// Whether users that are not served here may be better off with another node: some node serves, or
-/// none is heard, since then this node is cut off, probably from users as well. In an outage of the
-/// state service the others are heard and none serves: leaving would help nobody.
-/// `nodes`: by index; this node's own entry is never set. `started_at`: of this process.
+/// Returns whether users that this node cannot serve may be served by another node: if any node
+/// serves, or if no node is heard, since this node is then cut off, probably from users as well.
+/// During an outage of the state service the other nodes are heard and none serves, so sending
+/// users away would not help them. Also true just after the start, before the others are heard.
+/// `nodes` is by index; this node's own entry is never set. `started_at` is this process's start.
 [[nodiscard]] bool another_serves(const std::vector<PeerStatus>& nodes, double started_at,
                                   double now);
 
 [[nodiscard]] std::string encode(const PeerHeartbeat& heartbeat);
-/// Reads a heartbeat of a cluster of `nodes` nodes; none: it is malformed or of another version.
+/// Decodes a heartbeat in a cluster of `nodes` nodes; none if it is malformed or of another
+/// version.
 [[nodiscard]] std::optional<PeerHeartbeat> decode(const std::string& bytes, int nodes);
 
 [[nodiscard]] std::string encode(const CapacityOffers& offers);
-/// Reads the offers of a node of a cluster of `nodes` nodes; none: they are malformed or of another
-/// version.
+/// Decodes the offers of a node in a cluster of `nodes` nodes; none if they are malformed or of
+/// another version.
 [[nodiscard]] std::optional<CapacityOffers> decode_capacity_offers(const std::string& bytes,
                                                                    int nodes);
 
 [[nodiscard]] std::string encode(const RelayedHeartbeat& relayed);
-/// Reads a relayed heartbeat; none: it is malformed or of another version.
+/// Decodes a relayed heartbeat; none if it is malformed or of another version.
 [[nodiscard]] std::optional<RelayedHeartbeat> decode_relayed(const std::string& bytes, int nodes);
 
 }  // namespace shunttrail::peer
--- a/src/relay/relay_routes.h
+++ b/src/relay/relay_routes.h
@@ -1,9 +1,10 @@
 /// @file
-/// Decides where heartbeats go while links between workers and controllers are cut (docs/relay.md).
-/// A worker that was redirected to its shard's leader and comes back has not reached it. Then this
-/// node relays heartbeats to the leader, until a worker that is redirected as a probe stays away.
-/// Free of I/O. Nothing depends on the conclusions being right: a relayed heartbeat is a heartbeat,
-/// and a wrong guess costs only time.
+/// Decides how to handle heartbeats while links between workers and controllers are cut
+/// (docs/relay.md). A worker that was redirected to its shard's leader and returns to this node has
+/// not reached the leader. This node then relays the heartbeats of that zone, until a worker that
+/// is redirected as a probe does not return. Free of I/O. Safety does not depend on these
+/// conclusions: a relayed heartbeat has the same effect as a direct one, and a wrong guess only
+/// costs time.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -13,39 +14,40 @@
 
 namespace shunttrail::relay {
 
-/// What to do with a heartbeat whose shard another node leads.
+/// How to handle a heartbeat of a machine whose shard another node leads.
 enum class Decision {
   redirect,  ///< answer 421 with the leader's name
-  relay,     ///< pass it on to the leader, whose answer goes back in the same exchange
-  refuse     ///< the leader has just not answered this node either: the worker tries another one
+  relay,     ///< forward it to the leader, whose response goes back in the same exchange
+  refuse     ///< the leader has just not responded to this node: the worker tries another node
 };
 
-/// The routes by which this node relays. Times are seconds of the steady clock.
+/// The routes over which this node relays heartbeats. Times are seconds of the steady clock.
 class RelayRoutes {
  public:
-  /// A heartbeat's incarnation and sequence. Only one that is newer than the one that was
-  /// redirected shows that its worker has come back; a copy that comes late shows nothing.
+  /// A heartbeat's incarnation and sequence number. Only a heartbeat newer than the redirected one
+  /// shows that its worker has returned; a delayed copy proves nothing.
   using Order = std::pair<std::uint64_t, std::uint64_t>;
-  /// Decides about a heartbeat of a machine in this zone, whose shard the node `leader` leads.
+  /// Decides how to handle a heartbeat of a machine in this zone, whose shard the node `leader`
+  /// leads.
   Decision decide(const std::string& machine, Order order, int zone, int leader, double now);
-  /// A relayed heartbeat was answered by `leader`, or was not.
+  /// Records whether `leader` responded to a relayed heartbeat.
   void record_response(int leader, bool answered, double now);
-  /// `leader` speaks no version of the relay that this node knows.
+  /// Records that `leader` does not support the version of relayed heartbeats that this node sends.
   void record_unsupported(int leader, double now);
 
-  /// A route from a zone's workers to a leader, in use.
+  /// An open route from the workers of a zone to a leader.
   struct Route {
     double since = 0;
     double probe_at = 0;         ///< when the next worker is redirected as a probe
-    double probe_interval = 0;   ///< between two probes that fail
+    double probe_interval = 0;   ///< the wait after a failed probe
     std::string probed_machine;  ///< the machine redirected as a probe; empty: none
-    Order probe_order{};         ///< of the heartbeat that was redirected
-    double probe_sent_at = 0;    ///< when it was redirected
-    double used_at = 0;          ///< when the last heartbeat came by
+    Order probe_order{};         ///< order of the probe's heartbeat that was redirected
+    double probe_sent_at = 0;    ///< when the probe was redirected
+    double used_at = 0;          ///< when the last heartbeat used the route
   };
-  /// All routes, by leader and zone.
+  /// Returns all open routes, by leader and zone.
   [[nodiscard]] const std::map<std::pair<int, int>, Route>& routes() const { return routes_; }
-  /// How many redirected machines are remembered.
+  /// Returns the number of machines whose last redirect is stored.
   [[nodiscard]] std::size_t redirected_count() const { return redirected_.size(); }
 
  private:
@@ -55,18 +57,18 @@
     Order order{};
   };
   void remove_expired(double now);
-  /// Without a route: redirects, or opens one if the machine has come back.
+  /// Decides without a route: redirects the worker, or opens a route if the worker has returned.
   Decision decide_without_route(const std::string& machine, Order order, int zone, int leader,
                                 Decision relay_or_refuse, double now);
-  /// While a probe is under way: whether it has failed, or has succeeded.
+  /// Decides while a probe is in flight, and records whether the probe has failed or succeeded.
   Decision decide_while_probing(const std::string& machine, Order order,
                                 std::map<std::pair<int, int>, Route>::iterator known,
                                 Decision relay_or_refuse, double now);
 
   std::map<std::string, Redirected> redirected_;  ///< by machine: the last redirect
   std::map<std::pair<int, int>, Route> routes_;
-  std::map<int, double> unresponsive_until_;  ///< by leader: it does not answer this node either
-  std::map<int, double> unsupported_until_;   ///< by leader: it cannot relay
+  std::map<int, double> unresponsive_until_;  ///< by leader: it did not respond to this node
+  std::map<int, double> unsupported_until_;   ///< by leader: its build does not support relaying
   double last_expiry_at_ = 0;
 };
 
--- a/src/schema/schema.h
+++ b/src/schema/schema.h
@@ -1,8 +1,8 @@
 /// @file
-/// State levels: which forms of the stored data are in use (docs/schema.md). A rollout brings
-/// builds that know a new form to the nodes one by one; the form is used once every node has such a
-/// build, and never before. Free of I/O: what the state service holds is handed in, and
-/// transactions are handed out.
+/// Schema versions: which formats of the stored data are in use (docs/schema.md). During a rollout,
+/// builds that know a new format reach the nodes one by one; the format is used once every node has
+/// such a build, and never before. JSON fields and operators' texts call a version a level. Free of
+/// I/O: the caller passes in the stored state and commits the transactions returned.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -16,55 +16,56 @@
 
 namespace shunttrail::schema {
 
-/// What a build can do with the stored state. One that announces nothing is of level 0.
+/// The schema versions that a build supports. A build that announces none supports version 0 only.
 struct Build {
-  int lowest = 0;   ///< the lowest level whose forms it reads
-  int highest = 0;  ///< the highest level whose forms it reads
-  int writes = 0;   ///< it takes part in raising the active level up to this one
-  /// Whether it reads the forms of all levels from `from` to `to`, ends included.
+  int lowest = 0;   ///< the lowest version whose formats it reads
+  int highest = 0;  ///< the highest version whose formats it reads
+  int writes = 0;   ///< the highest active version that it agrees to
+  /// Returns whether the build reads the formats of all versions from `from` to `to`, inclusive.
   [[nodiscard]] bool reads(int from, int to) const { return lowest <= from && to <= highest; }
   friend bool operator==(const Build&, const Build&) = default;
 };
 
-/// A level.
+/// A schema version.
 struct Version {
   int number;
   const char* name;
   const char* description;
-  /// Whether it can be lowered again: what was written under it is converted back.
+  /// Whether the active version can be lowered from this one: data in its format is converted back.
   bool downgrade;
 };
-/// All levels that this build knows; a level's number is its position.
+/// Returns all versions that this build knows; a version's number is its index.
 const std::vector<Version>& known_versions();
-/// Whether an active level can be lowered again; false for one that this build does not know.
+/// Returns whether this active version can be lowered; false for a version that this build lacks.
 [[nodiscard]] bool can_downgrade(int version);
-/// What this build can do. It takes part in delegation only where the operators have said so
-/// (config::Tuning), since builds that know no levels do not count delegated tasks.
+/// Returns the versions that this build supports. It takes part in delegation only where the
+/// operators enable it (config::Tuning), since builds without schema versions do not count the
+/// delegated tasks.
 [[nodiscard]] Build current_build(bool delegation = false);
 
-/// A change of what is stored, which a level switches on.
+/// A change of the stored data that a schema version enables.
 enum class Feature {
-  machine_ages,  ///< inventory pages tell when each machine was rented
-  delegation,    ///< job records tell which tasks another shard may run
+  machine_ages,  ///< inventory pages record when each machine was rented
+  delegation,    ///< job records name the tasks that another shard may run
 };
-/// The level that switches a feature on.
+/// Returns the version that enables a feature.
 [[nodiscard]] int version_of(Feature feature);
 
-/// The stored record of the active level; where there is none, the level is 0. Forms of the levels
-/// from `lowest` to `highest` may be stored.
+/// The stored record of the active version; without a record, version 0 is active. Data in the
+/// formats of the versions from `lowest` to `highest` may be stored.
 struct VersionRecord {
   int active = 0;
   int lowest = 0;
   int highest = 0;
   std::string tag;  ///< names the transaction that wrote it
-  /// Whether everything has been converted to the active level's forms.
+  /// Returns whether all data has been converted to the format of the active version.
   [[nodiscard]] bool settled() const { return lowest == active && highest == active; }
   friend bool operator==(const VersionRecord&, const VersionRecord&) = default;
 };
 /// The stored orders of the operators.
 struct Orders {
-  std::optional<int> max_version;        ///< the active level is at most this
-  std::set<std::string> excluded_nodes;  ///< nodes that are not waited for
+  std::optional<int> max_version;        ///< the upper limit of the active version
+  std::set<std::string> excluded_nodes;  ///< absent nodes that do not hold back a raise
   std::string tag;                       ///< names the transaction that wrote them
   friend bool operator==(const Orders&, const Orders&) = default;
 };
@@ -74,52 +75,53 @@
 /// The key of the Orders.
 inline constexpr const char* kOrdersKey = "st/l/orders";
 
-// The codecs read records strictly: an unknown field may change the meaning of the others. Decoders
+// The decoders reject unknown fields, since such a field may change the meaning of the others. They
 // throw wire::Malformed.
 
-/// The value of the record's key.
+/// Encodes the value of the record's key.
 [[nodiscard]] std::string encode(const VersionRecord& record);
-/// Reads the value of the record's key.
+/// Decodes the value of the record's key.
 [[nodiscard]] VersionRecord decode_record(const wire::Event& event);
-/// The value of the orders' key.
+/// Encodes the value of the orders' key.
 [[nodiscard]] std::string encode(const Orders& orders);
-/// Reads the value of the orders' key.
+/// Decodes the value of the orders' key.
 [[nodiscard]] Orders decode_orders(const wire::Event& event);
-/// The value of a node's key. `boot` distinguishes the node's processes.
+/// Encodes the value of a node's key. `boot` distinguishes the processes of one node.
 [[nodiscard]] std::string encode_member(std::uint64_t boot, const Build& build);
-/// Reads a node's build from its key. One that announces none, or is malformed, is of level 0.
+/// Decodes a node's build from its key. A node that announces none, or a malformed one, supports
+/// version 0 only.
 [[nodiscard]] Build decode_member(const wire::Event& event);
 
-/// What the state service holds of all this; kept by state::StateCache.
+/// The stored records about schema versions and nodes, as state::StateCache has read them.
 struct StoredView {
   VersionRecord record;
-  std::uint64_t mod_revision = 0;  ///< of the record; 0: there is none
+  std::uint64_t mod_revision = 0;  ///< revision of the record's key; 0: there is no record
   std::string unreadable;          ///< why the record cannot be read; empty: it can
   Orders orders;
-  std::uint64_t orders_revision = 0;  ///< 0: there are none
+  std::uint64_t orders_revision = 0;  ///< revision of the orders' key; 0: there are no orders
   bool orders_unreadable = false;
   /// A node.
   struct Member {
-    std::uint64_t mod_revision = 0;  ///< of its key; 0: it is not alive
+    std::uint64_t mod_revision = 0;  ///< revision of the node's key; 0: the node is not alive
     Build build;
   };
   std::vector<Member> members;  ///< by node
 };
 
-/// Why a build must not serve with this state; empty: it may.
+/// Returns the reason why a build must not serve with this stored state; empty if it may.
 [[nodiscard]] std::string serving_refusal(const StoredView& view, const Build& build);
 
-/// Decides for one transaction in which forms it writes. Its precondition makes the transaction
-/// fail if the level has changed since.
+/// Selects the formats that one transaction writes. Its precondition makes the transaction fail if
+/// the active version has changed since.
 class FeatureGate {
  public:
   explicit FeatureGate(const StoredView& view)
       : version_(view.record.active), mod_revision_(view.mod_revision) {}
-  /// Whether the active level has this feature.
+  /// Returns whether the active version includes this feature.
   [[nodiscard]] bool on(Feature feature) const { return version_ >= version_of(feature); }
-  /// The active level.
+  /// Returns the active version.
   [[nodiscard]] int version() const { return version_; }
-  /// That the record still has its revision.
+  /// Returns the precondition that the version record still has the revision that was read.
   [[nodiscard]] std::pair<std::string, std::uint64_t> precondition() const {
     return {kActiveKey, mod_revision_};
   }
@@ -129,58 +131,66 @@
   std::uint64_t mod_revision_;
 };
 
-/// A change of the active level, which any node may commit.
+/// A change of the version record, which any node may commit.
 struct Step {
-  /// settle: everything has been converted, and other forms are not stored any more.
+  /// settle: all data has been converted, so no other version's format is stored any more.
   enum Kind { none, raise, lower, settle } kind = none;
-  VersionRecord record;  ///< the new one; the committing node fills in its tag
+  VersionRecord record;  ///< the new record; commit_of() sets its tag
   std::vector<std::pair<std::string, std::uint64_t>> preconditions;
 };
-/// What prevents a step.
+/// A cause that prevents a step.
 struct Blocker {
   std::string by;  ///< a node, or "orders", "conversion", "record", "build"
   std::string reason;
   friend bool operator==(const Blocker&, const Blocker&) = default;
 };
-/// The next step, or what prevents it.
+/// The next step, or the causes that prevent it.
 struct RolloutStatus {
   Step step;
   std::vector<Blocker> blocked_by;
 };
-/// Decides on the next step. `names`: of the nodes, by index; `own`: this build; `converted`: the
-/// whole state has been read, and all of it has the active level's form.
+/// Decides on the next step. `names` are the node names, by index; `own` is this build; `converted`
+/// says that the whole state has been read and is in the active version's format.
 [[nodiscard]] RolloutStatus rollout_status(const StoredView& view,
                                            const std::vector<std::string>& names, const Build& own,
                                            bool converted);
 
-/// The transaction that makes a step. `tag` names it.
+/// Returns the transaction that makes a step. `tag`
+/// names the transaction.
 [[nodiscard]] wire::Transaction commit_of(const Step& step, const std::string& tag);
 
-/// The transaction that registers a node under its lease; none: its build must not serve. The
-/// record that says so is among the preconditions: otherwise, if the level were raised in between,
-/// a node could be registered that cannot read the state.
+/// Returns the transaction that registers a node under
+/// its lease; none if its build must not serve. The
+/// revision of the version record is a precondition: if
+/// the version were raised in between, a node that
+/// cannot read the state could otherwise be registered.
 [[nodiscard]] std::optional<wire::Transaction> enroll(const StoredView& view,
                                                       const std::string& node, std::uint64_t boot,
                                                       const Build& build, std::uint64_t lease);
 
 /// An order of an operator.
 struct Order {
-  /// hold: the level is at most `version`; release: it is not limited any more; gone, here: a node
-  /// is not waited for, or is again.
+  /// hold: the active version is at most `version`;
+  /// release: that limit is removed; exclude_node: an
+  /// absent node does not hold back a raise;
+  /// include_node: it does again.
   enum Kind { hold, release, exclude_node, include_node } kind = hold;
   int version = 0;   ///< hold
-  std::string node;  ///< gone, here
+  std::string node;  ///< exclude_node, include_node
 };
-/// Reads an order. Throws wire::Malformed.
+/// Decodes an order. Throws wire::Malformed.
 [[nodiscard]] Order decode_order(std::string_view body);
-/// The body of an order.
+/// Encodes an order as a request body.
 [[nodiscard]] std::string encode(const Order& order);
-/// Why an order is not accepted; empty: it is.
+/// Returns the reason why an order is rejected; empty if
+/// it is accepted.
 [[nodiscard]] std::string order_refusal(const StoredView& view,
                                         const std::vector<std::string>& names, const Order& order);
-/// The stored orders after one more.
+/// Returns the orders `before` with one more order
+/// applied.
 [[nodiscard]] Orders apply_order(const Orders& before, const Order& order);
-/// The transaction that stores the orders `after` in place of those in `view`. `tag` names it.
+/// Returns the transaction that replaces the orders in
+/// `view` by `after`. `tag` names it.
 [[nodiscard]] wire::Transaction commit_of(const StoredView& view, Orders after,
                                           const std::string& tag);
 
--- a/src/shard/balance.h
+++ b/src/shard/balance.h
@@ -1,30 +1,32 @@
 /// @file
-/// How machines are divided among the shards: from what each has, is entitled to and could use
+/// Divides the machines among the shards by what each shard has, is guaranteed and could use
 /// (docs/design.md). Free of I/O.
 #pragma once
 #include <vector>
 
 namespace shunttrail::shard {
 
-/// A shard's machines; all amounts are in machines, and may be fractions.
+/// A shard's capacity and demand. All amounts are in machines, and may be fractions.
 struct Load {
-  /// Up or booting, and staying. A machine that is promised to another shard counts until it has
-  /// left.
+  /// Machines that are up or booting and are not about to leave. A machine that is promised to
+  /// another shard counts until it has left.
   double capacity = 0;
-  /// What its teams' unfinished work needs, within their guarantees.
+  /// The demand of the shard's teams within their guarantees.
   double entitled = 0;
-  /// What its teams' unfinished work needs, within their limits.
+  /// The demand of the shard's teams within their limits.
   double demand = 0;
 };
 
-/// How many machines each shard should have. While there are enough for all, that is its demand;
-/// otherwise guarantees come first, and the rest is divided by the demand beyond them.
+/// Returns the number of machines that each shard should have. While there are enough for all, that
+/// is its demand; otherwise guarantees come first, and the rest is divided in proportion to the
+/// demand beyond the guarantees.
 [[nodiscard]] std::vector<double> targets(const std::vector<Load>& loads);
 
-/// How many machines the shard `from` should send to each other one. Fractions of deficits and of
-/// surpluses are combined into whole machines as long as that brings all shards nearer to their
-/// targets. A shard with work and no machine gets one from the one with the largest surplus, and no
-/// shard with work gives its last one. All leaders compute the same from the same loads.
+/// Returns the number of machines that the shard `from` should send to each other shard. Fractions
+/// of deficits and surpluses are combined into whole machines while that brings all shards nearer
+/// to their targets. A shard that has work and no machine gets one from the shard with the largest
+/// surplus, and no shard with work gives its last machine. The result depends only on `loads`, so
+/// all leaders compute the same transfers.
 [[nodiscard]] std::vector<int> transfers(const std::vector<Load>& loads, int from);
 
 }  // namespace shunttrail::shard
--- a/src/state/client.h
+++ b/src/state/client.h
@@ -1,6 +1,6 @@
 /// @file
-/// The client of the state service. It keeps within this node's share of the service's rates, and
-/// sends the most urgent requests first.
+/// The client of the state service. It stays within this node's share of the service's rate limits
+/// and sends the most urgent requests first.
 #pragma once
 #include <algorithm>
 #include <array>
@@ -17,28 +17,29 @@
 
 namespace shunttrail::state {
 
-/// Tokens that are refilled at a rate, up to so many seconds' worth, but at least one. Times are
-/// seconds of the steady clock.
+/// A token bucket for rate limiting. It holds the tokens of `burst_s` seconds, but at least one.
+/// Times are seconds of the steady clock.
 class TokenBucket {
  public:
-  /// A full bucket. `rate`: tokens a second; `burst_s`: how many seconds' worth it holds.
+  /// Creates a full bucket. `rate` is in tokens a second; `burst_s` is the bucket's size in
+  /// seconds.
   TokenBucket(double rate, double now, double burst_s = 1)
       : burst_s_(burst_s),
         rate_(rate),
         cap_(std::max(rate * burst_s, 1.0)),
         level_(cap_),
         refilled_at_(now) {}
-  /// Adds what has come in since the last refill.
+  /// Adds the tokens that have accrued since the last refill.
   void refill(double now);
-  /// The tokens that are there; negative after more were taken than there were.
+  /// Returns the available tokens; negative if more were taken than were available.
   [[nodiscard]] double level() const { return level_; }
-  /// The most that it can hold.
+  /// Returns the largest number of tokens that the bucket holds.
   [[nodiscard]] double cap() const { return cap_; }
   [[nodiscard]] double rate() const { return rate_; }
   void take(double tokens) { level_ -= tokens; }
   /// Changes the rate. Tokens above the new cap are lost.
   void set_rate(double rate);
-  /// Seconds until there are this many tokens.
+  /// Returns the seconds until this many tokens are available.
   [[nodiscard]] double wait_for(double tokens) const {
     return level_ >= tokens ? 0 : (tokens - level_) / rate_;
   }
@@ -51,7 +52,8 @@
   double refilled_at_;
 };
 
-/// Changes of the smallest useful transaction: the end of a job, or the move of a task.
+/// The number of operations of the smallest useful transaction: the end of a job, or the move of a
+/// task.
 inline constexpr std::size_t kMinTransactionWrites = 2;
 
 /// The order in which requests are sent, the most urgent first.
@@ -59,26 +61,28 @@
 /// The number of request priorities.
 inline constexpr int kRequestPriorities = 4;
 
-/// What became of a commit.
+/// The outcome of a commit.
 struct CommitResult {
   enum Kind {
     applied,
     precondition_failed,
-    not_executed,  ///< it was not applied and will not be
-    unknown,       ///< no answer: it may have been applied, or may yet be
-    no_lease,      ///< the lease that it names has ended
-    too_large      ///< refused for its size: unchanged it would be refused again
+    not_executed,  ///< the transaction was not applied and will not be
+    unknown,       ///< no response: it may have been applied, or may still be
+    no_lease,      ///< a lease that the transaction refers to has ended
+    too_large      ///< rejected for its size: an unchanged retry fails as well
   } kind = unknown;
-  std::uint64_t revision = 0;       ///< applied: at which it was
-  std::vector<std::string> failed;  ///< precondition_failed: the keys
+  std::uint64_t revision = 0;       ///< applied: the revision of the commit
+  std::vector<std::string> failed;  ///< precondition_failed: the keys whose revisions differ
 };
 
-/// The client. Callbacks run on this actor; one made by `Actor::reply` runs on the caller's.
+/// The client of the state service. Callbacks run on this actor; a callback made by `Actor::reply`
+/// runs on the caller's actor.
 class Client : public actor::Actor {
  public:
   Client(actor::Loop& loop, const config::Settings& settings);
 
-  /// Sends a transaction, unless it has waited for `give_up_s` seconds before it could be sent.
+  /// Sends a transaction. If the rate limits delay it by more than `give_up_s` seconds, it is
+  /// dropped.
   void commit(wire::Transaction transaction, RequestPriority priority, double give_up_s,
               std::function<void(CommitResult)> done);
   /// Watches the root prefix for changes after a revision; see wire::watch_path.
@@ -90,19 +94,19 @@
             std::function<void(net::Result)> done);
   using actor::Actor::post;
 
-  /// The number of requests that wait.
+  /// Returns the number of requests queued for the rate limits.
   [[nodiscard]] std::size_t queued() const;
-  /// How many changes could be sent at once at this priority, as far as the rates go. A transaction
-  /// that is built only then has everything that came up to that moment; built earlier, it would
-  /// wait here while more comes.
+  /// Returns how many operations the rates allow to be sent at once at this priority. A caller that
+  /// builds its transaction only then includes every change made up to that moment; a transaction
+  /// built earlier would wait in the queue while further changes come.
   std::size_t available_writes(RequestPriority priority);
   [[nodiscard]] const Limits& limits() const { return limits_; }
 
-  /// What the rates have cost.
+  /// The effects of the rate limits on this node's requests.
   struct Cost {
     std::uint64_t refused = 0;  ///< requests answered 429
-    double waited_s = 0;        ///< seconds that requests have waited, in all
-    double write_rate = 0;      ///< changes a second at present
+    double waited_s = 0;        ///< total seconds that requests have been queued
+    double write_rate = 0;      ///< current rate of operations a second
   };
   [[nodiscard]] Cost cost() const;
 
@@ -120,13 +124,13 @@
   void call(const char* method, std::string path, std::string body, RequestPriority priority,
             std::function<void(net::Result)> done);
   void submit(Call call, RequestPriority priority);
-  /// Sends what may be sent now, and sets the timer for the next request.
+  /// Sends the requests that the rates allow, and sets the timer for the next one.
   void pump();
-  /// Seconds until the rates allow the call.
+  /// Returns the seconds until the rates allow the call.
   [[nodiscard]] double wait_for(const Call& call, RequestPriority priority) const;
   void send(Call call, double now);
   void refill(double now);
-  /// Lowers a rate if the answer is 429.
+  /// Lowers a rate if the response is 429.
   void on_status(int status, bool is_commit);
   CommitResult read_commit_answer(const net::Result& answer, std::size_t longest_value,
                                   std::size_t ops);
--- a/src/state/limits.h
+++ b/src/state/limits.h
@@ -1,6 +1,6 @@
 /// @file
-/// What the state service accepts: as the settings say, as they announce it for later, and as its
-/// refusals have shown. Free of I/O.
+/// The size and rate limits of the state service: the current and the announced ones from the
+/// settings, and lower ones learned from rejected requests. Free of I/O.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -9,55 +9,58 @@
 
 namespace shunttrail::state {
 
-/// The largest transaction, by the settings; four preconditions for each change, as in the
-/// protocol. More work takes more transactions: the number of machines changes none of these.
+/// The size limits of one transaction. The protocol allows four preconditions for each operation. A
+/// larger cluster needs more transactions, not larger ones.
 struct TransactionLimits {
-  std::size_t value_bytes = 4096;  ///< of one value
+  std::size_t value_bytes = 4096;  ///< the longest value
   std::size_t ops = 12;
   std::size_t preconditions = 48;
 };
 
-/// The limits of a transaction's size.
+/// Tracks the size limits of transactions.
 class Limits {
  public:
   explicit Limits(const config::Settings& settings);
-  /// The limits for everything that can be written small. What is announced for later holds from
-  /// the start, since nothing may rely on a larger size staying.
+  /// Returns the limits for data that can be split into small transactions. Announced lower limits
+  /// apply from the start, since the current larger ones may end at any time.
   [[nodiscard]] TransactionLimits transaction_limits() const {
     return {transaction_limits_.value_bytes, transaction_limits_.ops,
             kPreconditionsPerOp * transaction_limits_.ops};
   }
-  /// The limits for what another version may still have to read in its present form (inventory
-  /// pages): the settings' present ones until a smaller limit has shown itself.
-  [[nodiscard]] TransactionLimits present() const {
-    return is_smaller_shown_ ? transaction_limits() : present_;
-  }
-  /// A transaction of this size was refused as too large. Limits may have fallen below what is
-  /// announced, so they are lowered where the announced ones do not explain the refusal.
-  void too_large(std::size_t longest_value, std::size_t ops);
-  /// How many transactions were refused as too large.
-  [[nodiscard]] std::uint64_t refusals() const { return refusals_; }
+  /// Returns the limits for data that another version may still have to read in its current
+  /// format (inventory pages): the current settings until a rejection shows that a lower limit
+  /// applies.
+  return is_smaller_shown_ ? transaction_limits() : present_;
+}
+/// Lowers the limits after a transaction of this size was rejected as too large. The actual limits
+/// may be lower than the announced ones, so the limits fall below the announced ones if these do
+/// not explain the rejection. Returns how many transactions were rejected as too large.
+[[nodiscard]] std::uint64_t
+refusals() const {
+  return refusals_;
+}
 
- private:
-  static constexpr std::size_t kPreconditionsPerOp = 4;
+private:
+static constexpr std::size_t kPreconditionsPerOp = 4;
 
-  TransactionLimits present_;
-  TransactionLimits transaction_limits_;
-  bool is_smaller_shown_ = false;
-  std::uint64_t refusals_ = 0;
+TransactionLimits present_;
+TransactionLimits transaction_limits_;
+bool is_smaller_shown_ = false;
+std::uint64_t refusals_ = 0;
 };
 
-/// A rate of requests. A 429 lowers it at once to what is announced for later, and further if that
-/// is still too much. It rises again slowly; above the announced rate it is tried ever more rarely.
+/// An adaptive request rate. A 429 response lowers it at once to the announced rate, and further if
+/// that is still too high. It rises again slowly. Rates above the announced one are retried at
+/// growing intervals.
 class AdaptiveRate {
  public:
-  /// Both in requests a second: what is accepted now, and what is announced for later.
+  /// `present` is the current rate and `next` the announced rate, both in requests a second.
   AdaptiveRate(double present, double next) : present_(present), next_(next), rate_(present) {}
-  /// The rate at this time; `now` in seconds of the steady clock.
+  /// Returns the rate at this time; `now` is in seconds of the steady clock.
   double rate(double now);
-  /// A request was answered 429.
+  /// Records that a request was answered with 429.
   void refused(double now);
-  /// How many requests were answered 429.
+  /// Returns how many requests were answered with 429.
   [[nodiscard]] std::uint64_t refusals() const { return refusals_; }
 
  private:
@@ -69,7 +72,7 @@
   double rate_;
   double updated_at_ = 0;
   double refused_at_ = kNeverS;
-  /// Time without a refusal before a rate above the announced one is tried.
+  /// The time without a 429 response after which a rate above the announced one is tried.
   double backoff_s_ = kFirstBackoffS;
   std::uint64_t refusals_ = 0;
 };
