--- a/src/jobs/result_reader.h
+++ b/src/jobs/result_reader.h
@@ -47,7 +47,7 @@
   [[nodiscard]] std::size_t waiting() const { return waiting_.size(); }
   [[nodiscard]] bool is_waiting(const std::string& id) const { return waiting_.contains(id); }
 
-  /// Returns a key that sorts before `key` and after every shorter or smaller job key. Pages of the
+  /// Returns a key that sorts before `key` and after all other job keys before it. Pages of the
   /// state service begin after a given key, so this reads a range that begins with `key`.
   [[nodiscard]] static std::string key_before(std::string key);
 
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -30,7 +30,7 @@
 /// A worker's heartbeat that a node which does not lead its shard forwards unchanged to the leader.
 /// The leader's response goes back to the worker.
 struct RelayedHeartbeat {
-  std::uint32_t version = 1;  ///< of the message's form
+  std::uint32_t version = 1;  ///< of the message format
   std::int32_t node = -1;     ///< the index of the relaying node
   std::string heartbeat;      ///< the body of the worker's request
 };
@@ -39,7 +39,7 @@
 /// (docs/delegation.md). It is a message of its own, so that builds that do not know it still read
 /// PeerHeartbeat.
 struct CapacityOffers {
-  std::uint32_t version = 1;  ///< of the message's form
+  std::uint32_t version = 1;  ///< of the message format
   std::int32_t node = -1;     ///< the sender's index
   /// The free capacity of one machine, in the units of jobs::Resources.
   struct Offer {
--- a/src/state/keys.h
+++ b/src/state/keys.h
@@ -23,7 +23,8 @@
 [[nodiscard]] std::string waiting_key(const std::string& id);
 /// Returns the key of an inventory page or of a further part of a page.
 [[nodiscard]] std::string inventory_key(int page);
-/// Returns the inventory page of a machine. Machines with nearby numbers share a page.
+/// Returns the inventory page of a machine. Machines with consecutive numbers, which were
+/// usually rented together, share a page.
 [[nodiscard]] int inventory_page(const std::string& machine);
 /// Returns the key of a placement page of a shard.
 [[nodiscard]] std::string placement_page_key(int shard, int page);
--- a/src/state/limits.h
+++ b/src/state/limits.h
@@ -27,26 +27,25 @@
     return {transaction_limits_.value_bytes, transaction_limits_.ops,
             kPreconditionsPerOp * transaction_limits_.ops};
   }
-  /// Returns the limits for data that another version may still have to read in its current
-  /// format (inventory pages): the current settings until a rejection shows that a lower limit
-  /// applies.
-  return is_smaller_shown_ ? transaction_limits() : present_;
-}
-/// Lowers the limits after a transaction of this size was rejected as too large. The actual limits
-/// may be lower than the announced ones, so the limits fall below the announced ones if these do
-/// not explain the rejection. Returns how many transactions were rejected as too large.
-[[nodiscard]] std::uint64_t
-refusals() const {
-  return refusals_;
-}
+  /// Returns the limits for data that another version may still have to read in its current format
+  /// (inventory pages): the current settings until a rejection shows that a lower limit applies.
+  [[nodiscard]] TransactionLimits present() const {
+    return is_smaller_shown_ ? transaction_limits() : present_;
+  }
+  /// Lowers the limits after a transaction of this size was rejected as too large. The actual
+  /// limits may be lower than the announced ones, so the limits fall below the announced ones if
+  /// these do not explain the rejection.
+  void too_large(std::size_t longest_value, std::size_t ops);
+  /// Returns how many transactions were rejected as too large.
+  [[nodiscard]] std::uint64_t refusals() const { return refusals_; }
 
-private:
-static constexpr std::size_t kPreconditionsPerOp = 4;
+ private:
+  static constexpr std::size_t kPreconditionsPerOp = 4;
 
-TransactionLimits present_;
-TransactionLimits transaction_limits_;
-bool is_smaller_shown_ = false;
-std::uint64_t refusals_ = 0;
+  TransactionLimits present_;
+  TransactionLimits transaction_limits_;
+  bool is_smaller_shown_ = false;
+  std::uint64_t refusals_ = 0;
 };
 
 /// An adaptive request rate. A 429 response lowers it at once to the announced rate, and further if
