--- a/src/jobs/delegation.cpp
+++ b/src/jobs/delegation.cpp
@@ -26,7 +26,7 @@
     if (more[task]) tasks[task] = true;
 }
 
-/// Sums up, by team, what stands or may come to stand in other shards' pages.
+/// Sums, by team, the resources of tasks that are or may be placed by other shards.
 class DelegatedUse {
  public:
   DelegatedUse(const state::StateCache& cache, const config::Settings& settings, int shard)
@@ -41,7 +41,8 @@
     add_tasks(team, Resources::of(spec.cpus, spec.gpus, spec.mem_gb), count);
   }
 
-  /// Tasks of jobs that are over stand in a page until they are proven gone.
+  /// Adds the placements of a page. Placements of tasks of ended jobs stay in their page until the
+  /// attempt is proven to have ended.
   void add_page(const wire::PlacementPageRecord& page) {
     for (const wire::JobPlacements& job : page.jobs) {
       const bool is_counted =
@@ -97,7 +98,7 @@
   if (is_closing_read(cache, job) && !(is_any_placed && spec.gang)) return placed;
   std::vector<bool> held = flags_of(delegation.tasks, spec.tasks);
   clear_tasks(held, done_tasks(cache.done(spec.id), spec.tasks));
-  // A task that is done may still stand in a page, where nothing proves that no later attempt runs.
+  // A done task may still have a placement in a page: a later attempt of it may still be running.
   add_tasks(held, placed);
   return held;
 }
--- a/src/jobs/dependency_graph.cpp
+++ b/src/jobs/dependency_graph.cpp
@@ -50,9 +50,9 @@
 
 void DependencyGraph::set_kind(int n, Node::Kind kind) {
   Node& job = at(n);
-  // A doomed job never runs: that its key is gone tells how it ended.
+  // A doomed job never runs, so the deletion of its key proves that it was cancelled.
   if (kind == Node::absent && job.doomed) kind = Node::cancelled;
-  // How it ended is final: a key that a late event still shows changes nothing.
+  // The outcome of a job is final: a key set that a late event still shows changes nothing.
   if (job.kind == Node::done || job.kind == Node::cancelled) return;
   job.kind = kind;
   if (kind == Node::absent)
@@ -103,7 +103,7 @@
 
 void DependencyGraph::key_changed(const std::string& id) {
   const state::JobEntry* waiting = cache_.waiting(id);
-  // A job that needs none and that none needs is not held here.
+  // Jobs without dependencies and dependents are not part of the graph.
   if (!waiting && !index_.contains(id)) return;
   const int n = find_or_add_node(id);
   if (!waiting) {
@@ -156,7 +156,7 @@
     }
     work.insert(work.end(), job.dependents.begin(), job.dependents.end());
   }
-  // The jobs that they need are not urgent for their sake any more.
+  // The dependencies of doomed jobs no longer inherit their priorities.
   for (int n : newly_doomed)
     for (int dependency : at(n).dependencies)
       if (update_effective(dependency)) propagate(dependency);
@@ -227,7 +227,7 @@
 
 namespace {
 
-/// Moves a ready job to the key of jobs that may start.
+/// Adds the operations that move a ready job to the key of jobs that may start.
 void add_start(const std::string& id, const state::JobEntry& job, double wall_now,
                StateTransitions& out) {
   out.txn.preconditions.emplace_back(state::job_key(id), 0);
@@ -237,7 +237,7 @@
   out.txn.ops.push_back({state::job_key(id), wire::encode_record(record), 0});
 }
 
-/// Writes the result of a doomed job.
+/// Adds the operation that writes a doomed job's cancelled result.
 void add_cancellation(const std::string& id, const state::JobEntry& job, const std::string& tag,
                       StateTransitions& out) {
   wire::JobResultRecord result = wire::cancelled_record(job.record.spec, tag);
@@ -245,7 +245,7 @@
   out.results.emplace_back(id, std::move(result));
 }
 
-/// Changes that a job takes: its waiting key is deleted, another key is set.
+/// The operations that one job needs: its waiting key is deleted and another key is set.
 constexpr std::size_t kOpsPerJob = 2;
 
 }  // namespace
--- a/src/jobs/job.cpp
+++ b/src/jobs/job.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr double kUnitsPerAmount = 1e6;
-/// Stands for no limit; sums of it and of real amounts still fit.
+/// The amount that means no limit; sums of it and of real amounts do not overflow.
 constexpr double kUnlimitedUnits = 1e18;
-/// A job's tasks should not wait longer than this.
+/// The longest time in seconds that a job's tasks should wait.
 constexpr double kMaxWaitS = 120;
 
 std::int64_t units(double amount) {
@@ -18,13 +18,13 @@
       std::llround(std::min(amount * kUnitsPerAmount, kUnlimitedUnits)));
 }
 
-/// The due time by a job's own deadline.
+/// Returns the due time that a job's own deadline sets.
 double own_due(const wire::JobRecord& record, double now, double wall_now) {
   if (!record.spec.deadline_s) return std::numeric_limits<double>::infinity();
   return now - (wall_now - record.submitted_at) + *record.spec.deadline_s;
 }
 
-/// The first task of a chunk.
+/// Returns the first task of a chunk.
 std::size_t first_task(std::uint32_t chunk) { return std::size_t{chunk} * kTasksPerChunk; }
 
 }  // namespace
@@ -125,7 +125,7 @@
     for (std::size_t other = 0; other < in_zone.size(); ++other)
       if (static_cast<int>(other) != zone && placed_in(other)) return 0;
   if (!spec.anti_affinity) return spec.tasks;
-  // At most half of its tasks, rounded up, run in one zone.
+  // At most half of the job's tasks, rounded up, run in one zone.
   const std::uint32_t most = (spec.tasks + 1) / 2;
   return most - std::min(most, placed_in(static_cast<std::size_t>(zone)));
 }
--- a/src/jobs/result_reader.cpp
+++ b/src/jobs/result_reader.cpp
@@ -6,12 +6,13 @@
 namespace shunttrail::jobs {
 namespace {
 
-/// Grows with the users' questions a second, not with machines: a range answers up to 1,000 of
-/// them, so they wait for one round of reads. A further question is answered "not known now" and
-/// asked again.
+/// The largest number of jobs whose results are requested at once. It depends on the users' request
+/// rate, not on the number of machines: one range read answers up to 1,000 jobs, so this many jobs
+/// are answered in one pass of reads. Further requests are rejected as not known now, and the
+/// client repeats them.
 constexpr std::size_t kMaxWaitingJobs = 8192;
 constexpr std::size_t kMaxSingleReads = 6;
-/// From this many waiting jobs on, ranges are read.
+/// The number of requested jobs from which on ranges are read instead of single keys.
 constexpr std::size_t kMinJobsForRange = 8;
 
 }  // namespace
@@ -28,12 +29,14 @@
 }
 
 std::optional<ResultReader::Read> ResultReader::next() {
-  // Also while ranges are read: otherwise jobs that were answered would stay in it as long.
+  // Answered jobs are removed in range mode too; otherwise they would stay in the queue all that
+  // time.
   while (!by_age_.empty() && !waiting_.contains(by_age_.front())) by_age_.pop_front();
   if (waiting_.size() >= kMinJobsForRange) {
     if (is_range_read_) return std::nullopt;
-    // If each range began with the oldest question, questions in descending order of keys would be
-    // answered one a read (docs/incidents/meetings-2.md).
+    // Ranges continue where the last one ended. If each range began with the oldest request,
+    // requests in descending order of keys would be answered one a read
+    // (docs/incidents/meetings-2.md).
     auto first = waiting_.upper_bound(last_read_);
     if (first == waiting_.end()) first = waiting_.begin();
     is_range_read_ = true;
@@ -55,8 +58,8 @@
     single_reads_.erase(read.id);
 }
 
-// A result is final, whenever it was read; that there is none is known only for those who asked
-// before the read began.
+// A result is final, so it answers every request. The absence of a result answers only requests
+// made before the read began.
 void ResultReader::resolve(const std::string& id, bool is_found, std::uint64_t ticket,
                            Calls& calls) {
   const auto waiters = waiting_.find(id);
@@ -75,7 +78,7 @@
   if (!read.range) {
     resolve(read.id, !found.empty(), read.ticket, calls);
   } else {
-    // The range that was read ends with the last result, or, if no more follow, with no key.
+    // The range that was read ends with the last result or, if no results follow, is unbounded.
     const bool is_cut = more && !found.empty();
     std::vector<std::string> ids;
     for (auto job = waiting_.lower_bound(read.id);
--- a/src/peer/peer.cpp
+++ b/src/peer/peer.cpp
@@ -35,12 +35,12 @@
 
 using Input = cereal::PortableBinaryInputArchive;
 
-/// After the start the other nodes have not been heard yet.
+/// The time after the start during which the other nodes may not have been heard yet.
 constexpr double kUnknownAfterStartS = 2.5;
-/// How long a node's message counts.
+/// How long a node's last heartbeat is considered current.
 constexpr double kStatusValidS = 3;
 
-// Sizes of the forms in bytes. The archive begins with the byte order; a list with its length.
+// Encoded sizes in bytes. An archive begins with the byte order, and a list with its length.
 constexpr std::size_t kByteOrderBytes = 1;
 constexpr std::size_t kLengthBytes = 8;
 constexpr std::size_t kSenderBytes = sizeof(PeerHeartbeat::version) + sizeof(PeerHeartbeat::node);
@@ -59,7 +59,7 @@
   return out.str();
 }
 
-/// Malformed bytes that the archive itself accepts.
+/// Thrown for malformed bytes that the archive itself accepts.
 struct MalformedMessage : std::runtime_error {
   MalformedMessage() : std::runtime_error("bad message") {}
 };
@@ -75,8 +75,7 @@
   return value != 0;
 }
 
-/// Reads a list's length, which has to be the expected one: a length that malformed bytes claim is
-/// not allocated.
+/// Reads a list's length. Any other than the expected length is rejected before it is allocated.
 void read_length(Input& archive, std::size_t expected) {
   std::uint64_t length = 0;
   archive(length);
@@ -100,7 +99,7 @@
   return heartbeat;
 }
 
-/// Reads a name, whose claimed length is checked before it is allocated.
+/// Reads a name. A length above the limit is rejected before it is allocated.
 std::string read_name(Input& archive) {
   constexpr std::uint64_t kMaxNameBytes = 256;
   std::uint64_t length = 0;
@@ -123,7 +122,7 @@
   return offer;
 }
 
-/// Applies `read` to an archive of the bytes; none: they are malformed.
+/// Decodes a message with `read`; none if the bytes are malformed.
 template <class Message, class Read>
 std::optional<Message> read_message(const std::string& bytes, int nodes, Read read) {
   try {
--- a/src/relay/relay_routes.cpp
+++ b/src/relay/relay_routes.cpp
@@ -5,24 +5,25 @@
 namespace shunttrail::relay {
 namespace {
 
-// A worker that cannot reach the leader gives up after 4 s and tries the next node 1 s later, which
-// may be another one first.
+// A worker that cannot reach the leader times out after 4 s and tries the next node 1 s later. With
+// three nodes, it may try the third node before this one.
 
-/// A machine that comes within this time after a redirect has come back.
+/// A machine whose next heartbeat comes within this time of its redirect has returned.
 constexpr double kReturnWindowS = 13;
-/// A probe that has not come back after this time has reached the leader.
+/// A probed worker that has not returned after this time has reached the leader.
 constexpr double kProbeSuccessS = 7;
 constexpr double kFirstProbeIntervalS = 3;
 constexpr double kMaxProbeIntervalS = 16;
-/// A leader that has not answered is not asked again for this long.
+/// How long an unresponsive leader gets no further heartbeats.
 constexpr double kUnresponsiveS = 2;
-/// A leader of an older build may be replaced in this time.
+/// How long a leader whose build does not support relaying gets no further heartbeats. An upgrade
+/// may replace the build in this time.
 constexpr double kUnsupportedS = 60;
 /// A route that no heartbeat has used for this long is closed.
 constexpr double kUnusedRouteS = 30;
 constexpr double kExpiryIntervalS = 5;
 
-/// Whether the time noted for a leader has not come yet.
+/// Returns whether the time recorded for a leader is still in the future.
 bool is_blocked(const std::map<int, double>& until, int leader, double now) {
   const auto entry = until.find(leader);
   return entry != until.end() && now < entry->second;
@@ -86,14 +87,14 @@
   if (machine == route.probed_machine) {
     const bool is_copy = order <= route.probe_order;
     if (is_copy) return relay_or_refuse;
-    // It has come back: the link is still cut.
+    // The probed worker has returned: its link to the leader is still cut.
     route.probed_machine.clear();
     route.probe_interval = std::min(route.probe_interval * 2, kMaxProbeIntervalS);
     route.probe_at = now + route.probe_interval;
     return relay_or_refuse;
   }
   if (now - route.probe_sent_at <= kProbeSuccessS) return relay_or_refuse;
-  // It has stayed with the leader: all workers are redirected again.
+  // The probed worker has stayed with the leader: all workers are redirected again.
   routes_.erase(known);
   return Decision::redirect;
 }
--- a/src/schema/codec.cpp
+++ b/src/schema/codec.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The JSON forms of the state levels' records and of the operators' orders.
+/// The JSON formats of the schema version records and of the operators' orders.
 #include <algorithm>
 
 #include "schema/schema.h"
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr int kMaxVersion = 1000;
-/// Of an unknown field's name in an error.
+/// The number of characters of an unknown field's name that an error message quotes.
 constexpr std::size_t kMaxNameInError = 64;
 
 int read_version(const json& v, const char* name) {
@@ -23,7 +23,7 @@
   return static_cast<int>(number);
 }
 
-/// Throws if there are other fields than these.
+/// Throws if the object has a field that is not in `known`.
 void check_known_fields(const json& j, std::initializer_list<const char*> known) {
   for (auto it = j.begin(); it != j.end(); ++it) {
     const std::string& name = it.key();
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -45,15 +45,15 @@
 
 std::string node_key(const std::string& node) { return "st/n/" + node; }
 
-/// What a change of the level asks of the nodes.
+/// What a change of the active version requires of the nodes.
 struct Requirement {
-  int from = 0;               ///< they read the forms from this level
-  int to = 0;                 ///< to this one
-  bool all_present = false;   ///< each is alive or declared gone
-  std::optional<int> writes;  ///< they write this level's forms
+  int from = 0;               ///< every alive node reads the formats from this version
+  int to = 0;                 ///< every alive node reads the formats up to this version
+  bool all_present = false;   ///< every node is alive or excluded by an order
+  std::optional<int> writes;  ///< every alive node agrees to this active version
 };
 
-/// Why a node does not meet the requirement; none: it does.
+/// Returns the reason why a node does not meet the requirement; none if it does.
 std::optional<std::string> unmet_requirement(const StoredView::Member& member, bool is_excluded,
                                              const Requirement& requirement) {
   const bool is_alive = member.mod_revision != 0;
@@ -70,14 +70,14 @@
   return std::nullopt;
 }
 
-/// Works out the next step of the active level.
+/// Plans the next step of the active version.
 class RolloutPlan {
  public:
   RolloutPlan(const StoredView& view, const std::vector<std::string>& names, const Build& own)
       : view_(view), names_(names), own_(own) {}
 
-  /// The end of a conversion. There is one level step at a time: stored data in other forms is
-  /// converted first.
+  /// Plans the end of a conversion. Versions change one at a time: data in other formats is
+  /// converted before the next step.
   void plan_settling(bool converted) {
     if (converted)
       make(Step::settle, {active(), active(), active(), {}});
@@ -85,7 +85,7 @@
       block("conversion", "is under way");
   }
 
-  /// A raise, a lowering, or nothing.
+  /// Plans a raise or a lowering of the active version, or no step.
   void plan_change() {
     if (view_.orders_unreadable) {
       block("orders", "cannot be read");
@@ -119,7 +119,7 @@
 
   void plan_raise() {
     const int target = active() + 1;
-    // Only a build that knows a higher level says what prevents it.
+    // Only a build that knows a higher version reports what prevents it.
     if (target > own_.highest) return;
     if (own_.writes < target) {
       block("build", "does not write " + version_text(target) + " yet");
@@ -131,8 +131,8 @@
     if (out_.blocked_by.empty()) make(Step::raise, {target, active(), target, {}});
   }
 
-  /// Adds preconditions that let the step hold only while every node can read and write what may
-  /// be stored then, or names the nodes that cannot.
+  /// Adds preconditions so that the step is committed only while every node can read and write the
+  /// formats that may then be stored. Otherwise reports the nodes that cannot.
   void require(const Requirement& requirement) {
     for (std::size_t n = 0; n < names_.size(); ++n) {
       const StoredView::Member& member = view_.members[n];
@@ -140,7 +140,7 @@
       if (const auto reason = unmet_requirement(member, is_excluded, requirement))
         block(names_[n], *reason);
       else
-        // Of absent nodes as well: if one comes back in between, the commit fails.
+        // Absent nodes need preconditions too: if one registers in between, the commit fails.
         out_.step.preconditions.emplace_back(node_key(names_[n]), member.mod_revision);
     }
   }
@@ -174,7 +174,7 @@
   if (!view.unreadable.empty())
     plan.block("record", view.unreadable);
   else if (!serving_refusal(view, own).empty())
-    return {};  // a build that must not serve changes nothing
+    return {};  // a build that must not serve commits no step
   else if (!view.record.settled())
     plan.plan_settling(converted);
   else
--- a/src/shard/balance.cpp
+++ b/src/shard/balance.cpp
@@ -30,13 +30,13 @@
 
 namespace {
 
-/// Surplus and deficit of a transfer together, in machines, from which on it is made: a little more
-/// than a whole machine, so that none goes back and forth.
+/// The sum of the giver's surplus and the receiver's deficit, in machines, above which one machine
+/// is sent. It is a little more than one machine, so that no machine is sent back and forth.
 constexpr double kMinGain = 1.1;
-/// A smaller fraction of a machine is rounding.
+/// Fractions of a machine up to this size are rounding errors.
 constexpr double kNegligible = 1e-6;
 
-/// Works out the transfers among all shards.
+/// Computes the transfers among all shards.
 class TransferPlan {
  public:
   explicit TransferPlan(const std::vector<Load>& loads)
@@ -68,7 +68,8 @@
       }
   }
 
-  /// Sends single machines from the largest surplus to the largest deficit, while that is worth it.
+  /// Sends single machines from the largest surplus to the largest deficit until the gain is too
+  /// small.
   void send_remainders() {
     for (;;) {
       const std::optional<std::size_t> giver = largest_surplus();
@@ -87,7 +88,7 @@
     for (int machines : sent_[giver]) capacity -= machines;
     return capacity;
   }
-  /// A shard with work keeps its last machine.
+  /// Returns whether a shard may give a machine: a shard with work keeps its last one.
   [[nodiscard]] bool can_give(std::size_t giver) const {
     return loads_[giver].demand <= 0 || remaining(giver) >= 2;
   }
@@ -122,9 +123,9 @@
   }
 
   const std::vector<Load>& loads_;
-  std::vector<std::vector<int>> sent_;  ///< machines, by giver and receiver
-  std::vector<double> surplus_;         ///< by shard, after what is sent
-  std::vector<double> deficit_;         ///< by shard, after what is sent
+  std::vector<std::vector<int>> sent_;  ///< number of machines sent, by giver and receiver
+  std::vector<double> surplus_;         ///< by shard, less the machines sent
+  std::vector<double> deficit_;         ///< by shard, less the machines received
 };
 
 }  // namespace
--- a/src/shard/inventory_page.cpp
+++ b/src/shard/inventory_page.cpp
@@ -17,7 +17,7 @@
 InventoryPage::InventoryPage(const state::StateCache& cache, int page)
     : cache_(cache), feature_gate_(cache.schema()), form_(cache.inventory_form()), page_(page) {
   for (std::size_t i = 0; i < kMaxParts; ++i) {
-    // Parts are begun in order; one may have been emptied since.
+    // Parts are added in order, but an earlier part may have been emptied and deleted since.
     if (i > 0 && !cache.mod_revision(key(i))) continue;
     const int number = state::inventory_part(page, static_cast<int>(i));
     parts_.resize(i + 1);
@@ -92,7 +92,7 @@
 }
 
 bool InventoryPage::shrink_parts(std::size_t value_bytes, const std::string& tag) {
-  // Parts that are begun meanwhile are looked at as well.
+  // Parts that this loop adds are checked as well.
   for (std::size_t i = 0; i < parts_.size(); ++i)
     while (parts_[i].is_changed && parts_[i].machines.size() > 1 &&
            encode_part(parts_[i], tag).size() > value_bytes) {
@@ -110,7 +110,8 @@
   if (!shrink_parts(value_bytes, tag)) return {};
   wire::Transaction out;
   out.preconditions.push_back(feature_gate_.precondition());
-  // Further parts come first: a reader that applies change by change sees no machine disappear.
+  // Later parts are written first, so that a reader that applies each change by itself never sees a
+  // machine disappear.
   for (std::size_t i = parts_.size(); i-- > 0;) {
     const Part& part = parts_[i];
     out.preconditions.emplace_back(key(i), cache_.mod_revision(key(i)));
--- a/src/shard/leader_election.cpp
+++ b/src/shard/leader_election.cpp
@@ -3,13 +3,13 @@
 namespace shunttrail::shard {
 namespace {
 
-/// A node's key has to be gone this long before its shards are taken.
+/// How long a node's key must be absent before other nodes take its shards.
 constexpr double kAbsenceBeforeTakeoverS = 0.3;
-/// A shard that never had a leader waits this long for its home node.
+/// How long a shard that never had a leader waits for its home node.
 constexpr double kHomeWaitS = 3.0;
-/// A returning node has to be alive this long before its shard is handed back.
+/// How long a returning node must be alive before its shard is handed back.
 constexpr double kAliveBeforeHandBackS = 4.0;
-/// In `alive_since_` and `absent_since_`.
+/// Marks a node in `alive_since_` or `absent_since_` that is not in that state.
 constexpr double kNotObserved = -1;
 
 LeadershipMove take(const std::string& key, std::uint64_t mod_revision) {
@@ -59,14 +59,14 @@
                                                 double now, std::uint64_t closed_token) const {
   const state::LeaderEntry& entry = cache.leader(shard);
   const std::string key = state::leader_key(shard);
-  // Granted to an earlier process of this node, or its scheduler is closed, or it was handed over
-  // by another node: this process needs a token by its own commit first.
+  // The leadership was granted to an earlier process of this node, or its scheduler is closed, or
+  // another node handed it over: this process first needs a token from a commit of its own.
   if (entry.mod_revision < registered_at_ || closed_token == entry.mod_revision ||
       !entry.tag.starts_with(process_))
     return take(key, cache.mod_revision(key));
-  // Our own commit was answered before the changes just before it have been read: the last
+  // This node's commit was answered before all earlier changes have been read, so the last
   // placements of an earlier leader may be missing. A scheduler opened without them would start
-  // their tasks again.
+  // their tasks a second time.
   if (cache.revision() < entry.mod_revision) return {};
   LeadershipMove move;
   const int home = shard;
@@ -76,7 +76,7 @@
     move.kind = LeadershipMove::hand_over;
     move.to = home;
     move.preconditions.emplace_back(key, cache.mod_revision(key));
-    // A node that has just gone must not be given a shard.
+    // The home node must still be registered when the shard is handed over to it.
     move.preconditions.emplace_back(state::node_key(settings_.nodes[home]),
                                     cache.node_revision(home));
     return move;
@@ -91,7 +91,7 @@
   if (cache.node_revision(home)) return home;
   const bool has_leader = cache.leader(shard).node >= 0;
   if (!is_absent_for(home, has_leader ? kAbsenceBeforeTakeoverS : kHomeWaitS, now)) return -1;
-  // The next node that is alive.
+  // The next alive node in index order takes the shard.
   const int nodes = settings_.shards();
   for (int offset = 1; offset < nodes; ++offset) {
     const int node = (home + offset) % nodes;
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -9,23 +9,24 @@
 
 namespace {
 
-// Connections, and requests that wait for one. The rates of the settings bound both, whatever the
-// number of machines: of 80 requests a second, a third of them here, 12 connections carry 27 a
-// second even if each takes 0.4 s. Watches block, and have their own.
+// The number of connections, and of requests that wait for one. Both follow from the rate limits in
+// the settings, not from the number of machines: of 80 requests a second, this node's share of a
+// third is 27 a second, which 12 connections carry even if each request takes 0.4 s. Watches block,
+// so they have connections of their own.
 constexpr std::size_t kConnections = 12;
 constexpr std::size_t kMaxOutstanding = 256;
 constexpr std::size_t kWatchConnections = 2;
 constexpr std::size_t kMaxOutstandingWatches = 4;
-/// Requests of each priority that wait for the rate: those of 19 s at 27 a second, and each gives
-/// up sooner. The number of machines adds few: a shard has one transaction under way at a time, and
-/// so has the inventory.
+/// The number of requests of each priority that may wait for the rate limits: at 27 a second, the
+/// requests of 19 s, and each gives up sooner. The number of machines adds few requests: a shard
+/// has one transaction in flight at a time, and so has the inventory.
 constexpr std::size_t kMaxQueued = 512;
 constexpr double kTimeoutS = 2;
-/// Requests that change no key wait this long to be sent.
+/// How long a request that changes no key may wait to be sent.
 constexpr double kMaxSendDelayS = 3;
-/// A shorter timer would fire before the bucket has the token.
+/// The shortest timer. A shorter one could fire before the bucket has the token.
 constexpr double kMinTimerS = 0.002;
-/// The part of a bucket that each step of priority leaves to the more urgent requests.
+/// The share of a bucket's capacity that each step of priority reserves for more urgent requests.
 constexpr double kReservedRequestShare = 0.1;
 constexpr double kReservedWriteShare = 0.12;
 
@@ -35,7 +36,7 @@
 constexpr int kStatusTooManyRequests = 429;
 constexpr int kStatusUnavailable = 503;
 
-/// Tokens that a request of this priority leaves to the more urgent ones.
+/// Returns the tokens that a request of this priority leaves to more urgent requests.
 double reserved_tokens(const TokenBucket& bucket, RequestPriority priority, double share) {
   return bucket.cap() * share * static_cast<int>(priority);
 }
@@ -94,7 +95,7 @@
 void Client::on_status(int status, bool is_commit) {
   if (status != kStatusTooManyRequests) return;
   const double now = loop_.now();
-  // A commit may have exceeded either rate; that of changes is usually far lower.
+  // A commit may have exceeded either rate. The write rate is usually far lower, so it is reduced.
   (is_commit ? write_rate_ : request_rate_).refused(now);
   refill(now);
 }
@@ -105,8 +106,8 @@
     if (!queues_[static_cast<std::size_t>(p)].empty()) return 0;
   const double requests = 1 + reserved_tokens(request_tokens_, priority, kReservedRequestShare);
   if (request_tokens_.wait_for(std::min(requests, request_tokens_.cap())) > 0) return 0;
-  // A full bucket never gets fuller: at a low rate it holds less than the smallest transaction,
-  // which would otherwise never be sent.
+  // A bucket that is full at a low rate may hold less than the smallest transaction, which would
+  // otherwise never be sent.
   if (write_tokens_.level() >= write_tokens_.cap())
     return std::max(kMinTransactionWrites, static_cast<std::size_t>(write_tokens_.cap()));
   const double available =
@@ -117,7 +118,7 @@
 void Client::submit(Call call, RequestPriority priority) {
   auto& queue = queues_[static_cast<std::size_t>(priority)];
   if (queue.size() >= kMaxQueued) {
-    // Never sent: the same as refused.
+    // The request was not sent, so the result is the same as a rejection by the service.
     call.done({kStatusUnavailable, {}});
     return;
   }
@@ -207,7 +208,7 @@
 }
 
 void Client::watch(std::uint64_t after, int block_ms, std::function<void(net::Result)> done) {
-  // Watches keep a connection of their own: they block, and must not hold up a commit.
+  // Watches have connections of their own: they block, and must not delay a commit.
   refill(loop_.now());
   request_tokens_.take(1);
   const double timeout_s = block_ms / 1000.0 + kTimeoutS;
--- a/src/state/keys.cpp
+++ b/src/state/keys.cpp
@@ -7,15 +7,17 @@
 
 /// Consecutive machine numbers on one inventory page.
 constexpr int kMachinesPerPage = 32;
-/// Machines whose names end in no number have pages of their own, from this one on.
+/// The first page of machines whose names do not end in a number. They share kHashedPages pages.
 constexpr int kFirstHashedPage = 1 << 24;
 constexpr int kHashedPages = 64;
-/// Between the numbers of a page's parts: beyond every page's number.
+/// The difference between the numbers of a page's parts; larger than every page number.
 constexpr int kPartStride = 1 << 26;
-/// Numbers of up to 8 digits make at most 3.1 million pages, all before kFirstHashedPage.
+/// The longest machine number that selects a page. Numbers of up to 8 digits make at most 3.1
+/// million pages, all below kFirstHashedPage.
 constexpr std::size_t kMaxNumberDigits = 8;
 
-/// The position of a key's kind, a letter, and of the name after it and a slash.
+/// The positions in a key of its kind, which is one letter, and of the name after the kind and a
+/// slash.
 constexpr std::size_t kKindPosition = 3;
 constexpr std::size_t kNamePosition = 5;
 
--- a/src/state/limits.cpp
+++ b/src/state/limits.cpp
@@ -7,17 +7,17 @@
 
 constexpr std::size_t kMinValueBytes = 1024;
 constexpr std::size_t kMinOps = 2;
-/// Of the announced rate, a second.
+/// How fast a lowered rate grows, as a share of the announced rate a second.
 constexpr double kGrowthPerS = 0.02;
-/// Of the announced rate.
+/// The lowest rate, as a share of the announced rate.
 constexpr double kMinRateShare = 0.25;
 constexpr double kRateReduction = 0.8;
-/// Refusals this close together are of requests that were sent at one rate: they count once.
+/// 429 responses within this time are to requests sent at one rate, so they lower the rate once.
 constexpr double kRefusalWindowS = 1;
 
 std::size_t bytes(double kilobytes) { return static_cast<std::size_t>(kilobytes * 1024); }
 
-/// Less than a size that was refused, but at minimum `minimum`.
+/// Returns three quarters of a rejected size, but at least `minimum`.
 std::size_t reduced(std::size_t refused, std::size_t minimum) {
   return std::max(minimum, refused * 3 / 4);
 }
@@ -37,10 +37,10 @@
   TransactionLimits& limits = transaction_limits_;
   if (!is_smaller_shown_) {
     is_smaller_shown_ = true;
-    // The announced limits explain it.
+    // The announced limits explain the rejection.
     if (longest_value > limits.value_bytes || ops > limits.ops) return;
   }
-  // The answer does not say which of the two was too large.
+  // The response does not say which of the two sizes was too large, so both limits are lowered.
   if (longest_value <= limits.value_bytes)
     limits.value_bytes = std::min(limits.value_bytes, reduced(longest_value, kMinValueBytes));
   if (ops <= limits.ops) limits.ops = std::min(limits.ops, reduced(ops, kMinOps));
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The number that a key's name begins with.
+/// Returns the number that a key's name begins with.
 int number_in(const std::string& name) { return std::atoi(name.c_str()); }
 
 }  // namespace
@@ -94,7 +94,7 @@
     ++counter;
   };
   Progress out;
-  // Tasks that are done first: a placement of such a task is not counted.
+  // Done tasks come first, since a placement of a done task is not counted.
   for (const auto& [chunk, finished] : done(id))
     for (const auto& [first, last] : finished)
       for (std::uint64_t i = first; i <= last; ++i)
@@ -141,7 +141,7 @@
   std::set<std::string> present;
   for (const wire::Event& item : items) {
     present.insert(item.key);
-    // Deleted by a commit that was answered while the pages were read: the page is older.
+    // A commit answered while the pages were read has deleted the key: the page is older.
     if (is_deleted_since(item)) continue;
     if (mod_revision(item.key) < item.mod_revision) {
       revisions_[item.key] = item.mod_revision;
@@ -178,7 +178,7 @@
   try {
     set_parsed(*key, event, changes);
   } catch (const wire::Malformed&) {
-    // No controller wrote this value. The key's revision is kept, its meaning is not guessed.
+    // No controller wrote this value. The key's revision is recorded, but its contents are ignored.
     ++malformed_;
   }
 }
@@ -284,7 +284,7 @@
   return !delegated_.empty() && !schema::FeatureGate(schema_).on(schema::Feature::delegation);
 }
 
-// Of each page only what teams of other shards have on it.
+// Indexes only entries of teams of other shards.
 void StateCache::index_foreign(const PlacementPageName& name, const wire::PlacementPageRecord& page,
                                bool is_added) {
   for (const wire::JobPlacements& job : page.jobs) {
@@ -353,8 +353,8 @@
   return current + outdated > 0 ? current / (current + outdated) : 1;
 }
 
-// Unlike other malformed values, one that cannot be read is reported: it may say that this build
-// cannot read the stored state correctly.
+// Unlike other malformed values, an unreadable schema record is reported: it may mean that this
+// build cannot read the stored state correctly.
 void StateCache::set_schema(const wire::Event& event) {
   if (event.key == schema::kActiveKey) {
     schema_.mod_revision = event.mod_revision;
@@ -402,7 +402,7 @@
   std::sort(names.begin(), names.end());
   for (const std::string& old_name : machines_by_page_[page]) {
     if (std::binary_search(names.begin(), names.end(), old_name)) continue;
-    // It may have moved to another part of its page.
+    // The machine may have moved to another part of its page.
     const auto current_page = page_by_machine_.find(old_name);
     if (current_page == page_by_machine_.end() || current_page->second != page) continue;
     page_by_machine_.erase(current_page);
