--- a/src/schema/codec.cpp
+++ b/src/schema/codec.cpp
@@ -35,11 +35,12 @@
 Build build_from_json(const json& levels) {
   const std::string expected = "the lowest, highest and written level";
   if (!levels.is_array() || levels.size() != 3)
-    throw Malformed::bad_value("levels", "is bad", expected);
+    throw Malformed::bad_value("levels", "does not list three versions", expected);
   const Build build{read_version(levels[0], "levels"), read_version(levels[1], "levels"),
                     read_version(levels[2], "levels")};
   if (build.lowest > build.highest || build.writes > build.highest)
-    throw Malformed::bad_value("levels", "is bad", expected);
+    throw Malformed::bad_value("levels", "has a lowest or written version above the highest",
+                               expected);
   return build;
 }
 
@@ -61,7 +62,10 @@
                     read_version(wire::need(j, "lowest"), "lowest"),
                     read_version(wire::need(j, "highest"), "highest"), wire::text(j, "w")};
     if (r.active < r.lowest || r.active > r.highest)
-      throw Malformed::bad_value("level", "is out of its range", "lowest to highest");
+      throw Malformed::bad_value("level",
+                                 "is " + std::to_string(r.active) + ", outside " +
+                                     std::to_string(r.lowest) + " to " + std::to_string(r.highest),
+                                 "lowest to highest");
     return r;
   });
 }
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -7,9 +7,9 @@
 
 const std::vector<Version>& known_versions() {
   static const std::vector<Version> kAll = {
-      {0, "first", "the forms of builds that know no levels", false},
-      {1, "machine-ages", "roster pages tell when each machine was rented", true},
-      {2, "delegation", "job records tell which tasks another shard may run", true},
+      {0, "first", "the formats of builds without schema versions", false},
+      {1, "machine-ages", "inventory pages record when each machine was rented", true},
+      {2, "delegation", "job records name the tasks that another shard may run", true},
   };
   return kAll;
 }
@@ -58,7 +58,7 @@
                                              const Requirement& requirement) {
   const bool is_alive = member.mod_revision != 0;
   if (!is_alive) {
-    if (requirement.all_present && !is_excluded) return "is not there";
+    if (requirement.all_present && !is_excluded) return "is not registered";
     return std::nullopt;
   }
   if (!member.build.reads(requirement.from, requirement.to)) {
@@ -164,8 +164,8 @@
   if (!view.unreadable.empty()) return "the level record cannot be read: " + view.unreadable;
   const VersionRecord& record = view.record;
   if (build.reads(record.lowest, record.highest)) return {};
-  return "state of level " + range_text(record.lowest, record.highest) +
-         " stands, this build reads " + range_text(build.lowest, build.highest);
+  return "stored data has level " + range_text(record.lowest, record.highest) +
+         ", this build reads only level " + range_text(build.lowest, build.highest);
 }
 
 RolloutStatus rollout_status(const StoredView& view, const std::vector<std::string>& names,
@@ -216,9 +216,9 @@
   const bool is_excluded = order.kind == Order::exclude_node;
   const std::string field = is_excluded ? "gone: " : "here: ";
   const auto name = std::find(names.begin(), names.end(), order.node);
-  if (name == names.end()) return field + order.node + " is none of the nodes";
+  if (name == names.end()) return field + order.node + " is not a node of this cluster";
   const auto node = static_cast<std::size_t>(name - names.begin());
-  if (is_excluded && view.members[node].mod_revision != 0) return field + order.node + " is there";
+  if (is_excluded && view.members[node].mod_revision != 0) return field + order.node + " is alive";
   return {};
 }
 
@@ -227,7 +227,7 @@
 std::string order_refusal(const StoredView& view, const std::vector<std::string>& names,
                           const Order& order) {
   if (!view.unreadable.empty()) return "the level record cannot be read: " + view.unreadable;
-  if (view.orders_unreadable) return "the orders as they stand cannot be read";
+  if (view.orders_unreadable) return "the stored orders cannot be read";
   switch (order.kind) {
     case Order::hold:
       return hold_refusal(view, order.version);
--- a/tests/schema_test.cpp
+++ b/tests/schema_test.cpp
@@ -65,7 +65,7 @@
   const std::vector<std::pair<std::string, std::string>> bad = {
       {R"({"highest":1,"level":1,"lowest":0,"w":"x","more":1})", "more is not a known field"},
       {R"({"highest":1,"level":1,"w":"x"})", "lowest is missing"},
-      {R"({"highest":1,"level":2,"lowest":0,"w":"x"})", "level is out of its range"},
+      {R"({"highest":1,"level":2,"lowest":0,"w":"x"})", "level is 2, outside 0 to 1"},
       {R"({"highest":1,"level":"1","lowest":0,"w":"x"})", "level is not a count"},
       {R"([])", "not an object"},
   };
@@ -85,9 +85,9 @@
   StoredView v;
   v.record = {1, 0, 1, "x"};
   EXPECT_EQ(schema::serving_refusal(v, {0, 0, 0}),
-            "state of level 0 to 1 stands, this build reads 0");
+            "stored data has level 0 to 1, this build reads only level 0");
   EXPECT_EQ(schema::serving_refusal(v, {1, 2, 2}),
-            "state of level 0 to 1 stands, this build reads 1 to 2");
+            "stored data has level 0 to 1, this build reads only level 1 to 2");
   EXPECT_EQ(schema::serving_refusal(v, {0, 1, 1}), "");
 }
 
@@ -123,7 +123,7 @@
   t.v.members[1].build = {0, 1, 0};
   EXPECT_EQ(t.held(), "b does not write level 1 yet; ");
   t.v.members[1].mod_revision = 0;
-  EXPECT_EQ(t.held(), "b is not there; ");
+  EXPECT_EQ(t.held(), "b is not registered; ");
   EXPECT_EQ(t.look().step.kind, Step::none);
   EXPECT_TRUE(t.look().step.preconditions.empty());
   // Declared gone, it is not waited for; should it come back in between, the guard fails.
@@ -182,8 +182,8 @@
   EXPECT_EQ(refused(R"({"hold":-1})"), "hold is not a count");
   EXPECT_EQ(refused(R"({"hold":1,"gone":"a"})"), "give one of hold, gone, here");
   EXPECT_EQ(refused(R"({"level":1})"), "level is not a known field");
-  EXPECT_EQ(refused(R"({"gone":"d"})"), "gone: d is none of the nodes");
-  EXPECT_EQ(refused(R"({"gone":"a"})"), "gone: a is there");
+  EXPECT_EQ(refused(R"({"gone":"d"})"), "gone: d is not a node of this cluster");
+  EXPECT_EQ(refused(R"({"gone":"a"})"), "gone: a is alive");
   t.v.members[0].mod_revision = 0;
   EXPECT_EQ(refused(R"({"gone":"a"})"), "");
   t.v.record = {2, 2, 2, "x"};
