--- a/tests/schema_test.cpp
+++ b/tests/schema_test.cpp
@@ -25,23 +25,23 @@
 const std::string kRecord = R"({"highest":1,"level":1,"lowest":0,"w":"railhead-0.9.l1"})";
 const std::string kOrders = R"({"gone":["railhead-2"],"most":1,"w":"railhead-0.9.l2"})";
 const std::string kMember = R"({"boot":9,"levels":[0,1,1]})";
-const std::string kRosterOf0 =
+const std::string kInventoryPageOf0 =
     R"({"m":{"m-000007":["g8","b",0,0,0],"m-000231":["g8","a",1,2,431],"m-000232":["g8","a",1,2,431]},"w":"railhead-1.9.2"})";
-const std::string kRosterOf1 =
+const std::string kInventoryPageOf1 =
     R"({"m":{"m-000007":["g8","b",0,0,0],"m-000231":["g8","a",1,2,431],"m-000232":["g8","a",1,2,431]},"t":[1733000000,[35,null,0]],"w":"railhead-1.9.2"})";
 
-TEST(Schema, StoredFormsAreTheRecordedOnes) {
-  VersionRecord r = schema::decode_record(event(kRecord));
-  EXPECT_EQ(r, (VersionRecord{1, 0, 1, "railhead-0.9.l1"}));
-  EXPECT_EQ(schema::encode(r), kRecord);
-  auto o = schema::decode_orders(event(kOrders));
-  EXPECT_EQ(o, (schema::Orders{1, {"railhead-2"}, "railhead-0.9.l2"}));
-  EXPECT_EQ(schema::encode(o), kOrders);
+TEST(Schema, StoredFormatsMatchTheRecordedValues) {
+  VersionRecord record = schema::decode_record(event(kRecord));
+  EXPECT_EQ(record, (VersionRecord{1, 0, 1, "railhead-0.9.l1"}));
+  EXPECT_EQ(schema::encode(record), kRecord);
+  auto orders = schema::decode_orders(event(kOrders));
+  EXPECT_EQ(orders, (schema::Orders{1, {"railhead-2"}, "railhead-0.9.l2"}));
+  EXPECT_EQ(schema::encode(orders), kOrders);
   EXPECT_EQ(schema::decode_member(event(kMember)), (Build{0, 1, 1}));
   EXPECT_EQ(schema::encode_member(9, {0, 1, 1}), kMember);
-  for (const auto& text : {kRosterOf0, kRosterOf1}) {
+  for (const auto& text : {kInventoryPageOf0, kInventoryPageOf1}) {
     auto page = wire::decode_inventory_page(event(text));
-    EXPECT_EQ(page.form, text == kRosterOf1);
+    EXPECT_EQ(page.form, text == kInventoryPageOf1);
     EXPECT_EQ(page.machines[0].rented_at, page.form ? 1733000035 : 0);
     EXPECT_EQ(page.machines[1].rented_at, 0);
     EXPECT_EQ(wire::encode_record(page), text);
@@ -49,11 +49,11 @@
 }
 
 // Builds of level 0 that come back read past what is new, and drop it when they write.
-TEST(Schema, ABuildOfVersion0ReadsTheNewPageAsItsOwn) {
-  std::string as_read = kRosterOf1;
-  const std::string news = R"("t":[1733000000,[35,null,0]],)";
-  as_read.erase(as_read.find(news), news.size());
-  EXPECT_EQ(as_read, kRosterOf0);
+TEST(Schema, ABuildOfVersion0ReadsANewPageAsItsOwnFormat) {
+  std::string as_read_by_version_0 = kInventoryPageOf1;
+  const std::string added_field = R"("t":[1733000000,[35,null,0]],)";
+  as_read_by_version_0.erase(as_read_by_version_0.find(added_field), added_field.size());
+  EXPECT_EQ(as_read_by_version_0, kInventoryPageOf0);
   // It registers without a word about levels; of node keys it reads only that they are there.
   EXPECT_EQ(schema::decode_member(event(R"({"boot":9})")), Build{});
   EXPECT_EQ(schema::decode_member(event(R"({"boot":9,"levels":[1]})")), Build{});
@@ -61,7 +61,7 @@
 }
 
 TEST(Schema, ARecordThatCannotBeReadStopsTheNodeAndSaysWhy) {
-  config::Settings s = make_settings();
+  config::Settings settings = make_settings();
   const std::vector<std::pair<std::string, std::string>> bad = {
       {R"({"highest":1,"level":1,"lowest":0,"w":"x","more":1})", "more is not a known field"},
       {R"({"highest":1,"level":1,"w":"x"})", "lowest is missing"},
@@ -70,111 +70,112 @@
       {R"([])", "not an object"},
   };
   for (const auto& [text, why] : bad) {
-    state::StateCache w(s);
-    std::vector<state::Change> ch;
-    w.apply({schema::kActiveKey, text, 5}, ch);
-    EXPECT_EQ(schema::serving_refusal(w.schema(), schema::current_build()),
+    state::StateCache cache(settings);
+    std::vector<state::Change> changes;
+    cache.apply({schema::kActiveKey, text, 5}, changes);
+    EXPECT_EQ(schema::serving_refusal(cache.schema(), schema::current_build()),
               "the level record cannot be read: " + why);
-    ASSERT_EQ(ch.size(), 1u);
-    auto out = schema::rollout_status(w.schema(), s.nodes, schema::current_build(), true);
-    EXPECT_EQ(out.step.kind, Step::none);
-    EXPECT_EQ(out.blocked_by.at(0).by, "record");
-    w.apply({schema::kActiveKey, std::nullopt, 6}, ch);
-    EXPECT_EQ(schema::serving_refusal(w.schema(), schema::current_build()), "");
+    ASSERT_EQ(changes.size(), 1u);
+    auto status =
+        schema::rollout_status(cache.schema(), settings.nodes, schema::current_build(), true);
+    EXPECT_EQ(status.step.kind, Step::none);
+    EXPECT_EQ(status.blocked_by.at(0).by, "record");
+    cache.apply({schema::kActiveKey, std::nullopt, 6}, changes);
+    EXPECT_EQ(schema::serving_refusal(cache.schema(), schema::current_build()), "");
   }
-  StoredView v;
-  v.record = {1, 0, 1, "x"};
-  EXPECT_EQ(schema::serving_refusal(v, {0, 0, 0}),
+  StoredView view;
+  view.record = {1, 0, 1, "x"};
+  EXPECT_EQ(schema::serving_refusal(view, {0, 0, 0}),
             "stored data has level 0 to 1, this build reads only level 0");
-  EXPECT_EQ(schema::serving_refusal(v, {1, 2, 2}),
+  EXPECT_EQ(schema::serving_refusal(view, {1, 2, 2}),
             "stored data has level 0 to 1, this build reads only level 1 to 2");
-  EXPECT_EQ(schema::serving_refusal(v, {0, 1, 1}), "");
+  EXPECT_EQ(schema::serving_refusal(view, {0, 1, 1}), "");
 }
 
 // ---- what holds a level back
 
-struct Three {
+struct ThreeNodes {
   std::vector<std::string> names = {"a", "b", "c"};
-  StoredView v;
-  Three() {
-    v.members.resize(3);
-    for (std::size_t n = 0; n < 3; ++n) v.members[n] = {10 + n, {0, 1, 1}};
+  StoredView view;
+  ThreeNodes() {
+    view.members.resize(3);
+    for (std::size_t n = 0; n < 3; ++n) view.members[n] = {10 + n, {0, 1, 1}};
   }
-  schema::RolloutStatus look(bool converted = true, Build own = {0, 1, 1}) const {
-    return schema::rollout_status(v, names, own, converted);
+  schema::RolloutStatus status(bool converted = true, Build own = {0, 1, 1}) const {
+    return schema::rollout_status(view, names, own, converted);
   }
-  std::string held() const {
+  std::string blockers() const {
     std::string all;
-    for (const auto& o : look().blocked_by) all += o.by + " " + o.reason + "; ";
+    for (const auto& blocker : status().blocked_by) all += blocker.by + " " + blocker.reason + "; ";
     return all;
   }
 };
 
 TEST(Schema, AnUpgradeNeedsEveryNodeAndItsPreconditionsNameThemAll) {
-  Three t;
-  auto s = t.look().step;
-  ASSERT_EQ(s.kind, Step::raise);
-  EXPECT_EQ(s.record, (VersionRecord{1, 0, 1, ""}));
-  std::vector<std::pair<std::string, std::uint64_t>> guards = {
+  ThreeNodes nodes;
+  auto step = nodes.status().step;
+  ASSERT_EQ(step.kind, Step::raise);
+  EXPECT_EQ(step.record, (VersionRecord{1, 0, 1, ""}));
+  std::vector<std::pair<std::string, std::uint64_t>> preconditions = {
       {"st/n/a", 10}, {"st/n/b", 11}, {"st/n/c", 12}, {"st/l/active", 0}, {"st/l/orders", 0}};
-  EXPECT_EQ(s.preconditions, guards);
-  t.v.members[1].build = {};
-  EXPECT_EQ(t.held(), "b cannot read level 1; ");
-  t.v.members[1].build = {0, 1, 0};
-  EXPECT_EQ(t.held(), "b does not write level 1 yet; ");
-  t.v.members[1].mod_revision = 0;
-  EXPECT_EQ(t.held(), "b is not registered; ");
-  EXPECT_EQ(t.look().step.kind, Step::none);
-  EXPECT_TRUE(t.look().step.preconditions.empty());
+  EXPECT_EQ(step.preconditions, preconditions);
+  nodes.view.members[1].build = {};
+  EXPECT_EQ(nodes.blockers(), "b cannot read level 1; ");
+  nodes.view.members[1].build = {0, 1, 0};
+  EXPECT_EQ(nodes.blockers(), "b does not write level 1 yet; ");
+  nodes.view.members[1].mod_revision = 0;
+  EXPECT_EQ(nodes.blockers(), "b is not registered; ");
+  EXPECT_EQ(nodes.status().step.kind, Step::none);
+  EXPECT_TRUE(nodes.status().step.preconditions.empty());
   // Declared gone, it is not waited for; should it come back in between, the guard fails.
-  t.v.orders.excluded_nodes = {"b"};
-  s = t.look().step;
-  ASSERT_EQ(s.kind, Step::raise);
-  EXPECT_EQ(s.preconditions[1], (std::pair<std::string, std::uint64_t>{"st/n/b", 0}));
+  nodes.view.orders.excluded_nodes = {"b"};
+  step = nodes.status().step;
+  ASSERT_EQ(step.kind, Step::raise);
+  EXPECT_EQ(step.preconditions[1], (std::pair<std::string, std::uint64_t>{"st/n/b", 0}));
   // Declared gone but there, with a build that cannot: it counts.
-  t.v.members[1] = {15, {}};
-  EXPECT_EQ(t.held(), "b cannot read level 1; ");
-  t.v.members[1].build = {0, 1, 1};
-  t.v.orders.max_version = 0;
-  EXPECT_EQ(t.held(), "orders hold level 0; ");
-  t.v.orders_unreadable = true;
-  EXPECT_EQ(t.held(), "orders cannot be read; ");
+  nodes.view.members[1] = {15, {}};
+  EXPECT_EQ(nodes.blockers(), "b cannot read level 1; ");
+  nodes.view.members[1].build = {0, 1, 1};
+  nodes.view.orders.max_version = 0;
+  EXPECT_EQ(nodes.blockers(), "orders hold level 0; ");
+  nodes.view.orders_unreadable = true;
+  EXPECT_EQ(nodes.blockers(), "orders cannot be read; ");
 }
 
-TEST(Schema, OneVersionAtATimeUpAndDown) {
-  Three t;
-  t.v.record = {1, 0, 1, "x"};
-  t.v.mod_revision = 40;
-  for (auto& m : t.v.members) m.build = {0, 2, 2};
-  EXPECT_EQ(t.look(false, {0, 2, 2}).blocked_by.at(0).by, "conversion");
-  auto s = t.look(true, {0, 2, 2}).step;
-  ASSERT_EQ(s.kind, Step::settle);
-  EXPECT_EQ(s.record, (VersionRecord{1, 1, 1, ""}));
-  t.v.record = s.record;
-  s = t.look(true, {0, 2, 2}).step;
-  ASSERT_EQ(s.kind, Step::raise);
-  EXPECT_EQ(s.record, (VersionRecord{2, 1, 2, ""}));
-  t.v.orders.max_version = 0;
-  s = t.look(true, {0, 2, 2}).step;
-  ASSERT_EQ(s.kind, Step::lower);
-  EXPECT_EQ(s.record, (VersionRecord{0, 0, 1, ""}));
+TEST(Schema, VersionsAreRaisedAndLoweredOneAtATime) {
+  ThreeNodes nodes;
+  nodes.view.record = {1, 0, 1, "x"};
+  nodes.view.mod_revision = 40;
+  for (auto& m : nodes.view.members) m.build = {0, 2, 2};
+  EXPECT_EQ(nodes.status(false, {0, 2, 2}).blocked_by.at(0).by, "conversion");
+  auto step = nodes.status(true, {0, 2, 2}).step;
+  ASSERT_EQ(step.kind, Step::settle);
+  EXPECT_EQ(step.record, (VersionRecord{1, 1, 1, ""}));
+  nodes.view.record = step.record;
+  step = nodes.status(true, {0, 2, 2}).step;
+  ASSERT_EQ(step.kind, Step::raise);
+  EXPECT_EQ(step.record, (VersionRecord{2, 1, 2, ""}));
+  nodes.view.orders.max_version = 0;
+  step = nodes.status(true, {0, 2, 2}).step;
+  ASSERT_EQ(step.kind, Step::lower);
+  EXPECT_EQ(step.record, (VersionRecord{0, 0, 1, ""}));
   // A node that has dropped the older form could not go on.
-  t.v.members[2].build = {1, 2, 2};
-  auto held = t.look(true, {0, 2, 2});
-  EXPECT_EQ(held.step.kind, Step::none);
-  EXPECT_EQ(held.blocked_by.at(0), (schema::Blocker{"c", "cannot read level 0"}));
+  nodes.view.members[2].build = {1, 2, 2};
+  auto status = nodes.status(true, {0, 2, 2});
+  EXPECT_EQ(status.step.kind, Step::none);
+  EXPECT_EQ(status.blocked_by.at(0), (schema::Blocker{"c", "cannot read level 0"}));
   // A level that this build does not know cannot be lowered by it.
-  t.v.record = {3, 3, 3, "x"};
-  EXPECT_EQ(t.look(true, {0, 3, 3}).blocked_by.at(0).by, "orders");
+  nodes.view.record = {3, 3, 3, "x"};
+  EXPECT_EQ(nodes.status(true, {0, 3, 3}).blocked_by.at(0).by, "orders");
 }
 
-TEST(Schema, OrdersAreCheckedAndRepeatingThemIsHarmless) {
-  Three t;
+TEST(Schema, OrdersAreValidatedAndIdempotent) {
+  ThreeNodes nodes;
   auto refused = [&](const std::string& body) {
     try {
-      return schema::order_refusal(t.v, t.names, schema::decode_order(body));
-    } catch (const wire::Malformed& e) {
-      return std::string(e.what());
+      return schema::order_refusal(nodes.view, nodes.names, schema::decode_order(body));
+    } catch (const wire::Malformed& error) {
+      return std::string(error.what());
     }
   };
   EXPECT_EQ(refused(R"({"hold":0})"), "");
@@ -184,18 +185,18 @@
   EXPECT_EQ(refused(R"({"level":1})"), "level is not a known field");
   EXPECT_EQ(refused(R"({"gone":"d"})"), "gone: d is not a node of this cluster");
   EXPECT_EQ(refused(R"({"gone":"a"})"), "gone: a is alive");
-  t.v.members[0].mod_revision = 0;
+  nodes.view.members[0].mod_revision = 0;
   EXPECT_EQ(refused(R"({"gone":"a"})"), "");
-  t.v.record = {2, 2, 2, "x"};
+  nodes.view.record = {2, 2, 2, "x"};
   EXPECT_EQ(refused(R"({"hold":1})"), "");
-  t.v.record = {3, 3, 3, "x"};
+  nodes.view.record = {3, 3, 3, "x"};
   EXPECT_EQ(refused(R"({"hold":1})"), "hold: level 3 is active and cannot be lowered");
   for (const auto& body :
        {R"({"hold":1})", R"({"hold":null})", R"({"gone":"a"})", R"({"here":"a"})"}) {
-    schema::Order o = schema::decode_order(body);
-    EXPECT_EQ(schema::encode(o), body);
-    auto once = schema::apply_order(t.v.orders, o);
-    EXPECT_EQ(schema::apply_order(once, o), once);
+    schema::Order order = schema::decode_order(body);
+    EXPECT_EQ(schema::encode(order), body);
+    auto once = schema::apply_order(nodes.view.orders, order);
+    EXPECT_EQ(schema::apply_order(once, order), once);
   }
 }
 
@@ -203,71 +204,72 @@
 
 // Limits that have fallen since a page was written: it is parted on its way to the new form, and at
 // no moment is a machine unrecorded or recorded twice. And the way back.
-TEST(Schema, ConversionSplitsWhatHasBecomeTooLongAndGoesBothWays) {
-  config::Settings s = make_settings();
+TEST(Schema, ConversionSplitsOverlongPagesAndIsReversible) {
+  config::Settings settings = make_settings();
   Store store;
-  state::StateCache w(s);
-  std::vector<state::Change> ch;
+  state::StateCache cache(settings);
+  std::vector<state::Change> changes;
   std::vector<wire::MachineRecord> fleet;
   for (int i = 0; i < 64; ++i)
     fleet.push_back({"m-" + std::to_string(320000 + i), "a-type-with-a-name", "zone-with-a-name",
                      true, 0, 123456, 1733000000.0 + i});
-  store.commit(roster_txn(w, fleet));
-  auto level = [&](const VersionRecord& r) {
-    store.commit({{}, {{schema::kActiveKey, schema::encode(r), 0}}});
-    store.read(w, ch);
+  store.commit(roster_txn(cache, fleet));
+  auto level = [&](const VersionRecord& record) {
+    store.commit({{}, {{schema::kActiveKey, schema::encode(record), 0}}});
+    store.read(cache, changes);
   };
   auto convert = [&] {
     int rounds = 0;
-    for (; !w.inventory_to_convert().empty() && rounds < 20; ++rounds) {
-      EXPECT_LT(w.converted(), 1);
-      shard::InventoryPage page(w,
-                                state::page_of_inventory_part(*w.inventory_to_convert().begin()));
+    for (; !cache.inventory_to_convert().empty() && rounds < 20; ++rounds) {
+      EXPECT_LT(cache.converted(), 1);
+      shard::InventoryPage page(
+          cache, state::page_of_inventory_part(*cache.inventory_to_convert().begin()));
       page.convert();
       page.fill_rental_times([](const std::string&) { return 1733000500.0; });
-      wire::Transaction t = page.changes(900, "t");
-      ASSERT_TRUE(store.commit(t));
+      wire::Transaction txn = page.changes(900, "t");
+      ASSERT_TRUE(store.commit(txn));
       // The same once more, or late: its preconditions let it be applied once.
-      EXPECT_FALSE(store.commit(t));
-      store.read(w, ch);
-      EXPECT_EQ(w.machines().size(), fleet.size());
+      EXPECT_FALSE(store.commit(txn));
+      store.read(cache, changes);
+      EXPECT_EQ(cache.machines().size(), fleet.size());
     }
     EXPECT_LT(rounds, 20);
-    for (const auto& [k, e] : store.keys)
-      if (k.starts_with("st/m/")) {
-        EXPECT_LE(e.value.size(), 900u);
+    for (const auto& [key, entry] : store.keys)
+      if (key.starts_with("st/m/")) {
+        EXPECT_LE(entry.value.size(), 900u);
       }
-    EXPECT_TRUE(w.all_converted());
+    EXPECT_TRUE(cache.all_converted());
   };
   level({1, 0, 1, "t"});
-  EXPECT_FALSE(w.all_converted());
+  EXPECT_FALSE(cache.all_converted());
   convert();
   // Pages that builds of level 0 had written did not tell.
-  EXPECT_EQ(w.machine("m-320007")->rented_at, 1733000500);
+  EXPECT_EQ(cache.machine("m-320007")->rented_at, 1733000500);
   level({0, 0, 1, "t"});
   convert();
-  EXPECT_EQ(w.machine("m-320007")->rented_at, 0);
+  EXPECT_EQ(cache.machine("m-320007")->rented_at, 0);
 }
 
 // A watch that is too old has everything read anew: the level and the orders as they are then, what
 // was there before and is not any more included.
-TEST(Schema, AfterARereadTheVersionIsTheStoredOne) {
-  config::Settings s = make_settings();
-  state::StateCache w(s);
-  std::vector<state::Change> ch;
-  w.apply({schema::kOrdersKey, kOrders, 3}, ch);
-  w.apply({schema::kActiveKey, kRecord, 5}, ch);
-  w.apply({state::node_key("node-1"), kMember, 6}, ch);
-  w.advance(6);
-  EXPECT_EQ(w.schema().record.active, 1);
-  EXPECT_EQ(w.schema().members[1].build, (Build{0, 1, 1}));
-  w.replace(40, {{schema::kActiveKey, R"({"highest":3,"level":3,"lowest":3,"w":"x"})", 30}}, ch);
-  EXPECT_EQ(w.schema().record.active, 3);
-  EXPECT_EQ(w.schema().mod_revision, 30u);
-  EXPECT_EQ(w.schema().orders, schema::Orders{});
-  EXPECT_EQ(w.schema().orders_revision, 0u);
-  EXPECT_EQ(w.node_revision(1), 0u);
-  EXPECT_NE(schema::serving_refusal(w.schema(), schema::current_build()), "");
+TEST(Schema, AFullReadReplacesTheKnownVersionAndOrders) {
+  config::Settings settings = make_settings();
+  state::StateCache cache(settings);
+  std::vector<state::Change> changes;
+  cache.apply({schema::kOrdersKey, kOrders, 3}, changes);
+  cache.apply({schema::kActiveKey, kRecord, 5}, changes);
+  cache.apply({state::node_key("node-1"), kMember, 6}, changes);
+  cache.advance(6);
+  EXPECT_EQ(cache.schema().record.active, 1);
+  EXPECT_EQ(cache.schema().members[1].build, (Build{0, 1, 1}));
+  cache.replace(40, {{schema::kActiveKey, R"({"highest":3,"level":3,"lowest":3,"w":"x"})", 30}},
+                changes);
+  EXPECT_EQ(cache.schema().record.active, 3);
+  EXPECT_EQ(cache.schema().mod_revision, 30u);
+  EXPECT_EQ(cache.schema().orders, schema::Orders{});
+  EXPECT_EQ(cache.schema().orders_revision, 0u);
+  EXPECT_EQ(cache.node_revision(1), 0u);
+  EXPECT_NE(schema::serving_refusal(cache.schema(), schema::current_build()), "");
 }
 
 // ---- rollouts
@@ -288,36 +290,36 @@
 
   // One thing happens: to which node, what, and how it goes.
   void act(std::mt19937& rng) {
-    const int n = static_cast<int>(rng() % kNodes), arg = static_cast<int>(rng() % 1000);
+    const int n = static_cast<int>(rng() % kNodes), draw = static_cast<int>(rng() % 1000);
     Node& me = nodes_[static_cast<std::size_t>(n)];
-    const unsigned what = rng() % 100;
-    if (what < 6) {
+    const unsigned action = rng() % 100;
+    if (action < 6) {
       me.up = false;  // its key goes when its hold does
-    } else if (what < 10) {
+    } else if (action < 10) {
       if (!me.up) store_.commit({{}, {{state::node_key(s_.nodes[n]), std::nullopt, 0}}});
-    } else if (what < 22) {
+    } else if (action < 22) {
       // Comes back with any build, an older one too, and reads what is there then.
-      if (!me.up) start(n, arg % 5, arg % 10 == 0);
-    } else if (what < 40) {
+      if (!me.up) start(n, draw % 5, draw % 10 == 0);
+    } else if (action < 40) {
       read(me);
-    } else if (what < 55) {
-      enroll(n, arg);
-    } else if (what < 75) {
-      step(n, arg);
-    } else if (what < 83) {
-      write(n, arg);
-    } else if (what < 90) {
-      convert(n, arg);
-    } else if (what < 93) {
-      order(n, arg);
+    } else if (action < 55) {
+      enroll(n, draw);
+    } else if (action < 75) {
+      step(n, draw);
+    } else if (action < 83) {
+      write(n, draw);
+    } else if (action < 90) {
+      convert(n, draw);
+    } else if (action < 93) {
+      order(n, draw);
     } else {
-      deliver(arg);
+      deliver(draw);
     }
   }
   int raises() const { return raises_; }
   // What is still on its way comes, and every node has the newest build: the level gets there.
   void finish() {
-    while (!late_.empty()) deliver(0);
+    while (!delayed_.empty()) deliver(0);
     legacy_wrote_ = false;
     for (int n = 0; n < kNodes; ++n) {
       store_.commit({{}, {{state::node_key(s_.nodes[n]), std::nullopt, 0}}});
@@ -337,7 +339,7 @@
 
  private:
   struct Node {
-    std::unique_ptr<state::StateCache> world;
+    std::unique_ptr<state::StateCache> cache;
     Build build;
     bool legacy = true;  // knows no levels: it registers and writes unguarded by them
     bool up = false;
@@ -355,156 +357,158 @@
   }
   void read(Node& me) {
     if (!me.up) return;
-    std::vector<state::Change> ch;
-    store_.read(*me.world, ch);
+    std::vector<state::Change> changes;
+    store_.read(*me.cache, changes);
   }
   bool serves(const Node& me) const {
-    return me.up && (me.legacy || schema::serving_refusal(me.world->schema(), me.build).empty());
+    return me.up && (me.legacy || schema::serving_refusal(me.cache->schema(), me.build).empty());
   }
 
   // Applied now, lost, or applied late.
-  void commit(const wire::Transaction& t, const Node& by, int arg) {
-    if (arg % 4 == 0) return;
-    if (arg % 4 == 3)
-      late_.push_back({t, by.build, by.legacy});
+  void commit(const wire::Transaction& txn, const Node& by, int draw) {
+    if (draw % 4 == 0) return;
+    if (draw % 4 == 3)
+      delayed_.push_back({txn, by.build, by.legacy});
     else
-      apply({t, by.build, by.legacy});
+      apply({txn, by.build, by.legacy});
   }
-  void deliver(int arg) {
-    if (late_.empty()) return;
-    std::size_t i = static_cast<std::size_t>(arg) % late_.size();
-    auto sent = late_[i];
-    late_.erase(late_.begin() + static_cast<long>(i));
-    apply(sent);
+  void deliver(int draw) {
+    if (delayed_.empty()) return;
+    std::size_t i = static_cast<std::size_t>(draw) % delayed_.size();
+    auto commit_sent = delayed_[i];
+    delayed_.erase(delayed_.begin() + static_cast<long>(i));
+    apply(commit_sent);
   }
   struct Sent {
     wire::Transaction txn;
     Build build;
     bool legacy;
   };
-  void apply(const Sent& sent) {
+  void apply(const Sent& commit_sent) {
     const VersionRecord before = record();
     auto members = store_.keys;
-    if (!store_.commit(sent.txn)) return;
+    if (!store_.commit(commit_sent.txn)) return;
     const VersionRecord after = record();
-    for (const auto& op : sent.txn.ops) {
+    for (const auto& op : commit_sent.txn.ops) {
       // Nobody who knows of levels writes beside state that its build cannot read, or in another
       // form than the active level's.
-      if (!sent.legacy) RC_ASSERT(sent.build.reads(before.lowest, before.highest));
+      if (!commit_sent.legacy) RC_ASSERT(commit_sent.build.reads(before.lowest, before.highest));
       if (!op.value) continue;
       if (op.key.starts_with("st/m/")) {
-        if (sent.legacy)
+        if (commit_sent.legacy)
           legacy_wrote_ = true;
         else
           RC_ASSERT(wire::decode_inventory_page(event(*op.value)).form == (before.active > 0));
       }
     }
-    if (after.active > before.active) raised(after, members);
+    if (after.active > before.active) check_raise(after, members);
     if (after.settled() && !before.settled()) check_pages();
     if (after.active != before.active) legacy_wrote_ = false;
   }
   // At the moment of the raise every node had it: registered, with a build that can, or declared
   // gone and not there.
-  void raised(const VersionRecord& to, const std::map<std::string, Store::Entry>& keys) {
+  void check_raise(const VersionRecord& to, const std::map<std::string, Store::Entry>& keys) {
     ++raises_;
-    auto orders = keys.find(schema::kOrdersKey);
-    schema::Orders o;
-    if (orders != keys.end()) o = schema::decode_orders(event(orders->second.value));
-    if (o.max_version) RC_ASSERT(to.active <= *o.max_version);
+    auto orders_entry = keys.find(schema::kOrdersKey);
+    schema::Orders orders;
+    if (orders_entry != keys.end())
+      orders = schema::decode_orders(event(orders_entry->second.value));
+    if (orders.max_version) RC_ASSERT(to.active <= *orders.max_version);
     for (const auto& name : s_.nodes) {
       auto key = keys.find(state::node_key(name));
       if (key == keys.end()) {
-        RC_ASSERT(o.excluded_nodes.contains(name));
+        RC_ASSERT(orders.excluded_nodes.contains(name));
         continue;
       }
-      Build b = schema::decode_member(event(key->second.value));
-      RC_ASSERT(b.reads(to.lowest, to.highest));
-      RC_ASSERT(b.writes >= to.active);
+      Build build = schema::decode_member(event(key->second.value));
+      RC_ASSERT(build.reads(to.lowest, to.highest));
+      RC_ASSERT(build.writes >= to.active);
     }
   }
   // Nothing stands in an older form, but for what a build that knows no levels has written since.
   void check_pages() const {
     if (legacy_wrote_) return;
-    for (const auto& [k, e] : store_.keys)
-      if (k.starts_with("st/m/"))
-        RC_ASSERT(wire::decode_inventory_page(event(e.value)).form == (record().active > 0));
+    for (const auto& [key, entry] : store_.keys)
+      if (key.starts_with("st/m/"))
+        RC_ASSERT(wire::decode_inventory_page(event(entry.value)).form == (record().active > 0));
   }
 
-  void enroll(int n, int arg) {
+  void enroll(int n, int draw) {
     Node& me = nodes_[static_cast<std::size_t>(n)];
     if (!serves(me)) return;
-    wire::Transaction t{{}, {{state::node_key(s_.nodes[n]), R"({"boot":1})", 0}}};
+    wire::Transaction txn{{}, {{state::node_key(s_.nodes[n]), R"({"boot":1})", 0}}};
     if (!me.legacy) {
-      auto enrolled = schema::enroll(me.world->schema(), s_.nodes[n], 1, me.build, 0);
+      auto enrolled = schema::enroll(me.cache->schema(), s_.nodes[n], 1, me.build, 0);
       RC_ASSERT(enrolled.has_value());
-      t = *enrolled;
+      txn = *enrolled;
     }
-    commit(t, me, arg);
+    commit(txn, me, draw);
   }
-  void step(int n, int arg) {
+  void step(int n, int draw) {
     Node& me = nodes_[static_cast<std::size_t>(n)];
     if (!me.up || me.legacy) return;
-    const auto& w = *me.world;
-    auto out = schema::rollout_status(w.schema(), s_.nodes, me.build, w.all_converted());
-    if (out.step.kind != Step::none) commit(schema::commit_of(out.step, "t"), me, arg);
+    const auto& cache = *me.cache;
+    auto out = schema::rollout_status(cache.schema(), s_.nodes, me.build, cache.all_converted());
+    if (out.step.kind != Step::none) commit(schema::commit_of(out.step, "t"), me, draw);
   }
-  void write(int n, int arg) {
+  void write(int n, int draw) {
     Node& me = nodes_[static_cast<std::size_t>(n)];
     if (!serves(me)) return;
-    const std::string name = "m-" + std::to_string(100000 + 16 * (arg % 6));
-    wire::MachineRecord m{name, "t4", "a", true, 0, 0, 1733000000.0 + arg};
+    const std::string name = "m-" + std::to_string(100000 + 16 * (draw % 6));
+    wire::MachineRecord machine{name, "t4", "a", true, 0, 0, 1733000000.0 + draw};
     if (me.legacy) {
       const int page = state::inventory_page(name);
       const std::string key = state::inventory_key(page);
-      wire::InventoryPageRecord r{"t", me.world->inventory(page), 0};
-      std::erase_if(r.machines, [&](const auto& x) { return x.name == name; });
-      r.machines.push_back(m);
-      return commit({{{key, me.world->mod_revision(key)}}, {{key, wire::encode_record(r), 0}}}, me,
-                    arg);
+      wire::InventoryPageRecord page_record{"t", me.cache->inventory(page), 0};
+      std::erase_if(page_record.machines, [&](const auto& other) { return other.name == name; });
+      page_record.machines.push_back(machine);
+      return commit(
+          {{{key, me.cache->mod_revision(key)}}, {{key, wire::encode_record(page_record), 0}}}, me,
+          draw);
     }
-    shard::InventoryPage page(*me.world, state::inventory_page(name));
-    page.set(m);
-    commit(page.changes(4096, "t"), me, arg);
+    shard::InventoryPage page(*me.cache, state::inventory_page(name));
+    page.set(machine);
+    commit(page.changes(4096, "t"), me, draw);
   }
-  void convert(int n, int arg) {
+  void convert(int n, int draw) {
     Node& me = nodes_[static_cast<std::size_t>(n)];
     if (!serves(me) || me.legacy) return;
-    for (int p : me.world->inventory_to_convert()) {
-      shard::InventoryPage page(*me.world, state::page_of_inventory_part(p));
+    for (int p : me.cache->inventory_to_convert()) {
+      shard::InventoryPage page(*me.cache, state::page_of_inventory_part(p));
       page.convert();
-      wire::Transaction t = page.changes(4096, "t");
-      if (!t.ops.empty()) commit(t, me, arg);
+      wire::Transaction txn = page.changes(4096, "t");
+      if (!txn.ops.empty()) commit(txn, me, draw);
       return;
     }
   }
-  void order(int n, int arg) {
+  void order(int n, int draw) {
     Node& me = nodes_[static_cast<std::size_t>(n)];
     if (!serves(me) || me.legacy) return;
-    schema::Order o;
-    o.kind = static_cast<schema::Order::Kind>(arg % 4);
-    o.version = arg % 3;
-    o.node = s_.nodes[static_cast<std::size_t>(arg / 4 % kNodes)];
-    const auto& v = me.world->schema();
-    if (!schema::order_refusal(v, s_.nodes, o).empty()) return;
-    commit(schema::commit_of(v, schema::apply_order(v.orders, o), "t"), me, arg);
+    schema::Order order;
+    order.kind = static_cast<schema::Order::Kind>(draw % 4);
+    order.version = draw % 3;
+    order.node = s_.nodes[static_cast<std::size_t>(draw / 4 % kNodes)];
+    const auto& view = me.cache->schema();
+    if (!schema::order_refusal(view, s_.nodes, order).empty()) return;
+    commit(schema::commit_of(view, schema::apply_order(view.orders, order), "t"), me, draw);
   }
 
   config::Settings s_;
   Store store_;
   std::vector<Node> nodes_;
-  std::vector<Sent> late_;
+  std::vector<Sent> delayed_;
   bool legacy_wrote_ = false;
   int raises_ = 0;
 };
 
-RC_GTEST_PROP(Schema, RolloutsOfMixedBuildsActivateExactlyWhenAllHaveIt, (unsigned seed)) {
+RC_GTEST_PROP(Schema, AVersionIsActivatedExactlyWhenAllNodesSupportIt, (unsigned seed)) {
   std::mt19937 rng(seed);
   int raises = 0;
   for (int i = 0; i < 20; ++i) {
-    Rollout r;
-    for (int k = 0; k < 120; ++k) r.act(rng);
-    raises += r.raises();
-    r.finish();
+    Rollout rollout;
+    for (int step = 0; step < 120; ++step) rollout.act(rng);
+    raises += rollout.raises();
+    rollout.finish();
   }
   RC_ASSERT(raises > 5);
 }
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -10,91 +10,93 @@
 
 // Own writes are applied when answered, before or after the watch brings them; whatever the
 // order, the cache ends as the store is, and a job that has gone does not come back on the way.
-RC_GTEST_PROP(StateCache, ConvergesToTheStoreWhateverTheOrder, ()) {
-  config::Settings s = make_settings();
+RC_GTEST_PROP(StateCache, ConvergesToTheStoreForAnyOrderOfEvents, ()) {
+  config::Settings settings = make_settings();
   Store store;
-  state::StateCache w(s);
+  state::StateCache cache(settings);
   std::vector<state::Change> changes;
-  std::set<std::string> gone;
+  std::set<std::string> deleted;
   auto steps = *rc::gen::container<std::vector<std::pair<int, bool>>>(
       rc::gen::pair(rc::gen::inRange(0, 12), rc::gen::arbitrary<bool>()));
-  for (auto [what, early] : steps) {
-    std::string id = "run-" + std::to_string(100000 + what % 4);
-    wire::Transaction t;
-    if (what < 4 && !gone.contains(id))
-      t.ops.push_back({state::job_key(id), wire::encode_record(make_job(what % 4, 2, 1)), 0});
-    else if (what < 8 && store.mod_revision(state::job_key(id))) {
-      t.ops.push_back({state::job_key(id), std::nullopt, 0});
-      gone.insert(id);
+  for (auto [action, apply_before_watch] : steps) {
+    std::string id = "run-" + std::to_string(100000 + action % 4);
+    wire::Transaction txn;
+    if (action < 4 && !deleted.contains(id))
+      txn.ops.push_back({state::job_key(id), wire::encode_record(make_job(action % 4, 2, 1)), 0});
+    else if (action < 8 && store.mod_revision(state::job_key(id))) {
+      txn.ops.push_back({state::job_key(id), std::nullopt, 0});
+      deleted.insert(id);
     }
-    if (what >= 10) {
-      store.read(w, changes);
+    if (action >= 10) {
+      store.read(cache, changes);
       continue;
     }
-    if (t.ops.empty()) continue;
-    auto rev = store.commit(t);
-    RC_ASSERT(rev.has_value());
-    if (early)
-      for (const auto& op : t.ops) w.apply({op.key, op.value, *rev}, changes);
+    if (txn.ops.empty()) continue;
+    auto revision = store.commit(txn);
+    RC_ASSERT(revision.has_value());
+    if (apply_before_watch)
+      for (const auto& op : txn.ops) cache.apply({op.key, op.value, *revision}, changes);
   }
   // Seen one event at a time, no job that was known to be gone is live again.
-  std::set<std::string> known_gone;
-  for (const auto& id : gone)
-    if (!w.job(id) && !store.mod_revision(state::job_key(id))) known_gone.insert(id);
-  store.read(w, changes);
-  for (const auto& id : gone) RC_ASSERT(!w.job(id));
-  for (const auto& [k, e] : store.keys) RC_ASSERT(w.mod_revision(k) == e.mod_revision);
-  state::StateCache fresh(s);
+  std::set<std::string> known_deleted;
+  for (const auto& id : deleted)
+    if (!cache.job(id) && !store.mod_revision(state::job_key(id))) known_deleted.insert(id);
+  store.read(cache, changes);
+  for (const auto& id : deleted) RC_ASSERT(!cache.job(id));
+  for (const auto& [key, entry] : store.keys)
+    RC_ASSERT(cache.mod_revision(key) == entry.mod_revision);
+  state::StateCache fresh(settings);
   std::vector<wire::Event> items;
-  for (const auto& [k, e] : store.keys) items.push_back({k, e.value, e.mod_revision});
+  for (const auto& [key, entry] : store.keys)
+    items.push_back({key, entry.value, entry.mod_revision});
   fresh.replace(store.revision, items, changes);
-  RC_ASSERT(fresh.jobs().size() == w.jobs().size());
+  RC_ASSERT(fresh.jobs().size() == cache.jobs().size());
 }
 
 TEST(StateCache, AnOlderSetDoesNotReviveADroppedJob) {
-  config::Settings s = make_settings();
-  state::StateCache w(s);
-  std::vector<state::Change> ch;
+  config::Settings settings = make_settings();
+  state::StateCache cache(settings);
+  std::vector<state::Change> changes;
   std::string key = state::job_key("run-100000"), value = wire::encode_record(make_job(0, 1, 1));
-  w.apply({key, std::nullopt, 9}, ch);  // our own commit, answered first
-  w.apply({key, value, 8}, ch);         // the watch, still catching up
-  EXPECT_EQ(w.job("run-100000"), nullptr);
-  w.advance(9);
-  w.apply({key, value, 8}, ch);
-  EXPECT_EQ(w.job("run-100000"), nullptr);
+  cache.apply({key, std::nullopt, 9}, changes);  // our own commit, answered first
+  cache.apply({key, value, 8}, changes);         // the watch, still catching up
+  EXPECT_EQ(cache.job("run-100000"), nullptr);
+  cache.advance(9);
+  cache.apply({key, value, 8}, changes);
+  EXPECT_EQ(cache.job("run-100000"), nullptr);
 }
 
 // All keys are read page by page, at different revisions, while this node's own commits are
 // answered and before the watch goes on from the first page's: the cache still ends as the store,
 // and a job that was known to be gone is not live in between. (A job whose cancellation was
 // answered during the reading came back for good: the watch's drop was taken for old news.)
-RC_GTEST_PROP(StateCache, ConvergesToTheStoreWhenAllIsReadAgainMeanwhile, ()) {
-  config::Settings s = make_settings();
+RC_GTEST_PROP(StateCache, ConvergesToTheStoreDuringAFullRead, ()) {
+  config::Settings settings = make_settings();
   Store store;
-  state::StateCache w(s);
+  state::StateCache cache(settings);
   std::vector<state::Change> changes;
   auto key = [](int n) { return state::job_key("run-" + std::to_string(100000 + n)); };
   std::set<int> used;
-  auto step = [&](int what, bool own) {
-    const int n = what % 6;
-    wire::Transaction t;
+  auto step = [&](int action, bool own) {
+    const int n = action % 6;
+    wire::Transaction txn;
     if (store.mod_revision(key(n)))
-      t.ops.push_back({key(n), std::nullopt, 0});
+      txn.ops.push_back({key(n), std::nullopt, 0});
     else if (used.insert(n).second)  // a job's key is set once
-      t.ops.push_back({key(n), wire::encode_record(make_job(n, 2, 1)), 0});
-    if (t.ops.empty()) return;
-    auto rev = store.commit(t);
+      txn.ops.push_back({key(n), wire::encode_record(make_job(n, 2, 1)), 0});
+    if (txn.ops.empty()) return;
+    auto revision = store.commit(txn);
     if (!own) return;
-    for (const auto& op : t.ops) w.apply({op.key, op.value, *rev}, changes);
+    for (const auto& op : txn.ops) cache.apply({op.key, op.value, *revision}, changes);
   };
   using Steps = std::vector<std::pair<int, bool>>;
   auto steps = [] {
     return *rc::gen::container<Steps>(
         rc::gen::pair(rc::gen::inRange(0, 12), rc::gen::arbitrary<bool>()));
   };
-  for (auto [what, own] : steps()) step(what, own);
-  store.read(w, changes);
-  for (auto [what, own] : steps()) step(what, own);
+  for (auto [action, own] : steps()) step(action, own);
+  store.read(cache, changes);
+  for (auto [action, own] : steps()) step(action, own);
   // Three pages, and what happens between them.
   std::vector<wire::Event> items;
   const std::uint64_t first = store.revision;
@@ -102,49 +104,49 @@
     for (int n = 2 * page; n < 2 * page + 2; ++n)
       if (store.mod_revision(key(n)))
         items.push_back({key(n), store.keys[key(n)].value, store.mod_revision(key(n))});
-    for (auto [what, own] : steps()) step(what, own);
+    for (auto [action, own] : steps()) step(action, own);
   }
-  std::set<std::string> gone;
+  std::set<std::string> deleted;
   for (int n : used)
     if (std::string id = "run-" + std::to_string(100000 + n);
-        !w.job(id) && !store.mod_revision(key(n)))
-      gone.insert(id);
-  const bool knew_all = w.revision() >= first;
-  w.replace(first, items, changes);
-  if (knew_all)
-    for (const auto& id : gone) RC_ASSERT(!w.job(id));
-  store.read(w, changes);
+        !cache.job(id) && !store.mod_revision(key(n)))
+      deleted.insert(id);
+  const bool had_read_all = cache.revision() >= first;
+  cache.replace(first, items, changes);
+  if (had_read_all)
+    for (const auto& id : deleted) RC_ASSERT(!cache.job(id));
+  store.read(cache, changes);
   for (int n = 0; n < 6; ++n) {
-    RC_ASSERT(w.mod_revision(key(n)) == store.mod_revision(key(n)));
-    RC_ASSERT((w.job("run-" + std::to_string(100000 + n)) != nullptr) ==
+    RC_ASSERT(cache.mod_revision(key(n)) == store.mod_revision(key(n)));
+    RC_ASSERT((cache.job("run-" + std::to_string(100000 + n)) != nullptr) ==
               (store.mod_revision(key(n)) != 0));
   }
 }
 TEST(StateCache, AJobDeletedDuringAFullReadStaysDeleted) {
-  config::Settings s = make_settings();
-  state::StateCache w(s);
-  std::vector<state::Change> ch;
+  config::Settings settings = make_settings();
+  state::StateCache cache(settings);
+  std::vector<state::Change> changes;
   const std::string key = state::job_key("run-100000"),
                     value = wire::encode_record(make_job(0, 1, 1));
-  w.apply({key, value, 5}, ch);
-  w.advance(6);
-  w.apply({key, std::nullopt, 9}, ch);  // answered while the pages are read
-  w.replace(7, {{key, value, 5}}, ch);
-  EXPECT_EQ(w.job("run-100000"), nullptr);
-  w.apply({key, std::nullopt, 9}, ch);
-  w.advance(9);
-  EXPECT_EQ(w.job("run-100000"), nullptr);
-  EXPECT_EQ(w.mod_revision(key), 0u);
+  cache.apply({key, value, 5}, changes);
+  cache.advance(6);
+  cache.apply({key, std::nullopt, 9}, changes);  // answered while the pages are read
+  cache.replace(7, {{key, value, 5}}, changes);
+  EXPECT_EQ(cache.job("run-100000"), nullptr);
+  cache.apply({key, std::nullopt, 9}, changes);
+  cache.advance(9);
+  EXPECT_EQ(cache.job("run-100000"), nullptr);
+  EXPECT_EQ(cache.mod_revision(key), 0u);
 }
 
 struct Cluster {
   config::Settings base = make_settings(3);
   Store store;
-  void alive(int n, bool yes) {
-    wire::Transaction t;
-    std::string k = state::node_key(base.nodes[n]);
-    t.ops.push_back({k, yes ? std::optional<std::string>("{}") : std::nullopt, 0});
-    store.commit(t);
+  void set_alive(int n, bool is_alive) {
+    wire::Transaction txn;
+    std::string key = state::node_key(base.nodes[n]);
+    txn.ops.push_back({key, is_alive ? std::optional<std::string>("{}") : std::nullopt, 0});
+    store.commit(txn);
   }
 };
 
@@ -152,57 +154,58 @@
 // gives a higher token, and a node acts on a token only while no higher one was granted, as far
 // as it has read.
 RC_GTEST_PROP(LeaderElection, TokensIncreaseAndOneNodeHoldsEach, ()) {
-  Cluster c;
+  Cluster cluster;
   std::vector<config::Settings> settings;
   for (int n = 0; n < 3; ++n) {
-    settings.push_back(c.base);
+    settings.push_back(cluster.base);
     settings.back().self = n;
-    settings.back().node = c.base.nodes[n];
+    settings.back().node = cluster.base.nodes[n];
   }
-  std::vector<state::StateCache> worlds;
-  std::vector<shard::LeaderElection> owners;
+  std::vector<state::StateCache> caches;
+  std::vector<shard::LeaderElection> elections;
   for (int n = 0; n < 3; ++n) {
-    worlds.emplace_back(settings[n]);
-    owners.emplace_back(settings[n]);
+    caches.emplace_back(settings[n]);
+    elections.emplace_back(settings[n]);
   }
   std::map<std::uint64_t, int> granted;  // token -> node
   auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
       120, rc::gen::pair(rc::gen::inRange(0, 3), rc::gen::inRange(0, 10)));
   double now = 0;
-  for (auto [n, what] : steps) {
+  for (auto [n, action] : steps) {
     now += 1.5;
-    std::vector<state::Change> ch;
-    if (what == 0) {
-      c.alive(n, false);
-    } else if (what == 1) {
-      c.alive(n, true);
-      owners[n].registered(c.store.revision);
-    } else if (what < 6) {
-      c.store.read(worlds[n], ch);
+    std::vector<state::Change> changes;
+    if (action == 0) {
+      cluster.set_alive(n, false);
+    } else if (action == 1) {
+      cluster.set_alive(n, true);
+      elections[n].registered(cluster.store.revision);
+    } else if (action < 6) {
+      cluster.store.read(caches[n], changes);
     }
-    owners[n].observe(worlds[n], now);
-    for (int k = 0; k < 3; ++k) {
-      shard::LeadershipMove m = owners[n].decide(worlds[n], k, now, 0);
-      if (m.kind == shard::LeadershipMove::lead) {
-        auto grant = granted.find(m.token);
-        bool mine = grant != granted.end() && grant->second == n;
-        RC_ASSERT(mine);
+    elections[n].observe(caches[n], now);
+    for (int shard_index = 0; shard_index < 3; ++shard_index) {
+      shard::LeadershipMove move = elections[n].decide(caches[n], shard_index, now, 0);
+      if (move.kind == shard::LeadershipMove::lead) {
+        auto grant = granted.find(move.token);
+        bool is_own = grant != granted.end() && grant->second == n;
+        RC_ASSERT(is_own);
       }
-      if (m.kind != shard::LeadershipMove::take && m.kind != shard::LeadershipMove::hand_over)
+      if (move.kind != shard::LeadershipMove::take && move.kind != shard::LeadershipMove::hand_over)
         continue;
-      int to = m.kind == shard::LeadershipMove::take ? n : m.to;
-      wire::Transaction t;
-      t.preconditions = m.preconditions;
-      t.ops.push_back(
-          {state::leader_key(k), wire::encode_record(wire::LeaderRecord{c.base.nodes[to], ""}), 0});
-      bool owner_gone =
-          worlds[n].leader(k).node < 0 || worlds[n].leader(k).node == n ||
-          !c.store.mod_revision(state::node_key(c.base.nodes[worlds[n].leader(k).node]));
-      if (auto rev = c.store.commit(t)) {
-        RC_ASSERT(owner_gone);  // never from a node whose key was there
-        bool rises = granted.empty() || granted.rbegin()->first < *rev;
-        RC_ASSERT(rises);
-        granted[*rev] = to;
+      int to = move.kind == shard::LeadershipMove::take ? n : move.to;
+      wire::Transaction txn;
+      txn.preconditions = move.preconditions;
+      txn.ops.push_back({state::leader_key(shard_index),
+                         wire::encode_record(wire::LeaderRecord{cluster.base.nodes[to], ""}), 0});
+      bool is_leader_absent =
+          caches[n].leader(shard_index).node < 0 || caches[n].leader(shard_index).node == n ||
+          !cluster.store.mod_revision(
+              state::node_key(cluster.base.nodes[caches[n].leader(shard_index).node]));
+      if (auto revision = cluster.store.commit(txn)) {
+        RC_ASSERT(is_leader_absent);  // never from a node whose key was there
+        bool is_increasing = granted.empty() || granted.rbegin()->first < *revision;
+        RC_ASSERT(is_increasing);
+        granted[*revision] = to;
       }
     }
   }
@@ -233,28 +236,30 @@
 
 // A grown day saw a task started twice: the new leader knew of its own commit before it had read
 // the old leader's last placements, which were committed just before.
-TEST(LeaderElection, ATokenIsActedOnOnlyOnceAllBeforeItHasBeenRead) {
-  OneNode n;
-  n.read();
-  n.election.observe(n.cache, 1);
-  EXPECT_EQ(n.election.decide(n.cache, 0, 100, 0).kind, shard::LeadershipMove::take);
-  n.store.commit({{}, {{state::job_key("run-100000"), wire::encode_record(make_job(0, 1, 1)), 0}}});
+TEST(LeaderElection, ATokenIsUsedOnlyAfterAllEarlierCommitsAreRead) {
+  OneNode fixture;
+  fixture.read();
+  fixture.election.observe(fixture.cache, 1);
+  EXPECT_EQ(fixture.election.decide(fixture.cache, 0, 100, 0).kind, shard::LeadershipMove::take);
+  fixture.store.commit(
+      {{}, {{state::job_key("run-100000"), wire::encode_record(make_job(0, 1, 1)), 0}}});
   const wire::Transaction own = OneNode::take_leadership();
-  auto rev = n.store.commit(own);
-  n.cache.apply({own.ops[0].key, own.ops[0].value, *rev}, n.changes);  // answered, not yet read
-  EXPECT_EQ(n.election.decide(n.cache, 0, 101, 0).kind, shard::LeadershipMove::none);
-  n.read();
-  EXPECT_EQ(n.election.decide(n.cache, 0, 101, 0).kind, shard::LeadershipMove::lead);
-  EXPECT_NE(n.cache.job("run-100000"), nullptr);
+  auto revision = fixture.store.commit(own);
+  fixture.cache.apply({own.ops[0].key, own.ops[0].value, *revision},
+                      fixture.changes);  // answered, not yet read
+  EXPECT_EQ(fixture.election.decide(fixture.cache, 0, 101, 0).kind, shard::LeadershipMove::none);
+  fixture.read();
+  EXPECT_EQ(fixture.election.decide(fixture.cache, 0, 101, 0).kind, shard::LeadershipMove::lead);
+  EXPECT_NE(fixture.cache.job("run-100000"), nullptr);
 }
 
 TEST(LeaderElection, ATokenWhoseSchedulerWasClosedIsReclaimed) {
-  OneNode n;
-  n.store.commit(OneNode::take_leadership());
-  n.read();
-  n.election.observe(n.cache, 1);
-  EXPECT_EQ(n.election.decide(n.cache, 0, 1, 0).kind, shard::LeadershipMove::lead);
-  EXPECT_EQ(n.election.decide(n.cache, 0, 1, n.cache.leader(0).mod_revision).kind,
+  OneNode fixture;
+  fixture.store.commit(OneNode::take_leadership());
+  fixture.read();
+  fixture.election.observe(fixture.cache, 1);
+  EXPECT_EQ(fixture.election.decide(fixture.cache, 0, 1, 0).kind, shard::LeadershipMove::lead);
+  EXPECT_EQ(fixture.election.decide(fixture.cache, 0, 1, fixture.cache.leader(0).mod_revision).kind,
             shard::LeadershipMove::take);
 }
 
