--- a/model/schema.pml
+++ b/model/schema.pml
@@ -1,20 +1,20 @@
-/* Leadership, write-ahead placements, schema versions and nodes that come back with an older build
- * (docs/safety.md, "State levels"). One shard, one task, two machines, three nodes, one state
- * service whose commits are atomic and conditional on the revisions of keys.
+/* Model of shard leadership, write-ahead placements, schema versions and nodes that restart with an
+ * older build (docs/safety.md, "State levels"). It has one shard, one task, two machines, three nodes
+ * and one state service, whose commits are atomic and conditional on the revisions of keys.
  *
- * Builds: LEGACY knows no versions: it registers and takes over as it always did, and of a
- * placement it reads only the part that version 0 has. AWARE knows versions and reads version 0
- * only. NEW reads and writes versions 0 and 1.
+ * Builds: LEGACY knows no versions: it registers and takes over without version checks, and reads
+ * only the part of a placement that version 0 has. AWARE knows versions but reads version 0 only.
+ * NEW reads and writes versions 0 and 1.
  *
- * Every property is an assert. Each of these macros removes a safeguard, and is found
- * (model/check.sh, a test each):
+ * Every property is an assert. Each of these macros removes a safeguard; a test for each
+ * (model/check.sh) requires that spin finds the resulting fault:
  *   NO_NODE_PRECONDITION     an upgrade is not conditional on the node keys' revisions
  *   NO_VERSION_PRECONDITION  a registration is not conditional on the version record's revision
- *   NO_FENCE                 a build serves whatever version is active
+ *   NO_FENCE                 a build serves without checking that it can read the active version
  *   HIDDEN_FORM              version 1 keeps placements where version 0 does not read them
  *   NO_LEADER_PRECONDITION   a placement is committed without the leader key's revision
  *   NO_WRITE_AHEAD           a start is sent before its placement is committed
- *   EARLY_RELEASE            a placement is given up before its machine has shown the leader's token
+ *   EARLY_RELEASE            a placement is released before its machine has reported the leader's token
  */
 #define N 3
 #define NOBODY 3
@@ -24,23 +24,23 @@
 #define READS_V1(b) ((b) == NEW)
 
 /* ---- the state service */
-byte version = 0;       /* the active one; also its record's revision, since it only increases */
-byte key[N];          /* node keys: 0, or the revision */
+byte version = 0;       /* the active version; also its record's revision, since it only increases */
+byte key[N];          /* revisions of the node keys; 0: the node is not registered */
 byte key_build[N];
-byte revisions = 0;      /* of node keys: each registration has a new one */
+byte revisions = 0;      /* the last revision of a node key; each registration gets a new one */
 byte leader = NOBODY;
 byte token = 0;       /* the leader key's revision */
-bool placed[2];       /* a placement on the machine, as version 0 keeps it */
-bool placed_v1[2];      /* the same, where only version 1 reads it (HIDDEN_FORM) */
+bool placed[2];       /* by machine: a placement is stored in the format of version 0 */
+bool placed_v1[2];      /* by machine: a placement is stored where only version 1 reads it (HIDDEN_FORM) */
 
-/* An upgrade that was sent and may be applied at any later time. */
+/* A commit of an upgrade that was sent and may be applied at any later time. */
 bool upgrade_in_flight = false;
 byte upgrade_key[N];
 
-/* ---- machines: the highest token seen, whether the task runs there */
+/* ---- machines: the highest token seen, and whether the task runs on the machine */
 byte seen[2];
 bool runs[2];
-byte start_out[2];    /* starts that are on their way, a bit for each token */
+byte start_out[2];    /* start commands in flight, one bit for each token */
 
 /* ---- nodes */
 byte build[N];
@@ -52,7 +52,8 @@
 }
 
 inline check_one() {
-  /* ran_twice: "a task enters the chain only when no recorded placement of it is left". */
+  /* A task must not run on two machines: "a task enters the chain only when no recorded placement of
+   * it is left" (fault ran_twice). */
   assert(!(runs[0] && runs[1]));
 }
 
@@ -61,7 +62,7 @@
 }
 
 inline upgrade_now() {
-  /* "It is raised only when every node is registered and can do it." */
+  /* "It is raised only when every node is registered and can do it.": all builds read version 1. */
   byte r;
   r = 0;
   do
@@ -72,7 +73,7 @@
   r = 0;
 }
 
-/* The delayed upgrade arrives: applied if its preconditions hold. */
+/* Messages in flight: a delayed upgrade, applied if its preconditions hold, and start commands. */
 active proctype Network() {
   byte m, t;
 end:
@@ -89,8 +90,8 @@
        :: else -> skip
        fi;
        forget_upgrade() }
-  :: atomic { upgrade_in_flight -> upgrade_in_flight = false; forget_upgrade() }   /* lost */
-  :: atomic { start_out[0] != 0 || start_out[1] != 0 ->   /* a start arrives: late, perhaps */
+  :: atomic { upgrade_in_flight -> upgrade_in_flight = false; forget_upgrade() }   /* the commit is lost */
+  :: atomic { start_out[0] != 0 || start_out[1] != 0 ->   /* a start command arrives, perhaps late */
        if
        :: start_out[0] != 0 -> m = 0
        :: start_out[1] != 0 -> m = 1
@@ -106,20 +107,20 @@
        :: else -> skip
        fi;
        m = 0; t = 0 }
-  :: atomic { losses < 1 && runs[0] -> runs[0] = false; losses++ }   /* its incarnation ends */
+  :: atomic { losses < 1 && runs[0] -> runs[0] = false; losses++ }   /* the machine's incarnation ends, and its task with it */
   od
 }
 
 proctype Node(byte me) {
-  byte knows = 0;       /* the version, as last read */
-  byte mine = 0;        /* the token under which this process leads; 0: it does not */
-  bool has[2];          /* placements, as its scheduler knows them */
-  bool started[2];         /* a start of its own is on its way or was carried out */
+  byte knows = 0;       /* the active version that the node last read */
+  byte mine = 0;        /* the token under which this process leads the shard; 0: it does not lead */
+  bool has[2];          /* by machine: a placement that its scheduler knows */
+  bool started[2];         /* by machine: this process has sent a start command */
   byte m;
 
 end:
   do
-  /* It ends. Its key stays until its lease ends, and it comes back with any build. */
+  /* The process ends and restarts with any build. Its key may exist until its lease ends. */
   :: atomic { restarts < 2 ->
        restarts++;
        drop(); knows = 0;
@@ -132,18 +133,18 @@
        :: key[me] = 0; key_build[me] = 0
        :: skip
        fi }
-  /* Its lease ends while it goes on: it is cut off, or stood still. */
+  /* The lease ends while the process continues: it was cut off or suspended. */
   :: atomic { restarts < 2 && key[me] != 0 -> restarts++; key[me] = 0; key_build[me] = 0 }
-  /* It reads. */
+  /* The node reads the active version. */
   :: atomic { knows != version -> knows = version;
 #ifndef NO_FENCE
        if
-       :: build[me] == AWARE && knows == 1 -> drop()   /* serves nothing any more */
+       :: build[me] == AWARE && knows == 1 -> drop()   /* stops serving */
        :: else -> skip
        fi
 #endif
      }
-  /* It registers. */
+  /* The node registers. */
   :: atomic { key[me] == 0 && revisions < 5 &&
 #ifdef NO_FENCE
        true ->
@@ -157,36 +158,36 @@
        :: build[me] == LEGACY || knows == version ->
 #endif
             revisions++; key[me] = revisions; key_build[me] = build[me];
-            /* "a build is registered only beside state that it can read"; LEGACY cannot be kept
-             * out, so that no form may change that it relies on */
+            /* "a build is registered only beside state that it can read". LEGACY cannot be prevented
+             * from registering, so no format that it relies on may change. */
             assert(build[me] != AWARE || version == 0)
        :: else -> skip
        fi }
-  /* It upgrades: now, or by a commit that is delayed. */
+  /* The node sends an upgrade, whose commit may be delayed. */
   :: atomic { build[me] == NEW && knows == 0 && version == 0 && !upgrade_in_flight &&
               key[0] != 0 && READS_V1(key_build[0]) && key[1] != 0 && READS_V1(key_build[1]) &&
               key[2] != 0 && READS_V1(key_build[2]) ->
        upgrade_in_flight = true;
        upgrade_key[0] = key[0]; upgrade_key[1] = key[1]; upgrade_key[2] = key[2] }
-  /* It takes over a shard of nobody, or of one that is gone, or its own from before. */
+  /* The node takes a shard without a leader, of an absent leader, or of its own earlier process. */
   :: atomic { mine == 0 && key[me] != 0 && token < 3 &&
 #ifndef NO_FENCE
               (build[me] != AWARE || (knows == 0 && version == 0)) &&
 #endif
               (leader == NOBODY || leader == me || key[leader] == 0) ->
        token++; leader = me; mine = token;
-       /* It has read everything up to its own commit. */
+       /* The node has read all commits before its own. */
        has[0] = placed[0]; has[1] = placed[1];
        if
        :: READS_V1(build[me]) -> has[0] = has[0] || placed_v1[0]; has[1] = has[1] || placed_v1[1]
        :: else -> skip
        fi;
        assert(build[me] != AWARE || version == 0) }
-  /* It places the task: committed first, and sent afterwards. */
+  /* The leader places the task: the placement is committed before the start command is sent. */
   :: atomic { mine != 0 && !has[0] && !has[1] ->
        if
        :: m = 0
-       /* The machines are alike: the second one is not the first to be used. */
+       /* Reduces the state space: the machines are identical, so machine 0 is used first. */
        :: seen[0] != 0 || start_out[0] != 0 || placed[0] || placed_v1[0] -> m = 1
        fi;
 #ifdef NO_WRITE_AHEAD
@@ -205,7 +206,7 @@
 #endif
             :: else -> placed[m] = true
             fi
-       :: else -> drop()   /* replaced */
+       :: else -> drop()   /* another node leads the shard */
        fi
 #endif
        ;
@@ -214,7 +215,8 @@
        start_out[0] = start_out[0] | (1 << mine); started[0] = true }
   :: atomic { mine != 0 && has[1] && !started[1] ->
        start_out[1] = start_out[1] | (1 << mine); started[1] = true }
-  /* A heartbeat: the machine shows its token and what is there. What is proven gone is released. */
+  /* A heartbeat: the machine reports its token and whether the task runs. The leader releases a
+   * placement whose attempt is proven to have ended. */
   :: atomic { mine != 0 && (has[0] || has[1]) ->
        if
        :: has[0] -> m = 0
@@ -224,7 +226,7 @@
        :: mine >= seen[m] ->
 #ifndef EARLY_RELEASE
             seen[m] = mine;
-            /* A start under this token that is on its way proves nothing yet. */
+            /* While a start command of this token is in flight, the absence of the task proves nothing. */
             if
             :: !runs[m] && !(start_out[m] & (1 << mine)) ->
 #else
@@ -246,7 +248,7 @@
 
 init {
   atomic {
-    /* In the middle of a rollout: all are registered, one still has the build from before. */
+    /* The middle of a rollout: all nodes are registered, and one still has the old build. */
     build[0] = LEGACY; build[1] = NEW; build[2] = NEW;
     key[0] = 1; key[1] = 2; key[2] = 3; revisions = 3;
     key_build[0] = LEGACY; key_build[1] = NEW; key_build[2] = NEW;
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -1,4 +1,4 @@
-// Jobs that await others, against a model that is worked out anew each time by walking everything.
+// Job dependencies, compared with a brute-force model that walks all jobs for each question.
 #include "jobs/dependency_graph.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 using jobs::DependencyGraph;
 
-// One node's view of a store in which jobs come, end and are cancelled.
+// One node's cache and graph over a store in which jobs are submitted, done and cancelled.
 struct GraphFixture {
   config::Settings settings = make_settings(1);
   Store store;
@@ -30,7 +30,7 @@
     if (it == store.keys.end()) return std::nullopt;
     return wire::decode_job_result(it->second.value);
   }
-  // As a final record is read: at some later time, from what is there then.
+  // Passes a job's result to the graph, as a read at some later time would.
   void read_result(const std::string& job) {
     if (auto result = result_of(job)) graph.job_ended(job, result->cancelled);
   }
@@ -75,7 +75,7 @@
     read();
     return is_committed;
   }
-  // The model.
+  // The brute-force model.
   bool doomed(const std::string& job) const {
     if (auto result = result_of(job)) return result->cancelled;
     for (const auto& dependency : jobs.at(job).spec.dependencies)
@@ -120,7 +120,8 @@
       std::vector<int> unfinished;
       bool cancelled = false;
       for (int n : dependencies) {
-        // The door: what is done need not be awaited, below what is cancelled nothing waits.
+        // As on submission: done dependencies are dropped, and a job with a cancelled one is
+        // rejected.
         auto result = fixture.result_of(GraphFixture::id(n));
         cancelled |= result && result->cancelled;
         if (!result) unfinished.push_back(n);
@@ -130,7 +131,7 @@
                      a % 3 ? std::nullopt : std::optional<double>(100 + a));
     } else if (operation < 7 && next) {
       const std::string job = GraphFixture::id(a % next);
-      // Only what may run can be done; anything that is not over can be cancelled.
+      // Only jobs that may run can be done; any unfinished job can be cancelled.
       if (fixture.store.mod_revision(state::job_key(job)))
         fixture.end(job, operation == 4);
       else if (operation == 4)
@@ -141,7 +142,7 @@
       fixture.apply_transitions(operation == 8);
     }
     if (b % 3) fixture.read();
-    // What may be moved is proven, whatever has not been read yet.
+    // Ready and doomed jobs are proven to be so, even if some results have not been read yet.
     for (const auto& job : fixture.graph.ready())
       RC_ASSERT(fixture.all_done(job) || !fixture.cache.waiting(job));
     for (const auto& job : fixture.graph.doomed()) RC_ASSERT(fixture.doomed(job));
@@ -160,14 +161,14 @@
       if (!fixture.doomed(job))
         RC_ASSERT(fixture.graph.effective_priority(job, entry.record) ==
                   fixture.expected_priority(job));
-  // In the end all that waits is moved, and nothing is remembered that nothing needs.
+  // All transitions are committed in the end, and the graph keeps no nodes that nothing needs.
   while (fixture.apply_transitions(true) || fixture.apply_transitions(false))
     fixture.read_all_results();
   for (const auto& [job, entry] : fixture.cache.waiting())
     RC_ASSERT(!fixture.doomed(job) && !fixture.all_done(job));
 }
 
-// A key that is gone proves nothing: the job may have been cancelled.
+// A deleted key alone proves nothing: the job may have been cancelled.
 TEST(DependencyGraph, OnlyAResultRecordProvesThatAJobIsDone) {
   GraphFixture fixture;
   fixture.submit(0, {});
@@ -184,8 +185,8 @@
   EXPECT_TRUE(fixture.graph.ready().contains(GraphFixture::id(1)));
 }
 
-// A copy of a move that comes late, after the job was moved by another node and is over, or was
-// withdrawn, changes nothing: each of its preconditions is enough for that.
+// A delayed copy of a transition, applied after another node moved the job and the job ended, or
+// after the job was cancelled, must change nothing. Two preconditions fail in each case.
 TEST(DependencyGraph, ALateTransitionIsRejectedByEachOfItsPreconditions) {
   for (bool is_cancelled : {true, false}) {
     GraphFixture fixture;
@@ -204,12 +205,12 @@
     std::size_t failing = 0;
     for (const auto& precondition : transitions.txn.preconditions)
       failing += fixture.store.mod_revision(precondition.first) != precondition.second;
-    EXPECT_EQ(failing, 2u);  // the waiting key, and the final record
+    EXPECT_EQ(failing, 2u);  // the waiting key, and the result
     EXPECT_FALSE(fixture.store.commit(transitions.txn));
   }
 }
 
-// Deep and wide at once, without recursion, and in transactions of four changes.
+// The graph is both deep and wide: updates must not recurse, and transactions hold four operations.
 TEST(DependencyGraph, CancellingARootCancelsThousandsOfDependents) {
   GraphFixture fixture;
   fixture.submit(0, {});
@@ -234,7 +235,8 @@
   EXPECT_FALSE(fixture.graph.contains(GraphFixture::id(0)));
 }
 
-// The deadline of the last job leaves room for the path to it, and goes when that job goes.
+// A dependent's deadline, less the run times on the path, applies to its dependencies until the
+// dependent is cancelled.
 TEST(DependencyGraph, EffectivePriorityFollowsDependents) {
   GraphFixture fixture;
   fixture.submit(0, {});
@@ -245,7 +247,7 @@
                                             fixture.jobs.at(GraphFixture::id(n)));
   };
   EXPECT_EQ(effective(0).priority, wire::Priority::idle);
-  fixture.submit(2, {1}, wire::Priority::high, 300);  // the last one, late
+  fixture.submit(2, {1}, wire::Priority::high, 300);  // submitted last, with the highest priority
   fixture.read();
   EXPECT_EQ(effective(0).priority, wire::Priority::high);
   EXPECT_EQ(effective(1).due, 290);
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,6 +1,6 @@
-// Workers that do not reach their owner while a sibling does: what is concluded from who comes
-// back, what is said between controllers, and a fleet whose links are cut and mended at generated
-// moments.
+// Heartbeats of workers that cannot reach their shard's leader but can reach another node: which
+// routes are opened and closed, the relayed message, and a cluster whose links are cut and restored
+// at random times.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -19,7 +19,7 @@
 using relay::Decision;
 using relay::RelayRoutes;
 
-// Every report that is really sent is newer than the one before.
+// Returns the order of a new heartbeat, which is newer than every earlier one.
 RelayRoutes::Order order() {
   static std::uint64_t seq = 0;
   return {1, ++seq};
@@ -33,7 +33,7 @@
   EXPECT_EQ(routes.decide("m-3", order(), 0, 2, 16), Decision::relay);
   EXPECT_EQ(routes.decide("m-4", order(), 1, 2, 16), Decision::redirect);
   EXPECT_EQ(routes.decide("m-5", order(), 0, 1, 16), Decision::redirect);
-  // Back after long: it has been there in between.
+  // m-4 returns long after its redirect, so it has reached the leader in between.
   EXPECT_EQ(routes.decide("m-4", order(), 1, 2, 40), Decision::redirect);
 }
 
@@ -41,13 +41,14 @@
   RelayRoutes routes;
   routes.decide("m-1", order(), 0, 2, 10);
   routes.decide("m-1", order(), 0, 2, 15);
-  EXPECT_EQ(routes.decide("m-2", order(), 0, 2, 18.5), Decision::redirect);  // on trial
+  EXPECT_EQ(routes.decide("m-2", order(), 0, 2, 18.5), Decision::redirect);  // probe
   EXPECT_EQ(routes.decide("m-3", order(), 0, 2, 19), Decision::relay);
-  EXPECT_EQ(routes.decide("m-2", order(), 0, 2, 23), Decision::relay);  // back: still cut
+  EXPECT_EQ(routes.decide("m-2", order(), 0, 2, 23),
+            Decision::relay);  // returned: the link is still cut
   EXPECT_EQ(routes.decide("m-3", order(), 0, 2, 24), Decision::relay);
-  EXPECT_EQ(routes.decide("m-3", order(), 0, 2, 30), Decision::redirect);  // on trial
+  EXPECT_EQ(routes.decide("m-3", order(), 0, 2, 30), Decision::redirect);  // probe
   EXPECT_EQ(routes.decide("m-1", order(), 0, 2, 36), Decision::relay);
-  EXPECT_EQ(routes.decide("m-1", order(), 0, 2, 38), Decision::redirect);  // m-3 stayed there
+  EXPECT_EQ(routes.decide("m-1", order(), 0, 2, 38), Decision::redirect);  // m-3 did not return
   EXPECT_TRUE(routes.routes().empty());
 }
 
@@ -57,7 +58,7 @@
   EXPECT_EQ(routes.decide("m-1", order(), 0, 2, 15), Decision::relay);
   routes.record_response(2, false, 17.5);
   EXPECT_EQ(routes.decide("m-2", order(), 0, 2, 18), Decision::refuse);
-  EXPECT_EQ(routes.decide("m-2", order(), 0, 2, 19.6), Decision::redirect);  // a trial is due
+  EXPECT_EQ(routes.decide("m-2", order(), 0, 2, 19.6), Decision::redirect);  // a probe is due
   EXPECT_EQ(routes.decide("m-1", order(), 0, 2, 19.7), Decision::relay);
   routes.record_response(2, true, 19.8);
   EXPECT_EQ(routes.decide("m-1", order(), 0, 2, 19.9), Decision::relay);
@@ -67,8 +68,8 @@
     EXPECT_EQ(routes.decide("m-1", order(), 0, 2, at), Decision::redirect);
 }
 
-// Copies of reports come late: one that had been sent away before looked like a worker that had
-// come back, and every report of its zone took a hop.
+// Copies of heartbeats can be delayed. A delayed copy of a redirected heartbeat was taken for a
+// worker that had returned, and all heartbeats of its zone were then relayed needlessly.
 TEST(RelayRoutes, ADelayedCopyOpensNoRouteAndEndsNoProbe) {
   RelayRoutes routes;
   EXPECT_EQ(routes.decide("m-1", {1, 7}, 0, 2, 10), Decision::redirect);
@@ -76,12 +77,12 @@
   EXPECT_EQ(routes.decide("m-1", {1, 5}, 0, 2, 13), Decision::redirect);
   EXPECT_TRUE(routes.routes().empty());
   EXPECT_EQ(routes.decide("m-1", {1, 8}, 0, 2, 14), Decision::relay);
-  EXPECT_EQ(routes.decide("m-2", {4, 1}, 0, 2, 18.5), Decision::redirect);  // on trial
+  EXPECT_EQ(routes.decide("m-2", {4, 1}, 0, 2, 18.5), Decision::redirect);  // probe
   EXPECT_EQ(routes.decide("m-2", {3, 9}, 0, 2, 19),
             Decision::relay);  // a copy of an earlier incarnation
   EXPECT_EQ(routes.routes().begin()->second.probed_machine, "m-2");
   EXPECT_EQ(routes.decide("m-2", {5, 1}, 0, 2, 20),
-            Decision::relay);  // itself, in a new incarnation
+            Decision::relay);  // the probed worker, in a new incarnation
   EXPECT_EQ(routes.routes().begin()->second.probed_machine, "");
 }
 
@@ -95,15 +96,16 @@
   EXPECT_EQ(routes.redirected_count(), 1u);
 }
 
-// Three nodes, workers of two zones with leases; the owner is reached by no worker, by one zone's
-// only, or by all, in generated spells; nodes between themselves always. As PROTOCOL has workers:
-// 4 s for an answer, 1 s before the next node, a redirect at once.
+// Three nodes and workers of two zones with leases. In random periods, the leader is reached by no
+// worker, by one zone's workers only, or by all; nodes always reach one another. Workers follow
+// PROTOCOL: they wait 4 s for a response and 1 s before the next node, and follow a redirect at
+// once.
 class CutLinkSimulation {
  public:
   explicit CutLinkSimulation(unsigned seed, bool relays) : rng_(seed), relays_(relays) {
     for (int i = 0; i < 60; ++i) workers_.push_back({i % 2, 0, draw(5), 0});
   }
-  // Spells of so many seconds each, cut and whole in turns.
+  // Runs `spells` periods in which the links are cut and restored in turn.
   void run(double cut_duration_s, double connected_duration_s, int spells) {
     for (int i = 0; i < spells; ++i) {
       const bool cut = i % 2 == 0;
@@ -119,7 +121,7 @@
  private:
   struct Worker {
     int zone;
-    int at;  // the node that it reports to
+    int at;  // the node that it sends heartbeats to
     double next;
     double answered;
     bool redirected = false;
@@ -165,8 +167,8 @@
   bool always_returned_ = true;
 };
 
-// Two controllers in turn lost the workers for a minute: 304 to 1,636 tasks were killed by their
-// lease in a day.
+// When two controllers in turn lost their links to the workers for a minute each, 304 to 1,636
+// tasks a day were killed because their leases expired.
 TEST(RelayRoutes, NoLeaseExpiresWhileAnyNodeIsReachedAndWorkersReturnToTheLeader) {
   int expired_without_relay = 0;
   for (unsigned seed = 1; seed <= 20; ++seed) {
@@ -181,8 +183,8 @@
   EXPECT_GT(expired_without_relay, 1000);
 }
 
-// Whatever comes in whatever order: nothing is passed on before a worker has come back, and what is
-// remembered stays in proportion to what came lately.
+// For any sequence of heartbeats: nothing is relayed before a worker has returned, and the tables
+// are bounded by the number of recent machines and routes.
 RC_GTEST_PROP(RelayRoutes, KeepTheirInvariantsUnderAnyInput, ()) {
   auto steps = *rc::gen::container<std::vector<std::tuple<int, int, int, int>>>(
       200, rc::gen::tuple(rc::gen::inRange(0, 12), rc::gen::inRange(-1, 2), rc::gen::inRange(0, 3),
@@ -221,7 +223,7 @@
   std::string other = bytes;
   other[1] = 2;
   EXPECT_FALSE(peer::decode_relayed(other, 3));
-  // A heartbeat is no report, and a report no heartbeat.
+  // A relayed heartbeat does not decode as a peer heartbeat.
   EXPECT_FALSE(peer::decode(bytes, 3));
 }
 RC_GTEST_PROP(RelayedHeartbeat, MalformedBodiesAreRejected,
@@ -232,7 +234,7 @@
   RC_ASSERT(round_trip && round_trip->heartbeat == heartbeat);
 }
 
-// A worker, a node that passes its reports on, and the owner, over sockets on loopback.
+// A worker, a node that relays its heartbeats, and the leader, over loopback sockets.
 struct RelayFixture {
   actor::Loop loop;
   const std::uint16_t follower_port = free_port(), leader_port = free_port();
@@ -262,7 +264,8 @@
         loop, config::Endpoint{"127.0.0.1", leader_port}, 65 * 1024,
         [this](net::ExchangePtr exchange) {
           EXPECT_EQ(exchange->path, "/peer/report");
-          if (leader_status == 0) return held_exchanges.push_back(exchange);  // stands still
+          if (leader_status == 0)
+            return held_exchanges.push_back(exchange);  // the leader is frozen
           if (leader_status != 200) return exchange->send({leader_status, "{}", 0});
           relay->handle_relayed(exchange, [this](net::ExchangePtr report) {
             relayed_bodies.push_back(report->body);
@@ -272,7 +275,7 @@
     worker =
         std::make_unique<net::Client>(loop, config::Endpoint{"127.0.0.1", follower_port}, 1, 4);
   }
-  ~RelayFixture() { held_exchanges.clear(); }  // while their server is there
+  ~RelayFixture() { held_exchanges.clear(); }  // before their server is destroyed
   net::Result send_heartbeat(const std::string& body) {
     std::optional<net::Result> response;
     worker->request("POST", "/agent/beat", body, 4,
@@ -293,7 +296,7 @@
   EXPECT_EQ(second.body, R"({"staff":5,"orders":[]})");
   ASSERT_EQ(fixture.relayed_bodies.size(), 1u);
   EXPECT_EQ(fixture.relayed_bodies[0].size(), 64 * 1024 - 1);
-  // It is not the owner by now, and says who is.
+  // The node is no longer the leader, and its response names the new one.
   fixture.leader_status = 421;
   EXPECT_EQ(fixture.send_heartbeat("three").status, 421);
   EXPECT_NE(fixture.relay->describe().find(R"("passed":2,)"), std::string::npos);
@@ -312,16 +315,16 @@
   fixture.send_heartbeat("one");
   EXPECT_EQ(fixture.send_heartbeat("two").status, 503);
   EXPECT_EQ(fixture.held_exchanges.size(), 1u);
-  EXPECT_EQ(fixture.send_heartbeat("three").status, 503);  // at once: it is not asked again so soon
+  EXPECT_EQ(fixture.send_heartbeat("three").status, 503);  // without asking the leader again
   EXPECT_EQ(fixture.held_exchanges.size(), 1u);
 }
-// With room for 48, the others of a whole zone that was cut off were refused, and the sibling taken
-// for one that does not answer.
+// With a limit of 48 heartbeats in flight, the rest of a zone that was cut off were rejected, and
+// the leader was taken for unresponsive.
 TEST(Relay, HeartbeatsOfAWholeZoneAreRelayedConcurrently) {
   constexpr std::size_t kReports = 120;
   RelayFixture fixture;
   EXPECT_EQ(fixture.send_heartbeat("one").status, 421);
-  fixture.leader_status = 0;  // holds them, as for a commit
+  fixture.leader_status = 0;  // holds the responses, as it does for a commit
   net::Client zone_client(fixture.loop, config::Endpoint{"127.0.0.1", fixture.follower_port},
                           kReports, 0);
   std::size_t answered = 0, accepted = 0;
--- a/tests/schema_test.cpp
+++ b/tests/schema_test.cpp
@@ -1,5 +1,5 @@
-// State levels: the records, what holds a level back, and generated rollouts in which builds of
-// several levels run side by side, die, come back older, and commit late.
+// Schema versions: the stored records, what prevents a raise, and random rollouts in which builds
+// of several versions run side by side, die, return with an older build, and commit late.
 #include "schema/schema.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
 
 wire::Event event(const std::string& value) { return {"", value, 0}; }
 
-// ---- stored forms, at every level
+// ---- stored formats, at every version
 
 const std::string kRecord = R"({"highest":1,"level":1,"lowest":0,"w":"railhead-0.9.l1"})";
 const std::string kOrders = R"({"gone":["railhead-2"],"most":1,"w":"railhead-0.9.l2"})";
@@ -48,13 +48,14 @@
   }
 }
 
-// Builds of level 0 that come back read past what is new, and drop it when they write.
+// Builds of version 0 that return during a rollout ignore the new field, and drop it when they
+// write.
 TEST(Schema, ABuildOfVersion0ReadsANewPageAsItsOwnFormat) {
   std::string as_read_by_version_0 = kInventoryPageOf1;
   const std::string added_field = R"("t":[1733000000,[35,null,0]],)";
   as_read_by_version_0.erase(as_read_by_version_0.find(added_field), added_field.size());
   EXPECT_EQ(as_read_by_version_0, kInventoryPageOf0);
-  // It registers without a word about levels; of node keys it reads only that they are there.
+  // Such a build registers without versions; it reads only whether node keys exist.
   EXPECT_EQ(schema::decode_member(event(R"({"boot":9})")), Build{});
   EXPECT_EQ(schema::decode_member(event(R"({"boot":9,"levels":[1]})")), Build{});
   EXPECT_EQ(schema::decode_member(event(R"({"boot":9,"levels":[2,1,1]})")), Build{});
@@ -92,7 +93,7 @@
   EXPECT_EQ(schema::serving_refusal(view, {0, 1, 1}), "");
 }
 
-// ---- what holds a level back
+// ---- what prevents a raise
 
 struct ThreeNodes {
   std::vector<std::string> names = {"a", "b", "c"};
@@ -127,12 +128,12 @@
   EXPECT_EQ(nodes.blockers(), "b is not registered; ");
   EXPECT_EQ(nodes.status().step.kind, Step::none);
   EXPECT_TRUE(nodes.status().step.preconditions.empty());
-  // Declared gone, it is not waited for; should it come back in between, the guard fails.
+  // An excluded node is not waited for; if it registers in between, the precondition fails.
   nodes.view.orders.excluded_nodes = {"b"};
   step = nodes.status().step;
   ASSERT_EQ(step.kind, Step::raise);
   EXPECT_EQ(step.preconditions[1], (std::pair<std::string, std::uint64_t>{"st/n/b", 0}));
-  // Declared gone but there, with a build that cannot: it counts.
+  // A node that is excluded but alive, with a build that lacks the version, still counts.
   nodes.view.members[1] = {15, {}};
   EXPECT_EQ(nodes.blockers(), "b cannot read level 1; ");
   nodes.view.members[1].build = {0, 1, 1};
@@ -159,12 +160,12 @@
   step = nodes.status(true, {0, 2, 2}).step;
   ASSERT_EQ(step.kind, Step::lower);
   EXPECT_EQ(step.record, (VersionRecord{0, 0, 1, ""}));
-  // A node that has dropped the older form could not go on.
+  // A node whose build no longer reads the older format prevents the lowering.
   nodes.view.members[2].build = {1, 2, 2};
   auto status = nodes.status(true, {0, 2, 2});
   EXPECT_EQ(status.step.kind, Step::none);
   EXPECT_EQ(status.blocked_by.at(0), (schema::Blocker{"c", "cannot read level 0"}));
-  // A level that this build does not know cannot be lowered by it.
+  // A build cannot lower a version that it does not know.
   nodes.view.record = {3, 3, 3, "x"};
   EXPECT_EQ(nodes.status(true, {0, 3, 3}).blocked_by.at(0).by, "orders");
 }
@@ -202,8 +203,8 @@
 
 // ---- conversion
 
-// Limits that have fallen since a page was written: it is parted on its way to the new form, and at
-// no moment is a machine unrecorded or recorded twice. And the way back.
+// The size limits have fallen since the page was written, so the conversion splits it. Every
+// machine is recorded exactly once at all times. The page is also converted back.
 TEST(Schema, ConversionSplitsOverlongPagesAndIsReversible) {
   config::Settings settings = make_settings();
   Store store;
@@ -228,7 +229,7 @@
       page.fill_rental_times([](const std::string&) { return 1733000500.0; });
       wire::Transaction txn = page.changes(900, "t");
       ASSERT_TRUE(store.commit(txn));
-      // The same once more, or late: its preconditions let it be applied once.
+      // A repeated or late copy fails by its preconditions.
       EXPECT_FALSE(store.commit(txn));
       store.read(cache, changes);
       EXPECT_EQ(cache.machines().size(), fleet.size());
@@ -243,15 +244,15 @@
   level({1, 0, 1, "t"});
   EXPECT_FALSE(cache.all_converted());
   convert();
-  // Pages that builds of level 0 had written did not tell.
+  // Pages written by builds of version 0 had no rental times.
   EXPECT_EQ(cache.machine("m-320007")->rented_at, 1733000500);
   level({0, 0, 1, "t"});
   convert();
   EXPECT_EQ(cache.machine("m-320007")->rented_at, 0);
 }
 
-// A watch that is too old has everything read anew: the level and the orders as they are then, what
-// was there before and is not any more included.
+// If a watch is too old, all keys are read again: the cache then holds the version and the orders
+// as stored, and drops those that were deleted in the meantime.
 TEST(Schema, AFullReadReplacesTheKnownVersionAndOrders) {
   config::Settings settings = make_settings();
   state::StateCache cache(settings);
@@ -277,8 +278,8 @@
 constexpr int kNodes = 3;
 const Build kBuilds[] = {{0, 0, 0}, {0, 1, 1}, {0, 2, 1}, {0, 2, 2}, {1, 2, 2}};
 
-// Processes of several builds over one state service. A process is made anew at each start, reads
-// when it pleases, and decides by what it has read; what it commits may be applied late or never.
+// Processes of several builds over one state service. Each start creates a new process. It reads at
+// random times and decides by what it has read; its commits may be applied late or never.
 class Rollout {
  public:
   Rollout() : s_(make_settings(kNodes)), nodes_(kNodes) {
@@ -288,17 +289,17 @@
     }
   }
 
-  // One thing happens: to which node, what, and how it goes.
+  // Applies one random action to one random node.
   void act(std::mt19937& rng) {
     const int n = static_cast<int>(rng() % kNodes), draw = static_cast<int>(rng() % 1000);
     Node& me = nodes_[static_cast<std::size_t>(n)];
     const unsigned action = rng() % 100;
     if (action < 6) {
-      me.up = false;  // its key goes when its hold does
+      me.up = false;  // its key is deleted when its lease ends
     } else if (action < 10) {
       if (!me.up) store_.commit({{}, {{state::node_key(s_.nodes[n]), std::nullopt, 0}}});
     } else if (action < 22) {
-      // Comes back with any build, an older one too, and reads what is there then.
+      // Starts again with any build, older ones included, and reads the current state.
       if (!me.up) start(n, draw % 5, draw % 10 == 0);
     } else if (action < 40) {
       read(me);
@@ -317,7 +318,8 @@
     }
   }
   int raises() const { return raises_; }
-  // What is still on its way comes, and every node has the newest build: the level gets there.
+  // Delivers all delayed commits and gives every node the newest build: the newest version must
+  // become active.
   void finish() {
     while (!delayed_.empty()) deliver(0);
     legacy_wrote_ = false;
@@ -341,7 +343,7 @@
   struct Node {
     std::unique_ptr<state::StateCache> cache;
     Build build;
-    bool legacy = true;  // knows no levels: it registers and writes unguarded by them
+    bool legacy = true;  // knows no versions: it registers and writes without version preconditions
     bool up = false;
   };
 
@@ -364,7 +366,7 @@
     return me.up && (me.legacy || schema::serving_refusal(me.cache->schema(), me.build).empty());
   }
 
-  // Applied now, lost, or applied late.
+  // The commit is applied now, lost, or delayed.
   void commit(const wire::Transaction& txn, const Node& by, int draw) {
     if (draw % 4 == 0) return;
     if (draw % 4 == 3)
@@ -390,8 +392,8 @@
     if (!store_.commit(commit_sent.txn)) return;
     const VersionRecord after = record();
     for (const auto& op : commit_sent.txn.ops) {
-      // Nobody who knows of levels writes beside state that its build cannot read, or in another
-      // form than the active level's.
+      // A build that knows versions never writes beside state that it cannot read, or in another
+      // format than the active version's.
       if (!commit_sent.legacy) RC_ASSERT(commit_sent.build.reads(before.lowest, before.highest));
       if (!op.value) continue;
       if (op.key.starts_with("st/m/")) {
@@ -405,8 +407,8 @@
     if (after.settled() && !before.settled()) check_pages();
     if (after.active != before.active) legacy_wrote_ = false;
   }
-  // At the moment of the raise every node had it: registered, with a build that can, or declared
-  // gone and not there.
+  // At the time of a raise, every node was registered with a build that supports the version, or
+  // was excluded and absent.
   void check_raise(const VersionRecord& to, const std::map<std::string, Store::Entry>& keys) {
     ++raises_;
     auto orders_entry = keys.find(schema::kOrdersKey);
@@ -425,7 +427,7 @@
       RC_ASSERT(build.writes >= to.active);
     }
   }
-  // Nothing stands in an older form, but for what a build that knows no levels has written since.
+  // All pages have the active version's format, unless a build without versions has written since.
   void check_pages() const {
     if (legacy_wrote_) return;
     for (const auto& [key, entry] : store_.keys)
--- a/tests/shard_test.cpp
+++ b/tests/shard_test.cpp
@@ -1,4 +1,4 @@
-// The sharing out of machines among shards.
+// The division of machines among shards.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -11,7 +11,7 @@
 namespace {
 using shard::Load;
 
-// A shard with thousands of waiting tasks stood beside others' idle machines for minutes.
+// A shard with thousands of waiting tasks got no machines for minutes while others had idle ones.
 TEST(MachineTransfer, SurplusMachinesGoToShardsWithADeficit) {
   std::vector<Load> loads = {{100, 50, 300}, {100, 20, 20}, {100, 60, 60}};
   auto from1 = shard::transfers(loads, 1), from2 = shard::transfers(loads, 2);
@@ -27,14 +27,14 @@
   EXPECT_EQ(shard::transfers(loads, 1)[0], 0);
 }
 
-// What is lacking here and to spare there is often less than a machine each. Rounded down it left a
-// team's shard without any machine for minutes, while three others had half of one too many.
+// Deficits and surpluses are often less than one machine each. Rounded down, they left a team's
+// shard without any machine for minutes, while three other shards had half a machine too many each.
 TEST(MachineTransfer, FractionalDeficitsCombineIntoWholeMachines) {
   std::vector<Load> loads = {{2, 0, 3}, {2, 0, 3}, {2, 0, 3}, {0, 0, 3}};
   int received = 0;
   for (int k = 0; k < 3; ++k) received += shard::transfers(loads, k)[3];
   EXPECT_EQ(received, 1);
-  // An idle machine goes where a quarter of one is lacking.
+  // An idle machine goes to a shard that lacks a quarter of one.
   loads = {{2, 0, 0.5}, {1, 0, 1.25}};
   EXPECT_EQ(shard::transfers(loads, 0)[1], 1);
 }
@@ -42,14 +42,14 @@
 TEST(MachineTransfer, EveryShardWithWorkHasAMachineWherePossible) {
   const std::vector<Load> loads = {{3, 2, 100}, {0, 0, 0.1}};
   EXPECT_EQ(shard::transfers(loads, 0)[1], 1);
-  EXPECT_EQ(shard::transfers({{2, 100, 100}, {1, 0, 0.1}}, 1)[0], 0);  // its last one stays
+  EXPECT_EQ(shard::transfers({{2, 100, 100}, {1, 0, 0.1}}, 1)[0],
+            0);  // a shard with work keeps its last machine
   EXPECT_EQ(shard::transfers({{1, 1, 1}, {0, 1, 1}}, 0)[1], 0);
 }
 
-// Whatever the loads, each transfer brings the shards nearer to their goals, but for the first
-// machine of a shard that has work; what each owner gives, all together, is all that moves: shared
-// out again, with the same work, nothing goes on or back. Beyond its goal nobody gives, nor gets, a
-// whole machine.
+// For any loads, each transfer brings the shards nearer to their targets, except for the first
+// machine of a shard that has work. After the transfers of all leaders, a second round with the
+// same work moves nothing. No shard gives or gets a whole machine beyond its target.
 RC_GTEST_PROP(MachineTransfer, MachinesDoNotOscillateBetweenShards, ()) {
   const int n = *rc::gen::inRange(2, 6);
   const int most = *rc::gen::element(8, 60, 30000);
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -1,4 +1,4 @@
-// The cache and the ownership, by generated orders of events.
+// The state cache and the leader election, under random orders of events.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -8,8 +8,8 @@
 namespace shunttrail::test {
 namespace {
 
-// Own writes are applied when answered, before or after the watch brings them; whatever the
-// order, the cache ends as the store is, and a job that has gone does not come back on the way.
+// A node's own commits are applied when they are answered, before or after the watch delivers them.
+// In any order, the cache ends as a copy of the store, and a deleted job never reappears.
 RC_GTEST_PROP(StateCache, ConvergesToTheStoreForAnyOrderOfEvents, ()) {
   config::Settings settings = make_settings();
   Store store;
@@ -37,7 +37,7 @@
     if (apply_before_watch)
       for (const auto& op : txn.ops) cache.apply({op.key, op.value, *revision}, changes);
   }
-  // Seen one event at a time, no job that was known to be gone is live again.
+  // A job that the cache knew to be deleted is not restored by later events.
   std::set<std::string> known_deleted;
   for (const auto& id : deleted)
     if (!cache.job(id) && !store.mod_revision(state::job_key(id))) known_deleted.insert(id);
@@ -58,8 +58,8 @@
   state::StateCache cache(settings);
   std::vector<state::Change> changes;
   std::string key = state::job_key("run-100000"), value = wire::encode_record(make_job(0, 1, 1));
-  cache.apply({key, std::nullopt, 9}, changes);  // our own commit, answered first
-  cache.apply({key, value, 8}, changes);         // the watch, still catching up
+  cache.apply({key, std::nullopt, 9}, changes);  // the node's own commit, answered first
+  cache.apply({key, value, 8}, changes);         // an older event of the watch
   EXPECT_EQ(cache.job("run-100000"), nullptr);
   cache.advance(9);
   cache.apply({key, value, 8}, changes);
@@ -67,9 +67,10 @@
 }
 
 // All keys are read page by page, at different revisions, while this node's own commits are
-// answered and before the watch goes on from the first page's: the cache still ends as the store,
-// and a job that was known to be gone is not live in between. (A job whose cancellation was
-// answered during the reading came back for good: the watch's drop was taken for old news.)
+// answered and before the watch continues from the first page's revision. The cache must still end
+// as a copy of the store, and a job known to be deleted must not reappear. (A job whose
+// cancellation was answered during the read used to reappear for good, since the watch's deletion
+// was ignored as outdated.)
 RC_GTEST_PROP(StateCache, ConvergesToTheStoreDuringAFullRead, ()) {
   config::Settings settings = make_settings();
   Store store;
@@ -97,7 +98,7 @@
   for (auto [action, own] : steps()) step(action, own);
   store.read(cache, changes);
   for (auto [action, own] : steps()) step(action, own);
-  // Three pages, and what happens between them.
+  // Reads three pages, with random commits between them.
   std::vector<wire::Event> items;
   const std::uint64_t first = store.revision;
   for (int page = 0; page < 3; ++page) {
@@ -150,9 +151,8 @@
   }
 };
 
-// Nodes come, go and decide in any order, on caches of any age. Every commit that is let through
-// gives a higher token, and a node acts on a token only while no higher one was granted, as far
-// as it has read.
+// Nodes join, leave and decide in any order, on caches of any age. Every commit that succeeds gives
+// a higher token, and a node uses a token only if that token was granted to it.
 RC_GTEST_PROP(LeaderElection, TokensIncreaseAndOneNodeHoldsEach, ()) {
   Cluster cluster;
   std::vector<config::Settings> settings;
@@ -202,7 +202,7 @@
           !cluster.store.mod_revision(
               state::node_key(cluster.base.nodes[caches[n].leader(shard_index).node]));
       if (auto revision = cluster.store.commit(txn)) {
-        RC_ASSERT(is_leader_absent);  // never from a node whose key was there
+        RC_ASSERT(is_leader_absent);  // a shard is never taken from a node whose key exists
         bool is_increasing = granted.empty() || granted.rbegin()->first < *revision;
         RC_ASSERT(is_increasing);
         granted[*revision] = to;
@@ -211,7 +211,7 @@
   }
 }
 
-// One node that is registered with the state service, and takes part in elections.
+// One node that is registered and takes part in the election.
 struct OneNode {
   config::Settings settings = make_settings(1);
   state::StateCache cache{settings};
@@ -234,8 +234,8 @@
   }
 };
 
-// A grown day saw a task started twice: the new leader knew of its own commit before it had read
-// the old leader's last placements, which were committed just before.
+// In a simulated day of a larger cluster, a task was started twice: the new leader used its token
+// before it had read the old leader's last placements, which were committed just before its own.
 TEST(LeaderElection, ATokenIsUsedOnlyAfterAllEarlierCommitsAreRead) {
   OneNode fixture;
   fixture.read();
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,6 +1,5 @@
-// What the version in production wrote, and what it could read: recorded from it, byte for byte.
-// While both versions serve, each has to work on the other's data; a format that changed here
-// would end that.
+// The stored and exchanged formats of the version in production, recorded from it byte for byte.
+// While both versions serve, each must read the other's data, which a changed format would prevent.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -44,7 +43,7 @@
     EXPECT_TRUE(record.spec.dependencies.empty());
     EXPECT_EQ(record.ready_at, 0);
   }
-  // What is new in the record of a job that may start is a field that the other version ignores.
+  // The new field of the record of a job that may start is one that the other version ignores.
   record.ready_at = 1733000100;
   std::string ready = wire::encode_record(record);
   EXPECT_EQ(wire::decode_job_record(event(ready)).ready_at, 1733000100);
@@ -84,7 +83,7 @@
   EXPECT_EQ(heartbeat->node, 2);
   EXPECT_EQ(heartbeat->tokens[2], 431u);
   EXPECT_EQ(heartbeat->loads[0].entitled, 250u);
-  // The other version checks a heartbeat's number and its exact length.
+  // The other version checks a heartbeat's version number and its exact length.
   EXPECT_EQ(peer::encode(*heartbeat), bytes);
   EXPECT_EQ(wire::encode_redirect("railhead-2"), R"({"dispatcher":"railhead-2"})");
 }
@@ -97,8 +96,8 @@
   EXPECT_EQ(state::inventory_key(state::inventory_page("odd")), "st/m/16777263");
   EXPECT_EQ(state::placement_page_key(1, 47), "st/a/1/47");
   EXPECT_EQ(state::job_result_key("run-000412"), "fin/run-000412");
-  // A letter that the version in production has no word for: it keeps the revision and reads past
-  // it.
+  // The version in production does not know this kind of key: it records the revision and ignores
+  // the value.
   EXPECT_EQ(state::waiting_key("run-000412"), "st/w/run-000412");
 }
 
@@ -145,7 +144,7 @@
   limits.too_large(3000, 6);
   EXPECT_EQ(limits.present().value_bytes, 2048u);
   EXPECT_EQ(limits.transaction_limits().ops, 4u);
-  // Nobody announced this. It ends at a size that can still be worked with.
+  // These limits were not announced. The reduction ends at a size that still allows progress.
   for (int i = 0; i < 20; ++i)
     limits.too_large(limits.transaction_limits().value_bytes, limits.transaction_limits().ops);
   EXPECT_EQ(limits.transaction_limits().value_bytes, 1024u);
@@ -157,19 +156,19 @@
   EXPECT_EQ(rate.rate(1), 25);
   rate.refused(1);
   EXPECT_EQ(rate.rate(1), 18);
-  rate.refused(1.5);  // of the same burst
+  rate.refused(1.5);  // a request of the same burst
   EXPECT_EQ(rate.rate(1.5), 18);
   rate.refused(3);
   EXPECT_LT(rate.rate(3), 18);
   EXPECT_EQ(rate.rate(30), 18);
-  EXPECT_GT(rate.rate(60), 18);  // perhaps it has passed
+  EXPECT_GT(rate.rate(60), 18);  // the higher rate is tried again
   EXPECT_EQ(rate.rate(200), 25);
   for (int i = 0; i < 200; ++i) rate.refused(200 + 2 * i);
-  EXPECT_GT(rate.rate(602), 4);  // never to a standstill
+  EXPECT_GT(rate.rate(602), 4);  // the rate never falls to zero
 }
 
-// A inventory page too long for one new value is parted, and at no moment is a machine unrecorded
-// or recorded twice: whatever of several nodes' changes come through.
+// An inventory page that is too long for a lowered limit is split. Every machine is recorded
+// exactly once at all times, whichever of two nodes' concurrent changes succeed.
 RC_GTEST_PROP(InventoryPage, SplitPagesHoldEveryMachineOnce, ()) {
   config::Settings settings = make_settings();
   Store store;
@@ -182,7 +181,7 @@
   std::size_t limits[2] = {4096, 4096};
   for (std::size_t i = 0; i < steps.size(); ++i) {
     auto [machine, action, node, reads_first] = steps[i];
-    // The limits fall at some moment, and the nodes learn of it one after the other.
+    // The limits fall during the test, and the nodes learn of it one after the other.
     if (i > steps.size() / 3) limits[0] = 700;
     if (i > steps.size() * 2 / 3) limits[1] = 700;
     const std::size_t limit = limits[node];
@@ -213,7 +212,7 @@
       expected[name] = 1;
     else
       expected.erase(name);
-    // Every machine that is there stands in exactly one part.
+    // Every machine is in exactly one part.
     std::map<std::string, int> stored;
     for (const auto& [key, entry] : store.keys)
       for (const auto& record : wire::decode_inventory_page(event(entry.value)).machines)
@@ -226,8 +225,8 @@
   RC_ASSERT(final_cache.machines().size() == expected.size());
 }
 
-// Two nodes that do not know of the same limits yet enter one machine at the same time: one into
-// the page itself, the other into a new part of it. Only one may come through.
+// Two nodes that know different limits add the same machine at the same time: one to the page
+// itself, the other to a new part of it. Only one commit may succeed.
 TEST(InventoryPage, TheNextPartIsAPrecondition) {
   config::Settings settings = make_settings();
   Store store;
@@ -246,16 +245,16 @@
   large.set(machine(21));
   split.set(machine(21));
   wire::Transaction first_txn = large.changes(4096, "b"), second_txn = split.changes(full, "c");
-  // What does not fit goes to the new part, and the page itself stays as it is.
+  // Only the operation on the new part is kept; the page itself stays unchanged.
   std::erase_if(second_txn.ops,
                 [&](const auto& op) { return op.key == state::inventory_key(number); });
   ASSERT_TRUE(store.commit(second_txn));
   EXPECT_FALSE(store.commit(first_txn));
 }
 
-// A placement page written when values could be larger stays as it is until what it holds is over,
-// and new starts go elsewhere: no value is longer than what is taken now, nothing that is held is
-// lost.
+// A placement page that was written when values could be larger is not rewritten until its
+// placements have ended, and new placements go to other pages. No value exceeds the current limit,
+// and no placement or result is lost.
 TEST(Limits, OverlongPlacementPagesAreNotRewritten) {
   config::Settings settings = make_settings(1);
   settings.teams[0].cpus_max = 100000;
@@ -280,7 +279,7 @@
   for (const auto& machine : machines) shard_scheduler.machine_known(machine, 0);
   double now = 1;
   auto commit = [&](state::TransactionLimits size) {
-    now += 10;  // results have waited long enough
+    now += 10;  // long enough for results to be written
     for (int i = 0; i < 10; ++i) shard_scheduler.run_scheduling_pass(now);
     std::size_t n = 0;
     while (auto txn = shard_scheduler.next_transaction(cache, size, "t", now)) {
@@ -320,7 +319,7 @@
   commit({4096, 12});
   std::size_t before = count_placements();
   EXPECT_EQ(before, 1600u);
-  // Results come, are written, and grow: beside a full placement page, and after the limits have
+  // Results arrive and are written beside a full placement page, and again after the limits have
   // fallen.
   auto report_done = [&](int from, int to, std::uint64_t seq) {
     std::map<std::string, std::vector<wire::TaskStatus>> statuses_by_machine;
@@ -351,7 +350,7 @@
   report_done(40, 80, 2);
   send_heartbeats(520, 600);
   EXPECT_GT(commit({1024, 2, 8}), 1u);
-  // Every result that a scheduler would let a worker forget is recorded, and every placement left.
+  // Every result that workers may forget is recorded, and every placement is kept.
   EXPECT_GE(count_placements() + 80, 2400u - 80);
   EXPECT_GT(placed, 1500u);
   std::set<std::uint32_t> finished;
@@ -361,8 +360,8 @@
   EXPECT_EQ(finished.size(), 80u);
 }
 
-// A takeover finds every placement page too long for what a value may hold by now: none of them is
-// written, a further one is begun, and what is recorded stays recorded.
+// After a takeover, every placement page exceeds the current value limit: none of them is
+// rewritten, a new page is added, and recorded results stay recorded.
 TEST(Limits, IfAllPlacementPagesAreOverlongANewOneIsAdded) {
   config::Settings settings = make_settings(1);
   settings.teams[0].cpus_max = 100000;
