--- a/model/check.sh
+++ b/model/check.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Checks a model exhaustively with spin. Without a macro it must hold; with one, which removes a
-# safeguard, the fault must be found.
+# Checks a model exhaustively with spin. Without MACRO the model must have no error; with MACRO, which
+# removes a safeguard, spin must find an assertion violation.
 #   check.sh MODEL.pml [MACRO]
 set -euo pipefail
 model=$(realpath "$1")
@@ -12,7 +12,7 @@
 cc -w -O2 -DSAFETY -DCOLLAPSE -o pan pan.c
 ./pan -m100000 -n >pan.log || true
 grep -E 'errors:|states, stored|assertion violated|elapsed' pan.log || true
-grep -q 'max search depth too small' pan.log && { echo "the search was cut short"; exit 1; }
+grep -q 'max search depth too small' pan.log && { echo "search incomplete: depth limit of 100000 reached"; exit 1; }
 if [ -z "$macro" ]; then
   grep -q 'errors: 0$' pan.log
 else
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -40,9 +40,9 @@
   }
   friend Resources operator+(Resources a, const Resources& b) { return a += b; }
   friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
-  /// Returns whether each amount is at most the corresponding amount of the free capacity `room`.
-  [[nodiscard]] bool fits(const Resources& room) const {
-    return cpus <= room.cpus && gpus <= room.gpus && mem <= room.mem;
+  /// Returns whether each amount is at most the corresponding amount in `available`.
+  [[nodiscard]] bool fits(const Resources& available) const {
+    return cpus <= available.cpus && gpus <= available.gpus && mem <= available.mem;
   }
 };
 
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -191,7 +191,7 @@
                           rc::gen::inRange(0, 40)));
   RelayRoutes routes;
   double now = 0;
-  std::map<std::tuple<int, int>, double> redirected;  // machine, owner
+  std::map<std::tuple<int, int>, double> redirected;  // machine, leader
   for (auto [machine, zone, leader, elapsed] : steps) {
     now += elapsed / 10.0;
     const bool was_open = routes.routes().contains({leader, zone});
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -152,7 +152,7 @@
 };
 
 // Nodes join, leave and decide in any order, on caches of any age. Every commit that succeeds gives
-// a higher token, and a node uses a token only if that token was granted to it.
+// a higher token, and a node uses only a token granted to it, while it has read of no higher one.
 RC_GTEST_PROP(LeaderElection, TokensIncreaseAndOneNodeHoldsEach, ()) {
   Cluster cluster;
   std::vector<config::Settings> settings;
