--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -38,10 +38,10 @@
   JobRecord record{wire::decode_job(kSubmission), 1733000000.25, 0};
   EXPECT_EQ(wire::encode_record(record), kJob);
   for (const auto& text : {kJob, kService}) {
-    JobRecord record = wire::decode_job_record(event(text));
-    EXPECT_EQ(wire::encode_record(record), text);
-    EXPECT_TRUE(record.spec.dependencies.empty());
-    EXPECT_EQ(record.ready_at, 0);
+    JobRecord decoded = wire::decode_job_record(event(text));
+    EXPECT_EQ(wire::encode_record(decoded), text);
+    EXPECT_TRUE(decoded.spec.dependencies.empty());
+    EXPECT_EQ(decoded.ready_at, 0);
   }
   // The new field of the record of a job that may start is one that the other version ignores.
   record.ready_at = 1733000100;
