--- a/src/controller/inventory.cpp
+++ b/src/controller/inventory.cpp
@@ -165,7 +165,7 @@
   std::set<int> bases;  // the parts of a page are converted together
   for (const int part : cache.inventory_to_convert()) {
     if (!batch.has_room()) break;
-    const int base = state::inventory_base(part);
+    const int base = state::page_of_inventory_part(part);
     if (!bases.insert(base).second) continue;
     shard::InventoryPage page(cache, base);
     page.convert();
@@ -226,7 +226,7 @@
 
 // Puts the page's changes into the transaction, if there is room for them.
 void Inventory::append_page(Batch& batch, shard::InventoryPage& page, Preconditions leaders) {
-  page.record_ages(
+  page.fill_rental_times(
       [this](const std::string& machine) { return components_.cloud_manager->rented_at(machine); });
   wire::Transaction& all = batch.transaction;
   auto is_in_batch = [&](const auto& precondition) {
--- a/src/schema/codec.cpp
+++ b/src/schema/codec.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The JSON forms of the state levels' records and of the operators' orders.
+/// The JSON formats of the schema version records and of the operators' orders.
 #include <algorithm>
 
 #include "schema/schema.h"
@@ -12,18 +12,19 @@
 
 namespace {
 
-constexpr int kMaxLevel = 1000;
-/// Of an unknown field's name in an error.
+constexpr int kMaxVersion = 1000;
+/// The number of characters of an unknown field's name that an error message quotes.
 constexpr std::size_t kMaxNameInError = 64;
 
-int level(const json& v, const char* name) {
+int read_version(const json& v, const char* name) {
   const std::uint64_t number = wire::as_whole(v, name);
-  if (number > kMaxLevel) throw Malformed::out_of_range(name, "0 to " + std::to_string(kMaxLevel));
+  if (number > kMaxVersion)
+    throw Malformed::out_of_range(name, "0 to " + std::to_string(kMaxVersion));
   return static_cast<int>(number);
 }
 
-/// Throws if there are other fields than these.
-void only(const json& j, std::initializer_list<const char*> known) {
+/// Throws if the object has a field that is not in `known`.
+void check_known_fields(const json& j, std::initializer_list<const char*> known) {
   for (auto it = j.begin(); it != j.end(); ++it) {
     const std::string& name = it.key();
     if (std::none_of(known.begin(), known.end(), [&](const char* k) { return name == k; }))
@@ -34,11 +35,12 @@
 Build build_from_json(const json& levels) {
   const std::string expected = "the lowest, highest and written level";
   if (!levels.is_array() || levels.size() != 3)
-    throw Malformed::bad_value("levels", "is bad", expected);
-  const Build build{level(levels[0], "levels"), level(levels[1], "levels"),
-                    level(levels[2], "levels")};
+    throw Malformed::bad_value("levels", "does not list three versions", expected);
+  const Build build{read_version(levels[0], "levels"), read_version(levels[1], "levels"),
+                    read_version(levels[2], "levels")};
   if (build.lowest > build.highest || build.writes > build.highest)
-    throw Malformed::bad_value("levels", "is bad", expected);
+    throw Malformed::bad_value("levels", "has a lowest or written version above the highest",
+                               expected);
   return build;
 }
 
@@ -55,18 +57,21 @@
 VersionRecord decode_record(const wire::Event& event) {
   return wire::of_value(event, [](const json& j) {
     wire::check_object(j);
-    only(j, {"level", "lowest", "highest", "w"});
-    VersionRecord r{level(wire::need(j, "level"), "level"),
-                    level(wire::need(j, "lowest"), "lowest"),
-                    level(wire::need(j, "highest"), "highest"), wire::text(j, "w")};
+    check_known_fields(j, {"level", "lowest", "highest", "w"});
+    VersionRecord r{read_version(wire::need(j, "level"), "level"),
+                    read_version(wire::need(j, "lowest"), "lowest"),
+                    read_version(wire::need(j, "highest"), "highest"), wire::text(j, "w")};
     if (r.active < r.lowest || r.active > r.highest)
-      throw Malformed::bad_value("level", "is out of its range", "lowest to highest");
+      throw Malformed::bad_value("level",
+                                 "is " + std::to_string(r.active) + ", outside " +
+                                     std::to_string(r.lowest) + " to " + std::to_string(r.highest),
+                                 "lowest to highest");
     return r;
   });
 }
 
 std::string encode(const Orders& orders) {
-  json j = {{"gone", orders.gone}, {"w", orders.tag}};
+  json j = {{"gone", orders.excluded_nodes}, {"w", orders.tag}};
   if (orders.max_version) j["most"] = *orders.max_version;
   return j.dump();
 }
@@ -74,10 +79,10 @@
 Orders decode_orders(const wire::Event& event) {
   return wire::of_value(event, [](const json& j) {
     wire::check_object(j);
-    only(j, {"gone", "most", "w"});
+    check_known_fields(j, {"gone", "most", "w"});
     Orders o;
-    for (const json& n : wire::list(j, "gone")) o.gone.insert(wire::as_text(n, "gone"));
-    if (const json* m = wire::find(j, "most")) o.max_version = level(*m, "most");
+    for (const json& n : wire::list(j, "gone")) o.excluded_nodes.insert(wire::as_text(n, "gone"));
+    if (const json* m = wire::find(j, "most")) o.max_version = read_version(*m, "most");
     o.tag = wire::text(j, "w");
     return o;
   });
@@ -104,9 +109,9 @@
       return json{{"hold", order.version}}.dump();
     case Order::release:
       return json{{"hold", nullptr}}.dump();
-    case Order::gone:
+    case Order::exclude_node:
       return json{{"gone", order.node}}.dump();
-    case Order::here:
+    case Order::include_node:
       return json{{"here", order.node}}.dump();
   }
   return "{}";
@@ -114,15 +119,15 @@
 
 Order decode_order(std::string_view body) {
   return wire::guarded(body, [](const json& j) {
-    only(j, {"hold", "gone", "here"});
+    check_known_fields(j, {"hold", "gone", "here"});
     if (j.size() != 1) throw Malformed("give one of hold, gone, here");
     Order o;
     if (j.contains("hold")) {
       o.kind = j["hold"].is_null() ? Order::release : Order::hold;
-      if (o.kind == Order::hold) o.version = level(j["hold"], "hold");
+      if (o.kind == Order::hold) o.version = read_version(j["hold"], "hold");
     } else {
-      o.kind = j.contains("gone") ? Order::gone : Order::here;
-      o.node = wire::text(j, o.kind == Order::gone ? "gone" : "here");
+      o.kind = j.contains("gone") ? Order::exclude_node : Order::include_node;
+      o.node = wire::text(j, o.kind == Order::exclude_node ? "gone" : "here");
     }
     return o;
   });
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -5,22 +5,22 @@
 
 namespace shunttrail::schema {
 
-const std::vector<Version>& table() {
+const std::vector<Version>& known_versions() {
   static const std::vector<Version> kAll = {
-      {0, "first", "the forms of builds that know no levels", false},
-      {1, "machine-ages", "roster pages tell when each machine was rented", true},
-      {2, "delegation", "job records tell which tasks another shard may run", true},
+      {0, "first", "the formats of builds without schema versions", false},
+      {1, "machine-ages", "inventory pages record when each machine was rented", true},
+      {2, "delegation", "job records name the tasks that another shard may run", true},
   };
   return kAll;
 }
 
-bool can_downgrade(int level) {
-  const auto position = static_cast<std::size_t>(level);
-  return level > 0 && position < table().size() && table()[position].downgrade;
+bool can_downgrade(int version) {
+  const auto position = static_cast<std::size_t>(version);
+  return version > 0 && position < known_versions().size() && known_versions()[position].downgrade;
 }
 
 Build current_build(bool delegation) {
-  const int highest = static_cast<int>(table().size()) - 1;
+  const int highest = static_cast<int>(known_versions().size()) - 1;
   return {0, highest, delegation ? highest : version_of(Feature::delegation) - 1};
 }
 
@@ -45,20 +45,20 @@
 
 std::string node_key(const std::string& node) { return "st/n/" + node; }
 
-/// What a change of the level asks of the nodes.
+/// What a change of the active version requires of the nodes.
 struct Requirement {
-  int from = 0;               ///< they read the forms from this level
-  int to = 0;                 ///< to this one
-  bool all_present = false;   ///< each is alive or declared gone
-  std::optional<int> writes;  ///< they write this level's forms
+  int from = 0;               ///< every alive node reads the formats from this version
+  int to = 0;                 ///< every alive node reads the formats up to this version
+  bool all_present = false;   ///< every node is alive or excluded by an order
+  std::optional<int> writes;  ///< every alive node agrees to this active version
 };
 
-/// Why a node does not meet the requirement; none: it does.
-std::optional<std::string> objection(const StoredView::Member& member, bool is_gone,
-                                     const Requirement& requirement) {
+/// Returns the reason why a node does not meet the requirement; none if it does.
+std::optional<std::string> unmet_requirement(const StoredView::Member& member, bool is_excluded,
+                                             const Requirement& requirement) {
   const bool is_alive = member.mod_revision != 0;
   if (!is_alive) {
-    if (requirement.all_present && !is_gone) return "is not there";
+    if (requirement.all_present && !is_excluded) return "is not registered";
     return std::nullopt;
   }
   if (!member.build.reads(requirement.from, requirement.to)) {
@@ -70,14 +70,14 @@
   return std::nullopt;
 }
 
-/// Works out the next step of the active level.
+/// Plans the next step of the active version.
 class RolloutPlan {
  public:
   RolloutPlan(const StoredView& view, const std::vector<std::string>& names, const Build& own)
       : view_(view), names_(names), own_(own) {}
 
-  /// The end of a conversion. There is one level step at a time: stored data in other forms is
-  /// converted first.
+  /// Plans the end of a conversion. Versions change one at a time: data in other formats is
+  /// converted before the next step.
   void plan_settling(bool converted) {
     if (converted)
       make(Step::settle, {active(), active(), active(), {}});
@@ -85,7 +85,7 @@
       block("conversion", "is under way");
   }
 
-  /// A raise, a lowering, or nothing.
+  /// Plans a raise or a lowering of the active version, or no step.
   void plan_change() {
     if (view_.orders_unreadable) {
       block("orders", "cannot be read");
@@ -119,7 +119,7 @@
 
   void plan_raise() {
     const int target = active() + 1;
-    // Only a build that knows a higher level says what prevents it.
+    // Only a build that knows a higher version reports what prevents it.
     if (target > own_.highest) return;
     if (own_.writes < target) {
       block("build", "does not write " + version_text(target) + " yet");
@@ -131,16 +131,16 @@
     if (out_.blocked_by.empty()) make(Step::raise, {target, active(), target, {}});
   }
 
-  /// Adds preconditions that let the step hold only while every node can read and write what may
-  /// be stored then, or names the nodes that cannot.
+  /// Adds preconditions so that the step is committed only while every node can read and write the
+  /// formats that may then be stored. Otherwise reports the nodes that cannot.
   void require(const Requirement& requirement) {
     for (std::size_t n = 0; n < names_.size(); ++n) {
       const StoredView::Member& member = view_.members[n];
-      const bool is_gone = view_.orders.gone.contains(names_[n]);
-      if (const auto reason = objection(member, is_gone, requirement))
+      const bool is_excluded = view_.orders.excluded_nodes.contains(names_[n]);
+      if (const auto reason = unmet_requirement(member, is_excluded, requirement))
         block(names_[n], *reason);
       else
-        // Of absent nodes as well: if one comes back in between, the commit fails.
+        // Absent nodes need preconditions too: if one registers in between, the commit fails.
         out_.step.preconditions.emplace_back(node_key(names_[n]), member.mod_revision);
     }
   }
@@ -160,12 +160,12 @@
 
 }  // namespace
 
-std::string refusal(const StoredView& view, const Build& build) {
+std::string serving_refusal(const StoredView& view, const Build& build) {
   if (!view.unreadable.empty()) return "the level record cannot be read: " + view.unreadable;
   const VersionRecord& record = view.record;
   if (build.reads(record.lowest, record.highest)) return {};
-  return "state of level " + range_text(record.lowest, record.highest) +
-         " stands, this build reads " + range_text(build.lowest, build.highest);
+  return "stored data has level " + range_text(record.lowest, record.highest) +
+         ", this build reads only level " + range_text(build.lowest, build.highest);
 }
 
 RolloutStatus rollout_status(const StoredView& view, const std::vector<std::string>& names,
@@ -173,8 +173,8 @@
   RolloutPlan plan(view, names, own);
   if (!view.unreadable.empty())
     plan.block("record", view.unreadable);
-  else if (!refusal(view, own).empty())
-    return {};  // a build that must not serve changes nothing
+  else if (!serving_refusal(view, own).empty())
+    return {};  // a build that must not serve commits no step
   else if (!view.record.settled())
     plan.plan_settling(converted);
   else
@@ -191,7 +191,7 @@
 std::optional<wire::Transaction> enroll(const StoredView& view, const std::string& node,
                                         std::uint64_t boot, const Build& build,
                                         std::uint64_t lease) {
-  if (!refusal(view, build).empty()) return std::nullopt;
+  if (!serving_refusal(view, build).empty()) return std::nullopt;
   return wire::Transaction{{{kActiveKey, view.mod_revision}},
                            {{node_key(node), encode_member(boot, build), lease}}};
 }
@@ -204,43 +204,43 @@
 
 namespace {
 
-std::string refused_hold(const StoredView& view, int version) {
+std::string hold_refusal(const StoredView& view, int version) {
   for (int active = view.record.active; active > version; --active)
     if (!can_downgrade(active))
       return "hold: " + version_text(active) + " is active and cannot be lowered";
   return {};
 }
 
-std::string refused_node(const StoredView& view, const std::vector<std::string>& names,
+std::string node_refusal(const StoredView& view, const std::vector<std::string>& names,
                          const Order& order) {
-  const bool is_gone = order.kind == Order::gone;
-  const std::string field = is_gone ? "gone: " : "here: ";
+  const bool is_excluded = order.kind == Order::exclude_node;
+  const std::string field = is_excluded ? "gone: " : "here: ";
   const auto name = std::find(names.begin(), names.end(), order.node);
-  if (name == names.end()) return field + order.node + " is none of the nodes";
+  if (name == names.end()) return field + order.node + " is not a node of this cluster";
   const auto node = static_cast<std::size_t>(name - names.begin());
-  if (is_gone && view.members[node].mod_revision != 0) return field + order.node + " is there";
+  if (is_excluded && view.members[node].mod_revision != 0) return field + order.node + " is alive";
   return {};
 }
 
 }  // namespace
 
-std::string refused(const StoredView& view, const std::vector<std::string>& names,
-                    const Order& order) {
+std::string order_refusal(const StoredView& view, const std::vector<std::string>& names,
+                          const Order& order) {
   if (!view.unreadable.empty()) return "the level record cannot be read: " + view.unreadable;
-  if (view.orders_unreadable) return "the orders as they stand cannot be read";
+  if (view.orders_unreadable) return "the stored orders cannot be read";
   switch (order.kind) {
     case Order::hold:
-      return refused_hold(view, order.version);
+      return hold_refusal(view, order.version);
     case Order::release:
       return {};
-    case Order::gone:
-    case Order::here:
-      return refused_node(view, names, order);
+    case Order::exclude_node:
+    case Order::include_node:
+      return node_refusal(view, names, order);
   }
   return {};
 }
 
-Orders with(const Orders& before, const Order& order) {
+Orders apply_order(const Orders& before, const Order& order) {
   Orders after = before;
   switch (order.kind) {
     case Order::hold:
@@ -249,11 +249,11 @@
     case Order::release:
       after.max_version.reset();
       break;
-    case Order::gone:
-      after.gone.insert(order.node);
+    case Order::exclude_node:
+      after.excluded_nodes.insert(order.node);
       break;
-    case Order::here:
-      after.gone.erase(order.node);
+    case Order::include_node:
+      after.excluded_nodes.erase(order.node);
       break;
   }
   return after;
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The number that a key's name begins with.
+/// Returns the number that a key's name begins with.
 int number_in(const std::string& name) { return std::atoi(name.c_str()); }
 
 }  // namespace
@@ -39,7 +39,7 @@
 }
 std::vector<wire::MachineRecord> StateCache::inventory(int page) const {
   std::vector<wire::MachineRecord> out;
-  if (auto it = pages_.find(page); it != pages_.end())
+  if (auto it = machines_by_page_.find(page); it != machines_by_page_.end())
     for (const auto& name : it->second) out.push_back(machines_.at(name));
   return out;
 }
@@ -94,7 +94,7 @@
     ++counter;
   };
   Progress out;
-  // Tasks that are done first: a placement of such a task is not counted.
+  // Done tasks come first, since a placement of a done task is not counted.
   for (const auto& [chunk, finished] : done(id))
     for (const auto& [first, last] : finished)
       for (std::uint64_t i = first; i <= last; ++i)
@@ -141,7 +141,7 @@
   std::set<std::string> present;
   for (const wire::Event& item : items) {
     present.insert(item.key);
-    // Deleted by a commit that was answered while the pages were read: the page is older.
+    // A commit answered while the pages were read has deleted the key: the page is older.
     if (is_deleted_since(item)) continue;
     if (mod_revision(item.key) < item.mod_revision) {
       revisions_[item.key] = item.mod_revision;
@@ -178,7 +178,7 @@
   try {
     set_parsed(*key, event, changes);
   } catch (const wire::Malformed&) {
-    // No controller wrote this value. The key's revision is kept, its meaning is not guessed.
+    // No controller wrote this value. The key's revision is recorded, but its contents are ignored.
     ++malformed_;
   }
 }
@@ -224,10 +224,10 @@
     case KeyKind::job:
       if (!jobs_.contains(name)) break;
       drop_job(name, full_key);
-      changes.push_back({Change::job_gone, name, -1});
+      changes.push_back({Change::job_deleted, name, -1});
       break;
     case KeyKind::waiting_job:
-      if (waiting_.erase(name)) changes.push_back({Change::waiting_gone, name, -1});
+      if (waiting_.erase(name)) changes.push_back({Change::waiting_deleted, name, -1});
       break;
     case KeyKind::inventory_page:
       for (auto& pages : pages_by_form_) pages.erase(number_in(name));
@@ -284,7 +284,7 @@
   return !delegated_.empty() && !schema::FeatureGate(schema_).on(schema::Feature::delegation);
 }
 
-// Of each page only what teams of other shards have on it.
+// Indexes only entries of teams of other shards.
 void StateCache::index_foreign(const PlacementPageName& name, const wire::PlacementPageRecord& page,
                                bool is_added) {
   for (const wire::JobPlacements& job : page.jobs) {
@@ -353,8 +353,8 @@
   return current + outdated > 0 ? current / (current + outdated) : 1;
 }
 
-// Unlike other malformed values, one that cannot be read is reported: it may say that this build
-// cannot read the stored state correctly.
+// Unlike other malformed values, an unreadable schema record is reported: it may mean that this
+// build cannot read the stored state correctly.
 void StateCache::set_schema(const wire::Event& event) {
   if (event.key == schema::kActiveKey) {
     schema_.mod_revision = event.mod_revision;
@@ -393,23 +393,23 @@
   std::vector<std::string> names;
   for (wire::MachineRecord& machine : machines) {
     names.push_back(machine.name);
-    page_of_[machine.name] = page;
+    page_by_machine_[machine.name] = page;
     auto [known, is_new] = machines_.try_emplace(machine.name);
     if (!is_new && known->second == machine) continue;
     known->second = std::move(machine);
     changes.push_back({Change::machine_set, known->first, known->second.shard});
   }
   std::sort(names.begin(), names.end());
-  for (const std::string& old_name : pages_[page]) {
+  for (const std::string& old_name : machines_by_page_[page]) {
     if (std::binary_search(names.begin(), names.end(), old_name)) continue;
-    // It may have moved to another part of its page.
-    const auto current_page = page_of_.find(old_name);
-    if (current_page == page_of_.end() || current_page->second != page) continue;
-    page_of_.erase(current_page);
+    // The machine may have moved to another part of its page.
+    const auto current_page = page_by_machine_.find(old_name);
+    if (current_page == page_by_machine_.end() || current_page->second != page) continue;
+    page_by_machine_.erase(current_page);
     machines_.erase(old_name);
-    changes.push_back({Change::machine_gone, old_name, -1});
+    changes.push_back({Change::machine_deleted, old_name, -1});
   }
-  pages_[page] = std::move(names);
+  machines_by_page_[page] = std::move(names);
 }
 
 }  // namespace shunttrail::state
