--- a/src/controller/shard_controller.cpp
+++ b/src/controller/shard_controller.cpp
@@ -117,7 +117,7 @@
       if (is_deleted) {
         direct_commands_.forget(name);
         heartbeats_.forget(name);
-        if (is_current(opened_under)) scheduler_->machine_gone(name, now());
+        if (is_current(opened_under)) scheduler_->machine_deleted(name, now());
       } else if (is_current(opened_under)) {
         scheduler_->return_failed(name);
       }
--- a/src/scheduler/delegated_work.cpp
+++ b/src/scheduler/delegated_work.cpp
@@ -90,7 +90,7 @@
   for (const auto& [id, job] : context_.jobs) {
     if (!job->is_foreign) continue;
     const state::JobEntry* entry = cache.job(id);
-    if (!entry) continue;  // job_gone tells
+    if (!entry) continue;  // job_ended reports it
     const auto& delegation = entry->record.delegation;
     if (!delegation || (delegation->is_readable && delegation->shard != context_.shard))
       ended.push_back(id);
--- a/src/scheduler/placements.cpp
+++ b/src/scheduler/placements.cpp
@@ -166,7 +166,7 @@
 
 // ---- machines that are gone or silent
 
-void Placements::machine_gone(Machine& machine, double now) {
+void Placements::machine_deleted(Machine& machine, double now) {
   for (Placement& placement : machine.tasks.placements) release_lost(machine, placement, now);
 }
 
--- a/src/scheduler/placements.h
+++ b/src/scheduler/placements.h
@@ -58,7 +58,7 @@
   void release_for_good(Machine& machine, Placement& placement, double now);
 
   /// The machine is proven gone.
-  void machine_gone(Machine& machine, double now);
+  void machine_deleted(Machine& machine, double now);
   /// The machine has been silent for longer than its lease: its tasks are released once that proves
   /// that they have stopped (docs/safety.md).
   void lease_expired(Machine& machine, double now);
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -77,7 +77,7 @@
   context_.scheduling_due = true;
 }
 
-void ShardScheduler::job_gone(const std::string& id, double now) {
+void ShardScheduler::job_ended(const std::string& id, double now) {
   const auto entry = context_.jobs.find(id);
   if (entry == context_.jobs.end()) return;
   const JobPtr job = entry->second;
@@ -124,12 +124,12 @@
 void ShardScheduler::remove_machine(int number, double now) {
   Machine* machine = machines_.at(number);
   if (!machine) return;
-  placements_.machine_gone(*machine, now);
+  placements_.machine_deleted(*machine, now);
   queues_.requeue_all(*machine);
   machines_.erase(number);
 }
 
-void ShardScheduler::machine_gone(const std::string& name, double now) {
+void ShardScheduler::machine_deleted(const std::string& name, double now) {
   if (const Machine* machine = machines_.find(name)) remove_machine(machine->number, now);
 }
 
@@ -278,7 +278,7 @@
 
 void ShardScheduler::transaction_applied(double now) {
   delegation_planner_.transaction_done();
-  for (const std::string& id : placement_store_.transaction_applied(now)) job_gone(id, now);
+  for (const std::string& id : placement_store_.transaction_applied(now)) job_ended(id, now);
 }
 
 // ---- time
@@ -363,7 +363,7 @@
 }
 
 void ShardScheduler::sync_delegations(const state::StateCache& cache, double now) {
-  for (const std::string& id : delegated_work_.sync(cache, now)) job_gone(id, now);
+  for (const std::string& id : delegated_work_.sync(cache, now)) job_ended(id, now);
 }
 
 shard::Load ShardScheduler::load(double now) const {
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -74,7 +74,7 @@
                  const std::map<std::uint32_t, state::Intervals>& done, double now,
                  double wall_now);
   /// The job is over: completed or cancelled.
-  void job_gone(const std::string& id, double now);
+  void job_ended(const std::string& id, double now);
   /// Jobs that depend on this one have come, or gone. `due`: steady time.
   void set_effective_priority(const std::string& id, wire::Priority priority, double due);
   /// A page of the shard as the takeover found it: all its placements may exist.
@@ -85,7 +85,7 @@
   /// The inventory holds the machine under this shard.
   void machine_known(const wire::MachineRecord& record, double now);
   /// The machine is proven deleted.
-  void machine_gone(const std::string& name, double now);
+  void machine_deleted(const std::string& name, double now);
   /// The machine belongs to another shard.
   void machine_moved(const std::string& name, double now);
   void set_machine_address(const std::string& name, const std::string& addr);
@@ -158,7 +158,7 @@
   void rented(const ScaleOutRequest& request, const std::vector<std::string>& names, double now);
   /// The machines from index `from` on were not rented.
   void rent_refused(const ScaleOutRequest& request, std::size_t from, bool no_capacity, double now);
-  /// Machines to give back: idle, never up, failed, lost. Handed out once; machine_gone or
+  /// Machines to give back: idle, never up, failed, lost. Handed out once; machine_deleted or
   /// return_failed follows.
   [[nodiscard]] std::vector<std::string> machines_to_return() {
     return rentals_.machines_to_return();
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -363,7 +363,7 @@
           continue;
         }
         std::erase_if(workers_, [&](const Worker& w) { return w.name == name; });
-        n->scheduler->machine_gone(name, now_);
+        n->scheduler->machine_deleted(name, now_);
         deleted_.insert(name);
       }
     }
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -264,7 +264,7 @@
   for (const auto& name : deleted) {
     scheduler::ShardScheduler& scheduler = c.leader_of(name);
     c.strike(name);
-    scheduler.machine_gone(name, c.now);
+    scheduler.machine_deleted(name, c.now);
   }
   if (shards > 1) {
     ASSERT_EQ(moved.size(), 50u);
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -104,7 +104,7 @@
   d.machine("m-5", gone);
   d.all_report(gone, dead);
   EXPECT_EQ(d.live_tasks("m-5"), 0u);
-  d.scheduler->machine_gone("m-1", gone);
+  d.scheduler->machine_deleted("m-1", gone);
   d.commit(gone);
   d.all_report(gone + 1, dead);
   EXPECT_EQ(d.live_tasks("m-5"), 4u);
