--- a/src/scheduler/machine.h
+++ b/src/scheduler/machine.h
@@ -43,11 +43,11 @@
 
   std::string name, addr;
   /// ordered: the request is on its way.
-  bool announced = false;
+  bool rent_requested = false;
   /// The inventory holds it: only then may anything be placed on it.
   bool in_inventory = false;
   /// Its return has been handed out.
-  bool returning = false;
+  bool return_requested = false;
   /// The shard that it goes to once it is empty; -1: none.
   int transfer_to = -1;
   /// Not coming back: its tasks are not waited for.
--- a/src/scheduler/machine_transfers.cpp
+++ b/src/scheduler/machine_transfers.cpp
@@ -31,7 +31,7 @@
 // Work goes on where a machine was to leave and is not wanted any more. Only one that is not empty
 // may stay: of an empty one the inventory's commit may be on its way.
 void MachineTransfers::keep(Machine& machine) {
-  if (machine.transfer_to < 0 || machine.lost || machine.returning) return;
+  if (machine.transfer_to < 0 || machine.lost || machine.return_requested) return;
   if (machine.tasks.placements.empty()) return;
   machine.transfer_to = -1;
   machine.leaving = machine.is_faulty();
--- a/src/scheduler/rentals.cpp
+++ b/src/scheduler/rentals.cpp
@@ -57,7 +57,7 @@
                                                          std::vector<Machine*>& barred) {
   std::map<TierAndZone, ScaleOutRequest> groups;
   for (const auto& [number, machine] : machines_.all()) {
-    if (machine->state != Machine::ordered || machine->announced) continue;
+    if (machine->state != Machine::ordered || machine->rent_requested) continue;
     const TierAndZone key{machine->tier(), machine->zone};
     // A later order where the cloud has just said that it has none goes back to the chain.
     if (refused_lately(machine->tier(), machine->zone, now)) {
@@ -75,7 +75,7 @@
   }
   std::vector<ScaleOutRequest> requests;
   for (auto& [key, request] : groups) {
-    for (const int number : request.machines) machines_.at(number)->announced = true;
+    for (const int number : request.machines) machines_.at(number)->rent_requested = true;
     requesting_.insert(key);
     requests.push_back(std::move(request));
   }
@@ -133,7 +133,7 @@
 std::vector<std::string> Rentals::machines_to_return() {
   std::vector<std::string> names;
   for (const auto& [number, machine] : machines_.all()) {
-    if (!machine->leaving || machine->returning || machine->name.empty()) continue;
+    if (!machine->leaving || machine->return_requested || machine->name.empty()) continue;
     if (machine->transfer_to >= 0 && !machine->lost) continue;
     // Tasks of a machine that answers are let finish; a lost machine's are not waited for.
     const auto& placements = machine->tasks.placements;
@@ -141,14 +141,14 @@
         std::any_of(placements.begin(), placements.end(),
                     [](const Placement& placement) { return !placement.acknowledging; });
     if (is_running && !machine->lost) continue;
-    machine->returning = true;
+    machine->return_requested = true;
     names.push_back(machine->name);
   }
   return names;
 }
 
 void Rentals::return_failed(const std::string& name) {
-  if (Machine* machine = machines_.find(name)) machine->returning = false;
+  if (Machine* machine = machines_.find(name)) machine->return_requested = false;
 }
 
 }  // namespace shunttrail::scheduler
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -312,7 +312,7 @@
   std::vector<int> withdrawn;  // orders that nothing waits for any more
   for (const auto& [number, machine] : machines_.all()) {
     if (machine->state == Machine::ordered) {
-      if (machine->queue.tasks.empty() && !machine->announced) withdrawn.push_back(number);
+      if (machine->queue.tasks.empty() && !machine->rent_requested) withdrawn.push_back(number);
       continue;
     }
     if (machine->tasks.needs_resync) placements_.note_direct_due(*machine);
