--- a/src/scheduler/admission.cpp
+++ b/src/scheduler/admission.cpp
@@ -106,7 +106,7 @@
   const Job* misfit = nullptr;  // the same job's next task would not fit either
   auto next = queues_.tasks().begin();
   while (next != queues_.tasks().end() && walks < kMaxPullsPerHeartbeat) {
-    if (!queues_.any_fits(machines_.room(machine))) return;
+    if (!queues_.any_fits(machines_.free_capacity(machine))) return;
     const auto [order, number] = *next++;
     if (!goes_before_queue(order, machine)) return;
     Machine* from = machines_.at(number);
@@ -114,7 +114,7 @@
     const auto position = TaskQueues::find(*from, order);
     if (position == from->queue.tasks.end() || position->job.get() == misfit) continue;
     const Job& job = *position->job;
-    if (!job.need.fits(machines_.room(machine, order.first)) ||
+    if (!job.need.fits(machines_.free_capacity(machine, order.first)) ||
         !machines_.usable(machine, job, now)) {
       misfit = &job;
       continue;
@@ -139,7 +139,7 @@
 
 // The task does not fit even when everything but the replicas has ended.
 bool Admission::is_blocked_by_replicas(const Machine& machine, const QueuedTask& task) const {
-  Resources room = machines_.room(machine, task.priority_band);
+  Resources room = machines_.free_capacity(machine, task.priority_band);
   for (const Placement& placement : machine.tasks.placements)
     if (!placement.released && !placement.job->spec.service) room += placement.job->need;
   return !task.job->need.fits(room);
--- a/src/scheduler/backfill.cpp
+++ b/src/scheduler/backfill.cpp
@@ -31,7 +31,7 @@
 bool Backfill::has_idle_capacity(const Machine& machine, const std::set<Need>& needs,
                                  double now) const {
   if (machine.type < 0 || !machine.accepts_work(now) || !machine.in_inventory) return false;
-  const Resources room = machines_.room(machine);
+  const Resources room = machines_.free_capacity(machine);
   return std::any_of(needs.begin(), needs.end(), [&](const Need& need) {
     const auto& [cpus, gpus, mem] = need;
     return Resources{cpus, gpus, mem}.fits(room);
@@ -62,7 +62,7 @@
 
 bool Backfill::takes(const Machine& machine, const Job& job, std::uint32_t task, int priority_band,
                      double now) const {
-  return job.need.fits(machines_.room(machine, priority_band)) &&
+  return job.need.fits(machines_.free_capacity(machine, priority_band)) &&
          machines_.usable(machine, job, now) && service_.may_be_placed(job, task);
 }
 
@@ -74,7 +74,7 @@
 
 void Backfill::fill_from_queues(Machine& machine, double now) {
   auto next = queues_.tasks().begin();
-  while (next != queues_.tasks().end() && queues_.any_fits(machines_.room(machine))) {
+  while (next != queues_.tasks().end() && queues_.any_fits(machines_.free_capacity(machine))) {
     const auto [order, number] = *next++;
     Machine& from = *machines_.at(number);
     const auto position = TaskQueues::find(from, order);
--- a/src/scheduler/chain_walk.cpp
+++ b/src/scheduler/chain_walk.cpp
@@ -52,7 +52,7 @@
 ChainWalk::TierScan ChainWalk::make_scan(const QueuedTask& task, int tier, Scope scope,
                                          double now) {
   const jobs::Job& job = *task.job;
-  const Resources& capacity = context_.catalogue.types[static_cast<std::size_t>(tier / 2)].room;
+  const Resources& capacity = context_.catalogue.types[static_cast<std::size_t>(tier / 2)].capacity;
   TierScan scan{job, task.priority_band, scope, now, capacity, nullptr, 0, {}};
   scan.learner = &learners_.try_emplace(tier, context_.tuning.ring).first->second;
   scan.size = chain::size_bucket(share_of(job.need, capacity));
@@ -96,7 +96,7 @@
                                                      chain::Kinds* seen) const {
   if (queues_.is_reserved(machine)) return std::nullopt;
   const bool room_only = scan.scope == Scope::machines_with_room;
-  const bool has_room = scan.job.need.fits(machines_.room(machine, scan.priority_band));
+  const bool has_room = scan.job.need.fits(machines_.free_capacity(machine, scan.priority_band));
   if (room_only && !has_room) return std::nullopt;
   // Accept is split by band (paper 3.1, query scheduling): a task joins the queue of its job's
   // band, and only what is ahead of it there counts.
--- a/src/scheduler/delegation_planner.cpp
+++ b/src/scheduler/delegation_planner.cpp
@@ -218,7 +218,7 @@
     const Machine& machine = *entry.second;
     if (!machine.accepts_work(now) || !machine.in_inventory) return false;
     if (!machine.queue.tasks.empty()) return false;
-    return job.need.fits(machines_.room(machine, job.priority_band())) &&
+    return job.need.fits(machines_.free_capacity(machine, job.priority_band())) &&
            machines_.usable(machine, job, now);
   });
 }
--- a/src/scheduler/finish_cost.cpp
+++ b/src/scheduler/finish_cost.cpp
@@ -32,7 +32,7 @@
   const Job& job = *placement.job;
   const auto& type = context.catalogue.types[static_cast<std::size_t>(machine.type)];
   const double rate = context.catalogue.rate(machine.tier());
-  const double share = largest_share(job.need, type.room);
+  const double share = largest_share(job.need, type.capacity);
   const double weight =
       kPriorityWeight[static_cast<std::size_t>(job.priority)] * context.catalogue.base_rate;
   const double started = placement.started > 0 ? placement.started : now;
--- a/src/scheduler/machine_catalogue.cpp
+++ b/src/scheduler/machine_catalogue.cpp
@@ -21,7 +21,7 @@
     }
     Type& type = types[static_cast<std::size_t>(index)];
     type.spec = listed;
-    type.room = Resources::of(listed.cpus, listed.gpus, listed.mem_gb);
+    type.capacity = Resources::of(listed.cpus, listed.gpus, listed.mem_gb);
     type.in_zone.assign(settings.zones.size(), false);
     for (const std::string& name : listed.zones)
       if (const int zone = settings.zone_index(name); zone >= 0)
@@ -47,13 +47,13 @@
   if (job.types &&
       std::find(job.types->begin(), job.types->end(), type.spec.name) == job.types->end())
     return false;
-  return need.fits(type.room);
+  return need.fits(type.capacity);
 }
 
 double MachineCatalogue::units(int type) const {
-  const auto first = static_cast<double>(types.front().room.cpus);
+  const auto first = static_cast<double>(types.front().capacity.cpus);
   if (first <= 0) return 1;
-  return static_cast<double>(types[static_cast<std::size_t>(type)].room.cpus) / first;
+  return static_cast<double>(types[static_cast<std::size_t>(type)].capacity.cpus) / first;
 }
 
 double MachineCatalogue::rate(int tier) const {
--- a/src/scheduler/machine_catalogue.h
+++ b/src/scheduler/machine_catalogue.h
@@ -15,7 +15,7 @@
   struct Type {
     wire::MachineType spec;
     /// What tasks may take of an empty machine.
-    jobs::Resources room;
+    jobs::Resources capacity;
     /// By zone: the cloud offers the type there.
     std::vector<bool> in_zone;
   };
--- a/src/scheduler/machines.cpp
+++ b/src/scheduler/machines.cpp
@@ -74,13 +74,13 @@
 
 // ---- what a machine can take
 
-Resources Machines::room(const Machine& machine) const {
-  return machine.type < 0 ? Resources{} : type_of(machine).room - machine.tasks.used;
+Resources Machines::free_capacity(const Machine& machine) const {
+  return machine.type < 0 ? Resources{} : type_of(machine).capacity - machine.tasks.used;
 }
 
-Resources Machines::room(const Machine& machine, int priority_band) const {
+Resources Machines::free_capacity(const Machine& machine, int priority_band) const {
   const bool is_urgent = priority_band < Job::kGuaranteed;
-  return is_urgent ? room(machine) : room(machine) - machine.reserved;
+  return is_urgent ? free_capacity(machine) : free_capacity(machine) - machine.reserved;
 }
 
 bool Machines::warm(const Machine& machine, int image) {
--- a/src/scheduler/machines.h
+++ b/src/scheduler/machines.h
@@ -44,9 +44,9 @@
   // ---- what a machine can take
 
   /// Free of placements.
-  [[nodiscard]] jobs::Resources room(const Machine& machine) const;
+  [[nodiscard]] jobs::Resources free_capacity(const Machine& machine) const;
   /// As a task of this band finds it: what is kept free is for urgent ones.
-  [[nodiscard]] jobs::Resources room(const Machine& machine, int priority_band) const;
+  [[nodiscard]] jobs::Resources free_capacity(const Machine& machine, int priority_band) const;
   /// The machine has the image, or is fetching it.
   [[nodiscard]] static bool warm(const Machine& machine, int image);
   /// The job's tasks may run on machines of the type and kind.
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -47,7 +47,7 @@
 
 void Preemption::make_room(Machine& machine, double now) {
   if (!machine.accepts_work(now)) return;
-  Resources room_soon = machines_.room(machine);
+  Resources room_soon = machines_.free_capacity(machine);
   for (const Placement& placement : machine.tasks.placements)
     if (placement.preempted && !placement.released) room_soon += placement.job->need;
   for (const QueuedTask& task : machine.queue.tasks) {
--- a/src/scheduler/queue_service.cpp
+++ b/src/scheduler/queue_service.cpp
@@ -11,8 +11,8 @@
 // What is kept free for urgent work counts as room for the task that has the machine reserved.
 bool QueueService::has_room(const Machine& machine, const QueuedTask& task) const {
   return task.job->need.fits(queues_.is_reserved(machine)
-                                 ? machines_.room(machine)
-                                 : machines_.room(machine, task.priority_band));
+                                 ? machines_.free_capacity(machine)
+                                 : machines_.free_capacity(machine, task.priority_band));
 }
 
 void QueueService::place_queued(Machine& machine, double now, std::optional<ServiceOrder> last) {
--- a/src/scheduler/replica_consolidation.cpp
+++ b/src/scheduler/replica_consolidation.cpp
@@ -36,7 +36,7 @@
   if (!machine.accepts_work(now) || !machine.in_inventory || machine.type < 0) return 0;
   if (placements.empty() || !machine.queue.tasks.empty()) return 0;
   const auto& type = context_.catalogue.types[static_cast<std::size_t>(machine.type)];
-  const auto capacity = static_cast<double>(type.room.cpus);
+  const auto capacity = static_cast<double>(type.capacity.cpus);
   if (static_cast<double>(machine.tasks.used.cpus) > kMaxUsedShare * capacity) return 0;
   if (!std::all_of(placements.begin(), placements.end(),
                    [&](const Placement& placement) { return is_settled(placement, now); }))
@@ -58,7 +58,7 @@
   if (!machines_.type_ok(job, to.type, to.spot) || !Machines::warm(to, job.image)) return false;
   if (!is_better(to, from)) return false;
   Resources& taken = moves.room[to.number];
-  if (!job.need.fits(machines_.room(to) - taken)) return false;
+  if (!job.need.fits(machines_.free_capacity(to) - taken)) return false;
   int& moved_to_zone = moves.in_zone[{&job, to.zone}];
   if (to.zone != from.zone && (moved_to_zone || !machines_.zone_ok(job, to.zone))) return false;
   ++moved_to_zone;
--- a/src/scheduler/reservations.cpp
+++ b/src/scheduler/reservations.cpp
@@ -60,7 +60,7 @@
 bool Reservations::is_large(const Job& job) const {
   const auto& types = context_.catalogue.types;
   return std::any_of(types.begin(), types.end(), [&](const MachineCatalogue::Type& type) {
-    return job.need.fits(type.room) && share_of(job.need, type.room) >= kLargeShare;
+    return job.need.fits(type.capacity) && share_of(job.need, type.capacity) >= kLargeShare;
   });
 }
 
@@ -88,12 +88,12 @@
   if (queue.idle_capacity_since >= 0 && now - queue.idle_capacity_since > kMaxIdleCapacityS)
     return false;
   const auto& type = context_.catalogue.types[static_cast<std::size_t>(machine.type)];
-  return share_of(job.need, type.room) >= kLargeShare;
+  return share_of(job.need, type.capacity) >= kLargeShare;
 }
 
 // Seconds until the machine has room for one task, if nothing more begins there. Infinite: never.
 double Reservations::time_until_room(const Machine& machine, const Job& job, double now) const {
-  Resources room = machines_.room(machine);
+  Resources room = machines_.free_capacity(machine);
   if (job.need.fits(room)) return 0;
   std::vector<Release> releases;
   for (const Placement& placement : machine.tasks.placements)
@@ -153,7 +153,7 @@
 
 // Replicas have no end: as many of them move as make room together with what does end.
 void Reservations::move_replicas(Machine& machine, const Job& job) {
-  Resources room = machines_.room(machine);
+  Resources room = machines_.free_capacity(machine);
   for (const Placement& placement : machine.tasks.placements)
     if (!placement.released && (!placement.job->spec.service || placement.preempted))
       room += placement.job->need;
--- a/src/scheduler/room_offers.cpp
+++ b/src/scheduler/room_offers.cpp
@@ -24,7 +24,7 @@
   const int band = jobs::Job::kGuaranteed + 1;
   for (const auto& [number, machine] : machines.all()) {
     if (!is_offered(*machine, queues, now)) continue;
-    const jobs::Resources room = machines.room(*machine, band);
+    const jobs::Resources room = machines.free_capacity(*machine, band);
     if (room.cpus <= 0 || room.mem <= 0) continue;
     groups[{machine->tier(), machine->zone}].push_back(
         {context.shard, machine->type, machine->zone, machine->spot, room});
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -369,7 +369,7 @@
 shard::Load ShardScheduler::load(double now) const {
   shard::Load load;
   if (context_.catalogue.empty()) return load;
-  const Resources first_type = context_.catalogue.types[0].room;
+  const Resources first_type = context_.catalogue.types[0].capacity;
   load.capacity = transfers_.capacity() + transfers_.transferring();
   const auto& teams = context_.settings.teams;
   std::vector<double> machines(teams.size(), 0);  // by team
--- a/src/scheduler/shard_summary.cpp
+++ b/src/scheduler/shard_summary.cpp
@@ -31,7 +31,7 @@
   if (machine.was_idle) ++counts.idle;
   if (machine.state != Machine::up || machine.type < 0) return;
   const auto& type = catalogue.types[static_cast<std::size_t>(machine.type)];
-  counts.capacity += static_cast<double>(type.room.cpus) / kMicroCpusPerCpu;
+  counts.capacity += static_cast<double>(type.capacity.cpus) / kMicroCpusPerCpu;
   counts.used += static_cast<double>(machine.tasks.used.cpus) / kMicroCpusPerCpu;
 }
 
--- a/src/scheduler/urgent_headroom.cpp
+++ b/src/scheduler/urgent_headroom.cpp
@@ -36,7 +36,7 @@
     machine->reserved = {};
     if (!machine->accepts_work(now) || !machine->in_inventory) continue;
     if (machine->type < 0 || machine->zone < 0) continue;
-    cpus += context_.catalogue.types[static_cast<std::size_t>(machine->type)].room.cpus;
+    cpus += context_.catalogue.types[static_cast<std::size_t>(machine->type)].capacity.cpus;
   }
   return cpus;
 }
@@ -51,7 +51,7 @@
       by_zone[static_cast<std::size_t>(machine->zone)].push_back(machine.get());
   }
   const auto rank = [&](const Machine* machine) {
-    return std::tuple(job.need.fits(machines_.room(*machine)), machine->images.size());
+    return std::tuple(job.need.fits(machines_.free_capacity(*machine)), machine->images.size());
   };
   for (std::vector<Machine*>& zone : by_zone)
     std::stable_sort(zone.begin(), zone.end(),
@@ -62,7 +62,8 @@
 // Room for a few tasks, in half of the machine at the most, and `left` vcpus.
 Resources UrgentHeadroom::headroom(const Machine& machine, const Job& job,
                                    std::int64_t left) const {
-  const Resources& capacity = context_.catalogue.types[static_cast<std::size_t>(machine.type)].room;
+  const Resources& capacity =
+      context_.catalogue.types[static_cast<std::size_t>(machine.type)].capacity;
   Resources kept;
   for (int task = 0; task < kMaxTasksPerMachine; ++task) {
     const Resources more = kept + job.need;
