--- a/src/scheduler/failure_detector.cpp
+++ b/src/scheduler/failure_detector.cpp
@@ -80,7 +80,7 @@
 std::vector<Probe> FailureDetector::probes(double now) {
   std::vector<Probe> out;
   const std::size_t max_in_flight =
-      std::max(kMinProbesInFlight, machines_.named() / kMachinesPerProbe);
+      std::max(kMinProbesInFlight, machines_.named_count() / kMachinesPerProbe);
   std::size_t in_flight = 0;
   for (const auto& [number, machine] : machines_.all()) {
     if (in_flight >= max_in_flight) break;
@@ -101,7 +101,7 @@
 bool FailureDetector::may_give_up_another(double now) {
   std::erase_if(given_up_at_, [&](double at) { return now - at > context_.settings.lease_s; });
   const double limit =
-      std::max(kMinFailedLimit, kMaxFailedShare * static_cast<double>(machines_.named()));
+      std::max(kMinFailedLimit, kMaxFailedShare * static_cast<double>(machines_.named_count()));
   return static_cast<double>(given_up_at_.size()) < limit;
 }
 
--- a/src/scheduler/machines.cpp
+++ b/src/scheduler/machines.cpp
@@ -37,14 +37,14 @@
   return machine;
 }
 
-void Machines::booting(Machine& machine, const std::string& name, double now) {
+void Machines::mark_booting(Machine& machine, const std::string& name, double now) {
   machine.name = name;
   machine.state = Machine::booting;
   machine.rented_at = machine.last_heartbeat = machine.last_answer = now;
   by_name_[name] = machine.number;
 }
 
-bool Machines::known(const wire::MachineRecord& record, double now) {
+bool Machines::add_recorded(const wire::MachineRecord& record, double now) {
   if (Machine* here = find(record.name)) {
     here->in_inventory = true;
     return false;
@@ -53,7 +53,7 @@
   machine.type = context_.catalogue.type_index(record.type);
   machine.spot = record.spot;
   machine.in_inventory = true;
-  booting(machine, record.name, now);
+  mark_booting(machine, record.name, now);
   // A type or zone that is not known any more: its tasks are given up, then it is returned.
   if (machine.type < 0 || machine.zone < 0) machine.leaving = true;
   return true;
@@ -163,7 +163,7 @@
   last_returned_idle_at_.erase(returned);
 }
 
-std::vector<double> Machines::waits() const {
+std::vector<double> Machines::idle_waits() const {
   std::vector<double> seconds;
   for (const auto& [tier, wait] : idle_waits_) seconds.push_back(wait.seconds(0));
   return seconds;
--- a/src/scheduler/machines.h
+++ b/src/scheduler/machines.h
@@ -31,13 +31,13 @@
   [[nodiscard]] Machine* at(int number) const;
   [[nodiscard]] bool contains(const std::string& name) const { return by_name_.contains(name); }
   /// Number of machines with a name: not of orders.
-  [[nodiscard]] std::size_t named() const { return by_name_.size(); }
+  [[nodiscard]] std::size_t named_count() const { return by_name_.size(); }
   /// Adds a machine without a name; its pointer holds until it is erased.
   Machine& add(int tier, int zone);
   /// The machine has been rented under this name, and boots.
-  void booting(Machine& machine, const std::string& name, double now);
+  void mark_booting(Machine& machine, const std::string& name, double now);
   /// The inventory holds the machine under this shard. True if it is new here.
-  bool known(const wire::MachineRecord& record, double now);
+  bool add_recorded(const wire::MachineRecord& record, double now);
   /// Nothing is on the machine, and nothing waits for it.
   void erase(int number);
 
@@ -72,7 +72,7 @@
   /// A machine of the tier is ordered, perhaps after one was returned early.
   void rented_again(int tier, double now);
   /// The learned wait of each tier, in seconds.
-  [[nodiscard]] std::vector<double> waits() const;
+  [[nodiscard]] std::vector<double> idle_waits() const;
   /// Marks the machine for its return if it has been idle for longer than the wait.
   void return_idle(Machine& machine, double now);
 
--- a/src/scheduler/rentals.cpp
+++ b/src/scheduler/rentals.cpp
@@ -106,7 +106,7 @@
       if (ordered) unused.push_back(ordered->number);
       continue;
     }
-    machines_.booting(machine_for(request, i), names[i], now);
+    machines_.mark_booting(machine_for(request, i), names[i], now);
     ++context_.counters.rents;
   }
   if (names.size() < request.machines.size()) {
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -112,7 +112,7 @@
 // ---- machines
 
 void ShardScheduler::machine_known(const wire::MachineRecord& record, double now) {
-  const bool added = machines_.known(record, now);
+  const bool added = machines_.add_recorded(record, now);
   // It has come from a shard whose token was higher: its worker would drop our responses.
   if (added && record.token > token()) token_policy_.saw_higher_token();
 }
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -99,7 +99,7 @@
     return transfers_.transfer_target(name);
   }
   [[nodiscard]] bool has_machine(const std::string& name) const { return machines_.contains(name); }
-  [[nodiscard]] std::size_t machine_count() const { return machines_.named(); }
+  [[nodiscard]] std::size_t machine_count() const { return machines_.named_count(); }
 
   // ---- workers
 
--- a/src/scheduler/shard_summary.cpp
+++ b/src/scheduler/shard_summary.cpp
@@ -104,7 +104,7 @@
   json summary{{"shard", context.shard},
                {"token", token},
                {"jobs", context.jobs.size()},
-               {"k", machines.waits()},
+               {"k", machines.idle_waits()},
                {"foreign", foreign_tasks(context)}};
   summary.update(waiting_json(waiting));
   summary.update(machines_json(machine_counts));
