--- a/src/controller/shard_controller.cpp
+++ b/src/controller/shard_controller.cpp
@@ -148,7 +148,7 @@
         on_job_set(change.name);
         break;
       case state::Change::job_gone:
-        scheduler_->job_gone(change.name, now());
+        scheduler_->job_ended(change.name, now());
         break;
       case state::Change::machine_set:
         on_machine_set(change.name);
--- a/tests/delegation_test.cpp
+++ b/tests/delegation_test.cpp
@@ -352,7 +352,7 @@
     for (const auto& scheduler : shards_) {
       if (!scheduler) continue;
       for (const auto& change : changes) {
-        if (change.kind == state::Change::job_gone) scheduler->job_gone(change.name, now_);
+        if (change.kind == state::Change::job_gone) scheduler->job_ended(change.name, now_);
         if (change.kind == state::Change::job_set) add(*scheduler, *cache_.job(change.name));
       }
       scheduler->sync_delegations(cache_, now_);
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -87,7 +87,7 @@
       if (!n.scheduler) continue;
       if (ch.kind == state::Change::job_set && n.world.job(ch.name))
         n.scheduler->job_added(n.world.job(ch.name)->record, 0, n.world.done(ch.name), now_, now_);
-      if (ch.kind == state::Change::job_gone) n.scheduler->job_gone(ch.name, now_);
+      if (ch.kind == state::Change::job_gone) n.scheduler->job_ended(ch.name, now_);
       if (ch.kind == state::Change::machine_set && n.world.machine(ch.name))
         n.scheduler->machine_known(*n.world.machine(ch.name), now_);
       if (ch.kind == state::Change::machine_gone && !n.world.machine(ch.name))
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -58,7 +58,7 @@
     std::vector<state::Change> changes;
     store_.read(world_, changes);
     for (const auto& ch : changes)
-      if (desk_ && ch.kind == state::Change::job_gone) desk_->job_gone(ch.name, now_);
+      if (desk_ && ch.kind == state::Change::job_gone) desk_->job_ended(ch.name, now_);
   }
   void take() {
     store_.commit(
--- a/tests/shard_scheduler_test.cpp
+++ b/tests/shard_scheduler_test.cpp
@@ -361,7 +361,7 @@
   auto direct = d.start_directly(1, 2);
   ASSERT_EQ(direct.size(), 1u);
   EXPECT_FALSE(d.scheduler->has_unacknowledged_start("m-1"));
-  d.scheduler->job_gone(make_job(1, 1, 1).spec.id, 3);
+  d.scheduler->job_ended(make_job(1, 1, 1).spec.id, 3);
   // Its answer may still settle it.
   EXPECT_TRUE(d.scheduler->has_unacknowledged_start("m-1"));
   EXPECT_FALSE(d.scheduler->needs_new_token(3));
@@ -384,7 +384,7 @@
   ASSERT_EQ(direct.size(), 1u);
   d.scheduler->direct_commands_done(direct[0], 0);
   EXPECT_FALSE(d.scheduler->needs_new_token(6.5));
-  d.scheduler->job_gone(make_job(2, 1, 1).spec.id, 6.5);
+  d.scheduler->job_ended(make_job(2, 1, 1).spec.id, 6.5);
   EXPECT_TRUE(d.scheduler->needs_new_token(6.5));
 }
 TEST(ShardScheduler, AnAnswerAcknowledgesACancelledStart) {
@@ -394,7 +394,7 @@
     d.heartbeat("m-1", 1);
     auto direct = d.start_directly(1, 2);
     ASSERT_EQ(direct.size(), 1u);
-    d.scheduler->job_gone(make_job(1, 1, 1).spec.id, 3);
+    d.scheduler->job_ended(make_job(1, 1, 1).spec.id, 3);
     d.scheduler->direct_commands_done(direct[0], status);
     EXPECT_FALSE(d.scheduler->has_unacknowledged_start("m-1")) << status;
     EXPECT_FALSE(d.scheduler->needs_new_token(30)) << status;
@@ -418,7 +418,7 @@
   const auto none = [](const std::string&) { return false; };
   EXPECT_TRUE(d.scheduler->direct_commands(true, none, 14).empty());
   const std::string gone = make_job(1, 2, 1).spec.id;
-  d.scheduler->job_gone(gone, 14);
+  d.scheduler->job_ended(gone, 14);
   auto direct = d.scheduler->direct_commands(true, none, 14);
   ASSERT_EQ(direct.size(), 1u);
   auto all_of_it = [&](const std::vector<wire::Command>& commands) {
