--- a/src/scheduler/failure_detector.cpp
+++ b/src/scheduler/failure_detector.cpp
@@ -41,11 +41,11 @@
 bool FailureDetector::is_suspected(const Machine& machine, double now) const {
   const double max_silence_s = std::min(
       kSilenceBeforeSuspicionS, kSilentHeartbeatsBeforeSuspicion * context_.settings.heartbeat_s);
-  return now - std::max(machine.last_heartbeat, machine.known_alive_at) > max_silence_s;
+  return now - std::max(machine.last_heartbeat, machine.probe_answered_at) > max_silence_s;
 }
 
 bool FailureDetector::loses_responses(const Machine& machine) {
-  return machine.losing_responses >= kLostResponsesBeforeSuspicion;
+  return machine.lost_responses >= kLostResponsesBeforeSuspicion;
 }
 
 // Most of the zone's machines are heard. Where most are silent at once a network is cut, or this
@@ -56,13 +56,14 @@
   for (const auto& [number, machine] : machines_.all()) {
     if (machine->state != Machine::up || machine->zone != zone || machine->lost) continue;
     ++all;
-    if (!machine->unanswered && !loses_responses(*machine) && !is_silent(*machine, now)) ++heard;
+    if (!machine->unanswered_probes && !loses_responses(*machine) && !is_silent(*machine, now))
+      ++heard;
   }
   return heard > 0 && 2 * heard >= all;
 }
 
 void FailureDetector::heartbeat_received(Machine& machine, bool response_lost, double now) const {
-  int& lost = machine.losing_responses;
+  int& lost = machine.lost_responses;
   lost = response_lost ? lost + 1 : std::max(0, lost - 1);
   if (loses_responses(machine))
     machine.avoid(now + kAvoidHeartbeats * context_.settings.heartbeat_s);
@@ -71,7 +72,7 @@
 // Batch tasks lose little by waiting for the proof by silence, and a machine that hangs may go on:
 // silence alone is a reason for machines with replicas only.
 bool FailureDetector::should_probe(const Machine& machine, double now) const {
-  if (machine.lost || machine.zone < 0 || machine.addr.empty() || machine.probe_after > now)
+  if (machine.lost || machine.zone < 0 || machine.addr.empty() || machine.next_probe_at > now)
     return false;
   if (loses_responses(machine)) return true;
   return is_suspected(machine, now) && machine.has_replicas();
@@ -84,12 +85,12 @@
   std::size_t in_flight = 0;
   for (const auto& [number, machine] : machines_.all()) {
     if (in_flight >= max_in_flight) break;
-    if (machine->probe_out) {
+    if (machine->probe_in_flight) {
       ++in_flight;
       continue;
     }
     if (!should_probe(*machine, now)) continue;
-    machine->probe_out = true;
+    machine->probe_in_flight = true;
     ++in_flight;
     out.push_back({machine->name, machine->addr});
   }
@@ -106,18 +107,18 @@
 }
 
 bool FailureDetector::probe_done(Machine& machine, bool answered, double now) {
-  machine.probe_out = false;
-  machine.probe_after = now + kProbeIntervalS;
+  machine.probe_in_flight = false;
+  machine.next_probe_at = now + kProbeIntervalS;
   const auto zone = static_cast<std::size_t>(machine.zone);
   if (answered) {
     // If its heartbeats do not come here, that is for the relay routes to mend.
-    machine.unanswered = machine.losing_responses = 0;
-    machine.known_alive_at = zone_heard_at_[zone] = now;
+    machine.unanswered_probes = machine.lost_responses = 0;
+    machine.probe_answered_at = zone_heard_at_[zone] = now;
     return false;
   }
   const bool responses_lost = loses_responses(machine);
   if (!responses_lost && !is_suspected(machine, now)) return false;
-  if (machine.lost || ++machine.unanswered < kUnansweredBeforeFailure) return false;
+  if (machine.lost || ++machine.unanswered_probes < kUnansweredBeforeFailure) return false;
   // Only where others in its zone answer this node, and most of them are heard.
   if (!zone_heard(machine.zone, now)) return false;
   if (!responses_lost && now - zone_heard_at_[zone] > kZoneHeardWithinS) return false;
--- a/src/scheduler/machine.cpp
+++ b/src/scheduler/machine.cpp
@@ -26,7 +26,7 @@
 
 void Machine::task_failed(const std::string& job, double now) {
   ++faults;
-  faulty_for.insert(job);
+  failed_jobs.insert(job);
   avoid_until = now + kFaultPauseS;
   // It is replaced.
   if (is_faulty()) leaving = true;
@@ -34,10 +34,10 @@
 
 void Machine::task_succeeded() {
   faults = 0;
-  faulty_for.clear();
+  failed_jobs.clear();
 }
 
-bool Machine::is_faulty() const { return faulty_for.size() >= kFailedJobsBeforeFaulty; }
+bool Machine::is_faulty() const { return failed_jobs.size() >= kFailedJobsBeforeFaulty; }
 
 bool Machine::give_up() {
   if (lost) return false;
--- a/src/scheduler/machine.h
+++ b/src/scheduler/machine.h
@@ -56,28 +56,28 @@
   std::optional<double> notice_s;
   double rented_at = 0, last_heartbeat = 0;
   /// Of the latest response to a heartbeat.
-  double last_answer = 0;
+  double last_response_at = 0;
   double idle_since = 0;
   /// When the newest heartbeat, or response to direct commands, came.
-  double newest_task_at = -1e9;
+  double newest_status_at = -1e9;
   bool was_idle = false;
   /// Jobs that it has failed since its last success.
-  std::set<std::string> faulty_for;
+  std::set<std::string> failed_jobs;
   int faults = 0;
   /// Heartbeats in a row that show that the response to an earlier one was lost.
-  int losing_responses = 0;
+  int lost_responses = 0;
   /// The token in the latest response to a heartbeat.
-  std::uint64_t answered_token = 0;
+  std::uint64_t last_response_token = 0;
   /// The newest heartbeat does not show a start that was sent in a response.
   bool start_lost = false;
   /// A probe is on its way (FailureDetector).
-  bool probe_out = false;
+  bool probe_in_flight = false;
   /// Probes in a row without an answer.
-  int unanswered = 0;
+  int unanswered_probes = 0;
   /// No probe before this time.
-  double probe_after = 0;
+  double next_probe_at = 0;
   /// When it answered a probe last.
-  double known_alive_at = 0;
+  double probe_answered_at = 0;
 
   /// Number of its tier (MachineCatalogue).
   [[nodiscard]] int tier() const { return 2 * type + (spot ? 1 : 0); }
--- a/src/scheduler/machines.cpp
+++ b/src/scheduler/machines.cpp
@@ -40,7 +40,7 @@
 void Machines::mark_booting(Machine& machine, const std::string& name, double now) {
   machine.name = name;
   machine.state = Machine::booting;
-  machine.rented_at = machine.last_heartbeat = machine.last_answer = now;
+  machine.rented_at = machine.last_heartbeat = machine.last_response_at = now;
   by_name_[name] = machine.number;
 }
 
@@ -108,7 +108,7 @@
                                   bool new_session, double now) {
   machine.addr = heartbeat.addr;
   machine.last_heartbeat = now;
-  if (machine.losing_responses < kLostResponsesBeforeSuspicion) machine.unanswered = 0;
+  if (machine.lost_responses < kLostResponsesBeforeSuspicion) machine.unanswered_probes = 0;
   if (machine.state != Machine::up) {
     machine.state = Machine::up;
     machine.idle_since = now;
--- a/src/scheduler/placements.cpp
+++ b/src/scheduler/placements.cpp
@@ -174,7 +174,7 @@
 // machine's lease alive.
 void Placements::lease_expired(Machine& machine, double now) {
   const auto& settings = context_.settings;
-  const double own_leases_end = machine.last_answer + settings.lease_s + kLeaseMarginS;
+  const double own_leases_end = machine.last_response_at + settings.lease_s + kLeaseMarginS;
   const double earlier_leases_end =
       machine.tasks.token_seen ? 0.0 : opened_at_ + settings.fencing_wait_s();
   if (now <= std::max(own_leases_end, earlier_leases_end)) return;
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -195,9 +195,9 @@
     Machine& machine, const wire::Heartbeat& heartbeat, double now) {
   ++context_.counters.stale_heartbeats;
   if (heartbeat.incarnation != machine.tasks.incarnation ||
-      now - machine.newest_task_at > kWorkerResponseTimeoutS)
+      now - machine.newest_status_at > kWorkerResponseTimeoutS)
     return HeartbeatResult::unknown;
-  machine.last_answer = now;
+  machine.last_response_at = now;
   return HeartbeatResult::older;
 }
 
@@ -209,11 +209,11 @@
     return take_older_heartbeat(*machine, heartbeat, now);
   ++context_.counters.heartbeats;
   last_heartbeat_at_ = now;
-  machine->newest_task_at = now;
+  machine->newest_status_at = now;
   const bool new_session = heartbeat.incarnation != machine->tasks.incarnation;
   // Answered within a lease, and the lease is over all the same.
   const bool lease_lost = new_session && machine->tasks.incarnation != 0 &&
-                          now - machine->last_answer < context_.settings.lease_s / 2;
+                          now - machine->last_response_at < context_.settings.lease_s / 2;
   machine->start_lost = false;
   if (machines_.heartbeat_received(*machine, heartbeat, new_session, now))
     queues_.requeue_all(*machine);
@@ -221,7 +221,7 @@
   heartbeat_processor_.heartbeat_received(*machine, heartbeat, source, now);
   if (source == HeartbeatSource::worker) {
     const bool response_lost =
-        lease_lost || heartbeat.token < machine->answered_token || machine->start_lost;
+        lease_lost || heartbeat.token < machine->last_response_token || machine->start_lost;
     failure_detector_.heartbeat_received(*machine, response_lost, now);
   }
   for (const FinishedTask& finished : heartbeat_processor_.take_finished())
@@ -234,8 +234,8 @@
                                                         double now) {
   Machine* machine = machines_.find(machine_name);
   if (!machine) return {};
-  machine->last_answer = now;
-  machine->answered_token = token();
+  machine->last_response_at = now;
+  machine->last_response_token = token();
   return worker_commands_.commands_for(*machine, fresh, now);
 }
 
