--- a/src/scheduler/heartbeat_processor.cpp
+++ b/src/scheduler/heartbeat_processor.cpp
@@ -189,7 +189,7 @@
   if (is_unwanted && placement.phase == Phase::committed &&
       TokenPolicy::is_acknowledged(machine, placement)) {
     // Not there, nothing on its way, and none will be sent.
-    placements_.release_for_good(machine, placement, now);
+    placements_.release_without_requeue(machine, placement, now);
     return true;
   }
   return false;
--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -44,7 +44,7 @@
   /// The stop of a preempted task has been sent.
   bool stop_sent = false;
   /// Its job is over, and a direct command has said so.
-  bool end_sent = false;
+  bool job_end_sent = false;
   /// As last reported.
   wire::TaskState state = wire::TaskState::fetching;
   wire::ExitReason exit_reason = wire::ExitReason::none;
--- a/src/scheduler/placement_store.cpp
+++ b/src/scheduler/placement_store.cpp
@@ -407,7 +407,7 @@
     for (const PersistedPlacement& start : write.starts) {
       Placement* placement = placements_.find(start);
       if (placement && placement->phase == Phase::committing)
-        placements_.undo(*machines_.at(start.machine), *placement, now);
+        placements_.commit_failed(*machines_.at(start.machine), *placement, now);
     }
 }
 
--- a/src/scheduler/placements.cpp
+++ b/src/scheduler/placements.cpp
@@ -35,7 +35,7 @@
 
 // ---- what placements take
 
-void Placements::reserve_room(Machine& machine, const Placement& placement) {
+void Placements::reserve_capacity(Machine& machine, const Placement& placement) {
   Job& job = *placement.job;
   machine.tasks.used += job.need;
   if (job.team >= 0) used_[static_cast<std::size_t>(job.team)] += job.need;
@@ -45,7 +45,7 @@
   job.pending.erase(placement.task);
 }
 
-void Placements::release_for_good(Machine& machine, Placement& placement, double now) {
+void Placements::release_without_requeue(Machine& machine, Placement& placement, double now) {
   if (placement.released) return;
   Job& job = *placement.job;
   placement.released = true;
@@ -64,7 +64,7 @@
 
 void Placements::release(Machine& machine, Placement& placement, double now) {
   if (placement.released) return;
-  release_for_good(machine, placement, now);
+  release_without_requeue(machine, placement, now);
   context_.requeue(placement.job, placement.task);
 }
 
@@ -87,7 +87,7 @@
     job.in_round.insert(placement.task);
   }
   placement.queued_task = std::move(task);
-  reserve_room(machine, placement);
+  reserve_capacity(machine, placement);
   machine.tasks.placements.push_back(std::move(placement));
 }
 
@@ -102,7 +102,7 @@
   placement.queued_task.job = placement.job;
   placement.queued_task.task = placement.task;
   placement.queued_task.since = now;
-  reserve_room(machine, placement);
+  reserve_capacity(machine, placement);
   Job& job = *placement.job;
   if (job.spec.gang) {
     job.round = placement.attempt;
@@ -121,7 +121,7 @@
   ++context_.counters.preempted;
 }
 
-void Placements::stop_directly(Machine& machine, const JobPtr& job) {
+void Placements::request_direct_stop(Machine& machine, const JobPtr& job) {
   const auto& placements = machine.tasks.placements;
   if (std::any_of(placements.begin(), placements.end(), [&](const Placement& placement) {
         return placement.job == job && placement.seen && !placement.released;
@@ -132,7 +132,7 @@
 void Placements::drop_if(Machine& machine, double now,
                          const std::function<bool(const Placement&)>& is_dropped) {
   for (Placement& placement : machine.tasks.placements)
-    if (is_dropped(placement)) release_for_good(machine, placement, now);
+    if (is_dropped(placement)) release_without_requeue(machine, placement, now);
   std::erase_if(machine.tasks.placements, is_dropped);
 }
 
@@ -149,10 +149,10 @@
   });
 }
 
-void Placements::undo(Machine& machine, Placement& placement, double now) {
+void Placements::commit_failed(Machine& machine, Placement& placement, double now) {
   placement.phase = Phase::planned;
   if (!placement.job->over && !placement.job->is_withheld(placement.task)) return;
-  release_for_good(machine, placement, now);
+  release_without_requeue(machine, placement, now);
   std::erase_if(machine.tasks.placements, [](const Placement& other) {
     return other.phase == Phase::planned && other.released;
   });
--- a/src/scheduler/placements.h
+++ b/src/scheduler/placements.h
@@ -46,16 +46,16 @@
   /// The same for the job's tasks that are withheld (Job::withhold).
   void drop_withheld(Machine& machine, const jobs::JobPtr& job, double now);
   /// The job is over: its running tasks are stopped at once, and not only when the machine reports.
-  void stop_directly(Machine& machine, const jobs::JobPtr& job);
+  void request_direct_stop(Machine& machine, const jobs::JobPtr& job);
   /// The placement's commit has failed: it is planned again, or dropped if its job is over or its
   /// task withheld by now.
-  void undo(Machine& machine, Placement& placement, double now);
+  void commit_failed(Machine& machine, Placement& placement, double now);
   /// The placement is proven not to run, now or later: what it takes is free again.
   void release(Machine& machine, Placement& placement, double now);
   /// The same where the placement counts as lost, unless it was released already.
   void release_lost(Machine& machine, Placement& placement, double now);
   /// The same for a task that need not enter the chain again.
-  void release_for_good(Machine& machine, Placement& placement, double now);
+  void release_without_requeue(Machine& machine, Placement& placement, double now);
 
   /// The machine is proven gone.
   void machine_deleted(Machine& machine, double now);
@@ -72,7 +72,7 @@
   void token_advanced();
 
  private:
-  void reserve_room(Machine& machine, const Placement& placement);
+  void reserve_capacity(Machine& machine, const Placement& placement);
   void drop_if(Machine& machine, double now,
                const std::function<bool(const Placement&)>& is_dropped);
 
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -87,7 +87,7 @@
   for (const auto& [number, machine] : machines_.all()) {
     queues_.drop_job(*machine, job);
     placements_.drop_planned(*machine, job, now);
-    placements_.stop_directly(*machine, job);
+    placements_.request_direct_stop(*machine, job);
     machine->note_idle(now);
   }
   context_.scheduling_due = true;
--- a/src/scheduler/worker_commands.cpp
+++ b/src/scheduler/worker_commands.cpp
@@ -202,8 +202,8 @@
   const bool running = placement.seen && !placement.released;
   // A machine that reports to nobody may still get this, and one that hangs finds it when it goes
   // on.
-  if (placement.job->over && running && !placement.end_sent) {
-    placement.end_sent = true;
+  if (placement.job->over && running && !placement.job_end_sent) {
+    placement.job_end_sent = true;
     commands.push_back(command(Command::Op::stop, placement));
     return;
   }
