--- a/src/scheduler/failure_detector.cpp
+++ b/src/scheduler/failure_detector.cpp
@@ -26,7 +26,7 @@
 /// How long a machine that loses responses gets no new work, in intervals between heartbeats.
 constexpr double kAvoidHeartbeats = 1.5;
 /// Another machine of the zone must have answered a probe so lately.
-constexpr double kZoneHeardWithinS = 4;
+constexpr double kZoneAnsweredWithinS = 4;
 /// Machines given up on within a lease: this share of the shard's, but some at least.
 constexpr double kMaxFailedShare = 0.15;
 constexpr double kMinFailedLimit = 3;
@@ -50,7 +50,7 @@
 
 // Most of the zone's machines are heard. Where most are silent at once a network is cut, or this
 // node stood still: nothing is concluded about one machine, and none is deleted.
-bool FailureDetector::zone_heard(int zone, double now) const {
+bool FailureDetector::most_of_zone_heard(int zone, double now) const {
   std::size_t all = 0;
   std::size_t heard = 0;
   for (const auto& [number, machine] : machines_.all()) {
@@ -113,15 +113,15 @@
   if (answered) {
     // If its heartbeats do not come here, that is for the relay routes to mend.
     machine.unanswered_probes = machine.lost_responses = 0;
-    machine.probe_answered_at = zone_heard_at_[zone] = now;
+    machine.probe_answered_at = zone_answered_at_[zone] = now;
     return false;
   }
   const bool responses_lost = loses_responses(machine);
   if (!responses_lost && !is_suspected(machine, now)) return false;
   if (machine.lost || ++machine.unanswered_probes < kUnansweredBeforeFailure) return false;
   // Only where others in its zone answer this node, and most of them are heard.
-  if (!zone_heard(machine.zone, now)) return false;
-  if (!responses_lost && now - zone_heard_at_[zone] > kZoneHeardWithinS) return false;
+  if (!most_of_zone_heard(machine.zone, now)) return false;
+  if (!responses_lost && now - zone_answered_at_[zone] > kZoneAnsweredWithinS) return false;
   if (!may_give_up_another(now)) return false;
   given_up_at_.push_back(now);
   return true;
--- a/src/scheduler/failure_detector.h
+++ b/src/scheduler/failure_detector.h
@@ -21,7 +21,7 @@
   FailureDetector(ShardContext& context, Machines& machines)
       : context_(context),
         machines_(machines),
-        zone_heard_at_(context.settings.zones.size(), -1e9) {}
+        zone_answered_at_(context.settings.zones.size(), -1e9) {}
 
   /// A heartbeat, and whether it shows that the response to an earlier one was lost. Such a machine
   /// looks alive for ever, while every start on it is lost: nothing new goes there, and it is
@@ -37,14 +37,14 @@
   bool is_suspected(const Machine& machine, double now) const;
   static bool loses_responses(const Machine& machine);
   bool should_probe(const Machine& machine, double now) const;
-  bool zone_heard(int zone, double now) const;
+  bool most_of_zone_heard(int zone, double now) const;
   bool may_give_up_another(double now);
 
   ShardContext& context_;
   Machines& machines_;
   // Steady times, in seconds.
-  std::vector<double> zone_heard_at_;  // by zone: when a machine there answered a probe last
-  std::vector<double> given_up_at_;    // of the machines given up on within a lease
+  std::vector<double> zone_answered_at_;  // by zone: when a machine there answered a probe last
+  std::vector<double> given_up_at_;       // of the machines given up on within a lease
 };
 
 }  // namespace shunttrail::scheduler
--- a/src/scheduler/heartbeat_processor.cpp
+++ b/src/scheduler/heartbeat_processor.cpp
@@ -52,9 +52,9 @@
       continue;
     }
     shown[index] = true;
-    update(machine, tasks.placements[index], status, now);
+    update_placement(machine, tasks.placements[index], status, now);
   }
-  absent(machine, shown, heartbeat, source, now);
+  handle_absent(machine, shown, heartbeat, source, now);
 }
 
 // ---- tasks that the heartbeat shows
@@ -69,8 +69,8 @@
   if (job != context_.jobs.end()) mark_done(job->second, status.task.index, now);
 }
 
-void HeartbeatProcessor::update(Machine& machine, Placement& placement,
-                                const wire::TaskStatus& status, double now) {
+void HeartbeatProcessor::update_placement(Machine& machine, Placement& placement,
+                                          const wire::TaskStatus& status, double now) {
   const bool exited_now = status.state == TaskState::exited;
   placement.seen = true;
   // Proven not to run, and it does: whatever started it again, it is stopped as an unknown task is.
@@ -85,12 +85,12 @@
       if (placement.job->spec.service && !placement.recovered && machine.type >= 0)
         record_finish_cost(context_, placement, machine, now);
     }
-    if (exited_now && !placement.released) exited(machine, placement, now);
+    if (exited_now && !placement.released) task_exited(machine, placement, now);
   }
   if (!exited_now && !placement.job->over) machines_.note_image(machine, placement.job->image);
 }
 
-void HeartbeatProcessor::exited(Machine& machine, Placement& placement, double now) {
+void HeartbeatProcessor::task_exited(Machine& machine, Placement& placement, double now) {
   Job& job = *placement.job;
   switch (placement.exit_reason) {
     case ExitReason::done:
@@ -143,15 +143,15 @@
 
 // ---- tasks that the heartbeat does not show
 
-void HeartbeatProcessor::absent(Machine& machine, const std::vector<bool>& shown,
-                                const wire::Heartbeat& heartbeat, HeartbeatSource source,
-                                double now) {
+void HeartbeatProcessor::handle_absent(Machine& machine, const std::vector<bool>& shown,
+                                       const wire::Heartbeat& heartbeat, HeartbeatSource source,
+                                       double now) {
   std::vector<Placement>& placements = machine.tasks.placements;
-  std::vector<bool> gone(placements.size(), false);
+  std::vector<bool> released(placements.size(), false);
   for (std::size_t i = 0; i < shown.size(); ++i)
-    gone[i] = !shown[i] && release_if_absent(machine, placements[i], heartbeat, source, now);
-  for (std::size_t i = gone.size(); i-- > 0;)
-    if (gone[i]) placements.erase(placements.begin() + static_cast<long>(i));
+    released[i] = !shown[i] && release_if_absent(machine, placements[i], heartbeat, source, now);
+  for (std::size_t i = released.size(); i-- > 0;)
+    if (released[i]) placements.erase(placements.begin() + static_cast<long>(i));
   machine.note_idle(now);
 }
 
--- a/src/scheduler/heartbeat_processor.h
+++ b/src/scheduler/heartbeat_processor.h
@@ -52,13 +52,14 @@
   }
 
  private:
-  void update(Machine& machine, Placement& placement, const wire::TaskStatus& status, double now);
+  void update_placement(Machine& machine, Placement& placement, const wire::TaskStatus& status,
+                        double now);
   void unknown_task(Machine& machine, const wire::TaskStatus& status, double now);
-  void absent(Machine& machine, const std::vector<bool>& shown, const wire::Heartbeat& heartbeat,
-              HeartbeatSource source, double now);
+  void handle_absent(Machine& machine, const std::vector<bool>& shown,
+                     const wire::Heartbeat& heartbeat, HeartbeatSource source, double now);
   bool release_if_absent(Machine& machine, Placement& placement, const wire::Heartbeat& heartbeat,
                          HeartbeatSource source, double now);
-  void exited(Machine& machine, Placement& placement, double now);
+  void task_exited(Machine& machine, Placement& placement, double now);
   void task_succeeded(Machine& machine, Placement& placement, double now);
   void task_failed(Machine& machine, Placement& placement, double now);
   void mark_done(const jobs::JobPtr& job, std::uint32_t task, double now);
--- a/src/scheduler/machines.cpp
+++ b/src/scheduler/machines.cpp
@@ -105,7 +105,7 @@
 // ---- what is heard of a machine
 
 bool Machines::heartbeat_received(Machine& machine, const wire::Heartbeat& heartbeat,
-                                  bool new_session, double now) {
+                                  bool is_new_incarnation, double now) {
   machine.addr = heartbeat.addr;
   machine.last_heartbeat = now;
   if (machine.lost_responses < kLostResponsesBeforeSuspicion) machine.unanswered_probes = 0;
@@ -114,7 +114,7 @@
     machine.idle_since = now;
     context_.scheduling_due = true;
   }
-  if (new_session) machine.images.clear();
+  if (is_new_incarnation) machine.images.clear();
   machine.notice_s = heartbeat.notice_s;
   if (!heartbeat.notice_s || machine.draining) return false;
   machine.draining = true;
--- a/src/scheduler/machines.h
+++ b/src/scheduler/machines.h
@@ -60,8 +60,8 @@
 
   /// What a heartbeat says of the machine itself. True: it has just had notice that it will be
   /// taken.
-  bool heartbeat_received(Machine& machine, const wire::Heartbeat& heartbeat, bool new_session,
-                          double now);
+  bool heartbeat_received(Machine& machine, const wire::Heartbeat& heartbeat,
+                          bool is_new_incarnation, double now);
   /// The machine uses the image.
   void note_image(Machine& machine, int image);
 
--- a/src/scheduler/placement_page.cpp
+++ b/src/scheduler/placement_page.cpp
@@ -37,7 +37,7 @@
 }
 
 std::size_t PageBuilder::header_bytes(const jobs::Job& job) const {
-  if (groups_.contains(job.spec.id)) return 0;
+  if (job_indices_.contains(job.spec.id)) return 0;
   const auto& teams = context_.settings.teams;
   const std::size_t team_bytes =
       job.team >= 0 ? teams[static_cast<std::size_t>(job.team)].name.size() : 0;
@@ -48,7 +48,7 @@
   std::size_t bytes = kPlacementSeparatorBytes + decimal_digits(placement.task) +
                       decimal_digits(placement.attempt - oldest_attempt_) +
                       header_bytes(*placement.job);
-  if (!machines_named_.contains(placement.machine))
+  if (!named_machines_.contains(placement.machine))
     bytes += machines_.at(placement.machine)->name.size() + kMachineHeaderBytes;
   return bytes;
 }
@@ -65,24 +65,24 @@
   return bytes_ + bytes_of(result) <= max_bytes_;
 }
 
-wire::JobPlacements& PageBuilder::group(const jobs::Job& job) {
+wire::JobPlacements& PageBuilder::job_entry(const jobs::Job& job) {
   const wire::JobSpec& spec = job.spec;
-  const auto [entry, added] = groups_.try_emplace(spec.id, record_.jobs.size());
+  const auto [entry, added] = job_indices_.try_emplace(spec.id, record_.jobs.size());
   if (added) record_.jobs.push_back({spec.id, job.team, spec.cpus, spec.gpus, spec.mem_gb, {}, {}});
   return record_.jobs[entry->second];
 }
 
 void PageBuilder::add(const PersistedPlacement& placement) {
   bytes_ += bytes_of(placement);
-  group(*placement.job)
+  job_entry(*placement.job)
       .placements.push_back(
           {machines_.at(placement.machine)->name, placement.task, placement.attempt});
-  machines_named_.insert(placement.machine);
+  named_machines_.insert(placement.machine);
 }
 
 void PageBuilder::add(const ResultChunk& result) {
   bytes_ += bytes_of(result);
-  group(*result.job)
+  job_entry(*result.job)
       .done.emplace_back(result.chunk, wire::intervals(result.job->chunk(result.chunk)));
 }
 
--- a/src/scheduler/placement_page.h
+++ b/src/scheduler/placement_page.h
@@ -56,7 +56,7 @@
   std::size_t header_bytes(const jobs::Job& job) const;
   std::size_t bytes_of(const PersistedPlacement& placement) const;
   std::size_t bytes_of(const ResultChunk& result) const;
-  wire::JobPlacements& group(const jobs::Job& job);
+  wire::JobPlacements& job_entry(const jobs::Job& job);
 
   const ShardContext& context_;
   const Machines& machines_;
@@ -65,8 +65,8 @@
   std::size_t bytes_;
   wire::PlacementPageRecord record_;
   // Index in the record by job: a job that is over may have several copies, one a page.
-  std::map<std::string, std::size_t> groups_;
-  std::set<int> machines_named_;  // by number
+  std::map<std::string, std::size_t> job_indices_;
+  std::set<int> named_machines_;  // by number
 };
 
 }  // namespace shunttrail::scheduler
--- a/src/scheduler/placement_store.cpp
+++ b/src/scheduler/placement_store.cpp
@@ -61,7 +61,7 @@
   for (const wire::JobPlacements& stored : record.jobs) {
     const auto known = context_.jobs.find(stored.job);
     const bool is_open = known != context_.jobs.end();
-    const JobPtr job = is_open ? known->second : ended_job(stored, now);
+    const JobPtr job = is_open ? known->second : make_ended_job(stored, now);
     if (is_open) recover_results(index, job, stored);
     for (const auto& placement : stored.placements) {
       // A machine that the inventory does not hold under this shard has been deleted, or was empty
@@ -93,7 +93,7 @@
 }
 
 // The job is over, but its tasks may still be there: they count until proven gone.
-JobPtr PlacementStore::ended_job(const wire::JobPlacements& stored, double now) const {
+JobPtr PlacementStore::make_ended_job(const wire::JobPlacements& stored, double now) const {
   wire::JobRecord record;
   record.spec.id = stored.job;
   record.spec.tasks = 1;
@@ -114,7 +114,7 @@
 // ---- pages
 
 // Pages that other shards' leaders wait for are written even if nothing new goes into them.
-void PlacementStore::note_foreign_released() {
+void PlacementStore::mark_foreign_rewrites() {
   if (!std::exchange(context_.foreign_released, false)) return;
   for (PlacementPage& page : pages_)
     page.rewrite_due |= std::any_of(page.placements.begin(), page.placements.end(),
@@ -131,7 +131,7 @@
 }
 
 // What is proven gone, or is written elsewhere by now, need not be carried on.
-void PlacementStore::prune() {
+void PlacementStore::remove_obsolete_entries() {
   for (std::size_t i = 0; i < pages_.size(); ++i) {
     std::erase_if(pages_[i].placements, [&](const PersistedPlacement& persisted) {
       const Placement* placement = placements_.find(persisted);
@@ -250,7 +250,7 @@
 }
 
 void PlacementStore::write_pages(Draft& draft) {
-  prune();
+  remove_obsolete_entries();
   const std::size_t max_ops = draft.limits.ops;
   const auto& ops = draft.transaction.ops;
   std::size_t written = 0;
@@ -263,8 +263,8 @@
     if (write_page(index, draft)) ++written;
   }
   // All full, or too long for what a value may hold by now: one more.
-  const bool something_left = !draft.starts.empty() || !draft.results.empty();
-  if (!written && ops.size() < max_ops && something_left && pages_.size() < kMaxPages) {
+  const bool entries_left = !draft.starts.empty() || !draft.results.empty();
+  if (!written && ops.size() < max_ops && entries_left && pages_.size() < kMaxPages) {
     pages_.emplace_back();
     write_page(pages_.size() - 1, draft);
   }
@@ -318,7 +318,8 @@
 }
 
 // What is to be started, the more urgent first.
-std::vector<PersistedPlacement> PlacementStore::planned(const state::StateCache& cache) const {
+std::vector<PersistedPlacement> PlacementStore::planned_starts(
+    const state::StateCache& cache) const {
   std::vector<PersistedPlacement> starts;
   std::unordered_map<const jobs::Job*, std::optional<std::vector<bool>>> withheld_by_job;
   const auto may_start = [&](const Placement& placement) {
@@ -353,8 +354,8 @@
   draft.transaction.preconditions.emplace_back(state::leader_key(context_.shard),
                                                token_policy_.token());
   add_jobs(draft, now);
-  draft.starts = planned(cache);
-  note_foreign_released();
+  draft.starts = planned_starts(cache);
+  mark_foreign_rewrites();
   if (!draft.starts.empty() || draft.results_due || rewrite_due()) write_pages(draft);
   if (draft.transaction.ops.empty()) return std::nullopt;
   ++context_.counters.commits;
--- a/src/scheduler/placement_store.h
+++ b/src/scheduler/placement_store.h
@@ -67,17 +67,17 @@
 
   void recover_results(std::size_t page, const jobs::JobPtr& job,
                        const wire::JobPlacements& stored);
-  jobs::JobPtr ended_job(const wire::JobPlacements& stored, double now) const;
+  jobs::JobPtr make_ended_job(const wire::JobPlacements& stored, double now) const;
 
   void add_jobs(Draft& draft, double now) const;
   static void end_job(Draft& draft, const jobs::Job& job);
-  std::vector<PersistedPlacement> planned(const state::StateCache& cache) const;
+  std::vector<PersistedPlacement> planned_starts(const state::StateCache& cache) const;
   [[nodiscard]] std::optional<std::vector<bool>> withheld_tasks(const state::StateCache& cache,
                                                                 const jobs::Job& job) const;
 
-  void note_foreign_released();
+  void mark_foreign_rewrites();
   [[nodiscard]] bool rewrite_due() const;
-  void prune();
+  void remove_obsolete_entries();
   std::vector<std::size_t> emptiest_first() const;
   void write_pages(Draft& draft);
   std::vector<std::size_t> pages_to_write() const;
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -141,9 +141,9 @@
 }
 
 std::vector<ScaleOutRequest> ShardScheduler::scale_out_requests(double now) {
-  std::vector<Machine*> barred;
-  auto requests = rentals_.scale_out_requests(now, barred);
-  for (Machine* machine : barred) queues_.requeue_all(*machine);
+  std::vector<Machine*> unavailable;
+  auto requests = rentals_.scale_out_requests(now, unavailable);
+  for (Machine* machine : unavailable) queues_.requeue_all(*machine);
   return requests;
 }
 
@@ -202,7 +202,8 @@
 }
 
 ShardScheduler::HeartbeatResult ShardScheduler::take_heartbeat(const wire::Heartbeat& heartbeat,
-                                                               double now, bool to_direct) {
+                                                               double now,
+                                                               bool is_direct_response) {
   Machine* machine = machines_.find(heartbeat.machine);
   if (!machine) return HeartbeatResult::unknown;
   if (!HeartbeatProcessor::is_newer(*machine, heartbeat))
@@ -210,14 +211,15 @@
   ++context_.counters.heartbeats;
   last_heartbeat_at_ = now;
   machine->newest_status_at = now;
-  const bool new_session = heartbeat.incarnation != machine->tasks.incarnation;
+  const bool is_new_incarnation = heartbeat.incarnation != machine->tasks.incarnation;
   // Answered within a lease, and the lease is over all the same.
-  const bool lease_lost = new_session && machine->tasks.incarnation != 0 &&
+  const bool lease_lost = is_new_incarnation && machine->tasks.incarnation != 0 &&
                           now - machine->last_response_at < context_.settings.lease_s / 2;
   machine->start_lost = false;
-  if (machines_.heartbeat_received(*machine, heartbeat, new_session, now))
+  if (machines_.heartbeat_received(*machine, heartbeat, is_new_incarnation, now))
     queues_.requeue_all(*machine);
-  const auto source = to_direct ? HeartbeatSource::direct_response : HeartbeatSource::worker;
+  const auto source =
+      is_direct_response ? HeartbeatSource::direct_response : HeartbeatSource::worker;
   heartbeat_processor_.heartbeat_received(*machine, heartbeat, source, now);
   if (source == HeartbeatSource::worker) {
     const bool response_lost =
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -105,7 +105,7 @@
 
   /// A worker's heartbeat, or the body of a response to direct commands (HeartbeatSource).
   HeartbeatResult take_heartbeat(const wire::Heartbeat& heartbeat, double now,
-                                 bool to_direct = false);
+                                 bool is_direct_response = false);
   /// WorkerCommands::commands_for
   [[nodiscard]] std::vector<wire::Command> commands_for(const std::string& machine_name, bool fresh,
                                                         double now);
--- a/src/scheduler/token_policy.cpp
+++ b/src/scheduler/token_policy.cpp
@@ -6,7 +6,7 @@
 /// Shortest time between two advances of the token.
 constexpr double kMinAdvanceIntervalS = 1;
 /// The same for an unacknowledged command that keeps no lease from being renewed.
-constexpr double kMinUnurgentAdvanceIntervalS = 10;
+constexpr double kMinNonUrgentAdvanceIntervalS = 10;
 }  // namespace
 
 bool TokenPolicy::may_start_late(const Placement& placement) const {
@@ -17,7 +17,7 @@
 bool TokenPolicy::needs_new_token(double now) const {
   if (now - advanced_at_ <= kMinAdvanceIntervalS) return false;
   if (saw_higher_token_) return true;
-  const bool long_ago = now - advanced_at_ >= kMinUnurgentAdvanceIntervalS;
+  const bool non_urgent_allowed = now - advanced_at_ >= kMinNonUrgentAdvanceIntervalS;
   for (const auto& [number, machine] : machines_.all()) {
     // The response to a direct command may still settle it.
     if (machine->tasks.direct_in_flight) continue;
@@ -25,7 +25,7 @@
       if (may_start_late(placement)) return true;
       const bool unacknowledged = placement.unacknowledged_token == token_;
       const bool unwanted = placement.released || placement.job->over;
-      if (long_ago && unacknowledged && unwanted) return true;
+      if (non_urgent_allowed && unacknowledged && unwanted) return true;
     }
   }
   return false;
