--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -1,5 +1,5 @@
-// A task's placement on a machine, and the state of everything that may run there. Placements,
-// HeartbeatProcessor and WorkerCommands change it; PlacementStore moves its phase.
+// A task's placement on a machine, and all placements of one machine. Placements,
+// HeartbeatProcessor and WorkerCommands change them; PlacementStore advances a placement's phase.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -9,70 +9,78 @@
 
 namespace shunttrail::scheduler {
 
-/// How far a placement's record in the state service is.
+/// Whether a placement is recorded in the state service.
 enum class Phase : std::uint8_t {
-  planned,     // not written yet: it may not be sent
-  committing,  // in the transaction that is in flight
-  committed,   // written: it may be sent
+  planned,     // not recorded yet: no start command may be sent
+  committing,  // recorded by the transaction that is in flight
+  committed,   // recorded: the start command may be sent
 };
 
-/// One attempt of a task on a machine, from its plan until it is proven not to run, now or later.
+/// One attempt of a task on a machine. It is kept from its planning until it is proven that the
+/// attempt does not run and cannot start later.
 struct Placement {
   jobs::JobPtr job;
   /// Index within the job.
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
   Phase phase = Phase::planned;
-  /// Found in the state service: an earlier owner of the shard may have sent it.
+  /// Read from the state service at a takeover: an earlier leader of the shard may have sent the
+  /// start command.
   bool recovered = false;
-  /// A start has been sent and has not been found lost.
+  /// A start command has been sent, and no evidence of its loss has been received.
   bool sent = false;
-  /// The heartbeat that was the latest one when the start was sent.
+  /// Incarnation and sequence number of the machine's newest heartbeat when the start was sent.
   std::uint64_t sent_incarnation = 0, sent_sequence = 0;
-  /// Sent by a direct command, not in a heartbeat's response.
+  /// The start was sent as a direct command, not in the response to a heartbeat.
   bool sent_directly = false;
-  /// The token of a direct command that may still be on its way; 0: none is.
+  /// Token of a direct start command that the worker has not answered and may still carry out; 0:
+  /// there is none.
   std::uint64_t unacknowledged_token = 0;
-  /// Some heartbeat has shown it.
+  /// At least one heartbeat has listed the attempt.
   bool seen = false;
-  /// Proven not to run, now or later: its room is free.
+  /// The attempt is proven not to run, now or later: its resources are free.
   bool released = false;
-  /// The worker has been told that its result is no longer needed.
+  /// An acknowledge command has been sent: the worker need not keep the result any longer.
   bool acknowledging = false;
-  /// To be stopped, since its room is needed.
+  /// The attempt is to be stopped, since other work needs its resources.
   bool preempted = false;
-  /// The stop of a preempted task has been sent.
+  /// The stop command of a preempted attempt has been sent.
   bool stop_sent = false;
-  /// Its job is over, and a direct command has said so.
+  /// Its job has ended, and a direct stop command has been sent for that reason.
   bool job_end_sent = false;
-  /// As last reported.
+  /// State and exit reason in the latest heartbeat that listed the attempt.
   wire::TaskState state = wire::TaskState::fetching;
   wire::ExitReason exit_reason = wire::ExitReason::none;
   /// Steady time at which it was first seen running, in seconds; 0: not yet.
   double started = 0;
-  /// As it left the queue: when it began to wait, and what is to learn its cost.
+  /// The queue entry that the placement was made from. It holds the time at which the task began to
+  /// wait, and the chain steps whose learners record its cost.
   QueuedTask queued_task;
 };
 
-/// What may run on one machine, and what its worker has reported.
+/// The placements of one machine, and the contents of its worker's newest heartbeat.
 struct MachineTasks {
-  /// What the placements that are not released take.
+  /// Sum of the resources of all placements that are not released.
   jobs::Resources used;
   std::vector<Placement> placements;
-  /// Of the newest heartbeat.
+  /// Incarnation and sequence number of the newest heartbeat.
   std::uint64_t incarnation = 0, sequence = 0;
-  /// The highest token that the worker has seen, as last reported.
+  /// The highest token that the worker had seen when it sent the newest heartbeat.
   std::uint64_t token = 0;
-  /// A heartbeat under our token has come.
+  /// A heartbeat under a token of this leader has been received: the worker accepts no response of
+  /// an earlier leader any more.
   bool token_seen = false;
+  /// A request with direct commands, or a resync request, is in flight.
   bool direct_in_flight = false;
-  /// Noted for direct commands (Placements::note_direct_due).
+  /// The machine is listed for direct commands (Placements::note_direct_due).
   bool direct_due = false;
-  /// The shard was taken over: the worker is asked at once what runs there, under our token.
+  /// Placements on the machine were recovered at a takeover. Resync requests under the current
+  /// token ask the worker which tasks it has, until a heartbeat carries that token.
   bool needs_resync = false;
-  /// Steady time of the next such request, in seconds.
+  /// Earliest steady time of the next resync request, in seconds.
   double resync_at = 0;
-  /// Reported tasks that are no placement of ours.
+  /// Tasks in the newest heartbeat that belong to no placement, or still run although their
+  /// placement was released.
   std::vector<wire::TaskStatus> unknown_tasks;
 };
 
--- a/src/scheduler/placement_page.cpp
+++ b/src/scheduler/placement_page.cpp
@@ -5,14 +5,14 @@
 namespace shunttrail::scheduler {
 
 namespace {
-/// Lengths of the parts of a page's record, in bytes, counted from above (wire::encode_record).
+/// Upper bounds of the lengths of a page record's parts, in bytes (wire::encode_record).
 constexpr std::size_t kPageHeaderBytes = 48;
 constexpr std::size_t kJobHeaderBytes = 96;
 constexpr std::size_t kMachineHeaderBytes = 3;
 constexpr std::size_t kPlacementSeparatorBytes = 6;
 constexpr std::size_t kResultHeaderBytes = 16;
 constexpr std::size_t kIntervalBytes = 8;
-/// A chunk of results counts as so many placements.
+/// Number of placements that a chunk of results counts as in a page's load.
 constexpr std::size_t kPlacementsPerResult = 4;
 
 std::size_t decimal_digits(std::uint64_t number) {
--- a/src/scheduler/placement_page.h
+++ b/src/scheduler/placement_page.h
@@ -1,5 +1,5 @@
-// The pages in which a shard's placements and finished tasks are stored, and the record that a page
-// is written as. Free of I/O.
+// The pages in which the state service stores a shard's placements and finished tasks, and the
+// construction of a page's record. Free of I/O.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -20,36 +20,36 @@
   std::uint32_t chunk = 0;
 };
 
-/// What a page holds as far as it still matters.
+/// The entries of a stored page that its next version has to contain.
 struct PlacementPage {
   std::vector<PersistedPlacement> placements;
   std::vector<ResultChunk> results;
-  /// It still stores placements of foreign jobs that are released: the leader of their teams' shard
-  /// waits for their end to be stored.
+  /// The stored page still lists placements of foreign jobs that are released. It is written again
+  /// without them, since the leader of their team's shard waits until they are no longer stored.
   bool rewrite_due = false;
 
-  /// How full the page is, in placements.
+  /// Returns the number of entries; a chunk of results counts as several placements.
   [[nodiscard]] std::size_t load() const;
 };
 
-/// Builds a page's record, and keeps its length in bytes, counted from above, within a limit.
+/// Builds a page's record, and compares an upper bound of its encoded length with a limit.
 class PageBuilder {
  public:
-  /// `oldest_attempt`: attempts are stored as differences from it.
+  /// `oldest_attempt`: the number from which the page's attempts are stored as differences.
   PageBuilder(const ShardContext& context, const Machines& machines, std::string tag,
               std::uint64_t oldest_attempt, std::size_t max_bytes);
 
-  /// Adds to the page, even if it becomes too long.
+  /// Adds an entry to the page, even if the page then exceeds its limit.
   void add(const PersistedPlacement& placement);
   void add(const ResultChunk& result);
-  /// The page is longer than its limit.
+  /// Returns whether the page may be longer than its limit.
   [[nodiscard]] bool is_too_long() const { return bytes_ > max_bytes_; }
 
-  /// The page stays within its limit with this added.
+  /// Returns whether the page is still within its limit once the entry is added.
   [[nodiscard]] bool fits(const PersistedPlacement& placement) const;
   [[nodiscard]] bool fits(const ResultChunk& result) const;
 
-  /// What has been added so far.
+  /// Returns the record of all entries added so far.
   [[nodiscard]] const wire::PlacementPageRecord& record() const { return record_; }
 
  private:
@@ -64,7 +64,8 @@
   const std::size_t max_bytes_;
   std::size_t bytes_;
   wire::PlacementPageRecord record_;
-  // Index in the record by job: a job that is over may have several copies, one a page.
+  // Position of each job in the record, by the job's id. The id is the key, since a job that has
+  // ended may be represented by several Job objects, one for each page it was recovered from.
   std::map<std::string, std::size_t> job_indices_;
   std::set<int> named_machines_;  // by number
 };
--- a/src/scheduler/placement_store.cpp
+++ b/src/scheduler/placement_store.cpp
@@ -12,34 +12,38 @@
 using jobs::JobPtr;
 
 namespace {
-/// Pages of a shard to begin with. A start's cost is what its page still holds beside it: with few
-/// pages nearly all that runs is written again and again, and at the large size they are full, so
-/// that starts queue for the little room that three of them have left.
+/// Number of pages that a shard has at first. Recording a start rewrites its page with all other
+/// entries that the page still holds. With few pages, nearly all running placements would be
+/// rewritten again and again. In a large cluster the pages would also be full, and starts would
+/// wait for the little space that the three pages of a transaction have left.
 constexpr std::size_t kInitialPages = 256;
-/// Pages of a shard at the most: bounds the placements that may exist at a time. A placement takes
-/// about 30 bytes (task, attempt, name of the machine), and 150 where its job has no other one in
-/// the page. For the 256,000 placements of 4,000 machines of 64 vcpus, all in one shard, that is
-/// 2,000 pages of 4 KiB, or 10,000 where each task is a job of its own; of values of 1 KiB, the
-/// least that they may shrink to, 9,000 and 43,000. Pages are added one by one as the others are
-/// full. A build with a smaller limit reads and rewrites whatever number it finds.
+/// Largest number of pages of a shard. It limits the placements that may exist at a time. A
+/// placement takes about 30 bytes (task, attempt, name of the machine), or 150 if its job has no
+/// other placement in the page. The 256,000 placements of 4,000 machines of 64 vcpus, all in one
+/// shard, take 2,000 pages of 4 KiB, or 10,000 if each task is a job of its own. In values of 1
+/// KiB, the smallest size that the state service may fall to, they take 9,000 or 43,000 pages. A
+/// page is added when all others are full. A build with a smaller limit can still read and rewrite
+/// all pages that it finds.
 constexpr std::size_t kMaxPages = 49152;
-/// A page is never longer, in bytes, though values may be.
+/// Largest length of a page in bytes, even where the state service accepts longer values.
 constexpr std::size_t kMaxPageBytes = 5800;
-/// Kept free in a page, since its length is only estimated.
+/// Number of bytes below the limit that a page leaves free, since its length is only estimated.
 constexpr std::size_t kPageMarginBytes = 64;
-/// Of one transaction, whatever the fleet's size: what does not fit goes with the next one, and how
-/// many there are a second is up to the state service's rates.
+/// Largest number of pages that one transaction writes. The limit does not grow with the cluster:
+/// starts and results that do not fit are left to the next transaction, and the request rates of
+/// the state service determine how many transactions there are per second.
 constexpr std::size_t kMaxPagesPerTransaction = 3;
+/// Largest number of jobs that one transaction ends, for the same reason.
 constexpr std::size_t kMaxEndedJobsPerTransaction = 4;
-/// Preconditions that a start may need: on its job, and on its page.
+/// Number of preconditions that a start may need: one on its job, and one on its page.
 constexpr std::size_t kPreconditionsPerStart = 2;
-/// Preconditions of a transaction that starts leave free for its other pages.
+/// Number of preconditions that the starts in a transaction leave free for its other pages.
 constexpr std::size_t kReservedPreconditions = 2;
-/// Results wait so long for starts to share a transaction with.
+/// Longest time, in seconds, that results wait for starts to share a transaction with.
 constexpr double kMaxResultDelayS = 3.0;
-/// The same for results of foreign jobs, which another leader has yet to read.
+/// The same for results of foreign jobs. It is shorter, since another leader waits to read them.
 constexpr double kMaxForeignResultDelayS = 0.5;
-/// Operations of a transaction that a job's end takes.
+/// Number of operations in a transaction that the end of a job takes.
 constexpr std::size_t kJobEndOps = 2;
 }  // namespace
 
@@ -64,8 +68,8 @@
     const JobPtr job = is_open ? known->second : make_ended_job(stored, now);
     if (is_open) recover_results(index, job, stored);
     for (const auto& placement : stored.placements) {
-      // A machine that the inventory does not hold under this shard has been deleted, or was empty
-      // when it moved away: nothing of ours can be on it.
+      // A machine that the inventory does not assign to this shard has been deleted, or was empty
+      // when it was transferred: no task of this shard can be on it.
       Machine* machine = machines_.find(placement.machine);
       if (!machine) {
         page.rewrite_due |= job->is_foreign;
@@ -77,8 +81,9 @@
   }
 }
 
-// Older copies stay behind where a chunk has moved on. The largest is the newest, since what is
-// done stays so; with another one taken for it, the newest would be dropped.
+// When a chunk is written to another page, its older copy stays in the previous page. The copy with
+// the most tasks is the newest, since finished tasks stay finished. If another copy were taken for
+// the current one, the newest would be lost at the next write of its page.
 void PlacementStore::recover_results(std::size_t page, const JobPtr& job,
                                      const wire::JobPlacements& stored) {
   for (const auto& [chunk, intervals] : stored.done) {
@@ -92,7 +97,8 @@
   }
 }
 
-// The job is over, but its tasks may still be there: they count until proven gone.
+// Returns a job that stands for one that has ended while its tasks may still exist. Their resources
+// count as used until the tasks are proven to have stopped.
 JobPtr PlacementStore::make_ended_job(const wire::JobPlacements& stored, double now) const {
   wire::JobRecord record;
   record.spec.id = stored.job;
@@ -113,7 +119,8 @@
 
 // ---- pages
 
-// Pages that other shards' leaders wait for are written even if nothing new goes into them.
+// Marks the pages that list released placements of foreign jobs. They are written even without new
+// entries, since the leaders of other shards wait for it.
 void PlacementStore::mark_foreign_rewrites() {
   if (!std::exchange(context_.foreign_released, false)) return;
   for (PlacementPage& page : pages_)
@@ -130,7 +137,8 @@
                      [](const PlacementPage& page) { return page.rewrite_due; });
 }
 
-// What is proven gone, or is written elsewhere by now, need not be carried on.
+// Removes released placements, results of ended jobs, and chunks of results that have been written
+// to another page in the meantime: the next version of a page need not contain them.
 void PlacementStore::remove_obsolete_entries() {
   for (std::size_t i = 0; i < pages_.size(); ++i) {
     std::erase_if(pages_[i].placements, [&](const PersistedPlacement& persisted) {
@@ -143,7 +151,8 @@
   }
 }
 
-// Attempts are stored as differences from the page's oldest one, or from those of our token.
+// Returns the number from which a page's attempts are stored as differences: the lowest of its
+// attempts and of those under the current token.
 std::uint64_t PlacementStore::oldest_attempt(const PlacementPage& page) const {
   std::uint64_t oldest = first_attempt(token_policy_.token());
   for (const PersistedPlacement& placement : page.placements)
@@ -151,7 +160,8 @@
   return oldest;
 }
 
-// Starts need their job to be there still. False: the transaction has no room for that.
+// Adds the precondition that the job's record is unchanged, on which its starts depend. Returns
+// false if the transaction has no space left for it.
 bool PlacementStore::add_precondition(Draft& draft, const jobs::Job& job) {
   auto& preconditions = draft.transaction.preconditions;
   const std::string key = state::job_key(job.spec.id);
@@ -164,7 +174,8 @@
   return true;
 }
 
-// As many of the starts, in their order, as the page and the transaction have room for.
+// Moves starts from the draft into the page, in their order, until one does not fit into the page
+// or into the transaction.
 void PlacementStore::add_starts(Draft& draft, PageBuilder& builder, PageWrite& write) {
   std::vector<PersistedPlacement>& starts = draft.starts;
   std::size_t taken = 0;
@@ -183,12 +194,13 @@
   write.results.push_back({result, result.job->chunk(result.chunk)});
 }
 
-// As many of the results as the page has room for. True: some are written.
+// Moves results from the draft into the page as far as they fit. Returns true if any of the draft's
+// results are written with this page.
 bool PlacementStore::add_results(Draft& draft, PageBuilder& builder, PageWrite& write) {
   const std::size_t before = draft.results.size();
   std::erase_if(draft.results, [&](const ResultChunk& result) {
     const auto page = result.job->done_page.find(result.chunk);
-    // Written just now, with what the page held already.
+    // write_page has already added this chunk, as one that the page held before.
     if (page != result.job->done_page.end() && static_cast<std::size_t>(page->second) == write.page)
       return true;
     if (!builder.fits(result)) return false;
@@ -198,8 +210,9 @@
   return draft.results.size() < before;
 }
 
-// Writes a page anew: what it holds and still matters, and as many of the starts and results as it
-// has room for. False: there was room for nothing.
+// Adds the rewrite of a page to the transaction, with the page's present entries and as many of the
+// draft's starts and results as fit. Returns false if the page is not written, because no start or
+// result fits and no rewrite is due, or because its present entries exceed the limit.
 bool PlacementStore::write_page(std::size_t index, Draft& draft) {
   const PlacementPage& page = pages_[index];
   const std::size_t max_bytes =
@@ -209,9 +222,10 @@
   write.page = index;
   for (const PersistedPlacement& placement : page.placements) builder.add(placement);
   for (const ResultChunk& result : page.results) add_result(result, builder, write);
-  // Written when values could be larger. It stays as it is, so that no placement is unrecorded for
-  // a moment, until enough of what it holds is over; results that it holds and that have grown
-  // since go to another page.
+  // The page was written when the state service accepted larger values, and its entries do not fit
+  // into one value now. The stored page stays unchanged until enough of its entries are obsolete,
+  // so that each of its placements is recorded at any time. Its chunks of results that have grown
+  // since are written to another page.
   if (builder.is_too_long()) return false;
   add_starts(draft, builder, write);
   const bool results_added = add_results(draft, builder, write);
@@ -230,8 +244,8 @@
   return true;
 }
 
-// By what still matters: counted with what does not, the pages written least would seem the
-// fullest, and starts would queue for the others.
+// Returns the pages in ascending order of their load. Obsolete entries must have been removed: with
+// them, the pages written least often would seem the fullest, and starts would wait for the others.
 std::vector<std::size_t> PlacementStore::emptiest_first() const {
   std::vector<std::size_t> order(pages_.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
@@ -241,7 +255,8 @@
   return order;
 }
 
-// Those that have to be written come first.
+// Returns the pages in the order in which they are considered for writing: first those whose
+// rewrite is due, then the emptiest ones.
 std::vector<std::size_t> PlacementStore::pages_to_write() const {
   std::vector<std::size_t> order = emptiest_first();
   std::stable_partition(order.begin(), order.end(),
@@ -256,13 +271,14 @@
   std::size_t written = 0;
   for (const std::size_t index : pages_to_write()) {
     if (written >= kMaxPagesPerTransaction || ops.size() >= max_ops) break;
-    // Results go along with starts; only those that have waited take writes of their own.
+    // Results share the pages written for starts. A further page is written for them only if some
+    // have waited for the maximum delay.
     const bool results_can_wait = written && !draft.results_due;
     const bool nothing_new = draft.starts.empty() && (draft.results.empty() || results_can_wait);
     if (nothing_new && !pages_[index].rewrite_due) break;
     if (write_page(index, draft)) ++written;
   }
-  // All full, or too long for what a value may hold by now: one more.
+  // All pages are full, or longer than a value may be now: a page is added.
   const bool entries_left = !draft.starts.empty() || !draft.results.empty();
   if (!written && ops.size() < max_ops && entries_left && pages_.size() < kMaxPages) {
     pages_.emplace_back();
@@ -274,7 +290,8 @@
 
 void PlacementStore::end_job(Draft& draft, const jobs::Job& job) {
   wire::Transaction& transaction = draft.transaction;
-  // A job's end leaves an operation to the pages where there is one to leave.
+  // The end of a job leaves at least one operation for pages, if the limit allows more operations
+  // than a job's end takes.
   const std::size_t ops_needed = draft.limits.ops > kJobEndOps ? kJobEndOps + 1 : kJobEndOps;
   if (draft.pending.ended_jobs.size() >= kMaxEndedJobsPerTransaction) return;
   if (transaction.ops.size() + ops_needed > draft.limits.ops) return;
@@ -291,11 +308,11 @@
   draft.pending.ended_jobs.push_back(job.spec.id);
 }
 
-// Ends jobs that are complete, and collects the results of the others.
+// Adds the ends of complete jobs to the draft, and collects the results of the other jobs.
 void PlacementStore::add_jobs(Draft& draft, double now) const {
   for (const auto& [id, job] : context_.jobs) {
     if (!draft.cache.job(id)) continue;
-    // How a foreign job ends is for the leader of its team's shard to say.
+    // A foreign job is ended by the leader of its team's shard.
     if (job->complete() && !job->is_foreign) {
       end_job(draft, *job);
       continue;
@@ -307,7 +324,8 @@
   }
 }
 
-// As the record says whose revision the starts will be conditional on. None: the job is gone.
+// Returns the job's withheld tasks according to its record in the cache, since the starts are
+// conditional on the revision of that record. Returns nothing if the job no longer exists.
 std::optional<std::vector<bool>> PlacementStore::withheld_tasks(const state::StateCache& cache,
                                                                 const jobs::Job& job) const {
   const state::JobEntry* entry = cache.job(job.spec.id);
@@ -317,7 +335,7 @@
   return jobs::withheld_tasks(cache, *entry, context_.shard, team_shard);
 }
 
-// What is to be started, the more urgent first.
+// Returns the planned placements that may be recorded now, the more urgent ones first.
 std::vector<PersistedPlacement> PlacementStore::planned_starts(
     const state::StateCache& cache) const {
   std::vector<PersistedPlacement> starts;
@@ -349,8 +367,9 @@
     double now) {
   if (pending_) return std::nullopt;
   Draft draft{cache, limits, tag};
-  // Every key written is conditional on its own revision, so that a transaction that is applied
-  // late, or a second time, cannot be: and by the owner's, so that nobody else's is overwritten.
+  // Each key is written on the condition that its revision is unchanged, so that a late or second
+  // copy of the transaction is not applied. The revision of the leader key is a precondition too,
+  // so that this leader does not overwrite the data of a later one.
   draft.transaction.preconditions.emplace_back(state::leader_key(context_.shard),
                                                token_policy_.token());
   add_jobs(draft, now);
--- a/src/scheduler/placement_store.h
+++ b/src/scheduler/placement_store.h
@@ -1,5 +1,6 @@
-// What a shard keeps in the state service: its placements and finished tasks, in pages that many
-// starts share, and the results of its jobs. At most one transaction is in flight. Free of I/O.
+// Stores a shard's placements, finished tasks and job results in the state service. Placements and
+// finished tasks are grouped in pages, so that one write records many starts. At most one
+// transaction is in flight. Free of I/O.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -17,31 +18,36 @@
 
 namespace shunttrail::scheduler {
 
-/// Groups what is to be stored into transactions, and applies their outcome to the placements.
+/// Builds the transactions that record placements and results, and applies their outcome to the
+/// placements.
 class PlacementStore {
  public:
   PlacementStore(ShardContext& context, Machines& machines, Placements& placements,
                  const TokenPolicy& token_policy);
 
-  /// Takes over a page of the shard as it was found: all its placements may exist.
+  /// Recovers a page that the state service holds for the shard. Each of its placements counts as
+  /// existing until it is proven not to run.
   void recover_page(int number, const wire::PlacementPageRecord& record, double now);
 
-  /// The next transaction; none while one is in flight or there is nothing to store.
+  /// Returns the next transaction, or nothing while one is in flight or if there is nothing to
+  /// store.
   [[nodiscard]] std::optional<wire::Transaction> next_transaction(
       const state::StateCache& cache, const state::TransactionLimits& limits,
       const std::string& tag, double now);
-  /// The transaction in flight has been applied. Returns the jobs that it has ended.
+  /// Handles that the transaction in flight has been applied. Returns the ids of the jobs that it
+  /// ended.
   [[nodiscard]] std::vector<std::string> transaction_applied(double now);
-  /// The transaction in flight has not been applied, and will not be.
+  /// Handles that the transaction in flight has not been applied and never will be.
   void transaction_failed(double now);
   [[nodiscard]] bool transaction_in_flight() const { return pending_.has_value(); }
 
  private:
-  /// A chunk of results as it is being written.
+  /// A chunk of results, with the content that a transaction writes for it.
   struct WrittenResult {
     ResultChunk result;
     std::vector<bool> done;  // by task of the chunk
   };
+  /// The write of one page: its index, and the starts and results that are new in it.
   struct PageWrite {
     std::size_t page = 0;
     std::vector<PersistedPlacement> starts;
@@ -51,17 +57,17 @@
     std::vector<PageWrite> writes;
     std::vector<std::string> ended_jobs;
   };
-  /// A transaction while it is being put together.
+  /// A transaction under construction.
   struct Draft {
     const state::StateCache& cache;
     const state::TransactionLimits& limits;
     const std::string& tag;
     wire::Transaction transaction{};
     PendingTransaction pending{};
-    /// What is still to be written.
+    /// Starts and results that no page of the transaction contains yet.
     std::vector<PersistedPlacement> starts{};
     std::vector<ResultChunk> results{};
-    /// Some results have waited for long.
+    /// Some results have waited for the maximum delay: they are written even without starts.
     bool results_due = false;
   };
 
@@ -96,7 +102,7 @@
   Placements& placements_;
   const TokenPolicy& token_policy_;
   std::vector<PlacementPage> pages_;
-  // By job and chunk: how many tasks the largest copy shows that has been recovered.
+  // By job and chunk: the number of finished tasks in the largest copy recovered so far.
   std::map<std::pair<std::string, std::uint32_t>, std::uint64_t> largest_recovered_;
   std::optional<PendingTransaction> pending_;
 };
--- a/src/scheduler/placements.cpp
+++ b/src/scheduler/placements.cpp
@@ -8,7 +8,7 @@
 using jobs::JobPtr;
 
 namespace {
-/// Added to a lease, in seconds, before silence counts as a proof.
+/// Added to a lease, in seconds, before a machine's silence proves that its tasks have stopped.
 constexpr double kLeaseMarginS = 2;
 }  // namespace
 
@@ -33,7 +33,7 @@
   return nullptr;
 }
 
-// ---- what placements take
+// ---- resources of placements
 
 void Placements::reserve_capacity(Machine& machine, const Placement& placement) {
   Job& job = *placement.job;
@@ -80,7 +80,7 @@
   Placement placement;
   placement.job = task.job;
   placement.task = task.task;
-  // The tasks of a gang find one another by a common attempt.
+  // The tasks of a gang share one attempt number, by which they find one another.
   placement.attempt = job.spec.gang && job.round ? job.round : ++last_attempt_;
   if (job.spec.gang) {
     job.round = placement.attempt;
@@ -164,14 +164,14 @@
   direct_due_.push_back(machine.number);
 }
 
-// ---- machines that are gone or silent
+// ---- deleted and silent machines
 
 void Placements::machine_deleted(Machine& machine, double now) {
   for (Placement& placement : machine.tasks.placements) release_lost(machine, placement, now);
 }
 
-// The tasks are over once no response of ours, and none of an earlier owner's, can have kept the
-// machine's lease alive.
+// The tasks have stopped once neither a response of this leader nor one of an earlier leader can
+// have kept the machine's lease valid until now.
 void Placements::lease_expired(Machine& machine, double now) {
   const auto& settings = context_.settings;
   const double own_leases_end = machine.last_response_at + settings.lease_s + kLeaseMarginS;
--- a/src/scheduler/placements.h
+++ b/src/scheduler/placements.h
@@ -1,5 +1,5 @@
-// The placements of a shard: what may run where, from the moment it is planned until it is proven
-// not to run, now or later, and what it takes meanwhile. Free of I/O.
+// The placements of a shard and the resources that they take. A placement exists from its planning
+// until it is proven that the task does not run and cannot start later. Free of I/O.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace shunttrail::scheduler {
 
-/// A placement as a page of the state service holds it.
+/// A placement as a page in the state service stores it.
 struct PersistedPlacement {
   int machine = 0;  // number
   jobs::JobPtr job;
@@ -21,54 +21,58 @@
   std::uint64_t attempt = 0;
 };
 
-/// Adds, stops and releases placements, and counts what they take by machine, team, job and zone.
+/// Adds, stops and releases placements, and accounts for their resources by machine, team, job and
+/// zone.
 class Placements {
  public:
-  /// `now`: steady time at which this node became the shard's owner, in seconds.
+  /// `now`: steady time at which this node became the shard's leader, in seconds.
   Placements(ShardContext& context, Machines& machines, const TokenPolicy& token_policy,
              double now);
 
-  /// What a team's placements take, all that may exist.
+  /// Returns the resources of all placements of a team that are not released.
   [[nodiscard]] const jobs::Resources& used(int team) const {
     return used_[static_cast<std::size_t>(team)];
   }
-  /// Null: there is none (any more).
+  /// Returns the placement, or null if it does not exist or no longer does.
   [[nodiscard]] Placement* find(const PersistedPlacement& persisted);
 
-  /// Plans a task that has left its queue, on a machine with room for it.
+  /// Plans a task that has left its queue on a machine with enough free capacity.
   void place(Machine& machine, QueuedTask task);
-  /// Has the task stopped, since its room is needed.
+  /// Preempts the placement, since other work needs its resources.
   void stop(Machine& machine, Placement& placement);
-  /// Takes over an earlier owner's placement, as a page says: it may exist.
+  /// Adds a placement that an earlier leader has recorded in a page. It may run or still start.
   void recover_placement(Machine& machine, const PersistedPlacement& persisted, double now);
-  /// The job is over: what was only planned never was.
+  /// Removes the job's placements that are only planned, since the job has ended.
   void drop_planned(Machine& machine, const jobs::JobPtr& job, double now);
-  /// The same for the job's tasks that are withheld (Job::withhold).
+  /// Removes the planned placements of the job's withheld tasks (Job::withhold).
   void drop_withheld(Machine& machine, const jobs::JobPtr& job, double now);
-  /// The job is over: its running tasks are stopped at once, and not only when the machine reports.
+  /// Lists the machine for direct commands if tasks of the job, which has ended, may run on it.
+  /// They are then stopped without waiting for its next heartbeat.
   void request_direct_stop(Machine& machine, const jobs::JobPtr& job);
-  /// The placement's commit has failed: it is planned again, or dropped if its job is over or its
-  /// task withheld by now.
+  /// Handles that the placement has not been recorded. It is planned again, or removed if its job
+  /// has ended or its task has been withheld in the meantime.
   void commit_failed(Machine& machine, Placement& placement, double now);
-  /// The placement is proven not to run, now or later: what it takes is free again.
+  /// Frees the resources of a placement that is proven not to run, now or later, and puts its task
+  /// back to the pending ones.
   void release(Machine& machine, Placement& placement, double now);
-  /// The same where the placement counts as lost, unless it was released already.
+  /// Does the same for a placement that ended without a report; counts it as lost unless it was
+  /// released before.
   void release_lost(Machine& machine, Placement& placement, double now);
-  /// The same for a task that need not enter the chain again.
+  /// Frees the placement's resources, and leaves the task out of the pending ones.
   void release_without_requeue(Machine& machine, Placement& placement, double now);
 
-  /// The machine is proven gone.
+  /// Releases all placements on a machine that is proven deleted or has left the shard.
   void machine_deleted(Machine& machine, double now);
-  /// The machine has been silent for longer than its lease: its tasks are released once that proves
-  /// that they have stopped (docs/safety.md).
+  /// Handles a machine that has been silent for longer than its lease. Its placements are released
+  /// once the silence proves that its tasks have stopped (docs/safety.md).
   void lease_expired(Machine& machine, double now);
 
-  /// The machine has something that need not wait for its next heartbeat.
+  /// Lists the machine for commands that need not wait for its next heartbeat.
   void note_direct_due(Machine& machine);
-  /// The machines noted since the last call, by number.
+  /// Returns the numbers of the machines listed since the last call.
   [[nodiscard]] std::vector<int> take_direct_due() { return std::exchange(direct_due_, {}); }
 
-  /// The shard's token has changed: attempts are numbered under the new one.
+  /// Numbers further attempts under the shard's new token.
   void token_advanced();
 
  private:
