--- a/src/scheduler/failure_detector.cpp
+++ b/src/scheduler/failure_detector.cpp
@@ -5,29 +5,32 @@
 namespace shunttrail::scheduler {
 
 namespace {
-/// Probes in flight at the same time: one for so many machines of the shard, some at least. Every
-/// machine with replicas is asked once between two heartbeats (suspected), the first ones first,
-/// and one that does not answer keeps its place for a second. With 24, of 4,000 machines the last
-/// ones were never asked; with 333, five passes a second ask 1,665, and 1,333 report, at 3 s
-/// between heartbeats.
+/// Largest number of probes in flight: one for this many machines of the shard, but at least
+/// kMinProbesInFlight. Every machine with replicas is probed once between two heartbeats
+/// (is_suspected), in the order of the machines' numbers, and a probe without an answer counts as
+/// in flight for a second. With a limit of 24, the last of 4,000 machines were never probed. With
+/// 333, five passes a second send up to 1,665 probes, and 1,333 machines send a heartbeat each
+/// second at 3 s between heartbeats.
 constexpr std::size_t kMachinesPerProbe = 12;
 constexpr std::size_t kMinProbesInFlight = 24;
-/// Unanswered probes in a row before a machine is given up on.
+/// Number of consecutive unanswered probes after which a machine is given up on.
 constexpr int kUnansweredBeforeFailure = 2;
 /// Pause, in seconds, between two probes of a machine.
 constexpr double kProbeIntervalS = 0.2;
-/// A machine that has not been heard for so long is suspected.
+/// Time without a message, in seconds, after which a machine is suspected to have failed.
 constexpr double kSilenceBeforeSuspicionS = 3;
-/// The same, in intervals between heartbeats, where those are short.
+/// The same in heartbeat intervals; it applies where those are short.
 constexpr double kSilentHeartbeatsBeforeSuspicion = 0.6;
-/// Workers report after a heartbeat interval, give or take a quarter; and a second on the way.
+/// The interval between two heartbeats of a worker varies by up to a quarter, and a heartbeat takes
+/// up to a second to arrive.
 constexpr double kMaxHeartbeatJitter = 1.25;
 constexpr double kHeartbeatMarginS = 1;
-/// How long a machine that loses responses gets no new work, in intervals between heartbeats.
+/// Time, in heartbeat intervals, for which a machine that loses responses gets no new tasks.
 constexpr double kAvoidHeartbeats = 1.5;
-/// Another machine of the zone must have answered a probe so lately.
+/// Time, in seconds, within which another machine of the zone must have answered a probe.
 constexpr double kZoneAnsweredWithinS = 4;
-/// Machines given up on within a lease: this share of the shard's, but some at least.
+/// Largest number of machines given up on within the duration of a lease: this share of the shard's
+/// machines, but at least kMinFailedLimit.
 constexpr double kMaxFailedShare = 0.15;
 constexpr double kMinFailedLimit = 3;
 }  // namespace
@@ -37,7 +40,7 @@
          kMaxHeartbeatJitter * context_.settings.heartbeat_s + kHeartbeatMarginS;
 }
 
-// Where heartbeats are far apart a machine is asked in between as well.
+// If heartbeats are far apart, a machine becomes suspected, and is probed, between two of them.
 bool FailureDetector::is_suspected(const Machine& machine, double now) const {
   const double max_silence_s = std::min(
       kSilenceBeforeSuspicionS, kSilentHeartbeatsBeforeSuspicion * context_.settings.heartbeat_s);
@@ -48,8 +51,9 @@
   return machine.lost_responses >= kLostResponsesBeforeSuspicion;
 }
 
-// Most of the zone's machines are heard. Where most are silent at once a network is cut, or this
-// node stood still: nothing is concluded about one machine, and none is deleted.
+// Returns whether at least half of the zone's machines that are up send heartbeats and answer. If
+// most are silent at once, the network is cut or this node was suspended: nothing is concluded
+// about a single machine, and none is deleted.
 bool FailureDetector::most_of_zone_heard(int zone, double now) const {
   std::size_t all = 0;
   std::size_t heard = 0;
@@ -69,8 +73,8 @@
     machine.avoid(now + kAvoidHeartbeats * context_.settings.heartbeat_s);
 }
 
-// Batch tasks lose little by waiting for the proof by silence, and a machine that hangs may go on:
-// silence alone is a reason for machines with replicas only.
+// Silence is a reason for a probe only on machines with replicas. Batch tasks lose little by
+// waiting until silence proves that they have stopped, and a machine that hangs may continue.
 bool FailureDetector::should_probe(const Machine& machine, double now) const {
   if (machine.lost || machine.zone < 0 || machine.addr.empty() || machine.next_probe_at > now)
     return false;
@@ -97,8 +101,9 @@
   return out;
 }
 
-// A switch that takes hundreds of machines with it must not empty the fleet: beyond a share of it,
-// the proof by silence is waited for.
+// Returns whether one more machine may be given up on now. A network switch that fails and cuts off
+// hundreds of machines must not empty the cluster: beyond a share of the machines, the leader waits
+// until silence proves that the tasks have stopped.
 bool FailureDetector::may_give_up_another(double now) {
   std::erase_if(given_up_at_, [&](double at) { return now - at > context_.settings.lease_s; });
   const double limit =
@@ -111,7 +116,7 @@
   machine.next_probe_at = now + kProbeIntervalS;
   const auto zone = static_cast<std::size_t>(machine.zone);
   if (answered) {
-    // If its heartbeats do not come here, that is for the relay routes to mend.
+    // If the machine's heartbeats do not reach this node, the relay routes have to solve that.
     machine.unanswered_probes = machine.lost_responses = 0;
     machine.probe_answered_at = zone_answered_at_[zone] = now;
     return false;
@@ -119,7 +124,8 @@
   const bool responses_lost = loses_responses(machine);
   if (!responses_lost && !is_suspected(machine, now)) return false;
   if (machine.lost || ++machine.unanswered_probes < kUnansweredBeforeFailure) return false;
-  // Only where others in its zone answer this node, and most of them are heard.
+  // A machine is given up on only if other machines in its zone answer this node's probes, and most
+  // of them send heartbeats.
   if (!most_of_zone_heard(machine.zone, now)) return false;
   if (!responses_lost && now - zone_answered_at_[zone] > kZoneAnsweredWithinS) return false;
   if (!may_give_up_another(now)) return false;
--- a/src/scheduler/failure_detector.h
+++ b/src/scheduler/failure_detector.h
@@ -1,6 +1,6 @@
-// Failure detection: machines with replicas that have gone silent are asked whether they are alive,
-// long before silence alone is a proof. One that is given up on is deleted, and the answer to the
-// deletion is the proof that its tasks are gone (docs/safety.md). Free of I/O.
+// Failure detection: silent machines with replicas are probed long before silence alone proves that
+// their tasks have stopped. A machine that does not answer is given up on and deleted; the cloud's
+// answer to the deletion proves that its tasks no longer run (docs/safety.md). Free of I/O.
 #pragma once
 #include <string>
 #include <vector>
@@ -10,12 +10,12 @@
 
 namespace shunttrail::scheduler {
 
-/// A machine to be asked for its state (GET /status).
+/// A machine to send a status request to (GET /status).
 struct Probe {
   std::string machine, addr;
 };
 
-/// Chooses the machines to probe, and decides from the probes' outcome which have failed.
+/// Chooses the machines to probe, and decides from the outcome of the probes which have failed.
 class FailureDetector {
  public:
   FailureDetector(ShardContext& context, Machines& machines)
@@ -23,13 +23,13 @@
         machines_(machines),
         zone_answered_at_(context.settings.zones.size(), -1e9) {}
 
-  /// A heartbeat, and whether it shows that the response to an earlier one was lost. Such a machine
-  /// looks alive for ever, while every start on it is lost: nothing new goes there, and it is
-  /// probed as a silent one is.
+  /// Handles a heartbeat. `response_lost`: it shows that the response to an earlier heartbeat was
+  /// lost. A machine that receives no responses seems alive for ever, while every start sent to it
+  /// is lost: it gets no new tasks, and is probed in the same way as a silent machine.
   void heartbeat_received(Machine& machine, bool response_lost, double now) const;
-  /// Probes to send now; each is answered by probe_done.
+  /// Returns the probes to send now. The caller reports the outcome of each one to probe_done.
   [[nodiscard]] std::vector<Probe> probes(double now);
-  /// True: the machine has not answered, again, and is to be given up on.
+  /// Returns true if the machine has failed to answer repeatedly and is to be given up on.
   [[nodiscard]] bool probe_done(Machine& machine, bool answered, double now);
 
  private:
@@ -43,8 +43,8 @@
   ShardContext& context_;
   Machines& machines_;
   // Steady times, in seconds.
-  std::vector<double> zone_answered_at_;  // by zone: when a machine there answered a probe last
-  std::vector<double> given_up_at_;       // of the machines given up on within a lease
+  std::vector<double> zone_answered_at_;  // by zone: the latest answer of a machine to a probe
+  std::vector<double> given_up_at_;       // for each machine given up on within the last lease_s
 };
 
 }  // namespace shunttrail::scheduler
--- a/src/scheduler/heartbeat_processor.cpp
+++ b/src/scheduler/heartbeat_processor.cpp
@@ -12,16 +12,19 @@
 using wire::TaskState;
 
 namespace {
-/// A job that has failed on so many machines is at fault itself.
+/// Number of machines on which a job must have failed for the failures to count as its own.
 constexpr std::size_t kFailedMachinesBeforeBackoff = 3;
 constexpr double kMinBackoffS = 5;
 constexpr double kMaxBackoffS = 60;
-/// Pause of a job that a worker does not know: its description may still be on its way.
+/// Pause, in seconds, of a job that a worker does not know: its description may not have reached
+/// the worker yet.
 constexpr double kUnknownJobPauseS = 3;
-/// Pause of a machine whose worker had no room for a task, or was busy.
+/// Pause, in seconds, of a machine whose worker had too little free capacity for a task, or was
+/// busy.
 constexpr double kFullMachinePauseS = 1;
 
-// The index of the placement that the status is of; the number of placements if there is none.
+// Returns the index of the placement that the status belongs to, or the number of placements if
+// there is none.
 std::size_t find_placement(const std::vector<Placement>& placements,
                            const wire::TaskStatus& status) {
   const auto found =
@@ -57,10 +60,10 @@
   handle_absent(machine, shown, heartbeat, source, now);
 }
 
-// ---- tasks that the heartbeat shows
+// ---- tasks that the heartbeat lists
 
-// A result is a result, whoever started the task: an earlier owner may have gone before it could
-// persist it.
+// Counts the result of a task that this leader has not started: an earlier leader may have ended
+// before it could persist the result.
 void HeartbeatProcessor::unknown_task(Machine& machine, const wire::TaskStatus& status,
                                       double now) {
   machine.tasks.unknown_tasks.push_back(status);
@@ -73,7 +76,8 @@
                                           const wire::TaskStatus& status, double now) {
   const bool exited_now = status.state == TaskState::exited;
   placement.seen = true;
-  // Proven not to run, and it does: whatever started it again, it is stopped as an unknown task is.
+  // The placement was released as proven not to run, but the attempt runs. Whatever has started it,
+  // it is stopped in the same way as an unknown task.
   if (placement.released && !exited_now) machine.tasks.unknown_tasks.push_back(status);
   const bool is_over = placement.state == TaskState::exited && placement.released;
   if (!is_over) {
@@ -81,7 +85,7 @@
     placement.exit_reason = status.exit_reason;
     if (status.state == TaskState::running && placement.started == 0) {
       placement.started = now;
-      // A replica has no end to record its cost at.
+      // A replica does not complete, so its cost is recorded when it is first seen running.
       if (placement.job->spec.service && !placement.recovered && machine.type >= 0)
         record_finish_cost(context_, placement, machine, now);
     }
@@ -122,7 +126,8 @@
   job.backoff_s = 0;
 }
 
-// A job that fails on several machines is at fault itself and waits longer each time.
+// A job that fails on several machines is considered the cause itself, and waits longer after each
+// failure.
 void HeartbeatProcessor::task_failed(Machine& machine, Placement& placement, double now) {
   Job& job = *placement.job;
   ++context_.counters.errors;
@@ -141,7 +146,7 @@
   if (job->queued) finished_tasks_.push_back({job, task});
 }
 
-// ---- tasks that the heartbeat does not show
+// ---- tasks that the heartbeat does not list
 
 void HeartbeatProcessor::handle_absent(Machine& machine, const std::vector<bool>& shown,
                                        const wire::Heartbeat& heartbeat, HeartbeatSource source,
@@ -155,17 +160,19 @@
   machine.note_idle(now);
 }
 
-// True: the placement is proven gone. A start sent in the response to one heartbeat is settled by
-// any later one: the worker has carried it out or dropped it before it reports again. Nothing is
-// concluded about an earlier owner's placement until the worker has shown our token: before that,
-// the earlier owner's start could still be on its way.
+// Releases the placement, and returns true, if the heartbeat proves that the attempt does not run
+// and cannot start later. The outcome of a start sent in the response to one heartbeat is visible
+// in any later one, since the worker carries the start out or drops it before it sends the next
+// heartbeat. Nothing is concluded about a placement of an earlier leader before the worker has
+// confirmed the current token: until then, the earlier leader's start could still be in flight.
 bool HeartbeatProcessor::release_if_absent(Machine& machine, Placement& placement,
                                            const wire::Heartbeat& heartbeat, HeartbeatSource source,
                                            double now) {
   if (source == HeartbeatSource::direct_response && (!placement.recovered || placement.sent))
     return false;
-  // What has been seen was carried out, though its direct command was taken for lost and is not
-  // counted as sent any more. (An earlier owner's may be on its way a second time.)
+  // An attempt that has been seen was started, even if its direct command was considered lost and
+  // `sent` was reset. A recovered one is excepted: a second copy of an earlier leader's start may
+  // still be in flight.
   if (placement.sent || (placement.seen && !placement.recovered)) {
     const bool restarted = heartbeat.incarnation > placement.sent_incarnation;
     if (restarted || placement.seen || placement.acknowledging) {
@@ -173,7 +180,7 @@
       return true;
     }
     if (!placement.sent_directly) {
-      // The response did not get there: the start is sent once more, as the same attempt.
+      // The response was lost: the start is sent once more, as the same attempt.
       placement.sent = false;
       machine.start_lost = true;
     }
@@ -188,7 +195,7 @@
   const bool is_unwanted = placement.job->over || placement.job->done(placement.task);
   if (is_unwanted && placement.phase == Phase::committed &&
       TokenPolicy::is_acknowledged(machine, placement)) {
-    // Not there, nothing on its way, and none will be sent.
+    // The task is not on the machine, no start command is in flight, and none will be sent.
     placements_.release_without_requeue(machine, placement, now);
     return true;
   }
--- a/src/scheduler/heartbeat_processor.h
+++ b/src/scheduler/heartbeat_processor.h
@@ -1,6 +1,5 @@
-// What a worker's heartbeat proves about the tasks on its machine: which placements run, which have
-// ended, and which are not there and never will be (PROTOCOL, Heartbeats; docs/safety.md). Free of
-// I/O.
+// Derives from a worker's heartbeats which placements on its machine run, which have ended, and
+// which do not exist and never will (PROTOCOL, Heartbeats; docs/safety.md). Free of I/O.
 #pragma once
 #include <cstdint>
 #include <utility>
@@ -14,15 +13,15 @@
 
 namespace shunttrail::scheduler {
 
-/// Where a heartbeat comes from.
+/// The message that contained a heartbeat.
 enum class HeartbeatSource : std::uint8_t {
-  worker,  // sent by the worker of itself
-  /// The body of a response to direct commands. It proves no absence: the response to an earlier
-  /// heartbeat may still be on its way to the worker.
+  worker,  // a request that the worker sends at its heartbeat interval
+  /// The body of a response to direct commands. A task that it does not list may still be started,
+  /// since the response to an earlier heartbeat may be on its way to the worker.
   direct_response,
 };
 
-/// A task that is done.
+/// A task that has completed.
 struct FinishedTask {
   jobs::JobPtr job;
   std::uint32_t task = 0;
@@ -38,15 +37,16 @@
         placements_(placements),
         token_policy_(token_policy) {}
 
-  /// False: the heartbeat is not newer than the newest one so far.
+  /// Returns whether the heartbeat is newer than all before it.
   [[nodiscard]] static bool is_newer(const Machine& machine, const wire::Heartbeat& heartbeat) {
     return std::pair(heartbeat.incarnation, heartbeat.sequence) >
            std::pair(machine.tasks.incarnation, machine.tasks.sequence);
   }
-  /// Takes a heartbeat that is newer.
+  /// Updates the machine's placements from a heartbeat that is newer than all before it.
   void heartbeat_received(Machine& machine, const wire::Heartbeat& heartbeat,
                           HeartbeatSource source, double now);
-  /// Tasks found done since the last call that may wait in a queue for another attempt.
+  /// Returns the tasks that have completed since the last call and may still wait in a queue for
+  /// another attempt.
   [[nodiscard]] std::vector<FinishedTask> take_finished() {
     return std::exchange(finished_tasks_, {});
   }
--- a/src/scheduler/token_policy.cpp
+++ b/src/scheduler/token_policy.cpp
@@ -3,9 +3,10 @@
 namespace shunttrail::scheduler {
 
 namespace {
-/// Shortest time between two advances of the token.
+/// Shortest time, in seconds, between two advances of the token.
 constexpr double kMinAdvanceIntervalS = 1;
-/// The same for an unacknowledged command that keeps no lease from being renewed.
+/// The same where the only reason is an unacknowledged command that does not prevent the renewal of
+/// a lease.
 constexpr double kMinNonUrgentAdvanceIntervalS = 10;
 }  // namespace
 
@@ -19,7 +20,7 @@
   if (saw_higher_token_) return true;
   const bool non_urgent_allowed = now - advanced_at_ >= kMinNonUrgentAdvanceIntervalS;
   for (const auto& [number, machine] : machines_.all()) {
-    // The response to a direct command may still settle it.
+    // The response to the direct command that is in flight may still acknowledge the start.
     if (machine->tasks.direct_in_flight) continue;
     for (const Placement& placement : machine->tasks.placements) {
       if (may_start_late(placement)) return true;
--- a/src/scheduler/token_policy.h
+++ b/src/scheduler/token_policy.h
@@ -1,5 +1,5 @@
-// The fencing token under which a shard's owner sends its commands, and when it needs a higher one
-// (PROTOCOL, Tokens; docs/safety.md). Free of I/O.
+// The fencing token under which a shard's leader sends its commands, and the conditions under which
+// the leader needs a higher one (PROTOCOL, Tokens; docs/safety.md). Free of I/O.
 #pragma once
 #include <cstdint>
 
@@ -7,15 +7,16 @@
 
 namespace shunttrail::scheduler {
 
-/// Attempts under a token are numbered upwards from this one: a later owner's are higher. There are
-/// a million under one token. Tokens are revisions of the state service: whoever comes next has a
-/// higher one by every commit since, and a commit starts a few hundred tasks.
+/// Returns the number above which the attempts under a token are numbered, so that a later leader's
+/// attempts have higher numbers. Each token has a million of them. These suffice: a token is a
+/// revision of the state service, every commit raises the next leader's token by at least one, and
+/// a commit starts a few hundred tasks.
 [[nodiscard]] constexpr std::uint64_t first_attempt(std::uint64_t token) {
   constexpr int kAttemptBits = 20;
   return token << kAttemptBits;
 }
 
-/// Holds the token, and decides when to ask for a new one. A worker that has seen a higher token
+/// Holds the token, and decides when to request a new one. A worker that has seen a higher token
 /// carries out no command under a lower one.
 class TokenPolicy {
  public:
@@ -23,17 +24,19 @@
 
   [[nodiscard]] std::uint64_t token() const { return token_; }
 
-  /// A machine of this shard has seen a higher token, under another shard.
+  /// Notes that a machine of this shard has seen a higher token, which another shard's leader had.
   void saw_higher_token() { saw_higher_token_ = true; }
-  /// A higher token would settle something that is unacknowledged, or let a machine in.
+  /// Returns whether the leader should obtain a higher token: to rule out that an unacknowledged
+  /// direct start is carried out, or to be accepted by a machine that has seen a higher one.
   [[nodiscard]] bool needs_new_token(double now) const;
-  /// The shard's owner has got a higher token: what an older token left on the way can no longer be
-  /// carried out by a worker that has seen the new one.
+  /// Sets a higher token. Commands under the previous ones that are still in flight are not carried
+  /// out by workers that have seen the new one.
   void advance(std::uint64_t token, double now);
 
-  /// A direct start of a job that is over may still be carried out under the present token.
+  /// Returns whether a direct start for a job that has ended may still be carried out under the
+  /// current token.
   [[nodiscard]] bool may_start_late(const Placement& placement) const;
-  /// No direct command for the placement can be carried out any more.
+  /// Returns whether no direct command for the placement can be carried out any more.
   [[nodiscard]] static bool is_acknowledged(const Machine& machine, const Placement& placement) {
     return placement.unacknowledged_token == 0 ||
            machine.tasks.token > placement.unacknowledged_token;
--- a/src/scheduler/worker_commands.cpp
+++ b/src/scheduler/worker_commands.cpp
@@ -17,7 +17,8 @@
 /// Pause, in seconds, between two resync requests to a worker.
 constexpr double kResyncIntervalS = 1;
 
-// Time, in seconds, for what can save its progress before it is stopped.
+// Returns the time, in seconds, that a task of the job gets to save its progress before it is
+// stopped; 0 for a job without checkpoints.
 double stop_grace(const Job& job) {
   return job.spec.checkpoint_s > 0 ? job.spec.save_s + kSaveMarginS : 0;
 }
@@ -26,8 +27,9 @@
   return {op, {placement.job->spec.id, placement.task}, placement.attempt, grace_s};
 }
 
-// The placement's job is over, and it may be there, or get there: also what no heartbeat has shown
-// yet, since a direct start that is on its way may come before the response that this is for.
+// Returns whether the placement's job has ended while the attempt may run or still start. This
+// includes attempts that no heartbeat has listed yet, since a direct start in flight may arrive
+// before the response that is to contain the stop command.
 bool must_end(const Placement& placement) {
   return placement.job->over && !placement.released &&
          (placement.seen || placement.sent || placement.unacknowledged_token ||
@@ -68,13 +70,15 @@
   return std::move(response.commands);
 }
 
-// A result is kept by the worker until it is persisted; what failed or was stopped is not kept.
+// Returns whether the worker has to keep the attempt's result, since it is not persisted yet. The
+// results of failed or stopped attempts are not kept.
 bool WorkerCommands::is_result_kept(const Placement& placement) {
   return placement.exit_reason == ExitReason::done && !placement.job->over &&
          !placement.job->persisted(placement.task);
 }
 
-// The machine is about to be taken: what can save its progress does so while there is time.
+// Returns whether the cloud is about to take the machine away and the task has only just enough
+// time left to save its progress.
 bool WorkerCommands::must_save_now(const Machine& machine, const Placement& placement) const {
   if (!placement.seen || placement.state != TaskState::running || !machine.notice_s) return false;
   const wire::JobSpec& spec = placement.job->spec;
@@ -117,8 +121,9 @@
                                Response& response) {
   if (!fresh) return;
   if (machine.leaving && !placement.unacknowledged_token) {
-    // Never sent, and it will not be: the task need not wait for this machine, nor the machine for
-    // the task. (A direct copy may still be on its way: that one is sent here as well.)
+    // The start has not been sent, and is not sent any more: the task need not wait for this
+    // machine, nor the machine for the task. A start that was sent as a direct command and may
+    // still arrive is excluded by the condition above; it is sent in this response as well.
     placements_.release(machine, placement, now);
     response.dropped_unsent = true;
     return;
@@ -142,7 +147,8 @@
   machine.note_idle(now);
 }
 
-// Unknown tasks are stopped. Their results are acknowledged once they are persisted.
+// Adds stop commands for unknown tasks that run, and acknowledgements for those that have exited,
+// unless their result is yet to be persisted.
 void WorkerCommands::add_unknown_tasks(const Machine& machine,
                                        std::vector<Command>& commands) const {
   for (const wire::TaskStatus& status : machine.tasks.unknown_tasks) {
@@ -187,9 +193,9 @@
   return out;
 }
 
-// Without commands: it shows the worker our token, so that no earlier owner's command is carried
-// out any more, and its response shows what is there. The incarnation is a guess at first; a 409
-// tells it.
+// Returns a request without commands. It shows the worker the leader's token, so that commands of
+// earlier leaders are no longer carried out, and its response lists the tasks on the machine.
+// Before the first heartbeat the incarnation is a guess; a 409 response contains the actual one.
 DirectCommands WorkerCommands::resync_request(Machine& machine, double now) {
   machine.tasks.direct_in_flight = true;
   machine.tasks.resync_at = now + kResyncIntervalS;
@@ -200,15 +206,15 @@
 void WorkerCommands::add_direct_command(Machine& machine, Placement& placement, bool silent,
                                         std::vector<Command>& commands) {
   const bool running = placement.seen && !placement.released;
-  // A machine that reports to nobody may still get this, and one that hangs finds it when it goes
-  // on.
+  // A machine whose heartbeats reach no controller may still receive this command, and one that
+  // hangs receives it when it continues.
   if (placement.job->over && running && !placement.job_end_sent) {
     placement.job_end_sent = true;
     commands.push_back(command(Command::Op::stop, placement));
     return;
   }
   if (silent) return;
-  // A late copy of a stop does no harm: it names the attempt.
+  // A late copy of a stop command is harmless, since it names the attempt.
   if (placement.preempted && !placement.stop_sent && running) {
     placement.stop_sent = true;
     commands.push_back(command(Command::Op::stop, placement, stop_grace(*placement.job)));
@@ -236,8 +242,9 @@
     if (command.op != Command::Op::start) continue;
     for (Placement& placement : machine->tasks.placements) {
       if (placement.attempt != command.attempt) continue;
-      // OK: carried out. Conflict: nothing was. Anything else: perhaps, and perhaps later; it is
-      // sent again in a heartbeat's response, where a second copy has no effect.
+      // OK: the start was carried out. Conflict: it was not. For any other status it may have been,
+      // or may be later: it is sent again in the response to a heartbeat, where a second copy has
+      // no effect.
       if (status == kHttpOk || status == kHttpConflict) placement.unacknowledged_token = 0;
       if (status != kHttpOk && !placement.seen) placement.sent = placement.sent_directly = false;
     }
--- a/src/scheduler/worker_commands.h
+++ b/src/scheduler/worker_commands.h
@@ -1,5 +1,5 @@
-// The commands for workers: in the responses to their heartbeats, and sent directly to their
-// addresses (PROTOCOL, Commands). Free of I/O.
+// The commands for workers: those in the responses to heartbeats, and direct commands, which are
+// sent to the workers' addresses (PROTOCOL, Commands). Free of I/O.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -14,15 +14,15 @@
 
 namespace shunttrail::scheduler {
 
-/// Commands sent straight to a worker's address. Without any, the request shows the worker our
-/// token, and its response shows what runs there.
+/// A request with commands to a worker's address. A request without commands shows the worker the
+/// leader's token, and its response lists the tasks on the machine.
 struct DirectCommands {
   std::string machine, addr;
   std::uint64_t incarnation = 0;
   std::vector<wire::Command> commands;
 };
 
-/// Derives a machine's commands from its placements, and notes what has been sent.
+/// Derives a machine's commands from its placements, and records which have been sent.
 class WorkerCommands {
  public:
   WorkerCommands(ShardContext& context, Machines& machines, Placements& placements,
@@ -32,32 +32,36 @@
         placements_(placements),
         token_policy_(token_policy) {}
 
-  /// The commands for the response to the machine's heartbeat. `fresh`: the state service was read
-  /// lately enough to start tasks; without it, leases are renewed and tasks stopped, but nothing is
-  /// started.
+  /// Returns the commands for the response to the machine's heartbeat. `fresh`: the state service
+  /// was read recently enough to start tasks. If it was not, responses renew leases and stop tasks,
+  /// but start none.
   [[nodiscard]] std::vector<wire::Command> commands_for(Machine& machine, bool fresh, double now);
-  /// For a heartbeat that has been overtaken: only what ends unwanted work.
+  /// Returns the commands for the response to a heartbeat that arrived after a newer one: stop
+  /// commands for unwanted tasks, and no others.
   [[nodiscard]] static std::vector<wire::Command> stop_commands(const Machine& machine);
-  /// A response would be worth waiting for a commit.
+  /// Returns whether the machine has placements that are not recorded yet. A response that waits
+  /// for their commit can contain their start commands.
   [[nodiscard]] static bool awaits_commit(const Machine& machine);
-  /// A direct start of a cancelled job may still be carried out under the token that a response
-  /// would carry now: the lease is not renewed under it (docs/safety.md, "From a confirmed
-  /// cancellation to the last task").
+  /// Returns whether a direct start of a cancelled job may still be carried out under the current
+  /// token. A response must not renew the lease under that token then (docs/safety.md, "From a
+  /// confirmed cancellation to the last task").
   [[nodiscard]] bool has_unacknowledged_start(const Machine& machine) const;
 
-  /// Commands for machines whose next heartbeat is not about to be answered (`skip` by name). A
-  /// direct command may be carried out as late as its token and incarnation hold, so an attempt
-  /// started that way is unacknowledged until a response comes: it is not acknowledged to the
-  /// worker, nor given up, before the worker has seen a higher token.
+  /// Returns direct commands for the machines listed for them, except for those that `skip` selects
+  /// by name because a heartbeat of theirs is about to be answered. A worker may carry out a direct
+  /// command at any time while its token and incarnation are valid. An attempt started that way is
+  /// therefore unacknowledged until the request is answered: until then, or until the worker has
+  /// seen a higher token, it is neither acknowledged to the worker nor given up.
   [[nodiscard]] std::vector<DirectCommands> direct_commands(
       bool fresh, const std::function<bool(const std::string&)>& skip, double now);
-  /// The HTTP status that the commands were answered with.
+  /// Handles the HTTP status of the response to a request with direct commands.
   void direct_commands_done(const DirectCommands& sent, int status);
 
  private:
-  /// A heartbeat's response.
+  /// The response to a heartbeat, under construction.
   struct Response {
     std::vector<wire::Command> commands;
+    // Placements whose start had not been sent were released, and are to be removed.
     bool dropped_unsent = false;
   };
 
