--- a/src/scheduler/finish_cost.cpp
+++ b/src/scheduler/finish_cost.cpp
@@ -9,13 +9,13 @@
 using jobs::Resources;
 
 namespace {
-/// What a second of waiting costs by priority, urgent first.
+/// Relative cost of a second of waiting, by priority, the most urgent first.
 constexpr std::array<double, wire::kPriorities> kPriorityWeight{8, 4, 1, 0.5};
-/// Run time, in seconds, that a replica's cost counts: as long as it keeps others from its room at
-/// least.
+/// Run time, in seconds, that the cost of a replica assumes: it occupies its resources for at least
+/// this long.
 constexpr double kReplicaRunS = 60;
 
-// The greatest of the shares of vcpus, GPUs and memory.
+// Returns the greatest of the shares of vcpus, GPUs and memory.
 double largest_share(const Resources& need, const Resources& capacity) {
   double share = 0;
   const auto include = [&](std::int64_t part, std::int64_t whole) {
--- a/src/scheduler/machine.cpp
+++ b/src/scheduler/machine.cpp
@@ -5,9 +5,9 @@
 namespace shunttrail::scheduler {
 
 namespace {
-/// A machine that has failed the tasks of so many jobs is at fault.
+/// Number of jobs whose tasks must have failed on a machine for the machine to count as faulty.
 constexpr std::size_t kFailedJobsBeforeFaulty = 2;
-/// Pause, in seconds, before a machine that failed a task gets another.
+/// Pause, in seconds, after a failed task before the machine gets another one.
 constexpr double kFaultPauseS = 5;
 }  // namespace
 
@@ -28,7 +28,7 @@
   ++faults;
   failed_jobs.insert(job);
   avoid_until = now + kFaultPauseS;
-  // It is replaced.
+  // A faulty machine is returned to the cloud, and another one is rented if tasks need it.
   if (is_faulty()) leaving = true;
 }
 
--- a/src/scheduler/machine_catalogue.h
+++ b/src/scheduler/machine_catalogue.h
@@ -1,4 +1,4 @@
-// The catalogue of machine types that the cloud offers, and their tiers by price. Free of I/O.
+// The machine types that the cloud offers, and their tiers in order of price. Free of I/O.
 #pragma once
 #include <string>
 #include <vector>
@@ -14,28 +14,28 @@
 struct MachineCatalogue {
   struct Type {
     wire::MachineType spec;
-    /// What tasks may take of an empty machine.
+    /// The resources that an empty machine of the type has for tasks.
     jobs::Resources capacity;
-    /// By zone: the cloud offers the type there.
+    /// By zone: whether the cloud offers the type there.
     std::vector<bool> in_zone;
   };
   std::vector<Type> types;
   /// Numbers of the tiers, the cheapest first.
   std::vector<int> tier_order;
-  /// The cheapest tier's price a second.
+  /// Price of the cheapest tier, per second.
   double base_rate = 0;
 
-  /// Takes over the cloud's list. Types keep their indices, since machines refer to them; a type
-  /// that is not listed any more stays.
+  /// Takes the types over from the cloud's list. Types keep their indices, since machines refer to
+  /// them; a type that is no longer listed stays.
   void load(const std::vector<wire::MachineType>& list, const config::Settings& settings);
-  /// -1: unknown.
+  /// Returns the type's dense index, or -1 if it is unknown.
   [[nodiscard]] int type_index(const std::string& name) const;
-  /// The tier's price a second.
+  /// Returns the tier's price per second.
   [[nodiscard]] double rate(int tier) const;
-  /// A task of the job may run on the tier's machines, as far as type, kind and size go.
+  /// Returns whether the type, kind and size of the tier's machines suit a task of the job.
   [[nodiscard]] bool accepts(int tier, const wire::JobSpec& job, const jobs::Resources& need) const;
-  /// What a machine of the type counts for where machines are shared out: in machines of the first
-  /// type, by vcpus.
+  /// Returns the number of machines of the first type that a machine of this type counts as, by
+  /// vcpus, where machines are divided between shards.
   [[nodiscard]] double units(int type) const;
   [[nodiscard]] bool empty() const { return types.empty(); }
 };
--- a/src/scheduler/machines.cpp
+++ b/src/scheduler/machines.cpp
@@ -8,7 +8,7 @@
 using jobs::Resources;
 
 namespace {
-/// Images that a machine's cache keeps where its type does not tell the cache's size.
+/// Number of images that a machine's cache is assumed to hold if the size of the cache is unknown.
 constexpr std::size_t kDefaultCachedImages = 8;
 }  // namespace
 
@@ -54,7 +54,8 @@
   machine.spot = record.spot;
   machine.in_inventory = true;
   mark_booting(machine, record.name, now);
-  // A type or zone that is not known any more: its tasks are given up, then it is returned.
+  // The type or zone is no longer known: the machine gets no new tasks, and is returned once its
+  // tasks have ended.
   if (machine.type < 0 || machine.zone < 0) machine.leaving = true;
   return true;
 }
@@ -72,7 +73,7 @@
   return context_.catalogue.types[static_cast<std::size_t>(machine.type)];
 }
 
-// ---- what a machine can take
+// ---- capacity and constraints
 
 Resources Machines::free_capacity(const Machine& machine) const {
   return machine.type < 0 ? Resources{} : type_of(machine).capacity - machine.tasks.used;
@@ -102,7 +103,7 @@
   return type_ok(job, machine.type, machine.spot) && zone_ok(job, machine.zone);
 }
 
-// ---- what is heard of a machine
+// ---- heartbeats and images
 
 bool Machines::heartbeat_received(Machine& machine, const wire::Heartbeat& heartbeat,
                                   bool is_new_incarnation, double now) {
@@ -121,8 +122,9 @@
   return true;
 }
 
-// A machine caches the most recently used images, as many as it has room for. Remembering fewer
-// would send tasks to fetch what lies ready elsewhere.
+// A machine caches the most recently used images, as many as its cache holds. If fewer were
+// remembered here, tasks would be sent to machines that have to fetch an image although another
+// machine has it.
 void Machines::note_image(Machine& machine, int image) {
   std::vector<int>& images = machine.images;
   if (!images.empty() && images.back() == image) return;
--- a/src/scheduler/machines.h
+++ b/src/scheduler/machines.h
@@ -1,5 +1,5 @@
-// The machines of a shard: which there are, what they can take, and what their heartbeats and tasks
-// show of the machines themselves. Free of I/O.
+// The machines of a shard: the table of them, their free capacity, and the changes of their state
+// that follow from their heartbeats and tasks. Free of I/O.
 #pragma once
 #include <cstddef>
 #include <map>
@@ -16,7 +16,8 @@
 
 namespace shunttrail::scheduler {
 
-/// The table of machines, by number and by name, and the learned wait of idle ones by tier.
+/// The table of machines, by number and by name, and, for each tier, the learned time for which an
+/// idle machine is kept.
 class Machines {
  public:
   using Ptr = std::unique_ptr<Machine>;
@@ -24,56 +25,62 @@
 
   // ---- the table
 
-  /// By number, in the order in which they were rented: the chain's order.
+  /// Returns the machines with their numbers, in ascending order of the numbers. This is the order
+  /// in which they were ordered, and in which the chain considers them.
   [[nodiscard]] const std::vector<std::pair<int, Ptr>>& all() const { return all_; }
-  /// Null: unknown.
+  /// Returns the machine of this name, or null if it is unknown.
   [[nodiscard]] Machine* find(const std::string& name) const;
+  /// Returns the machine of this number, or null if there is none.
   [[nodiscard]] Machine* at(int number) const;
   [[nodiscard]] bool contains(const std::string& name) const { return by_name_.contains(name); }
-  /// Number of machines with a name: not of orders.
+  /// Returns the number of machines that have a name; machines on order have none.
   [[nodiscard]] std::size_t named_count() const { return by_name_.size(); }
-  /// Adds a machine without a name; its pointer holds until it is erased.
+  /// Adds a machine without a name. The reference is valid until the machine is erased.
   Machine& add(int tier, int zone);
-  /// The machine has been rented under this name, and boots.
+  /// Records that the machine has been rented under this name and boots.
   void mark_booting(Machine& machine, const std::string& name, double now);
-  /// The inventory holds the machine under this shard. True if it is new here.
+  /// Adds a machine that the inventory assigns to this shard. Returns false if it was known; it is
+  /// then only marked as recorded in the inventory.
   bool add_recorded(const wire::MachineRecord& record, double now);
-  /// Nothing is on the machine, and nothing waits for it.
+  /// Removes a machine. Its placements must have been released, and its queue must be empty.
   void erase(int number);
 
-  // ---- what a machine can take
+  // ---- capacity and constraints
 
-  /// Free of placements.
+  /// Returns the machine's capacity less the resources of its placements.
   [[nodiscard]] jobs::Resources free_capacity(const Machine& machine) const;
-  /// As a task of this band finds it: what is kept free is for urgent ones.
+  /// Returns the free capacity that a task of this band may use. Only urgent tasks may use the
+  /// resources that are reserved for them (Machine::reserved).
   [[nodiscard]] jobs::Resources free_capacity(const Machine& machine, int priority_band) const;
-  /// The machine has the image, or is fetching it.
+  /// Returns whether the machine has the image, or is fetching it.
   [[nodiscard]] static bool warm(const Machine& machine, int image);
-  /// The job's tasks may run on machines of the type and kind.
+  /// Returns whether the job's tasks may run on machines of the type and kind.
   [[nodiscard]] bool type_ok(const jobs::Job& job, int type, bool spot) const;
-  /// One more of the job's tasks may be placed in the zone.
+  /// Returns whether one more of the job's tasks may be placed in the zone.
   [[nodiscard]] bool zone_ok(const jobs::Job& job, int zone) const;
-  /// One more of the job's tasks may be placed on the machine, once there is room.
+  /// Returns whether one more of the job's tasks may be placed on the machine, provided that it has
+  /// enough free capacity.
   [[nodiscard]] bool usable(const Machine& machine, const jobs::Job& job, double now) const;
 
-  // ---- what is heard of a machine
+  // ---- heartbeats and images
 
-  /// What a heartbeat says of the machine itself. True: it has just had notice that it will be
-  /// taken.
+  /// Updates the machine's own state from a heartbeat. Returns true if this is the first heartbeat
+  /// with the notice that the cloud will take the machine away.
   bool heartbeat_received(Machine& machine, const wire::Heartbeat& heartbeat,
                           bool is_new_incarnation, double now);
-  /// The machine uses the image.
+  /// Records that the machine uses the image.
   void note_image(Machine& machine, int image);
 
   // ---- the wait before an idle machine is returned (DESIGN point 7)
 
-  /// Work comes to the machine, perhaps after it has idled.
+  /// Records that a task is assigned to the machine, which ends its idle time if it was idle.
   void reused(const Machine& machine, double now);
-  /// A machine of the tier is ordered, perhaps after one was returned early.
+  /// Records that a machine of the tier is ordered. If one was returned before because it was idle,
+  /// the learner of the wait takes that return as too early.
   void rented_again(int tier, double now);
-  /// The learned wait of each tier, in seconds.
+  /// Returns the learned wait of each tier, in seconds.
   [[nodiscard]] std::vector<double> idle_waits() const;
-  /// Marks the machine for its return if it has been idle for longer than the wait.
+  /// Marks the machine for its return if it has been idle for longer than its tier's wait.
   void return_idle(Machine& machine, double now);
 
  private:
@@ -83,10 +90,11 @@
   ShardContext& context_;
   int next_number_ = 1;
   std::vector<std::pair<int, Ptr>> all_;
-  std::vector<Machine*> by_number_;  // null: gone
+  std::vector<Machine*> by_number_;  // null: erased
   std::unordered_map<std::string, int> by_name_;
-  std::map<int, chain::IdleWait> idle_waits_;    // by tier
-  std::map<int, double> last_returned_idle_at_;  // by tier: when a returned one became idle
+  std::map<int, chain::IdleWait> idle_waits_;  // by tier
+  // By tier: when the machine that was last returned for idleness had become idle.
+  std::map<int, double> last_returned_idle_at_;
 };
 
 }  // namespace shunttrail::scheduler
