--- a/src/scheduler/shard_context.h
+++ b/src/scheduler/shard_context.h
@@ -1,5 +1,5 @@
-// What the parts of a shard's scheduler share: settings, the shard's jobs, counters, and whether
-// there is something to schedule.
+// State that the parts of a shard's scheduler share: settings, the shard's jobs, counters, and
+// whether a scheduling pass is due.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -12,44 +12,46 @@
 
 namespace shunttrail::scheduler {
 
-/// Events since the scheduler was opened.
+/// Numbers of events since the scheduler was created.
 struct Counters {
-  std::uint64_t heartbeats = 0;
-  std::uint64_t stale_heartbeats = 0;  // overtaken by newer ones
+  std::uint64_t heartbeats = 0;        // heartbeats newer than all before them
+  std::uint64_t stale_heartbeats = 0;  // heartbeats that arrived after a newer one
   std::uint64_t starts = 0;            // start commands sent
-  std::uint64_t direct = 0;            // of those, sent directly
-  std::uint64_t dones = 0;             // tasks found done
+  std::uint64_t direct = 0;            // start commands sent as direct commands
+  std::uint64_t dones = 0;             // tasks that completed
   std::uint64_t errors = 0;            // tasks that failed
   std::uint64_t lost = 0;              // placements that ended without a report
   std::uint64_t rents = 0;             // machines rented
-  std::uint64_t transferred = 0;       // machines that went to another shard
-  std::uint64_t preempted = 0;         // placements stopped for the sake of others
-  std::uint64_t refused = 0;           // machines that the cloud did not rent out
-  std::uint64_t returns = 0;           // machines returned since they were idle
+  std::uint64_t transferred = 0;       // machines transferred to another shard
+  std::uint64_t preempted = 0;         // placements preempted
+  std::uint64_t refused = 0;           // machines that the cloud refused to rent out
+  std::uint64_t returns = 0;           // machines returned after they had been idle
   std::uint64_t replaced = 0;          // machines given up on
-  std::uint64_t consolidated = 0;      // machines drained of their replicas
+  std::uint64_t consolidated = 0;      // machines emptied by moving their replicas
   std::uint64_t delegated = 0;         // tasks delegated to other shards
   std::uint64_t commits = 0;           // transactions begun
   std::uint64_t commit_failures = 0;
 };
 
-/// One for each shard's scheduler, which owns it.
+/// The shared state of one shard's scheduler, which owns it.
 struct ShardContext {
   const config::Settings& settings;
   const config::Tuning& tuning;
   const MachineCatalogue& catalogue;
   const int shard;
-  /// By id: the shard's jobs that are not over.
+  /// The shard's jobs that have not ended, by id.
   std::map<std::string, jobs::JobPtr> jobs{};
-  /// Size in GB by the images' dense index.
+  /// Sizes of the images in GB, by the image's dense index.
   std::vector<double> image_gb{};
   Counters counters{};
-  /// A placement of a foreign job was released since PlacementStore last looked for such.
+  /// A placement of a foreign job was released since PlacementStore last checked its pages for
+  /// released ones.
   bool foreign_released = false;
-  /// Something became possible since the last scheduling pass.
+  /// Since the last scheduling pass an event has occurred that may allow a task to be placed.
   bool scheduling_due = true;
 
-  /// A task without a placement is to enter the chain again.
+  /// Makes a task pending again, so that it enters the chain, unless it is done, withheld or still
+  /// has a placement, or its job has ended.
   void requeue(const jobs::JobPtr& job, std::uint32_t task) {
     if (job->over || job->done(task) || task >= job->spec.tasks) return;
     if (job->placements[task] == 0 && !job->is_withheld(task)) job->pending.insert(task);
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -11,15 +11,16 @@
 using jobs::Resources;
 
 namespace {
-/// A worker waits so long for the response to its heartbeat.
+/// Time, in seconds, for which a worker waits for the response to its heartbeat.
 constexpr double kWorkerResponseTimeoutS = 4;
-/// Work without a place is considered again after so long, though nothing has happened.
+/// Interval, in seconds, after which tasks without a machine are considered again, even if no event
+/// has occurred.
 constexpr double kReconsiderIntervalS = 1;
-/// A rented machine that has not reported within this time, or within so many of its boot times,
-/// is returned.
+/// A rented machine is returned if it sends no heartbeat within this time, in seconds, nor within
+/// kBootTimeoutBoots times its boot time.
 constexpr double kMinBootTimeoutS = 60;
 constexpr double kBootTimeoutBoots = 4;
-/// Added, in seconds, to what a list of the cloud's machines may be out of date by.
+/// Added, in seconds, to the time by which the cloud's list of machines may be out of date.
 constexpr double kListLagMarginS = 2;
 }  // namespace
 
@@ -101,7 +102,7 @@
   job->due = due;
   if (job->priority == priority) return;
   job->priority = priority;
-  // What waits in a queue in its old band enters the chain again, in the new one.
+  // Tasks that wait in a queue in the old priority band enter the chain again in the new one.
   for (const auto& [number, machine] : machines_.all()) {
     if (!job->queued) break;
     queues_.requeue_job(*machine, job);
@@ -113,7 +114,8 @@
 
 void ShardScheduler::machine_known(const wire::MachineRecord& record, double now) {
   const bool added = machines_.add_recorded(record, now);
-  // It has come from a shard whose token was higher: its worker would drop our responses.
+  // The machine comes from a shard whose token was higher. Its worker would reject responses under
+  // the current token.
   if (added && record.token > token()) token_policy_.saw_higher_token();
 }
 
@@ -176,9 +178,10 @@
 void ShardScheduler::machine_failed(const std::string& name, bool unlisted, double now) {
   Machine* machine = machines_.find(name);
   if (!machine || machine->lost) return;
-  // Lists lag: a machine that is missing from one is lost only if it is silent as well, for longer
-  // than a list can be old. Whether this owner has ever heard it does not matter: one that was
-  // taken just before a takeover would hold its tasks until the old owner's leases have expired.
+  // The cloud's list may be out of date. A machine that it does not contain is lost only if it has
+  // also been silent for longer than a list can be out of date. It need not have sent a heartbeat
+  // to this leader: otherwise the tasks of a machine that was taken away just before a takeover
+  // would wait until the leases of the earlier leader have expired.
   const config::Settings& settings = context_.settings;
   const double max_silence_s =
       std::max(2 * settings.heartbeat_s, 3 * settings.list_lag_s + kListLagMarginS);
@@ -189,8 +192,9 @@
 
 // ---- workers
 
-// A copy that comes late is answered to nobody: it renews no lease, and must not put off the proof
-// by silence. What was overtaken on its way is waited for no longer than a worker waits.
+// The response to a late copy of a heartbeat reaches no worker. It renews no lease, so it must not
+// postpone the time from which silence proves that the tasks have stopped. For a heartbeat that was
+// merely overtaken, the worker still waits, but no longer than its timeout.
 ShardScheduler::HeartbeatResult ShardScheduler::take_older_heartbeat(
     Machine& machine, const wire::Heartbeat& heartbeat, double now) {
   ++context_.counters.stale_heartbeats;
@@ -212,7 +216,8 @@
   last_heartbeat_at_ = now;
   machine->newest_status_at = now;
   const bool is_new_incarnation = heartbeat.incarnation != machine->tasks.incarnation;
-  // Answered within a lease, and the lease is over all the same.
+  // The worker's lease has expired although a response was sent recently enough to renew it, so
+  // that response was lost.
   const bool lease_lost = is_new_incarnation && machine->tasks.incarnation != 0 &&
                           now - machine->last_response_at < context_.settings.lease_s / 2;
   machine->start_lost = false;
@@ -261,8 +266,9 @@
   placements_.token_advanced();
 }
 
-// Delegations have transactions of their own: a late look at the tag on a job's key, which the
-// job's end drops, must not decide about starts (TransactionPipeline::resolve).
+// Delegations are written by separate transactions. If the outcome of a transaction is unknown, the
+// tag on one of its keys decides. The key of a job is deleted when the job ends, so a late read of
+// it must not decide about starts (TransactionPipeline::resolve).
 std::optional<wire::Transaction> ShardScheduler::next_transaction(
     const state::StateCache& cache, const state::TransactionLimits& limits, const std::string& tag,
     double now) {
@@ -292,8 +298,9 @@
 }
 
 void ShardScheduler::tick(double now) {
-  // Pauses end with time alone: the cloud's after a refusal, a machine's, a job's. A shard without
-  // machines gets no heartbeat that would start a pass, and its work stood still for good.
+  // The pauses after a refusal by the cloud, and those of machines and jobs, end without any event.
+  // A shard without machines receives no heartbeat that would cause a scheduling pass, so without
+  // this its tasks would wait for ever.
   if (now - last_pass_at_ >= kReconsiderIntervalS)
     context_.scheduling_due |=
         std::any_of(context_.jobs.begin(), context_.jobs.end(),
@@ -311,7 +318,7 @@
 
 void ShardScheduler::check_machines(double now) {
   const bool others_heard = now - last_heartbeat_at_ < 2 * context_.settings.heartbeat_s;
-  std::vector<int> withdrawn;  // orders that nothing waits for any more
+  std::vector<int> withdrawn;  // machines on order for which no task waits any more
   for (const auto& [number, machine] : machines_.all()) {
     if (machine->state == Machine::ordered) {
       if (machine->queue.tasks.empty() && !machine->rent_requested) withdrawn.push_back(number);
@@ -349,11 +356,13 @@
   const double max_silence_s = settings.lease_s + 2 * settings.heartbeat_s;
   if (silent_s > max_silence_s) {
     placements_.lease_expired(machine, now);
-    // If others are heard, this machine is lost, not this node. It is given back.
+    // If other machines send heartbeats, it is this machine that is lost, and not this node that is
+    // cut off. The machine is returned to the cloud.
     if (others_heard || silent_s > 3 * max_silence_s) give_up_machine(machine);
     queues_.requeue_all(machine);
   } else if (machine.draining && others_heard && silent_s > 2 * settings.heartbeat_s) {
-    // It was about to be taken and has gone silent. Deleting it proves its tasks gone.
+    // The machine has gone silent after notice that the cloud would take it away. Its deletion
+    // proves that its tasks no longer run.
     machine.give_up();
   }
 }
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -1,6 +1,6 @@
-// The scheduler of one shard, for as long as this node owns the shard: passes events to the parts
-// that they concern, and collects what is to be sent. Free of I/O: time, random numbers, messages
-// and commit results are handed in, and what is to be sent is handed out.
+// The scheduler of one shard, for as long as this node leads the shard. It passes events to the
+// parts that handle them, and returns the messages to send. Free of I/O: time, the seed of random
+// numbers, messages and commit results are arguments; messages to send are return values.
 #pragma once
 #include <functional>
 #include <map>
@@ -39,15 +39,15 @@
 
 namespace shunttrail::scheduler {
 
-/// Jobs, machines, placements and queues of a shard. Each part owns its state. Times are steady, in
-/// seconds, unless they are said to be wall-clock times.
+/// The jobs, machines, placements and queues of a shard. Each part owns its state. Times are
+/// steady, in seconds, unless they are named as wall-clock times.
 class ShardScheduler {
  public:
-  /// What has become of a heartbeat.
+  /// How a heartbeat has to be answered.
   enum class HeartbeatResult {
-    fresh,
-    older,    // overtaken by a newer one: answered with what ends work, and nothing else
-    unknown,  // not to be answered
+    fresh,    // newer than all before it: answered with all commands
+    older,    // arrived after a newer one: answered with stop commands only
+    unknown,  // of an unknown machine, or a late copy: refused
   };
 
   ShardScheduler(const config::Settings& settings, const config::Tuning& tuning,
@@ -56,40 +56,43 @@
 
   [[nodiscard]] int shard() const { return context_.shard; }
   [[nodiscard]] std::uint64_t token() const { return token_policy_.token(); }
-  /// The token it was opened under: names this scheduler however often the token is advanced.
+  /// Returns the token under which the scheduler was created. It identifies this scheduler, since
+  /// it stays the same when the token is advanced.
   [[nodiscard]] std::uint64_t opened_under() const { return opened_under_; }
+  /// TokenPolicy::saw_higher_token
   void saw_higher_token() { token_policy_.saw_higher_token(); }
   /// TokenPolicy::needs_new_token
   [[nodiscard]] bool needs_new_token(double now) const {
     return token_policy_.needs_new_token(now);
   }
-  /// The same scheduler goes on under a higher token: what it knows stays.
+  /// Continues under a higher token, with all state kept.
   void advance_token(std::uint64_t token, double now);
 
   // ---- the shard's durable state, at the takeover and as it changes
 
-  /// A job is there. `done`: its persisted results by chunk; `wall_now`: wall-clock time. Ignored
-  /// if it is known, or its team is not (negative).
+  /// Adds a job. `done`: its persisted results by chunk; `wall_now`: wall-clock time. Ignored if
+  /// the job is known already, or if its team is unknown (negative).
   void job_added(const wire::JobRecord& record, int team,
                  const std::map<std::uint32_t, state::Intervals>& done, double now,
                  double wall_now);
-  /// The job is over: completed or cancelled.
+  /// Removes a job that has been completed or cancelled, and stops its tasks.
   void job_ended(const std::string& id, double now);
-  /// Jobs that depend on this one have come, or gone. `due`: steady time.
+  /// Sets the priority and due time (steady) that a job has because of the jobs that depend on it.
   void set_effective_priority(const std::string& id, wire::Priority priority, double due);
-  /// A page of the shard as the takeover found it: all its placements may exist.
+  /// PlacementStore::recover_page, for a page found at the takeover.
   void recover_page(int page, const wire::PlacementPageRecord& record, double now) {
     placement_store_.recover_page(page, record, now);
   }
 
-  /// The inventory holds the machine under this shard.
+  /// Handles that the inventory assigns the machine to this shard. Adds it if it is new.
   void machine_known(const wire::MachineRecord& record, double now);
-  /// The machine is proven deleted.
+  /// Removes a machine that is proven deleted.
   void machine_deleted(const std::string& name, double now);
-  /// The machine belongs to another shard.
+  /// Removes a machine that the inventory now assigns to another shard.
   void machine_moved(const std::string& name, double now);
   void set_machine_address(const std::string& name, const std::string& addr);
-  /// Changes that the inventory needs, but for those that it has been asked for already.
+  /// Returns the changes that the inventory needs, except for those that it has been asked for
+  /// already.
   [[nodiscard]] std::vector<InventoryChange> inventory_changes(
       const MachineTransfers::Asked& asked = [](auto&&...) { return false; }) const {
     return transfers_.inventory_changes(token(), asked);
@@ -103,17 +106,17 @@
 
   // ---- workers
 
-  /// A worker's heartbeat, or the body of a response to direct commands (HeartbeatSource).
+  /// Takes a worker's heartbeat, or the body of a response to direct commands (HeartbeatSource).
   HeartbeatResult take_heartbeat(const wire::Heartbeat& heartbeat, double now,
                                  bool is_direct_response = false);
   /// WorkerCommands::commands_for
   [[nodiscard]] std::vector<wire::Command> commands_for(const std::string& machine_name, bool fresh,
                                                         double now);
-  /// A response would be worth waiting for a commit.
+  /// WorkerCommands::awaits_commit
   [[nodiscard]] bool awaits_commit(const std::string& machine_name);
-  /// For a heartbeat that has been overtaken: only what ends unwanted work.
+  /// WorkerCommands::stop_commands
   [[nodiscard]] std::vector<wire::Command> stop_commands(const std::string& machine_name) const;
-  /// No response may renew this machine's lease under the present token
+  /// Returns whether responses must not renew the machine's lease under the current token
   /// (WorkerCommands::has_unacknowledged_start).
   [[nodiscard]] bool has_unacknowledged_start(const std::string& machine_name) const;
   /// WorkerCommands::direct_commands
@@ -121,21 +124,25 @@
       bool fresh, const std::function<bool(const std::string&)>& skip, double now) {
     return worker_commands_.direct_commands(fresh, skip, now);
   }
-  /// The HTTP status that direct commands were answered with.
+  /// WorkerCommands::direct_commands_done
   void direct_commands_done(const DirectCommands& sent, int status) {
     worker_commands_.direct_commands_done(sent, status);
   }
-  /// Silent machines to be asked whether they are alive; each is answered by probe_done.
+  /// FailureDetector::probes. The caller reports the outcome of each one to probe_done.
   [[nodiscard]] std::vector<Probe> probes(double now) { return failure_detector_.probes(now); }
+  /// Handles the outcome of a probe. Gives up on the machine if FailureDetector decides so.
   void probe_done(const std::string& machine_name, bool answered, double now);
 
   // ---- group commit
 
-  /// The next transaction; at most one is in flight at a time.
+  /// Returns the next transaction, or nothing while one is in flight or if there is nothing to
+  /// store.
   [[nodiscard]] std::optional<wire::Transaction> next_transaction(
       const state::StateCache& cache, const state::TransactionLimits& limits,
       const std::string& tag, double now);
+  /// Handles that the transaction in flight has been applied.
   void transaction_applied(double now);
+  /// Handles that the transaction in flight has not been applied and never will be.
   void transaction_failed(double now);
   [[nodiscard]] bool transaction_in_flight() const {
     return placement_store_.transaction_in_flight() || delegation_planner_.transaction_in_flight();
@@ -143,53 +150,59 @@
 
   // ---- time
 
-  /// What time alone brings: silence, pauses that end, idle machines.
+  /// Handles everything that depends on time alone: silent machines, pauses that end, and idle
+  /// machines. To be called regularly.
   void tick(double now);
-  /// Something became possible since the last pass. Heartbeats only note that, so that a thousand
-  /// of them cost one pass.
+  /// Returns whether an event since the last pass may allow a task to be placed. Heartbeats only
+  /// set this mark, so that a thousand of them cost one pass.
   [[nodiscard]] bool scheduling_due() const { return context_.scheduling_due; }
-  /// Waiting work enters the chain.
+  /// Lets pending tasks enter the chain.
   void run_scheduling_pass(double now);
 
   // ---- the cloud
 
-  /// Machines to rent, grouped; each is handed out once and answered by rented or rent_refused.
+  /// Returns requests for machines to rent. Each machine is requested only once; the caller reports
+  /// the outcome to rented or rent_refused.
   [[nodiscard]] std::vector<ScaleOutRequest> scale_out_requests(double now);
+  /// Handles that the cloud has rented machines of these names for the request.
   void rented(const ScaleOutRequest& request, const std::vector<std::string>& names, double now);
-  /// The machines from index `from` on were not rented.
+  /// Handles that the request's machines from index `from` on have not been rented.
   void rent_refused(const ScaleOutRequest& request, std::size_t from, bool no_capacity, double now);
-  /// Machines to give back: idle, never up, failed, lost. Handed out once; machine_deleted or
-  /// return_failed follows.
+  /// Returns the machines to return to the cloud: idle ones, ones that never came up, and failed or
+  /// lost ones. Each is returned by this function only once, unless return_failed is called for it.
+  /// The caller reports the outcome to machine_deleted or return_failed.
   [[nodiscard]] std::vector<std::string> machines_to_return() {
     return rentals_.machines_to_return();
   }
   void return_failed(const std::string& name) { rentals_.return_failed(name); }
-  /// The cloud says that the machine stopped by itself, or does not list it any more (`unlisted`).
+  /// Handles that, by the cloud's account, the machine has stopped by itself or is no longer listed
+  /// (`unlisted`).
   void machine_failed(const std::string& name, bool unlisted, double now);
 
   // ---- other shards
 
-  /// What this shard has, is entitled to and could use, in machines of the first type.
+  /// Returns the shard's capacity, entitlement and demand, in machines of the first type.
   [[nodiscard]] shard::Load load(double now) const;
-  /// Another shard lacks machines.
+  /// Marks machines for transfer to another shard, which lacks them.
   void transfer(const MachineTransfer& transfer);
-  /// Marked to go to other shards, in machines of the first type.
+  /// Returns how much is marked for transfer to other shards, in machines of the first type.
   [[nodiscard]] double transferring() const { return transfers_.transferring(); }
 
-  /// Room that nothing of this shard waits for, for tasks of others (docs/delegation.md).
+  /// Returns free capacity for tasks of other shards: no task of this shard waits for it
+  /// (docs/delegation.md).
   [[nodiscard]] std::vector<RoomOffer> room_offers(double now) const;
-  /// What the other shards offer.
+  /// Replaces the offers of the other shards.
   void set_room_offers(std::vector<RoomOffer> offers) {
     delegation_planner_.set_offers(std::move(offers));
   }
-  /// Takes over what the cache holds of delegations. To be called after each change of the cache,
-  /// and before anything is scheduled.
+  /// Takes the delegations over from the cache. To be called after each change of the cache, and
+  /// before anything is scheduled.
   void sync_delegations(const state::StateCache& cache, double now);
 
   // ---- for operators
 
   [[nodiscard]] const Counters& counters() const { return context_.counters; }
-  /// As JSON (shard_summary).
+  /// Returns the shard's figures as JSON (shard_summary).
   [[nodiscard]] std::string summary() const;
 
  private:
@@ -226,7 +239,7 @@
   UrgentHeadroom urgent_headroom_;
   DelegatedWork delegated_work_;
   DelegationPlanner delegation_planner_;
-  // Names to dense indices.
+  // Dense indices of job classes and images, by name.
   std::unordered_map<std::string, int> classes_, images_;
   // Steady times, in seconds.
   double last_heartbeat_at_ = 0;
--- a/src/scheduler/shard_summary.cpp
+++ b/src/scheduler/shard_summary.cpp
@@ -17,7 +17,7 @@
 
 struct TaskCounts {
   std::size_t placed = 0, queued = 0, pending = 0;
-  // How far the placements are on their way.
+  // The placements by how far they have got.
   std::size_t planned = 0, unsent = 0, unseen = 0, fetching = 0, running = 0, over = 0;
 };
 
@@ -76,7 +76,7 @@
           {"commit_failures", counters.commit_failures}};
 }
 
-// Tasks of other shards' teams that this shard runs or has yet to place.
+// Returns the number of tasks of other shards' teams that this shard runs or has yet to place.
 std::size_t foreign_tasks(const ShardContext& context) {
   std::size_t tasks = 0;
   for (const auto& [id, job] : context.jobs)
--- a/src/scheduler/shard_summary.h
+++ b/src/scheduler/shard_summary.h
@@ -1,4 +1,4 @@
-// A shard's numbers for the log and for operators, as JSON.
+// A shard's figures for the log and for operators, as JSON.
 #pragma once
 #include <string>
 
@@ -8,7 +8,8 @@
 
 namespace shunttrail::scheduler {
 
-/// Counts the shard's machines, placements and jobs. The names are listed in docs/architecture.md.
+/// Counts the shard's machines, placements and jobs, and returns the figures as a JSON object. Its
+/// names are listed in docs/architecture.md.
 [[nodiscard]] std::string shard_summary(const ShardContext& context, const Machines& machines,
                                         const WaitingBesideOffers& waiting, std::uint64_t token);
 
