--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -375,7 +375,7 @@
 // A task that 4,000 machines have turned away stands in as many placement pages that have not been
 // written since. A new leader starts it again once each of the copies is proven gone, and not
 // before.
-TEST(LargeFleet, ATaskWithACopyOnEveryMachineIsStartedOnceAllAreProvenGone) {
+TEST(LargeFleet, ATaskWithACopyOnEveryMachineIsStartedOnceAllAreProvenNotToRun) {
   Cluster cluster(1, 4);
   cluster.add_machines(0, kMachines);
   const std::uint64_t first_attempt = cluster.write_leader(0) << 20;
@@ -404,7 +404,7 @@
 
 // Every machine of 4,000 has a replica, and the last of them dies. It is given up on in a few
 // seconds, though all that live are asked as well between their heartbeats.
-TEST(LargeFleet, ADeadMachineWithAReplicaIsFoundAmongAllThatLive) {
+TEST(LargeFleet, ADeadMachineWithAReplicaIsGivenUpWithinTenSecondsInALargeFleet) {
   Cluster cluster(1, 4);
   cluster.take_over_all();
   cluster.add_machines(0, kMachines);
@@ -449,7 +449,7 @@
 }
 
 // Names that do not end in a number share 64 pages: 4,000 of them fit, each once.
-TEST(LargeFleet, TheInventoryHoldsMachinesWhateverTheirNames) {
+TEST(LargeFleet, TheInventoryStoresMachinesWhateverTheirNames) {
   Cluster cluster(3, 4);
   std::vector<wire::MachineRecord> records;
   for (int number = 0; number < kMachines; ++number)
--- a/tests/shard_scheduler_test.cpp
+++ b/tests/shard_scheduler_test.cpp
@@ -81,7 +81,7 @@
 };
 
 // A gang whose tasks carried attempts of their own gathered for ever: workers match mates by it.
-TEST(ShardScheduler, AGangSharesItsAttemptAndChangesItTogether) {
+TEST(ShardScheduler, TasksOfAGangShareOneAttemptAndGetANewOneTogether) {
   SingleShard shard;
   shard.add_machine("m-1");
   auto gang = make_job(1, 3, 1);
@@ -104,7 +104,7 @@
 }
 
 // Idle room stood beside waiting tasks: a task must take it, whatever the learners say.
-TEST(ShardScheduler, ATaskNeitherWaitsNorRentsWhileAMachineHasRoom) {
+TEST(ShardScheduler, ATaskNeitherWaitsNorRentsWhileAMachineHasFreeCapacity) {
   SingleShard shard;
   shard.add_machine("m-1");
   shard.add_machine("m-2");
@@ -209,7 +209,7 @@
 
 // The cloud had none; nothing else happened in the shard, which had no machine: it never asked
 // again.
-TEST(ShardScheduler, WorkIsRetriedAfterARefusalWithoutFurtherEvents) {
+TEST(ShardScheduler, RentingIsRetriedAfterARefusalWithoutFurtherEvents) {
   SingleShard shard;
   shard.submit(make_job(1, 2, 1));
   double last_request_at = -1;  // last
@@ -226,7 +226,7 @@
 
 // A task was accepted by a machine full of replicas while the cloud had none, and stood there for
 // good.
-TEST(ShardScheduler, ATaskDoesNotWaitForAServicesEndOnceAMachineCanBeHad) {
+TEST(ShardScheduler, ATaskThatWaitsBehindReplicasIsReconsideredForANewMachine) {
   SingleShard shard;
   shard.add_machine("m-1");
   auto service = make_job(1, 2, 2);
@@ -257,7 +257,7 @@
 
 // A list is served in order: a small task stood behind a large one, beside room that it fitted, for
 // as long as the large one waited. It does not wait there for 90 s, and does not slip past at once.
-TEST(ShardScheduler, ATaskBehindOneThatDoesNotFitTakesTheRoomThatIsLeftOver) {
+TEST(ShardScheduler, ATaskBehindOneThatDoesNotFitTakesTheRemainingCapacity) {
   SingleShard shard;
   shard.add_machine("m-1");
   shard.submit(make_job(1, 1, 3));
@@ -294,7 +294,7 @@
 }
 
 // Whatever a scheduler has written, a copy of it that comes later is not carried out once more.
-TEST(ShardScheduler, ACopyOfATransactionIsNeverCarriedOutAgain) {
+TEST(ShardScheduler, ALateCopyOfATransactionIsNeverApplied) {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE(seed);
     std::mt19937 rng(seed);
@@ -331,7 +331,7 @@
 // What an earlier owner's last answer, given S after the takeover at the latest, can have kept
 // alive is not given up before that lease is over, though its machine says nothing and is not
 // deleted.
-TEST(ShardScheduler, SilenceProvesNothingBeforeTheEarlierLeadersLastLeaseIsOver) {
+TEST(ShardScheduler, SilenceProvesNothingBeforeTheEarlierLeadersLastLeaseEnds) {
   SingleShard shard;
   shard.add_machine("m-1");
   shard.add_machine("m-2");
@@ -349,7 +349,7 @@
 
 // A direct order was held up and taken for lost, then carried out, and then the machine's lease
 // ended: its task counted as running for good.
-TEST(ShardScheduler, ATaskOfALateDirectCommandIsGivenUpWithItsIncarnation) {
+TEST(ShardScheduler, ATaskStartedByALateDirectCommandIsGivenUpWhenItsIncarnationEnds) {
   SingleShard shard;
   shard.add_machine("m-1");
   shard.heartbeat("m-1", 1);
@@ -401,7 +401,7 @@
   shard.scheduler->job_ended(make_job(2, 1, 1).spec.id, 6.5);
   EXPECT_TRUE(shard.scheduler->needs_new_token(6.5));
 }
-TEST(ShardScheduler, AnAnswerAcknowledgesACancelledStart) {
+TEST(ShardScheduler, TheResponseToADirectStartOfACancelledJobAcknowledgesIt) {
   for (int status : {200, 409}) {
     SingleShard shard;
     shard.add_machine("m-1");
@@ -574,7 +574,7 @@
 
 // Services were promised along with their machines, which stood half empty for minutes, closed to
 // new work: guimaraes-montagem had 4,000 vcpus like that. And a promise outlived the lack.
-TEST(ShardScheduler, AMachineWithAReplicaIsNotReservedAndAnUnusedReservationEnds) {
+TEST(ShardScheduler, AMachineWithAReplicaIsNotMarkedForTransferAndAnUnneededMarkIsRemoved) {
   SingleShard shard;
   shard.add_machine("m-1");
   auto service = make_job(1, 1, 1);
@@ -611,7 +611,7 @@
 }
 
 // Gifts were counted in machines: eight of the largest went for what two would have done.
-TEST(ShardScheduler, TransfersAreCountedInWhatFitsNotInMachines) {
+TEST(ShardScheduler, TransfersAreCountedByVcpusNotByMachines) {
   SingleShard shard;
   shard.catalogue.load(
       {{"t4", 4, 0, 16, 0.4, 0.1, 10, {"a", "b"}}, {"t16", 16, 0, 64, 1.6, 0.4, 10, {"a"}}},
@@ -693,7 +693,7 @@
 
 // After minutes of work every placement page holds things long over. Starts queued by thousands for
 // the few placement pages that seemed empty, since the others were never looked into.
-TEST(ShardScheduler, FinishedJobsTakeNoRoomInPages) {
+TEST(ShardScheduler, FinishedJobsTakeNoSpaceInPages) {
   SingleShard shard;
   shard.settings.teams[0].cpus_max = 1e6;
   std::vector<wire::MachineRecord> machines;
@@ -750,7 +750,7 @@
 
 // Freed room went to idle work on that machine's own list while urgent tasks waited on other, full
 // machines: on a full fleet of hundreds they waited for minutes.
-TEST(ShardScheduler, RoomGoesToUrgentTasksThatWaitElsewhereFirst) {
+TEST(ShardScheduler, FreedCapacityGoesFirstToUrgentTasksThatWaitForOtherMachines) {
   SingleShard shard;
   shard.settings.teams[0].cpus_max = 1e6;
   auto running_status = [](const wire::Command& command) {
@@ -794,7 +794,7 @@
 }
 
 // A team's guarantee waited behind work that another team had borrowed the machines for.
-TEST(ShardScheduler, GuaranteedWorkGoesBeforeWhatOthersBorrow) {
+TEST(ShardScheduler, WorkWithinAGuaranteePreemptsTasksBeyondOne) {
   SingleShard shard;
   shard.settings.teams = {{"red", 1, 100, 0, 0}, {"blue", 4, 100, 0, 0}};
   shard.scheduler = std::make_unique<scheduler::ShardScheduler>(
@@ -836,7 +836,7 @@
 
 // A machine that was being emptied for another shard kept starts that it was never sent: it was
 // never empty, and the tasks never ran.
-TEST(ShardScheduler, AMachineThatLeavesReleasesTasksThatWereNotSent) {
+TEST(ShardScheduler, ALeavingMachineReleasesTasksWhoseStartWasNotSent) {
   SingleShard shard;
   shard.add_machine("m-1");
   shard.heartbeat("m-1", 1);
@@ -853,7 +853,7 @@
 
 // Nothing may be placed on a machine that the inventory does not hold: a new owner would not look
 // for it there.
-TEST(ShardScheduler, NothingIsPlacedOnAMachineBeforeTheInventoryHoldsIt) {
+TEST(ShardScheduler, NothingIsPlacedOnAMachineBeforeTheInventoryContainsIt) {
   SingleShard shard;
   shard.submit(make_job(1, 1, 1));
   shard.scheduler->run_scheduling_pass(1);
@@ -870,7 +870,7 @@
 
 // Bridge checks and rush jobs waited a second or two for images that lay ready on other machines
 // with room: the learners are told the cost of whole runs, in which that hardly shows.
-TEST(ShardScheduler, AMachineWithRoomAndTheImageGoesBeforeOneThatWouldFetchIt) {
+TEST(ShardScheduler, AFreeMachineThatHasTheImageIsPreferredToOneThatWouldFetchIt) {
   SingleShard shard;
   shard.settings.teams[0].cpus_max = 100;
   for (int number = 0; number < 6; ++number) shard.add_machine("m-" + std::to_string(number));
