--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -1,6 +1,6 @@
-// Fleets of 4,000 machines, in one shard and over three, without a network: placing, the commit of
-// every placement, recovery by a new leader from the stored placement pages, and rosters that
-// change.
+// Tests with 4,000 machines, in one shard and in three, without a network: scheduling, the commit
+// of every placement, recovery by a new leader from the stored placement pages, and changes of the
+// inventory.
 #include <gtest/gtest.h>
 
 #include "emulators.h"
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int kMachines = 4000;
-constexpr std::size_t kValueBytes = 4096;  // of the state service, as the settings have it
+constexpr std::size_t kValueBytes = 4096;  // largest value of the state service, by the settings
 
 config::Settings make_shard_settings(int shards) {
   config::Settings settings = make_settings(shards);
@@ -28,7 +28,7 @@
   return "m-" + std::string(6 - digits.size(), '0') + digits;
 }
 
-// The leaders of all shards with their state service and their workers.
+// The schedulers of all shards, with their state service and their workers.
 class Cluster {
  public:
   using TaskKey = std::pair<std::string, std::uint32_t>;  // job and index
@@ -48,7 +48,7 @@
     for (; read_ < store.log.size(); ++read_) cache.apply(store.log[read_], changes);
     cache.advance(store.revision);
   }
-  // Within the limits of the state service.
+  // Applies a transaction, and checks that it is within the limits of the state service.
   void commit(const wire::Transaction& transaction) {
     const state::TransactionLimits limits;
     ASSERT_LE(transaction.ops.size(), limits.ops);
@@ -58,6 +58,7 @@
     ASSERT_TRUE(store.commit(transaction));
     read();
   }
+  // Records a new leader of the shard, and returns its token.
   std::uint64_t write_leader(int shard) {
     commit(
         {{},
@@ -66,7 +67,7 @@
     return cache.leader(shard).mod_revision;
   }
 
-  // Entered into the inventory as nodes do it, and removed from it.
+  // Adds machines to the inventory in the same way as a controller.
   void add_to_inventory(const std::vector<wire::MachineRecord>& records) {
     std::map<int, std::vector<wire::MachineRecord>> pages;
     for (const auto& record : records) pages[state::inventory_page(record.name)].push_back(record);
@@ -76,6 +77,7 @@
       commit(page.changes(kValueBytes, "t"));
     }
   }
+  // Removes a machine, with its worker, from the inventory.
   void delete_machine(const std::string& name) {
     shard::InventoryPage page(cache, state::inventory_page(name));
     page.drop(name);
@@ -88,7 +90,8 @@
     worker.zone = record.zone;
     workers[record.name] = worker;
   }
-  // Machines first..first+count-1, dealt out over the shards, in drawn zones.
+  // Adds the machines number `first` to `first + count - 1`, distributed over the shards in turn,
+  // in randomly chosen zones.
   void add_machines(int first, int count) {
     std::vector<wire::MachineRecord> records;
     for (int number = first; number < first + count; ++number) {
@@ -115,7 +118,7 @@
       scheduler->job_added(record, shard, {}, now, now);
   }
 
-  // A new leader, from what is stored.
+  // Creates a new leader of the shard, which recovers its state from the state service.
   void take_over(int shard) {
     const std::uint64_t token = write_leader(shard);
     auto& scheduler = schedulers[static_cast<std::size_t>(shard)];
@@ -133,7 +136,7 @@
     for (int shard = 0; shard < settings.shards(); ++shard) take_over(shard);
   }
 
-  // Places all that has room, and commits every placement.
+  // Places all tasks that fit, and commits every placement.
   void schedule_and_commit(int shard) {
     scheduler::ShardScheduler& scheduler = *schedulers[static_cast<std::size_t>(shard)];
     do {
@@ -166,7 +169,8 @@
     for (auto& [name, worker] : workers) send_heartbeat(worker);
   }
 
-  // What runs, as the workers have it: each task once at the most, and no machine beyond its room.
+  // Returns the tasks that run on the workers. Checks that each runs at most once, and that no
+  // machine exceeds its capacity.
   std::map<TaskKey, RunningTask> running_tasks() {
     std::map<TaskKey, RunningTask> tasks;
     for (const auto& [name, worker] : workers) {
@@ -183,7 +187,7 @@
     }
     return tasks;
   }
-  // As the placement pages have it: what runs stands in one of its own shard's.
+  // Returns the tasks in the placement pages, on machines that belong to the page's shard.
   std::map<TaskKey, RunningTask> stored_tasks() {
     std::map<TaskKey, RunningTask> tasks;
     for (int shard = 0; shard < settings.shards(); ++shard)
@@ -212,11 +216,11 @@
   double now = 1;
 
  private:
-  std::size_t read_ = 0;  // of the store's log
+  std::size_t read_ = 0;  // number of entries of the store's log that the cache has applied
 };
 
-// Drawn arrays that take up about three eighths of the vcpus; nothing is missing or there twice
-// whatever becomes of machines and leaders.
+// Job arrays of random size take about three eighths of the vcpus. No task is lost or runs twice
+// while machines are added, deleted and transferred and leaders change.
 void expect_no_task_lost_or_run_twice(int shards) {
   Cluster cluster(shards, 4);
   cluster.take_over_all();
@@ -228,13 +232,13 @@
     cluster.submit(shard, 10 * shard + 1, tasks_per_job / 2 + cluster.rng() % 50, 1);
   }
   cluster.schedule_and_commit_all();
-  cluster.send_all_heartbeats();  // told to start
-  cluster.send_all_heartbeats();  // and shown to run
+  cluster.send_all_heartbeats();  // the responses contain the start commands
+  cluster.send_all_heartbeats();  // the heartbeats list the running tasks
   auto before = cluster.running_tasks();
   ASSERT_EQ(before.size(), cluster.task_count());
   EXPECT_EQ(cluster.stored_tasks(), before);
 
-  // While nobody leads, machines come and go.
+  // While there is no leader, machines are deleted and added.
   std::set<std::string> deleted_machines;
   while (deleted_machines.size() < 100)
     deleted_machines.insert(
@@ -257,8 +261,8 @@
   }
   EXPECT_EQ(cluster.stored_tasks(), after);
 
-  // Under leaders that stay, machines are deleted, and empty ones go from the first shard to the
-  // last.
+  // Under the same leaders, machines are deleted, and empty ones are transferred from the first
+  // shard to the last.
   std::vector<std::string> deleted, moved;
   for (const auto& [name, worker] : cluster.workers) {
     if (deleted.size() < 50 && !worker.tasks.empty()) deleted.push_back(name);
@@ -299,13 +303,13 @@
 
 TEST(LargeFleet, ThreeShardsLoseNoTaskAndRunNoneTwice) { expect_no_task_lost_or_run_twice(3); }
 
-// One shard's tasks on every vcpu of 4,000 machines of 64, in placement pages as full as 4 KiB
-// allow. The new leader knows them all, and has placement pages for more: at 512 it could not
-// commit another start.
+// Tasks of one shard occupy every vcpu of 4,000 machines of 64 vcpus, and the placement pages are
+// as full as 4 KiB allow. A new leader recovers all tasks, and can add placement pages: with a
+// limit of 512 pages it could not commit another start.
 TEST(LargeFleet, AShardWith256000RunningTasksIsRecoveredAndStartsMore) {
   constexpr int kCpus = 64;
   constexpr std::uint32_t kJobs = 4, kTasks = kMachines * kCpus / kJobs;
-  // What a placement page of 4 KiB takes, as fleet::Placement pages counts it.
+  // Usable length of a page of 4 KiB and the length of a job's header, as PageBuilder counts them.
   constexpr std::size_t kMaxPageBytes = kValueBytes - 64, kJobHeaderBytes = 96 + 10 + 6;
   Cluster cluster(1, kCpus);
   cluster.add_machines(0, kMachines);
@@ -313,14 +317,15 @@
   for (std::uint32_t job_number = 0; job_number < kJobs; ++job_number)
     cluster.submit(0, static_cast<int>(job_number), kTasks, 1);
 
-  // Task after task on the next machine, as they are strewn once many have come and gone.
+  // Consecutive tasks are on different machines, as they are after many tasks have started and
+  // ended.
   std::vector<wire::PlacementPageRecord> pages;
   std::size_t bytes = kValueBytes;
   for (int number = 0; number < kMachines * kCpus; ++number) {
     const std::string job = make_job(number % static_cast<int>(kJobs), 1, 1).spec.id;
     const auto task = static_cast<std::uint32_t>(number) / kJobs;
     const std::string machine = machine_name(number % kMachines);
-    // 7919 is a prime: each attempt is another one, in no order.
+    // 7919 is a prime: the attempts are all different, and not in order.
     const std::uint64_t attempt =
         first_attempt + 1 + static_cast<std::uint64_t>(number) * 7919 % (kMachines * kCpus);
     const std::size_t entry_bytes = 6 + std::to_string(task).size() + 6 + machine.size() + 3;
@@ -351,8 +356,8 @@
   EXPECT_EQ(cluster.stored_tasks().size(), std::size_t{kMachines} * kCpus);
   EXPECT_NE(cluster.schedulers[0]->summary().find("\"running\":256000"), std::string::npos)
       << cluster.schedulers[0]->summary();
-  // Nothing of it is started again, and what comes beside it is: more than the last placement page
-  // takes.
+  // None of these tasks is started again. Further ones are: more than the last placement page has
+  // space for.
   constexpr int kNewMachines = 4;
   cluster.add_machines(kMachines, kNewMachines);
   const std::uint32_t more_tasks = kNewMachines * kCpus;
@@ -372,9 +377,9 @@
   EXPECT_GT(cluster.cache.placement_pages(0).size(), pages.size());
 }
 
-// A task that 4,000 machines have turned away stands in as many placement pages that have not been
-// written since. A new leader starts it again once each of the copies is proven gone, and not
-// before.
+// A task that 4,000 machines have refused is listed in as many placement pages, which have not been
+// written since. A new leader starts it again once each of these placements is proven not to run,
+// and not before.
 TEST(LargeFleet, ATaskWithACopyOnEveryMachineIsStartedOnceAllAreProvenNotToRun) {
   Cluster cluster(1, 4);
   cluster.add_machines(0, kMachines);
@@ -392,7 +397,7 @@
   cluster.take_over(0);
   std::size_t proven_count = 0;
   for (auto& [name, worker] : cluster.workers) {
-    cluster.send_heartbeat(worker);  // shows no task, though not yet under the new leader's token
+    cluster.send_heartbeat(worker);  // lists no task, but does not carry the new leader's token yet
     cluster.send_heartbeat(worker);
     ++proven_count;
     cluster.schedule_and_commit(0);
@@ -402,8 +407,8 @@
   }
 }
 
-// Every machine of 4,000 has a replica, and the last of them dies. It is given up on in a few
-// seconds, though all that live are asked as well between their heartbeats.
+// Each of 4,000 machines has a replica, and the last machine fails. It is given up on within a few
+// seconds, although all other machines are probed between their heartbeats as well.
 TEST(LargeFleet, ADeadMachineWithAReplicaIsGivenUpWithinTenSecondsInALargeFleet) {
   Cluster cluster(1, 4);
   cluster.take_over_all();
@@ -421,8 +426,8 @@
   ASSERT_EQ(cluster.running_tasks().size(), std::size_t{kMachines});
   scheduler::ShardScheduler& scheduler = *cluster.schedulers[0];
   const std::string dead = machine_name(kMachines - 1);
-  // Ticks of a fifth of a second; heartbeats are spread evenly. Who lives answers at once, the dead
-  // one keeps its probe for a second.
+  // A tick is a fifth of a second, and heartbeats are spread evenly over the ticks. A live machine
+  // answers a probe at once; the probe of the dead one fails after a second.
   constexpr int kTicks = 15;  // between two heartbeats
   const double died_at = cluster.now;
   double given_up_at = -1, probe_ends = -1;
@@ -444,18 +449,19 @@
     for (const auto& name : scheduler.machines_to_return())
       if (name == dead) given_up_at = cluster.now;
   }
-  ASSERT_GE(given_up_at, 0) << "not before its lease was over";
+  ASSERT_GE(given_up_at, 0) << "the dead machine was not given up before its lease ended";
   EXPECT_LT(given_up_at - died_at, 10);
 }
 
-// Names that do not end in a number share 64 pages: 4,000 of them fit, each once.
+// Machines whose names do not end in a number share 64 inventory pages. These hold 4,000 of them,
+// each once.
 TEST(LargeFleet, TheInventoryStoresMachinesWhateverTheirNames) {
   Cluster cluster(3, 4);
   std::vector<wire::MachineRecord> records;
   for (int number = 0; number < kMachines; ++number)
     records.push_back({"rack-" + std::to_string(number) + "-a-name-of-some-length-without-number-x",
                        "t4", number % 2 ? "a" : "b", false, number % 3, 1u << 30, 0});
-  // As they come: in lots of 50, as many as a request to the cloud may rent.
+  // Machines are added in groups of 50, the largest number that one request to the cloud may rent.
   for (std::size_t first = 0; first < records.size(); first += 50)
     cluster.add_to_inventory({records.begin() + static_cast<long>(first),
                               records.begin() + static_cast<long>(first) + 50});
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -1,4 +1,4 @@
-/// One scheduler with its state service and its workers, for small cases.
+/// A test fixture of one scheduler with its state service and its workers.
 #pragma once
 #include "emulators.h"
 
@@ -25,7 +25,7 @@
     settings.cancel_s = 75;
     take_over(0);
   }
-  /// The node becomes leader of the shard, and its scheduler recovers what is stored.
+  /// Makes the node leader of the shard, with a new scheduler that recovers the stored state.
   void take_over(double now) {
     store.commit(
         {{}, {{state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", "x"}), 0}}});
@@ -38,10 +38,12 @@
     for (const auto& [number, page] : cache.placement_pages(0))
       scheduler->recover_page(number, page, now);
   }
+  /// Updates the cache from the state service.
   void read() {
     std::vector<state::Change> changes;
     store.read(cache, changes);
   }
+  /// Adds a machine, whose worker sends its first heartbeat.
   void machine(const std::string& name, double now, const std::string& zone = "a") {
     wire::MachineRecord record{name, "t4", zone, false, 0, 0};
     store.commit(roster_txn(cache, {record}));
@@ -72,6 +74,7 @@
     scheduler->job_added(record, 0, {}, now, now);
     return record;
   }
+  /// Runs a scheduling pass, and commits transactions until there are none or one fails.
   void commit(double now) {
     scheduler->run_scheduling_pass(now);
     while (auto transaction =
@@ -81,7 +84,8 @@
       scheduler->transaction_applied(now);
     }
   }
-  /// The worker sends a heartbeat; with `response_lost` the answer does not get there.
+  /// Sends a heartbeat of the machine's worker, which executes the commands in the response unless
+  /// `response_lost`.
   scheduler::ShardScheduler::HeartbeatResult report(const std::string& name, double now,
                                                     bool response_lost = false) {
     Worker& worker = workers.at(name);
@@ -96,7 +100,7 @@
       worker.obey(scheduler->token(), commands, heartbeat.incarnation, now, now, rng);
     return result;
   }
-  /// Every machine but these sends two heartbeats.
+  /// Sends two heartbeats of each machine except for the silent ones.
   void all_report(double now, const std::set<std::string>& silent_machines = {}) {
     for (auto& [name, worker] : workers)
       if (!silent_machines.contains(name)) {
@@ -104,22 +108,23 @@
         report(name, now + 0.01);
       }
   }
-  /// How many tasks on the machine have not exited.
+  /// Returns the number of tasks on the machine that have not exited.
   std::size_t live_tasks(const std::string& name) {
     auto& tasks = workers.at(name).tasks;
     return static_cast<std::size_t>(std::count_if(tasks.begin(), tasks.end(), [](const auto& task) {
       return task.state != TaskState::exited;
     }));
   }
-  /// Whether a task of the job is on some machine, or has been.
+  /// Returns whether a task of the job is, or has been, on any machine.
   bool begun(const std::string& job) {
-    if (!cache.job(job)) return true;  // it is over
+    if (!cache.job(job)) return true;  // the job has ended
     for (const auto& [name, worker] : workers)
       for (const auto& task : worker.tasks)
         if (task.id.job == job && task.why != wire::ExitReason::busy) return true;
     return false;
   }
-  /// A second in which tasks complete, all machines send heartbeats, and the cloud refuses rentals.
+  /// Simulates a second: tasks complete, all machines send heartbeats, and the cloud refuses
+  /// rentals.
   void pass_second(double now) {
     for (auto& [name, worker] : workers)
       for (auto& task : worker.tasks) {
@@ -134,12 +139,12 @@
     for (const auto& request : scheduler->scale_out_requests(now))
       scheduler->rent_refused(request, 0, true, now);
   }
-  /// The job's tasks on the machine complete.
+  /// Completes the job's tasks on the machine.
   void complete(const std::string& name, const std::string& job) {
     for (auto& task : workers.at(name).tasks)
       if (task.id.job == job) task.state = TaskState::exited, task.why = wire::ExitReason::done;
   }
-  /// Each machine that is due a probe is asked; the dead do not answer. Returns how many were.
+  /// Sends all probes that are due; dead machines do not answer. Returns the number of probes.
   std::size_t probe(double now, const std::set<std::string>& dead) {
     auto probes = scheduler->probes(now);
     for (const auto& probe : probes)
--- a/tests/shard_scheduler_test.cpp
+++ b/tests/shard_scheduler_test.cpp
@@ -1,4 +1,4 @@
-// The scheduler on small cases: each preconditions against a failure that was seen.
+// Tests of one shard's scheduler on small cases. Each guards against a failure that has occurred.
 #include <gtest/gtest.h>
 
 #include "emulators.h"
@@ -6,7 +6,8 @@
 namespace shunttrail::test {
 namespace {
 
-/// One scheduler, which leads shard 0, with its state service.
+/// One scheduler, which leads shard 0, with its state service. Workers are represented only by the
+/// heartbeats that a test sends.
 struct SingleShard {
   config::Settings settings = make_settings(1);
   config::Tuning tuning;
@@ -14,7 +15,7 @@
   Store store;
   state::StateCache cache{settings};
   std::unique_ptr<scheduler::ShardScheduler> scheduler;
-  std::uint64_t sequence = 0;  // of the last heartbeat
+  std::uint64_t sequence = 0;  // sequence number of the last heartbeat, of any machine
   std::vector<wire::Transaction> committed;
 
   SingleShard() {
@@ -26,7 +27,7 @@
     scheduler = std::make_unique<scheduler::ShardScheduler>(settings, tuning, catalogue, 0,
                                                             cache.leader(0).mod_revision, 0, 7);
   }
-  /// Submits a job of one task, which is placed and is due to be sent to its machine directly.
+  /// Submits a job of one task, places it, and returns the direct commands that start it.
   std::vector<scheduler::DirectCommands> start_directly(int number, double now) {
     submit(make_job(number, 1, 1));
     scheduler->tick(now);
@@ -51,6 +52,7 @@
     read_store();
     scheduler->job_added(record, 0, {}, 0, 0);
   }
+  /// Runs a scheduling pass, and commits transactions until there are none or one fails.
   void schedule_and_commit(double now) {
     scheduler->run_scheduling_pass(now);
     while (auto transaction =
@@ -62,6 +64,7 @@
       if (!applied) return;
     }
   }
+  /// Sends a heartbeat that lists `tasks`, and returns the commands in the response.
   std::vector<wire::Command> heartbeat(const std::string& name, double now,
                                        std::vector<wire::TaskStatus> tasks = {},
                                        std::uint64_t incarnation = 1) {
@@ -80,7 +83,8 @@
   }
 };
 
-// A gang whose tasks carried attempts of their own gathered for ever: workers match mates by it.
+// Workers recognize the tasks of one gang by their common attempt number. When each task had an
+// attempt number of its own, the gang waited for its members for ever.
 TEST(ShardScheduler, TasksOfAGangShareOneAttemptAndGetANewOneTogether) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -103,7 +107,8 @@
   EXPECT_NE(*attempts.begin(), first_commands[0].attempt);
 }
 
-// Idle room stood beside waiting tasks: a task must take it, whatever the learners say.
+// Tasks waited although machines had free capacity. A task must use such capacity at once, whatever
+// the learners decide.
 TEST(ShardScheduler, ATaskNeitherWaitsNorRentsWhileAMachineHasFreeCapacity) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -117,7 +122,8 @@
   EXPECT_EQ(starts, 8u);
 }
 
-// A result that was reaped before it was persisted would be run again after a crash.
+// If the worker dropped a result before it is persisted, a crash of the controller would cause the
+// task to run again.
 TEST(ShardScheduler, AResultIsAcknowledgedOnlyOnceItIsPersisted) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -138,23 +144,24 @@
   EXPECT_TRUE(shard.scheduler->commands_for("m-1", true, 2).empty());
   shard.schedule_and_commit(2);
   EXPECT_TRUE(shard.scheduler->commands_for("m-1", true, 2)
-                  .empty());  // waits a little for starts to go with
+                  .empty());  // the result waits for starts to share a transaction with
   shard.schedule_and_commit(6);
   auto commands = shard.scheduler->commands_for("m-1", true, 6);
   ASSERT_EQ(commands.size(), 1u);
   EXPECT_EQ(commands[0].op, wire::Command::Op::acknowledge);
 }
 
-// A chunk's results move to another placement page as they grow, and an older copy stays behind. An
-// owner that took the older copy for the one that counts dropped the newer one with the next change
-// of its placement page: after one more takeover, finished tasks that had been reaped ran again.
+// As the results of a chunk grow, they are written to another placement page, and an older copy
+// stays in the previous one. A leader that took the older copy for the current one dropped the
+// newer copy at the next write of its page. After one more takeover, finished tasks that had been
+// acknowledged ran again.
 TEST(ShardScheduler, FinishedTasksStayRecordedWhicheverPageHoldsTheNewestCopy) {
   for (int newest : {3, 5}) {
     SCOPED_TRACE(newest);
     SingleShard shard;
     const int older = 8 - newest;
     auto job = make_job(1, 4, 1);
-    // Every other placement page holds more, so that these two are written first.
+    // All other placement pages have more entries, so these two are written first.
     std::vector<wire::JobRecord> fillers;
     for (int number = 0; number < 6; ++number) fillers.push_back(make_job(10 + number, 100000, 1));
     wire::Transaction transaction;
@@ -184,7 +191,7 @@
                       finished(fillers[first + 2], chunk, {{0, 0}})});
     }
     shard.store.commit(transaction);
-    // The takeover.
+    // The scheduler recovers what the pages contain, as at a takeover.
     shard.read_store();
     shard.add_machine("m-1");
     for (const auto& [id, entry] : shard.cache.jobs())
@@ -194,7 +201,7 @@
       shard.scheduler->job_added(filler, 0, shard.cache.done(filler.spec.id), 0, 0);
     for (const auto& [number, page] : shard.cache.placement_pages(0))
       shard.scheduler->recover_page(number, page, 0);
-    // Whatever starts next is written into the emptiest placement pages.
+    // The next starts are written into the emptiest placement pages.
     for (int round = 0; round < 4; ++round) shard.heartbeat("m-1", 1 + round);
     std::set<std::uint32_t> done;
     for (const auto& [chunk, intervals] : shard.cache.done(job.spec.id))
@@ -207,12 +214,12 @@
   }
 }
 
-// The cloud had none; nothing else happened in the shard, which had no machine: it never asked
-// again.
+// The cloud refused to rent out a machine. The shard had no machines, so no heartbeat caused
+// another scheduling pass, and it never sent a request again.
 TEST(ShardScheduler, RentingIsRetriedAfterARefusalWithoutFurtherEvents) {
   SingleShard shard;
   shard.submit(make_job(1, 2, 1));
-  double last_request_at = -1;  // last
+  double last_request_at = -1;
   for (double now = 0; now < 60; now += 0.2) {
     shard.scheduler->tick(now);
     if (shard.scheduler->scheduling_due()) shard.scheduler->run_scheduling_pass(now);
@@ -224,8 +231,8 @@
   EXPECT_GT(last_request_at, 40);
 }
 
-// A task was accepted by a machine full of replicas while the cloud had none, and stood there for
-// good.
+// While the cloud had no machines, a task was queued at a machine that was full of replicas. It
+// waited there for ever, and the shard sent no further request to the cloud.
 TEST(ShardScheduler, ATaskThatWaitsBehindReplicasIsReconsideredForANewMachine) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -239,7 +246,7 @@
   ASSERT_EQ(running.size(), 2u);
   shard.heartbeat("m-1", 2, running);
   shard.submit(make_job(2, 1, 1));
-  double last_request_at = -1;  // last
+  double last_request_at = -1;
   bool waited = false;
   for (double now = 2; now < 60; now += 0.2) {
     if (static_cast<int>(now * 5) % 15 == 0) shard.heartbeat("m-1", now, running);
@@ -255,8 +262,9 @@
   EXPECT_GT(last_request_at, 40);
 }
 
-// A list is served in order: a small task stood behind a large one, beside room that it fitted, for
-// as long as the large one waited. It does not wait there for 90 s, and does not slip past at once.
+// A machine's queue is served in order. A small task waited behind a large one, although it fitted
+// into the free capacity, for as long as the large one waited. It must start before 90 s have
+// passed, but must not overtake the large one at once.
 TEST(ShardScheduler, ATaskBehindOneThatDoesNotFitTakesTheRemainingCapacity) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -280,7 +288,8 @@
         EXPECT_EQ(command.task.job, small.spec.id);
         started_at = now;
       }
-    // Once the large one stands on the list of this machine, and not of one that is ordered.
+    // The small task is submitted once the large one waits in the queue of this machine, and not in
+    // that of a machine on order.
     const std::string summary = shard.scheduler->summary();
     if (added_at < 0 && summary.find("\"waiting\":1") != std::string::npos &&
         summary.find("\"ordered\":0") != std::string::npos) {
@@ -293,7 +302,7 @@
   EXPECT_LT(started_at, added_at + 90);
 }
 
-// Whatever a scheduler has written, a copy of it that comes later is not carried out once more.
+// A second copy of a transaction that arrives later must not be applied, whatever it has written.
 TEST(ShardScheduler, ALateCopyOfATransactionIsNeverApplied) {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE(seed);
@@ -328,9 +337,9 @@
   }
 }
 
-// What an earlier owner's last answer, given S after the takeover at the latest, can have kept
-// alive is not given up before that lease is over, though its machine says nothing and is not
-// deleted.
+// An earlier leader sends its last response at most staleness_bound_s() after the takeover. A task
+// on a silent machine that is not deleted is not given up before the lease that this response may
+// have renewed has ended.
 TEST(ShardScheduler, SilenceProvesNothingBeforeTheEarlierLeadersLastLeaseEnds) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -347,8 +356,8 @@
   EXPECT_GE(given_up_at, shard.settings.staleness_bound_s() + shard.settings.lease_s);
 }
 
-// A direct order was held up and taken for lost, then carried out, and then the machine's lease
-// ended: its task counted as running for good.
+// A direct command was delayed, considered lost, and then carried out. When the lease of the
+// machine ended afterwards, its task still counted as running for ever.
 TEST(ShardScheduler, ATaskStartedByALateDirectCommandIsGivenUpWhenItsIncarnationEnds) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -366,8 +375,8 @@
   EXPECT_GT(commands[0].attempt, start.attempt);
 }
 
-// A direct start without an answer, of a job that is cancelled by now: no answer renews that
-// machine's lease under the token that the start would be carried out under.
+// A direct start has no response yet, and its job has been cancelled. No response to a heartbeat
+// may renew the machine's lease under the token under which the start would be carried out.
 TEST(ShardScheduler, ALeaseIsNotRenewedWhileACancelledTaskMayStillBeStarted) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -376,7 +385,7 @@
   ASSERT_EQ(direct.size(), 1u);
   EXPECT_FALSE(shard.scheduler->has_unacknowledged_start("m-1"));
   shard.scheduler->job_ended(make_job(1, 1, 1).spec.id, 3);
-  // Its answer may still settle it.
+  // The response to the direct command may still acknowledge the start.
   EXPECT_TRUE(shard.scheduler->has_unacknowledged_start("m-1"));
   EXPECT_FALSE(shard.scheduler->needs_new_token(3));
   shard.scheduler->direct_commands_done(direct[0], 0);
@@ -392,7 +401,7 @@
   EXPECT_FALSE(shard.scheduler->has_unacknowledged_start("m-1"));
   EXPECT_GT(shard.scheduler->token(), old_token);
   EXPECT_FALSE(shard.scheduler->needs_new_token(20));
-  // The next one that needs it does not wait for ten seconds.
+  // The next case that needs a higher token does not have to wait ten seconds for it.
   shard.heartbeat("m-1", 5);
   direct = shard.start_directly(2, 6);
   ASSERT_EQ(direct.size(), 1u);
@@ -415,8 +424,8 @@
   }
 }
 
-// What runs of a cancelled job is told so at once, also on a machine whose reports do not come, and
-// by the answer to a report that has been overtaken.
+// The running tasks of a cancelled job are stopped by direct commands at once, also on a machine
+// whose heartbeats do not arrive, and by the response to a heartbeat that has been overtaken.
 TEST(ShardScheduler, ACancelledJobsTasksAreStoppedWithoutWaitingForAHeartbeat) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -448,11 +457,12 @@
   expect_both_tasks_stopped(shard.scheduler->stop_commands("m-1"));
   shard.scheduler->direct_commands_done(direct[0], 0);
   EXPECT_TRUE(shard.scheduler->direct_commands(true, skip_none, 15)
-                  .empty());  // told once; answers tell it again
+                  .empty());  // sent directly only once; responses repeat it
   expect_both_tasks_stopped(shard.heartbeat("m-1", 16, running));
 }
 
-// An end is an end: should a machine show the same attempt running after it, it is stopped.
+// If a machine lists an attempt as running after it has listed it as exited, the attempt is
+// stopped.
 TEST(ShardScheduler, AnAttemptThatRunsAfterItsEndIsStopped) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -470,7 +480,8 @@
   EXPECT_TRUE(stopped);
 }
 
-// A direct start without an answer may be carried out later: not reaped before a higher token.
+// A direct start without a response may still be carried out later. Its attempt is therefore not
+// acknowledged before the worker has seen a higher token.
 TEST(ShardScheduler, AnUnacknowledgedAttemptIsReleasedOnlyUnderAHigherToken) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -495,8 +506,9 @@
   EXPECT_TRUE(acknowledged);
 }
 
-// An earlier owner's start may still be on its way to a worker that has not seen our token: a
-// report without the task proves nothing before that. Giving it up would run the task twice.
+// A start command of an earlier leader may still be in flight to a worker that has not seen the
+// current token. Until it has, a heartbeat that does not list the task proves nothing: if the
+// placement were given up, the task could run twice.
 TEST(ShardScheduler, AnEarlierLeadersPlacementIsGivenUpOnlyUnderTheCurrentToken) {
   SingleShard shard;
   auto job = make_job(1, 1, 1);
@@ -520,7 +532,7 @@
   EXPECT_EQ(starts, 1u);
 }
 
-// A machine that goes to another shard is empty.
+// A machine is transferred to another shard only if it has no placements.
 TEST(ShardScheduler, OnlyAnEmptyMachineIsTransferred) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -543,9 +555,9 @@
   EXPECT_EQ(shard.scheduler->machine_count(), 1u);
 }
 
-// A wish to give a machine away waited while its scheduler was closed and opened again under
-// another token; the new scheduler had work there by the time the wish was carried out. The
-// scheduler is asked again.
+// A request to transfer a machine waited while its scheduler was replaced by one under another
+// token. When the request was executed, the new scheduler had tasks on the machine. The scheduler
+// is therefore asked for the transfer target again before the execution.
 TEST(ShardScheduler, ATransferRequestOutlivesItsSchedulerButIsNotExecuted) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -554,7 +566,7 @@
   EXPECT_EQ(shard.scheduler->inventory_changes().size(), 1u);
   EXPECT_EQ(shard.scheduler->transfer_target("m-1"), 5);
   EXPECT_EQ(shard.scheduler->transfer_target("m-2"), -1);
-  // What the inventory's actor has already is not handed out again.
+  // A change that the inventory has been asked for already is not returned again.
   EXPECT_TRUE(shard.scheduler
                   ->inventory_changes([](const std::string& name,
                                          scheduler::InventoryChange::Kind kind, int target) {
@@ -568,12 +580,13 @@
   EXPECT_EQ(shard.scheduler->transfer_target("m-1"), -1);
   shard.submit(make_job(1, 1, 1));
   shard.heartbeat("m-1", 2);
-  shard.scheduler->transfer({5, 1, {1, 1}});  // marked, but not empty
+  shard.scheduler->transfer({5, 1, {1, 1}});  // marked for transfer, but not empty
   EXPECT_EQ(shard.scheduler->transfer_target("m-1"), -1);
 }
 
-// Services were promised along with their machines, which stood half empty for minutes, closed to
-// new work: guimaraes-montagem had 4,000 vcpus like that. And a promise outlived the lack.
+// Machines with replicas were marked for transfer to another shard. They got no new tasks and
+// stayed half empty for minutes; in the guimaraes-montagem deployment this affected 4,000 vcpus.
+// Marks also remained when the other shard no longer lacked machines.
 TEST(ShardScheduler, AMachineWithAReplicaIsNotMarkedForTransferAndAnUnneededMarkIsRemoved) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -588,18 +601,19 @@
   shard.submit(large_job);
   shard.schedule_and_commit(2);
   shard.scheduler->transfer({5, 2, {1, 1}});
-  EXPECT_EQ(shard.scheduler->transferring(), 1);  // m-2 alone, once its task is over
-  // Until then it counts here: else every other owner would see one less than there is.
+  EXPECT_EQ(shard.scheduler->transferring(), 1);  // only m-2, once its task has ended
+  // Until then it counts as capacity of this shard: otherwise all other leaders would see one
+  // machine less than there is.
   EXPECT_EQ(shard.scheduler->load(2).capacity, 2);
   shard.scheduler->transfer({5, 0, {1, 1}});
   EXPECT_EQ(shard.scheduler->transferring(), 0);
   EXPECT_EQ(shard.scheduler->load(2).capacity, 2);
-  // What nothing there could use is not given.
+  // Machines that no task of the other shard could use are not transferred.
   shard.add_machine("m-3");
   shard.heartbeat("m-3", 3);
   shard.scheduler->transfer({5, 1, {0, 0}});
   EXPECT_EQ(shard.scheduler->transferring(), 0);
-  // An empty one may be on its way already: it is not taken back.
+  // The transfer of an empty machine may have begun already: its mark is not removed.
   shard.scheduler->transfer({5, 1, {1, 1}});
   EXPECT_EQ(shard.scheduler->transfer_target("m-3"), 5);
   shard.scheduler->transfer({5, 0, {1, 1}});
@@ -610,7 +624,8 @@
   EXPECT_EQ(shard.scheduler->transferring(), 0);
 }
 
-// Gifts were counted in machines: eight of the largest went for what two would have done.
+// Transfers were counted in machines, so eight machines of the largest type were transferred where
+// two would have been enough.
 TEST(ShardScheduler, TransfersAreCountedByVcpusNotByMachines) {
   SingleShard shard;
   shard.catalogue.load(
@@ -640,9 +655,9 @@
   EXPECT_EQ(shard.scheduler->transferring(), 9);
 }
 
-// A grown deployment starts far more tasks a second than the state service takes changes: one
-// change must carry the starts of many machines, and a placement page must stay within the value's
-// limit.
+// A large deployment starts far more tasks per second than the state service accepts changes. One
+// change must record the starts of many machines, and a placement page must stay within the limit
+// of a value.
 TEST(ShardScheduler, ManyStartsShareATransactionAndPagesStayWithinTheLimit) {
   SingleShard shard;
   std::vector<wire::MachineRecord> machines;
@@ -691,8 +706,9 @@
   EXPECT_EQ(placed, 800u);
 }
 
-// After minutes of work every placement page holds things long over. Starts queued by thousands for
-// the few placement pages that seemed empty, since the others were never looked into.
+// After minutes of operation every placement page has many obsolete entries. When those were
+// removed only from pages that were written, thousands of starts waited for the few pages that
+// seemed empty.
 TEST(ShardScheduler, FinishedJobsTakeNoSpaceInPages) {
   SingleShard shard;
   shard.settings.teams[0].cpus_max = 1e6;
@@ -709,7 +725,7 @@
     shard.submit(make_job(round, 400, 1));
     for (const auto& machine : machines) {
       auto& tasks = tasks_by_machine[machine.name];
-      for (auto& status : tasks)  // one in forty runs for long
+      for (auto& status : tasks)  // one task in forty keeps running
         if (status.task.index % 40 || status.attempt % 23 == 0)
           status.state = wire::TaskState::exited, status.exit_reason = wire::ExitReason::done;
       wire::Heartbeat heartbeat{machine.name,
@@ -748,8 +764,9 @@
   EXPECT_LE(max_page_writes, 6u);
 }
 
-// Freed room went to idle work on that machine's own list while urgent tasks waited on other, full
-// machines: on a full fleet of hundreds they waited for minutes.
+// Freed capacity was given to idle-priority tasks in the machine's own queue while urgent tasks
+// waited in the queues of other, full machines. In a full cluster of hundreds of machines they
+// waited for minutes.
 TEST(ShardScheduler, FreedCapacityGoesFirstToUrgentTasksThatWaitForOtherMachines) {
   SingleShard shard;
   shard.settings.teams[0].cpus_max = 1e6;
@@ -778,7 +795,7 @@
   urgent.spec.priority = wire::Priority::high;
   shard.submit(urgent);
   shard.scheduler->run_scheduling_pass(20);
-  // Whichever machine the urgent tasks joined, room on either goes to them.
+  // Whichever queue the urgent tasks wait in, freed capacity on either machine is given to them.
   std::size_t started = 0;
   for (std::string name : {"m-1", "m-2"}) {
     tasks_by_machine[name][0].state = tasks_by_machine[name][1].state = wire::TaskState::exited;
@@ -793,7 +810,8 @@
   EXPECT_EQ(started, 4u);
 }
 
-// A team's guarantee waited behind work that another team had borrowed the machines for.
+// Tasks within their team's guarantee waited behind tasks of another team that used machines beyond
+// its own guarantee.
 TEST(ShardScheduler, WorkWithinAGuaranteePreemptsTasksBeyondOne) {
   SingleShard shard;
   shard.settings.teams = {{"red", 1, 100, 0, 0}, {"blue", 4, 100, 0, 0}};
@@ -801,7 +819,7 @@
       shard.settings, shard.tuning, shard.catalogue, 0, shard.cache.leader(0).mod_revision, 0, 7);
   shard.add_machine("m-1");
   shard.heartbeat("m-1", 1);
-  shard.submit(make_job(1, 12, 1));  // red, far beyond its guarantee
+  shard.submit(make_job(1, 12, 1));  // of team red, far beyond its guarantee
   auto starts = shard.heartbeat("m-1", 2);
   ASSERT_EQ(starts.size(), 4u);
   std::vector<wire::TaskStatus> tasks;
@@ -817,7 +835,8 @@
   shard.store.commit(transaction);
   shard.read_store();
   shard.scheduler->job_added(blue, 1, {}, 3, 3);
-  // Nothing can be rented: the tasks wait on the only machine. What has hardly begun is stopped.
+  // No machine can be rented, so the tasks wait for the only one. Tasks there that have only just
+  // started are stopped.
   shard.scheduler->run_scheduling_pass(3);
   for (const auto& request : shard.scheduler->scale_out_requests(3))
     shard.scheduler->rent_refused(request, 0, true, 3);
@@ -834,8 +853,8 @@
     }
 }
 
-// A machine that was being emptied for another shard kept starts that it was never sent: it was
-// never empty, and the tasks never ran.
+// A machine that was to be transferred to another shard kept placements whose starts were never
+// sent. It never became empty, and the tasks never ran.
 TEST(ShardScheduler, ALeavingMachineReleasesTasksWhoseStartWasNotSent) {
   SingleShard shard;
   shard.add_machine("m-1");
@@ -851,8 +870,8 @@
   EXPECT_EQ(shard.heartbeat("m-2", 4).size(), 2u);
 }
 
-// Nothing may be placed on a machine that the inventory does not hold: a new owner would not look
-// for it there.
+// Nothing may be placed on a machine that the inventory does not contain: a new leader would not
+// know of the machine.
 TEST(ShardScheduler, NothingIsPlacedOnAMachineBeforeTheInventoryContainsIt) {
   SingleShard shard;
   shard.submit(make_job(1, 1, 1));
@@ -868,14 +887,16 @@
   EXPECT_EQ(shard.heartbeat("m-7", 4).size(), 1u);
 }
 
-// Bridge checks and rush jobs waited a second or two for images that lay ready on other machines
-// with room: the learners are told the cost of whole runs, in which that hardly shows.
+// Short checks and urgent jobs waited a second or two for an image to be fetched, although other
+// machines with free capacity had it. The learners record the cost of whole runs, in which such a
+// wait hardly shows.
 TEST(ShardScheduler, AFreeMachineThatHasTheImageIsPreferredToOneThatWouldFetchIt) {
   SingleShard shard;
   shard.settings.teams[0].cpus_max = 100;
   for (int number = 0; number < 6; ++number) shard.add_machine("m-" + std::to_string(number));
   for (int number = 0; number < 6; ++number) shard.heartbeat("m-" + std::to_string(number), 1);
-  // Others fill the first five, so that one task fetches the image on the last.
+  // Tasks with another image fill five of the six machines, so that the next task fetches its image
+  // on the remaining one.
   auto filler = make_job(1, 5, 4);
   filler.spec.image = "other";
   shard.submit(filler);
