--- a/src/scheduler/failure_detector.cpp
+++ b/src/scheduler/failure_detector.cpp
@@ -83,7 +83,7 @@
 }
 
 std::vector<Probe> FailureDetector::probes(double now) {
-  std::vector<Probe> out;
+  std::vector<Probe> due_probes;
   const std::size_t max_in_flight =
       std::max(kMinProbesInFlight, machines_.named_count() / kMachinesPerProbe);
   std::size_t in_flight = 0;
@@ -96,9 +96,9 @@
     if (!should_probe(*machine, now)) continue;
     machine->probe_in_flight = true;
     ++in_flight;
-    out.push_back({machine->name, machine->addr});
+    due_probes.push_back({machine->name, machine->addr});
   }
-  return out;
+  return due_probes;
 }
 
 // Returns whether one more machine may be given up on now. A network switch that fails and cuts off
--- a/src/scheduler/heartbeat_processor.cpp
+++ b/src/scheduler/heartbeat_processor.cpp
@@ -47,17 +47,17 @@
     tasks.needs_resync = false;
   }
   tasks.unknown_tasks.clear();
-  std::vector<bool> shown(tasks.placements.size(), false);
+  std::vector<bool> is_listed(tasks.placements.size(), false);
   for (const wire::TaskStatus& status : heartbeat.tasks) {
     const std::size_t index = find_placement(tasks.placements, status);
     if (index == tasks.placements.size()) {
       unknown_task(machine, status, now);
       continue;
     }
-    shown[index] = true;
+    is_listed[index] = true;
     update_placement(machine, tasks.placements[index], status, now);
   }
-  handle_absent(machine, shown, heartbeat, source, now);
+  handle_absent(machine, is_listed, heartbeat, source, now);
 }
 
 // ---- tasks that the heartbeat lists
@@ -148,13 +148,14 @@
 
 // ---- tasks that the heartbeat does not list
 
-void HeartbeatProcessor::handle_absent(Machine& machine, const std::vector<bool>& shown,
+void HeartbeatProcessor::handle_absent(Machine& machine, const std::vector<bool>& is_listed,
                                        const wire::Heartbeat& heartbeat, HeartbeatSource source,
                                        double now) {
   std::vector<Placement>& placements = machine.tasks.placements;
   std::vector<bool> released(placements.size(), false);
-  for (std::size_t i = 0; i < shown.size(); ++i)
-    released[i] = !shown[i] && release_if_absent(machine, placements[i], heartbeat, source, now);
+  for (std::size_t i = 0; i < is_listed.size(); ++i)
+    released[i] =
+        !is_listed[i] && release_if_absent(machine, placements[i], heartbeat, source, now);
   for (std::size_t i = released.size(); i-- > 0;)
     if (released[i]) placements.erase(placements.begin() + static_cast<long>(i));
   machine.note_idle(now);
--- a/src/scheduler/heartbeat_processor.h
+++ b/src/scheduler/heartbeat_processor.h
@@ -55,7 +55,7 @@
   void update_placement(Machine& machine, Placement& placement, const wire::TaskStatus& status,
                         double now);
   void unknown_task(Machine& machine, const wire::TaskStatus& status, double now);
-  void handle_absent(Machine& machine, const std::vector<bool>& shown,
+  void handle_absent(Machine& machine, const std::vector<bool>& is_listed,
                      const wire::Heartbeat& heartbeat, HeartbeatSource source, double now);
   bool release_if_absent(Machine& machine, Placement& placement, const wire::Heartbeat& heartbeat,
                          HeartbeatSource source, double now);
--- a/src/scheduler/machines.cpp
+++ b/src/scheduler/machines.cpp
@@ -45,8 +45,8 @@
 }
 
 bool Machines::add_recorded(const wire::MachineRecord& record, double now) {
-  if (Machine* here = find(record.name)) {
-    here->in_inventory = true;
+  if (Machine* existing = find(record.name)) {
+    existing->in_inventory = true;
     return false;
   }
   Machine& machine = add(0, context_.settings.zone_index(record.zone));
--- a/src/scheduler/placement_store.cpp
+++ b/src/scheduler/placement_store.cpp
@@ -64,9 +64,9 @@
   PlacementPage& page = pages_[index];
   for (const wire::JobPlacements& stored : record.jobs) {
     const auto known = context_.jobs.find(stored.job);
-    const bool is_open = known != context_.jobs.end();
-    const JobPtr job = is_open ? known->second : make_ended_job(stored, now);
-    if (is_open) recover_results(index, job, stored);
+    const bool is_active = known != context_.jobs.end();
+    const JobPtr job = is_active ? known->second : make_ended_job(stored, now);
+    if (is_active) recover_results(index, job, stored);
     for (const auto& placement : stored.placements) {
       // A machine that the inventory does not assign to this shard has been deleted, or was empty
       // when it was transferred: no task of this shard can be on it.
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -383,19 +383,20 @@
   const Resources first_type = context_.catalogue.types[0].capacity;
   load.capacity = transfers_.capacity() + transfers_.transferring();
   const auto& teams = context_.settings.teams;
-  std::vector<double> machines(teams.size(), 0);  // by team
-  std::vector<double> cpus(teams.size(), 0);
+  std::vector<double> machines_by_team(teams.size(), 0);  // of the first type
+  std::vector<double> cpus_by_team(teams.size(), 0);
   for (const auto& [id, job] : context_.jobs) {
     if (job->is_foreign || (job->not_before > now && !job->placed)) continue;
-    const double left = job->spec.tasks - (job->spec.service ? 0 : job->done_count());
+    const double remaining_tasks = job->spec.tasks - (job->spec.service ? 0 : job->done_count());
     const auto team = static_cast<std::size_t>(job->team);
-    machines[team] += left * share_of(job->need, first_type);
-    cpus[team] += left * job->spec.cpus;
+    machines_by_team[team] += remaining_tasks * share_of(job->need, first_type);
+    cpus_by_team[team] += remaining_tasks * job->spec.cpus;
   }
   for (std::size_t team = 0; team < teams.size(); ++team) {
-    if (cpus[team] <= 0) continue;
-    load.demand += machines[team] * std::min(1.0, teams[team].cpus_max / cpus[team]);
-    load.entitled += machines[team] * std::min(1.0, teams[team].cpus / cpus[team]);
+    if (cpus_by_team[team] <= 0) continue;
+    load.demand +=
+        machines_by_team[team] * std::min(1.0, teams[team].cpus_max / cpus_by_team[team]);
+    load.entitled += machines_by_team[team] * std::min(1.0, teams[team].cpus / cpus_by_team[team]);
   }
   return load;
 }
--- a/src/scheduler/worker_commands.cpp
+++ b/src/scheduler/worker_commands.cpp
@@ -40,13 +40,13 @@
 // ---- heartbeats' responses
 
 std::vector<Command> WorkerCommands::stop_commands(const Machine& machine) {
-  std::vector<Command> out;
+  std::vector<Command> commands;
   for (const Placement& placement : machine.tasks.placements)
-    if (must_end(placement)) out.push_back(command(Command::Op::stop, placement));
+    if (must_end(placement)) commands.push_back(command(Command::Op::stop, placement));
   for (const wire::TaskStatus& status : machine.tasks.unknown_tasks)
     if (status.state != TaskState::exited)
-      out.push_back({Command::Op::stop, status.task, status.attempt, 0});
-  return out;
+      commands.push_back({Command::Op::stop, status.task, status.attempt, 0});
+  return commands;
 }
 
 bool WorkerCommands::has_unacknowledged_start(const Machine& machine) const {
@@ -167,8 +167,8 @@
 
 std::vector<DirectCommands> WorkerCommands::direct_commands(
     bool fresh, const std::function<bool(const std::string&)>& skip, double now) {
-  std::vector<DirectCommands> out;
-  if (!fresh) return out;
+  std::vector<DirectCommands> requests;
+  if (!fresh) return requests;
   for (const int number : placements_.take_direct_due()) {
     Machine* machine = machines_.at(number);
     if (!machine) continue;
@@ -176,7 +176,7 @@
     tasks.direct_due = false;
     if (tasks.needs_resync && !tasks.direct_in_flight && now >= tasks.resync_at &&
         !machine->addr.empty()) {
-      out.push_back(resync_request(*machine, now));
+      requests.push_back(resync_request(*machine, now));
       continue;
     }
     if (machine->state != Machine::up || tasks.direct_in_flight ||
@@ -188,9 +188,9 @@
       add_direct_command(*machine, placement, silent, direct.commands);
     if (direct.commands.empty()) continue;
     tasks.direct_in_flight = true;
-    out.push_back(std::move(direct));
+    requests.push_back(std::move(direct));
   }
-  return out;
+  return requests;
 }
 
 // Returns a request without commands. It shows the worker the leader's token, so that commands of
