--- a/src/controller/shard_controller.cpp
+++ b/src/controller/shard_controller.cpp
@@ -117,7 +117,7 @@
       if (is_deleted) {
         direct_commands_.forget(name);
         heartbeats_.forget(name);
-        if (is_current(opened_under)) scheduler_->machine_gone(name, now());
+        if (is_current(opened_under)) scheduler_->machine_deleted(name, now());
       } else if (is_current(opened_under)) {
         scheduler_->return_failed(name);
       }
@@ -148,7 +148,7 @@
         on_job_set(change.name);
         break;
       case state::Change::job_deleted:
-        scheduler_->job_gone(change.name, now());
+        scheduler_->job_ended(change.name, now());
         break;
       case state::Change::machine_set:
         on_machine_set(change.name);
--- a/src/scheduler/machines.cpp
+++ b/src/scheduler/machines.cpp
@@ -8,7 +8,7 @@
 using jobs::Resources;
 
 namespace {
-/// Images that a machine's cache keeps where its type does not tell the cache's size.
+/// Number of images that a machine's cache is assumed to hold if the size of the cache is unknown.
 constexpr std::size_t kDefaultCachedImages = 8;
 }  // namespace
 
@@ -37,24 +37,25 @@
   return machine;
 }
 
-void Machines::booting(Machine& machine, const std::string& name, double now) {
+void Machines::mark_booting(Machine& machine, const std::string& name, double now) {
   machine.name = name;
   machine.state = Machine::booting;
-  machine.rented_at = machine.last_heartbeat = machine.last_answer = now;
+  machine.rented_at = machine.last_heartbeat = machine.last_response_at = now;
   by_name_[name] = machine.number;
 }
 
-bool Machines::known(const wire::MachineRecord& record, double now) {
-  if (Machine* here = find(record.name)) {
-    here->in_inventory = true;
+bool Machines::add_recorded(const wire::MachineRecord& record, double now) {
+  if (Machine* existing = find(record.name)) {
+    existing->in_inventory = true;
     return false;
   }
   Machine& machine = add(0, context_.settings.zone_index(record.zone));
   machine.type = context_.catalogue.type_index(record.type);
   machine.spot = record.spot;
   machine.in_inventory = true;
-  booting(machine, record.name, now);
-  // A type or zone that is not known any more: its tasks are given up, then it is returned.
+  mark_booting(machine, record.name, now);
+  // The type or zone is no longer known: the machine gets no new tasks, and is returned once its
+  // tasks have ended.
   if (machine.type < 0 || machine.zone < 0) machine.leaving = true;
   return true;
 }
@@ -72,15 +73,15 @@
   return context_.catalogue.types[static_cast<std::size_t>(machine.type)];
 }
 
-// ---- what a machine can take
+// ---- capacity and constraints
 
-Resources Machines::room(const Machine& machine) const {
-  return machine.type < 0 ? Resources{} : type_of(machine).room - machine.tasks.used;
+Resources Machines::free_capacity(const Machine& machine) const {
+  return machine.type < 0 ? Resources{} : type_of(machine).capacity - machine.tasks.used;
 }
 
-Resources Machines::room(const Machine& machine, int priority_band) const {
+Resources Machines::free_capacity(const Machine& machine, int priority_band) const {
   const bool is_urgent = priority_band < Job::kGuaranteed;
-  return is_urgent ? room(machine) : room(machine) - machine.reserved;
+  return is_urgent ? free_capacity(machine) : free_capacity(machine) - machine.reserved;
 }
 
 bool Machines::warm(const Machine& machine, int image) {
@@ -102,27 +103,28 @@
   return type_ok(job, machine.type, machine.spot) && allows_zone(job, machine.zone);
 }
 
-// ---- what is heard of a machine
+// ---- heartbeats and images
 
 bool Machines::heartbeat_received(Machine& machine, const wire::Heartbeat& heartbeat,
-                                  bool new_session, double now) {
+                                  bool is_new_incarnation, double now) {
   machine.addr = heartbeat.addr;
   machine.last_heartbeat = now;
-  if (machine.losing_responses < kLostResponsesBeforeSuspicion) machine.unanswered = 0;
+  if (machine.lost_responses < kLostResponsesBeforeSuspicion) machine.unanswered_probes = 0;
   if (machine.state != Machine::up) {
     machine.state = Machine::up;
     machine.idle_since = now;
     context_.scheduling_due = true;
   }
-  if (new_session) machine.images.clear();
+  if (is_new_incarnation) machine.images.clear();
   machine.notice_s = heartbeat.notice_s;
   if (!heartbeat.notice_s || machine.draining) return false;
   machine.draining = true;
   return true;
 }
 
-// A machine caches the most recently used images, as many as it has room for. Remembering fewer
-// would send tasks to fetch what lies ready elsewhere.
+// A machine caches the most recently used images, as many as its cache holds. If fewer were
+// remembered here, tasks would be sent to machines that have to fetch an image although another
+// machine has it.
 void Machines::note_image(Machine& machine, int image) {
   std::vector<int>& images = machine.images;
   if (!images.empty() && images.back() == image) return;
@@ -163,7 +165,7 @@
   last_returned_idle_at_.erase(returned);
 }
 
-std::vector<double> Machines::waits() const {
+std::vector<double> Machines::idle_waits() const {
   std::vector<double> seconds;
   for (const auto& [tier, wait] : idle_waits_) seconds.push_back(wait.seconds(0));
   return seconds;
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -11,15 +11,16 @@
 using jobs::Resources;
 
 namespace {
-/// A worker waits so long for the response to its heartbeat.
+/// Time, in seconds, for which a worker waits for the response to its heartbeat.
 constexpr double kWorkerResponseTimeoutS = 4;
-/// Work without a place is considered again after so long, though nothing has happened.
+/// Interval, in seconds, after which tasks without a machine are considered again, even if no event
+/// has occurred.
 constexpr double kReconsiderIntervalS = 1;
-/// A rented machine that has not reported within this time, or within so many of its boot times,
-/// is returned.
+/// A rented machine is returned if it sends no heartbeat within this time, in seconds, nor within
+/// kBootTimeoutBoots times its boot time.
 constexpr double kMinBootTimeoutS = 60;
 constexpr double kBootTimeoutBoots = 4;
-/// Added, in seconds, to what a list of the cloud's machines may be out of date by.
+/// Added, in seconds, to the time by which the cloud's list of machines may be out of date.
 constexpr double kListLagMarginS = 2;
 }  // namespace
 
@@ -77,7 +78,7 @@
   context_.scheduling_due = true;
 }
 
-void ShardScheduler::job_gone(const std::string& id, double now) {
+void ShardScheduler::job_ended(const std::string& id, double now) {
   const auto entry = context_.jobs.find(id);
   if (entry == context_.jobs.end()) return;
   const JobPtr job = entry->second;
@@ -87,7 +88,7 @@
   for (const auto& [number, machine] : machines_.all()) {
     queues_.drop_job(*machine, job);
     placements_.drop_planned(*machine, job, now);
-    placements_.stop_directly(*machine, job);
+    placements_.request_direct_stop(*machine, job);
     machine->note_idle(now);
   }
   context_.scheduling_due = true;
@@ -101,7 +102,7 @@
   job->due = due;
   if (job->priority == priority) return;
   job->priority = priority;
-  // What waits in a queue in its old band enters the chain again, in the new one.
+  // Tasks that wait in a queue in the old priority band enter the chain again in the new one.
   for (const auto& [number, machine] : machines_.all()) {
     if (!job->queued) break;
     queues_.requeue_job(*machine, job);
@@ -112,8 +113,9 @@
 // ---- machines
 
 void ShardScheduler::machine_known(const wire::MachineRecord& record, double now) {
-  const bool added = machines_.known(record, now);
-  // It has come from a shard whose token was higher: its worker would drop our responses.
+  const bool added = machines_.add_recorded(record, now);
+  // The machine comes from a shard whose token was higher. Its worker would reject responses under
+  // the current token.
   if (added && record.token > token()) token_policy_.saw_higher_token();
 }
 
@@ -124,12 +126,12 @@
 void ShardScheduler::remove_machine(int number, double now) {
   Machine* machine = machines_.at(number);
   if (!machine) return;
-  placements_.machine_gone(*machine, now);
+  placements_.machine_deleted(*machine, now);
   queues_.requeue_all(*machine);
   machines_.erase(number);
 }
 
-void ShardScheduler::machine_gone(const std::string& name, double now) {
+void ShardScheduler::machine_deleted(const std::string& name, double now) {
   if (const Machine* machine = machines_.find(name)) remove_machine(machine->number, now);
 }
 
@@ -141,9 +143,9 @@
 }
 
 std::vector<ScaleOutRequest> ShardScheduler::scale_out_requests(double now) {
-  std::vector<Machine*> barred;
-  auto requests = rentals_.scale_out_requests(now, barred);
-  for (Machine* machine : barred) queues_.requeue_all(*machine);
+  std::vector<Machine*> unavailable;
+  auto requests = rentals_.scale_out_requests(now, unavailable);
+  for (Machine* machine : unavailable) queues_.requeue_all(*machine);
   return requests;
 }
 
@@ -176,9 +178,10 @@
 void ShardScheduler::machine_failed(const std::string& name, bool unlisted, double now) {
   Machine* machine = machines_.find(name);
   if (!machine || machine->lost) return;
-  // Lists lag: a machine that is missing from one is lost only if it is silent as well, for longer
-  // than a list can be old. Whether this owner has ever heard it does not matter: one that was
-  // taken just before a takeover would hold its tasks until the old owner's leases have expired.
+  // The cloud's list may be out of date. A machine that it does not contain is lost only if it has
+  // also been silent for longer than a list can be out of date. It need not have sent a heartbeat
+  // to this leader: otherwise the tasks of a machine that was taken away just before a takeover
+  // would wait until the leases of the earlier leader have expired.
   const config::Settings& settings = context_.settings;
   const double max_silence_s =
       std::max(2 * settings.heartbeat_s, 3 * settings.list_lag_s + kListLagMarginS);
@@ -189,39 +192,43 @@
 
 // ---- workers
 
-// A copy that comes late is answered to nobody: it renews no lease, and must not put off the proof
-// by silence. What was overtaken on its way is waited for no longer than a worker waits.
+// The response to a late copy of a heartbeat reaches no worker. It renews no lease, so it must not
+// postpone the time from which silence proves that the tasks have stopped. For a heartbeat that was
+// merely overtaken, the worker still waits, but no longer than its timeout.
 ShardScheduler::HeartbeatResult ShardScheduler::take_older_heartbeat(
     Machine& machine, const wire::Heartbeat& heartbeat, double now) {
   ++context_.counters.stale_heartbeats;
   if (heartbeat.incarnation != machine.tasks.incarnation ||
-      now - machine.newest_task_at > kWorkerResponseTimeoutS)
+      now - machine.newest_status_at > kWorkerResponseTimeoutS)
     return HeartbeatResult::unknown;
-  machine.last_answer = now;
+  machine.last_response_at = now;
   return HeartbeatResult::older;
 }
 
 ShardScheduler::HeartbeatResult ShardScheduler::take_heartbeat(const wire::Heartbeat& heartbeat,
-                                                               double now, bool to_direct) {
+                                                               double now,
+                                                               bool is_direct_response) {
   Machine* machine = machines_.find(heartbeat.machine);
   if (!machine) return HeartbeatResult::unknown;
   if (!HeartbeatProcessor::is_newer(*machine, heartbeat))
     return take_older_heartbeat(*machine, heartbeat, now);
   ++context_.counters.heartbeats;
   last_heartbeat_at_ = now;
-  machine->newest_task_at = now;
-  const bool new_session = heartbeat.incarnation != machine->tasks.incarnation;
-  // Answered within a lease, and the lease is over all the same.
-  const bool lease_lost = new_session && machine->tasks.incarnation != 0 &&
-                          now - machine->last_answer < context_.settings.lease_s / 2;
+  machine->newest_status_at = now;
+  const bool is_new_incarnation = heartbeat.incarnation != machine->tasks.incarnation;
+  // The worker's lease has expired although a response was sent recently enough to renew it, so
+  // that response was lost.
+  const bool lease_lost = is_new_incarnation && machine->tasks.incarnation != 0 &&
+                          now - machine->last_response_at < context_.settings.lease_s / 2;
   machine->start_lost = false;
-  if (machines_.heartbeat_received(*machine, heartbeat, new_session, now))
+  if (machines_.heartbeat_received(*machine, heartbeat, is_new_incarnation, now))
     queues_.requeue_all(*machine);
-  const auto source = to_direct ? HeartbeatSource::direct_response : HeartbeatSource::worker;
+  const auto source =
+      is_direct_response ? HeartbeatSource::direct_response : HeartbeatSource::worker;
   heartbeat_processor_.heartbeat_received(*machine, heartbeat, source, now);
   if (source == HeartbeatSource::worker) {
     const bool response_lost =
-        lease_lost || heartbeat.token < machine->answered_token || machine->start_lost;
+        lease_lost || heartbeat.token < machine->last_response_token || machine->start_lost;
     failure_detector_.heartbeat_received(*machine, response_lost, now);
   }
   for (const FinishedTask& finished : heartbeat_processor_.take_finished())
@@ -234,8 +241,8 @@
                                                         double now) {
   Machine* machine = machines_.find(machine_name);
   if (!machine) return {};
-  machine->last_answer = now;
-  machine->answered_token = token();
+  machine->last_response_at = now;
+  machine->last_response_token = token();
   return worker_commands_.commands_for(*machine, fresh, now);
 }
 
@@ -259,8 +266,9 @@
   placements_.token_advanced();
 }
 
-// Delegations have transactions of their own: a late look at the tag on a job's key, which the
-// job's end drops, must not decide about starts (TransactionPipeline::resolve).
+// Delegations are written by separate transactions. If the outcome of a transaction is unknown, the
+// tag on one of its keys decides. The key of a job is deleted when the job ends, so a late read of
+// it must not decide about starts (TransactionPipeline::resolve).
 std::optional<wire::Transaction> ShardScheduler::next_transaction(
     const state::StateCache& cache, const state::TransactionLimits& limits, const std::string& tag,
     double now) {
@@ -278,7 +286,7 @@
 
 void ShardScheduler::transaction_applied(double now) {
   delegation_planner_.transaction_done();
-  for (const std::string& id : placement_store_.transaction_applied(now)) job_gone(id, now);
+  for (const std::string& id : placement_store_.transaction_applied(now)) job_ended(id, now);
 }
 
 // ---- time
@@ -290,8 +298,9 @@
 }
 
 void ShardScheduler::tick(double now) {
-  // Pauses end with time alone: the cloud's after a refusal, a machine's, a job's. A shard without
-  // machines gets no heartbeat that would start a pass, and its work stood still for good.
+  // The pauses after a refusal by the cloud, and those of machines and jobs, end without any event.
+  // A shard without machines receives no heartbeat that would cause a scheduling pass, so without
+  // this its tasks would wait for ever.
   if (now - last_pass_at_ >= kReconsiderIntervalS)
     context_.scheduling_due |=
         std::any_of(context_.jobs.begin(), context_.jobs.end(),
@@ -309,10 +318,10 @@
 
 void ShardScheduler::check_machines(double now) {
   const bool others_heard = now - last_heartbeat_at_ < 2 * context_.settings.heartbeat_s;
-  std::vector<int> withdrawn;  // orders that nothing waits for any more
+  std::vector<int> withdrawn;  // machines on order for which no task waits any more
   for (const auto& [number, machine] : machines_.all()) {
     if (machine->state == Machine::ordered) {
-      if (machine->queue.tasks.empty() && !machine->announced) withdrawn.push_back(number);
+      if (machine->queue.tasks.empty() && !machine->rent_requested) withdrawn.push_back(number);
       continue;
     }
     if (machine->tasks.needs_resync) placements_.note_direct_due(*machine);
@@ -347,11 +356,13 @@
   const double max_silence_s = settings.lease_s + 2 * settings.heartbeat_s;
   if (silent_s > max_silence_s) {
     placements_.lease_expired(machine, now);
-    // If others are heard, this machine is lost, not this node. It is given back.
+    // If other machines send heartbeats, it is this machine that is lost, and not this node that is
+    // cut off. The machine is returned to the cloud.
     if (others_heard || silent_s > 3 * max_silence_s) give_up_machine(machine);
     queues_.requeue_all(machine);
   } else if (machine.draining && others_heard && silent_s > 2 * settings.heartbeat_s) {
-    // It was about to be taken and has gone silent. Deleting it proves its tasks gone.
+    // The machine has gone silent after notice that the cloud would take it away. Its deletion
+    // proves that its tasks no longer run.
     machine.give_up();
   }
 }
@@ -363,28 +374,29 @@
 }
 
 void ShardScheduler::sync_delegations(const state::StateCache& cache, double now) {
-  for (const std::string& id : delegated_work_.sync(cache, now)) job_gone(id, now);
+  for (const std::string& id : delegated_work_.sync(cache, now)) job_ended(id, now);
 }
 
 shard::Load ShardScheduler::load(double now) const {
   shard::Load load;
   if (context_.catalogue.empty()) return load;
-  const Resources first_type = context_.catalogue.types[0].room;
+  const Resources first_type = context_.catalogue.types[0].capacity;
   load.capacity = transfers_.capacity() + transfers_.transferring();
   const auto& teams = context_.settings.teams;
-  std::vector<double> machines(teams.size(), 0);  // by team
-  std::vector<double> cpus(teams.size(), 0);
+  std::vector<double> machines_by_team(teams.size(), 0);  // of the first type
+  std::vector<double> cpus_by_team(teams.size(), 0);
   for (const auto& [id, job] : context_.jobs) {
     if (job->is_foreign || (job->not_before > now && !job->placed)) continue;
-    const double left = job->spec.tasks - (job->spec.service ? 0 : job->done_count());
+    const double remaining_tasks = job->spec.tasks - (job->spec.service ? 0 : job->done_count());
     const auto team = static_cast<std::size_t>(job->team);
-    machines[team] += left * share_of(job->need, first_type);
-    cpus[team] += left * job->spec.cpus;
+    machines_by_team[team] += remaining_tasks * share_of(job->need, first_type);
+    cpus_by_team[team] += remaining_tasks * job->spec.cpus;
   }
   for (std::size_t team = 0; team < teams.size(); ++team) {
-    if (cpus[team] <= 0) continue;
-    load.demand += machines[team] * std::min(1.0, teams[team].cpus_max / cpus[team]);
-    load.entitled += machines[team] * std::min(1.0, teams[team].cpus / cpus[team]);
+    if (cpus_by_team[team] <= 0) continue;
+    load.demand +=
+        machines_by_team[team] * std::min(1.0, teams[team].cpus_max / cpus_by_team[team]);
+    load.entitled += machines_by_team[team] * std::min(1.0, teams[team].cpus / cpus_by_team[team]);
   }
   return load;
 }
--- a/src/scheduler/shard_summary.cpp
+++ b/src/scheduler/shard_summary.cpp
@@ -17,7 +17,7 @@
 
 struct TaskCounts {
   std::size_t placed = 0, queued = 0, pending = 0;
-  // How far the placements are on their way.
+  // The placements by how far they have got.
   std::size_t planned = 0, unsent = 0, unseen = 0, fetching = 0, running = 0, over = 0;
 };
 
@@ -31,7 +31,7 @@
   if (machine.was_idle) ++counts.idle;
   if (machine.state != Machine::up || machine.type < 0) return;
   const auto& type = catalogue.types[static_cast<std::size_t>(machine.type)];
-  counts.capacity += static_cast<double>(type.room.cpus) / kMicroCpusPerCpu;
+  counts.capacity += static_cast<double>(type.capacity.cpus) / kMicroCpusPerCpu;
   counts.used += static_cast<double>(machine.tasks.used.cpus) / kMicroCpusPerCpu;
 }
 
@@ -76,7 +76,7 @@
           {"commit_failures", counters.commit_failures}};
 }
 
-// Tasks of other shards' teams that this shard runs or has yet to place.
+// Returns the number of tasks of other shards' teams that this shard runs or has yet to place.
 std::size_t foreign_tasks(const ShardContext& context) {
   std::size_t tasks = 0;
   for (const auto& [id, job] : context.jobs)
@@ -104,7 +104,7 @@
   json summary{{"shard", context.shard},
                {"token", token},
                {"jobs", context.jobs.size()},
-               {"k", machines.waits()},
+               {"k", machines.idle_waits()},
                {"foreign", foreign_tasks(context)}};
   summary.update(waiting_json(waiting));
   summary.update(machines_json(machine_counts));
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -87,7 +87,7 @@
       if (!n.scheduler) continue;
       if (ch.kind == state::Change::job_set && n.world.job(ch.name))
         n.scheduler->job_added(n.world.job(ch.name)->record, 0, n.world.done(ch.name), now_, now_);
-      if (ch.kind == state::Change::job_deleted) n.scheduler->job_gone(ch.name, now_);
+      if (ch.kind == state::Change::job_deleted) n.scheduler->job_ended(ch.name, now_);
       if (ch.kind == state::Change::machine_set && n.world.machine(ch.name))
         n.scheduler->machine_known(*n.world.machine(ch.name), now_);
       if (ch.kind == state::Change::machine_deleted && !n.world.machine(ch.name))
@@ -363,7 +363,7 @@
           continue;
         }
         std::erase_if(workers_, [&](const Worker& w) { return w.name == name; });
-        n->scheduler->machine_gone(name, now_);
+        n->scheduler->machine_deleted(name, now_);
         deleted_.insert(name);
       }
     }
