--- a/src/scheduler/delegation_planner.cpp
+++ b/src/scheduler/delegation_planner.cpp
@@ -224,7 +224,7 @@
 }
 
 void DelegationPlanner::open_delegations(Draft& draft) {
-  waiting_ = {};
+  undelegated_ = {};
   if (offers_.empty()) return;
   Offers offers(context_.settings, context_.catalogue, offers_);
   const bool is_enabled = jobs::delegation_enabled(draft.cache);
@@ -238,7 +238,7 @@
     OfferFit fit = offers.best_fit(*job, wanted, open_shard(draft.cache, *job));
     if (fit.tasks == 0) fit = offers.best_fit(*job, wanted);
     if (fit.tasks == 0 || fits_here(*job, draft.now)) continue;
-    waiting_.longest_s = std::max(waiting_.longest_s, draft.now - job->since);
+    undelegated_.longest_s = std::max(undelegated_.longest_s, draft.now - job->since);
     std::uint64_t* why = blocked_by(draft.cache, *job, waiting.size(), fit, is_enabled, draft.now);
     if (why) {
       *why += fit.tasks;
@@ -278,17 +278,17 @@
                                              bool is_enabled, double now) {
   const std::string& id = job.spec.id;
   const state::JobEntry* entry = cache.job(id);
-  if (!is_enabled || !entry) return &waiting_.disabled;
+  if (!is_enabled || !entry) return &undelegated_.disabled;
   if (ended_at_.contains(id) || !may_extend(entry->record.delegation, job, fit))
-    return &waiting_.in_progress;
-  if (!quota_.allows(job, TeamQuota::Counted::placed)) return &waiting_.quota;
+    return &undelegated_.in_progress;
+  if (!quota_.allows(job, TeamQuota::Counted::placed)) return &undelegated_.quota;
   if (job.spec.gang) {
     const std::size_t unfinished = job.spec.tasks - job.done_count();
     const bool is_whole = job.placed == 0 && waiting == unfinished && fit.tasks == unfinished;
-    if (!is_whole) return &waiting_.gang;
-    if (!quota_.allows(job, TeamQuota::Counted::placed, unfinished)) return &waiting_.quota;
+    if (!is_whole) return &undelegated_.gang;
+    if (!quota_.allows(job, TeamQuota::Counted::placed, unfinished)) return &undelegated_.quota;
   }
-  return has_waited(job, now) ? nullptr : &waiting_.not_yet;
+  return has_waited(job, now) ? nullptr : &undelegated_.not_yet;
 }
 
 bool DelegationPlanner::open(Draft& draft, const JobPtr& job,
--- a/src/scheduler/delegation_planner.h
+++ b/src/scheduler/delegation_planner.h
@@ -23,7 +23,7 @@
 namespace shunttrail::scheduler {
 
 /// Tasks that wait while another shard offers room that they fit, by what keeps them from it.
-struct WaitingBesideOffers {
+struct UndelegatedTasks {
   std::uint64_t not_yet = 0;  ///< they have not waited for long enough
   std::uint64_t in_progress =
       0;                       ///< a delegation of their job elsewhere has not ended, or just has
@@ -57,7 +57,7 @@
   void transaction_done();
 
   /// As of the latest run.
-  [[nodiscard]] const WaitingBesideOffers& waiting_beside_offers() const { return waiting_; }
+  [[nodiscard]] const UndelegatedTasks& undelegated_tasks() const { return undelegated_; }
 
  private:
   struct Draft {
@@ -103,7 +103,7 @@
   TeamQuota& quota_;
   DelegatedWork& delegated_work_;
   std::vector<RoomOffer> offers_;
-  WaitingBesideOffers waiting_;
+  UndelegatedTasks undelegated_;
   bool in_flight_ = false;
   double next_run_at_ = 0;
   std::map<std::string, double> unplaced_since_;  // by job with an open delegation
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -390,7 +390,7 @@
 }
 
 std::string ShardScheduler::summary() const {
-  return shard_summary(context_, machines_, delegation_planner_.waiting_beside_offers(), token());
+  return shard_summary(context_, machines_, delegation_planner_.undelegated_tasks(), token());
 }
 
 }  // namespace shunttrail::scheduler
--- a/src/scheduler/shard_summary.cpp
+++ b/src/scheduler/shard_summary.cpp
@@ -84,7 +84,7 @@
   return tasks;
 }
 
-json waiting_json(const WaitingBesideOffers& waiting) {
+json waiting_json(const UndelegatedTasks& waiting) {
   return {{"beside_not_yet", waiting.not_yet},         {"beside_quota", waiting.quota},
           {"beside_in_progress", waiting.in_progress}, {"beside_gang", waiting.gang},
           {"beside_disabled", waiting.disabled},       {"beside_longest_s", waiting.longest_s}};
@@ -92,7 +92,7 @@
 }  // namespace
 
 std::string shard_summary(const ShardContext& context, const Machines& machines,
-                          const WaitingBesideOffers& waiting, std::uint64_t token) {
+                          const UndelegatedTasks& waiting, std::uint64_t token) {
   MachineCounts machine_counts;
   TaskCounts task_counts;
   for (const auto& [number, machine] : machines.all()) {
--- a/src/scheduler/shard_summary.h
+++ b/src/scheduler/shard_summary.h
@@ -10,6 +10,6 @@
 
 /// Counts the shard's machines, placements and jobs. The names are listed in docs/architecture.md.
 [[nodiscard]] std::string shard_summary(const ShardContext& context, const Machines& machines,
-                                        const WaitingBesideOffers& waiting, std::uint64_t token);
+                                        const UndelegatedTasks& waiting, std::uint64_t token);
 
 }  // namespace shunttrail::scheduler
