--- a/src/chain/bandit.cpp
+++ b/src/chain/bandit.cpp
@@ -12,8 +12,8 @@
   return 3;
 }
 
-std::uint8_t waiting_bucket(bool room, std::size_t waiting) {
-  if (room && waiting == 0) return 0;
+std::uint8_t waiting_bucket(bool has_room, std::size_t waiting) {
+  if (has_room && waiting == 0) return 0;
   if (waiting <= 1) return 1;
   if (waiting <= 3) return 2;
   if (waiting <= 7) return 3;
@@ -47,12 +47,12 @@
 
 void Bandit::record(const Context& context, Arm arm, double cost) {
   CostRing& ring = arms_[context.key()][index(arm)];
-  if (ring.costs.size() < ring_) {
+  if (ring.costs.size() < ring_size_) {
     ring.costs.push_back(static_cast<float>(cost));
     return;
   }
   ring.costs[ring.next] = static_cast<float>(cost);
-  ring.next = (ring.next + 1) % ring_;
+  ring.next = (ring.next + 1) % ring_size_;
 }
 
 std::size_t Bandit::observations(const Context& context, Arm arm) const {
@@ -60,15 +60,15 @@
   return known == arms_.end() ? 0 : known->second[index(arm)].costs.size();
 }
 
-void IdleWait::reused(double idled_s, double boot_s) {
+void IdleWait::record_reuse(double idled_s, double boot_s) {
   // Idling cost more than a reboot would have.
   if (idled_s > boot_s) wait_s_ = std::max(1.0, wait_s_ / lambda_);
 }
 
-void IdleWait::missed(double since_idle_s, double boot_s) {
+void IdleWait::record_rental(double since_idle_s, double boot_s) {
   // Had it stayed, the idle rent would have been less than this boot.
   if (since_idle_s < seconds(boot_s) + boot_s)
-    wait_s_ = std::min(std::max(wait_s_, boot_s) * lambda_, cap_boots_ * boot_s);
+    wait_s_ = std::min(std::max(wait_s_, boot_s) * lambda_, max_boots_ * boot_s);
 }
 
 }  // namespace shunttrail::chain
--- a/src/chain/bandit.h
+++ b/src/chain/bandit.h
@@ -48,13 +48,13 @@
 /// The bucket of a share of a machine, from 0 to 3.
 [[nodiscard]] std::uint8_t size_bucket(double share);
 /// The bucket of a queue's length, from 0 (there is room now) to 4.
-[[nodiscard]] std::uint8_t waiting_bucket(bool room, std::size_t waiting);
+[[nodiscard]] std::uint8_t waiting_bucket(bool has_room, std::size_t waiting);
 
 /// One learner: the latest costs of each arm in each context.
 class Bandit {
  public:
-  /// `ring`: the number of costs kept for each arm and context.
-  explicit Bandit(int ring) : ring_(static_cast<std::size_t>(ring)) {}
+  /// `ring_size`: the number of costs kept for each arm and context.
+  explicit Bandit(int ring_size) : ring_size_(static_cast<std::size_t>(ring_size)) {}
 
   /// The arm of lowest resampled mean cost among those allowed; an untried one goes first, in the
   /// order Accept, Pass, Down. At least one arm must be allowed.
@@ -74,7 +74,7 @@
 
   static double resampled_mean(const std::vector<float>& costs, Rng& rng);
 
-  std::size_t ring_;
+  std::size_t ring_size_;
   std::unordered_map<std::uint64_t, Arms> arms_;  // by context
 };
 
@@ -82,21 +82,21 @@
 /// seconds.
 class IdleWait {
  public:
-  /// `lambda`: the factor of a change; `cap_boots`: the largest wait, in boot times.
-  IdleWait(double start_s, double lambda, double cap_boots)
-      : wait_s_(start_s), lambda_(lambda), cap_boots_(cap_boots) {}
+  /// `lambda`: the factor of a change; `max_boots`: the largest wait, in boot times.
+  IdleWait(double start_s, double lambda, double max_boots)
+      : wait_s_(start_s), lambda_(lambda), max_boots_(max_boots) {}
 
   /// The wait: the boot time at least.
   [[nodiscard]] double seconds(double boot_s) const { return wait_s_ > boot_s ? wait_s_ : boot_s; }
   /// Work came to a machine that had idled for so long.
-  void reused(double idled_s, double boot_s);
+  void record_reuse(double idled_s, double boot_s);
   /// A machine was rented so long after one of its kind, returned meanwhile, became idle.
-  void missed(double since_idle_s, double boot_s);
+  void record_rental(double since_idle_s, double boot_s);
 
  private:
   double wait_s_;
   double lambda_;
-  double cap_boots_;
+  double max_boots_;
 };
 
 }  // namespace shunttrail::chain
--- a/src/scheduler/machines.cpp
+++ b/src/scheduler/machines.cpp
@@ -152,14 +152,14 @@
 
 void Machines::reused(const Machine& machine, double now) {
   if (!machine.was_idle) return;
-  idle_wait(machine.tier()).reused(now - machine.idle_since, type_of(machine).spec.boot_s);
+  idle_wait(machine.tier()).record_reuse(now - machine.idle_since, type_of(machine).spec.boot_s);
 }
 
 void Machines::rented_again(int tier, double now) {
   const auto returned = last_returned_idle_at_.find(tier);
   if (returned == last_returned_idle_at_.end()) return;
   const auto& type = context_.catalogue.types[static_cast<std::size_t>(tier / 2)];
-  idle_wait(tier).missed(now - returned->second, type.spec.boot_s);
+  idle_wait(tier).record_rental(now - returned->second, type.spec.boot_s);
   last_returned_idle_at_.erase(returned);
 }
 
--- a/tests/chain_test.cpp
+++ b/tests/chain_test.cpp
@@ -67,15 +67,15 @@
 TEST(IdleWait, FlooredAtBootAndMovedByLambda) {
   IdleWait k(1, 2, 8);
   EXPECT_DOUBLE_EQ(k.seconds(30), 30);
-  k.missed(40, 30);  // within k + a boot: releasing early cost more
+  k.record_rental(40, 30);  // within k + a boot: releasing early cost more
   EXPECT_DOUBLE_EQ(k.seconds(30), 60);
-  k.missed(100, 30);  // 100 > 60 + 30: it was right to let it go
+  k.record_rental(100, 30);  // 100 > 60 + 30: it was right to let it go
   EXPECT_DOUBLE_EQ(k.seconds(30), 60);
-  k.reused(20, 30);  // idling was cheaper than a boot
+  k.record_reuse(20, 30);  // idling was cheaper than a boot
   EXPECT_DOUBLE_EQ(k.seconds(30), 60);
-  k.reused(45, 30);
+  k.record_reuse(45, 30);
   EXPECT_DOUBLE_EQ(k.seconds(30), 30);
-  for (int i = 0; i < 20; ++i) k.missed(1, 30);
+  for (int i = 0; i < 20; ++i) k.record_rental(1, 30);
   EXPECT_DOUBLE_EQ(k.seconds(30), 240);  // the cap
 }
 
