--- a/src/chain/walk.cpp
+++ b/src/chain/walk.cpp
@@ -45,7 +45,7 @@
       if (std::none_of(allowed.begin(), allowed.end(), [](bool arm) { return arm; })) continue;
       switch (decide(candidate, allowed, tier.id)) {
         case Arm::accept:
-          end(Outcome::accepted, tier.id, candidate.machine);
+          set_outcome(Outcome::accepted, tier.id, candidate.machine);
           return true;
         case Arm::down:
           return false;
@@ -54,8 +54,8 @@
       }
     }
     if (tier.end.kind == TierEnd::none) return false;
-    end(tier.end.kind == TierEnd::join ? Outcome::joined : Outcome::rented, tier.id,
-        tier.end.machine);
+    set_outcome(tier.end.kind == TierEnd::join ? Outcome::joined : Outcome::rented, tier.id,
+                tier.end.machine);
     return true;
   }
 
@@ -85,10 +85,10 @@
     const Candidate& candidate = *fallback_->candidate;
     outcome_.steps.resize(fallback_->step);
     outcome_.steps.push_back({candidate.learner, candidate.context, Arm::accept});
-    end(Outcome::accepted, fallback_->tier, candidate.machine);
+    set_outcome(Outcome::accepted, fallback_->tier, candidate.machine);
   }
 
-  void end(Outcome::Kind kind, int tier, int machine) {
+  void set_outcome(Outcome::Kind kind, int tier, int machine) {
     outcome_.kind = kind;
     outcome_.tier = tier;
     outcome_.machine = machine;
--- a/src/chain/walk.h
+++ b/src/chain/walk.h
@@ -31,7 +31,7 @@
 /// The kinds of a tier's candidates: a learner cannot tell those of a kind apart, and a walk draws
 /// for them once. So the first of a kind stands for those that follow it, but for the last machine
 /// of the tier. All candidates must be for the same task.
-class Kinds {
+class CandidateKinds {
  public:
   /// False: one of its kind was there before.
   bool add(const Candidate& candidate) {
@@ -41,7 +41,7 @@
     return added;
   }
   /// Its kind was there, whether it is warm or cold.
-  [[nodiscard]] bool both(const Candidate& candidate) const {
+  [[nodiscard]] bool has_warm_and_cold(const Candidate& candidate) const {
     return (seen_ & kind_bit(candidate, true)) && (seen_ & kind_bit(candidate, false));
   }
 
--- a/src/scheduler/chain_walk.cpp
+++ b/src/scheduler/chain_walk.cpp
@@ -65,7 +65,7 @@
   const bool may_wait = scan.scope == Scope::all_machines;
   chain::Tier tier;
   tier.id = id;
-  chain::Kinds seen;
+  chain::CandidateKinds seen;
   for (const auto& [number, machine] : machines_.all()) {
     if (machine->tier() != id) continue;
     if (machine->state == Machine::up) {
@@ -93,7 +93,7 @@
 // A machine that is up, as the task finds it. None: the task cannot go there, or would find the
 // same there as on a machine in `seen`.
 std::optional<chain::Candidate> ChainWalk::candidate(const Machine& machine, const TierScan& scan,
-                                                     chain::Kinds* seen) const {
+                                                     chain::CandidateKinds* seen) const {
   if (queues_.is_reserved(machine)) return std::nullopt;
   const bool room_only = scan.scope == Scope::machines_with_room;
   const bool has_room = scan.job.need.fits(machines_.room(machine, scan.priority_band));
@@ -109,7 +109,7 @@
   found.may_accept = static_cast<int>(ahead) <= context_.tuning.waiting_bar;
   found.empty = machine.is_empty();
   // The image cache is searched last: hundreds of machines are of a kind that is there already.
-  if (seen && seen->both(found)) return std::nullopt;
+  if (seen && seen->has_warm_and_cold(found)) return std::nullopt;
   if (machine.leaving || machine.draining || machine.avoid_until > scan.now || machine.zone < 0 ||
       !scan.zone_allowed[static_cast<std::size_t>(machine.zone)])
     return std::nullopt;
--- a/src/scheduler/chain_walk.h
+++ b/src/scheduler/chain_walk.h
@@ -63,7 +63,7 @@
   chain::Tier scan_tier(int id, const TierScan& scan) const;
   bool can_join_rent(const Machine& machine, const TierScan& scan) const;
   std::optional<chain::Candidate> candidate(const Machine& machine, const TierScan& scan,
-                                            chain::Kinds* seen) const;
+                                            chain::CandidateKinds* seen) const;
   void add_last_candidates(chain::Tier& tier, const TierScan& scan) const;
 
   ShardContext& context_;
--- a/tests/chain_test.cpp
+++ b/tests/chain_test.cpp
@@ -159,7 +159,7 @@
       }
       Tier d = t;
       d.candidates.clear();
-      Kinds seen;
+      CandidateKinds seen;
       for (std::size_t i = 0; i < t.candidates.size(); ++i)
         if (seen.add(t.candidates[i]) || i + 1 == t.candidates.size())
           d.candidates.push_back(t.candidates[i]);
