--- a/src/scheduler/admission.cpp
+++ b/src/scheduler/admission.cpp
@@ -25,8 +25,9 @@
 
 // ---- into the chain
 
-Admission::Entry Admission::enter_chain(QueuedTask task, ChainWalk::Room room, double now) {
-  ChainWalk::Result result = walk_.walk(task, room, now);
+Admission::Entry Admission::enter_chain(QueuedTask task, ChainWalk::KnownCapacity capacity,
+                                        double now) {
+  ChainWalk::Result result = walk_.walk(task, capacity, now);
   chain::Outcome& outcome = result.outcome;
   if (outcome.kind == chain::Outcome::stalled) return {false, result.found_no_room};
   task.chain_steps = std::move(outcome.steps);
@@ -69,7 +70,8 @@
     const ServiceOrder order = task.service_order();
     const bool no_room = unconstrained && pass.without_room.contains(shape);
     const Entry entry = enter_chain(
-        std::move(task), no_room ? ChainWalk::Room::none : ChainWalk::Room::unknown, now);
+        std::move(task),
+        no_room ? ChainWalk::KnownCapacity::none : ChainWalk::KnownCapacity::unknown, now);
     // The task was placed at once: a queue may have become shorter.
     if (entry.entered && !queues_.tasks().contains(order)) pass.without_room.clear();
     if (unconstrained && entry.found_no_room) pass.without_room.insert(shape);
@@ -130,7 +132,7 @@
   task.clear_chain();
   const JobPtr job = task.job;
   const std::uint32_t index = task.task;
-  if (!enter_chain(std::move(task), ChainWalk::Room::unknown, now).entered)
+  if (!enter_chain(std::move(task), ChainWalk::KnownCapacity::unknown, now).entered)
     context_.requeue(job, index);
   from.note_idle(now);
 }
--- a/src/scheduler/admission.h
+++ b/src/scheduler/admission.h
@@ -59,7 +59,7 @@
     std::set<Shape> without_room;
   };
 
-  Entry enter_chain(QueuedTask task, ChainWalk::Room room, double now);
+  Entry enter_chain(QueuedTask task, ChainWalk::KnownCapacity capacity, double now);
   void enter_again(Machine& from, TaskQueues::Position position, double now);
   void admit_job(const jobs::JobPtr& job, Pass& pass, double now);
   void pull_urgent(Machine& machine, double now);
--- a/src/scheduler/chain_walk.cpp
+++ b/src/scheduler/chain_walk.cpp
@@ -24,12 +24,12 @@
 
 }  // namespace
 
-ChainWalk::Result ChainWalk::walk(const QueuedTask& task, Room room, double now) {
+ChainWalk::Result ChainWalk::walk(const QueuedTask& task, KnownCapacity capacity, double now) {
   Result result;
   std::vector<chain::Tier> reachable;
   // Machines with room come first, since they bar all others.
-  if (room == Room::unknown) {
-    reachable = tiers(task, Scope::machines_with_room, now);
+  if (capacity == KnownCapacity::unknown) {
+    reachable = tiers(task, Scope::machines_with_free_capacity, now);
     result.found_no_room = reachable.empty();
     bar_cold_candidates(reachable);
   }
@@ -95,15 +95,15 @@
 std::optional<chain::Candidate> ChainWalk::candidate(const Machine& machine, const TierScan& scan,
                                                      chain::CandidateKinds* seen) const {
   if (queues_.is_reserved(machine)) return std::nullopt;
-  const bool room_only = scan.scope == Scope::machines_with_room;
+  const bool needs_free_capacity = scan.scope == Scope::machines_with_free_capacity;
   const bool has_room = scan.job.need.fits(machines_.room(machine, scan.priority_band));
-  if (room_only && !has_room) return std::nullopt;
+  if (needs_free_capacity && !has_room) return std::nullopt;
   // Accept is split by band (paper 3.1, query scheduling): a task joins the queue of its job's
   // band, and only what is ahead of it there counts.
   std::size_t ahead = 0;
   for (int band = 0; band <= scan.priority_band; ++band)
     ahead += machine.queue.tasks_by_band[static_cast<std::size_t>(band)];
-  if (room_only && ahead) return std::nullopt;
+  if (needs_free_capacity && ahead) return std::nullopt;
   chain::Candidate found;
   found.context.waiting = chain::waiting_bucket(has_room, ahead);
   found.may_accept = static_cast<int>(ahead) <= context_.tuning.waiting_bar;
@@ -125,7 +125,7 @@
 // Past the last machine of a tier without an end there is nothing to pass to, so that machine is a
 // candidate by itself and not by its kind. So is the last warm one, since cold ones may be barred.
 void ChainWalk::add_last_candidates(chain::Tier& tier, const TierScan& scan) const {
-  bool need_warm = scan.scope == Scope::machines_with_room &&
+  bool need_warm = scan.scope == Scope::machines_with_free_capacity &&
                    !std::all_of(tier.candidates.begin(), tier.candidates.end(), is_cold);
   bool need_last = true;
   const auto& all = machines_.all();
--- a/src/scheduler/chain_walk.h
+++ b/src/scheduler/chain_walk.h
@@ -19,11 +19,11 @@
  public:
   /// Which machines of a tier are candidates.
   enum class Scope {
-    machines_with_room,  // only those with room for the task and nothing ahead of it
-    all_machines,        // also full ones, pending rents and a new rent
+    machines_with_free_capacity,  // only those with room for the task and nothing ahead of it
+    all_machines,                 // also full ones, pending rents and a new rent
   };
   /// What is known of the shard before a walk.
-  enum class Room {
+  enum class KnownCapacity {
     unknown,
     none,  // no machine has room for the task: they need not be searched
   };
@@ -40,7 +40,7 @@
   /// Walks the chain. While some machine has room for the task, it neither waits nor rents (the
   /// strategy space is bounded, paper 3.3): arms that only lead there are barred, the others stay
   /// learned.
-  [[nodiscard]] Result walk(const QueuedTask& task, Room room, double now);
+  [[nodiscard]] Result walk(const QueuedTask& task, KnownCapacity capacity, double now);
 
   /// The tiers that the task may go to, cheapest first, each with its candidates in the chain's
   /// order.
