--- a/src/scheduler/admission.cpp
+++ b/src/scheduler/admission.cpp
@@ -18,15 +18,15 @@
 /// Tasks from other queues that enter the chain when one machine reports room.
 constexpr std::size_t kMaxPullsPerHeartbeat = 32;
 /// Tasks that change queues in one call of requeue_blocked.
-constexpr std::size_t kMaxMovesPerCheck = 32;
+constexpr std::size_t kMaxMovesPerCall = 32;
 /// A task waits in a queue for so long at the most while a machine can be rented for it.
-constexpr double kPatienceS = 60;
+constexpr double kMaxQueueWaitS = 60;
 }  // namespace
 
 // ---- into the chain
 
-Admission::Entry Admission::enter_chain(QueuedTask task, ChainWalk::KnownCapacity capacity,
-                                        double now) {
+Admission::EntryResult Admission::enter_chain(QueuedTask task, ChainWalk::KnownCapacity capacity,
+                                              double now) {
   ChainWalk::Result result = walk_.walk(task, capacity, now);
   chain::Outcome& outcome = result.outcome;
   if (outcome.kind == chain::Outcome::stalled) return {false, result.found_no_room};
@@ -50,17 +50,17 @@
 
 void Admission::admit_pending(double now) {
   quota_.update_guarantees(now);
-  Pass pass;
+  PassState pass;
   for (const JobPtr& job : queues_.pending_jobs(now)) admit_job(job, pass, now);
   if (pass.walks >= kMaxWalksPerPass) context_.scheduling_due = true;
 }
 
-void Admission::admit_job(const JobPtr& job, Pass& pass, double now) {
+void Admission::admit_job(const JobPtr& job, PassState& pass, double now) {
   const wire::JobSpec& spec = job->spec;
   const bool unconstrained = !spec.types && !spec.zone && !spec.same_zone && !spec.anti_affinity;
   const Shape shape{job->need.cpus, job->need.gpus, job->need.mem,
                     job->job_class, spec.spot,      job->priority_band()};
-  if (unconstrained && pass.stalled.contains(shape)) return;
+  if (unconstrained && pass.shapes_without_machine.contains(shape)) return;
   while (!job->pending.empty() && pass.walks < kMaxWalksPerPass) {
     // A team at its limit gets no Accept and no rent.
     if (!quota_.allows(*job, TeamQuota::Counted::placed_and_queued)) return;
@@ -68,16 +68,16 @@
     QueuedTask task = queues_.take_pending(job, now);
     const std::uint32_t index = task.task;
     const ServiceOrder order = task.service_order();
-    const bool no_room = unconstrained && pass.without_room.contains(shape);
-    const Entry entry = enter_chain(
+    const bool known_full = unconstrained && pass.shapes_without_room.contains(shape);
+    const EntryResult entry = enter_chain(
         std::move(task),
-        no_room ? ChainWalk::KnownCapacity::none : ChainWalk::KnownCapacity::unknown, now);
+        known_full ? ChainWalk::KnownCapacity::none : ChainWalk::KnownCapacity::unknown, now);
     // The task was placed at once: a queue may have become shorter.
-    if (entry.entered && !queues_.tasks().contains(order)) pass.without_room.clear();
-    if (unconstrained && entry.found_no_room) pass.without_room.insert(shape);
+    if (entry.entered && !queues_.tasks().contains(order)) pass.shapes_without_room.clear();
+    if (unconstrained && entry.found_no_room) pass.shapes_without_room.insert(shape);
     if (!entry.entered) {
       job->pending.insert(index);
-      if (unconstrained) pass.stalled.insert(shape);
+      if (unconstrained) pass.shapes_without_machine.insert(shape);
       return;
     }
   }
@@ -86,15 +86,15 @@
 // ---- machines with room
 
 void Admission::serve_machine(Machine& machine, double now) {
-  pull_urgent(machine, now);
+  pull_urgent_tasks(machine, now);
   service_.place_queued(machine, now);
   preemption_.make_room(machine, now);
-  pull_urgent(machine, now);
+  pull_urgent_tasks(machine, now);
 }
 
 // Before the machine's own queue has been served, only more urgent tasks come: else room would go
 // to low work here while urgent tasks wait for machines that are full.
-bool Admission::goes_before_queue(const ServiceOrder& order, const Machine& machine) {
+bool Admission::is_served_before_queue(const ServiceOrder& order, const Machine& machine) {
   if (machine.queue.tasks.empty()) return true;
   const ServiceOrder head = machine.queue.tasks.front().service_order();
   return TaskQueues::is_ordered_by_start(order.first) ? order < head : order.first < head.first;
@@ -102,32 +102,32 @@
 
 // A machine reports room: tasks that wait for others enter the chain again, the more urgent and
 // longest-waiting first, each leaving its old queue first (DESIGN point 2; here from every tier).
-void Admission::pull_urgent(Machine& machine, double now) {
+void Admission::pull_urgent_tasks(Machine& machine, double now) {
   if (!machine.accepts_work(now) || !machine.in_inventory || queues_.is_reserved(machine)) return;
   std::size_t walks = 0;
-  const Job* misfit = nullptr;  // the same job's next task would not fit either
+  const Job* unfit_job = nullptr;  // the same job's next task would not fit either
   auto next = queues_.tasks().begin();
   while (next != queues_.tasks().end() && walks < kMaxPullsPerHeartbeat) {
     if (!queues_.any_fits(machines_.room(machine))) return;
     const auto [order, number] = *next++;
-    if (!goes_before_queue(order, machine)) return;
+    if (!is_served_before_queue(order, machine)) return;
     Machine* from = machines_.at(number);
     if (!from || from == &machine) continue;
     const auto position = TaskQueues::find(*from, order);
-    if (position == from->queue.tasks.end() || position->job.get() == misfit) continue;
+    if (position == from->queue.tasks.end() || position->job.get() == unfit_job) continue;
     const Job& job = *position->job;
     if (!job.need.fits(machines_.room(machine, order.first)) ||
         !machines_.usable(machine, job, now)) {
-      misfit = &job;
+      unfit_job = &job;
       continue;
     }
     ++walks;
-    enter_again(*from, position, now);
+    reenter_chain(*from, position, now);
     next = queues_.tasks().upper_bound(order);
   }
 }
 
-void Admission::enter_again(Machine& from, TaskQueues::Position position, double now) {
+void Admission::reenter_chain(Machine& from, TaskQueues::Position position, double now) {
   QueuedTask task = queues_.dequeue(from, position);
   task.clear_chain();
   const JobPtr job = task.job;
@@ -153,9 +153,9 @@
   for (const auto& [number, machine] : machines_.all()) {
     if (machine->state != Machine::up || machine->type < 0) continue;
     for (const QueuedTask& task : machine->queue.tasks) {
-      if (found.size() >= kMaxMovesPerCheck) break;
+      if (found.size() >= kMaxMovesPerCall) break;
       if (machine->queue.reserved_for == task.service_order()) continue;
-      if (now - task.since > kPatienceS || is_blocked_by_replicas(*machine, task))
+      if (now - task.since > kMaxQueueWaitS || is_blocked_by_replicas(*machine, task))
         found.emplace_back(task.service_order(), number);
     }
   }
@@ -173,12 +173,12 @@
     Machine& from = *machines_.at(number);
     const auto position = TaskQueues::find(from, order);
     if (quota_.allows(*position->job, TeamQuota::Counted::placed))
-      move_to_tier_end(from, position, now);
+      move_to_rented_machine(from, position, now);
   }
 }
 
 // To the cheapest tier with a pending rent to join, or where a machine can be rented.
-void Admission::move_to_tier_end(Machine& from, TaskQueues::Position position, double now) {
+void Admission::move_to_rented_machine(Machine& from, TaskQueues::Position position, double now) {
   const auto tiers = walk_.tiers(*position, ChainWalk::Scope::all_machines, now);
   const auto tier = std::find_if(tiers.begin(), tiers.end(), [](const chain::Tier& candidate) {
     return candidate.end.kind != chain::TierEnd::none;
--- a/src/scheduler/admission.h
+++ b/src/scheduler/admission.h
@@ -42,7 +42,7 @@
 
  private:
   /// Whether a task has entered the chain.
-  struct Entry {
+  struct EntryResult {
     bool entered = false;
     /// No machine has room for it.
     bool found_no_room = false;
@@ -51,22 +51,22 @@
   /// spot and band.
   using Shape = std::tuple<std::int64_t, std::int64_t, std::int64_t, int, bool, int>;
   /// What a pass has found out about shapes.
-  struct Pass {
+  struct PassState {
     std::size_t walks = 0;
     /// Found no place: another job of the same shape finds none either.
-    std::set<Shape> stalled;
+    std::set<Shape> shapes_without_machine;
     /// Found no room: the next task need not search for it. Room only shrinks while tasks enter.
-    std::set<Shape> without_room;
+    std::set<Shape> shapes_without_room;
   };
 
-  Entry enter_chain(QueuedTask task, ChainWalk::KnownCapacity capacity, double now);
-  void enter_again(Machine& from, TaskQueues::Position position, double now);
-  void admit_job(const jobs::JobPtr& job, Pass& pass, double now);
-  void pull_urgent(Machine& machine, double now);
-  static bool goes_before_queue(const ServiceOrder& order, const Machine& machine);
+  EntryResult enter_chain(QueuedTask task, ChainWalk::KnownCapacity capacity, double now);
+  void reenter_chain(Machine& from, TaskQueues::Position position, double now);
+  void admit_job(const jobs::JobPtr& job, PassState& pass, double now);
+  void pull_urgent_tasks(Machine& machine, double now);
+  static bool is_served_before_queue(const ServiceOrder& order, const Machine& machine);
   bool is_blocked_by_replicas(const Machine& machine, const QueuedTask& task) const;
   std::vector<std::pair<ServiceOrder, int>> blocked_tasks(double now) const;
-  void move_to_tier_end(Machine& from, TaskQueues::Position position, double now);
+  void move_to_rented_machine(Machine& from, TaskQueues::Position position, double now);
 
   ShardContext& context_;
   Machines& machines_;
