--- a/src/scheduler/backfill.cpp
+++ b/src/scheduler/backfill.cpp
@@ -60,8 +60,8 @@
   }
 }
 
-bool Backfill::takes(const Machine& machine, const Job& job, std::uint32_t task, int priority_band,
-                     double now) const {
+bool Backfill::can_start(const Machine& machine, const Job& job, std::uint32_t task,
+                         int priority_band, double now) const {
   return job.need.fits(machines_.room(machine, priority_band)) &&
          machines_.usable(machine, job, now) && service_.may_be_placed(job, task);
 }
@@ -78,7 +78,7 @@
     const auto [order, number] = *next++;
     Machine& from = *machines_.at(number);
     const auto position = TaskQueues::find(from, order);
-    if (!takes(machine, *position->job, position->task, order.first, now)) continue;
+    if (!can_start(machine, *position->job, position->task, order.first, now)) continue;
     place(machine, queues_.dequeue(from, position), now);
     from.note_idle(now);
   }
@@ -87,7 +87,7 @@
 void Backfill::fill_from_pending(Machine& machine, double now) {
   for (const JobPtr& job : queues_.pending_jobs(now))
     while (!job->pending.empty() &&
-           takes(machine, *job, *job->pending.begin(), job->priority_band(), now))
+           can_start(machine, *job, *job->pending.begin(), job->priority_band(), now))
       place(machine, queues_.take_pending(job, now), now);
 }
 
--- a/src/scheduler/backfill.h
+++ b/src/scheduler/backfill.h
@@ -15,7 +15,7 @@
 
 /// Gives idle room out of turn. Queues are served in order, so the first task of one that does not
 /// fit keeps the room beside it from all that would. For a while that is how the first one comes to
-/// its room; for longer than a machine takes to empty it is waste, and a small task would wait
+/// its room; for longer than a machine can_start to empty it is waste, and a small task would wait
 /// beside room for as long as large ones come.
 class Backfill {
  public:
@@ -37,8 +37,8 @@
 
   std::set<Need> waiting_needs(double now) const;
   bool has_idle_capacity(const Machine& machine, const std::set<Need>& needs, double now) const;
-  bool takes(const Machine& machine, const jobs::Job& job, std::uint32_t task, int priority_band,
-             double now) const;
+  bool can_start(const Machine& machine, const jobs::Job& job, std::uint32_t task,
+                 int priority_band, double now) const;
   void fill(Machine& machine, double now);
   void fill_from_queues(Machine& machine, double now);
   void fill_from_pending(Machine& machine, double now);
