--- a/src/scheduler/delegated_work.cpp
+++ b/src/scheduler/delegated_work.cpp
@@ -21,8 +21,8 @@
   synced_revision_ = cache.revision();
   has_unread_closing_ = false;
   for (const std::string& id : cache.delegated()) sync_job(cache, *cache.job(id), now);
-  std::erase_if(restricted_, [&](const std::string& id) {
-    if (held_.contains(id) || cache.delegated().contains(id)) return false;
+  std::erase_if(jobs_with_withheld_, [&](const std::string& id) {
+    if (jobs_in_commit_.contains(id) || cache.delegated().contains(id)) return false;
     const auto job = context_.jobs.find(id);
     if (job == context_.jobs.end() || job->second->is_foreign) return true;
     job->second->away_in_zone.clear();
@@ -30,7 +30,7 @@
     return true;
   });
   quota_.set_delegated(jobs::delegated_use(cache, context_.settings, context_.shard));
-  if (held_.empty()) quota_.clear_delegating();
+  if (jobs_in_commit_.empty()) quota_.clear_delegating();
   must_sync_ = false;
   context_.scheduling_due = true;
   return ended_foreign_jobs(cache);
@@ -40,13 +40,13 @@
                              double now) {
   const wire::JobSpec& spec = entry.record.spec;
   const auto known = context_.jobs.find(spec.id);
-  if (known == context_.jobs.end() || held_.contains(spec.id)) return;
+  if (known == context_.jobs.end() || jobs_in_commit_.contains(spec.id)) return;
   const JobPtr& job = known->second;
   const bool is_closed = entry.record.delegation->is_closed;
   has_unread_closing_ |= is_closed && !jobs::is_closing_read(cache, entry);
   if (!job->is_foreign) take_results(cache, entry, job, now);
   const int team_shard = context_.settings.team_shard[static_cast<std::size_t>(job->team)];
-  restricted_.insert(spec.id);
+  jobs_with_withheld_.insert(spec.id);
   std::vector<bool> withheld = jobs::withheld_tasks(cache, entry, context_.shard, team_shard);
   set_zones(job, *entry.record.delegation, withheld);
   withhold(job, std::move(withheld), now);
@@ -98,14 +98,15 @@
   return ended;
 }
 
-void DelegatedWork::restrict(const JobPtr& job) {
+void DelegatedWork::withhold_until_sync(const JobPtr& job) {
   job->withhold(std::vector<bool>(job->spec.tasks, true));
-  restricted_.insert(job->spec.id);
+  jobs_with_withheld_.insert(job->spec.id);
   must_sync_ = true;
 }
 
-void DelegatedWork::hold(const JobPtr& job, const std::vector<std::uint32_t>& tasks,
-                         std::optional<int> zone) {
+void DelegatedWork::withhold_until_committed(const JobPtr& job,
+                                             const std::vector<std::uint32_t>& tasks,
+                                             std::optional<int> zone) {
   std::vector<bool> held(job->spec.tasks, false);
   for (std::uint32_t task = 0; task < job->spec.tasks; ++task) held[task] = job->is_withheld(task);
   for (const std::uint32_t task : tasks) {
@@ -116,13 +117,13 @@
   job->away_in_zone.resize(context_.settings.zones.size(), 0);
   if (zone)
     job->away_in_zone[static_cast<std::size_t>(*zone)] += static_cast<std::uint32_t>(tasks.size());
-  restricted_.insert(job->spec.id);
-  held_.insert(job->spec.id);
+  jobs_with_withheld_.insert(job->spec.id);
+  jobs_in_commit_.insert(job->spec.id);
 }
 
 void DelegatedWork::outcome_known() {
-  if (held_.empty()) return;
-  held_.clear();
+  if (jobs_in_commit_.empty()) return;
+  jobs_in_commit_.clear();
   must_sync_ = true;
 }
 
--- a/src/scheduler/delegated_work.h
+++ b/src/scheduler/delegated_work.h
@@ -32,12 +32,12 @@
   [[nodiscard]] std::vector<std::string> sync(const state::StateCache& cache, double now);
 
   /// The job has come with a delegation: none of its tasks starts before the next sync.
-  void restrict(const jobs::JobPtr& job);
+  void withhold_until_sync(const jobs::JobPtr& job);
   /// The delegation of these tasks, which wait in no queue, is about to be committed: they are
   /// withheld and count against their team's limit, and in their zone, until the outcome is known
   /// and has been read. `zone`: the only one in which they may run.
-  void hold(const jobs::JobPtr& job, const std::vector<std::uint32_t>& tasks,
-            std::optional<int> zone);
+  void withhold_until_committed(const jobs::JobPtr& job, const std::vector<std::uint32_t>& tasks,
+                                std::optional<int> zone);
   /// What is held has been committed, or will not be.
   void outcome_known();
 
@@ -56,8 +56,8 @@
   Placements& placements_;
   TaskQueues& queues_;
   TeamQuota& quota_;
-  std::set<std::string> restricted_;  // jobs with withheld tasks
-  std::set<std::string> held_;        // of these: the commit is in flight
+  std::set<std::string> jobs_with_withheld_;  // jobs with withheld tasks
+  std::set<std::string> jobs_in_commit_;      // of these: the commit is in flight
   bool must_sync_ = false;
   std::uint64_t synced_changes_ = 0;
   std::uint64_t synced_revision_ = 0;
--- a/src/scheduler/delegation_planner.cpp
+++ b/src/scheduler/delegation_planner.cpp
@@ -310,7 +310,7 @@
   if (zone) delegation.zone = context_.settings.zones[static_cast<std::size_t>(*zone)];
   if (!write_record(draft, entry, std::move(delegation))) return false;
   for (std::size_t i = 0; i < count; ++i) leave_queue(waiting[i], draft.now);
-  delegated_work_.hold(job, tasks, zone);
+  delegated_work_.withhold_until_committed(job, tasks, zone);
   context_.counters.delegated += count;
   return true;
 }
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -72,7 +72,7 @@
   for (const auto& [chunk, intervals] : done) job->load_done(chunk, intervals);
   job->is_foreign = record.delegation && record.delegation->is_readable &&
                     record.delegation->shard == context_.shard;
-  if (record.delegation) delegated_work_.restrict(job);
+  if (record.delegation) delegated_work_.withhold_until_sync(job);
   context_.jobs[spec.id] = job;
   context_.scheduling_due = true;
 }
