--- a/src/scheduler/delegation_planner.cpp
+++ b/src/scheduler/delegation_planner.cpp
@@ -23,13 +23,13 @@
 /// Tasks that have no place in the other shard after so many seconds come back.
 constexpr double kMaxUnplacedS = 12;
 /// A job whose delegation has ended is not delegated again for so many seconds.
-constexpr double kPauseS = 5;
+constexpr double kRedelegationPauseS = 5;
 /// Jobs looked at in one run, and written in one transaction.
 constexpr std::size_t kMaxJobsPerRun = 64;
 constexpr std::size_t kMaxJobsPerTransaction = 4;
 /// Tasks of one delegation; all tasks of a gang, which can be delegated only as a whole.
-constexpr std::size_t kMaxTasks = 32;
-constexpr std::size_t kMaxWholeTasks = 128;
+constexpr std::size_t kMaxTasksPerDelegation = 32;
+constexpr std::size_t kMaxTasksPerGang = 128;
 /// Preconditions beside those on the jobs: the leader's key and the schema version.
 constexpr std::size_t kSharedPreconditions = 2;
 
@@ -37,14 +37,14 @@
 
 wire::Intervals intervals_of(std::vector<std::uint32_t> tasks) {
   std::sort(tasks.begin(), tasks.end());
-  wire::Intervals out;
+  wire::Intervals intervals;
   for (const std::uint32_t task : tasks) {
-    if (!out.empty() && out.back().second + 1 == task)
-      out.back().second = task;
+    if (!intervals.empty() && intervals.back().second + 1 == task)
+      intervals.back().second = task;
     else
-      out.emplace_back(task, task);
+      intervals.emplace_back(task, task);
   }
-  return out;
+  return intervals;
 }
 
 /// Tasks of an open delegation, as far as its shard has got with them.
@@ -58,14 +58,14 @@
   const wire::Delegation& delegation = *entry.record.delegation;
   const std::vector<bool> placed = cache.placed(spec.id, delegation.shard, spec.tasks);
   const std::vector<bool> done = jobs::done_tasks(cache.done(spec.id), spec.tasks);
-  Progress out;
+  Progress counts;
   for (const auto& [first, last] : delegation.tasks)
     for (std::uint32_t task = first; task <= last && task < spec.tasks; ++task) {
       if (done[task]) continue;
-      ++out.unfinished;
-      out.unplaced += !placed[task];
+      ++counts.unfinished;
+      counts.unplaced += !placed[task];
     }
-  return out;
+  return counts;
 }
 }  // namespace
 
@@ -124,7 +124,8 @@
   }
   std::erase_if(unplaced_since_,
                 [&](const auto& job) { return !draft.cache.delegated().contains(job.first); });
-  std::erase_if(ended_at_, [&](const auto& job) { return draft.now - job.second > kPauseS; });
+  std::erase_if(ended_at_,
+                [&](const auto& job) { return draft.now - job.second > kRedelegationPauseS; });
 }
 
 void DelegationPlanner::end_delegation(Draft& draft, const state::JobEntry& entry) {
@@ -160,10 +161,10 @@
   const int other = entry.record.delegation->shard;
   const std::vector<bool> placed = cache.placed(spec.id, other, spec.tasks);
   if (std::find(placed.begin(), placed.end(), true) != placed.end()) return false;
-  const std::vector<bool> there = jobs::done_tasks(cache.done(spec.id, other), spec.tasks);
-  const std::vector<bool> here = jobs::done_tasks(cache.done(spec.id, shard), spec.tasks);
-  for (std::size_t task = 0; task < there.size(); ++task)
-    if (there[task] && !here[task]) return false;
+  const std::vector<bool> done_there = jobs::done_tasks(cache.done(spec.id, other), spec.tasks);
+  const std::vector<bool> done_here = jobs::done_tasks(cache.done(spec.id, shard), spec.tasks);
+  for (std::size_t task = 0; task < done_there.size(); ++task)
+    if (done_there[task] && !done_here[task]) return false;
   return true;
 }
 
@@ -233,15 +234,16 @@
   for (const JobPtr& job : waiting_jobs(draft.now)) {
     const std::vector<WaitingTask> waiting = waiting_tasks(*job, queued);
     if (waiting.empty()) continue;
-    const std::size_t wanted = std::min(waiting.size(), kMaxWholeTasks);
+    const std::size_t wanted = std::min(waiting.size(), kMaxTasksPerGang);
     // An open delegation is extended where there is room; no second one goes elsewhere.
     OfferFit fit = offers.best_fit(*job, wanted, open_shard(draft.cache, *job));
     if (fit.tasks == 0) fit = offers.best_fit(*job, wanted);
     if (fit.tasks == 0 || fits_here(*job, draft.now)) continue;
     undelegated_.longest_s = std::max(undelegated_.longest_s, draft.now - job->since);
-    std::uint64_t* why = blocked_by(draft.cache, *job, waiting.size(), fit, is_enabled, draft.now);
-    if (why) {
-      *why += fit.tasks;
+    std::uint64_t* blocker =
+        blocking_counter(draft.cache, *job, waiting.size(), fit, is_enabled, draft.now);
+    if (blocker) {
+      *blocker += fit.tasks;
       continue;
     }
     if (!open(draft, job, waiting, fit)) continue;
@@ -273,9 +275,9 @@
 }
 
 // What keeps tasks that fit an offer from being delegated; null: nothing.
-std::uint64_t* DelegationPlanner::blocked_by(const state::StateCache& cache, const Job& job,
-                                             std::size_t waiting, const OfferFit& fit,
-                                             bool is_enabled, double now) {
+std::uint64_t* DelegationPlanner::blocking_counter(const state::StateCache& cache, const Job& job,
+                                                   std::size_t waiting, const OfferFit& fit,
+                                                   bool is_enabled, double now) {
   const std::string& id = job.spec.id;
   const state::JobEntry* entry = cache.job(id);
   if (!is_enabled || !entry) return &undelegated_.disabled;
@@ -293,8 +295,8 @@
 
 bool DelegationPlanner::open(Draft& draft, const JobPtr& job,
                              const std::vector<WaitingTask>& waiting, const OfferFit& fit) {
-  const std::size_t most = job->spec.gang ? fit.tasks : kMaxTasks;
-  std::size_t count = std::min(fit.tasks, most);
+  const std::size_t max_count = job->spec.gang ? fit.tasks : kMaxTasksPerDelegation;
+  std::size_t count = std::min(fit.tasks, max_count);
   while (count > 0 && !quota_.allows(*job, TeamQuota::Counted::placed, count)) --count;
   if (count == 0) return false;
   std::vector<std::uint32_t> tasks;
@@ -302,20 +304,20 @@
   const state::JobEntry& entry = *draft.cache.job(job->spec.id);
   // A gang goes as a whole, and keeps to its own rules there.
   const std::optional<int> zone = job->spec.gang ? std::nullopt : fit.zone;
-  std::vector<std::uint32_t> all = tasks;
+  std::vector<std::uint32_t> delegated = tasks;
   if (entry.record.delegation)
     for (const auto& [first, last] : entry.record.delegation->tasks)
-      for (std::uint32_t task = first; task <= last; ++task) all.push_back(task);
-  wire::Delegation delegation{fit.shard, false, intervals_of(std::move(all))};
+      for (std::uint32_t task = first; task <= last; ++task) delegated.push_back(task);
+  wire::Delegation delegation{fit.shard, false, intervals_of(std::move(delegated))};
   if (zone) delegation.zone = context_.settings.zones[static_cast<std::size_t>(*zone)];
   if (!write_record(draft, entry, std::move(delegation))) return false;
-  for (std::size_t i = 0; i < count; ++i) leave_queue(waiting[i], draft.now);
+  for (std::size_t i = 0; i < count; ++i) remove_from_queue(waiting[i], draft.now);
   delegated_work_.withhold_until_committed(job, tasks, zone);
   context_.counters.delegated += count;
   return true;
 }
 
-void DelegationPlanner::leave_queue(const WaitingTask& waiting, double now) {
+void DelegationPlanner::remove_from_queue(const WaitingTask& waiting, double now) {
   if (!waiting.machine) return;
   (void)queues_.dequeue(*waiting.machine, TaskQueues::find(*waiting.machine, waiting.order));
   waiting.machine->note_idle(now);
--- a/src/scheduler/delegation_planner.h
+++ b/src/scheduler/delegation_planner.h
@@ -90,11 +90,12 @@
   static std::optional<int> open_shard(const state::StateCache& cache, const jobs::Job& job);
   bool may_extend(const std::optional<wire::Delegation>& delegation, const jobs::Job& job,
                   const OfferFit& fit) const;
-  std::uint64_t* blocked_by(const state::StateCache& cache, const jobs::Job& job,
-                            std::size_t waiting, const OfferFit& fit, bool is_enabled, double now);
+  std::uint64_t* blocking_counter(const state::StateCache& cache, const jobs::Job& job,
+                                  std::size_t waiting, const OfferFit& fit, bool is_enabled,
+                                  double now);
   bool open(Draft& draft, const jobs::JobPtr& job, const std::vector<WaitingTask>& waiting,
             const OfferFit& fit);
-  void leave_queue(const WaitingTask& waiting, double now);
+  void remove_from_queue(const WaitingTask& waiting, double now);
   static bool has_waited(const jobs::Job& job, double now);
 
   ShardContext& context_;
