--- a/src/scheduler/machine_transfers.cpp
+++ b/src/scheduler/machine_transfers.cpp
@@ -30,7 +30,7 @@
 
 // Work goes on where a machine was to leave and is not wanted any more. Only one that is not empty
 // may stay: of an empty one the inventory's commit may be on its way.
-void MachineTransfers::keep(Machine& machine) {
+void MachineTransfers::cancel_transfer(Machine& machine) {
   if (machine.transfer_to < 0 || machine.lost || machine.returning) return;
   if (machine.tasks.placements.empty()) return;
   machine.transfer_to = -1;
@@ -40,18 +40,18 @@
 
 // Keeps what is marked beyond the amount. Returns what is still to be marked.
 double MachineTransfers::trim_marked(const MachineTransfer& transfer) {
-  double left = transfer.amount;
+  double remaining = transfer.amount;
   for (const auto& [number, machine] : machines_.all()) {
     if (machine->transfer_to != transfer.to || machine->type < 0) continue;
-    if (left < units(*machine)) keep(*machine);
-    if (machine->transfer_to == transfer.to) left -= units(*machine);
+    if (remaining < units(*machine)) cancel_transfer(*machine);
+    if (machine->transfer_to == transfer.to) remaining -= units(*machine);
   }
-  return left;
+  return remaining;
 }
 
 // A machine with a replica is not promised: it would stand half empty for as long as the service
 // runs.
-bool MachineTransfers::can_be_given(const Machine& machine) {
+bool MachineTransfers::can_be_transferred(const Machine& machine) {
   if (machine.state != Machine::up || !machine.in_inventory || machine.type < 0) return false;
   if (machine.leaving || machine.draining || machine.queue.reserved_for) return false;
   return !machine.has_replicas();
@@ -61,19 +61,19 @@
 // over a surplus would leave hardly any machine idle. Those that take most of what waits there go
 // first.
 std::vector<Machine*> MachineTransfers::transfer(const MachineTransfer& transfer) {
-  double left = trim_marked(transfer);
-  const auto useful = [&](const Machine& machine) {
-    return transfer.useful[static_cast<std::size_t>(machine.tier())];
+  double remaining = trim_marked(transfer);
+  const auto usefulness = [&](const Machine& machine) {
+    return transfer.usefulness_by_tier[static_cast<std::size_t>(machine.tier())];
   };
   const auto fits = [&](const Machine& machine) {
-    return units(machine) <= left + kAmountTolerance;
+    return units(machine) <= remaining + kAmountTolerance;
   };
   std::vector<Machine*> candidates;
   for (const auto& [number, machine] : machines_.all())
-    if (can_be_given(*machine) && fits(*machine) && useful(*machine) > 0)
+    if (can_be_transferred(*machine) && fits(*machine) && usefulness(*machine) > 0)
       candidates.push_back(machine.get());
   const auto rank = [&](const Machine* machine) {
-    return std::tuple(!machine->was_idle, machine->tasks.used.cpus, -useful(*machine));
+    return std::tuple(!machine->was_idle, machine->tasks.used.cpus, -usefulness(*machine));
   };
   std::stable_sort(candidates.begin(), candidates.end(),
                    [&](const Machine* a, const Machine* b) { return rank(a) < rank(b); });
@@ -82,31 +82,31 @@
     if (!fits(*machine)) continue;
     machine->leaving = true;
     machine->transfer_to = transfer.to;
-    left -= units(*machine);
+    remaining -= units(*machine);
     marked.push_back(machine);
   }
   return marked;
 }
 
-bool MachineTransfers::can_go(const Machine& machine) {
+bool MachineTransfers::is_ready_to_transfer(const Machine& machine) {
   return machine.transfer_to >= 0 && machine.in_inventory && machine.is_empty();
 }
 
 int MachineTransfers::transfer_target(const std::string& name) const {
   const Machine* machine = machines_.find(name);
-  return machine && can_go(*machine) ? machine->transfer_to : -1;
+  return machine && is_ready_to_transfer(*machine) ? machine->transfer_to : -1;
 }
 
-std::vector<InventoryChange> MachineTransfers::inventory_changes(std::uint64_t token,
-                                                                 const Asked& asked) const {
+std::vector<InventoryChange> MachineTransfers::inventory_changes(
+    std::uint64_t token, const IsRequested& is_requested) const {
   std::vector<InventoryChange> changes;
   for (const auto& [number, machine] : machines_.all()) {
     if (machine->name.empty() || machine->type < 0 || machine->zone < 0) continue;
-    const bool goes = can_go(*machine);
-    if (machine->in_inventory && !goes) continue;
-    const auto kind = goes ? InventoryChange::transfer : InventoryChange::add;
-    const int shard = goes ? machine->transfer_to : context_.shard;
-    if (asked(machine->name, kind, shard)) continue;
+    const bool is_transfer = is_ready_to_transfer(*machine);
+    if (machine->in_inventory && !is_transfer) continue;
+    const auto kind = is_transfer ? InventoryChange::transfer : InventoryChange::add;
+    const int shard = is_transfer ? machine->transfer_to : context_.shard;
+    if (is_requested(machine->name, kind, shard)) continue;
     const auto& type = context_.catalogue.types[static_cast<std::size_t>(machine->type)];
     const auto& zone = context_.settings.zones[static_cast<std::size_t>(machine->zone)];
     changes.push_back({kind,
--- a/src/scheduler/machine_transfers.h
+++ b/src/scheduler/machine_transfers.h
@@ -26,14 +26,15 @@
   /// In machines of the first type, by vcpus.
   double amount = 0;
   /// By tier: how much of what waits there it takes.
-  std::vector<double> useful;
+  std::vector<double> usefulness_by_tier;
 };
 
 /// Chooses the machines to give to other shards.
 class MachineTransfers {
  public:
-  /// The change of the inventory has been asked for already.
-  using Asked = std::function<bool(const std::string& machine, InventoryChange::Kind, int shard)>;
+  /// The change of the inventory has been requested already.
+  using IsRequested =
+      std::function<bool(const std::string& machine, InventoryChange::Kind, int shard)>;
 
   MachineTransfers(ShardContext& context, Machines& machines)
       : context_(context), machines_(machines) {}
@@ -49,16 +50,16 @@
   /// The shard that the machine is to go to now: it is marked, and nothing is on it or waits for
   /// it. -1: none.
   [[nodiscard]] int transfer_target(const std::string& name) const;
-  /// The changes that the inventory needs under the token, but for those asked for already.
-  [[nodiscard]] std::vector<InventoryChange> inventory_changes(std::uint64_t token,
-                                                               const Asked& asked) const;
+  /// The changes that the inventory needs under the token, except those requested already.
+  [[nodiscard]] std::vector<InventoryChange> inventory_changes(
+      std::uint64_t token, const IsRequested& is_requested) const;
 
  private:
-  static bool can_go(const Machine& machine);
+  static bool is_ready_to_transfer(const Machine& machine);
   double units(const Machine& machine) const;
-  void keep(Machine& machine);
+  void cancel_transfer(Machine& machine);
   double trim_marked(const MachineTransfer& transfer);
-  static bool can_be_given(const Machine& machine);
+  static bool can_be_transferred(const Machine& machine);
 
   ShardContext& context_;
   Machines& machines_;
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -91,8 +91,8 @@
   void set_machine_address(const std::string& name, const std::string& addr);
   /// Changes that the inventory needs, but for those that it has been asked for already.
   [[nodiscard]] std::vector<InventoryChange> inventory_changes(
-      const MachineTransfers::Asked& asked = [](auto&&...) { return false; }) const {
-    return transfers_.inventory_changes(token(), asked);
+      const MachineTransfers::IsRequested& is_requested = [](auto&&...) { return false; }) const {
+    return transfers_.inventory_changes(token(), is_requested);
   }
   /// MachineTransfers::transfer_target
   [[nodiscard]] int transfer_target(const std::string& name) const {
