--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -22,7 +22,7 @@
   return saves_progress || hardly_begun;
 }
 
-bool Preemption::yields_to(const Placement& placement, const QueuedTask& task) const {
+bool Preemption::may_be_preempted_for(const Placement& placement, const QueuedTask& task) const {
   const Job& running = *placement.job;
   if (task.priority_band != Job::kGuaranteed) return running.priority > task.job->priority;
   return running.team != task.job->team && !running.within_guarantee &&
@@ -35,7 +35,8 @@
                                             double now) const {
   std::vector<Placement*> found;
   for (Placement& placement : machine.tasks.placements)
-    if (can_be_stopped(placement, now) && yields_to(placement, task)) found.push_back(&placement);
+    if (can_be_stopped(placement, now) && may_be_preempted_for(placement, task))
+      found.push_back(&placement);
   const auto rank = [](const Placement* placement) {
     return std::tuple(-static_cast<int>(placement->job->priority),
                       placement->job->spec.checkpoint_s == 0, -placement->started);
@@ -47,21 +48,21 @@
 
 void Preemption::make_room(Machine& machine, double now) {
   if (!machine.accepts_work(now)) return;
-  Resources room_soon = machines_.room(machine);
+  Resources expected_room = machines_.room(machine);
   for (const Placement& placement : machine.tasks.placements)
-    if (placement.preempted && !placement.released) room_soon += placement.job->need;
+    if (placement.preempted && !placement.released) expected_room += placement.job->need;
   for (const QueuedTask& task : machine.queue.tasks) {
     if (task.priority_band > Job::kGuaranteed) break;
     if (!quota_.allows(*task.job, TeamQuota::Counted::placed)) continue;
     if (queues_.is_reserved_for_other(machine, task)) continue;
     const std::vector<Placement*> candidates = victims(machine, task, now);
-    Resources gained = room_soon;
+    Resources gained = expected_room;
     std::size_t count = 0;
     while (count < candidates.size() && !task.job->need.fits(gained))
       gained += candidates[count++]->job->need;
     if (!task.job->need.fits(gained)) break;
     for (std::size_t i = 0; i < count; ++i) placements_.stop(machine, *candidates[i]);
-    room_soon = gained - task.job->need;
+    expected_room = gained - task.job->need;
   }
 }
 
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -25,7 +25,7 @@
 
  private:
   static bool can_be_stopped(const Placement& placement, double now);
-  bool yields_to(const Placement& placement, const QueuedTask& task) const;
+  bool may_be_preempted_for(const Placement& placement, const QueuedTask& task) const;
   std::vector<Placement*> victims(Machine& machine, const QueuedTask& task, double now) const;
 
   Machines& machines_;
--- a/src/scheduler/rentals.cpp
+++ b/src/scheduler/rentals.cpp
@@ -54,14 +54,14 @@
 }
 
 std::vector<ScaleOutRequest> Rentals::scale_out_requests(double now,
-                                                         std::vector<Machine*>& barred) {
+                                                         std::vector<Machine*>& rejected) {
   std::map<TierAndZone, ScaleOutRequest> groups;
   for (const auto& [number, machine] : machines_.all()) {
     if (machine->state != Machine::ordered || machine->announced) continue;
     const TierAndZone key{machine->tier(), machine->zone};
     // A later order where the cloud has just said that it has none goes back to the chain.
     if (refused_lately(machine->tier(), machine->zone, now)) {
-      barred.push_back(machine.get());
+      rejected.push_back(machine.get());
       continue;
     }
     // One request a tier and zone at a time: what is wanted meanwhile goes into the next one, since
@@ -83,7 +83,7 @@
 }
 
 // The order at the index, or a new machine if that one is gone.
-Machine& Rentals::machine_for(const ScaleOutRequest& request, std::size_t index) {
+Machine& Rentals::ordered_or_new_machine(const ScaleOutRequest& request, std::size_t index) {
   Machine* ordered =
       index < request.machines.size() ? machines_.at(request.machines[index]) : nullptr;
   return ordered ? *ordered : machines_.add(request.tier, request.zone);
@@ -106,12 +106,12 @@
       if (ordered) unused.push_back(ordered->number);
       continue;
     }
-    machines_.booting(machine_for(request, i), names[i], now);
+    machines_.booting(ordered_or_new_machine(request, i), names[i], now);
     ++context_.counters.rents;
   }
   if (names.size() < request.machines.size()) {
-    const std::vector<int> rest = refused(request, names.size(), true, now);
-    unused.insert(unused.end(), rest.begin(), rest.end());
+    const std::vector<int> unrented = refused(request, names.size(), true, now);
+    unused.insert(unused.end(), unrented.begin(), unrented.end());
   }
   context_.scheduling_due = true;
   return unused;
--- a/src/scheduler/rentals.h
+++ b/src/scheduler/rentals.h
@@ -30,9 +30,9 @@
   [[nodiscard]] int pick_zone(const jobs::Job& job, int tier, double now) const;
   /// Orders a machine.
   Machine& order(int tier, int zone, double now);
-  /// Requests for what has been ordered since. `barred`: orders where the cloud has just refused.
+  /// Requests for what has been ordered since. `rejected`: orders where the cloud has just refused.
   [[nodiscard]] std::vector<ScaleOutRequest> scale_out_requests(double now,
-                                                                std::vector<Machine*>& barred);
+                                                                std::vector<Machine*>& rejected);
   /// The cloud has rented machines for the request. Returns the numbers of orders that came to
   /// nothing.
   [[nodiscard]] std::vector<int> rented(const ScaleOutRequest& request,
@@ -50,7 +50,7 @@
   using TierAndZone = std::pair<int, int>;
 
   bool refused_lately(int tier, int zone, double now) const;
-  Machine& machine_for(const ScaleOutRequest& request, std::size_t index);
+  Machine& ordered_or_new_machine(const ScaleOutRequest& request, std::size_t index);
 
   ShardContext& context_;
   Machines& machines_;
