--- a/src/scheduler/backfill.h
+++ b/src/scheduler/backfill.h
@@ -15,7 +15,7 @@
 
 /// Gives idle room out of turn. Queues are served in order, so the first task of one that does not
 /// fit keeps the room beside it from all that would. For a while that is how the first one comes to
-/// its room; for longer than a machine can_start to empty it is waste, and a small task would wait
+/// its room; for longer than a machine takes to empty it is waste, and a small task would wait
 /// beside room for as long as large ones come.
 class Backfill {
  public:
--- a/src/scheduler/replica_consolidation.cpp
+++ b/src/scheduler/replica_consolidation.cpp
@@ -51,28 +51,28 @@
 }
 
 // One more of the job's replicas fits on the machine `to`; it is counted there.
-bool ReplicaConsolidation::takes(const Machine& to, const Machine& from, const Job& job,
-                                 PlannedMoves& moves, double now) const {
+bool ReplicaConsolidation::plan_move(const Machine& to, const Machine& from, const Job& job,
+                                     PlannedMoves& moves, double now) const {
   if (&to == &from || !to.accepts_work(now) || !to.in_inventory) return false;
   if (to.tasks.placements.empty() || !to.queue.tasks.empty()) return false;
   if (!machines_.type_ok(job, to.type, to.spot) || !Machines::warm(to, job.image)) return false;
   if (!is_better(to, from)) return false;
-  Resources& taken = moves.room[to.number];
+  Resources& taken = moves.used_capacity[to.number];
   if (!job.need.fits(machines_.room(to) - taken)) return false;
-  int& moved_to_zone = moves.in_zone[{&job, to.zone}];
+  int& moved_to_zone = moves.replicas_by_zone[{&job, to.zone}];
   if (to.zone != from.zone && (moved_to_zone || !machines_.zone_ok(job, to.zone))) return false;
   ++moved_to_zone;
   taken += job.need;
   return true;
 }
 
-bool ReplicaConsolidation::has_room_elsewhere(const Machine& machine, PlannedMoves& moves,
-                                              double now) const {
+bool ReplicaConsolidation::plan_all_moves(const Machine& machine, PlannedMoves& moves,
+                                          double now) const {
   const auto& all = machines_.all();
   return std::all_of(machine.tasks.placements.begin(), machine.tasks.placements.end(),
                      [&](const Placement& placement) {
                        return std::any_of(all.begin(), all.end(), [&](const auto& entry) {
-                         return takes(*entry.second, machine, *placement.job, moves, now);
+                         return plan_move(*entry.second, machine, *placement.job, moves, now);
                        });
                      });
 }
@@ -112,11 +112,11 @@
     Machine& machine = *candidate.machine;
     const auto moves = static_cast<double>(machine.tasks.placements.size());
     if (moves > move_budget_) continue;
-    const auto arriving = planned.room.find(machine.number);
-    if (arriving != planned.room.end() && arriving->second.cpus > 0) continue;
-    PlannedMoves with_this = planned;
-    if (!has_room_elsewhere(machine, with_this, now)) continue;
-    planned = std::move(with_this);
+    const auto arriving = planned.used_capacity.find(machine.number);
+    if (arriving != planned.used_capacity.end() && arriving->second.cpus > 0) continue;
+    PlannedMoves with_candidate = planned;
+    if (!plan_all_moves(machine, with_candidate, now)) continue;
+    planned = std::move(with_candidate);
     move_budget_ -= moves;
     drain(machine);
   }
--- a/src/scheduler/replica_consolidation.h
+++ b/src/scheduler/replica_consolidation.h
@@ -29,8 +29,8 @@
   };
   /// What moves that are under way have taken already, by machine, and added, by job and zone.
   struct PlannedMoves {
-    std::map<int, jobs::Resources> room;
-    std::map<std::pair<const jobs::Job*, int>, int> in_zone;
+    std::map<int, jobs::Resources> used_capacity;
+    std::map<std::pair<const jobs::Job*, int>, int> replicas_by_zone;
   };
 
   static bool is_settled(const Placement& placement, double now);
@@ -39,9 +39,9 @@
   std::vector<DrainCandidate> drain_candidates(double now) const;
   void refill_budget(double now);
   bool is_better(const Machine& to, const Machine& from) const;
-  bool takes(const Machine& to, const Machine& from, const jobs::Job& job, PlannedMoves& moves,
-             double now) const;
-  bool has_room_elsewhere(const Machine& machine, PlannedMoves& moves, double now) const;
+  bool plan_move(const Machine& to, const Machine& from, const jobs::Job& job, PlannedMoves& moves,
+                 double now) const;
+  bool plan_all_moves(const Machine& machine, PlannedMoves& moves, double now) const;
   void drain(Machine& machine);
 
   ShardContext& context_;
