--- a/src/scheduler/reservations.cpp
+++ b/src/scheduler/reservations.cpp
@@ -18,7 +18,7 @@
 constexpr double kOverdueAfterS = 75;
 constexpr double kUrgentOverdueAfterS = 45;
 /// From then on a job goes before more urgent ones.
-constexpr double kFirstAfterS = 150;
+constexpr double kTopPriorityAfterS = 150;
 /// Share of a machine from which on a task is large: what is smaller finds room without.
 constexpr double kLargeShare = 0.4;
 /// A machine with idle room for so long backfills first: nothing waits beside room for as long as
@@ -34,7 +34,7 @@
 
 bool is_urgent(const Job& job) { return job.priority_band() < Job::kGuaranteed; }
 
-double time_left(const Placement& placement, double now) {
+double estimated_time_left(const Placement& placement, double now) {
   if (placement.job->spec.service) return kReplicaMoveS;
   const double estimate_s = placement.job->spec.estimate_s;
   if (placement.started <= 0) return estimate_s;
@@ -50,8 +50,8 @@
 
 /// Room that becomes free.
 struct Release {
-  double in_s = 0;
-  Resources need;
+  double time_left_s = 0;
+  Resources resources;
 };
 }  // namespace
 
@@ -70,8 +70,8 @@
   for (const auto& [id, job] : context_.jobs)
     if (is_overdue(*job, now) && is_large(*job)) found.push_back(job);
   const auto rank = [&](const JobPtr& job) {
-    const bool first = now - job->since > kFirstAfterS;
-    return std::tuple(!first, first ? 0 : job->priority_band(), job->since);
+    const bool top_priority = now - job->since > kTopPriorityAfterS;
+    return std::tuple(!top_priority, top_priority ? 0 : job->priority_band(), job->since);
   };
   std::sort(found.begin(), found.end(),
             [&](const JobPtr& a, const JobPtr& b) { return rank(a) < rank(b); });
@@ -97,25 +97,26 @@
   if (job.need.fits(room)) return 0;
   std::vector<Release> releases;
   for (const Placement& placement : machine.tasks.placements)
-    if (!placement.released) releases.push_back({time_left(placement, now), placement.job->need});
+    if (!placement.released)
+      releases.push_back({estimated_time_left(placement, now), placement.job->need});
   std::sort(releases.begin(), releases.end(),
-            [](const Release& a, const Release& b) { return a.in_s < b.in_s; });
+            [](const Release& a, const Release& b) { return a.time_left_s < b.time_left_s; });
   for (const Release& release : releases) {
-    room += release.need;
-    if (job.need.fits(room)) return release.in_s;
+    room += release.resources;
+    if (job.need.fits(room)) return release.time_left_s;
   }
   return std::numeric_limits<double>::infinity();
 }
 
 // Null: none has room before a reservation would end.
-Machine* Reservations::machine_with_room_soonest(const Job& job, double now) const {
+Machine* Reservations::soonest_free_machine(const Job& job, double now) const {
   Machine* best = nullptr;
   double soonest_s = kReservationDurationS;
   for (const auto& [number, machine] : machines_.all()) {
     if (!can_be_reserved(*machine, job, now)) continue;
-    const double in_s = time_until_room(*machine, job, now);
-    if (in_s >= soonest_s) continue;
-    soonest_s = in_s;
+    const double time_left_s = time_until_room(*machine, job, now);
+    if (time_left_s >= soonest_s) continue;
+    soonest_s = time_left_s;
     best = machine.get();
   }
   return best;
@@ -188,7 +189,7 @@
   for (const JobPtr& job : overdue_jobs(now)) {
     const std::size_t limit = is_urgent(*job) ? active.urgent_limit : active.limit;
     if (active.jobs.size() >= limit || active.jobs.contains(job)) continue;
-    Machine* machine = machine_with_room_soonest(*job, now);
+    Machine* machine = soonest_free_machine(*job, now);
     if (!machine) continue;
     if (!quota_.allows(*job, TeamQuota::Counted::placed)) {
       quota_.reserve(job, now);
--- a/src/scheduler/reservations.h
+++ b/src/scheduler/reservations.h
@@ -43,7 +43,7 @@
   bool is_large(const jobs::Job& job) const;
   std::vector<jobs::JobPtr> overdue_jobs(double now) const;
   bool can_be_reserved(const Machine& machine, const jobs::Job& job, double now) const;
-  Machine* machine_with_room_soonest(const jobs::Job& job, double now) const;
+  Machine* soonest_free_machine(const jobs::Job& job, double now) const;
   double time_until_room(const Machine& machine, const jobs::Job& job, double now) const;
   std::optional<QueuedTask> take_task(const jobs::JobPtr& job, double now);
   void reserve(Machine& machine, const jobs::JobPtr& job, double now);
