--- a/src/scheduler/urgent_headroom.cpp
+++ b/src/scheduler/urgent_headroom.cpp
@@ -30,7 +30,7 @@
   return largest;
 }
 
-std::int64_t UrgentHeadroom::clear(double now) {
+std::int64_t UrgentHeadroom::release_all(double now) {
   std::int64_t cpus = 0;
   for (const auto& [number, machine] : machines_.all()) {
     machine->reserved = {};
@@ -59,38 +59,38 @@
   return by_zone;
 }
 
-// Room for a few tasks, in half of the machine at the most, and `left` vcpus.
+// Room for a few tasks, in half of the machine at the most, and `remaining_cpus` vcpus.
 Resources UrgentHeadroom::headroom(const Machine& machine, const Job& job,
-                                   std::int64_t left) const {
+                                   std::int64_t remaining_cpus) const {
   const Resources& capacity = context_.catalogue.types[static_cast<std::size_t>(machine.type)].room;
-  Resources kept;
+  Resources headroom;
   for (int task = 0; task < kMaxTasksPerMachine; ++task) {
-    const Resources more = kept + job.need;
-    if (more.cpus > left || !(more + more).fits(capacity)) break;
-    kept = more;
+    const Resources larger = headroom + job.need;
+    if (larger.cpus > remaining_cpus || !(larger + larger).fits(capacity)) break;
+    headroom = larger;
   }
-  return kept;
+  return headroom;
 }
 
 void UrgentHeadroom::update(double now) {
   if (now < updated_at_ + kUpdateIntervalS) return;
   updated_at_ = now;
-  const std::int64_t shard_cpus = clear(now);
+  const std::int64_t shard_cpus = release_all(now);
   const JobPtr job = largest_urgent_job(now);
   if (!job || job->need.cpus <= 0) return;
-  std::int64_t left = std::min<std::int64_t>(
+  std::int64_t remaining_cpus = std::min<std::int64_t>(
       job->need.cpus * job->spec.tasks,
       static_cast<std::int64_t>(kMaxHeadroomShare * static_cast<double>(shard_cpus)));
   const MachinesByZone by_zone = suitable_machines(*job, now);
   // Zone by zone in turn, since jobs are spread.
-  bool more = true;
-  for (std::size_t i = 0; more && left >= job->need.cpus; ++i) {
-    more = false;
+  bool any_machine_left = true;
+  for (std::size_t i = 0; any_machine_left && remaining_cpus >= job->need.cpus; ++i) {
+    any_machine_left = false;
     for (const std::vector<Machine*>& zone : by_zone) {
-      if (i >= zone.size() || left < job->need.cpus) continue;
-      more = true;
-      zone[i]->reserved = headroom(*zone[i], *job, left);
-      left -= zone[i]->reserved.cpus;
+      if (i >= zone.size() || remaining_cpus < job->need.cpus) continue;
+      any_machine_left = true;
+      zone[i]->reserved = headroom(*zone[i], *job, remaining_cpus);
+      remaining_cpus -= zone[i]->reserved.cpus;
     }
   }
 }
--- a/src/scheduler/urgent_headroom.h
+++ b/src/scheduler/urgent_headroom.h
@@ -24,9 +24,10 @@
   /// The largest urgent job of late: room is kept for another one like it. Null: none is kept.
   jobs::JobPtr largest_urgent_job(double now) const;
   /// Frees all kept room. Returns the vcpus (Resources::cpus) of the machines that accept work.
-  std::int64_t clear(double now);
+  std::int64_t release_all(double now);
   MachinesByZone suitable_machines(const jobs::Job& job, double now) const;
-  jobs::Resources headroom(const Machine& machine, const jobs::Job& job, std::int64_t left) const;
+  jobs::Resources headroom(const Machine& machine, const jobs::Job& job,
+                           std::int64_t remaining_cpus) const;
 
   ShardContext& context_;
   Machines& machines_;
