--- a/src/chain/bandit.cpp
+++ b/src/chain/bandit.cpp
@@ -20,7 +20,7 @@
   return 4;
 }
 
-// The mean of as many costs as there are, drawn with replacement.
+// Returns the mean of a bootstrap sample: as many costs as are recorded, drawn with replacement.
 double Bandit::resampled_mean(const std::vector<float>& costs, Rng& rng) {
   std::uniform_int_distribution<std::size_t> draw(0, costs.size() - 1);
   double sum = 0;
@@ -61,12 +61,13 @@
 }
 
 void IdleWait::record_reuse(double idled_s, double boot_s) {
-  // Idling cost more than a reboot would have.
+  // The idle time cost more than returning the machine and booting another one.
   if (idled_s > boot_s) wait_s_ = std::max(1.0, wait_s_ / lambda_);
 }
 
 void IdleWait::record_rental(double since_idle_s, double boot_s) {
-  // Had it stayed, the idle rent would have been less than this boot.
+  // The idle rent of the returned machine up to now would have been less than the cost of this
+  // boot.
   if (since_idle_s < seconds(boot_s) + boot_s)
     wait_s_ = std::min(std::max(wait_s_, boot_s) * lambda_, max_boots_ * boot_s);
 }
--- a/src/chain/walk.cpp
+++ b/src/chain/walk.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A decision that was drawn in this walk: equal questions get the same answer.
+/// A decision drawn in this walk. The same learner, context and allowed arms get the same decision.
 struct Draw {
   Bandit* learner;
   std::uint64_t context_key;
@@ -15,11 +15,11 @@
   Arm arm;
 };
 
-/// Where a candidate was that could have accepted.
+/// The first candidate of the walk that could have accepted the task.
 struct Fallback {
   const Candidate* candidate;
   int tier;
-  std::size_t step;  // number of steps before it
+  std::size_t step;  // number of steps before this candidate
 };
 
 class Walker {
@@ -34,12 +34,12 @@
   }
 
  private:
-  // True: the walk ends in this tier.
+  // Returns true if the walk ends in this tier.
   bool walk_tier(const Tier& tier, bool has_next_tier) {
     for (std::size_t i = 0; i < tier.candidates.size(); ++i) {
       const Candidate& candidate = tier.candidates[i];
       const bool is_last = i + 1 == tier.candidates.size();
-      // Past the last machine there must be something to pass to.
+      // The last machine may Pass only if the tier has an end that joins or makes a rent.
       const bool may_pass = !candidate.empty && !(is_last && tier.end.kind == TierEnd::none);
       const AllowedArms allowed{candidate.may_accept, may_pass, has_next_tier};
       if (std::none_of(allowed.begin(), allowed.end(), [](bool arm) { return arm; })) continue;
@@ -59,7 +59,7 @@
     return true;
   }
 
-  // A decision that is drawn once is recorded once.
+  // Adds a step only for a new draw, so that each draw has its cost recorded once.
   Arm decide(const Candidate& candidate, const AllowedArms& allowed, int tier) {
     const std::uint64_t context_key = candidate.context.key();
     const auto known = std::find_if(draws_.begin(), draws_.end(), [&](const Draw& draw) {
@@ -78,8 +78,9 @@
     return arm;
   }
 
-  // Every arm led to an end where nothing can be rented: the first machine that could have accepted
-  // takes the task, so that a walk still ends at an Accept (paper 3.1).
+  // Called when the walk has run past the last tier without a rent. The first machine that could
+  // have accepted takes the task, so that a walk still ends at an Accept (paper 3.1). The outcome
+  // stays `stalled` if there is none.
   void take_fallback() {
     if (!fallback_) return;
     const Candidate& candidate = *fallback_->candidate;
--- a/src/chain/walk.h
+++ b/src/chain/walk.h
@@ -1,5 +1,6 @@
-// A task's walk through the chain (DESIGN points 1-5): tiers in order of price, machines in order
-// of number, until a machine accepts the task or a tier's end takes it.
+// A task's walk through the chain (DESIGN points 1-5). The walk visits tiers in order of price and
+// the machines of each tier in order of their number. It ends when a machine accepts the task, or
+// at the end of a tier where the task joins a pending rent or causes a new one.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -8,39 +9,40 @@
 
 namespace shunttrail::chain {
 
-/// One decision on the way: what the finish cost is recorded with.
+/// One decision of a walk. The task's finish cost is recorded for it later.
 struct Step {
-  Bandit* learner = nullptr;  // the caller's
+  Bandit* learner = nullptr;  // owned by the caller
   Context context;
   Arm arm = Arm::accept;
 };
 
-/// A machine that a task may come to.
+/// A machine that a walk may choose for a task.
 struct Candidate {
-  /// The caller's own number.
+  /// The number by which the caller identifies the machine.
   int machine = 0;
-  /// The caller's.
+  /// Owned by the caller.
   Bandit* learner = nullptr;
   Context context;
-  /// False above b waiting tasks, or when the machine is leaving.
+  /// False if more than b tasks wait for the machine (the waiting bar), or it is leaving.
   bool may_accept = true;
-  /// Empty machines cannot Pass.
+  /// True if nothing runs on the machine or waits for it. An empty machine cannot Pass.
   bool empty = false;
 };
 
-/// The kinds of a tier's candidates: a learner cannot tell those of a kind apart, and a walk draws
-/// for them once. So the first of a kind stands for those that follow it, but for the last machine
-/// of the tier. All candidates must be for the same task.
+/// The kinds of candidates found in a tier so far. Candidates are of one kind if a learner cannot
+/// distinguish them; a walk draws one decision for each kind. The first candidate of a kind
+/// therefore represents those that follow it, except the last machine of the tier, which may be
+/// barred from Pass. All candidates must be for the same task.
 class CandidateKinds {
  public:
-  /// False: one of its kind was there before.
+  /// Adds the candidate's kind. Returns false if it was already present.
   bool add(const Candidate& candidate) {
     const std::uint64_t bit = kind_bit(candidate, candidate.context.warm);
     const bool added = !(seen_ & bit);
     seen_ |= bit;
     return added;
   }
-  /// Its kind was there, whether it is warm or cold.
+  /// Returns true if the candidate's kind is present both with and without the image.
   [[nodiscard]] bool has_warm_and_cold(const Candidate& candidate) const {
     return (seen_ & kind_bit(candidate, true)) && (seen_ & kind_bit(candidate, false));
   }
@@ -54,39 +56,40 @@
   std::uint64_t seen_ = 0;
 };
 
-/// What lies past a tier's last machine.
+/// The continuation of a walk after a tier's last machine.
 struct TierEnd {
   enum Kind {
     none,
-    join,  // a pending rent
-    rent,  // a new one
+    join,  // the task joins a pending rent
+    rent,  // a machine is rented for the task
   } kind = none;
-  /// join: the machine that is being rented.
+  /// For `join`, the machine that is being rented.
   int machine = 0;
 };
 
-/// The machines of one type and kind (spot or ordinary), as one task finds them.
+/// The machines of one type and pricing (spot or on-demand), as one task finds them.
 struct Tier {
   int id = 0;
   std::vector<Candidate> candidates;
   TierEnd end;
 };
 
-/// Where a walk has ended.
+/// The result of a walk.
 struct Outcome {
   enum Kind {
-    stalled,   // nowhere
-    accepted,  // in the queue of `machine`
-    joined,    // in the queue of `machine`, which is being rented
-    rented,    // a machine of the tier is to be rented
+    stalled,   // no machine accepts the task and none can be rented
+    accepted,  // the task joins the queue of `machine`
+    joined,    // the task joins the queue of `machine`, which is being rented
+    rented,    // a machine of the tier is to be rented for the task
   } kind = stalled;
   int tier = 0;
   int machine = 0;
   std::vector<Step> steps;
 };
 
-/// Walks through the tiers. Each learner resamples its costs once a walk and context: machines that
-/// share a learner and a context cannot differ, and a tier may have hundreds of them.
+/// Walks through the tiers. Each learner resamples its costs once for each context and set of
+/// allowed arms: a tier may have hundreds of machines that share a learner and a context, and the
+/// learner cannot distinguish them.
 [[nodiscard]] Outcome walk(const std::vector<Tier>& tiers, Rng& rng);
 
 }  // namespace shunttrail::chain
