--- a/src/scheduler/admission.cpp
+++ b/src/scheduler/admission.cpp
@@ -10,20 +10,22 @@
 using jobs::Resources;
 
 namespace {
-// These bound how long one pass keeps all else waiting, since each walk looks at every machine;
-// what is left goes on with the next pass, heartbeat or check. 256,000 tasks are 640 passes.
+// Limits of one pass, heartbeat or check. Each walk looks at every machine of the shard while all
+// other work of the controller waits, so the limits bound that delay. Remaining tasks are handled
+// by the next pass, heartbeat or check; 256,000 pending tasks take 640 passes.
 
-/// Walks through the chain in one pass.
+/// Maximum number of walks through the chain in one scheduling pass.
 constexpr std::size_t kMaxWalksPerPass = 400;
-/// Tasks from other queues that enter the chain when one machine reports room.
+/// Maximum number of tasks from other queues that enter the chain during one pull_urgent_tasks
+/// call.
 constexpr std::size_t kMaxPullsPerHeartbeat = 32;
-/// Tasks that change queues in one call of requeue_blocked.
+/// Maximum number of tasks that requeue_blocked moves in one call.
 constexpr std::size_t kMaxMovesPerCall = 32;
-/// A task waits in a queue for so long at the most while a machine can be rented for it.
+/// Maximum time, in seconds, that a task waits in a queue while a machine can be rented for it.
 constexpr double kMaxQueueWaitS = 60;
 }  // namespace
 
-// ---- into the chain
+// ---- entering the chain
 
 Admission::EntryResult Admission::enter_chain(QueuedTask task, ChainWalk::KnownCapacity capacity,
                                               double now) {
@@ -41,8 +43,8 @@
   machines_.reused(machine, now);
   const ServiceOrder order = task.service_order();
   queues_.enqueue(machine, std::move(task));
-  // No further than this task: what waits behind it must not take the room that other urgent tasks
-  // are just being pulled to.
+  // Serve the queue only up to this task: tasks behind it must not take the capacity for which
+  // other urgent tasks are being pulled.
   if (machine.state == Machine::up) service_.place_queued(machine, now, order);
   preemption_.make_room(machine, now);
   return {true, result.found_no_room};
@@ -62,7 +64,7 @@
                     job->job_class, spec.spot,      job->priority_band()};
   if (unconstrained && pass.shapes_without_machine.contains(shape)) return;
   while (!job->pending.empty() && pass.walks < kMaxWalksPerPass) {
-    // A team at its limit gets no Accept and no rent.
+    // A team at its limit gets neither an Accept nor a rent.
     if (!quota_.allows(*job, TeamQuota::Counted::placed_and_queued)) return;
     ++pass.walks;
     QueuedTask task = queues_.take_pending(job, now);
@@ -72,7 +74,8 @@
     const EntryResult entry = enter_chain(
         std::move(task),
         known_full ? ChainWalk::KnownCapacity::none : ChainWalk::KnownCapacity::unknown, now);
-    // The task was placed at once: a queue may have become shorter.
+    // The task was placed at once, so a queue may have become shorter and a machine may be able to
+    // take the next task.
     if (entry.entered && !queues_.tasks().contains(order)) pass.shapes_without_room.clear();
     if (unconstrained && entry.found_no_room) pass.shapes_without_room.insert(shape);
     if (!entry.entered) {
@@ -83,7 +86,7 @@
   }
 }
 
-// ---- machines with room
+// ---- machines with free capacity
 
 void Admission::serve_machine(Machine& machine, double now) {
   pull_urgent_tasks(machine, now);
@@ -92,20 +95,22 @@
   pull_urgent_tasks(machine, now);
 }
 
-// Before the machine's own queue has been served, only more urgent tasks come: else room would go
-// to low work here while urgent tasks wait for machines that are full.
+// Returns true if a task of this order should be served before the machine's own queue. Less urgent
+// tasks must not enter the chain first: they would take the free capacity here while more urgent
+// tasks wait for full machines.
 bool Admission::is_served_before_queue(const ServiceOrder& order, const Machine& machine) {
   if (machine.queue.tasks.empty()) return true;
   const ServiceOrder head = machine.queue.tasks.front().service_order();
   return TaskQueues::is_ordered_by_start(order.first) ? order < head : order.first < head.first;
 }
 
-// A machine reports room: tasks that wait for others enter the chain again, the more urgent and
-// longest-waiting first, each leaving its old queue first (DESIGN point 2; here from every tier).
+// Sends tasks that wait for other machines into the chain again, in order of service: the more
+// urgent and longest-waiting first. Each task leaves its old queue first (DESIGN point 2; extended
+// here to all tiers).
 void Admission::pull_urgent_tasks(Machine& machine, double now) {
   if (!machine.accepts_work(now) || !machine.in_inventory || queues_.is_reserved(machine)) return;
   std::size_t walks = 0;
-  const Job* unfit_job = nullptr;  // the same job's next task would not fit either
+  const Job* unfit_job = nullptr;  // the job's other tasks do not fit either
   auto next = queues_.tasks().begin();
   while (next != queues_.tasks().end() && walks < kMaxPullsPerHeartbeat) {
     if (!queues_.any_fits(machines_.room(machine))) return;
@@ -137,9 +142,9 @@
   from.note_idle(now);
 }
 
-// ---- tasks that would wait too long
+// ---- tasks blocked in a queue
 
-// The task does not fit even when everything but the replicas has ended.
+// Returns true if the task would not fit even after all tasks except replicas have ended.
 bool Admission::is_blocked_by_replicas(const Machine& machine, const QueuedTask& task) const {
   Resources room = machines_.room(machine, task.priority_band);
   for (const Placement& placement : machine.tasks.placements)
@@ -147,7 +152,7 @@
   return !task.job->need.fits(room);
 }
 
-// In order of service, with the machines that they wait for.
+// Returns blocked tasks in order of service, each with the number of the machine that it waits for.
 std::vector<std::pair<ServiceOrder, int>> Admission::blocked_tasks(double now) const {
   std::vector<std::pair<ServiceOrder, int>> found;
   for (const auto& [number, machine] : machines_.all()) {
@@ -163,11 +168,10 @@
   return found;
 }
 
-// A task is accepted by a full machine when the cloud has nothing to give. Where replicas have
-// filled it, no report would ever show room, and the task would wait for good though machines could
-// be had again (docs/design.md, X12). Nor does a task wait in any queue for longer than its
-// patience while a machine can be had: the room that the ends of others would give it may go to
-// others.
+// A full machine accepts a task while the cloud has no capacity. If replicas fill the machine, its
+// free capacity never becomes large enough, and the task would wait forever even if machines can be
+// rented again (docs/design.md, X12). Tasks that wait longer than kMaxQueueWaitS move as well: the
+// capacity that other tasks will free may go to tasks ahead of them.
 void Admission::requeue_blocked(double now) {
   for (const auto& [order, number] : blocked_tasks(now)) {
     Machine& from = *machines_.at(number);
@@ -177,7 +181,8 @@
   }
 }
 
-// To the cheapest tier with a pending rent to join, or where a machine can be rented.
+// Moves the task to the cheapest tier with a pending rent to join, or where a machine can be
+// rented. Does nothing if there is no such tier.
 void Admission::move_to_rented_machine(Machine& from, TaskQueues::Position position, double now) {
   const auto tiers = walk_.tiers(*position, ChainWalk::Scope::all_machines, now);
   const auto tier = std::find_if(tiers.begin(), tiers.end(), [](const chain::Tier& candidate) {
@@ -185,7 +190,7 @@
   });
   if (tier == tiers.end()) return;
   QueuedTask task = queues_.dequeue(from, position);
-  // What it passed through is not what it costs now.
+  // The earlier decisions did not lead to this machine, so their learners must not record its cost.
   task.chain_steps.clear();
   task.rented = tier->end.kind == chain::TierEnd::rent;
   const int zone = task.rented ? rentals_.pick_zone(*task.job, tier->id, now) : -1;
--- a/src/scheduler/admission.h
+++ b/src/scheduler/admission.h
@@ -1,4 +1,5 @@
-// Admission: tasks enter the chain, from their jobs or from another machine's queue. Free of I/O.
+// Admission: sends tasks into the chain, from their jobs or from another machine's queue. Performs
+// no I/O.
 #pragma once
 #include <set>
 #include <tuple>
@@ -14,7 +15,7 @@
 
 namespace shunttrail::scheduler {
 
-/// Sends tasks through the chain and into the queue of the machine that it chooses.
+/// Sends tasks through the chain and into the queue of the machine that the chain chooses.
 class Admission {
  public:
   Admission(ShardContext& context, Machines& machines, Rentals& rentals, TaskQueues& queues,
@@ -28,34 +29,37 @@
         service_(service),
         preemption_(preemption) {}
 
-  /// Pending tasks enter the chain, in the order of their jobs. What a pass has no time for is left
-  /// to the next one.
+  /// Sends pending tasks into the chain, in the order of their jobs. Tasks beyond the limit of one
+  /// scheduling pass stay pending, and another pass becomes due.
   void admit_pending(double now);
 
-  /// A machine reports, or has been given room: its queue is served, and urgent tasks that wait
-  /// elsewhere enter the chain again.
+  /// Serves the queue of a machine that has sent a heartbeat or may have gained free capacity.
+  /// Urgent tasks that wait for other machines enter the chain again before and after that.
   void serve_machine(Machine& machine, double now);
 
-  /// Tasks that wait for longer than their patience, or where only the end of a replica would make
-  /// room (nobody knows when a service ends), move to a machine that is being rented or can be.
+  /// Moves queued tasks to a machine that is being rented or can be rented, if they have waited
+  /// longer than kMaxQueueWaitS, or if only the end of a replica would free enough capacity (the
+  /// end of a service is unknown).
   void requeue_blocked(double now);
 
  private:
-  /// Whether a task has entered the chain.
+  /// The result of sending one task into the chain.
   struct EntryResult {
     bool entered = false;
-    /// No machine has room for it.
+    /// No machine has free capacity for the task.
     bool found_no_room = false;
   };
-  /// Jobs of the same shape, without constraints of their own, fit the same machines: need, class,
-  /// spot and band.
+  /// The properties by which tasks of jobs without placement constraints fit the same machines:
+  /// vcpus, GPUs, memory, job class, whether spot machines are allowed, and priority band.
   using Shape = std::tuple<std::int64_t, std::int64_t, std::int64_t, int, bool, int>;
-  /// What a pass has found out about shapes.
+  /// The state of one scheduling pass.
   struct PassState {
     std::size_t walks = 0;
-    /// Found no place: another job of the same shape finds none either.
+    /// Shapes for which the chain found no machine and no rent: other jobs of the shape are skipped
+    /// for the rest of the pass.
     std::set<Shape> shapes_without_machine;
-    /// Found no room: the next task need not search for it. Room only shrinks while tasks enter.
+    /// Shapes for which no machine has free capacity: the next walk skips that search, since free
+    /// capacity only shrinks while tasks enter the chain.
     std::set<Shape> shapes_without_room;
   };
 
--- a/src/scheduler/backfill.cpp
+++ b/src/scheduler/backfill.cpp
@@ -10,11 +10,11 @@
 using jobs::Resources;
 
 namespace {
-/// A machine is filled once it has had idle room for so long.
+/// Time, in seconds, that a machine must have idle capacity before it is backfilled.
 constexpr double kIdleBeforeBackfillS = 75;
-/// Machines filled in one run, of which there is one a second: each looks at all that waits. A
-/// rate, not a bound; where more than 60 have idle room at once, the last of them wait for longer
-/// than 90 s.
+/// Maximum number of machines backfilled in one run. Runs are one second apart, and each machine
+/// looks at all waiting tasks. This is a rate, not a bound: if more than 60 machines have idle
+/// capacity at once, tasks at the last of them wait longer than 90 s.
 constexpr std::size_t kMaxMachinesPerRun = 4;
 }  // namespace
 
@@ -66,7 +66,8 @@
          machines_.usable(machine, job, now) && service_.may_be_placed(job, task);
 }
 
-// In order of service: what waits in queues, then what has yet to enter the chain.
+// Starts tasks in order of service: first those in queues, then pending ones, which have not
+// entered the chain.
 void Backfill::fill(Machine& machine, double now) {
   fill_from_queues(machine, now);
   fill_from_pending(machine, now);
--- a/src/scheduler/backfill.h
+++ b/src/scheduler/backfill.h
@@ -1,5 +1,5 @@
-// Backfill: room that has stood idle beside a blocked queue goes to whatever fits (docs/design.md,
-// X13). Free of I/O.
+// Backfill: starts waiting tasks out of turn on machines whose free capacity has stayed unused
+// behind a blocked queue (docs/design.md, X13). Performs no I/O.
 #pragma once
 #include <set>
 #include <tuple>
@@ -13,10 +13,11 @@
 
 namespace shunttrail::scheduler {
 
-/// Gives idle room out of turn. Queues are served in order, so the first task of one that does not
-/// fit keeps the room beside it from all that would. For a while that is how the first one comes to
-/// its room; for longer than a machine takes to empty it is waste, and a small task would wait
-/// beside room for as long as large ones come.
+/// Starts waiting tasks out of turn on idle capacity. A queue is served in order, so a first task
+/// that does not fit keeps the free capacity from all tasks that would fit. This lets the first
+/// task collect enough capacity; but if it lasts longer than a machine takes to empty, capacity is
+/// wasted, and a small task would wait next to free capacity for as long as large tasks keep
+/// arriving.
 class Backfill {
  public:
   Backfill(ShardContext& context, Machines& machines, Placements& placements, TaskQueues& queues,
@@ -28,7 +29,8 @@
         quota_(quota),
         service_(service) {}
 
-  /// Notes which machines have idle room, and fills some of those that have had it for long.
+  /// Records which machines have idle capacity, and backfills some of those that have had it for at
+  /// least kIdleBeforeBackfillS.
   void run(double now);
 
  private:
--- a/src/scheduler/machine_queue.h
+++ b/src/scheduler/machine_queue.h
@@ -1,5 +1,5 @@
-// The queue of one machine: the tasks that wait for room on it. Only TaskQueues, Backfill and
-// Reservations change it.
+// The queue of one machine: the tasks that wait for free capacity on it. Only TaskQueues, Backfill
+// and Reservations modify it.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -10,21 +10,21 @@
 
 namespace shunttrail::scheduler {
 
-/// Tasks that wait for one machine, and the reservation on it.
+/// The tasks that wait for one machine, and the reservation on it.
 struct MachineQueue {
-  /// Number of waiting tasks by priority band. Of one machine, whatever the fleet's size: a task
-  /// joins a queue no longer than the waiting bar (10,000 at the most), or that of an ordered
-  /// machine as far as its room goes.
+  /// Number of waiting tasks by priority band. 16 bits suffice whatever the size of the cluster: a
+  /// task joins a queue only up to the waiting bar (at most 10,000), or the queue of an ordered
+  /// machine only while it fits the machine's capacity.
   std::array<std::uint16_t, wire::kPriorities + 1> tasks_by_band{};
-  /// In order of service.
+  /// Waiting tasks in order of service.
   std::vector<QueuedTask> tasks;
-  /// Steady time since which the machine has had room for some waiting task of the shard, in
-  /// seconds; -1: it has none.
+  /// Steady time, in seconds, since which the machine has had free capacity for some waiting task
+  /// of the shard; -1 if it has none.
   double idle_capacity_since = -1;
-  /// The task that the machine is reserved for: nothing else is placed here until there is room
-  /// for it. Valid as long as the task is in this queue (TaskQueues::is_reserved).
+  /// The task for which the machine is reserved: nothing else is placed on the machine until the
+  /// task fits. Valid only while the task is in this queue (TaskQueues::is_reserved).
   std::optional<ServiceOrder> reserved_for;
-  /// Steady time of the latest reservation, in seconds.
+  /// Steady time, in seconds, of the latest reservation.
   double reserved_at = -1e9;
 };
 
--- a/src/scheduler/queue_service.cpp
+++ b/src/scheduler/queue_service.cpp
@@ -3,12 +3,13 @@
 namespace shunttrail::scheduler {
 
 bool QueueService::may_be_placed(const jobs::Job& job, std::uint32_t task) const {
-  // A task of a gang joins its round once (Job::round).
+  // A task of a gang joins a round only once (Job::round).
   if (job.spec.gang && job.in_round.contains(task)) return false;
   return quota_.allows(job, TeamQuota::Counted::placed);
 }
 
-// What is kept free for urgent work counts as room for the task that has the machine reserved.
+// Returns true if the task fits the machine's free capacity. The task that has the machine reserved
+// may also use the capacity kept free for urgent work.
 bool QueueService::has_room(const Machine& machine, const QueuedTask& task) const {
   return task.job->need.fits(queues_.is_reserved(machine)
                                  ? machines_.room(machine)
@@ -26,15 +27,16 @@
       continue;
     }
     if (!machines_.usable(machine, *task.job, now)) {
-      // Its job's other tasks have bound it to another zone since it joined.
+      // After this task joined the queue, other tasks of its job bound the job to another zone.
       const QueuedTask removed = queues_.dequeue(machine, position);
       context_.requeue(removed.job, removed.task);
       continue;
     }
-    // The queue is served strictly in order: small tasks that went before a large one would keep it
-    // waiting for as long as they keep coming.
+    // The queue is served strictly in order: if small tasks could overtake a large one, they would
+    // keep it waiting for as long as they keep arriving.
     if (!has_room(machine, task)) break;
-    // Counted again at the last moment, over every recorded placement: the limit is a rule.
+    // The limit must hold at all times, so check it again before placing, against every recorded
+    // placement.
     if (!may_be_placed(*task.job, task.task)) {
       ++i;
       continue;
--- a/src/scheduler/queue_service.h
+++ b/src/scheduler/queue_service.h
@@ -1,4 +1,5 @@
-// Serving machines' queues: what waits for a machine is placed on it in order. Free of I/O.
+// Serves machines' queues: places the tasks that wait for a machine on it, in order. Performs no
+// I/O.
 #pragma once
 #include <optional>
 
@@ -10,7 +11,7 @@
 
 namespace shunttrail::scheduler {
 
-/// Places queued tasks on the machines that they wait for.
+/// Places queued tasks on the machines for which they wait.
 class QueueService {
  public:
   QueueService(ShardContext& context, Machines& machines, Placements& placements,
@@ -21,11 +22,11 @@
         queues_(queues),
         quota_(quota) {}
 
-  /// Places tasks of the machine's queue in order of service, until one does not fit. With
+  /// Places the tasks of the machine's queue in order of service until one does not fit. With
   /// `last`, tasks behind that one stay in the queue.
   void place_queued(Machine& machine, double now, std::optional<ServiceOrder> last = std::nullopt);
 
-  /// A task of the job may be placed now, as far as the job's team and its gang go.
+  /// Returns true if the job's team limit and its gang allow this task to be placed now.
   [[nodiscard]] bool may_be_placed(const jobs::Job& job, std::uint32_t task) const;
 
  private:
--- a/src/scheduler/reservation_limits.h
+++ b/src/scheduler/reservation_limits.h
@@ -3,9 +3,9 @@
 
 namespace shunttrail::scheduler {
 
-/// Longest life of a reservation, of a machine or of a team's quota, in seconds.
+/// Longest duration, in seconds, of a reservation of a machine or of a team's quota.
 inline constexpr double kReservationDurationS = 60;
-/// Pause, in seconds, before the same machine or team is reserved again.
+/// Time, in seconds, after a reservation before the same machine or team is reserved again.
 inline constexpr double kReservationPauseS = 30;
 
 }  // namespace shunttrail::scheduler
--- a/src/scheduler/reservations.cpp
+++ b/src/scheduler/reservations.cpp
@@ -14,22 +14,27 @@
 using jobs::Resources;
 
 namespace {
-/// A job is overdue once it has waited for so long and none of its tasks has begun.
+/// Time, in seconds, that a job must have waited without starting any task to be overdue.
 constexpr double kOverdueAfterS = 75;
 constexpr double kUrgentOverdueAfterS = 45;
-/// From then on a job goes before more urgent ones.
+/// Time, in seconds, that a job must have waited to take precedence over more urgent ones.
 constexpr double kTopPriorityAfterS = 150;
-/// Share of a machine from which on a task is large: what is smaller finds room without.
+/// Minimum share of a machine for a task to count as large. Smaller tasks find free capacity
+/// without a reservation.
 constexpr double kLargeShare = 0.4;
-/// A machine with idle room for so long backfills first: nothing waits beside room for as long as
-/// backfill and a reservation take together.
+/// A machine that has had idle capacity for longer than this, in seconds, is not reserved, so that
+/// backfill can use it first: no task must wait next to free capacity for as long as backfill and a
+/// reservation take together.
 constexpr double kMaxIdleCapacityS = 20;
-/// One in so many of a shard's machines is reserved at a time, but one at least.
+/// Number of a shard's machines for each reservation at a time; at least one reservation is always
+/// allowed.
 constexpr std::size_t kMachinesPerReservation = 32;
 constexpr std::size_t kMachinesPerUrgentReservation = 3;
-/// Counted, in seconds, for a replica that has to move, so that a machine without one comes first.
+/// Time, in seconds, that is assumed for moving a replica, so that a machine without replicas is
+/// preferred.
 constexpr double kReplicaMoveS = 20;
-/// Left of a task that runs for longer than was estimated, in seconds.
+/// Minimum time, in seconds, assumed to be left of a running task, which applies if it exceeds its
+/// estimate.
 constexpr double kMinTimeLeftS = 5;
 
 bool is_urgent(const Job& job) { return job.priority_band() < Job::kGuaranteed; }
@@ -42,20 +47,21 @@
 }
 
 bool is_overdue(const Job& job, double now) {
-  // A foreign job goes back where it came from rather than take room from the shard's own.
+  // A foreign job does not get a reservation: its tasks go back to their own shard instead of
+  // taking capacity from this shard's jobs.
   if (job.is_foreign || job.placed || job.done_count() || job.not_before > now) return false;
   const bool waits = job.queued || !job.pending.empty();
   return waits && now - job.since > (is_urgent(job) ? kUrgentOverdueAfterS : kOverdueAfterS);
 }
 
-/// Room that becomes free.
+/// Resources that a task frees when it ends.
 struct Release {
   double time_left_s = 0;
   Resources resources;
 };
 }  // namespace
 
-// ---- which jobs
+// ---- overdue jobs
 
 bool Reservations::is_large(const Job& job) const {
   const auto& types = context_.catalogue.types;
@@ -64,7 +70,8 @@
   });
 }
 
-// The longest-waiting first once they have waited for very long, the more urgent before that.
+// Returns overdue jobs with large tasks: first those that have waited longer than
+// kTopPriorityAfterS, the oldest first, then the others, the more urgent first.
 std::vector<JobPtr> Reservations::overdue_jobs(double now) const {
   std::vector<JobPtr> found;
   for (const auto& [id, job] : context_.jobs)
@@ -78,7 +85,7 @@
   return found;
 }
 
-// ---- which machine
+// ---- choice of a machine
 
 bool Reservations::can_be_reserved(const Machine& machine, const Job& job, double now) const {
   if (!machine.accepts_work(now) || !machine.in_inventory) return false;
@@ -91,7 +98,8 @@
   return share_of(job.need, type.room) >= kLargeShare;
 }
 
-// Seconds until the machine has room for one task, if nothing more begins there. Infinite: never.
+// Returns the seconds until the machine has free capacity for one task if nothing else starts
+// there, or infinity if that never happens.
 double Reservations::time_until_room(const Machine& machine, const Job& job, double now) const {
   Resources room = machines_.room(machine);
   if (job.need.fits(room)) return 0;
@@ -108,7 +116,8 @@
   return std::numeric_limits<double>::infinity();
 }
 
-// Null: none has room before a reservation would end.
+// Returns the machine that has free capacity for the job soonest, or null if none has it within the
+// duration of a reservation.
 Machine* Reservations::soonest_free_machine(const Job& job, double now) const {
   Machine* best = nullptr;
   double soonest_s = kReservationDurationS;
@@ -124,7 +133,8 @@
 
 // ---- reserving
 
-// One of the job's tasks that have yet to enter the chain, else the first of its queued ones.
+// Takes a pending task of the job, or else the first of its queued tasks. Returns nullopt if there
+// is neither.
 std::optional<QueuedTask> Reservations::take_task(const JobPtr& job, double now) {
   if (!job->pending.empty()) return queues_.take_pending(job, now);
   const auto& tasks = queues_.tasks();
@@ -152,7 +162,8 @@
   preemption_.make_room(machine, now);
 }
 
-// Replicas have no end: as many of them move as make room together with what does end.
+// Stops replicas, which do not end on their own: as many as the task needs in addition to the
+// capacity that ending tasks free.
 void Reservations::move_replicas(Machine& machine, const Job& job) {
   Resources room = machines_.room(machine);
   for (const Placement& placement : machine.tasks.placements)
--- a/src/scheduler/reservations.h
+++ b/src/scheduler/reservations.h
@@ -1,5 +1,5 @@
-// Reservations: large tasks that have waited for long get a machine, or their team's limit, kept
-// free for them, as in batch schedulers that backfill (docs/design.md, X14). Free of I/O.
+// Reservations: keeps a machine, or part of the team's limit, free for large tasks that have waited
+// long, as batch schedulers with backfill do (docs/design.md, X14). Performs no I/O.
 #pragma once
 #include <optional>
 #include <set>
@@ -28,11 +28,11 @@
         service_(service),
         preemption_(preemption) {}
 
-  /// Ends reservations that are used or out of date, and makes new ones for overdue jobs.
+  /// Ends reservations that have been used or have expired, and makes new ones for overdue jobs.
   void run(double now);
 
  private:
-  /// The reservations that are valid, and how many the shard may have.
+  /// Valid reservations, and the maximum number of them that the shard may have.
   struct Active {
     std::set<jobs::JobPtr> jobs;  // that have a machine reserved
     std::size_t limit = 1;
--- a/src/scheduler/task_queues.cpp
+++ b/src/scheduler/task_queues.cpp
@@ -10,13 +10,13 @@
 using jobs::Resources;
 
 namespace {
-/// Added to a job's latest start, in seconds, so that it is positive: earlier than any start,
-/// before this process as well.
+/// Offset in seconds that makes a latest start positive: it exceeds any negative start time, which
+/// lies before the start of this process.
 constexpr double kStartOffsetS = 1e6;
 constexpr double kMillisecondsPerSecond = 1e3;
-/// The low bits of an order by start tell tasks with the same start apart. Two tasks of a job get
-/// the same order only if both wait and 16.7 million others came in between: the queues of 4,000
-/// machines hold some ten thousand.
+/// Number of low bits of an order by start that hold a sequence number, to distinguish tasks with
+/// the same start. Two tasks of a job get the same order only if both wait while 16.7 million tasks
+/// entered in between; the queues of 4,000 machines hold about ten thousand.
 constexpr int kSequenceBits = 24;
 constexpr std::uint64_t kSequenceMask = (std::uint64_t{1} << kSequenceBits) - 1;
 }  // namespace
--- a/src/scheduler/task_queues.h
+++ b/src/scheduler/task_queues.h
@@ -1,5 +1,5 @@
-// The queues of a shard's machines: which task waits for which machine, and in which order the
-// waiting tasks are served. Free of I/O.
+// The queues of a shard's machines: which task waits for which machine, and the order in which
+// waiting tasks are served. Performs no I/O.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace shunttrail::scheduler {
 
-/// Adds tasks to machines' queues and takes them out, and keeps the counts over all queues.
+/// Adds tasks to machines' queues, removes them, and counts the tasks of all queues.
 class TaskQueues {
  public:
   /// Position of a task in a machine's queue.
@@ -22,46 +22,48 @@
   TaskQueues(ShardContext& context, Machines& machines, TeamQuota& quota)
       : context_(context), machines_(machines), quota_(quota) {}
 
-  /// No task of the shard waits, in a queue or before the chain.
+  /// Returns true if no task of the shard waits, neither in a queue nor as pending.
   [[nodiscard]] bool is_empty() const;
 
-  /// Jobs with tasks that have yet to enter the chain, in the order in which they do: the more
-  /// urgent first, then the older, or the one that should start first.
+  /// Returns jobs with pending tasks, in the order in which they enter the chain: the more urgent
+  /// first, then the older, or by latest start in the bands that are ordered by start.
   [[nodiscard]] std::vector<jobs::JobPtr> pending_jobs(double now) const;
-  /// Takes the first pending task of the job, which must have one.
+  /// Removes and returns the first pending task of the job, which must have one.
   [[nodiscard]] QueuedTask take_pending(const jobs::JobPtr& job, double now);
 
-  /// Adds the task to the machine's queue by its order of service.
+  /// Inserts the task into the machine's queue by its order of service.
   void enqueue(Machine& machine, QueuedTask task);
-  /// Takes the task at `position` out of the machine's queue.
+  /// Removes the task at `position` from the machine's queue and returns it.
   QueuedTask dequeue(Machine& machine, Position position);
-  /// Position of a task in the machine's queue; the queue's end if it is not there.
+  /// Returns the position of the task in the machine's queue, or the queue's end if it is not
+  /// there.
   [[nodiscard]] static Position find(Machine& machine, const ServiceOrder& order);
 
-  /// Every queued task in order of service, with the number of the machine that it waits for.
+  /// Returns all queued tasks in order of service, with the number of the machine that each waits
+  /// for.
   [[nodiscard]] const std::map<ServiceOrder, int>& tasks() const { return tasks_; }
-  /// Some queued task fits into the room.
+  /// Returns true if some queued task fits the free capacity.
   [[nodiscard]] bool any_fits(const jobs::Resources& room) const;
 
-  /// All tasks in the machine's queue become pending again.
+  /// Makes all tasks in the machine's queue pending again.
   void requeue_all(Machine& machine);
-  /// The job's tasks in the machine's queue become pending again, to enter the chain in another
-  /// band.
+  /// Makes the job's tasks in the machine's queue pending again, so that they enter the chain in
+  /// another band.
   void requeue_job(Machine& machine, const jobs::JobPtr& job);
-  /// The job is over: its tasks leave the machine's queue.
+  /// Removes the tasks of an ended job from the machine's queue.
   void drop_job(Machine& machine, const jobs::JobPtr& job);
-  /// Tasks of the job that are withheld (Job::withhold) leave the machine's queue.
+  /// Removes the job's withheld tasks (Job::withhold) from the machine's queue.
   void drop_withheld(Machine& machine, const jobs::JobPtr& job);
-  /// A task of the job is done: it leaves the queue where it waits for another attempt, if any.
+  /// Removes a completed task from the queue where another attempt of it waits, if any.
   void drop_task(const jobs::JobPtr& job, std::uint32_t task);
 
-  /// The machine is kept for one task of its queue.
+  /// Returns true if the machine is reserved for a task of its queue.
   [[nodiscard]] bool is_reserved(const Machine& machine) const;
-  /// The machine is kept for a task other than this one.
+  /// Returns true if the machine is reserved for a task other than this one.
   [[nodiscard]] bool is_reserved_for_other(const Machine& machine, const QueuedTask& task) const;
 
-  /// Tasks of the band are served by when their jobs should start; those of the more urgent bands
-  /// first come, first served.
+  /// Returns true if tasks of the band are served by the latest start of their jobs; the more
+  /// urgent bands are served first come, first served.
   [[nodiscard]] static bool is_ordered_by_start(int priority_band);
 
  private:
@@ -76,10 +78,10 @@
   ShardContext& context_;
   Machines& machines_;
   TeamQuota& quota_;
-  std::uint64_t tasks_taken_ = 0;      // by take_pending, so far
+  std::uint64_t tasks_taken_ = 0;      // number of tasks taken by take_pending so far
   std::map<ServiceOrder, int> tasks_;  // to the machine's number
-  // Number of queued tasks by what each needs: a machine whose room none of them fits need not
-  // look through the queues.
+  // Number of queued tasks by resources needed: if none of these fits a machine's free capacity,
+  // the machine need not look through the queues.
   std::map<Need, std::size_t> needs_;
 };
 
