--- a/src/scheduler/chain_walk.cpp
+++ b/src/scheduler/chain_walk.cpp
@@ -10,9 +10,9 @@
 
 bool is_cold(const chain::Candidate& candidate) { return !candidate.context.warm; }
 
-// Where a machine with room has the image, those that would have to fetch it are barred too: an
-// urgent task on a cold machine waits for a second or two, and learners that are told the cost of a
-// whole run hardly see that.
+// If some machine with free capacity has the image, bars those that would have to fetch it. An
+// urgent task on a cold machine waits a second or two for its image, a difference that is hardly
+// visible in the cost of a whole run, from which the learners learn.
 void bar_cold_candidates(std::vector<chain::Tier>& tiers) {
   const bool all_cold = std::all_of(tiers.begin(), tiers.end(), [](const chain::Tier& tier) {
     return std::all_of(tier.candidates.begin(), tier.candidates.end(), is_cold);
@@ -27,7 +27,7 @@
 ChainWalk::Result ChainWalk::walk(const QueuedTask& task, KnownCapacity capacity, double now) {
   Result result;
   std::vector<chain::Tier> reachable;
-  // Machines with room come first, since they bar all others.
+  // Machines with free capacity are tried first: if there are any, no others are candidates.
   if (capacity == KnownCapacity::unknown) {
     reachable = tiers(task, Scope::machines_with_free_capacity, now);
     result.found_no_room = reachable.empty();
@@ -82,7 +82,8 @@
   return tier;
 }
 
-// A pending rent takes what fits an empty machine.
+// Returns true if the task fits on the machine that is being rented, next to the tasks that already
+// wait for it.
 bool ChainWalk::can_join_rent(const Machine& machine, const TierScan& scan) const {
   if (!machines_.usable(machine, scan.job, scan.now)) return false;
   Resources taken = machine.tasks.used;
@@ -90,16 +91,16 @@
   return scan.job.need.fits(scan.machine_capacity - taken);
 }
 
-// A machine that is up, as the task finds it. None: the task cannot go there, or would find the
-// same there as on a machine in `seen`.
+// Returns a machine that is up as a candidate. Returns nullopt if the task cannot run there, or if
+// a candidate of the same kind is in `seen`.
 std::optional<chain::Candidate> ChainWalk::candidate(const Machine& machine, const TierScan& scan,
                                                      chain::CandidateKinds* seen) const {
   if (queues_.is_reserved(machine)) return std::nullopt;
   const bool needs_free_capacity = scan.scope == Scope::machines_with_free_capacity;
   const bool has_room = scan.job.need.fits(machines_.room(machine, scan.priority_band));
   if (needs_free_capacity && !has_room) return std::nullopt;
-  // Accept is split by band (paper 3.1, query scheduling): a task joins the queue of its job's
-  // band, and only what is ahead of it there counts.
+  // Accept is split by priority band (paper 3.1, query scheduling): a task joins the part of the
+  // queue for its band, and only tasks of its own and more urgent bands count as ahead of it.
   std::size_t ahead = 0;
   for (int band = 0; band <= scan.priority_band; ++band)
     ahead += machine.queue.tasks_by_band[static_cast<std::size_t>(band)];
@@ -108,7 +109,8 @@
   found.context.waiting = chain::waiting_bucket(has_room, ahead);
   found.may_accept = static_cast<int>(ahead) <= context_.tuning.waiting_bar;
   found.empty = machine.is_empty();
-  // The image cache is searched last: hundreds of machines are of a kind that is there already.
+  // Search the image cache last: among hundreds of machines, most are of a kind that is already
+  // present.
   if (seen && seen->has_warm_and_cold(found)) return std::nullopt;
   if (machine.leaving || machine.draining || machine.avoid_until > scan.now || machine.zone < 0 ||
       !scan.zone_allowed[static_cast<std::size_t>(machine.zone)])
@@ -122,8 +124,10 @@
   return found;
 }
 
-// Past the last machine of a tier without an end there is nothing to pass to, so that machine is a
-// candidate by itself and not by its kind. So is the last warm one, since cold ones may be barred.
+// Adds the last machine of a tier without an end, and the last machine with the image. The walk
+// treats the last machine differently, since it may not Pass, so it cannot be represented by
+// another one of its kind. The last warm machine is added because the cold ones may be barred,
+// which makes it the last.
 void ChainWalk::add_last_candidates(chain::Tier& tier, const TierScan& scan) const {
   bool need_warm = scan.scope == Scope::machines_with_free_capacity &&
                    !std::all_of(tier.candidates.begin(), tier.candidates.end(), is_cold);
--- a/src/scheduler/chain_walk.h
+++ b/src/scheduler/chain_walk.h
@@ -1,5 +1,5 @@
-// The walk of one task through the chain of machines: builds each tier's candidates and lets the
-// learners decide (DESIGN points 1-5). Free of I/O: the random numbers come from a seed.
+// The walk of one task through the chain of machines: collects each tier's candidates and lets the
+// learners decide (DESIGN points 1-5). Performs no I/O: random numbers come from a seed.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,22 +14,22 @@
 
 namespace shunttrail::scheduler {
 
-/// Chooses the machine whose queue a task joins. Owns the learners, one a tier.
+/// Chooses the machine whose queue a task joins. Owns the learners, one for each tier.
 class ChainWalk {
  public:
   /// Which machines of a tier are candidates.
   enum class Scope {
-    machines_with_free_capacity,  // only those with room for the task and nothing ahead of it
-    all_machines,                 // also full ones, pending rents and a new rent
+    machines_with_free_capacity,  // free capacity for the task, none ahead of it
+    all_machines,                 // also full machines, pending rents and a new rent
   };
-  /// What is known of the shard before a walk.
+  /// Whether the caller already knows that no machine has free capacity for the task.
   enum class KnownCapacity {
     unknown,
-    none,  // no machine has room for the task: they need not be searched
+    none,  // no machine has it: the search for one is skipped
   };
   struct Result {
     chain::Outcome outcome;
-    /// The machines were searched, and none has room for the task.
+    /// True if the machines were searched and none has free capacity for the task.
     bool found_no_room = false;
   };
 
@@ -37,23 +37,24 @@
             const TaskQueues& queues, std::uint64_t seed)
       : context_(context), machines_(machines), rentals_(rentals), queues_(queues), rng_(seed) {}
 
-  /// Walks the chain. While some machine has room for the task, it neither waits nor rents (the
-  /// strategy space is bounded, paper 3.3): arms that only lead there are barred, the others stay
-  /// learned.
+  /// Walks the chain. While some machine has free capacity for the task, the task neither waits nor
+  /// causes a rent: the strategy space is bounded (paper 3.3). Arms that lead only to waiting or
+  /// renting are barred, and the learners decide among the others.
   [[nodiscard]] Result walk(const QueuedTask& task, KnownCapacity capacity, double now);
 
-  /// The tiers that the task may go to, cheapest first, each with its candidates in the chain's
-  /// order.
+  /// Returns the tiers that the task may use, cheapest first, each with its candidates in the
+  /// chain's order.
   [[nodiscard]] std::vector<chain::Tier> tiers(const QueuedTask& task, Scope scope, double now);
 
  private:
-  /// The search of one tier's machines for one task.
+  /// Parameters of the search through one tier's machines for one task.
   struct TierScan {
     const jobs::Job& job;
     int priority_band;
     Scope scope;
     double now;
-    jobs::Resources machine_capacity;  // of an empty machine
+    // Capacity of an empty machine of the tier.
+    jobs::Resources machine_capacity;
     chain::Bandit* learner = nullptr;
     std::uint8_t size = 0;           // chain::size_bucket
     std::vector<bool> zone_allowed;  // by zone
@@ -71,8 +72,8 @@
   const Rentals& rentals_;
   const TaskQueues& queues_;
   chain::Rng rng_;
-  // By tier. The machines of a tier share what they have learned: a machine lives for minutes, and
-  // left to itself would spend them trying each arm in each context.
+  // Learners by tier. The machines of a tier share one learner: a machine lives for minutes, and
+  // with a learner of its own it would spend them trying each arm in each context.
   std::map<int, chain::Bandit> learners_;
 };
 
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -10,7 +10,8 @@
 using wire::TaskState;
 
 namespace {
-/// A task that cannot save its progress is stopped only before it has run for so long.
+/// Longest time, in seconds, that a task which cannot save its progress may have run when it is
+/// stopped.
 constexpr double kMaxLostWorkS = 8;
 }  // namespace
 
@@ -29,8 +30,8 @@
          quota_.beyond_guarantee(running.team);
 }
 
-// In the order in which they are stopped: the least urgent first, what saves its progress before
-// what does not, then what began last.
+// Returns the tasks that may be stopped, in the order in which they are stopped: lowest priority
+// first, then tasks that save their progress, then the most recently started.
 std::vector<Placement*> Preemption::victims(Machine& machine, const QueuedTask& task,
                                             double now) const {
   std::vector<Placement*> found;
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -1,5 +1,5 @@
-// Preemption: stops tasks on a machine so that more urgent ones in its queue find room (PROTOCOL,
-// Preemption). Free of I/O.
+// Preemption: stops tasks on a machine so that more urgent tasks in its queue can start (PROTOCOL,
+// Preemption). Performs no I/O.
 #pragma once
 #include <vector>
 
@@ -10,17 +10,17 @@
 
 namespace shunttrail::scheduler {
 
-/// Chooses the tasks that make room for urgent and guaranteed ones.
+/// Selects the tasks to stop for urgent and guaranteed ones.
 class Preemption {
  public:
   Preemption(Machines& machines, Placements& placements, const TaskQueues& queues,
              const TeamQuota& quota)
       : machines_(machines), placements_(placements), queues_(queues), quota_(quota) {}
 
-  /// Stops what has to go for the urgent and guaranteed tasks at the head of the machine's queue.
-  /// Urgent tasks stop work of lower priority; tasks that their team is guaranteed stop what
-  /// another team runs beyond its own guarantee. Only work that can save its progress or has
-  /// hardly begun is stopped.
+  /// Stops tasks as needed by the urgent and guaranteed tasks at the head of the machine's queue.
+  /// Urgent tasks preempt tasks of lower priority. Tasks covered by their team's guarantee preempt
+  /// tasks that another team runs beyond its own guarantee. A task is stopped only if it can save
+  /// its progress or has only just started.
   void make_room(Machine& machine, double now);
 
  private:
--- a/src/scheduler/rentals.cpp
+++ b/src/scheduler/rentals.cpp
@@ -7,12 +7,14 @@
 using jobs::Job;
 
 namespace {
-/// Pause, in seconds, before asking again where the cloud had no machine.
+/// Time, in seconds, for which no machine is ordered in a tier and zone after the cloud had none.
 constexpr double kRefusalPauseS = 15;
-/// Machines a request, as the protocol has it. A tier and zone has one request out: 4,000 machines
-/// take 80 of them, of which a node makes about two a second.
+/// Maximum number of machines in one request, which the protocol defines. A tier and zone has one
+/// request in flight at a time, so 4,000 machines take 80 requests; a controller makes about two
+/// requests per second.
 constexpr std::size_t kMaxMachinesPerRequest = 50;
-/// Machines ordered at a time where the cloud has refused; the limit grows with each success.
+/// Number of machines that may be on order at a time after a refusal, and the factor by which a
+/// successful request raises that limit.
 constexpr std::size_t kInitialOrderLimit = 2;
 constexpr std::size_t kOrderLimitGrowth = 4;
 }  // namespace
@@ -38,7 +40,8 @@
     const int zone = static_cast<int>(index);
     if (!type.in_zone[index] || !machines_.zone_ok(job, zone)) continue;
     if (refused_lately(tier, zone, now)) continue;
-    // Hundreds of tasks that join orders which come to nothing walk the chain for nothing.
+    // Limit the machines on order. Otherwise, hundreds of tasks would join orders that the cloud
+    // then refuses, and would have walked the chain in vain.
     const auto limit = order_limits_.find({tier, zone});
     if (limit != order_limits_.end() && ordered[index] >= limit->second) continue;
     if (best < 0 || machines[index] < machines[static_cast<std::size_t>(best)]) best = zone;
@@ -59,13 +62,13 @@
   for (const auto& [number, machine] : machines_.all()) {
     if (machine->state != Machine::ordered || machine->announced) continue;
     const TierAndZone key{machine->tier(), machine->zone};
-    // A later order where the cloud has just said that it has none goes back to the chain.
+    // An order made while the cloud is known to have no capacity goes back to the chain.
     if (refused_lately(machine->tier(), machine->zone, now)) {
       rejected.push_back(machine.get());
       continue;
     }
-    // One request a tier and zone at a time: what is wanted meanwhile goes into the next one, since
-    // calls are scarcer than machines.
+    // Only one request for each tier and zone is in flight: later orders go into the next one,
+    // since calls to the cloud are scarcer than machines.
     if (requesting_.contains(key)) continue;
     ScaleOutRequest& request = groups[key];
     if (request.machines.size() >= kMaxMachinesPerRequest) continue;
@@ -82,7 +85,7 @@
   return requests;
 }
 
-// The order at the index, or a new machine if that one is gone.
+// Returns the ordered machine at the index, or a new one if that has been removed.
 Machine& Rentals::ordered_or_new_machine(const ScaleOutRequest& request, std::size_t index) {
   Machine* ordered =
       index < request.machines.size() ? machines_.at(request.machines[index]) : nullptr;
@@ -100,7 +103,7 @@
   std::vector<int> unused;
   for (std::size_t i = 0; i < names.size(); ++i) {
     if (machines_.contains(names[i])) {
-      // It reported, and was adopted, before the cloud's answer came.
+      // The machine sent a heartbeat, and was adopted, before the cloud's response arrived.
       const Machine* ordered =
           i < request.machines.size() ? machines_.at(request.machines[i]) : nullptr;
       if (ordered) unused.push_back(ordered->number);
@@ -135,7 +138,7 @@
   for (const auto& [number, machine] : machines_.all()) {
     if (!machine->leaving || machine->returning || machine->name.empty()) continue;
     if (machine->transfer_to >= 0 && !machine->lost) continue;
-    // Tasks of a machine that answers are let finish; a lost machine's are not waited for.
+    // Wait for the tasks of a reachable machine to finish, but not for those of a lost one.
     const auto& placements = machine->tasks.placements;
     const bool is_running =
         std::any_of(placements.begin(), placements.end(),
--- a/src/scheduler/rentals.h
+++ b/src/scheduler/rentals.h
@@ -1,5 +1,5 @@
-// Renting and returning machines: orders that the chain makes, the requests to the cloud that they
-// are grouped into, and the machines that are given back. Free of I/O.
+// Renting and returning machines: collects the orders that the chain makes into requests to the
+// cloud, and lists the machines to return. Performs no I/O.
 #pragma once
 #include <cstddef>
 #include <map>
@@ -13,36 +13,39 @@
 
 namespace shunttrail::scheduler {
 
-/// Machines to rent, all of one tier in one zone.
+/// A request to rent machines of one tier in one zone.
 struct ScaleOutRequest {
   int tier = 0, zone = 0;
-  /// Ordered machines, by number.
+  /// Numbers of the ordered machines.
   std::vector<int> machines;
 };
 
-/// Orders machines, and bounds orders where the cloud has refused lately.
+/// Orders machines, and limits the orders where the cloud has recently refused.
 class Rentals {
  public:
   Rentals(ShardContext& context, Machines& machines) : context_(context), machines_(machines) {}
 
-  /// The zone to rent a machine of the tier in for one more of the job's tasks: of those where the
-  /// cloud may have one, that with the fewest machines. -1: none.
+  /// Returns the zone in which to rent a machine of the tier for another task of the job: the one
+  /// with the fewest machines among those where the cloud may have capacity. Returns -1 if there is
+  /// none.
   [[nodiscard]] int pick_zone(const jobs::Job& job, int tier, double now) const;
-  /// Orders a machine.
+  /// Adds an ordered machine of the tier in the zone.
   Machine& order(int tier, int zone, double now);
-  /// Requests for what has been ordered since. `rejected`: orders where the cloud has just refused.
+  /// Returns requests for the machines ordered since the last call. Adds to `rejected` the orders
+  /// of a tier and zone where the cloud has recently refused.
   [[nodiscard]] std::vector<ScaleOutRequest> scale_out_requests(double now,
                                                                 std::vector<Machine*>& rejected);
-  /// The cloud has rented machines for the request. Returns the numbers of orders that came to
-  /// nothing.
+  /// Records that the cloud has rented machines for the request. Returns the numbers of the orders
+  /// that were not used.
   [[nodiscard]] std::vector<int> rented(const ScaleOutRequest& request,
                                         const std::vector<std::string>& names, double now);
-  /// The request's machines from index `from` on were not rented; `no_capacity`: since the cloud
-  /// has none. Returns their numbers.
+  /// Records that the request's machines from index `from` on were not rented. `no_capacity` is
+  /// true if the cloud has none. Returns the numbers of these machines.
   [[nodiscard]] std::vector<int> refused(const ScaleOutRequest& request, std::size_t from,
                                          bool no_capacity, double now);
 
-  /// Names of machines to give back. Handed out once, unless return_failed follows.
+  /// Returns the names of machines to give back to the cloud. Each machine is returned by this
+  /// function only once, unless return_failed() is called for it.
   [[nodiscard]] std::vector<std::string> machines_to_return();
   void return_failed(const std::string& name);
 
@@ -55,8 +58,9 @@
   ShardContext& context_;
   Machines& machines_;
   std::map<TierAndZone, double> refused_until_;  // steady time, seconds
-  std::set<TierAndZone> requesting_;             // a request is on its way
-  // How many may be ordered at a time, where the cloud has refused lately.
+  std::set<TierAndZone> requesting_;             // tiers and zones with a request in flight
+  // Maximum number of machines ordered at a time, for tiers and zones where the cloud has refused.
+  // Entries are removed after enough successful requests.
   std::map<TierAndZone, std::size_t> order_limits_;
 };
 
--- a/src/scheduler/replica_consolidation.cpp
+++ b/src/scheduler/replica_consolidation.cpp
@@ -9,19 +9,19 @@
 using wire::TaskState;
 
 namespace {
-/// Shortest time between two runs.
+/// Shortest time between two runs, in seconds.
 constexpr double kRunIntervalS = 1;
-/// A move costs a replica less than half a second; each is moved once in so many seconds on average
-/// at the most, so that moving takes about a thousandth of their time.
+/// Shortest average time, in seconds, between two moves of one replica. A move costs a replica less
+/// than 0.5 s, so moves take about 0.1% of its time.
 constexpr double kMoveIntervalS = 300;
-/// Moves that may be made at once after a quiet time, of the whole shard; a machine with more
-/// replicas than that is not drained.
+/// Maximum number of moves, across the whole shard, that may be made at once after a period without
+/// moves. A machine with more replicas than that is never drained.
 constexpr double kMaxMoveBudget = 30;
-/// The budget grows for so many intervals between runs at the most.
+/// Maximum number of run intervals for which the budget grows between two runs.
 constexpr double kMaxIntervalsCounted = 10;
-/// A replica that has just started is not moved again for so long.
+/// Time, in seconds, that a replica must have run before it is moved.
 constexpr double kSettleTimeS = 40;
-/// Share of its vcpus in use, for a machine to be drained.
+/// Maximum share of its vcpus that a machine may use to be drained.
 constexpr double kMaxUsedShare = 0.5;
 }  // namespace
 
@@ -44,13 +44,14 @@
   return context_.catalogue.rate(machine.tier()) / static_cast<double>(placements.size());
 }
 
-// To fuller or cheaper machines only, so that no replica comes back to where it was.
+// Returns true if a replica may move to `to`. Moves go only to fuller or cheaper machines, so that
+// no replica returns to its former machine.
 bool ReplicaConsolidation::is_better(const Machine& to, const Machine& from) const {
   return to.tasks.used.cpus > from.tasks.used.cpus ||
          context_.catalogue.rate(to.tier()) < context_.catalogue.rate(from.tier());
 }
 
-// One more of the job's replicas fits on the machine `to`; it is counted there.
+// Returns true if one more replica of the job fits on `to`, and counts it there in `moves`.
 bool ReplicaConsolidation::plan_move(const Machine& to, const Machine& from, const Job& job,
                                      PlannedMoves& moves, double now) const {
   if (&to == &from || !to.accepts_work(now) || !to.in_inventory) return false;
--- a/src/scheduler/replica_consolidation.h
+++ b/src/scheduler/replica_consolidation.h
@@ -1,6 +1,6 @@
-// Replica consolidation: replicas left on many machines that are nearly empty move together, and
-// the emptied machines are given back (PROTOCOL, Preemption: a task may be stopped to drain a
-// machine). Free of I/O.
+// Replica consolidation: moves replicas from nearly empty machines to others, and returns the
+// emptied machines (PROTOCOL, Preemption: a task may be stopped to drain a machine). Performs no
+// I/O.
 #pragma once
 #include <map>
 #include <utility>
@@ -12,14 +12,14 @@
 
 namespace shunttrail::scheduler {
 
-/// Drains machines whose replicas have room elsewhere.
+/// Drains machines whose replicas fit on other machines.
 class ReplicaConsolidation {
  public:
   ReplicaConsolidation(ShardContext& context, Machines& machines, Placements& placements)
       : context_(context), machines_(machines), placements_(placements) {}
 
-  /// Drains machines whose replicas have room on others that are fuller or cheaper, with their
-  /// images there. To be called while nothing waits: what waits uses the room.
+  /// Drains machines whose replicas fit on fuller or cheaper machines that have their images. Must
+  /// be called only while no task waits, since waiting tasks use the free capacity.
   void run(double now);
 
  private:
@@ -27,14 +27,16 @@
     double saving = 0;
     Machine* machine = nullptr;
   };
-  /// What moves that are under way have taken already, by machine, and added, by job and zone.
+  /// Capacity that planned moves use on each machine, and number of replicas that they add, by job
+  /// and zone.
   struct PlannedMoves {
     std::map<int, jobs::Resources> used_capacity;
     std::map<std::pair<const jobs::Job*, int>, int> replicas_by_zone;
   };
 
   static bool is_settled(const Placement& placement, double now);
-  /// What draining the machine would save a move, in price a second; 0: it is not to be drained.
+  /// Returns the price per second that draining the machine would save for each move; 0 if the
+  /// machine must not be drained.
   double saving(const Machine& machine, double now) const;
   std::vector<DrainCandidate> drain_candidates(double now) const;
   void refill_budget(double now);
@@ -48,7 +50,7 @@
   Machines& machines_;
   Placements& placements_;
   double last_run_at_ = -1e9;  // steady time, seconds
-  double move_budget_ = 0;     // moves that may be made now
+  double move_budget_ = 0;     // number of moves that may be made now
 };
 
 }  // namespace shunttrail::scheduler
--- a/src/scheduler/team_quota.cpp
+++ b/src/scheduler/team_quota.cpp
@@ -11,7 +11,8 @@
 using jobs::Resources;
 
 namespace {
-/// Shortest time between two updates of the guarantees while the number of jobs stays the same.
+/// Shortest time, in seconds, between two updates of the guarantees while the number of jobs does
+/// not change.
 constexpr double kGuaranteeUpdateIntervalS = 0.3;
 }  // namespace
 
@@ -37,13 +38,13 @@
   std::fill(delegating_.begin(), delegating_.end(), Resources{});
 }
 
-// Of a team of this shard: on all machines, wherever they belong.
+// Returns the resources that a team of this shard uses, on machines of any shard.
 Resources TeamQuota::used(int team) const {
   const auto index = static_cast<std::size_t>(team);
   return placements_.used(team) + delegated_[index] + delegating_[index];
 }
 
-// The leader of a foreign job's own shard has reserved what its delegated tasks take.
+// Foreign jobs are always allowed: the leader of their own shard has counted their delegated tasks.
 bool TeamQuota::allows(const Job& job, Counted counted, std::size_t tasks) const {
   if (job.is_foreign) return true;
   const auto team = static_cast<std::size_t>(job.team);
@@ -87,8 +88,8 @@
   mark_guaranteed_jobs();
 }
 
-// A team's guarantee goes to its jobs in order of age: a job is covered if it fits together with
-// the team's earlier unfinished ones.
+// Applies a team's guarantee to its jobs in order of age: it covers a job that fits together with
+// the team's earlier unfinished jobs.
 void TeamQuota::mark_guaranteed_jobs() {
   std::vector<std::vector<Job*>> jobs_by_team(context_.settings.teams.size());
   for (auto& [id, job] : context_.jobs)
--- a/src/scheduler/team_quota.h
+++ b/src/scheduler/team_quota.h
@@ -1,5 +1,5 @@
-// Team quotas: what the tasks of each team may take together, and which jobs its guarantee covers.
-// Free of I/O.
+// Team quotas: the resources that the tasks of each team use, and the jobs that its guarantee
+// covers. Performs no I/O.
 #pragma once
 #include <cstddef>
 #include <utility>
@@ -18,35 +18,36 @@
 
   TeamQuota(ShardContext& context, const Placements& placements);
 
-  /// A task of the job has been added to a machine's queue.
+  /// Records that a task of the job has been added to a machine's queue.
   void task_queued(const jobs::Job& job);
-  /// A task of the job has left a machine's queue.
+  /// Records that a task of the job has left a machine's queue.
   void task_dequeued(const jobs::Job& job);
 
-  /// So many more tasks of the job keep its team within its limit, and leave what is kept for
-  /// another job of the team (`reserve`).
+  /// Returns true if `tasks` more tasks of the job keep its team within its limit, including the
+  /// capacity reserved for another job of the team (`reserve`).
   [[nodiscard]] bool allows(const jobs::Job& job, Counted counted, std::size_t tasks = 1) const;
-  /// The team uses more vcpus than it is guaranteed. False for a team that is unknown (negative).
+  /// Returns true if the team uses more vcpus than it is guaranteed. Returns false for an unknown
+  /// (negative) team.
   [[nodiscard]] bool beyond_guarantee(int team) const;
 
-  /// Keeps room for one task of the job within its team's limit for a while: other tasks of the
-  /// team would take what becomes free bit by bit. Ignored if the team has such a reservation, or
-  /// has had one until recently.
+  /// Reserves part of the team's limit for one task of the job: otherwise other tasks of the team
+  /// take freed capacity bit by bit. Does nothing if the team has a reservation, or had one
+  /// recently.
   void reserve(const jobs::JobPtr& job, double now);
-  /// Ends reservations that are over, used or out of date.
+  /// Ends reservations that have been used, have expired, or whose job has ended.
   void expire_reservations(double now);
 
   // ---- tasks that other shards may run (docs/delegation.md)
 
-  /// What they take by team, as far as that is stored.
+  /// Sets the resources that delegated tasks use, by team, as far as they are stored.
   void set_delegated(std::vector<jobs::Resources> by_team) { delegated_ = std::move(by_team); }
-  /// One more task of the job is about to be delegated.
+  /// Adds one task of the job that is about to be delegated.
   void add_delegating(const jobs::Job& job);
-  /// All that was about to be delegated is stored, or will not be.
+  /// Clears the tasks about to be delegated, once their delegations are stored or will not be.
   void clear_delegating();
 
-  /// Marks the jobs that are within their team's guarantee (Job::within_guarantee), if the jobs
-  /// have changed or the last update is some time ago.
+  /// Marks the jobs that their team's guarantee covers (Job::within_guarantee), if the number of
+  /// jobs has changed or the last update is older than 0.3 s.
   void update_guarantees(double now);
 
  private:
--- a/src/scheduler/urgent_headroom.cpp
+++ b/src/scheduler/urgent_headroom.cpp
@@ -10,13 +10,13 @@
 using jobs::Resources;
 
 namespace {
-/// Shortest time between two updates.
+/// Shortest time, in seconds, between two updates.
 constexpr double kUpdateIntervalS = 1;
-/// Urgent jobs that came within this time are counted.
+/// Age, in seconds, up to which an urgent job counts as recent.
 constexpr double kRecentJobS = 180;
-/// Share of the shard's vcpus that is kept free at the most.
+/// Maximum share of the shard's vcpus that is kept free.
 constexpr double kMaxHeadroomShare = 0.02;
-/// Tasks that one machine keeps room for.
+/// Maximum number of tasks for which one machine keeps capacity free.
 constexpr int kMaxTasksPerMachine = 4;
 }  // namespace
 
@@ -41,7 +41,8 @@
   return cpus;
 }
 
-// By zone; in each, first those with room already and with the most images.
+// Returns the suitable machines by zone. In each zone, machines that have free capacity for a task
+// of the job come first, then those with the most images.
 UrgentHeadroom::MachinesByZone UrgentHeadroom::suitable_machines(const Job& job, double now) const {
   MachinesByZone by_zone(context_.settings.zones.size());
   for (const auto& [number, machine] : machines_.all()) {
@@ -59,7 +60,8 @@
   return by_zone;
 }
 
-// Room for a few tasks, in half of the machine at the most, and `remaining_cpus` vcpus.
+// Returns the capacity for up to kMaxTasksPerMachine tasks of the job, limited to half of the
+// machine and to `remaining_cpus`.
 Resources UrgentHeadroom::headroom(const Machine& machine, const Job& job,
                                    std::int64_t remaining_cpus) const {
   const Resources& capacity = context_.catalogue.types[static_cast<std::size_t>(machine.type)].room;
@@ -82,7 +84,7 @@
       job->need.cpus * job->spec.tasks,
       static_cast<std::int64_t>(kMaxHeadroomShare * static_cast<double>(shard_cpus)));
   const MachinesByZone by_zone = suitable_machines(*job, now);
-  // Zone by zone in turn, since jobs are spread.
+  // Fill the zones in turn, since the tasks of a job are spread across them.
   bool any_machine_left = true;
   for (std::size_t i = 0; any_machine_left && remaining_cpus >= job->need.cpus; ++i) {
     any_machine_left = false;
