--- a/src/scheduler/delegated_work.cpp
+++ b/src/scheduler/delegated_work.cpp
@@ -9,7 +9,8 @@
 
 using jobs::JobPtr;
 
-// A closing that has not been read to its end changes its meaning with the revision alone.
+// Returns true if the last sync still applies. A closed delegation whose earlier changes have not
+// all been read yet can change its effect without a change of its own, whenever the cache advances.
 bool DelegatedWork::is_current(const state::StateCache& cache) const {
   if (must_sync_ || cache.delegation_changes() != synced_changes_) return false;
   return !has_unread_closing_ || cache.revision() == synced_revision_;
@@ -52,7 +53,8 @@
   withhold(job, std::move(withheld), now);
 }
 
-// Of a job with rules about zones, all that the other shard may run is in one zone.
+// If the delegation names a zone, all delegated tasks run there: the foreign shard may use only
+// this zone, and the team's shard counts them in it.
 void DelegatedWork::set_zones(const JobPtr& job, const wire::Delegation& delegation,
                               const std::vector<bool>& withheld) const {
   job->away_in_zone.assign(context_.settings.zones.size(), 0);
@@ -66,7 +68,8 @@
         static_cast<std::uint32_t>(std::count(withheld.begin(), withheld.end(), true));
 }
 
-// What the other shard has stored is stored here as well: it drops its copy with the delegation.
+// Records results that the other shard has stored. The other shard drops its copy once the
+// delegation is removed.
 void DelegatedWork::take_results(const state::StateCache& cache, const state::JobEntry& entry,
                                  const JobPtr& job, double now) {
   const wire::Delegation& delegation = *entry.record.delegation;
@@ -90,7 +93,7 @@
   for (const auto& [id, job] : context_.jobs) {
     if (!job->is_foreign) continue;
     const state::JobEntry* entry = cache.job(id);
-    if (!entry) continue;  // job_gone tells
+    if (!entry) continue;  // reported by job_gone
     const auto& delegation = entry->record.delegation;
     if (!delegation || (delegation->is_readable && delegation->shard != context_.shard))
       ended.push_back(id);
--- a/src/scheduler/delegated_work.h
+++ b/src/scheduler/delegated_work.h
@@ -1,5 +1,5 @@
-// Delegated tasks as a shard's scheduler sees them: at the shard of their team, which must not
-// start them, and at the shard that may (docs/delegation.md). Free of I/O.
+// Delegated tasks in a shard's scheduler, on both sides: in the shard of their team, which must not
+// start them, and in the shard that may (docs/delegation.md). Performs no I/O.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -16,7 +16,8 @@
 
 namespace shunttrail::scheduler {
 
-/// Keeps the jobs' withheld tasks, their results and the teams' quotas in line with what is stored.
+/// Updates the jobs' withheld tasks, their results and the teams' quotas from the stored
+/// delegations.
 class DelegatedWork {
  public:
   DelegatedWork(ShardContext& context, Machines& machines, Placements& placements,
@@ -27,18 +28,19 @@
         queues_(queues),
         quota_(quota) {}
 
-  /// Takes over what the cache holds, if that has changed. Returns the foreign jobs that are not
-  /// delegated to this shard any more.
+  /// Updates the scheduler from the cache if the delegations there have changed. Returns the
+  /// foreign jobs that are no longer delegated to this shard.
   [[nodiscard]] std::vector<std::string> sync(const state::StateCache& cache, double now);
 
-  /// The job has come with a delegation: none of its tasks starts before the next sync.
+  /// Withholds all tasks of a job that was added with a delegation until the next sync.
   void withhold_until_sync(const jobs::JobPtr& job);
-  /// The delegation of these tasks, which wait in no queue, is about to be committed: they are
-  /// withheld and count against their team's limit, and in their zone, until the outcome is known
-  /// and has been read. `zone`: the only one in which they may run.
+  /// Withholds tasks whose delegation is about to be committed. They must not be in a queue. Until
+  /// the outcome is known and has been read, they count against their team's limit and, with
+  /// `zone`, as running there. `zone` is the only zone in which they may run.
   void withhold_until_committed(const jobs::JobPtr& job, const std::vector<std::uint32_t>& tasks,
                                 std::optional<int> zone);
-  /// What is held has been committed, or will not be.
+  /// Records that the transaction has been committed, or never will be: the next sync reads the
+  /// stored state again.
   void outcome_known();
 
  private:
@@ -56,8 +58,8 @@
   Placements& placements_;
   TaskQueues& queues_;
   TeamQuota& quota_;
-  std::set<std::string> jobs_with_withheld_;  // jobs with withheld tasks
-  std::set<std::string> jobs_in_commit_;      // of these: the commit is in flight
+  std::set<std::string> jobs_with_withheld_;  // by id
+  std::set<std::string> jobs_in_commit_;      // those whose delegation is being committed
   bool must_sync_ = false;
   std::uint64_t synced_changes_ = 0;
   std::uint64_t synced_revision_ = 0;
--- a/src/scheduler/delegation_planner.cpp
+++ b/src/scheduler/delegation_planner.cpp
@@ -14,23 +14,27 @@
 using jobs::JobPtr;
 
 namespace {
-/// Between two runs, in seconds.
+/// Shortest time between two runs, in seconds.
 constexpr double kRunIntervalS = 1;
-/// Waiting, in seconds, after which a job's tasks may be delegated: before that its own shard may
-/// well have room. Of the 90 s that a task may wait beside room, two attempts have to fit in.
+/// Time, in seconds, that a job must have waited before its tasks are delegated: earlier, its own
+/// shard may still have capacity for them. Two attempts must fit into the 90 s that a task may wait
+/// next to free capacity.
 constexpr double kMinWaitS = 20;
 constexpr double kUrgentMinWaitS = 8;
-/// Tasks that have no place in the other shard after so many seconds come back.
+/// Time, in seconds, after which a delegation is closed if some of its tasks have no placement in
+/// the other shard.
 constexpr double kMaxUnplacedS = 12;
-/// A job whose delegation has ended is not delegated again for so many seconds.
+/// Time, in seconds, for which a job is not delegated again after its delegation has been removed.
 constexpr double kRedelegationPauseS = 5;
-/// Jobs looked at in one run, and written in one transaction.
+/// Maximum numbers of jobs examined in one run, and of jobs written in one transaction.
 constexpr std::size_t kMaxJobsPerRun = 64;
 constexpr std::size_t kMaxJobsPerTransaction = 4;
-/// Tasks of one delegation; all tasks of a gang, which can be delegated only as a whole.
+/// Maximum numbers of tasks delegated at once: for an ordinary job, and for a gang, which is
+/// delegated only as a whole.
 constexpr std::size_t kMaxTasksPerDelegation = 32;
 constexpr std::size_t kMaxTasksPerGang = 128;
-/// Preconditions beside those on the jobs: the leader's key and the schema version.
+/// Number of preconditions in each transaction in addition to those on jobs: the leader's key and
+/// the schema version.
 constexpr std::size_t kSharedPreconditions = 2;
 
 bool is_urgent(const Job& job) { return job.priority_band() < Job::kGuaranteed; }
@@ -47,7 +51,8 @@
   return intervals;
 }
 
-/// Tasks of an open delegation, as far as its shard has got with them.
+/// Progress of an open delegation: number of tasks that are not done, and number of those without a
+/// placement in its shard.
 struct Progress {
   std::size_t unfinished = 0;
   std::size_t unplaced = 0;
@@ -91,14 +96,16 @@
   delegated_work_.outcome_known();
 }
 
-// False: the transaction has no room for it, or a value would be too long.
+// Adds the job's record with this delegation to the transaction. Returns false if the transaction
+// is full or already writes the job, or if the record would be too long.
 bool DelegationPlanner::write_record(Draft& draft, const state::JobEntry& entry,
                                      std::optional<wire::Delegation> delegation) {
   wire::Transaction& transaction = draft.transaction;
   if (transaction.ops.size() >= std::min(kMaxJobsPerTransaction, draft.limits.ops)) return false;
   if (transaction.preconditions.size() + kSharedPreconditions >= draft.limits.preconditions)
     return false;
-  // A key is written once in a transaction: of two changes at one revision a cache takes the first.
+  // A transaction writes a key only once: of two changes with the same revision, a cache applies
+  // only the first.
   const std::string key = state::job_key(entry.record.spec.id);
   const auto& ops = transaction.ops;
   if (std::any_of(ops.begin(), ops.end(), [&](const auto& op) { return op.key == key; }))
@@ -113,7 +120,7 @@
   return true;
 }
 
-// ---- ending
+// ---- closing and removing
 
 void DelegationPlanner::end_delegations(Draft& draft) {
   for (const std::string& id : draft.cache.delegated()) {
@@ -152,8 +159,8 @@
   return now - unplaced_since_.try_emplace(id, now).first->second > kMaxUnplacedS;
 }
 
-// Nothing can run in the other shard any more, and this one has stored its results: the other one
-// drops them with the delegation.
+// Returns true if nothing can run in the other shard any more and this shard has stored all of its
+// results: the other shard drops them when the delegation is removed.
 bool DelegationPlanner::may_remove(const state::StateCache& cache, const state::JobEntry& entry,
                                    int shard) {
   if (!jobs::is_closing_read(cache, entry)) return false;
@@ -174,7 +181,7 @@
   return now - job.since > (is_urgent(job) ? kUrgentMinWaitS : kMinWaitS);
 }
 
-// In order of service.
+// Returns the waiting jobs in order of service, at most kMaxJobsPerRun.
 std::vector<JobPtr> DelegationPlanner::waiting_jobs(double now) const {
   std::vector<JobPtr> found;
   for (const auto& [id, job] : context_.jobs) {
@@ -190,7 +197,8 @@
   return found;
 }
 
-// Only where the machine is up: one that is being rented is room enough.
+// Returns queued tasks by job. Omits tasks that wait for a machine that is not up yet, which will
+// have enough capacity, and for a reserved machine.
 DelegationPlanner::QueuedByJob DelegationPlanner::queued_by_job() const {
   QueuedByJob queued;
   for (const auto& [order, number] : queues_.tasks()) {
@@ -212,7 +220,8 @@
   return tasks;
 }
 
-// A machine of this shard has room that nothing waits for.
+// Returns true if a machine of this shard has free capacity for a task of the job that no task
+// waits for.
 bool DelegationPlanner::fits_here(const Job& job, double now) const {
   const auto& all = machines_.all();
   return std::any_of(all.begin(), all.end(), [&](const auto& entry) {
@@ -235,7 +244,8 @@
     const std::vector<WaitingTask> waiting = waiting_tasks(*job, queued);
     if (waiting.empty()) continue;
     const std::size_t wanted = std::min(waiting.size(), kMaxTasksPerGang);
-    // An open delegation is extended where there is room; no second one goes elsewhere.
+    // An open delegation is extended if its shard has capacity. A job with a delegation never gets
+    // a second one in another shard.
     OfferFit fit = offers.best_fit(*job, wanted, open_shard(draft.cache, *job));
     if (fit.tasks == 0) fit = offers.best_fit(*job, wanted);
     if (fit.tasks == 0 || fits_here(*job, draft.now)) continue;
@@ -250,11 +260,11 @@
     offers.take(*job, fit);
     used_shards.insert(fit.shard);
   }
-  // What they offer next will show what became of this.
+  // The next offers of these shards will reflect the tasks delegated here.
   std::erase_if(offers_, [&](const RoomOffer& offer) { return used_shards.contains(offer.shard); });
 }
 
-// The shard that may run some of the job's tasks already, and others as well.
+// Returns the shard to which the job has an open delegation, if any.
 std::optional<int> DelegationPlanner::open_shard(const state::StateCache& cache, const Job& job) {
   const state::JobEntry* entry = cache.job(job.spec.id);
   if (!entry || !entry->record.delegation) return std::nullopt;
@@ -263,7 +273,7 @@
   return delegation.shard;
 }
 
-// There is no delegation yet, or one that the tasks can join.
+// Returns true if there is no delegation yet, or if the tasks can join the existing one.
 bool DelegationPlanner::may_extend(const std::optional<wire::Delegation>& delegation,
                                    const Job& job, const OfferFit& fit) const {
   if (!delegation) return true;
@@ -274,7 +284,8 @@
          *delegation->zone == context_.settings.zones[static_cast<std::size_t>(*fit.zone)];
 }
 
-// What keeps tasks that fit an offer from being delegated; null: nothing.
+// Returns the counter of the reason that prevents tasks which fit an offer from being delegated;
+// null if nothing does.
 std::uint64_t* DelegationPlanner::blocking_counter(const state::StateCache& cache, const Job& job,
                                                    std::size_t waiting, const OfferFit& fit,
                                                    bool is_enabled, double now) {
@@ -302,7 +313,7 @@
   std::vector<std::uint32_t> tasks;
   for (std::size_t i = 0; i < count; ++i) tasks.push_back(waiting[i].task);
   const state::JobEntry& entry = *draft.cache.job(job->spec.id);
-  // A gang goes as a whole, and keeps to its own rules there.
+  // A gang is delegated as a whole and follows its own zone rules in the other shard.
   const std::optional<int> zone = job->spec.gang ? std::nullopt : fit.zone;
   std::vector<std::uint32_t> delegated = tasks;
   if (entry.record.delegation)
--- a/src/scheduler/delegation_planner.h
+++ b/src/scheduler/delegation_planner.h
@@ -1,5 +1,5 @@
-// Decides at the leader of a team's shard which waiting tasks another shard is to run, and when
-// that ends (docs/delegation.md). Free of I/O.
+// Decides, at the leader of a team's shard, which waiting tasks another shard is to run, and when
+// that ends (docs/delegation.md). Performs no I/O.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -22,18 +22,18 @@
 
 namespace shunttrail::scheduler {
 
-/// Tasks that wait while another shard offers room that they fit, by what keeps them from it.
+/// Number of waiting tasks that fit the offers of another shard but are not delegated, by reason.
 struct UndelegatedTasks {
-  std::uint64_t not_yet = 0;  ///< they have not waited for long enough
-  std::uint64_t in_progress =
-      0;                       ///< a delegation of their job elsewhere has not ended, or just has
-  std::uint64_t quota = 0;     ///< their team's limit
-  std::uint64_t gang = 0;      ///< their gang is delegated only as a whole, which does not fit
-  std::uint64_t disabled = 0;  ///< the schema version, or a node's build
-  double longest_s = 0;        ///< longest wait among all of them
+  std::uint64_t not_yet = 0;  ///< they have not waited long enough
+  /// another delegation of their job has not ended, or has just ended
+  std::uint64_t in_progress = 0;
+  std::uint64_t quota = 0;     ///< the team is at its limit
+  std::uint64_t gang = 0;      ///< a gang is delegated only as a whole, which does not fit
+  std::uint64_t disabled = 0;  ///< the schema version or a node's build does not allow it
+  double longest_s = 0;        ///< longest wait among these tasks, in seconds
 };
 
-/// Makes the transactions that open, close and remove delegations. Times are steady, in seconds.
+/// Builds the transactions that open, close and remove delegations. Times are steady, in seconds.
 class DelegationPlanner {
  public:
   DelegationPlanner(ShardContext& context, Machines& machines, TaskQueues& queues, TeamQuota& quota,
@@ -44,19 +44,19 @@
         quota_(quota),
         delegated_work_(delegated_work) {}
 
-  /// Replaces what the other shards offer.
+  /// Replaces the offers of the other shards.
   void set_offers(std::vector<RoomOffer> offers) { offers_ = std::move(offers); }
 
-  /// The next transaction; none while one is in flight or there is nothing to change. `tag` names
-  /// it.
+  /// Returns the next transaction, named by `tag`. Returns nullopt while one is in flight, if the
+  /// last run is too recent, or if nothing changes.
   [[nodiscard]] std::optional<wire::Transaction> next_transaction(
       const state::StateCache& cache, const state::TransactionLimits& limits,
       const std::string& tag, std::uint64_t token, double now);
   [[nodiscard]] bool transaction_in_flight() const { return in_flight_; }
-  /// The transaction has been applied, or will not be.
+  /// Records that the transaction has been applied, or never will be.
   void transaction_done();
 
-  /// As of the latest run.
+  /// Returns the counts of the latest run.
   [[nodiscard]] const UndelegatedTasks& undelegated_tasks() const { return undelegated_; }
 
  private:
@@ -67,7 +67,7 @@
     const double now;
     wire::Transaction transaction{};
   };
-  /// A task that waits, and the machine whose queue it is in, if it is in one.
+  /// A waiting task, and the machine in whose queue it is, if any.
   struct WaitingTask {
     std::uint32_t task = 0;
     Machine* machine = nullptr;
--- a/src/scheduler/machine_transfers.cpp
+++ b/src/scheduler/machine_transfers.cpp
@@ -6,7 +6,7 @@
 namespace shunttrail::scheduler {
 
 namespace {
-/// Amounts that differ by less are equal.
+/// Amounts that differ by less are treated as equal.
 constexpr double kAmountTolerance = 1e-9;
 }  // namespace
 
@@ -28,8 +28,8 @@
   return sum;
 }
 
-// Work goes on where a machine was to leave and is not wanted any more. Only one that is not empty
-// may stay: of an empty one the inventory's commit may be on its way.
+// Removes the mark of a machine that the other shard no longer needs. Does nothing for an empty
+// machine: the inventory may already be committing its transfer.
 void MachineTransfers::cancel_transfer(Machine& machine) {
   if (machine.transfer_to < 0 || machine.lost || machine.returning) return;
   if (machine.tasks.placements.empty()) return;
@@ -38,7 +38,7 @@
   context_.scheduling_due = true;
 }
 
-// Keeps what is marked beyond the amount. Returns what is still to be marked.
+// Removes marks beyond the amount. Returns the amount that remains to be marked.
 double MachineTransfers::trim_marked(const MachineTransfer& transfer) {
   double remaining = transfer.amount;
   for (const auto& [number, machine] : machines_.all()) {
@@ -49,17 +49,17 @@
   return remaining;
 }
 
-// A machine with a replica is not promised: it would stand half empty for as long as the service
-// runs.
+// Returns true if the machine may be marked. A machine with a replica is not marked: it would stay
+// half empty for as long as the service runs.
 bool MachineTransfers::can_be_transferred(const Machine& machine) {
   if (machine.state != Machine::up || !machine.in_inventory || machine.type < 0) return false;
   if (machine.leaving || machine.draining || machine.queue.reserved_for) return false;
   return !machine.has_replicas();
 }
 
-// Idle ones at once, then the emptiest ones as soon as their tasks are over: work spread thinly
-// over a surplus would leave hardly any machine idle. Those that take most of what waits there go
-// first.
+// Marks idle machines first, then the emptiest ones, which move as soon as their tasks have ended:
+// work spread thinly across a surplus leaves hardly any machine idle. Among equals, machines that
+// can take most of the other shard's waiting work are marked first.
 std::vector<Machine*> MachineTransfers::transfer(const MachineTransfer& transfer) {
   double remaining = trim_marked(transfer);
   const auto usefulness = [&](const Machine& machine) {
--- a/src/scheduler/machine_transfers.h
+++ b/src/scheduler/machine_transfers.h
@@ -1,5 +1,5 @@
-// Machines that move between shards: which are to go to a shard that lacks some, and the changes of
-// the inventory that new and moving machines need. Free of I/O.
+// Transfers of machines between shards: selects machines for a shard that lacks them, and lists the
+// inventory changes that new and transferred machines need. Performs no I/O.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -12,45 +12,47 @@
 
 namespace shunttrail::scheduler {
 
-/// A change of the inventory that the scheduler asks for.
+/// An inventory change that the scheduler requests.
 struct InventoryChange {
   enum Kind { add, transfer, drop } kind = add;
   wire::MachineRecord machine;
-  /// add: steady time, in seconds.
+  /// For `add`, the steady time in seconds at which the machine was rented.
   double rented_at = 0;
 };
 
-/// What a shard has to give to another one.
+/// A transfer of machines from this shard to another one.
 struct MachineTransfer {
   int to = 0;
-  /// In machines of the first type, by vcpus.
+  /// Capacity to transfer, in machines of the first type, measured by vcpus.
   double amount = 0;
-  /// By tier: how much of what waits there it takes.
+  /// By tier, how much of the work waiting in the other shard a machine of that tier can take.
   std::vector<double> usefulness_by_tier;
 };
 
-/// Chooses the machines to give to other shards.
+/// Selects the machines to transfer to other shards.
 class MachineTransfers {
  public:
-  /// The change of the inventory has been requested already.
+  /// Returns true if this inventory change has been requested already.
   using IsRequested =
       std::function<bool(const std::string& machine, InventoryChange::Kind, int shard)>;
 
   MachineTransfers(ShardContext& context, Machines& machines)
       : context_(context), machines_(machines) {}
 
-  /// Marks machines that another shard lacks, to go there once they are empty: so much in all, what
-  /// is marked already included. What is marked beyond that stays, unless it is empty already.
-  /// Returns the machines that are newly marked.
+  /// Marks machines for transfer to a shard that lacks capacity; each moves there once it is empty.
+  /// The amount includes machines that are marked already; marks beyond it are removed, except from
+  /// machines that are empty already. Returns the newly marked machines.
   [[nodiscard]] std::vector<Machine*> transfer(const MachineTransfer& transfer);
-  /// Marked to go, in machines of the first type.
+  /// Returns the capacity marked for transfer, in machines of the first type.
   [[nodiscard]] double transferring() const;
-  /// Up or booting, and staying, in machines of the first type.
+  /// Returns the capacity of the machines that are neither leaving nor draining, in machines of the
+  /// first type.
   [[nodiscard]] double capacity() const;
-  /// The shard that the machine is to go to now: it is marked, and nothing is on it or waits for
-  /// it. -1: none.
+  /// Returns the shard to which the machine can be transferred now: the machine is marked, and
+  /// nothing runs on it or waits for it. Returns -1 if there is none.
   [[nodiscard]] int transfer_target(const std::string& name) const;
-  /// The changes that the inventory needs under the token, except those requested already.
+  /// Returns the changes that the inventory needs under the fencing token, except those requested
+  /// already.
   [[nodiscard]] std::vector<InventoryChange> inventory_changes(
       std::uint64_t token, const IsRequested& is_requested) const;
 
--- a/src/scheduler/offer_fit.cpp
+++ b/src/scheduler/offer_fit.cpp
@@ -29,7 +29,7 @@
   return filled;
 }
 
-// By zone, how many tasks the job itself allows there.
+// Returns, by zone, how many tasks the job's own rules allow there.
 std::vector<std::size_t> Offers::zone_limits(const Job& job) const {
   std::vector<std::size_t> limits;
   for (std::size_t zone = 0; zone < settings_.zones.size(); ++zone) {
--- a/src/scheduler/room_offer.h
+++ b/src/scheduler/room_offer.h
@@ -1,15 +1,15 @@
-// Room on machines of another shard that its leader offers for tasks of this one
+// Free capacity on machines of another shard that its leader offers for tasks of this shard
 // (docs/delegation.md).
 #pragma once
 #include "jobs/job.h"
 
 namespace shunttrail::scheduler {
 
-/// Room of one machine.
+/// Free capacity of one machine.
 struct RoomOffer {
-  /// The shard that the machine belongs to.
+  /// The shard to which the machine belongs.
   int shard = -1;
-  /// Dense indices (MachineCatalogue, Settings::zones).
+  /// Dense indices in MachineCatalogue and Settings::zones.
   int type = -1, zone = -1;
   bool spot = false;
   jobs::Resources room;
--- a/src/scheduler/room_offers.cpp
+++ b/src/scheduler/room_offers.cpp
@@ -7,10 +7,12 @@
 namespace shunttrail::scheduler {
 
 namespace {
-/// Machines offered of each type, kind and zone. More room than that shows with the next offers.
+/// Maximum number of machines offered for each tier and zone. Capacity beyond that is offered once
+/// these offers have been used.
 constexpr std::size_t kMachinesPerGroup = 8;
 
-// What is kept free for urgent work is not offered, nor what a task in the queue is to have.
+// Returns true if the machine's free capacity is offered. A machine with waiting or reserved tasks
+// is not offered. The capacity that is kept free for urgent work is excluded by the caller.
 bool is_offered(const Machine& machine, const TaskQueues& queues, double now) {
   if (!machine.accepts_work(now) || !machine.in_inventory) return false;
   if (machine.type < 0 || machine.zone < 0) return false;
--- a/src/scheduler/room_offers.h
+++ b/src/scheduler/room_offers.h
@@ -1,5 +1,5 @@
-// Room of a shard's machines that nothing of the shard waits for, as it is offered to the other
-// shards (docs/delegation.md). Free of I/O.
+// Free capacity of a shard's machines that no task of the shard waits for, as the shard offers it
+// to other shards (docs/delegation.md). Performs no I/O.
 #pragma once
 #include <vector>
 
@@ -10,7 +10,8 @@
 
 namespace shunttrail::scheduler {
 
-/// Offers of the machines with the most room, a few of each type, kind and zone, largest first.
+/// Returns offers of the machines with the most free capacity, a few for each tier and zone,
+/// largest first.
 [[nodiscard]] std::vector<RoomOffer> room_offers(const ShardContext& context,
                                                  const Machines& machines, const TaskQueues& queues,
                                                  double now);
