--- a/tests/chain_test.cpp
+++ b/tests/chain_test.cpp
@@ -1,4 +1,5 @@
-// The chain's arms, bars and k against small cases worked by hand.
+// Tests of the chain's bandit, of its walk and of the idle wait k, on small cases whose results are
+// worked out by hand.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -9,7 +10,7 @@
 namespace {
 
 Bandit* new_learner() {
-  static std::vector<std::unique_ptr<Bandit>> learners;  // as long as the tests
+  static std::vector<std::unique_ptr<Bandit>> learners;  // owned for the duration of the tests
   learners.push_back(std::make_unique<Bandit>(16));
   return learners.back().get();
 }
@@ -69,16 +70,16 @@
 TEST(IdleWait, StaysBetweenBootTimeAndCapAndMovesByLambda) {
   IdleWait wait(1, 2, 8);
   EXPECT_DOUBLE_EQ(wait.seconds(30), 30);
-  wait.record_rental(40, 30);  // within k + a boot: releasing early cost more
+  wait.record_rental(40, 30);  // 40 < k + a boot time: keeping the machine would have cost less
   EXPECT_DOUBLE_EQ(wait.seconds(30), 60);
-  wait.record_rental(100, 30);  // 100 > 60 + 30: it was right to let it go
+  wait.record_rental(100, 30);  // 100 > 60 + 30: returning the machine was right
   EXPECT_DOUBLE_EQ(wait.seconds(30), 60);
   wait.record_reuse(20, 30);  // idling was cheaper than a boot
   EXPECT_DOUBLE_EQ(wait.seconds(30), 60);
   wait.record_reuse(45, 30);
   EXPECT_DOUBLE_EQ(wait.seconds(30), 30);
   for (int i = 0; i < 20; ++i) wait.record_rental(1, 30);
-  EXPECT_DOUBLE_EQ(wait.seconds(30), 240);  // the cap
+  EXPECT_DOUBLE_EQ(wait.seconds(30), 240);  // the cap of eight boot times
 }
 
 Candidate make_candidate(int machine, bool may_accept, bool empty) {
@@ -137,9 +138,10 @@
   EXPECT_EQ(outcome.steps[0].arm, Arm::down);
 }
 
-// Walks through a fleet of hundreds took a quarter of a controller's time, most of it for seats
-// that learners cannot tell apart. One of each kind, and the last, lead to the same outcome, by the
-// same random numbers.
+// Guards against the cost of walks in large clusters: with hundreds of machines, walks took a
+// quarter of a controller's time, most of it for candidates that learners cannot distinguish. The
+// first candidate of each kind and the last candidate of the tier must lead to the same outcome as
+// all candidates, with the same random draws.
 TEST(ChainWalk, FirstOfEachKindAndTheLastLeadToTheSameOutcomeAsAllCandidates) {
   Rng rng(11);
   for (int round = 0; round < 400; ++round) {
--- a/tests/delegation_test.cpp
+++ b/tests/delegation_test.cpp
@@ -1,5 +1,5 @@
-// Delegated tasks: the stored form, what it keeps from starting where, quotas, and two schedulers
-// over one state service (docs/delegation.md).
+// Tests of delegated tasks: their stored form, the tasks withheld in each shard, quotas, offers,
+// and two schedulers that share one state service (docs/delegation.md).
 #include "jobs/delegation.h"
 
 #include <gtest/gtest.h>
@@ -38,7 +38,8 @@
 TEST(DelegationRecord, EncodesAsRecordedAndRoundTrips) {
   const wire::JobRecord record = delegated_record();
   const std::string text = wire::encode_record(record);
-  // A type that no cloud lists keeps builds off it that know no delegations.
+  // The record lists a machine type that no cloud offers, so that builds without support for
+  // delegations do not start the job's tasks.
   EXPECT_EQ(nlohmann::json::parse(text)["stock_types"], nlohmann::json({"-delegated-"}));
   EXPECT_EQ(nlohmann::json::parse(text)["delegation"].dump(),
             R"({"tasks":[1,2,5,5],"to":1,"types":["t4","t8"]})");
@@ -61,7 +62,7 @@
   EXPECT_EQ(wire::encode_record(wire::decode_job_record({"st/j/" + kId, closed, 9})), closed);
 }
 
-// What cannot be read is counted; the job stays known, and nobody starts its tasks.
+// A malformed delegation is counted. Its job stays known, and no shard starts its tasks.
 TEST(DelegationRecord, AMalformedDelegationKeepsTheJobKnownAndWithholdsItsTasks) {
   const config::Settings settings = make_settings();
   for (const char* malformed :
@@ -83,7 +84,7 @@
   }
 }
 
-// ---- what may start where
+// ---- tasks withheld in each shard
 
 class DelegatedTasks : public ::testing::Test {
  protected:
@@ -125,14 +126,14 @@
   EXPECT_EQ(withheld(1), (std::vector<bool>{true, false, false, true, true, false}));
   EXPECT_EQ(used_vcpus(), 3);
   store_placements(1, {1}, {{2, 2}});
-  EXPECT_EQ(used_vcpus(), 2);  // one of them is done
+  EXPECT_EQ(used_vcpus(), 2);  // one of the three tasks is done
 }
 
 TEST_F(DelegatedTasks, ClosedTasksReturnOnceEarlierStartsHaveBeenRead) {
   wire::JobRecord record = delegated_record();
   record.delegation->is_closed = true;
   store_job(record);
-  // A start that was committed before may not have been read yet.
+  // A start that was committed before the delegation closed may not have been read yet.
   EXPECT_EQ(withheld(0), (std::vector<bool>{false, true, true, false, false, true}));
   EXPECT_EQ(withheld(1), std::vector<bool>(6, true));
   EXPECT_EQ(used_vcpus(), 3);
@@ -161,7 +162,8 @@
   store_job(delegated_record());
   read_all();
   drop_job();
-  EXPECT_EQ(used_vcpus(), 3);  // a start may have been committed just before, and is not read yet
+  // A start may have been committed just before the job ended, and is not read yet.
+  EXPECT_EQ(used_vcpus(), 3);
   store_placements(1, {1, 5});
   read_all();
   EXPECT_EQ(used_vcpus(), 2);
@@ -184,13 +186,13 @@
   EXPECT_TRUE(jobs::delegation_enabled(cache_));
   member(0, schema::current_build(true));
   EXPECT_TRUE(jobs::delegation_enabled(cache_));
-  member(1, {});  // one that knows no levels cannot be kept out
+  member(1, {});  // a build that announces no levels cannot be refused
   EXPECT_FALSE(jobs::delegation_enabled(cache_));
   member(1, schema::current_build(false));
   EXPECT_TRUE(jobs::delegation_enabled(cache_));
 }
 
-// A version that has no delegations is settled only once none is stored.
+// The state is not fully converted to a version without delegations while one is stored.
 TEST_F(DelegatedTasks, ADowngradeWaitsForTheLastDelegationToEnd) {
   std::vector<state::Change> changes;
   store_job(delegated_record());
@@ -235,7 +237,7 @@
   spec.same_zone = true;
   EXPECT_EQ(offers.best_fit(job(spec), 4).tasks, 2u);
   spec.same_zone = false;
-  spec.anti_affinity = true;  // two of four in one zone at the most
+  spec.anti_affinity = true;  // at most two of the four tasks per zone
   EXPECT_EQ(offers.best_fit(job(spec), 4).tasks, 2u);
   EXPECT_TRUE(offers.best_fit(job(spec), 4).zone);
   spec.gang = true;
@@ -264,7 +266,8 @@
   ASSERT_TRUE(decoded);
   EXPECT_EQ(decoded->node, 1);
   EXPECT_EQ(decoded->offers, offers.offers);
-  EXPECT_FALSE(peer::decode_room_offers(bytes, 1));  // no such shard
+  // With one shard, shard 1 of the second offer does not exist.
+  EXPECT_FALSE(peer::decode_room_offers(bytes, 1));
   for (std::size_t size = 0; size < bytes.size(); ++size)
     EXPECT_FALSE(peer::decode_room_offers(bytes.substr(0, size), 2)) << size;
   std::mt19937 rng(3);
@@ -278,10 +281,10 @@
   }
 }
 
-// ---- two schedulers over one state service
+// ---- two schedulers that share one state service
 
-// Shard 0 has the red team and a full machine, shard 1 the blue team and a machine with room beside
-// its one task.
+// Shard 0 has the red team and a machine that the first red job fills. Shard 1 has the blue team
+// and a machine with free capacity next to its one task.
 class TwoShards : public ::testing::Test {
  protected:
   config::Settings settings_ = make_settings();
@@ -395,14 +398,14 @@
                   heartbeat.incarnation, now_, now_, rng_);
     }
   }
-  // Offers, commits and heartbeats of so many seconds.
+  // Runs the given number of seconds: exchanges offers, commits and sends heartbeats.
   void run_seconds(int seconds) {
     for (int second = 0; second < seconds; ++second) {
       ++now_;
       shards_[0]->set_room_offers(shards_[1]->room_offers(now_));
       for (const auto& scheduler : shards_) {
         scheduler->tick(now_);
-        // The cloud has no other machines.
+        // The cloud refuses every rental.
         for (const auto& request : scheduler->scale_out_requests(now_))
           scheduler->rent_refused(request, 0, true, now_);
       }
@@ -411,7 +414,7 @@
       for (int shard = 0; shard < 2; ++shard) commit(shard);
     }
   }
-  // Red tasks that run on the worker.
+  // Returns the number of red tasks that run on the worker.
   std::size_t running_red_tasks(int worker) const {
     const auto& tasks = workers_[static_cast<std::size_t>(worker)].tasks;
     return static_cast<std::size_t>(std::count_if(tasks.begin(), tasks.end(), [](const auto& task) {
@@ -421,7 +424,7 @@
   const std::optional<wire::Delegation>& delegation(const std::string& id) const {
     return cache_.job(id)->record.delegation;
   }
-  // The red shard's machine is full, and two more tasks run on the other one.
+  // Fills the red shard's machine and waits until two more tasks run on the blue shard's machine.
   void run_two_tasks_on_other_shard() {
     submit(make_job(1, 4, 1));
     run_seconds(3);
@@ -445,7 +448,7 @@
   ASSERT_EQ(running_red_tasks(0), 4u);
   submit(make_job(2, 2, 1));
   run_seconds(15);
-  EXPECT_EQ(running_red_tasks(1), 0u);  // its own shard may yet have room
+  EXPECT_EQ(running_red_tasks(1), 0u);  // its own shard may still get free capacity
   run_seconds(15);
   EXPECT_EQ(running_red_tasks(1), 2u);
   ASSERT_TRUE(delegation("run-100002"));
@@ -463,15 +466,15 @@
   submit(make_job(2, 4, 1));
   run_seconds(40);
   EXPECT_EQ(running_red_tasks(0) + running_red_tasks(1), 6u);
-  // The first one's end gives the limit to two more, and no more.
+  // The end of the first job frees the limit for two more tasks, not for more.
   complete_red_tasks(0);
   run_seconds(40);
   EXPECT_EQ(running_red_tasks(0) + running_red_tasks(1), 4u);
   EXPECT_FALSE(cache_.job("run-100001"));
 }
 
-// The receiving leader has made its start before the delegation was closed, and the state service
-// carries it out after that.
+// The receiving leader prepares a start before the delegation closes, and the state service
+// receives it afterwards.
 TEST_F(TwoShards, AStartCommittedAfterTheDelegationClosedFails) {
   submit(make_job(1, 4, 1));
   run_seconds(3);
@@ -487,7 +490,7 @@
   ASSERT_TRUE(delegation("run-100002"));
   const auto late_start = next_transaction(1);
   ASSERT_TRUE(late);
-  // It does not come for long: the leader of the team's shard takes the task back.
+  // The start does not arrive for a long time: the leader of the team's shard takes the task back.
   for (int second = 0; second < 16; ++second) {
     ++now_;
     commit(0);
@@ -496,7 +499,7 @@
   EXPECT_FALSE(store_.commit(*late_start));
 }
 
-// Either shard's next leader finds out by what is stored.
+// The next leader of either shard recovers delegations from the stored state.
 TEST_F(TwoShards, DelegationsContinueAfterEitherShardsLeaderChanges) {
   submit(make_job(1, 4, 1));
   run_seconds(3);
@@ -505,7 +508,7 @@
   ASSERT_EQ(running_red_tasks(1), 2u);
   take_over(0);
   run_seconds(5);
-  EXPECT_EQ(running_red_tasks(0) + running_red_tasks(1), 6u);  // the limit
+  EXPECT_EQ(running_red_tasks(0) + running_red_tasks(1), 6u);  // the team's limit
   take_over(1);
   run_seconds(5);
   EXPECT_EQ(running_red_tasks(1), 2u);
@@ -527,7 +530,7 @@
   EXPECT_EQ(running_red_tasks(1), 0u);
 }
 
-// Where the version is lowered, delegations end, and no other begins.
+// After the schema version is lowered, open delegations end and no new ones begin.
 TEST_F(TwoShards, ALowerSchemaVersionEndsDelegations) {
   run_two_tasks_on_other_shard();
   store_.commit(
--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -1,4 +1,4 @@
-// Large tasks of jobs that wait for long (docs/design.md, X14).
+// Tests of reservations for large tasks of jobs that have waited long (docs/design.md, X14).
 #include <gtest/gtest.h>
 
 #include "scheduler_fixture.h"
@@ -6,7 +6,8 @@
 namespace shunttrail::test {
 namespace {
 
-constexpr double kMaxStartDelayS = 240;  // the largest begin within this
+// Time, in seconds, within which the large task must have started.
+constexpr double kMaxStartDelayS = 240;
 
 wire::JobRecord make_sized_job(int number, double cpus, wire::Priority priority,
                                double estimate_s = 20) {
@@ -17,7 +18,7 @@
   return record;
 }
 
-// More small tasks than there is room for, urgent ones too, for as long as it goes.
+// Submits small tasks, a third of them urgent, faster than they can run.
 struct SmallTaskLoad {
   SchedulerSite site;
   int next_job = 100;
@@ -28,7 +29,7 @@
     for (int i = 0; i < machines; ++i) site.machine("m-" + std::to_string(i + 1), 0);
   }
   void run_second(double now, double vcpus) {
-    // Tasks run for 22 s on average: somewhat more than the room takes.
+    // Tasks run for 22 s on average, so this rate is 20% above what the capacity can take.
     std::poisson_distribution<int> arrivals(1.2 * vcpus / 22);
     for (int n = arrivals(rng); n > 0; --n)
       site.submit(make_sized_job(next_job++, 1,
@@ -54,7 +55,7 @@
   }
 }
 
-// There is room enough, and the team's limit is taken by small tasks one by one.
+// The machines have enough free capacity, but small tasks take the team's limit one by one.
 TEST(Reservations, ATeamsLimitIsKeptFreeForALargeTask) {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE(seed);
@@ -69,8 +70,9 @@
   }
 }
 
-// What a reservation keeps free is used again before others have waited beside it for 90 s, though
-// what it waits for runs for much longer than was estimated.
+// A running task lasts much longer than its estimate, so a reservation that waits for it expires.
+// The capacity that it kept free must be used again before another task has waited next to it for
+// 90 s.
 TEST(Reservations, ReservedCapacityIsUsedAgainWithinNinetySeconds) {
   SchedulerSite site;
   site.machine("m-1", 0);
@@ -87,17 +89,19 @@
     while (!site.begun(small.spec.id) && now - submitted_at < 200);
     longest_wait_s = std::max(longest_wait_s, now - submitted_at);
   }
-  EXPECT_GT(longest_wait_s, 20);  // room was kept, by a reservation or the list's order
+  // Capacity was kept free, by a reservation or by the order of the queue.
+  EXPECT_GT(longest_wait_s, 20);
   EXPECT_LT(longest_wait_s, 90);
   EXPECT_FALSE(site.begun(large.spec.id));
 }
 
-// Replicas have no end: one on each machine kept every machine from a task that needs all of one.
+// Replicas do not end on their own: a replica on each machine would keep a task that needs a whole
+// machine waiting forever.
 TEST(Reservations, AReplicaMovesForATaskThatNeedsAWholeMachine) {
   SchedulerSite site;
   site.machine("m-1", 0);
   site.machine("m-2", 0);
-  // One on each: the second comes when the first machine is full for a while.
+  // Place one replica on each machine: the second one starts while the first machine is full.
   site.submit(make_sized_job(1, 3, wire::Priority::standard), 0);
   const auto first_service = site.job(2, 1, 1, true, 0);
   site.pass_second(1);
@@ -111,7 +115,7 @@
   while (now < 2 + 2 * kMaxStartDelayS && !site.begun(large.spec.id)) site.pass_second(++now);
   EXPECT_LE(now - 2, kMaxStartDelayS);
   for (int i = 0; i < 5; ++i) site.pass_second(++now);
-  // Both replicas run, one of them elsewhere than before.
+  // Both replicas still run; one of them has moved.
   std::map<std::string, int> running_tasks;
   for (const auto& [name, worker] : site.workers)
     for (const auto& task : worker.tasks)
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -1,6 +1,7 @@
-// A fleet of hundreds and an array of 3,000 tasks through a state service that takes few changes:
-// generated losses, a crash in the middle, a successor under a new token. The rules are checked,
-// and that commits and changes stay in proportion to what happened.
+// Runs a cluster of hundreds of machines and an array of 3,000 tasks against a state service that
+// accepts few commits, with random losses, a leader crash halfway, and a new leader with a new
+// fencing token. Checks the scheduling rules, and that the number of commits and changes stays in
+// proportion to the work.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -37,8 +38,8 @@
 
   void run() {
     for (now_ = 1; now_ < 400 && !::testing::Test::HasFatalFailure(); now_ += 1) {
-      if (now_ == 40)
-        scheduler_.reset(), transaction_.reset();  // killed, a commit perhaps under way
+      // The leader is killed, perhaps with a commit in flight.
+      if (now_ == 40) scheduler_.reset(), transaction_.reset();
       if (now_ == 46) become_leader();
       step();
       if (store_.mod_revision(state::job_result_key("run-100001")) &&
@@ -77,14 +78,14 @@
     for (const auto& [number, page] : cache_.placement_pages(0))
       scheduler_->recover_page(number, page, now_);
   }
-  // Two commits a second at most, as a controller's share of a slow state service.
+  // At most two commits per second, like one controller's share of a slow state service.
   void commit_some() {
     for (int i = 0; i < 2 && scheduler_; ++i) {
       if (!transaction_)
         transaction_ = scheduler_->next_transaction(cache_, state::TransactionLimits{},
                                                     "t" + std::to_string(++last_tag_), now_);
       if (!transaction_) return;
-      if (chance(0.15)) return;  // refused: the same one again, later
+      if (chance(0.15)) return;  // refused: the same transaction is tried again later
       for (const auto& op : transaction_->ops) {
         ++change_count_;
         if (op.value) longest_value_ = std::max(longest_value_, op.value->size());
@@ -115,7 +116,8 @@
           task.why = wire::ExitReason::done;
           done_.insert(task.id.job + "/" + std::to_string(task.id.index));
         }
-      if (!scheduler_ || !chance(0.4) || chance(0.05)) continue;  // not yet, or lost
+      // The worker sends no heartbeat yet, or it is lost.
+      if (!scheduler_ || !chance(0.4) || chance(0.05)) continue;
       auto heartbeat = worker.report();
       if (heartbeat.token > scheduler_->token() ||
           scheduler_->take_heartbeat(heartbeat, now_) !=
@@ -169,18 +171,18 @@
     cluster.run();
     if (HasFatalFailure()) return;
     EXPECT_TRUE(cluster.large_job_ended()) << "after " << cluster.now() << " s";
-    // 3,040 starts and results: a change each would be 6,080.
+    // 3,040 tasks start and end: with one change for each, there would be 6,080.
     EXPECT_LE(cluster.change_count(), 600u);
     EXPECT_LE(cluster.longest_value(), 4096u);
   }
 }
 
-// A task's result comes from a machine that an earlier attempt ran on, while a later attempt of it
-// is stored and not sent yet. It is never sent, since the task is done; and its placement was never
-// given up either, so that it held room on its machine and a part of its team's limit for as long
-// as the job had other tasks: "unsent":1 in a shard's log line for 200 s, and all of its team's
-// other work refused by its limit (Delegation.DrawnFaults..., seed 189; a leader that stands
-// still).
+// Guards against a placement that is never released. A task's result arrives from a machine on
+// which an earlier attempt ran, while a later attempt is stored but not sent yet. The later attempt
+// is never sent, since the task is done. Its placement once stayed, and held capacity on its
+// machine and part of its team's limit for as long as the job had other tasks: the shard's log line
+// showed "unsent":1 for 200 s, and the limit refused all other work of the team
+// (Delegation.DrawnFaults..., seed 189, where a leader stalls).
 TEST(Placements, AnUnsentStartOfACompletedTaskIsReleased) {
   SchedulerSite site;
   site.machine("m-1", 0);
@@ -198,7 +200,7 @@
   EXPECT_EQ(site.live_tasks("m-1"), 0u);
   site.report("m-1", 5);
   site.report("m-1", 6);
-  const std::size_t unfinished = 1;  // the job's other task, which has come to one of the machines
+  const std::size_t unfinished = 1;  // the job's other task, which one of the machines has
   EXPECT_EQ(used(), 4.0 * unfinished);
   EXPECT_EQ(nlohmann::json::parse(site.scheduler->summary())["unsent"], 0);
 }
