--- a/src/chain/bandit.cpp
+++ b/src/chain/bandit.cpp
@@ -29,13 +29,13 @@
 }
 
 Arm Bandit::choose(const Context& context, AllowedArms allowed, Rng& rng) const {
-  const auto known = arms_.find(context.key());
+  const auto recorded = arms_.find(context.key());
   std::optional<Arm> best;
   double best_cost = 0;
   for (const Arm arm : {Arm::accept, Arm::pass, Arm::down}) {
     if (!allowed[index(arm)]) continue;
-    if (known == arms_.end()) return arm;
-    const std::vector<float>& costs = known->second[index(arm)].costs;
+    if (recorded == arms_.end()) return arm;
+    const std::vector<float>& costs = recorded->second[index(arm)].costs;
     if (costs.empty()) return arm;
     const double cost = resampled_mean(costs, rng);
     if (best && !(cost < best_cost)) continue;
@@ -56,8 +56,8 @@
 }
 
 std::size_t Bandit::observations(const Context& context, Arm arm) const {
-  const auto known = arms_.find(context.key());
-  return known == arms_.end() ? 0 : known->second[index(arm)].costs.size();
+  const auto recorded = arms_.find(context.key());
+  return recorded == arms_.end() ? 0 : recorded->second[index(arm)].costs.size();
 }
 
 void IdleWait::record_reuse(double idled_s, double boot_s) {
--- a/src/chain/walk.cpp
+++ b/src/chain/walk.cpp
@@ -62,16 +62,16 @@
   // Adds a step only for a new draw, so that each draw has its cost recorded once.
   Arm decide(const Candidate& candidate, const AllowedArms& allowed, int tier) {
     const std::uint64_t context_key = candidate.context.key();
-    const auto known = std::find_if(draws_.begin(), draws_.end(), [&](const Draw& draw) {
+    const auto earlier_draw = std::find_if(draws_.begin(), draws_.end(), [&](const Draw& draw) {
       return draw.learner == candidate.learner && draw.context_key == context_key &&
              draw.allowed == allowed;
     });
-    const Arm arm = known != draws_.end()
-                        ? known->arm
+    const Arm arm = earlier_draw != draws_.end()
+                        ? earlier_draw->arm
                         : candidate.learner->choose(candidate.context, allowed, rng_);
     if (candidate.may_accept && !fallback_)
       fallback_ = Fallback{&candidate, tier, outcome_.steps.size()};
-    if (known == draws_.end()) {
+    if (earlier_draw == draws_.end()) {
       draws_.push_back({candidate.learner, context_key, allowed, arm});
       outcome_.steps.push_back({candidate.learner, candidate.context, arm});
     }
--- a/src/scheduler/admission.cpp
+++ b/src/scheduler/admission.cpp
@@ -154,18 +154,18 @@
 
 // Returns blocked tasks in order of service, each with the number of the machine that it waits for.
 std::vector<std::pair<ServiceOrder, int>> Admission::blocked_tasks(double now) const {
-  std::vector<std::pair<ServiceOrder, int>> found;
+  std::vector<std::pair<ServiceOrder, int>> blocked;
   for (const auto& [number, machine] : machines_.all()) {
     if (machine->state != Machine::up || machine->type < 0) continue;
     for (const QueuedTask& task : machine->queue.tasks) {
-      if (found.size() >= kMaxMovesPerCall) break;
+      if (blocked.size() >= kMaxMovesPerCall) break;
       if (machine->queue.reserved_for == task.service_order()) continue;
       if (now - task.since > kMaxQueueWaitS || is_blocked_by_replicas(*machine, task))
-        found.emplace_back(task.service_order(), number);
+        blocked.emplace_back(task.service_order(), number);
     }
   }
-  std::sort(found.begin(), found.end());
-  return found;
+  std::sort(blocked.begin(), blocked.end());
+  return blocked;
 }
 
 // A full machine accepts a task while the cloud has no capacity. If replicas fill the machine, its
--- a/src/scheduler/delegation_planner.cpp
+++ b/src/scheduler/delegation_planner.cpp
@@ -183,18 +183,18 @@
 
 // Returns the waiting jobs in order of service, at most kMaxJobsPerRun.
 std::vector<JobPtr> DelegationPlanner::waiting_jobs(double now) const {
-  std::vector<JobPtr> found;
+  std::vector<JobPtr> jobs;
   for (const auto& [id, job] : context_.jobs) {
     const bool waits = job->queued || !job->pending.empty();
-    if (waits && !job->is_foreign && !job->over && job->not_before <= now) found.push_back(job);
+    if (waits && !job->is_foreign && !job->over && job->not_before <= now) jobs.push_back(job);
   }
   const auto rank = [](const JobPtr& job) {
     return std::tuple(job->priority_band(), job->latest_start());
   };
-  std::sort(found.begin(), found.end(),
+  std::sort(jobs.begin(), jobs.end(),
             [&](const JobPtr& a, const JobPtr& b) { return rank(a) < rank(b); });
-  if (found.size() > kMaxJobsPerRun) found.resize(kMaxJobsPerRun);
-  return found;
+  if (jobs.size() > kMaxJobsPerRun) jobs.resize(kMaxJobsPerRun);
+  return jobs;
 }
 
 // Returns queued tasks by job. Omits tasks that wait for a machine that is not up yet, which will
@@ -256,7 +256,7 @@
       *blocker += fit.tasks;
       continue;
     }
-    if (!open(draft, job, waiting, fit)) continue;
+    if (!open_delegation(draft, job, waiting, fit)) continue;
     offers.take(*job, fit);
     used_shards.insert(fit.shard);
   }
@@ -304,8 +304,9 @@
   return has_waited(job, now) ? nullptr : &undelegated_.not_yet;
 }
 
-bool DelegationPlanner::open(Draft& draft, const JobPtr& job,
-                             const std::vector<WaitingTask>& waiting, const OfferFit& fit) {
+bool DelegationPlanner::open_delegation(Draft& draft, const JobPtr& job,
+                                        const std::vector<WaitingTask>& waiting,
+                                        const OfferFit& fit) {
   const std::size_t max_count = job->spec.gang ? fit.tasks : kMaxTasksPerDelegation;
   std::size_t count = std::min(fit.tasks, max_count);
   while (count > 0 && !quota_.allows(*job, TeamQuota::Counted::placed, count)) --count;
--- a/src/scheduler/delegation_planner.h
+++ b/src/scheduler/delegation_planner.h
@@ -93,8 +93,8 @@
   std::uint64_t* blocking_counter(const state::StateCache& cache, const jobs::Job& job,
                                   std::size_t waiting, const OfferFit& fit, bool is_enabled,
                                   double now);
-  bool open(Draft& draft, const jobs::JobPtr& job, const std::vector<WaitingTask>& waiting,
-            const OfferFit& fit);
+  bool open_delegation(Draft& draft, const jobs::JobPtr& job,
+                       const std::vector<WaitingTask>& waiting, const OfferFit& fit);
   void remove_from_queue(const WaitingTask& waiting, double now);
   static bool has_waited(const jobs::Job& job, double now);
 
--- a/src/scheduler/rentals.cpp
+++ b/src/scheduler/rentals.cpp
@@ -35,7 +35,7 @@
     ++machines[zone];
     if (machine->state == Machine::ordered && machine->tier() == tier) ++ordered[zone];
   }
-  int best = -1;
+  int best_zone = -1;
   for (std::size_t index = 0; index < zones; ++index) {
     const int zone = static_cast<int>(index);
     if (!type.in_zone[index] || !machines_.zone_ok(job, zone)) continue;
@@ -44,9 +44,10 @@
     // then refuses, and would have walked the chain in vain.
     const auto limit = order_limits_.find({tier, zone});
     if (limit != order_limits_.end() && ordered[index] >= limit->second) continue;
-    if (best < 0 || machines[index] < machines[static_cast<std::size_t>(best)]) best = zone;
+    if (best_zone < 0 || machines[index] < machines[static_cast<std::size_t>(best_zone)])
+      best_zone = zone;
   }
-  return best;
+  return best_zone;
 }
 
 Machine& Rentals::order(int tier, int zone, double now) {
--- a/src/scheduler/reservations.cpp
+++ b/src/scheduler/reservations.cpp
@@ -73,16 +73,16 @@
 // Returns overdue jobs with large tasks: first those that have waited longer than
 // kTopPriorityAfterS, the oldest first, then the others, the more urgent first.
 std::vector<JobPtr> Reservations::overdue_jobs(double now) const {
-  std::vector<JobPtr> found;
+  std::vector<JobPtr> overdue;
   for (const auto& [id, job] : context_.jobs)
-    if (is_overdue(*job, now) && is_large(*job)) found.push_back(job);
+    if (is_overdue(*job, now) && is_large(*job)) overdue.push_back(job);
   const auto rank = [&](const JobPtr& job) {
     const bool top_priority = now - job->since > kTopPriorityAfterS;
     return std::tuple(!top_priority, top_priority ? 0 : job->priority_band(), job->since);
   };
-  std::sort(found.begin(), found.end(),
+  std::sort(overdue.begin(), overdue.end(),
             [&](const JobPtr& a, const JobPtr& b) { return rank(a) < rank(b); });
-  return found;
+  return overdue;
 }
 
 // ---- choice of a machine
--- a/src/scheduler/task_queues.cpp
+++ b/src/scheduler/task_queues.cpp
@@ -40,15 +40,15 @@
 }
 
 std::vector<JobPtr> TaskQueues::pending_jobs(double now) const {
-  std::vector<JobPtr> order;
+  std::vector<JobPtr> jobs;
   for (const auto& [id, job] : context_.jobs)
-    if (!job->pending.empty() && job->not_before <= now) order.push_back(job);
-  std::sort(order.begin(), order.end(), [](const JobPtr& a, const JobPtr& b) {
+    if (!job->pending.empty() && job->not_before <= now) jobs.push_back(job);
+  std::sort(jobs.begin(), jobs.end(), [](const JobPtr& a, const JobPtr& b) {
     if (a->priority_band() != b->priority_band()) return a->priority_band() < b->priority_band();
     return is_ordered_by_start(a->priority_band()) ? a->latest_start() < b->latest_start()
                                                    : a->since < b->since;
   });
-  return order;
+  return jobs;
 }
 
 QueuedTask TaskQueues::take_pending(const JobPtr& job, double now) {
--- a/src/scheduler/team_quota.cpp
+++ b/src/scheduler/team_quota.cpp
@@ -102,8 +102,8 @@
     const Resources guarantee = Resources::of(settings.cpus, settings.gpus, 0);
     Resources sum;
     for (Job* job : jobs) {
-      const std::int64_t left = job->spec.tasks - (job->spec.service ? 0 : job->done_count());
-      sum += {job->need.cpus * left, job->need.gpus * left, 0};
+      const std::int64_t unfinished = job->spec.tasks - (job->spec.service ? 0 : job->done_count());
+      sum += {job->need.cpus * unfinished, job->need.gpus * unfinished, 0};
       job->within_guarantee = sum.cpus <= guarantee.cpus && sum.gpus <= guarantee.gpus;
     }
   }
