--- a/src/scheduler/delegated_work.h
+++ b/src/scheduler/delegated_work.h
@@ -63,6 +63,7 @@
   bool must_sync_ = false;
   std::uint64_t synced_changes_ = 0;
   std::uint64_t synced_revision_ = 0;
+  // Whether the closing of some delegation, or a change committed before it, is not read yet.
   bool has_unread_closing_ = false;
 };
 
--- a/src/scheduler/rentals.h
+++ b/src/scheduler/rentals.h
@@ -47,6 +47,7 @@
   /// Returns the names of machines to give back to the cloud. Each machine is returned by this
   /// function only once, unless return_failed() is called for it.
   [[nodiscard]] std::vector<std::string> machines_to_return();
+  /// Records that returning the machine failed: machines_to_return() will return its name again.
   void return_failed(const std::string& name);
 
  private:
--- a/src/scheduler/reservation_limits.h
+++ b/src/scheduler/reservation_limits.h
@@ -1,4 +1,4 @@
-// Durations that reservations of machines and of team quota share (docs/design.md, X14).
+// Limits that reservations of machines and of team quota have in common (docs/design.md, X14).
 #pragma once
 
 namespace shunttrail::scheduler {
--- a/src/scheduler/reservations.h
+++ b/src/scheduler/reservations.h
@@ -34,9 +34,9 @@
  private:
   /// Valid reservations, and the maximum number of them that the shard may have.
   struct Active {
-    std::set<jobs::JobPtr> jobs;  // that have a machine reserved
+    std::set<jobs::JobPtr> jobs;  // jobs with a reserved machine
     std::size_t limit = 1;
-    std::size_t urgent_limit = 1;  // for urgent jobs
+    std::size_t urgent_limit = 1;  // limit for urgent jobs
   };
 
   Active expire(double now);
--- a/src/scheduler/room_offers.cpp
+++ b/src/scheduler/room_offers.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMachinesPerGroup = 8;
 
 // Returns true if the machine's free capacity is offered. A machine with waiting or reserved tasks
-// is not offered. The capacity that is kept free for urgent work is excluded by the caller.
+// is not offered. The capacity that is kept free for urgent work is excluded by room_offers.
 bool is_offered(const Machine& machine, const TaskQueues& queues, double now) {
   if (!machine.accepts_work(now) || !machine.in_inventory) return false;
   if (machine.type < 0 || machine.zone < 0) return false;
--- a/src/scheduler/task_queues.h
+++ b/src/scheduler/task_queues.h
@@ -79,7 +79,7 @@
   Machines& machines_;
   TeamQuota& quota_;
   std::uint64_t tasks_taken_ = 0;      // number of tasks taken by take_pending so far
-  std::map<ServiceOrder, int> tasks_;  // to the machine's number
+  std::map<ServiceOrder, int> tasks_;  // queued tasks, each with its machine's number
   // Number of queued tasks by resources needed: if none of these fits a machine's free capacity,
   // the machine need not look through the queues.
   std::map<Need, std::size_t> needs_;
--- a/tests/chain_test.cpp
+++ b/tests/chain_test.cpp
@@ -74,7 +74,7 @@
   EXPECT_DOUBLE_EQ(wait.seconds(30), 60);
   wait.record_rental(100, 30);  // 100 > 60 + 30: returning the machine was right
   EXPECT_DOUBLE_EQ(wait.seconds(30), 60);
-  wait.record_reuse(20, 30);  // idling was cheaper than a boot
+  wait.record_reuse(20, 30);  // 20 < 30: idling cost less than a boot
   EXPECT_DOUBLE_EQ(wait.seconds(30), 60);
   wait.record_reuse(45, 30);
   EXPECT_DOUBLE_EQ(wait.seconds(30), 30);
