--- a/tests/delegation_test.cpp
+++ b/tests/delegation_test.cpp
@@ -489,7 +489,7 @@
   }
   ASSERT_TRUE(delegation("run-100002"));
   const auto late_start = next_transaction(1);
-  ASSERT_TRUE(late);
+  ASSERT_TRUE(late_start);
   // The start does not arrive for a long time: the leader of the team's shard takes the task back.
   for (int second = 0; second < 16; ++second) {
     ++now_;
