--- a/src/scheduler/admission.cpp
+++ b/src/scheduler/admission.cpp
@@ -10,23 +10,26 @@
 using jobs::Resources;
 
 namespace {
-// These bound how long one pass keeps all else waiting, since each walk looks at every machine;
-// what is left goes on with the next pass, heartbeat or check. 256,000 tasks are 640 passes.
+// Limits of one pass, heartbeat or check. Each walk looks at every machine of the shard while all
+// other work of the controller waits, so the limits bound that delay. Remaining tasks are handled
+// by the next pass, heartbeat or check; 256,000 pending tasks take 640 passes.
 
-/// Walks through the chain in one pass.
+/// Maximum number of walks through the chain in one scheduling pass.
 constexpr std::size_t kMaxWalksPerPass = 400;
-/// Tasks from other queues that enter the chain when one machine reports room.
+/// Maximum number of tasks from other queues that enter the chain during one pull_urgent_tasks
+/// call.
 constexpr std::size_t kMaxPullsPerHeartbeat = 32;
-/// Tasks that change queues in one call of requeue_blocked.
-constexpr std::size_t kMaxMovesPerCheck = 32;
-/// A task waits in a queue for so long at the most while a machine can be rented for it.
-constexpr double kPatienceS = 60;
+/// Maximum number of tasks that requeue_blocked moves in one call.
+constexpr std::size_t kMaxMovesPerCall = 32;
+/// Maximum time, in seconds, that a task waits in a queue while a machine can be rented for it.
+constexpr double kMaxQueueWaitS = 60;
 }  // namespace
 
-// ---- into the chain
+// ---- entering the chain
 
-Admission::Entry Admission::enter_chain(QueuedTask task, ChainWalk::Room room, double now) {
-  ChainWalk::Result result = walk_.walk(task, room, now);
+Admission::EntryResult Admission::enter_chain(QueuedTask task, ChainWalk::KnownCapacity capacity,
+                                              double now) {
+  ChainWalk::Result result = walk_.walk(task, capacity, now);
   chain::Outcome& outcome = result.outcome;
   if (outcome.kind == chain::Outcome::stalled) return {false, result.found_no_room};
   task.chain_steps = std::move(outcome.steps);
@@ -40,8 +43,8 @@
   machines_.reused(machine, now);
   const ServiceOrder order = task.service_order();
   queues_.enqueue(machine, std::move(task));
-  // No further than this task: what waits behind it must not take the room that other urgent tasks
-  // are just being pulled to.
+  // Serve the queue only up to this task: tasks behind it must not take the capacity for which
+  // other urgent tasks are being pulled.
   if (machine.state == Machine::up) service_.place_queued(machine, now, order);
   preemption_.make_room(machine, now);
   return {true, result.found_no_room};
@@ -49,95 +52,99 @@
 
 void Admission::admit_pending(double now) {
   quota_.update_guarantees(now);
-  Pass pass;
+  PassState pass;
   for (const JobPtr& job : queues_.pending_jobs(now)) admit_job(job, pass, now);
   if (pass.walks >= kMaxWalksPerPass) context_.scheduling_due = true;
 }
 
-void Admission::admit_job(const JobPtr& job, Pass& pass, double now) {
+void Admission::admit_job(const JobPtr& job, PassState& pass, double now) {
   const wire::JobSpec& spec = job->spec;
   const bool unconstrained = !spec.types && !spec.zone && !spec.same_zone && !spec.anti_affinity;
   const Shape shape{job->need.cpus, job->need.gpus, job->need.mem,
                     job->job_class, spec.spot,      job->priority_band()};
-  if (unconstrained && pass.stalled.contains(shape)) return;
+  if (unconstrained && pass.shapes_without_machine.contains(shape)) return;
   while (!job->pending.empty() && pass.walks < kMaxWalksPerPass) {
-    // A team at its limit gets no Accept and no rent.
+    // A team at its limit gets neither an Accept nor a rent.
     if (!quota_.allows(*job, TeamQuota::Counted::placed_and_queued)) return;
     ++pass.walks;
     QueuedTask task = queues_.take_pending(job, now);
     const std::uint32_t index = task.task;
     const ServiceOrder order = task.service_order();
-    const bool no_room = unconstrained && pass.without_room.contains(shape);
-    const Entry entry = enter_chain(
-        std::move(task), no_room ? ChainWalk::Room::none : ChainWalk::Room::unknown, now);
-    // The task was placed at once: a queue may have become shorter.
-    if (entry.entered && !queues_.tasks().contains(order)) pass.without_room.clear();
-    if (unconstrained && entry.found_no_room) pass.without_room.insert(shape);
+    const bool known_full = unconstrained && pass.shapes_without_room.contains(shape);
+    const EntryResult entry = enter_chain(
+        std::move(task),
+        known_full ? ChainWalk::KnownCapacity::none : ChainWalk::KnownCapacity::unknown, now);
+    // The task was placed at once, so a queue may have become shorter and a machine may be able to
+    // take the next task.
+    if (entry.entered && !queues_.tasks().contains(order)) pass.shapes_without_room.clear();
+    if (unconstrained && entry.found_no_room) pass.shapes_without_room.insert(shape);
     if (!entry.entered) {
       job->pending.insert(index);
-      if (unconstrained) pass.stalled.insert(shape);
+      if (unconstrained) pass.shapes_without_machine.insert(shape);
       return;
     }
   }
 }
 
-// ---- machines with room
+// ---- machines with free capacity
 
 void Admission::serve_machine(Machine& machine, double now) {
-  pull_urgent(machine, now);
+  pull_urgent_tasks(machine, now);
   service_.place_queued(machine, now);
   preemption_.make_room(machine, now);
-  pull_urgent(machine, now);
+  pull_urgent_tasks(machine, now);
 }
 
-// Before the machine's own queue has been served, only more urgent tasks come: else room would go
-// to low work here while urgent tasks wait for machines that are full.
-bool Admission::goes_before_queue(const ServiceOrder& order, const Machine& machine) {
+// Returns true if a task of this order should be served before the machine's own queue. Less urgent
+// tasks must not enter the chain first: they would take the free capacity here while more urgent
+// tasks wait for full machines.
+bool Admission::is_served_before_queue(const ServiceOrder& order, const Machine& machine) {
   if (machine.queue.tasks.empty()) return true;
   const ServiceOrder head = machine.queue.tasks.front().service_order();
   return TaskQueues::is_ordered_by_start(order.first) ? order < head : order.first < head.first;
 }
 
-// A machine reports room: tasks that wait for others enter the chain again, the more urgent and
-// longest-waiting first, each leaving its old queue first (DESIGN point 2; here from every tier).
-void Admission::pull_urgent(Machine& machine, double now) {
+// Sends tasks that wait for other machines into the chain again, in order of service: the more
+// urgent and longest-waiting first. Each task leaves its old queue first (DESIGN point 2; extended
+// here to all tiers).
+void Admission::pull_urgent_tasks(Machine& machine, double now) {
   if (!machine.accepts_work(now) || !machine.in_inventory || queues_.is_reserved(machine)) return;
   std::size_t walks = 0;
-  const Job* misfit = nullptr;  // the same job's next task would not fit either
+  const Job* unfit_job = nullptr;  // the job's other tasks do not fit either
   auto next = queues_.tasks().begin();
   while (next != queues_.tasks().end() && walks < kMaxPullsPerHeartbeat) {
     if (!queues_.any_fits(machines_.free_capacity(machine))) return;
     const auto [order, number] = *next++;
-    if (!goes_before_queue(order, machine)) return;
+    if (!is_served_before_queue(order, machine)) return;
     Machine* from = machines_.at(number);
     if (!from || from == &machine) continue;
     const auto position = TaskQueues::find(*from, order);
-    if (position == from->queue.tasks.end() || position->job.get() == misfit) continue;
+    if (position == from->queue.tasks.end() || position->job.get() == unfit_job) continue;
     const Job& job = *position->job;
     if (!job.need.fits(machines_.free_capacity(machine, order.first)) ||
         !machines_.usable(machine, job, now)) {
-      misfit = &job;
+      unfit_job = &job;
       continue;
     }
     ++walks;
-    enter_again(*from, position, now);
+    reenter_chain(*from, position, now);
     next = queues_.tasks().upper_bound(order);
   }
 }
 
-void Admission::enter_again(Machine& from, TaskQueues::Position position, double now) {
+void Admission::reenter_chain(Machine& from, TaskQueues::Position position, double now) {
   QueuedTask task = queues_.dequeue(from, position);
   task.clear_chain();
   const JobPtr job = task.job;
   const std::uint32_t index = task.task;
-  if (!enter_chain(std::move(task), ChainWalk::Room::unknown, now).entered)
+  if (!enter_chain(std::move(task), ChainWalk::KnownCapacity::unknown, now).entered)
     context_.requeue(job, index);
   from.note_idle(now);
 }
 
-// ---- tasks that would wait too long
+// ---- tasks blocked in a queue
 
-// The task does not fit even when everything but the replicas has ended.
+// Returns true if the task would not fit even after all tasks except replicas have ended.
 bool Admission::is_blocked_by_replicas(const Machine& machine, const QueuedTask& task) const {
   Resources room = machines_.free_capacity(machine, task.priority_band);
   for (const Placement& placement : machine.tasks.placements)
@@ -145,45 +152,45 @@
   return !task.job->need.fits(room);
 }
 
-// In order of service, with the machines that they wait for.
+// Returns blocked tasks in order of service, each with the number of the machine that it waits for.
 std::vector<std::pair<ServiceOrder, int>> Admission::blocked_tasks(double now) const {
-  std::vector<std::pair<ServiceOrder, int>> found;
+  std::vector<std::pair<ServiceOrder, int>> blocked;
   for (const auto& [number, machine] : machines_.all()) {
     if (machine->state != Machine::up || machine->type < 0) continue;
     for (const QueuedTask& task : machine->queue.tasks) {
-      if (found.size() >= kMaxMovesPerCheck) break;
+      if (blocked.size() >= kMaxMovesPerCall) break;
       if (machine->queue.reserved_for == task.service_order()) continue;
-      if (now - task.since > kPatienceS || is_blocked_by_replicas(*machine, task))
-        found.emplace_back(task.service_order(), number);
+      if (now - task.since > kMaxQueueWaitS || is_blocked_by_replicas(*machine, task))
+        blocked.emplace_back(task.service_order(), number);
     }
   }
-  std::sort(found.begin(), found.end());
-  return found;
+  std::sort(blocked.begin(), blocked.end());
+  return blocked;
 }
 
-// A task is accepted by a full machine when the cloud has nothing to give. Where replicas have
-// filled it, no report would ever show room, and the task would wait for good though machines could
-// be had again (docs/design.md, X12). Nor does a task wait in any queue for longer than its
-// patience while a machine can be had: the room that the ends of others would give it may go to
-// others.
+// A full machine accepts a task while the cloud has no capacity. If replicas fill the machine, its
+// free capacity never becomes large enough, and the task would wait forever even if machines can be
+// rented again (docs/design.md, X12). Tasks that wait longer than kMaxQueueWaitS move as well: the
+// capacity that other tasks will free may go to tasks ahead of them.
 void Admission::requeue_blocked(double now) {
   for (const auto& [order, number] : blocked_tasks(now)) {
     Machine& from = *machines_.at(number);
     const auto position = TaskQueues::find(from, order);
     if (quota_.allows(*position->job, TeamQuota::Counted::placed))
-      move_to_tier_end(from, position, now);
+      move_to_rented_machine(from, position, now);
   }
 }
 
-// To the cheapest tier with a pending rent to join, or where a machine can be rented.
-void Admission::move_to_tier_end(Machine& from, TaskQueues::Position position, double now) {
+// Moves the task to the cheapest tier with a pending rent to join, or where a machine can be
+// rented. Does nothing if there is no such tier.
+void Admission::move_to_rented_machine(Machine& from, TaskQueues::Position position, double now) {
   const auto tiers = walk_.tiers(*position, ChainWalk::Scope::all_machines, now);
   const auto tier = std::find_if(tiers.begin(), tiers.end(), [](const chain::Tier& candidate) {
     return candidate.end.kind != chain::TierEnd::none;
   });
   if (tier == tiers.end()) return;
   QueuedTask task = queues_.dequeue(from, position);
-  // What it passed through is not what it costs now.
+  // The earlier decisions did not lead to this machine, so their learners must not record its cost.
   task.chain_steps.clear();
   task.rented = tier->end.kind == chain::TierEnd::rent;
   const int zone = task.rented ? rentals_.pick_zone(*task.job, tier->id, now) : -1;
--- a/src/scheduler/backfill.cpp
+++ b/src/scheduler/backfill.cpp
@@ -10,11 +10,12 @@
 using jobs::Resources;
 
 namespace {
-/// A machine is filled once it has had idle room for so long.
+/// Time, in seconds, that a machine must have idle capacity before it is backfilled.
 constexpr double kIdleBeforeBackfillS = 75;
-/// Machines filled in one run, of which there is one a second: each looks at all that waits. A
-/// rate, not a bound; where more than 60 have idle room at once, the last of them wait for longer
-/// than 90 s.
+/// Maximum number of machines backfilled in one run. Runs are one second apart, and each machine
+/// looks at all waiting tasks. This is a rate, not a bound: if more than 60 machines have idle
+/// capacity at once (4 per second in the 15 s from 75 s to 90 s), tasks at the last of them wait
+/// longer than 90 s.
 constexpr std::size_t kMaxMachinesPerRun = 4;
 }  // namespace
 
@@ -60,13 +61,14 @@
   }
 }
 
-bool Backfill::takes(const Machine& machine, const Job& job, std::uint32_t task, int priority_band,
-                     double now) const {
+bool Backfill::can_start(const Machine& machine, const Job& job, std::uint32_t task,
+                         int priority_band, double now) const {
   return job.need.fits(machines_.free_capacity(machine, priority_band)) &&
          machines_.usable(machine, job, now) && service_.may_be_placed(job, task);
 }
 
-// In order of service: what waits in queues, then what has yet to enter the chain.
+// Starts tasks in order of service: first those in queues, then pending ones, which have not
+// entered the chain.
 void Backfill::fill(Machine& machine, double now) {
   fill_from_queues(machine, now);
   fill_from_pending(machine, now);
@@ -78,7 +80,7 @@
     const auto [order, number] = *next++;
     Machine& from = *machines_.at(number);
     const auto position = TaskQueues::find(from, order);
-    if (!takes(machine, *position->job, position->task, order.first, now)) continue;
+    if (!can_start(machine, *position->job, position->task, order.first, now)) continue;
     place(machine, queues_.dequeue(from, position), now);
     from.note_idle(now);
   }
@@ -87,7 +89,7 @@
 void Backfill::fill_from_pending(Machine& machine, double now) {
   for (const JobPtr& job : queues_.pending_jobs(now))
     while (!job->pending.empty() &&
-           takes(machine, *job, *job->pending.begin(), job->priority_band(), now))
+           can_start(machine, *job, *job->pending.begin(), job->priority_band(), now))
       place(machine, queues_.take_pending(job, now), now);
 }
 
--- a/src/scheduler/delegation_planner.h
+++ b/src/scheduler/delegation_planner.h
@@ -1,5 +1,5 @@
-// Decides at the leader of a team's shard which waiting tasks another shard is to run, and when
-// that ends (docs/delegation.md). Free of I/O.
+// Decides, at the leader of a team's shard, which waiting tasks another shard is to run, and when
+// that ends (docs/delegation.md). Performs no I/O.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -22,18 +22,18 @@
 
 namespace shunttrail::scheduler {
 
-/// Tasks that wait while another shard offers room that they fit, by what keeps them from it.
-struct WaitingBesideOffers {
-  std::uint64_t not_yet = 0;  ///< they have not waited for long enough
-  std::uint64_t in_progress =
-      0;                       ///< a delegation of their job elsewhere has not ended, or just has
-  std::uint64_t quota = 0;     ///< their team's limit
-  std::uint64_t gang = 0;      ///< their gang is delegated only as a whole, which does not fit
-  std::uint64_t disabled = 0;  ///< the schema version, or a node's build
-  double longest_s = 0;        ///< longest wait among all of them
+/// Number of waiting tasks that fit the offers of another shard but are not delegated, by reason.
+struct UndelegatedTasks {
+  std::uint64_t not_yet = 0;  ///< they have not waited long enough
+  /// another delegation of their job has not ended, or has just ended
+  std::uint64_t in_progress = 0;
+  std::uint64_t quota = 0;     ///< the team is at its limit
+  std::uint64_t gang = 0;      ///< a gang is delegated only as a whole, which does not fit
+  std::uint64_t disabled = 0;  ///< the schema version or a node's build does not allow it
+  double longest_s = 0;        ///< longest wait among these tasks, in seconds
 };
 
-/// Makes the transactions that open, close and remove delegations. Times are steady, in seconds.
+/// Builds the transactions that open, close and remove delegations. Times are steady, in seconds.
 class DelegationPlanner {
  public:
   DelegationPlanner(ShardContext& context, Machines& machines, TaskQueues& queues, TeamQuota& quota,
@@ -44,20 +44,20 @@
         quota_(quota),
         delegated_work_(delegated_work) {}
 
-  /// Replaces what the other shards offer.
+  /// Replaces the offers of the other shards.
   void set_offers(std::vector<RoomOffer> offers) { offers_ = std::move(offers); }
 
-  /// The next transaction; none while one is in flight or there is nothing to change. `tag` names
-  /// it.
+  /// Returns the next transaction, named by `tag`. Returns nullopt while one is in flight, if the
+  /// last run is too recent, or if nothing changes.
   [[nodiscard]] std::optional<wire::Transaction> next_transaction(
       const state::StateCache& cache, const state::TransactionLimits& limits,
       const std::string& tag, std::uint64_t token, double now);
   [[nodiscard]] bool transaction_in_flight() const { return in_flight_; }
-  /// The transaction has been applied, or will not be.
+  /// Records that the transaction has been applied, or never will be.
   void transaction_done();
 
-  /// As of the latest run.
-  [[nodiscard]] const WaitingBesideOffers& waiting_beside_offers() const { return waiting_; }
+  /// Returns the counts of the latest run.
+  [[nodiscard]] const UndelegatedTasks& undelegated_tasks() const { return undelegated_; }
 
  private:
   struct Draft {
@@ -67,7 +67,7 @@
     const double now;
     wire::Transaction transaction{};
   };
-  /// A task that waits, and the machine whose queue it is in, if it is in one.
+  /// A waiting task, and the machine in whose queue it is, if any.
   struct WaitingTask {
     std::uint32_t task = 0;
     Machine* machine = nullptr;
@@ -90,11 +90,12 @@
   static std::optional<int> open_shard(const state::StateCache& cache, const jobs::Job& job);
   bool may_extend(const std::optional<wire::Delegation>& delegation, const jobs::Job& job,
                   const OfferFit& fit) const;
-  std::uint64_t* blocked_by(const state::StateCache& cache, const jobs::Job& job,
-                            std::size_t waiting, const OfferFit& fit, bool is_enabled, double now);
-  bool open(Draft& draft, const jobs::JobPtr& job, const std::vector<WaitingTask>& waiting,
-            const OfferFit& fit);
-  void leave_queue(const WaitingTask& waiting, double now);
+  std::uint64_t* blocking_counter(const state::StateCache& cache, const jobs::Job& job,
+                                  std::size_t waiting, const OfferFit& fit, bool is_enabled,
+                                  double now);
+  bool open_delegation(Draft& draft, const jobs::JobPtr& job,
+                       const std::vector<WaitingTask>& waiting, const OfferFit& fit);
+  void remove_from_queue(const WaitingTask& waiting, double now);
   static bool has_waited(const jobs::Job& job, double now);
 
   ShardContext& context_;
@@ -103,7 +104,7 @@
   TeamQuota& quota_;
   DelegatedWork& delegated_work_;
   std::vector<RoomOffer> offers_;
-  WaitingBesideOffers waiting_;
+  UndelegatedTasks undelegated_;
   bool in_flight_ = false;
   double next_run_at_ = 0;
   std::map<std::string, double> unplaced_since_;  // by job with an open delegation
--- a/src/scheduler/replica_consolidation.cpp
+++ b/src/scheduler/replica_consolidation.cpp
@@ -9,19 +9,19 @@
 using wire::TaskState;
 
 namespace {
-/// Shortest time between two runs.
+/// Shortest time between two runs, in seconds.
 constexpr double kRunIntervalS = 1;
-/// A move costs a replica less than half a second; each is moved once in so many seconds on average
-/// at the most, so that moving takes about a thousandth of their time.
+/// Shortest average time, in seconds, between two moves of one replica. A move costs a replica less
+/// than 0.5 s, so moves take about 0.1% of its time.
 constexpr double kMoveIntervalS = 300;
-/// Moves that may be made at once after a quiet time, of the whole shard; a machine with more
-/// replicas than that is not drained.
+/// Maximum number of moves, across the whole shard, that may be made at once after a period without
+/// moves. A machine with more replicas than that is never drained.
 constexpr double kMaxMoveBudget = 30;
-/// The budget grows for so many intervals between runs at the most.
+/// Maximum number of run intervals for which the budget grows between two runs.
 constexpr double kMaxIntervalsCounted = 10;
-/// A replica that has just started is not moved again for so long.
+/// Time, in seconds, that a replica must have run before it is moved.
 constexpr double kSettleTimeS = 40;
-/// Share of its vcpus in use, for a machine to be drained.
+/// Maximum share of its vcpus that a machine may use to be drained.
 constexpr double kMaxUsedShare = 0.5;
 }  // namespace
 
@@ -44,35 +44,36 @@
   return context_.catalogue.rate(machine.tier()) / static_cast<double>(placements.size());
 }
 
-// To fuller or cheaper machines only, so that no replica comes back to where it was.
+// Returns true if a replica may move to `to`. Moves go only to fuller or cheaper machines, so that
+// no replica returns to its former machine.
 bool ReplicaConsolidation::is_better(const Machine& to, const Machine& from) const {
   return to.tasks.used.cpus > from.tasks.used.cpus ||
          context_.catalogue.rate(to.tier()) < context_.catalogue.rate(from.tier());
 }
 
-// One more of the job's replicas fits on the machine `to`; it is counted there.
-bool ReplicaConsolidation::takes(const Machine& to, const Machine& from, const Job& job,
-                                 PlannedMoves& moves, double now) const {
+// Returns true if one more replica of the job fits on `to`, and counts it there in `moves`.
+bool ReplicaConsolidation::plan_move(const Machine& to, const Machine& from, const Job& job,
+                                     PlannedMoves& moves, double now) const {
   if (&to == &from || !to.accepts_work(now) || !to.in_inventory) return false;
   if (to.tasks.placements.empty() || !to.queue.tasks.empty()) return false;
   if (!machines_.type_ok(job, to.type, to.spot) || !Machines::warm(to, job.image)) return false;
   if (!is_better(to, from)) return false;
-  Resources& taken = moves.room[to.number];
+  Resources& taken = moves.used_capacity[to.number];
   if (!job.need.fits(machines_.free_capacity(to) - taken)) return false;
-  int& moved_to_zone = moves.in_zone[{&job, to.zone}];
+  int& moved_to_zone = moves.replicas_by_zone[{&job, to.zone}];
   if (to.zone != from.zone && (moved_to_zone || !machines_.allows_zone(job, to.zone))) return false;
   ++moved_to_zone;
   taken += job.need;
   return true;
 }
 
-bool ReplicaConsolidation::has_room_elsewhere(const Machine& machine, PlannedMoves& moves,
-                                              double now) const {
+bool ReplicaConsolidation::plan_all_moves(const Machine& machine, PlannedMoves& moves,
+                                          double now) const {
   const auto& all = machines_.all();
   return std::all_of(machine.tasks.placements.begin(), machine.tasks.placements.end(),
                      [&](const Placement& placement) {
                        return std::any_of(all.begin(), all.end(), [&](const auto& entry) {
-                         return takes(*entry.second, machine, *placement.job, moves, now);
+                         return plan_move(*entry.second, machine, *placement.job, moves, now);
                        });
                      });
 }
@@ -112,11 +113,11 @@
     Machine& machine = *candidate.machine;
     const auto moves = static_cast<double>(machine.tasks.placements.size());
     if (moves > move_budget_) continue;
-    const auto arriving = planned.room.find(machine.number);
-    if (arriving != planned.room.end() && arriving->second.cpus > 0) continue;
-    PlannedMoves with_this = planned;
-    if (!has_room_elsewhere(machine, with_this, now)) continue;
-    planned = std::move(with_this);
+    const auto arriving = planned.used_capacity.find(machine.number);
+    if (arriving != planned.used_capacity.end() && arriving->second.cpus > 0) continue;
+    PlannedMoves with_candidate = planned;
+    if (!plan_all_moves(machine, with_candidate, now)) continue;
+    planned = std::move(with_candidate);
     move_budget_ -= moves;
     drain(machine);
   }
--- a/src/scheduler/reservations.cpp
+++ b/src/scheduler/reservations.cpp
@@ -14,27 +14,32 @@
 using jobs::Resources;
 
 namespace {
-/// A job is overdue once it has waited for so long and none of its tasks has begun.
+/// Time, in seconds, that a job must have waited without starting any task to be overdue.
 constexpr double kOverdueAfterS = 75;
 constexpr double kUrgentOverdueAfterS = 45;
-/// From then on a job goes before more urgent ones.
-constexpr double kFirstAfterS = 150;
-/// Share of a machine from which on a task is large: what is smaller finds room without.
+/// Time, in seconds, that a job must have waited to take precedence over more urgent ones.
+constexpr double kTopPriorityAfterS = 150;
+/// Minimum share of a machine for a task to count as large. Smaller tasks find free capacity
+/// without a reservation.
 constexpr double kLargeShare = 0.4;
-/// A machine with idle room for so long backfills first: nothing waits beside room for as long as
-/// backfill and a reservation take together.
+/// A machine that has had idle capacity for longer than this, in seconds, is not reserved, so that
+/// backfill can use it first: no task must wait next to free capacity for as long as backfill and a
+/// reservation take together.
 constexpr double kMaxIdleCapacityS = 20;
-/// One in so many of a shard's machines is reserved at a time, but one at least.
+/// Number of a shard's machines for each reservation at a time; at least one reservation is always
+/// allowed.
 constexpr std::size_t kMachinesPerReservation = 32;
 constexpr std::size_t kMachinesPerUrgentReservation = 3;
-/// Counted, in seconds, for a replica that has to move, so that a machine without one comes first.
+/// Time, in seconds, that is assumed for moving a replica, so that a machine without replicas is
+/// preferred.
 constexpr double kReplicaMoveS = 20;
-/// Left of a task that runs for longer than was estimated, in seconds.
+/// Minimum time, in seconds, assumed to be left of a running task, which applies if it exceeds its
+/// estimate.
 constexpr double kMinTimeLeftS = 5;
 
 bool is_urgent(const Job& job) { return job.priority_band() < Job::kGuaranteed; }
 
-double time_left(const Placement& placement, double now) {
+double estimated_time_left(const Placement& placement, double now) {
   if (placement.job->spec.service) return kReplicaMoveS;
   const double estimate_s = placement.job->spec.estimate_s;
   if (placement.started <= 0) return estimate_s;
@@ -42,20 +47,21 @@
 }
 
 bool is_overdue(const Job& job, double now) {
-  // A foreign job goes back where it came from rather than take room from the shard's own.
+  // A foreign job does not get a reservation: its tasks go back to their own shard instead of
+  // taking capacity from this shard's jobs.
   if (job.is_foreign || job.placed || job.done_count() || job.not_before > now) return false;
   const bool waits = job.queued || !job.pending.empty();
   return waits && now - job.since > (is_urgent(job) ? kUrgentOverdueAfterS : kOverdueAfterS);
 }
 
-/// Room that becomes free.
+/// Resources that a task frees when it ends.
 struct Release {
-  double in_s = 0;
-  Resources need;
+  double time_left_s = 0;
+  Resources resources;
 };
 }  // namespace
 
-// ---- which jobs
+// ---- overdue jobs
 
 bool Reservations::is_large(const Job& job) const {
   const auto& types = context_.catalogue.types;
@@ -64,21 +70,22 @@
   });
 }
 
-// The longest-waiting first once they have waited for very long, the more urgent before that.
+// Returns overdue jobs with large tasks: first those that have waited longer than
+// kTopPriorityAfterS, the oldest first, then the others, the more urgent first.
 std::vector<JobPtr> Reservations::overdue_jobs(double now) const {
-  std::vector<JobPtr> found;
+  std::vector<JobPtr> overdue;
   for (const auto& [id, job] : context_.jobs)
-    if (is_overdue(*job, now) && is_large(*job)) found.push_back(job);
+    if (is_overdue(*job, now) && is_large(*job)) overdue.push_back(job);
   const auto rank = [&](const JobPtr& job) {
-    const bool first = now - job->since > kFirstAfterS;
-    return std::tuple(!first, first ? 0 : job->priority_band(), job->since);
+    const bool top_priority = now - job->since > kTopPriorityAfterS;
+    return std::tuple(!top_priority, top_priority ? 0 : job->priority_band(), job->since);
   };
-  std::sort(found.begin(), found.end(),
+  std::sort(overdue.begin(), overdue.end(),
             [&](const JobPtr& a, const JobPtr& b) { return rank(a) < rank(b); });
-  return found;
+  return overdue;
 }
 
-// ---- which machine
+// ---- choice of a machine
 
 bool Reservations::can_be_reserved(const Machine& machine, const Job& job, double now) const {
   if (!machine.accepts_work(now) || !machine.in_inventory) return false;
@@ -91,31 +98,34 @@
   return share_of(job.need, type.capacity) >= kLargeShare;
 }
 
-// Seconds until the machine has room for one task, if nothing more begins there. Infinite: never.
+// Returns the seconds until the machine has free capacity for one task if nothing else starts
+// there, or infinity if that never happens.
 double Reservations::time_until_room(const Machine& machine, const Job& job, double now) const {
   Resources room = machines_.free_capacity(machine);
   if (job.need.fits(room)) return 0;
   std::vector<Release> releases;
   for (const Placement& placement : machine.tasks.placements)
-    if (!placement.released) releases.push_back({time_left(placement, now), placement.job->need});
+    if (!placement.released)
+      releases.push_back({estimated_time_left(placement, now), placement.job->need});
   std::sort(releases.begin(), releases.end(),
-            [](const Release& a, const Release& b) { return a.in_s < b.in_s; });
+            [](const Release& a, const Release& b) { return a.time_left_s < b.time_left_s; });
   for (const Release& release : releases) {
-    room += release.need;
-    if (job.need.fits(room)) return release.in_s;
+    room += release.resources;
+    if (job.need.fits(room)) return release.time_left_s;
   }
   return std::numeric_limits<double>::infinity();
 }
 
-// Null: none has room before a reservation would end.
-Machine* Reservations::machine_with_room_soonest(const Job& job, double now) const {
+// Returns the machine that has free capacity for the job soonest, or null if none has it within the
+// duration of a reservation.
+Machine* Reservations::soonest_free_machine(const Job& job, double now) const {
   Machine* best = nullptr;
   double soonest_s = kReservationDurationS;
   for (const auto& [number, machine] : machines_.all()) {
     if (!can_be_reserved(*machine, job, now)) continue;
-    const double in_s = time_until_room(*machine, job, now);
-    if (in_s >= soonest_s) continue;
-    soonest_s = in_s;
+    const double time_left_s = time_until_room(*machine, job, now);
+    if (time_left_s >= soonest_s) continue;
+    soonest_s = time_left_s;
     best = machine.get();
   }
   return best;
@@ -123,7 +133,8 @@
 
 // ---- reserving
 
-// One of the job's tasks that have yet to enter the chain, else the first of its queued ones.
+// Takes a pending task of the job, or else the first of its queued tasks. Returns nullopt if there
+// is neither.
 std::optional<QueuedTask> Reservations::take_task(const JobPtr& job, double now) {
   if (!job->pending.empty()) return queues_.take_pending(job, now);
   const auto& tasks = queues_.tasks();
@@ -151,7 +162,8 @@
   preemption_.make_room(machine, now);
 }
 
-// Replicas have no end: as many of them move as make room together with what does end.
+// Stops replicas, which do not end on their own: as many as the task needs in addition to the
+// capacity that ending tasks free.
 void Reservations::move_replicas(Machine& machine, const Job& job) {
   Resources room = machines_.free_capacity(machine);
   for (const Placement& placement : machine.tasks.placements)
@@ -188,7 +200,7 @@
   for (const JobPtr& job : overdue_jobs(now)) {
     const std::size_t limit = is_urgent(*job) ? active.urgent_limit : active.limit;
     if (active.jobs.size() >= limit || active.jobs.contains(job)) continue;
-    Machine* machine = machine_with_room_soonest(*job, now);
+    Machine* machine = soonest_free_machine(*job, now);
     if (!machine) continue;
     if (!quota_.allows(*job, TeamQuota::Counted::placed)) {
       quota_.reserve(job, now);
--- a/src/scheduler/reservations.h
+++ b/src/scheduler/reservations.h
@@ -1,5 +1,5 @@
-// Reservations: large tasks that have waited for long get a machine, or their team's limit, kept
-// free for them, as in batch schedulers that backfill (docs/design.md, X14). Free of I/O.
+// Reservations: keeps a machine, or part of the team's limit, free for large tasks that have waited
+// long, as batch schedulers with backfill do (docs/design.md, X14). Performs no I/O.
 #pragma once
 #include <optional>
 #include <set>
@@ -28,22 +28,22 @@
         service_(service),
         preemption_(preemption) {}
 
-  /// Ends reservations that are used or out of date, and makes new ones for overdue jobs.
+  /// Ends reservations that have been used or have expired, and makes new ones for overdue jobs.
   void run(double now);
 
  private:
-  /// The reservations that are valid, and how many the shard may have.
+  /// Valid reservations, and the maximum number of them that the shard may have.
   struct Active {
-    std::set<jobs::JobPtr> jobs;  // that have a machine reserved
+    std::set<jobs::JobPtr> jobs;  // jobs with a reserved machine
     std::size_t limit = 1;
-    std::size_t urgent_limit = 1;  // for urgent jobs
+    std::size_t urgent_limit = 1;  // limit for urgent jobs
   };
 
   Active expire(double now);
   bool is_large(const jobs::Job& job) const;
   std::vector<jobs::JobPtr> overdue_jobs(double now) const;
   bool can_be_reserved(const Machine& machine, const jobs::Job& job, double now) const;
-  Machine* machine_with_room_soonest(const jobs::Job& job, double now) const;
+  Machine* soonest_free_machine(const jobs::Job& job, double now) const;
   double time_until_room(const Machine& machine, const jobs::Job& job, double now) const;
   std::optional<QueuedTask> take_task(const jobs::JobPtr& job, double now);
   void reserve(Machine& machine, const jobs::JobPtr& job, double now);
--- a/src/scheduler/task_queues.cpp
+++ b/src/scheduler/task_queues.cpp
@@ -10,13 +10,13 @@
 using jobs::Resources;
 
 namespace {
-/// Added to a job's latest start, in seconds, so that it is positive: earlier than any start,
-/// before this process as well.
+/// Offset in seconds that makes a latest start positive: it exceeds any negative start time, which
+/// lies before the start of this process.
 constexpr double kStartOffsetS = 1e6;
 constexpr double kMillisecondsPerSecond = 1e3;
-/// The low bits of an order by start tell tasks with the same start apart. Two tasks of a job get
-/// the same order only if both wait and 16.7 million others came in between: the queues of 4,000
-/// machines hold some ten thousand.
+/// Number of low bits of an order by start that hold a sequence number, to distinguish tasks with
+/// the same start. Two tasks of a job get the same order only if both wait while 16.7 million tasks
+/// entered in between; the queues of 4,000 machines hold about ten thousand.
 constexpr int kSequenceBits = 24;
 constexpr std::uint64_t kSequenceMask = (std::uint64_t{1} << kSequenceBits) - 1;
 }  // namespace
@@ -40,15 +40,15 @@
 }
 
 std::vector<JobPtr> TaskQueues::pending_jobs(double now) const {
-  std::vector<JobPtr> order;
+  std::vector<JobPtr> jobs;
   for (const auto& [id, job] : context_.jobs)
-    if (!job->pending.empty() && job->not_before <= now) order.push_back(job);
-  std::sort(order.begin(), order.end(), [](const JobPtr& a, const JobPtr& b) {
+    if (!job->pending.empty() && job->not_before <= now) jobs.push_back(job);
+  std::sort(jobs.begin(), jobs.end(), [](const JobPtr& a, const JobPtr& b) {
     if (a->priority_band() != b->priority_band()) return a->priority_band() < b->priority_band();
     return is_ordered_by_start(a->priority_band()) ? a->latest_start() < b->latest_start()
                                                    : a->since < b->since;
   });
-  return order;
+  return jobs;
 }
 
 QueuedTask TaskQueues::take_pending(const JobPtr& job, double now) {
