--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -77,7 +77,7 @@
       "{} jobs wait for others, {} made ready, {} cancelled with others",
       cost.refused, cost.waited_s, cost.write_rate, state_client_.queued(),
       state_store_.cache().waiting().size(), job_results_.made_ready(),
-      job_results_.ended_with_others());
+      job_results_.cancelled_with_dependencies());
   spdlog::info("schema {}", schema_.describe());
   spdlog::info("relay {}", heartbeat_relay_.describe());
 }
@@ -124,7 +124,7 @@
                  {"refused", user_api_.refused()},
                  {"waiting", cache.waiting().size()},
                  {"made_ready", job_results_.made_ready()},
-                 {"ended_with_others", job_results_.ended_with_others()},
+                 {"ended_with_others", job_results_.cancelled_with_dependencies()},
                  {"state_429", cost.refused},
                  {"state_too_large", state_client_.limits().refusals()},
                  {"state_waited_s", cost.waited_s},
--- a/src/controller/job_cancellation.cpp
+++ b/src/controller/job_cancellation.cpp
@@ -22,7 +22,7 @@
 void JobCancellation::run(const net::ExchangePtr& exchange, const std::string& id,
                           int attempts_left) {
   if (attempts_left == 0) return exchange->send(unavailable_response());
-  if (const auto* result = components_.job_results->final(id))
+  if (const auto* result = components_.job_results->cached_result(id))
     return exchange->send(job_result_response(id, *result, JobStateDetail::state));
   components_.state_store->linearizable_read(
       actor_.reply<bool>([this, exchange, id, attempts_left](bool is_read) {
--- a/src/controller/job_queries.cpp
+++ b/src/controller/job_queries.cpp
@@ -23,7 +23,7 @@
 
 void JobQueries::run(const Query& query) {
   // A final record stays as it is, and needs no fresh read.
-  if (const auto* result = components_.job_results->final(query.id))
+  if (const auto* result = components_.job_results->cached_result(query.id))
     return query.exchange->send(job_result_response(query.id, *result, query.detail));
   if (query.attempts_left == 0) return query.exchange->send(unavailable_response());
   components_.state_store->linearizable_read(actor_.reply<bool>([this, query](bool is_read) {
@@ -51,7 +51,7 @@
       id, actor_.reply<LookupResult>(
               [this, exchange, id, detail, on_unknown = std::move(on_unknown)](LookupResult found) {
                 if (found == LookupResult::no) return on_unknown();
-                const auto* result = components_.job_results->final(id);
+                const auto* result = components_.job_results->cached_result(id);
                 if (found == LookupResult::unread || !result)
                   return exchange->send(unavailable_response());
                 exchange->send(job_result_response(id, *result, detail));
--- a/src/controller/job_results.cpp
+++ b/src/controller/job_results.cpp
@@ -14,7 +14,7 @@
 constexpr char kTagLetter = 'j';
 /// Final records kept in memory; the oldest are dropped first. One that is not there is read from
 /// the state service, so more jobs cost reads and lose nothing.
-constexpr std::size_t kFinalsKept = 4000;
+constexpr std::size_t kMaxCachedResults = 4000;
 /// Final records that are read ahead at the same time.
 constexpr std::size_t kMaxReadAhead = 6;
 /// After a read ahead that failed.
@@ -26,8 +26,8 @@
 constexpr double kTransitionTimeoutS = 3;
 /// Between the first change and what it makes possible: what comes meanwhile shares it.
 constexpr double kAdvanceDelayS = 0.04;
-/// Entries of `movable_since_` beyond twice the movable jobs, before it is cleaned.
-constexpr std::size_t kMovableSlack = 16;
+/// Entries of `transition_due_since_` beyond twice the due jobs, before it is cleaned.
+constexpr std::size_t kTransitionDueSlack = 16;
 }  // namespace
 
 JobResults::JobResults(actor::Loop& loop, ControllerComponents& components)
@@ -45,32 +45,32 @@
 }
 
 void JobResults::schedule_advance() {
-  if (is_advance_armed_) return;
-  is_advance_armed_ = true;
+  if (is_advance_scheduled_) return;
+  is_advance_scheduled_ = true;
   advance_timer_.after(kAdvanceDelayS);
 }
 
 // ---- final records
 
-const wire::JobResultRecord* JobResults::final(const std::string& id) const {
+const wire::JobResultRecord* JobResults::cached_result(const std::string& id) const {
   auto result = results_.find(id);
   return result == results_.end() ? nullptr : &result->second;
 }
 
 void JobResults::result_written(std::string id, wire::JobResultRecord result) {
   post([this, id = std::move(id), result = std::move(result)] {
-    remember(id, result);
+    cache_result(id, result);
     schedule_advance();
   });
 }
 
-void JobResults::remember(const std::string& id, const wire::JobResultRecord& result) {
+void JobResults::cache_result(const std::string& id, const wire::JobResultRecord& result) {
   dependencies_.job_ended(id, result.cancelled);
   if (!results_.emplace(id, result).second) return;
-  results_by_age_.push_back(id);
-  if (results_by_age_.size() > kFinalsKept) {
-    results_.erase(results_by_age_.front());
-    results_by_age_.pop_front();
+  result_ids_by_age_.push_back(id);
+  if (result_ids_by_age_.size() > kMaxCachedResults) {
+    results_.erase(result_ids_by_age_.front());
+    result_ids_by_age_.pop_front();
   }
 }
 
@@ -122,9 +122,9 @@
     if (read.range) {
       const wire::KeyPage page = wire::decode_keys(response.body);
       has_more = page.more;
-      found = take_range(page);
+      found = cache_range(page);
     } else {
-      remember(read.id, wire::decode_job_result(*wire::decode_key(response.body).value));
+      cache_result(read.id, wire::decode_job_result(*wire::decode_key(response.body).value));
       found.push_back(read.id);
     }
   } catch (const wire::Malformed&) {
@@ -136,14 +136,14 @@
 // The jobs of the page, all of which have ended. Only records that are waited for are kept: the
 // rest would push these out. One that cannot be decoded is there all the same, and keeps no other
 // from its response.
-std::vector<std::string> JobResults::take_range(const wire::KeyPage& page) {
+std::vector<std::string> JobResults::cache_range(const wire::KeyPage& page) {
   constexpr std::string_view kPrefix = state::kJobResults;
   std::vector<std::string> found;
   for (const auto& item : page.items) {
     found.push_back(item.key.substr(kPrefix.size()));
     if (!item.value || !reader_.is_waiting(found.back())) continue;
     try {
-      remember(found.back(), wire::decode_job_result(*item.value));
+      cache_result(found.back(), wire::decode_job_result(*item.value));
     } catch (const wire::Malformed& error) {
       spdlog::error("{}: {}", item.key, error.what());
     }
@@ -190,7 +190,7 @@
   const state::JobEntry* job = components_.state_store->cache().waiting(id);
   if (!job) return;
   for (const auto& dependency : job->record.spec.dependencies)
-    if (const auto* result = final(dependency))
+    if (const auto* result = cached_result(dependency))
       dependencies_.job_ended(dependency, result->cancelled);
 }
 
@@ -210,11 +210,11 @@
 
 // The leader of a job's shard moves it. If it does not, being dead, cut off or of a version that
 // knows no such jobs, the others do, one after the other.
-bool JobResults::may_move(const std::string& id) {
+bool JobResults::may_transition(const std::string& id) {
   const state::JobEntry* job = components_.state_store->cache().waiting(id);
   if (!job) return false;
   const double now = loop_.now();
-  const double since = movable_since_.try_emplace(id, now).first->second;
+  const double since = transition_due_since_.try_emplace(id, now).first->second;
   const int team = components_.settings.team_index(job->record.spec.team);
   if (team >= 0 && components_.shard_controller(components_.settings.team_shard[team]).scheduler())
     return true;
@@ -222,7 +222,7 @@
 }
 
 void JobResults::advance() {
-  is_advance_armed_ = false;
+  is_advance_scheduled_ = false;
   const StateStore& store = *components_.state_store;
   if (!store.loaded()) return;
   if (loop_.now() >= next_read_at_) read_dependencies();
@@ -230,27 +230,28 @@
     return;
   write_transition(Transition::to_ready);
   write_transition(Transition::to_cancelled);
-  forget_moved_jobs();
+  forget_completed_transitions();
 }
 
 // Reads ahead how the jobs ended that waiting ones depend on.
 void JobResults::read_dependencies() {
   for (const auto& id : dependencies_.unread()) {
-    if (reading_.size() >= kMaxReadAhead) break;
-    if (results_.contains(id) || !reading_.insert(id).second) continue;
+    if (read_ahead_ids_.size() >= kMaxReadAhead) break;
+    if (results_.contains(id) || !read_ahead_ids_.insert(id).second) continue;
     read(id, [this, id](LookupResult result) {
-      reading_.erase(id);
+      read_ahead_ids_.erase(id);
       if (result != LookupResult::yes) next_read_at_ = loop_.now() + kReadRetryDelayS;
       schedule_advance();
     });
   }
 }
 
-void JobResults::forget_moved_jobs() {
-  const std::size_t movable = dependencies_.ready().size() + dependencies_.doomed().size();
-  if (movable_since_.size() <= 2 * movable + kMovableSlack) return;
+void JobResults::forget_completed_transitions() {
+  const std::size_t due = dependencies_.ready().size() + dependencies_.doomed().size();
+  if (transition_due_since_.size() <= 2 * due + kTransitionDueSlack) return;
   const state::StateCache& cache = components_.state_store->cache();
-  std::erase_if(movable_since_, [&](const auto& entry) { return !cache.waiting(entry.first); });
+  std::erase_if(transition_due_since_,
+                [&](const auto& entry) { return !cache.waiting(entry.first); });
 }
 
 // Several jobs share a transaction; a cascade of cancellations over thousands goes on at the write
@@ -262,20 +263,21 @@
   jobs::StateTransitions transitions = jobs::state_transitions(
       components_.state_store->cache(), dependencies_, is_ready,
       components_.state_client.limits().transaction_limits(), loop_.wall_now(), tags_.next(),
-      [this](const std::string& id) { return may_move(id); });
+      [this](const std::string& id) { return may_transition(id); });
   if (transitions.txn.ops.empty()) return;
   writer.is_in_flight = true;
-  const std::size_t moved_jobs = transitions.txn.ops.size() / 2;  // each drops a key and sets one
+  const std::size_t transitioned_jobs =
+      transitions.txn.ops.size() / 2;  // each drops a key and sets one
   const auto priority = is_ready ? state::RequestPriority::work : state::RequestPriority::sweep;
   components_.state_store->resolve_unknown_commit(
       std::move(transitions.txn), priority, kTransitionTimeoutS,
       reply<state::CommitResult>(
-          [this, &writer, moved_jobs,
+          [this, &writer, transitioned_jobs,
            results = std::move(transitions.results)](const state::CommitResult& committed) {
             writer.is_in_flight = false;
             if (committed.kind == state::CommitResult::applied) {
-              writer.moved_jobs += moved_jobs;
-              for (const auto& [id, result] : results) remember(id, result);
+              writer.transitioned_jobs += transitioned_jobs;
+              for (const auto& [id, result] : results) cache_result(id, result);
             } else {
               // It lost a race, or its outcome is not known: what was read since decides anew.
               writer.retry_at = loop_.now() + kTransitionRetryDelayS;
--- a/src/controller/job_results.h
+++ b/src/controller/job_results.h
@@ -26,12 +26,14 @@
   void tick();
 
   /// The job's final record; null: not known here, whether or not there is one.
-  [[nodiscard]] const wire::JobResultRecord* final(const std::string& id) const;
+  [[nodiscard]] const wire::JobResultRecord* cached_result(const std::string& id) const;
   [[nodiscard]] const jobs::DependencyGraph& dependencies() const { return dependencies_; }
   /// Jobs that this node has made ready.
-  [[nodiscard]] std::uint64_t made_ready() const { return ready_writer_.moved_jobs; }
+  [[nodiscard]] std::uint64_t made_ready() const { return ready_writer_.transitioned_jobs; }
   /// Jobs that this node has cancelled with a job that they depend on.
-  [[nodiscard]] std::uint64_t ended_with_others() const { return cancelled_writer_.moved_jobs; }
+  [[nodiscard]] std::uint64_t cancelled_with_dependencies() const {
+    return cancelled_writer_.transitioned_jobs;
+  }
 
   /// The states of waiting jobs. Where one is unread, `missing` has the jobs whose final records
   /// have to be read first.
@@ -45,7 +47,7 @@
   void result_written(std::string id, wire::JobResultRecord result);
 
   using LookupResult = jobs::Found;
-  /// Reads one final record. What is found is known (`final`) before `then` is told.
+  /// Reads one final record. What is found is known (`cached_result`) before `then` is told.
   void lookup(std::string id, std::function<void(LookupResult)> then);
   /// Reads several at the same time; `then` is told whether all reads succeeded, found or not.
   void lookup_all(std::vector<std::string> ids, std::function<void(bool)> then);
@@ -56,36 +58,36 @@
   struct TransitionWriter {
     bool is_in_flight = false;
     double retry_at = 0;
-    std::uint64_t moved_jobs = 0;
+    std::uint64_t transitioned_jobs = 0;
   };
   void on_changes(const std::vector<state::Change>& changes);
   void on_waiting_set(const std::string& id);
-  void remember(const std::string& id, const wire::JobResultRecord& result);
+  void cache_result(const std::string& id, const wire::JobResultRecord& result);
   void read(const std::string& id, std::function<void(LookupResult)> then);
   void send_reads();
   void on_read_response(const jobs::ResultReader::Read& read, const net::Result& response);
-  std::vector<std::string> take_range(const wire::KeyPage& page);
+  std::vector<std::string> cache_range(const wire::KeyPage& page);
   void send_effective_priorities();
   void schedule_advance();
   void advance();
   void read_dependencies();
   void write_transition(Transition transition);
-  void forget_moved_jobs();
-  bool may_move(const std::string& id);
+  void forget_completed_transitions();
+  bool may_transition(const std::string& id);
 
   ControllerComponents& components_;
   jobs::DependencyGraph dependencies_;
   std::unordered_map<std::string, wire::JobResultRecord> results_;
-  std::deque<std::string> results_by_age_;
+  std::deque<std::string> result_ids_by_age_;
   jobs::ResultReader reader_;
-  std::set<std::string> reading_;  ///< Jobs whose final records are read ahead.
+  std::set<std::string> read_ahead_ids_;  ///< Jobs whose final records are read ahead.
   /// Waiting jobs that have to be moved, and since when (loop time).
-  std::unordered_map<std::string, double> movable_since_;
+  std::unordered_map<std::string, double> transition_due_since_;
   TransitionWriter ready_writer_;
   TransitionWriter cancelled_writer_;
   double next_read_at_ = 0;
   TagSequence tags_;
-  bool is_advance_armed_ = false;
+  bool is_advance_scheduled_ = false;
   actor::Timer advance_timer_;
 };
 
--- a/src/controller/job_submission.cpp
+++ b/src/controller/job_submission.cpp
@@ -59,7 +59,7 @@
 
 bool JobSubmission::is_known(const std::string& id) const {
   const state::StateCache& cache = components_.state_store->cache();
-  return components_.job_results->final(id) || cache.job(id) || cache.waiting(id);
+  return components_.job_results->cached_result(id) || cache.job(id) || cache.waiting(id);
 }
 
 // The state of the job if it was accepted before, else `if_unknown`.
@@ -87,7 +87,7 @@
     }
     const state::JobEntry* live = cache.job(id);
     if (!live) live = cache.waiting(id);
-    const wire::JobResultRecord* result = components_.job_results->final(id);
+    const wire::JobResultRecord* result = components_.job_results->cached_result(id);
     if ((live && live->record.spec.service) || (result && result->service)) {
       dependencies.error = "awaits names a service";
       return dependencies;
