--- a/src/controller/inventory.cpp
+++ b/src/controller/inventory.cpp
@@ -31,7 +31,7 @@
 }
 }  // namespace
 
-bool Inventory::Batch::has_room() const {
+bool Inventory::Batch::has_space() const {
   return transaction.ops.size() < std::min(kMaxPagesPerTransaction, limits.ops);
 }
 
@@ -99,7 +99,7 @@
 
 void Inventory::write_next() {
   if (!can_write()) return;
-  collect_changes();
+  collect_scheduler_changes();
   Batch batch{{}, components_.state_client.limits().present(), tags_.next()};
   append_changes(batch);
   auto priority = state::RequestPriority::work;
@@ -131,7 +131,7 @@
 }
 
 // Takes over what the schedulers of this node's shards ask for.
-void Inventory::collect_changes() {
+void Inventory::collect_scheduler_changes() {
   auto is_known = [this](const std::string& machine, InventoryChange::Kind kind, int shard) {
     return is_pending(machine, kind, shard);
   };
@@ -151,10 +151,11 @@
   for (const auto& [name, change] : pending_changes_)
     machines_by_page[state::inventory_page(name)].push_back(name);
   for (const auto& [number, machines] : machines_by_page) {
-    if (!batch.has_room()) break;
+    if (!batch.has_space()) break;
     shard::InventoryPage page(components_.state_store->cache(), number);
-    Preconditions leaders;
-    if (apply_changes(page, machines, leaders)) append_page(batch, page, std::move(leaders));
+    Preconditions leader_preconditions;
+    if (apply_changes(page, machines, leader_preconditions))
+      append_page(batch, page, std::move(leader_preconditions));
   }
 }
 
@@ -164,7 +165,7 @@
   const state::StateCache& cache = components_.state_store->cache();
   std::set<int> bases;  // the parts of a page are converted together
   for (const int part : cache.inventory_to_convert()) {
-    if (!batch.has_room()) break;
+    if (!batch.has_space()) break;
     const int base = state::inventory_base(part);
     if (!bases.insert(base).second) continue;
     shard::InventoryPage page(cache, base);
@@ -174,12 +175,12 @@
 }
 
 // Applies the pending changes of these machines, all of one page; obsolete ones are forgotten. True
-// if the page has changed. `leaders`: further preconditions of the page's write.
+// if the page has changed. `leader_preconditions`: further preconditions of the page's write.
 bool Inventory::apply_changes(shard::InventoryPage& page, const std::vector<std::string>& machines,
-                              Preconditions& leaders) {
+                              Preconditions& leader_preconditions) {
   bool is_changed = false;
   for (const auto& name : machines) {
-    if (apply_change(page, pending_changes_.at(name), leaders) == Outcome::applied)
+    if (apply_change(page, pending_changes_.at(name), leader_preconditions) == Outcome::applied)
       is_changed = true;
     else
       pending_changes_.erase(name);
@@ -188,7 +189,8 @@
 }
 
 Inventory::Outcome Inventory::apply_change(shard::InventoryPage& page,
-                                           const InventoryChange& change, Preconditions& leaders) {
+                                           const InventoryChange& change,
+                                           Preconditions& leader_preconditions) {
   const std::string& name = change.machine.name;
   const bool is_recorded = page.find(name) != nullptr;
   switch (change.kind) {
@@ -201,7 +203,7 @@
       page.drop(name);
       return Outcome::applied;
     case InventoryChange::transfer:
-      return apply_transfer(page, name, leaders);
+      return apply_transfer(page, name, leader_preconditions);
   }
   return Outcome::obsolete;
 }
@@ -209,23 +211,25 @@
 // Only the leader of its shard gives a machine away, and only while it leads. Its scheduler is
 // asked now: the one that made the change may be closed, and its successor have work there.
 Inventory::Outcome Inventory::apply_transfer(shard::InventoryPage& page, const std::string& machine,
-                                             Preconditions& leaders) {
+                                             Preconditions& leader_preconditions) {
   const wire::MachineRecord* recorded = page.find(machine);
   if (!recorded || recorded->shard >= components_.settings.shards()) return Outcome::obsolete;
   const int from = recorded->shard;
-  const scheduler::ShardScheduler* giver = components_.shard_controller(from).scheduler();
-  const int to = giver ? giver->transfer_target(machine) : -1;
+  const scheduler::ShardScheduler* source_scheduler =
+      components_.shard_controller(from).scheduler();
+  const int to = source_scheduler ? source_scheduler->transfer_target(machine) : -1;
   if (to < 0 || to == from) return Outcome::obsolete;
-  leaders.emplace_back(state::leader_key(from), giver->token());
-  wire::MachineRecord given = *recorded;
-  given.shard = to;
-  given.token = giver->token();
-  page.set(given);
+  leader_preconditions.emplace_back(state::leader_key(from), source_scheduler->token());
+  wire::MachineRecord transferred_record = *recorded;
+  transferred_record.shard = to;
+  transferred_record.token = source_scheduler->token();
+  page.set(transferred_record);
   return Outcome::applied;
 }
 
 // Puts the page's changes into the transaction, if there is room for them.
-void Inventory::append_page(Batch& batch, shard::InventoryPage& page, Preconditions leaders) {
+void Inventory::append_page(Batch& batch, shard::InventoryPage& page,
+                            Preconditions leader_preconditions) {
   page.record_ages(
       [this](const std::string& machine) { return components_.cloud_manager->rented_at(machine); });
   wire::Transaction& all = batch.transaction;
@@ -234,7 +238,7 @@
            all.preconditions.end();
   };
   wire::Transaction changes = page.changes(batch.limits.value_bytes, batch.tag);
-  for (auto& leader : leaders) changes.preconditions.push_back(std::move(leader));
+  for (auto& leader : leader_preconditions) changes.preconditions.push_back(std::move(leader));
   std::erase_if(changes.preconditions, is_in_batch);
   // A page that has to be split takes several operations; another one may have room beside it.
   if (all.ops.size() + changes.ops.size() > batch.limits.ops ||
--- a/src/controller/inventory.h
+++ b/src/controller/inventory.h
@@ -35,7 +35,7 @@
     wire::Transaction transaction;
     state::TransactionLimits limits;
     std::string tag;
-    [[nodiscard]] bool has_room() const;
+    [[nodiscard]] bool has_space() const;
   };
   /// What becomes of a pending change.
   enum class Outcome {
@@ -48,18 +48,18 @@
   void write_next();
   [[nodiscard]] bool can_write() const;
   void commit(wire::Transaction transaction, state::RequestPriority priority);
-  void collect_changes();
+  void collect_scheduler_changes();
   [[nodiscard]] bool is_pending(const std::string& machine, scheduler::InventoryChange::Kind kind,
                                 int shard) const;
   void append_changes(Batch& batch);
   void append_conversions(Batch& batch);
   bool apply_changes(shard::InventoryPage& page, const std::vector<std::string>& machines,
-                     Preconditions& leaders);
+                     Preconditions& leader_preconditions);
   Outcome apply_change(shard::InventoryPage& page, const scheduler::InventoryChange& change,
-                       Preconditions& leaders);
+                       Preconditions& leader_preconditions);
   Outcome apply_transfer(shard::InventoryPage& page, const std::string& machine,
-                         Preconditions& leaders);
-  void append_page(Batch& batch, shard::InventoryPage& page, Preconditions leaders);
+                         Preconditions& leader_preconditions);
+  void append_page(Batch& batch, shard::InventoryPage& page, Preconditions leader_preconditions);
 
   ControllerComponents& components_;
   std::map<std::string, scheduler::InventoryChange> pending_changes_;  ///< By machine.
