--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -24,8 +24,8 @@
 constexpr double kAdoptAfterS = 20;
 /// Late heartbeats of deleted machines are refused for so long.
 constexpr double kRemovedKeptS = 600;
-/// Machines that one call deletes; the rest goes with the next. 4,000 that leave at once take 40
-/// calls.
+/// Machines that one call deletes; the rest goes with the next. 4,000 that deregister_node at once
+/// take 40 calls.
 constexpr std::size_t kMaxDeletions = 100;
 }  // namespace
 
@@ -78,7 +78,7 @@
     if (types.empty()) return;
     types_read_at_ = loop_.now();
     catalogue_.load(types, components_.settings);
-    components_.membership->reconsider();
+    components_.membership->reconsider_leadership();
   }));
 }
 
--- a/src/controller/membership.cpp
+++ b/src/controller/membership.cpp
@@ -34,12 +34,12 @@
 void Membership::tick() {
   post([this] {
     keep_registered();
-    observe();
+    update_election();
   });
 }
 
-void Membership::reconsider() {
-  post([this] { observe(); });
+void Membership::reconsider_leadership() {
+  post([this] { update_election(); });
 }
 
 void Membership::on_changes(const std::vector<state::Change>& changes) {
@@ -47,10 +47,10 @@
       std::any_of(changes.begin(), changes.end(), [](const state::Change& change) {
         return change.kind == state::Change::leader || change.kind == state::Change::node;
       });
-  if (concerns_leaders) observe();
+  if (concerns_leaders) update_election();
 }
 
-void Membership::observe() {
+void Membership::update_election() {
   if (!components_.state_store->loaded()) return;
   election_.observe(components_.state_store->cache(), loop_.now());
   for (const auto& controller : components_.shard_controllers) controller->reconsider_leadership();
@@ -62,7 +62,7 @@
   if (is_lease_request_in_flight_ || !components_.state_store->loaded()) return;
   // A build that cannot read the stored state is no member: it is not registered, and if it was,
   // others need not wait for the lease to end.
-  if (!components_.schema->may_serve()) return leave();
+  if (!components_.schema->may_serve()) return deregister_node();
   if (!lease_id_) return acquire_lease();
   restore_node_key();
   if (loop_.now() >= renew_at_) renew_lease();
@@ -111,20 +111,20 @@
 void Membership::restore_node_key() {
   const std::uint64_t key_revision =
       components_.state_store->cache().node_revision(components_.settings.self);
-  if (own_key_revision_ && key_revision == own_key_revision_) return;
+  if (registered_key_revision_ && key_revision == registered_key_revision_) return;
   const bool is_taken = key_revision != 0;
-  if (is_taken && loop_.now() < overwrite_after_) return;
-  overwrite_after_ = loop_.now() + kOverwriteIntervalS;
+  if (is_taken && loop_.now() < may_overwrite_at_) return;
+  may_overwrite_at_ = loop_.now() + kOverwriteIntervalS;
   register_node();
 }
 
-void Membership::leave() {
+void Membership::deregister_node() {
   const std::string key = state::node_key(components_.settings.node);
   const std::uint64_t key_revision =
       components_.state_store->cache().node_revision(components_.settings.self);
   if (is_commit_in_flight_ || !key_revision) return;
   is_commit_in_flight_ = true;
-  own_key_revision_ = 0;
+  registered_key_revision_ = 0;
   wire::Transaction transaction{{{key, key_revision}}, {{key, std::nullopt, 0}}};
   components_.state_store->resolve_unknown_commit(
       std::move(transaction), state::RequestPriority::safety, kCommitTimeoutS,
@@ -149,9 +149,9 @@
   is_commit_in_flight_ = false;
   if (result.kind == state::CommitResult::no_lease) lease_id_ = 0;
   if (result.kind != state::CommitResult::applied) return;
-  own_key_revision_ = result.revision;
+  registered_key_revision_ = result.revision;
   election_.registered(result.revision, tag_prefix());
-  observe();
+  update_election();
 }
 
 }  // namespace shunttrail::controller
--- a/src/controller/membership.h
+++ b/src/controller/membership.h
@@ -19,7 +19,7 @@
   /// To be called at short, regular intervals.
   void tick();
   /// A leader may have changed in a way that the cache does not show: the shard controllers check.
-  void reconsider();
+  void reconsider_leadership();
 
   [[nodiscard]] const shard::LeaderElection& election() const { return election_; }
   /// An id that no other process has: that of its first lease. 0: none yet.
@@ -29,13 +29,13 @@
 
  private:
   void on_changes(const std::vector<state::Change>& changes);
-  void observe();
+  void update_election();
   void keep_registered();
   void acquire_lease();
   void on_lease(const net::Result& response);
   void restore_node_key();
   void renew_lease();
-  void leave();
+  void deregister_node();
   void register_node();
   void on_registered(const state::CommitResult& result);
   [[nodiscard]] std::string tag_prefix() const;
@@ -46,12 +46,12 @@
   std::uint64_t lease_id_ = 0;  ///< 0: none.
   std::uint64_t process_id_ = 0;
   /// The revision of the node key as this process wrote it; 0: not written.
-  std::uint64_t own_key_revision_ = 0;
+  std::uint64_t registered_key_revision_ = 0;
   bool is_lease_request_in_flight_ = false;
   bool is_commit_in_flight_ = false;
   double renew_at_ = 0;
   /// Before that, a node key that another process wrote is not overwritten.
-  double overwrite_after_ = 0;
+  double may_overwrite_at_ = 0;
 };
 
 }  // namespace shunttrail::controller
--- a/src/controller/peer_gossip.cpp
+++ b/src/controller/peer_gossip.cpp
@@ -85,7 +85,7 @@
     may_be_replaced |= take_shard_status(shard, *heartbeat);
   if (may_be_replaced)
     components_.state_store->linearizable_read(
-        reply<bool>([this](bool) { components_.membership->reconsider(); }));
+        reply<bool>([this](bool) { components_.membership->reconsider_leadership(); }));
   exchange->send({200, "{}", 0});
 }
 
