--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -92,7 +92,7 @@
 void Controller::serve_internal(const net::ExchangePtr& exchange) {
   const std::string& path = exchange->path;
   const bool is_post = exchange->post;
-  if (path == "/peer/beat" && is_post) return peer_gossip_.handle_request(exchange);
+  if (path == "/peer/beat" && is_post) return peer_gossip_.handle_heartbeat(exchange);
   if (path == "/peer/room" && is_post) return peer_gossip_.handle_room_offers(exchange);
   if (path == "/peer/report" && is_post)
     return heartbeat_relay_.handle_relayed(exchange, [this](const net::ExchangePtr& relayed) {
--- a/src/controller/peer_gossip.cpp
+++ b/src/controller/peer_gossip.cpp
@@ -58,12 +58,12 @@
   });
 }
 
-void PeerGossip::handle_request(net::ExchangePtr exchange) {
-  post([this, exchange = std::move(exchange)] { take_heartbeat(exchange); });
+void PeerGossip::handle_heartbeat(net::ExchangePtr exchange) {
+  post([this, exchange = std::move(exchange)] { receive_heartbeat(exchange); });
 }
 
 void PeerGossip::handle_room_offers(net::ExchangePtr exchange) {
-  post([this, exchange = std::move(exchange)] { take_room_offers(exchange); });
+  post([this, exchange = std::move(exchange)] { receive_room_offers(exchange); });
 }
 
 bool PeerGossip::another_serves() const {
@@ -72,7 +72,7 @@
 
 // ---- heartbeats
 
-void PeerGossip::take_heartbeat(const net::ExchangePtr& exchange) {
+void PeerGossip::receive_heartbeat(const net::ExchangePtr& exchange) {
   const int shards = components_.settings.shards();
   const auto heartbeat = peer::decode(exchange->body, shards);
   if (!heartbeat) {
@@ -82,7 +82,7 @@
   peer_status_[heartbeat->node] = {loop_.now(), heartbeat->serving};
   bool may_be_replaced = false;
   for (int shard = 0; shard < shards; ++shard)
-    may_be_replaced |= take_shard_status(shard, *heartbeat);
+    may_be_replaced |= record_shard_status(shard, *heartbeat);
   if (may_be_replaced)
     components_.state_store->linearizable_read(
         reply<bool>([this](bool) { components_.membership->reconsider_leadership(); }));
@@ -90,7 +90,7 @@
 }
 
 // True if the sibling knows a newer token of a shard that this node leads.
-bool PeerGossip::take_shard_status(int shard, const peer::PeerHeartbeat& heartbeat) {
+bool PeerGossip::record_shard_status(int shard, const peer::PeerHeartbeat& heartbeat) {
   const peer::PeerHeartbeat::Load& load = heartbeat.loads[shard];
   if (load.owned) loads_[shard] = {loop_.now(), decode_load(load)};
   const scheduler::ShardScheduler* scheduler = components_.shard_controller(shard).scheduler();
@@ -113,13 +113,13 @@
   heartbeat.serving = store.fresh(kServingReadAgeS) && components_.schema->may_serve();
   for (int shard = 0; shard < components_.settings.shards(); ++shard) {
     heartbeat.tokens.push_back(store.cache().leader(shard).mod_revision);
-    heartbeat.loads.push_back(report_load(shard));
+    heartbeat.loads.push_back(update_own_load(shard));
   }
   return heartbeat;
 }
 
 // The shard's present load, which is kept as well; nothing unless this node leads it.
-peer::PeerHeartbeat::Load PeerGossip::report_load(int shard) {
+peer::PeerHeartbeat::Load PeerGossip::update_own_load(int shard) {
   const scheduler::ShardScheduler* scheduler = components_.shard_controller(shard).scheduler();
   if (!scheduler) return {};
   const double now = loop_.now();
@@ -156,11 +156,11 @@
   transferred_at_[from] = now;
   // What is marked to go already is part of what there is to give, in every leader's eyes: else
   // each would see less than there is, and promise once more what another has promised.
-  const bool has_pledged = scheduler->transferring() > 0;
+  const bool has_pending_transfers = scheduler->transferring() > 0;
   const std::vector<int> transfers = shard::transfers(loads, from);
   for (int to = 0; to < components_.settings.shards(); ++to) {
     const int machines = transfers[static_cast<std::size_t>(to)];
-    if (to == from || (machines <= 0 && !has_pledged)) continue;
+    if (to == from || (machines <= 0 && !has_pending_transfers)) continue;
     components_.shard_controller(from).transfer(
         {to, static_cast<double>(machines), waiting_vcpus_by_tier(to)});
   }
@@ -193,7 +193,7 @@
   if (!components_.tuning.delegation || components_.cloud_manager->catalogue().empty()) return;
   const std::vector<scheduler::RoomOffer> own = own_room_offers();
   send_room_offers(own);
-  hand_out_room_offers(own);
+  distribute_room_offers(own);
 }
 
 // Of all shards that this node leads, as many as one message holds.
@@ -226,14 +226,14 @@
     if (client) client->request("POST", "/peer/room", body, kHeartbeatTimeoutS, [](net::Result) {});
 }
 
-void PeerGossip::take_room_offers(const net::ExchangePtr& exchange) {
+void PeerGossip::receive_room_offers(const net::ExchangePtr& exchange) {
   const auto message = peer::decode_room_offers(exchange->body, components_.settings.shards());
   if (!message) {
     ++malformed_;
     return exchange->send({400, "{}", 0});
   }
   const scheduler::MachineCatalogue& catalogue = components_.cloud_manager->catalogue();
-  OfferReport& report = offers_[message->node];
+  ReceivedOffers& report = offers_[message->node];
   report = {loop_.now(), {}};
   for (const peer::RoomOffers::Offer& offer : message->offers) {
     const int type = catalogue.type_index(offer.type);
@@ -246,9 +246,9 @@
 }
 
 // Each shard that this node leads gets what all others offer, of this node's own ones too.
-void PeerGossip::hand_out_room_offers(const std::vector<scheduler::RoomOffer>& own) {
+void PeerGossip::distribute_room_offers(const std::vector<scheduler::RoomOffer>& own) {
   std::vector<scheduler::RoomOffer> all = own;
-  for (const OfferReport& report : offers_)
+  for (const ReceivedOffers& report : offers_)
     if (loop_.now() - report.at <= kLoadValidS)
       all.insert(all.end(), report.offers.begin(), report.offers.end());
   for (int shard = 0; shard < components_.settings.shards(); ++shard) {
--- a/src/controller/peer_gossip.h
+++ b/src/controller/peer_gossip.h
@@ -22,7 +22,7 @@
   /// To be called at short, regular intervals.
   void tick();
   /// A sibling's heartbeat: 200, or 400 if it cannot be decoded.
-  void handle_request(net::ExchangePtr exchange);
+  void handle_heartbeat(net::ExchangePtr exchange);
   /// A sibling's offers of room: 200, or 400 if they cannot be decoded.
   void handle_room_offers(net::ExchangePtr exchange);
 
@@ -37,18 +37,18 @@
     double at = -1e9;  ///< Loop time.
     shard::Load load;
   };
-  void take_heartbeat(const net::ExchangePtr& exchange);
-  bool take_shard_status(int shard, const peer::PeerHeartbeat& heartbeat);
+  void receive_heartbeat(const net::ExchangePtr& exchange);
+  bool record_shard_status(int shard, const peer::PeerHeartbeat& heartbeat);
   void send_heartbeats();
   [[nodiscard]] peer::PeerHeartbeat make_heartbeat();
-  [[nodiscard]] peer::PeerHeartbeat::Load report_load(int shard);
+  [[nodiscard]] peer::PeerHeartbeat::Load update_own_load(int shard);
   void rebalance();
 
-  void take_room_offers(const net::ExchangePtr& exchange);
+  void receive_room_offers(const net::ExchangePtr& exchange);
   void exchange_room_offers();
   [[nodiscard]] std::vector<scheduler::RoomOffer> own_room_offers() const;
   void send_room_offers(const std::vector<scheduler::RoomOffer>& offers);
-  void hand_out_room_offers(const std::vector<scheduler::RoomOffer>& own);
+  void distribute_room_offers(const std::vector<scheduler::RoomOffer>& own);
   void transfer_machines(int from, const std::vector<shard::Load>& loads);
   [[nodiscard]] std::vector<shard::Load> recent_loads() const;
   [[nodiscard]] std::vector<double> waiting_vcpus_by_tier(int shard) const;
@@ -60,12 +60,12 @@
   std::vector<double> transferred_at_;                 ///< By shard, loop time.
   const double started_at_;
   /// What a sibling offers.
-  struct OfferReport {
+  struct ReceivedOffers {
     double at = -1e9;  ///< Loop time.
     std::vector<scheduler::RoomOffer> offers;
   };
-  std::vector<OfferReport> offers_;  ///< By node.
-  bool has_sent_offers_ = false;     ///< With the latest heartbeat.
+  std::vector<ReceivedOffers> offers_;  ///< By node.
+  bool has_sent_offers_ = false;        ///< With the latest heartbeat.
   double next_heartbeat_at_ = 0;
   std::uint64_t malformed_ = 0;
 };
