--- a/src/controller/direct_command_sender.cpp
+++ b/src/controller/direct_command_sender.cpp
@@ -10,7 +10,7 @@
 namespace shunttrail::controller {
 namespace {
 /// One in so many of the process's sockets is for requests to workers.
-constexpr std::size_t kSocketShare = 4;
+constexpr std::size_t kSocketShareDivisor = 4;
 constexpr double kCommandTimeoutS = 2;
 constexpr double kProbeTimeoutS = 1;
 /// A machine counts as unreachable for so many heartbeat intervals.
@@ -36,13 +36,13 @@
 }
 
 void DirectCommandSender::forget(const std::string& machine) {
-  workers_.erase(machine);
+  worker_clients_.erase(machine);
   unreachable_until_.erase(machine);
 }
 
 void DirectCommandSender::reset() {
   unreachable_until_.clear();
-  workers_.clear();
+  worker_clients_.clear();
 }
 
 void DirectCommandSender::send_commands(
@@ -93,7 +93,7 @@
 }
 
 net::Client& DirectCommandSender::client(const std::string& machine, const std::string& address) {
-  return workers_.at(machine, parse_endpoint(address), connection_limit());
+  return worker_clients_.at(machine, parse_endpoint(address), connection_limit());
 }
 
 // All shards that this node leads share a part of the sockets: one controller that leads every
@@ -103,7 +103,7 @@
   for (const auto& controller : host_.components().shard_controllers)
     led_shards += controller->scheduler() != nullptr;
   const auto sockets = static_cast<std::size_t>(host_.settings().max_sockets);
-  return std::max<std::size_t>(1, sockets / kSocketShare / led_shards);
+  return std::max<std::size_t>(1, sockets / kSocketShareDivisor / led_shards);
 }
 
 }  // namespace shunttrail::controller
--- a/src/controller/direct_command_sender.h
+++ b/src/controller/direct_command_sender.h
@@ -15,7 +15,7 @@
 /// whether they live. Keeps the connections to them.
 class DirectCommandSender {
  public:
-  DirectCommandSender(ShardHost& host, actor::Loop& loop) : host_(host), workers_(loop) {}
+  DirectCommandSender(ShardHost& host, actor::Loop& loop) : host_(host), worker_clients_(loop) {}
 
   /// Sends the direct commands that the scheduler has, except to machines for which
   /// `has_held_response` is true: their response will carry them.
@@ -40,10 +40,10 @@
   [[nodiscard]] std::size_t connection_limit() const;
 
   ShardHost& host_;
-  /// By machine: loop time until which it counts as unreachable from this node. No direct command
+  /// By machine: loop time send_at which it counts as unreachable from this node. No direct command
   /// is sent there, which would hold up the start that the response to its heartbeat can bring.
   std::unordered_map<std::string, double> unreachable_until_;
-  net::Pool workers_;  ///< By machine.
+  net::Pool worker_clients_;  ///< By machine.
   std::uint64_t malformed_ = 0;
 };
 
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -19,7 +19,7 @@
 /// gets 667 heartbeats a second at 3 s between them, and has 200 of them in flight if each waits
 /// for a commit (Tuning::response_hold_s).
 constexpr std::size_t kMinInFlight = 48;
-constexpr std::size_t kShareOfSockets = 4;
+constexpr std::size_t kSocketShareDivisor = 4;
 constexpr std::size_t kMaxQueued = 0;
 /// The version of relayed heartbeats that this build sends.
 constexpr std::uint32_t kRelayVersion = 1;
@@ -27,7 +27,7 @@
 std::size_t max_in_flight(const config::Settings& settings) {
   const std::size_t siblings = std::max<std::size_t>(1, settings.peers.size());
   const auto sockets = static_cast<std::size_t>(settings.max_sockets);
-  return std::max(kMinInFlight, sockets / kShareOfSockets / siblings);
+  return std::max(kMinInFlight, sockets / kSocketShareDivisor / siblings);
 }
 }  // namespace
 
@@ -89,8 +89,8 @@
     spdlog::info("{} takes no relayed heartbeats", node_name(leader));
     routes_.unavailable(leader, now);
   }
-  const bool is_for_worker = response.status == 200 || response.status == 421;
-  if (is_for_worker)
+  const bool is_worker_response = response.status == 200 || response.status == 421;
+  if (is_worker_response)
     exchange->send({response.status, std::move(response.body), 0});
   else
     exchange->send({503, "{}", 0});
@@ -103,7 +103,7 @@
     ++malformed_;
     return exchange->send({400, "{}", 0});
   }
-  ++counters(relayed->node).taken;
+  ++counters(relayed->node).received;
   exchange->body = std::move(relayed->heartbeat);
   then(exchange);
 }
@@ -130,7 +130,7 @@
     siblings.push_back({{"to", settings.nodes[node]},
                         {"passed", count.relayed},
                         {"unanswered", count.unanswered},
-                        {"taken", count.taken}});
+                        {"taken", count.received}});
   }
   return json{{"node", settings.node},
               {"relay", components_.tuning.relay},
--- a/src/controller/heartbeat_relay.h
+++ b/src/controller/heartbeat_relay.h
@@ -38,7 +38,7 @@
   struct Counters {
     std::uint64_t relayed = 0;     ///< Heartbeats sent to it.
     std::uint64_t unanswered = 0;  ///< Of these, without a response.
-    std::uint64_t taken = 0;       ///< Heartbeats that it sent here.
+    std::uint64_t received = 0;    ///< Heartbeats that it sent here.
   };
   void route(const net::ExchangePtr& exchange, const std::string& machine,
              relay::RelayRoutes::Order order, int zone, int leader);
--- a/src/controller/heartbeat_responder.cpp
+++ b/src/controller/heartbeat_responder.cpp
@@ -27,7 +27,7 @@
   const double now = host_.now();
   const HeartbeatResult result = scheduler->take_heartbeat(heartbeat, now);
   if (result == HeartbeatResult::unknown) return exchange->send(unavailable());
-  if (result == HeartbeatResult::older) return respond_to_overtaken(exchange, machine);
+  if (result == HeartbeatResult::older) return respond_to_older_heartbeat(exchange, machine);
   refuse_superseded(machine);
   host_.schedule_pass();
   const double hold_s = host_.components().tuning.response_hold_s;
@@ -60,8 +60,8 @@
 
 // The response to a direct command has overtaken this heartbeat: it tells nothing new, and keeps
 // the lease. So the worker is told what has to end: this may be the last response that it hears.
-void HeartbeatResponder::respond_to_overtaken(const net::ExchangePtr& exchange,
-                                              const std::string& machine) {
+void HeartbeatResponder::respond_to_older_heartbeat(const net::ExchangePtr& exchange,
+                                                    const std::string& machine) {
   const scheduler::ShardScheduler& scheduler = *host_.active_scheduler();
   if (scheduler.has_unacknowledged_start(machine)) return exchange->send(unavailable());
   exchange->send(heartbeat_response(scheduler.token(), scheduler.stop_commands(machine)));
@@ -90,7 +90,7 @@
   const double now = host_.now();
   for (auto held = held_.begin(); held != held_.end();) {
     const auto& [machine, response] = *held;
-    if (now < response.until && scheduler->awaits_commit(machine)) {
+    if (now < response.send_at && scheduler->awaits_commit(machine)) {
       ++held;
       continue;
     }
--- a/src/controller/heartbeat_responder.h
+++ b/src/controller/heartbeat_responder.h
@@ -32,11 +32,11 @@
  private:
   struct HeldResponse {
     net::ExchangePtr exchange;
-    double until = 0;  ///< Loop time at which it is sent in any case.
+    double send_at = 0;  ///< Loop time at which it is sent in any case.
   };
   void redirect_to_leader(const net::ExchangePtr& exchange);
   void reread_leadership(const wire::Heartbeat& heartbeat);
-  void respond_to_overtaken(const net::ExchangePtr& exchange, const std::string& machine);
+  void respond_to_older_heartbeat(const net::ExchangePtr& exchange, const std::string& machine);
   void refuse_superseded(const std::string& machine);
   void respond(const net::ExchangePtr& exchange, const std::string& machine);
 
