--- a/src/controller/shard_controller.cpp
+++ b/src/controller/shard_controller.cpp
@@ -156,7 +156,7 @@
       case state::Change::machine_gone:
         // Only what the cloud has deleted leaves the inventory, or what has gone on to another part
         // of its page: such a machine is still there, and so are its tasks.
-        if (!state_store().cache().machine(change.name)) lose_machine(change.name);
+        if (!state_store().cache().machine(change.name)) remove_machine(change.name);
         break;
       default:
         break;
@@ -176,10 +176,10 @@
   if (machine->shard == shard())
     add_machine(*machine);
   else
-    lose_machine(name);
+    remove_machine(name);
 }
 
-bool ShardController::owns_team(int team) const {
+bool ShardController::has_team(int team) const {
   return team >= 0 && settings().team_shard[team] == shard();
 }
 
@@ -190,7 +190,7 @@
 // Takes the job if its team belongs to this shard, or it is delegated here.
 void ShardController::add_job(const std::string& id, const state::JobEntry& job) {
   const int team = settings().team_index(job.record.spec.team);
-  if (!owns_team(team) && !is_delegated_here(job.record)) return;
+  if (!has_team(team) && !is_delegated_here(job.record)) return;
   const double loop_now = now();
   const double wall_now = loop_.wall_now();
   // Of a delegated job, only what this shard has stored itself counts as stored.
@@ -208,7 +208,7 @@
     scheduler_->set_machine_address(machine.name, *address);
 }
 
-void ShardController::lose_machine(const std::string& name) {
+void ShardController::remove_machine(const std::string& name) {
   scheduler_->machine_moved(name, now());
   direct_commands_.forget(name);
 }
@@ -240,13 +240,13 @@
 }
 
 void ShardController::schedule_pass() {
-  if (is_pass_armed_ || !scheduler_) return;
-  is_pass_armed_ = true;
+  if (is_pass_scheduled_ || !scheduler_) return;
+  is_pass_scheduled_ = true;
   pass_timer_.after(kPassDelayS);
 }
 
 void ShardController::run_scheduling_pass() {
-  is_pass_armed_ = false;
+  is_pass_scheduled_ = false;
   if (!scheduler_) return;
   if (scheduler_->scheduling_due()) scheduler_->run_scheduling_pass(now());
   send_pending_work();
--- a/src/controller/shard_controller.h
+++ b/src/controller/shard_controller.h
@@ -87,11 +87,11 @@
   void on_changes(const std::vector<state::Change>& changes);
   void on_job_set(const std::string& id);
   void on_machine_set(const std::string& name);
-  [[nodiscard]] bool owns_team(int team) const;
+  [[nodiscard]] bool has_team(int team) const;
   [[nodiscard]] bool is_delegated_here(const wire::JobRecord& job) const;
   void add_job(const std::string& id, const state::JobEntry& job);
   void add_machine(const wire::MachineRecord& machine);
-  void lose_machine(const std::string& name);
+  void remove_machine(const std::string& name);
   void run_scheduling_pass();
 
   ControllerComponents& components_;
@@ -101,7 +101,7 @@
   TransactionPipeline transactions_;
   HeartbeatResponder heartbeats_;
   DirectCommandSender direct_commands_;
-  bool is_pass_armed_ = false;
+  bool is_pass_scheduled_ = false;
   actor::Timer pass_timer_;
 };
 
