--- a/src/controller/inventory.cpp
+++ b/src/controller/inventory.cpp
@@ -113,7 +113,7 @@
 
 void Inventory::commit(wire::Transaction transaction, state::RequestPriority priority) {
   is_commit_in_flight_ = true;
-  components_.state_store->resolve_unknown_commit(
+  components_.state_store->commit_or_reread(
       std::move(transaction), priority, kCommitTimeoutS,
       reply<state::CommitResult>([this](const state::CommitResult& result) {
         is_commit_in_flight_ = false;
--- a/src/controller/job_results.cpp
+++ b/src/controller/job_results.cpp
@@ -269,7 +269,7 @@
   const std::size_t transitioned_jobs =
       transitions.txn.ops.size() / 2;  // each drops a key and sets one
   const auto priority = is_ready ? state::RequestPriority::work : state::RequestPriority::sweep;
-  components_.state_store->resolve_unknown_commit(
+  components_.state_store->commit_or_reread(
       std::move(transitions.txn), priority, kTransitionTimeoutS,
       reply<state::CommitResult>(
           [this, &writer, transitioned_jobs,
--- a/src/controller/leadership_mover.cpp
+++ b/src/controller/leadership_mover.cpp
@@ -97,7 +97,7 @@
 // later still, its precondition on that revision keeps it from undoing anything newer.
 void LeadershipMover::commit(wire::Transaction transaction) {
   commit_in_flight_ = true;
-  host_.components().state_store->resolve_unknown_commit(
+  host_.components().state_store->commit_or_reread(
       std::move(transaction), state::RequestPriority::safety, kCommitTimeoutS,
       host_.reply<state::CommitResult>([this](const state::CommitResult& result) {
         commit_in_flight_ = false;
--- a/src/controller/membership.cpp
+++ b/src/controller/membership.cpp
@@ -126,7 +126,7 @@
   is_commit_in_flight_ = true;
   registered_key_revision_ = 0;
   wire::Transaction transaction{{{key, key_revision}}, {{key, std::nullopt, 0}}};
-  components_.state_store->resolve_unknown_commit(
+  components_.state_store->commit_or_reread(
       std::move(transaction), state::RequestPriority::safety, kCommitTimeoutS,
       reply<state::CommitResult>(
           [this](const state::CommitResult&) { is_commit_in_flight_ = false; }));
@@ -139,7 +139,7 @@
                      process_id_, components_.schema->build(), lease_id_);
   if (!transaction) return;
   is_commit_in_flight_ = true;
-  components_.state_store->resolve_unknown_commit(
+  components_.state_store->commit_or_reread(
       std::move(*transaction), state::RequestPriority::safety, kCommitTimeoutS,
       reply<state::CommitResult>(
           [this](const state::CommitResult& result) { on_registered(result); }));
--- a/src/controller/schema_manager.cpp
+++ b/src/controller/schema_manager.cpp
@@ -123,7 +123,7 @@
   const schema::VersionRecord next = rollout_status_.step.record;
   is_commit_in_flight_ = true;
   step_since_ = 0;
-  components_.state_store->resolve_unknown_commit(
+  components_.state_store->commit_or_reread(
       schema::commit_of(rollout_status_.step, tags_.next()), state::RequestPriority::safety,
       kStepTimeoutS, reply<state::CommitResult>([this, next](const state::CommitResult& result) {
         is_commit_in_flight_ = false;
@@ -157,7 +157,7 @@
   schema::Orders orders = schema::with(view.orders, order);
   // Repeating an order is harmless, and costs nothing.
   if (orders == view.orders) return exchange->send({200, describe(), 0});
-  components_.state_store->resolve_unknown_commit(
+  components_.state_store->commit_or_reread(
       schema::commit_of(view, std::move(orders), tags_.next()), state::RequestPriority::user,
       kOrderTimeoutS,
       reply<state::CommitResult>([this, exchange](const state::CommitResult& result) {
--- a/src/controller/state_store.cpp
+++ b/src/controller/state_store.cpp
@@ -157,22 +157,22 @@
 // ---- linearizable reads
 
 void StateStore::linearizable_read(std::function<void(bool)> then) {
-  post([this, then = std::move(then)]() mutable { wait_for_read(std::move(then)); });
+  post([this, then = std::move(then)]() mutable { enqueue_linearizable_read(std::move(then)); });
 }
 
-void StateStore::wait_for_read(std::function<void(bool)> then) {
+void StateStore::enqueue_linearizable_read(std::function<void(bool)> then) {
   if (!is_loaded_) return then(false);
   read_waiters_.push_back(std::move(then));
-  if (!is_read_in_flight_ && !is_read_armed_) arm_linearizable_read(kReadDelayS);
+  if (!is_read_in_flight_ && !is_read_scheduled_) schedule_linearizable_read(kReadDelayS);
 }
 
-void StateStore::arm_linearizable_read(double delay_s) {
-  is_read_armed_ = true;
+void StateStore::schedule_linearizable_read(double delay_s) {
+  is_read_scheduled_ = true;
   read_timer_.after(delay_s);
 }
 
 void StateStore::start_linearizable_read() {
-  is_read_armed_ = false;
+  is_read_scheduled_ = false;
   if (is_read_in_flight_ || read_waiters_.empty()) return;
   is_read_in_flight_ = true;
   auto waiters = std::make_shared<std::vector<std::function<void(bool)>>>();
@@ -186,7 +186,7 @@
                   on_watch_response(began_at, response);
                 const bool is_read = is_ok && last_read_at_ >= began_at;
                 for (const auto& waiter : *waiters) waiter(is_read);
-                if (!read_waiters_.empty()) arm_linearizable_read(kReadIntervalS);
+                if (!read_waiters_.empty()) schedule_linearizable_read(kReadIntervalS);
               }));
 }
 
@@ -220,13 +220,12 @@
   });
 }
 
-void StateStore::resolve_unknown_commit(wire::Transaction transaction,
-                                        state::RequestPriority priority, double timeout_s,
-                                        std::function<void(state::CommitResult)> done) {
+void StateStore::commit_or_reread(wire::Transaction transaction, state::RequestPriority priority,
+                                  double timeout_s, std::function<void(state::CommitResult)> done) {
   commit(std::move(transaction), priority, timeout_s,
          [this, done = std::move(done)](state::CommitResult result) {
            if (result.kind == state::CommitResult::applied) return done(std::move(result));
-           wait_for_read([result = std::move(result), done](bool) { done(result); });
+           enqueue_linearizable_read([result = std::move(result), done](bool) { done(result); });
          });
 }
 
--- a/src/controller/state_store.h
+++ b/src/controller/state_store.h
@@ -48,8 +48,8 @@
                     std::function<void()> done);
   /// As `commit`; a transaction that was not applied, or perhaps not, is followed by a read, so
   /// that what is decided next is decided by what is stored then.
-  void resolve_unknown_commit(wire::Transaction transaction, state::RequestPriority priority,
-                              double timeout_s, std::function<void(state::CommitResult)> done);
+  void commit_or_reread(wire::Transaction transaction, state::RequestPriority priority,
+                        double timeout_s, std::function<void(state::CommitResult)> done);
 
  private:
   /// A read of all keys, page by page.
@@ -67,8 +67,8 @@
   void on_watch_response(double began_at, const net::Result& response);
   void apply_watch(double began_at, const std::string& body);
   void delay_watch(const char* why);
-  void wait_for_read(std::function<void(bool)> then);
-  void arm_linearizable_read(double delay_s);
+  void enqueue_linearizable_read(std::function<void(bool)> then);
+  void schedule_linearizable_read(double delay_s);
   void start_linearizable_read();
   void apply(std::vector<wire::Event> events, std::uint64_t revision);
   void notify(std::vector<state::Change> changes);
@@ -85,7 +85,7 @@
   /// After the latest failed watch; grows with each until one succeeds.
   double watch_backoff_s_ = 0;
   std::vector<std::function<void(bool)>> read_waiters_;
-  bool is_read_armed_ = false;
+  bool is_read_scheduled_ = false;
   bool is_read_in_flight_ = false;
   actor::Timer watch_timer_;
   actor::Timer read_timer_;
