--- a/src/controller/transaction_pipeline.cpp
+++ b/src/controller/transaction_pipeline.cpp
@@ -25,8 +25,8 @@
 
 void TransactionPipeline::commit_next() {
   if (host_.now() < next_commit_at_) return host_.schedule_pass();
-  if (retry_pending_)
-    retry_pending_ = false;
+  if (must_resend_)
+    must_resend_ = false;
   else if (!prepare_transaction())
     return;
   send();
@@ -70,8 +70,8 @@
       }));
 }
 
-void TransactionPipeline::retry_later() {
-  retry_pending_ = true;
+void TransactionPipeline::resend_later() {
+  must_resend_ = true;
   next_commit_at_ = host_.now() + kRetryDelayS;
 }
 
@@ -82,18 +82,18 @@
       return on_applied();
     case state::CommitResult::precondition_failed:
     case state::CommitResult::too_large:
-      return resolve(opened_under);
+      return read_outcome(opened_under);
     case state::CommitResult::not_executed:
     case state::CommitResult::unknown:
     case state::CommitResult::no_lease:
-      return retry_later();
+      return resend_later();
   }
 }
 
 // A precondition has changed, or the limits have fallen, or this is the second copy of a
 // transaction whose first response was lost: the tag on one of the keys that it writes tells. What
 // was not applied is made anew, in a size that is chosen then.
-void TransactionPipeline::resolve(std::uint64_t opened_under) {
+void TransactionPipeline::read_outcome(std::uint64_t opened_under) {
   const wire::Transaction::Op* last_write = nullptr;
   for (const auto& op : transaction_.ops)
     if (op.value) last_write = &op;
@@ -102,20 +102,20 @@
   host_.components().state_client.get(
       "/kv/" + key, state::RequestPriority::work,
       host_.reply<net::Result>([this, opened_under, only_deletes](const net::Result& response) {
-        if (awaits_outcome(opened_under)) on_written_key(opened_under, only_deletes, response);
+        if (awaits_outcome(opened_under)) on_outcome_read(opened_under, only_deletes, response);
       }));
 }
 
 // The present value of a key that the transaction was to write: applied if it has our tag.
-void TransactionPipeline::on_written_key(std::uint64_t opened_under, bool only_deletes,
-                                         const net::Result& response) {
+void TransactionPipeline::on_outcome_read(std::uint64_t opened_under, bool only_deletes,
+                                          const net::Result& response) {
   if (response.status == 404) return on_not_applied();
-  if (response.status != 200) return retry_later();
+  if (response.status != 200) return resend_later();
   wire::Event event;
   try {
     event = wire::decode_key(response.body);
   } catch (const wire::Malformed&) {
-    return retry_later();
+    return resend_later();
   }
   const bool has_our_tag =
       !only_deletes && event.value && event.value->find("\"" + tag_ + "\"") != std::string::npos;
@@ -143,7 +143,7 @@
   host_.components().state_store->linearizable_read(
       host_.reply<bool>([this, opened_under](bool is_read) {
         if (!awaits_outcome(opened_under)) return;
-        if (!is_read) return retry_later();
+        if (!is_read) return resend_later();
         host_.active_scheduler()->transaction_failed(host_.now());
         host_.send_pending_work();
       }));
--- a/src/controller/transaction_pipeline.h
+++ b/src/controller/transaction_pipeline.h
@@ -17,17 +17,17 @@
   /// to have an active scheduler and no leadership commit in flight.
   void commit_next();
   /// The scheduler was closed: its transaction is of no concern any more.
-  void reset() { retry_pending_ = false; }
+  void reset() { must_resend_ = false; }
 
  private:
   bool prepare_transaction();
   void send();
   void on_commit_result(std::uint64_t opened_under, const state::CommitResult& result);
-  void resolve(std::uint64_t opened_under);
-  void on_written_key(std::uint64_t opened_under, bool only_deletes, const net::Result& response);
+  void read_outcome(std::uint64_t opened_under);
+  void on_outcome_read(std::uint64_t opened_under, bool only_deletes, const net::Result& response);
   void on_applied();
   void on_not_applied();
-  void retry_later();
+  void resend_later();
   [[nodiscard]] bool awaits_outcome(std::uint64_t opened_under);
 
   ShardHost& host_;
@@ -36,7 +36,7 @@
   /// Tag of what the transaction writes.
   std::string tag_;
   /// The transaction in flight has to be sent again.
-  bool retry_pending_ = false;
+  bool must_resend_ = false;
   double next_commit_at_ = 0;
 };
 
