--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -19,11 +19,11 @@
 /// Machines that a page of the list holds.
 constexpr double kListPageMachines = 500;
 /// Lists in a row that lack a machine before it counts as gone: lists come out of order.
-constexpr int kListsUntilGone = 2;
+constexpr int kMaxMissingLists = 2;
 /// A listed machine without a record is adopted after so long.
 constexpr double kAdoptAfterS = 20;
 /// Late heartbeats of deleted machines are refused for so long.
-constexpr double kRemovedKeptS = 600;
+constexpr double kDeletionRetentionS = 600;
 /// Machines that one call deletes; the rest goes with the next. 4,000 that deregister_node at once
 /// take 40 calls.
 constexpr std::size_t kMaxDeletions = 100;
@@ -41,42 +41,42 @@
   const state::StateCache& cache = components_.state_store->cache();
   for (const auto& change : changes)
     if (change.kind == state::Change::machine_gone && !cache.machine(change.name))
-      removed_at_[change.name] = loop_.now();
+      deleted_at_[change.name] = loop_.now();
 }
 
 const std::string* CloudManager::address(const std::string& machine) const {
-  auto known = known_.find(machine);
-  return known == known_.end() ? nullptr : &known->second.address;
+  auto known = known_machines_.find(machine);
+  return known == known_machines_.end() ? nullptr : &known->second.address;
 }
 
 double CloudManager::rented_at(const std::string& machine) const {
-  auto known = known_.find(machine);
-  return known == known_.end() ? 0 : known->second.rented_at;
+  auto known = known_machines_.find(machine);
+  return known == known_machines_.end() ? 0 : known->second.rented_at;
 }
 
 void CloudManager::unknown_machine_reported(std::string machine, std::string address) {
   post([this, machine = std::move(machine), address = std::move(address)] {
-    known_[machine].address = address;
+    known_machines_[machine].address = address;
   });
 }
 
 void CloudManager::tick() {
   post([this] {
     const double now = loop_.now();
-    if (catalogue_.empty() || now - types_read_at_ > kTypesIntervalS) load_types();
+    if (catalogue_.empty() || now - types_loaded_at_ > kTypesIntervalS) load_types();
     if (now >= next_collect_at_) collect_requests();
     if (now > next_list_at_ && !is_listing_ && components_.state_store->loaded()) start_list();
   });
 }
 
 void CloudManager::load_types() {
-  if (is_reading_types_) return;
-  is_reading_types_ = true;
+  if (is_loading_types_) return;
+  is_loading_types_ = true;
   using Types = std::vector<wire::MachineType>;
   client_.types(reply<Types>([this](const Types& types) {
-    is_reading_types_ = false;
+    is_loading_types_ = false;
     if (types.empty()) return;
-    types_read_at_ = loop_.now();
+    types_loaded_at_ = loop_.now();
     catalogue_.load(types, components_.settings);
     components_.membership->reconsider_leadership();
   }));
@@ -88,7 +88,7 @@
 // than machines, and a call for every one that leaves would keep hundreds on the bill.
 void CloudManager::collect_requests() {
   next_collect_at_ = loop_.now() + kCollectIntervalS;
-  forget_removed();
+  forget_old_deletions();
   // Without an id of its own this process rents nothing: a request's name is never used twice.
   if (!components_.membership->process_id()) return;
   const int shard_to_return = is_deleting_ ? -1 : next_shard_to_return();
@@ -118,10 +118,10 @@
   return -1;
 }
 
-void CloudManager::forget_removed() {
+void CloudManager::forget_old_deletions() {
   const double now = loop_.now();
-  std::erase_if(removed_at_,
-                [&](const auto& removed) { return now - removed.second > kRemovedKeptS; });
+  std::erase_if(deleted_at_,
+                [&](const auto& removed) { return now - removed.second > kDeletionRetentionS; });
 }
 
 void CloudManager::execute(int shard, ShardController::CloudRequests requests, bool with_returns) {
@@ -172,7 +172,7 @@
   if (is_deleted) {
     // Gone, whoever leads the shard by now.
     for (const auto& name : machines) {
-      removed_at_[name] = loop_.now();
+      deleted_at_[name] = loop_.now();
       components_.inventory->drop(name);
     }
   }
@@ -184,7 +184,7 @@
 // Every node reads the list for its own machines; the one that leads the first shard also looks for
 // machines that have no record.
 void CloudManager::start_list() {
-  listed_now_.clear();
+  current_list_.clear();
   read_list_page("");
 }
 
@@ -204,17 +204,17 @@
 }
 
 void CloudManager::on_listed(const wire::ListedMachine& machine) {
-  listed_now_.insert(machine.name);
-  listed_.insert(machine.name);
-  known_[machine.name] = {machine.addr, loop_.wall_now() - machine.age_s};
+  current_list_.insert(machine.name);
+  listed_machines_.insert(machine.name);
+  known_machines_[machine.name] = {machine.addr, loop_.wall_now() - machine.age_s};
   if (const auto* record = components_.state_store->cache().machine(machine.name))
-    on_listed_known(machine, record->shard);
+    on_listed_recorded(machine, record->shard);
   else
-    on_listed_unknown(machine);
+    on_listed_unrecorded(machine);
 }
 
-void CloudManager::on_listed_known(const wire::ListedMachine& machine, int shard) {
-  unknown_since_.erase(machine.name);
+void CloudManager::on_listed_recorded(const wire::ListedMachine& machine, int shard) {
+  unrecorded_since_.erase(machine.name);
   if (shard >= components_.settings.shards()) return;
   ShardController& controller = components_.shard_controller(shard);
   if (!controller.scheduler()) return;
@@ -222,11 +222,11 @@
   if (machine.state == "failed") controller.machine_failed(machine.name, false);
 }
 
-void CloudManager::on_listed_unknown(const wire::ListedMachine& machine) {
+void CloudManager::on_listed_unrecorded(const wire::ListedMachine& machine) {
   const bool leads_first_shard = components_.shard_controller(0).scheduler() != nullptr;
-  if (!leads_first_shard || removed(machine.name)) return;
+  if (!leads_first_shard || was_recently_deleted(machine.name)) return;
   const double now = loop_.now();
-  const double since = unknown_since_.try_emplace(machine.name, now).first->second;
+  const double since = unrecorded_since_.try_emplace(machine.name, now).first->second;
   if (now - since > kAdoptAfterS)
     components_.inventory->adopt_orphan(
         {machine.name, machine.type, machine.zone, machine.spot, 0, 0, 0});
@@ -240,29 +240,29 @@
 
 // Once listed, a machine stays listed until it is gone.
 void CloudManager::report_unlisted() {
-  for (auto it = listed_.begin(); it != listed_.end();) {
+  for (auto it = listed_machines_.begin(); it != listed_machines_.end();) {
     const std::string& name = *it;
-    if (listed_now_.contains(name)) {
-      unlisted_.erase(name);
+    if (current_list_.contains(name)) {
+      missing_from_lists_.erase(name);
       ++it;
       continue;
     }
-    if (++unlisted_[name] < kListsUntilGone) {
+    if (++missing_from_lists_[name] < kMaxMissingLists) {
       ++it;
       continue;
     }
     for (const auto& controller : components_.shard_controllers)
       controller->machine_failed(name, true);
-    unlisted_.erase(name);
-    unknown_since_.erase(name);
-    known_.erase(name);
-    it = listed_.erase(it);
+    missing_from_lists_.erase(name);
+    unrecorded_since_.erase(name);
+    known_machines_.erase(name);
+    it = listed_machines_.erase(it);
   }
 }
 
 // In seconds: long lists are read less often, since each page is a call.
 double CloudManager::list_interval() const {
-  const double pages = 1 + static_cast<double>(listed_now_.size()) / kListPageMachines;
+  const double pages = 1 + static_cast<double>(current_list_.size()) / kListPageMachines;
   const double calls_per_s =
       components_.settings.cloud_rps / components_.settings.shards() * kListCallShare;
   return std::max(kMinListIntervalS, pages / calls_per_s);
--- a/src/controller/worker_api.cpp
+++ b/src/controller/worker_api.cpp
@@ -65,7 +65,7 @@
   if (!components_.schema->may_serve())
     return exchange->send({421, wire::encode_redirect(node_that_may_serve(shard)), 0});
   if (shard) return route_to_shard(exchange, std::move(heartbeat), *shard, path);
-  if (!components_.cloud_manager->removed(heartbeat.machine)) adopt(heartbeat);
+  if (!components_.cloud_manager->was_recently_deleted(heartbeat.machine)) adopt(heartbeat);
   exchange->send({503, "{}", 0});
 }
 
