--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -8,7 +8,7 @@
 // These are bounded by the rate of calls in the settings, not by the number of machines: a shard
 // has one request for machines under way for each tier and zone, of up to 50 machines, and a node
 // one deletion of up to 100 and one page of the list. A call that finds its queue full fails, and
-// its caller tries again.
+// its caller attempts_left again.
 constexpr std::size_t kConnections = 6;
 constexpr std::size_t kMaxOutstanding = 64;
 /// Of urgent calls, and of others.
@@ -17,29 +17,29 @@
 constexpr double kBurstS = 2;
 constexpr double kTimeoutS = 5;
 /// How often a request for machines is sent at most.
-constexpr int kRentTries = 6;
+constexpr int kMaxRentAttempts = 6;
 
 constexpr int kStatusOk = 200;
 constexpr int kStatusBadRequest = 400;
 constexpr int kStatusUnavailable = 503;
 
-RentResult read_rent_answer(const net::Result& answer) {
-  RentResult out;
+RentResult decode_rent_response(const net::Result& answer) {
+  RentResult result;
   try {
     if (answer.status == kStatusOk) {
-      out.machines = wire::decode_rented(answer.body);
-      out.kind = RentResult::rented;
+      result.machines = wire::decode_rented(answer.body);
+      result.kind = RentResult::rented;
     } else if (answer.status == kStatusUnavailable &&
                answer.body.find("no capacity") != std::string::npos) {
-      out.kind = RentResult::no_capacity;
+      result.kind = RentResult::no_capacity;
     }
   } catch (const wire::Malformed&) {
     return {};
   }
-  return out;
+  return result;
 }
 
-std::vector<wire::MachineType> read_types_answer(const net::Result& answer) {
+std::vector<wire::MachineType> decode_types_response(const net::Result& answer) {
   if (answer.status != kStatusOk) return {};
   try {
     return wire::decode_types(answer.body);
@@ -53,29 +53,29 @@
 Client::Client(actor::Loop& loop, const config::Settings& settings)
     : Actor(loop),
       http_(loop, settings.cloud, kConnections, kMaxOutstanding),
-      calls_(settings.cloud_rps / settings.shards(), loop.now(), kBurstS),
-      timer_(loop, [this] { pump(); }) {}
+      call_rate_limit_(settings.cloud_rps / settings.shards(), loop.now(), kBurstS),
+      timer_(loop, [this] { send_queued_calls(); }) {}
 
 void Client::submit(Call call, bool urgent) {
-  std::deque<Call>& queue = urgent ? urgent_ : other_;
+  std::deque<Call>& queue = urgent ? urgent_calls_ : normal_calls_;
   if (queue.size() >= kMaxQueued) {
     call.done({});
     return;
   }
   queue.push_back(std::move(call));
-  pump();
+  send_queued_calls();
 }
 
-void Client::pump() {
-  calls_.refill(loop_.now());
-  while (!urgent_.empty() || !other_.empty()) {
-    const double wait_s = calls_.wait_for(1);
+void Client::send_queued_calls() {
+  call_rate_limit_.refill(loop_.now());
+  while (!urgent_calls_.empty() || !normal_calls_.empty()) {
+    const double wait_s = call_rate_limit_.wait_for(1);
     if (wait_s > 0) {
       timer_.after(wait_s);
       return;
     }
-    calls_.take(1);
-    std::deque<Call>& queue = urgent_.empty() ? other_ : urgent_;
+    call_rate_limit_.take(1);
+    std::deque<Call>& queue = urgent_calls_.empty() ? normal_calls_ : urgent_calls_;
     Call call = std::move(queue.front());
     queue.pop_front();
     http_.request(call.method, std::move(call.path), std::move(call.body), kTimeoutS,
@@ -85,27 +85,33 @@
 
 void Client::types(std::function<void(std::vector<wire::MachineType>)> done) {
   submit({"GET", "/machine_types", "",
-          [done = std::move(done)](const net::Result& answer) { done(read_types_answer(answer)); }},
+          [done = std::move(done)](const net::Result& answer) {
+            done(decode_types_response(answer));
+          }},
          true);
 }
 
 void Client::rent(std::string request, std::string type, std::string zone, bool spot, int count,
                   std::function<void(RentResult)> done) {
-  try_rent(wire::encode_rent(request, type, zone, spot, count), kRentTries, std::move(done));
+  send_rent_request(wire::encode_rent(request, type, zone, spot, count), kMaxRentAttempts,
+                    std::move(done));
 }
 
-void Client::try_rent(std::string body, int tries, std::function<void(RentResult)> done) {
+void Client::send_rent_request(std::string body, int attempts_left,
+                               std::function<void(RentResult)> done) {
   submit({"POST", "/rentals", body,
-          [this, body, tries, done](const net::Result& answer) {
-            RentResult result = read_rent_answer(answer);
+          [this, body, attempts_left, done](const net::Result& answer) {
+            RentResult result = decode_rent_response(answer);
             const bool is_final =
                 result.kind != RentResult::failed || answer.status == kStatusBadRequest;
-            if (is_final || tries <= 1) {
+            if (is_final || attempts_left <= 1) {
               done(std::move(result));
               return;
             }
             // 429, an outage or no answer: the same request again, a little later.
-            post([this, body, tries, done] { try_rent(body, tries - 1, done); });
+            post([this, body, attempts_left, done] {
+              send_rent_request(body, attempts_left - 1, done);
+            });
           }},
          true);
 }
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -15,7 +15,7 @@
 
 /// What became of a request for machines.
 struct RentResult {
-  /// failed: refused, or no answer after several tries.
+  /// failed: refused, or no answer after several attempts_left.
   enum Kind { rented, no_capacity, failed } kind = failed;
   std::vector<std::string> machines;  ///< rented: their names
 };
@@ -45,13 +45,13 @@
   };
   void submit(Call call, bool urgent);
   /// Sends what the rate allows now, and sets the timer for the next call.
-  void pump();
-  void try_rent(std::string body, int tries, std::function<void(RentResult)> done);
+  void send_queued_calls();
+  void send_rent_request(std::string body, int attempts_left, std::function<void(RentResult)> done);
 
   net::Client http_;
-  state::TokenBucket calls_;
-  std::deque<Call> urgent_;
-  std::deque<Call> other_;
+  state::TokenBucket call_rate_limit_;
+  std::deque<Call> urgent_calls_;
+  std::deque<Call> normal_calls_;
   actor::Timer timer_;
 };
 
