--- a/src/controller/job_submission.cpp
+++ b/src/controller/job_submission.cpp
@@ -42,32 +42,32 @@
 void JobSubmission::handle_malformed(const net::ExchangePtr& exchange, const std::string& why) {
   const std::string id = wire::job_id_of(exchange->body);
   if (id.empty()) return exchange->send(net::error_response(400, why));
-  respond_unless_unknown(exchange, id, net::error_response(400, why));
+  respond_with_state_or(exchange, id, net::error_response(400, why));
 }
 
 void JobSubmission::handle_valid(const net::ExchangePtr& exchange, wire::JobRecord job) {
   ++submissions_;
   const JobFeasibility feasibility =
       check_feasibility(job.spec, components_.settings, components_.cloud_manager->catalogue());
-  if (feasibility != JobFeasibility::feasible || is_known(job.spec.id))
-    return respond_unless_unknown(exchange, job.spec.id, refusal_response(feasibility));
+  if (feasibility != JobFeasibility::feasible || is_accepted(job.spec.id))
+    return respond_with_state_or(exchange, job.spec.id, refusal_response(feasibility));
   if (!components_.state_store->fresh(kMaxReadAgeS))
     return refuse(exchange, unavailable_response(kUnreadRetryAfterS));
   job.submitted_at = loop_.wall_now();
   check_dependencies(exchange, std::move(job), DependencyRead::cache);
 }
 
-bool JobSubmission::is_known(const std::string& id) const {
+bool JobSubmission::is_accepted(const std::string& id) const {
   const state::StateCache& cache = components_.state_store->cache();
   return components_.job_results->cached_result(id) || cache.job(id) || cache.waiting(id);
 }
 
-// The state of the job if it was accepted before, else `if_unknown`.
-void JobSubmission::respond_unless_unknown(const net::ExchangePtr& exchange, const std::string& id,
-                                           net::Answer if_unknown) {
+// The state of the job if it was accepted before, else `otherwise`.
+void JobSubmission::respond_with_state_or(const net::ExchangePtr& exchange, const std::string& id,
+                                          net::Answer otherwise) {
   queries_.respond_with_state(
       exchange, id, JobStateDetail::state,
-      [exchange, if_unknown = std::move(if_unknown)] { exchange->send(if_unknown); });
+      [exchange, otherwise = std::move(otherwise)] { exchange->send(otherwise); });
 }
 
 void JobSubmission::refuse(const net::ExchangePtr& exchange, const net::Answer& answer) {
@@ -97,7 +97,7 @@
     else if (live)
       dependencies.unfinished.push_back(id);
     else
-      dependencies.unseen.push_back(id);
+      dependencies.not_found.push_back(id);
   }
   return dependencies;
 }
@@ -108,23 +108,23 @@
 void JobSubmission::check_dependencies(const net::ExchangePtr& exchange, wire::JobRecord job,
                                        DependencyRead read) {
   Dependencies dependencies = classify_dependencies(job.spec);
-  const bool has_unseen = !dependencies.unseen.empty();
-  if (dependencies.error.empty() && has_unseen && read == DependencyRead::job_results)
+  const bool has_not_found = !dependencies.not_found.empty();
+  if (dependencies.error.empty() && has_not_found && read == DependencyRead::job_results)
     dependencies.error = "awaits names a job that was never accepted";
   if (!dependencies.error.empty())
-    return respond_unless_unknown(exchange, job.spec.id,
-                                  net::error_response(422, dependencies.error));
-  if (has_unseen)
-    return read_dependencies(exchange, std::move(job), read, std::move(dependencies.unseen));
+    return respond_with_state_or(exchange, job.spec.id,
+                                 net::error_response(422, dependencies.error));
+  if (has_not_found)
+    return read_dependencies(exchange, std::move(job), read, std::move(dependencies.not_found));
   const bool has_dependencies = !job.spec.dependencies.empty();
   if (has_dependencies && dependencies.unfinished.empty()) job.ready_at = job.submitted_at;
   job.spec.dependencies = std::move(dependencies.unfinished);
-  accept(exchange, acceptance_of(job, dependencies.is_any_cancelled));
+  accept(exchange, make_acceptance(job, dependencies.is_any_cancelled));
 }
 
-// Reads what has not been read yet about the unseen dependencies, and checks again.
+// Reads what has not been read yet about the not_found dependencies, and checks again.
 void JobSubmission::read_dependencies(const net::ExchangePtr& exchange, wire::JobRecord job,
-                                      DependencyRead read, std::vector<std::string> unseen) {
+                                      DependencyRead read, std::vector<std::string> not_found) {
   const bool reads_state = read == DependencyRead::cache;
   const auto next = reads_state ? DependencyRead::linearizable : DependencyRead::job_results;
   auto check_again = actor_.reply<bool>([this, exchange, job = std::move(job), next](bool is_read) {
@@ -132,13 +132,13 @@
     check_dependencies(exchange, job, next);
   });
   if (reads_state) return components_.state_store->linearizable_read(std::move(check_again));
-  components_.job_results->lookup_all(std::move(unseen), std::move(check_again));
+  components_.job_results->lookup_all(std::move(not_found), std::move(check_again));
 }
 
 // ---- acceptance
 
-JobSubmission::Acceptance JobSubmission::acceptance_of(const wire::JobRecord& job,
-                                                       bool is_cancelled) {
+JobSubmission::Acceptance JobSubmission::make_acceptance(const wire::JobRecord& job,
+                                                         bool is_cancelled) {
   const wire::JobSpec& spec = job.spec;
   if (is_cancelled) {
     // A job that depends on a cancelled one is cancelled from the start.
@@ -154,7 +154,7 @@
 
 void JobSubmission::accept(const net::ExchangePtr& exchange, Acceptance acceptance) {
   const std::string& id = acceptance.id;
-  if (is_too_long(acceptance)) return refuse_too_long(exchange, id);
+  if (exceeds_value_limit(acceptance)) return refuse_oversized(exchange, id);
   wire::Transaction transaction;
   transaction.preconditions = {
       {state::job_key(id), 0}, {state::waiting_key(id), 0}, {state::job_result_key(id), 0}};
@@ -177,22 +177,22 @@
     return exchange->send(accepted);
   }
   if (result.kind == state::CommitResult::precondition_failed)
-    return respond_unless_unknown(exchange, id, unavailable_response());
-  if (result.kind == state::CommitResult::too_large && is_too_long(acceptance))
-    return refuse_too_long(exchange, id);
+    return respond_with_state_or(exchange, id, unavailable_response());
+  if (result.kind == state::CommitResult::too_large && exceeds_value_limit(acceptance))
+    return refuse_oversized(exchange, id);
   refuse(exchange, unavailable_response());
 }
 
 // The state service's limit may have been learned by the commit that it refused.
-bool JobSubmission::is_too_long(const Acceptance& acceptance) const {
+bool JobSubmission::exceeds_value_limit(const Acceptance& acceptance) const {
   return acceptance.value.size() >
          components_.state_client.limits().transaction_limits().value_bytes;
 }
 
 // Another node may have accepted the job under another body an instant ago.
-void JobSubmission::refuse_too_long(const net::ExchangePtr& exchange, const std::string& id) {
-  respond_unless_unknown(exchange, id,
-                         net::error_response(400, "the job's description is too long"));
+void JobSubmission::refuse_oversized(const net::ExchangePtr& exchange, const std::string& id) {
+  respond_with_state_or(exchange, id,
+                        net::error_response(400, "the job's description is too long"));
 }
 
 }  // namespace shunttrail::controller
--- a/src/controller/job_submission.h
+++ b/src/controller/job_submission.h
@@ -41,7 +41,7 @@
   /// A job's dependencies, by what is known of them.
   struct Dependencies {
     std::vector<std::string> unfinished;
-    std::vector<std::string> unseen;
+    std::vector<std::string> not_found;
     bool is_any_cancelled = false;
     std::string error;  ///< Why the job must be refused; empty: no reason.
   };
@@ -56,20 +56,20 @@
   };
   void handle_malformed(const net::ExchangePtr& exchange, const std::string& why);
   void handle_valid(const net::ExchangePtr& exchange, wire::JobRecord job);
-  void respond_unless_unknown(const net::ExchangePtr& exchange, const std::string& id,
-                              net::Answer if_unknown);
-  [[nodiscard]] bool is_known(const std::string& id) const;
+  void respond_with_state_or(const net::ExchangePtr& exchange, const std::string& id,
+                             net::Answer otherwise);
+  [[nodiscard]] bool is_accepted(const std::string& id) const;
   [[nodiscard]] Dependencies classify_dependencies(const wire::JobSpec& job) const;
   void check_dependencies(const net::ExchangePtr& exchange, wire::JobRecord job,
                           DependencyRead read);
   void read_dependencies(const net::ExchangePtr& exchange, wire::JobRecord job, DependencyRead read,
-                         std::vector<std::string> unseen);
-  [[nodiscard]] Acceptance acceptance_of(const wire::JobRecord& job, bool is_cancelled);
+                         std::vector<std::string> not_found);
+  [[nodiscard]] Acceptance make_acceptance(const wire::JobRecord& job, bool is_cancelled);
   void accept(const net::ExchangePtr& exchange, Acceptance acceptance);
   void on_commit_result(const net::ExchangePtr& exchange, const Acceptance& acceptance,
                         const state::CommitResult& result);
-  [[nodiscard]] bool is_too_long(const Acceptance& acceptance) const;
-  void refuse_too_long(const net::ExchangePtr& exchange, const std::string& id);
+  [[nodiscard]] bool exceeds_value_limit(const Acceptance& acceptance) const;
+  void refuse_oversized(const net::ExchangePtr& exchange, const std::string& id);
   void refuse(const net::ExchangePtr& exchange, const net::Answer& answer);
 
   actor::Actor& actor_;
