--- a/src/controller/inventory.cpp
+++ b/src/controller/inventory.cpp
@@ -103,7 +103,7 @@
   Batch batch{{}, components_.state_client.limits().present(), tags_.next()};
   append_changes(batch);
   auto priority = state::RequestPriority::work;
-  if (batch.transaction.ops.empty() && components_.schema->converts()) {
+  if (batch.transaction.ops.empty() && components_.schema->is_converter()) {
     // Conversion takes what the write rate leaves over.
     priority = state::RequestPriority::sweep;
     append_conversions(batch);
@@ -159,8 +159,8 @@
   }
 }
 
-// Pages that stand in another form than the active schema version's. Each transaction converts a
-// few; one that fails, or whose node dies, leaves them as they were.
+// Pages that stand in another form than the active schema version's. Each transaction is_converter
+// a few; one that fails, or whose node dies, leaves them as they were.
 void Inventory::append_conversions(Batch& batch) {
   const state::StateCache& cache = components_.state_store->cache();
   std::set<int> bases;  // the parts of a page are converted together
--- a/src/controller/schema_manager.cpp
+++ b/src/controller/schema_manager.cpp
@@ -56,7 +56,7 @@
   return schema::refusal(components_.state_store->cache().schema(), build_);
 }
 
-bool SchemaManager::converts() const {
+bool SchemaManager::is_converter() const {
   const schema::StoredView& view = components_.state_store->cache().schema();
   for (std::size_t node = 0; node < view.members.size(); ++node) {
     const schema::StoredView::Member& member = view.members[node];
--- a/src/controller/schema_manager.h
+++ b/src/controller/schema_manager.h
@@ -29,9 +29,9 @@
   /// Why this build must not serve beside the state as it has been read; empty: it may.
   [[nodiscard]] std::string refusal() const;
   [[nodiscard]] bool may_serve() const { return refusal().empty(); }
-  /// Whether it is this node that converts what is stored in another form than the active
+  /// Whether it is this node that is_converter what is stored in another form than the active
   /// version's: one node at a time does.
-  [[nodiscard]] bool converts() const;
+  [[nodiscard]] bool is_converter() const;
   /// The rollout's status, as JSON for the operators.
   [[nodiscard]] std::string describe() const;
 
