--- a/app/shunttrail-controller.cpp
+++ b/app/shunttrail-controller.cpp
@@ -25,9 +25,9 @@
   spdlog::set_pattern("%l %v");
   const char* level_variable = std::getenv("LOG_LEVEL");
   std::string level = level_variable ? level_variable : "error";
-  spdlog::set_level(level == "debug"  ? spdlog::level_variable::debug
-                    : level == "info" ? spdlog::level_variable::info
-                                      : spdlog::level_variable::err);
+  spdlog::set_level(level == "debug"  ? spdlog::level::debug
+                    : level == "info" ? spdlog::level::info
+                                      : spdlog::level::err);
   std::signal(SIGPIPE, SIG_IGN);
 
   using namespace shunttrail;
--- a/src/controller/job_submission.cpp
+++ b/src/controller/job_submission.cpp
@@ -108,13 +108,13 @@
 void JobSubmission::check_dependencies(const net::ExchangePtr& exchange, wire::JobRecord job,
                                        DependencyRead read) {
   Dependencies dependencies = classify_dependencies(job.spec);
-  const bool has_not_found = !dependencies.not_found.empty();
-  if (dependencies.error.empty() && has_not_found && read == DependencyRead::job_results)
+  const bool any_not_found = !dependencies.not_found.empty();
+  if (dependencies.error.empty() && any_not_found && read == DependencyRead::job_results)
     dependencies.error = "awaits names a job that was never accepted";
   if (!dependencies.error.empty())
     return respond_with_state_or(exchange, job.spec.id,
                                  net::error_response(422, dependencies.error));
-  if (has_not_found)
+  if (any_not_found)
     return read_dependencies(exchange, std::move(job), read, std::move(dependencies.not_found));
   const bool has_dependencies = !job.spec.dependencies.empty();
   if (has_dependencies && dependencies.unfinished.empty()) job.ready_at = job.submitted_at;
