--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -5,18 +5,18 @@
 namespace shunttrail::cloud {
 namespace {
 
-// These are bounded by the rate of calls in the settings, not by the number of machines: a shard
-// has one request for machines under way for each tier and zone, of up to 50 machines, and a node
-// one deletion of up to 100 and one page of the list. A call that finds its queue full fails, and
-// its caller attempts_left again.
+// The number of outstanding calls is bounded by the call rate in the settings and not by the number
+// of machines. A shard has one rental request in flight for each tier and zone, of up to 50
+// machines. A node has one deletion of up to 100 machines and one request for a page of the list. A
+// call that finds its queue full fails, and its caller tries again.
 constexpr std::size_t kConnections = 6;
 constexpr std::size_t kMaxOutstanding = 64;
-/// Of urgent calls, and of others.
+/// Capacity of each of the two queues, for urgent and normal calls.
 constexpr std::size_t kMaxQueued = 64;
-/// The bucket of calls holds this many seconds' worth.
+/// Capacity of the call rate limiter's token bucket, in seconds of the call rate.
 constexpr double kBurstS = 2;
 constexpr double kTimeoutS = 5;
-/// How often a request for machines is sent at most.
+/// Largest number of times that a rental request is sent.
 constexpr int kMaxRentAttempts = 6;
 
 constexpr int kStatusOk = 200;
@@ -108,7 +108,7 @@
               done(std::move(result));
               return;
             }
-            // 429, an outage or no answer: the same request again, a little later.
+            // After a 429, an outage or no response, the same request is sent again.
             post([this, body, attempts_left, done] {
               send_rent_request(body, attempts_left - 1, done);
             });
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -1,5 +1,6 @@
 /// @file
-/// The client of the cloud. It keeps within this node's share of the cloud's call rate.
+///
+/// The client of the cloud's API. It keeps within this node's share of the cloud's call rate.
 #pragma once
 #include <deque>
 #include <functional>
@@ -13,27 +14,27 @@
 
 namespace shunttrail::cloud {
 
-/// What became of a request for machines.
+/// The outcome of a rental request.
 struct RentResult {
-  /// failed: refused, or no answer after several attempts_left.
+  /// `failed`: the request was refused, or not answered after several attempts.
   enum Kind { rented, no_capacity, failed } kind = failed;
-  std::vector<std::string> machines;  ///< rented: their names
+  std::vector<std::string> machines;  ///< The names of the rented machines.
 };
 
-/// The client. Callbacks run on this actor; one made by `Actor::reply` runs on the caller's.
+/// The client. Callbacks run in this actor; a callback made by `Actor::reply` runs in the caller's.
 class Client : public actor::Actor {
  public:
   Client(actor::Loop& loop, const config::Settings& settings);
-  /// Asks for the types of machines; an empty list: no answer.
+  /// Requests the machine types. Calls `done` with an empty list if the request fails.
   void types(std::function<void(std::vector<wire::MachineType>)> done);
-  /// Rents machines. `request` names the request and is never used for another one: without an
-  /// answer it is sent again, which rents nothing twice.
+  /// Rents machines. `request` is a name that is never used for another request. Without a response
+  /// the request is sent again under the same name, so that no machine is rented twice.
   void rent(std::string request, std::string type, std::string zone, bool spot, int count,
             std::function<void(RentResult)> done);
-  /// Deletes machines; `done` is told whether the cloud has accepted.
+  /// Deletes machines. Calls `done` with true if the cloud has accepted the deletion.
   void remove(std::vector<std::string> machines, std::function<void(bool)> done);
-  /// Asks for a page of the list of machines: those after `after`, or the first ones if empty.
-  /// `done` is told whether there was an answer.
+  /// Requests a page of the list of machines: those after `after`, or the first ones if `after` is
+  /// empty. Calls `done` with false and an empty list if the request fails.
   void list(std::string after, std::function<void(bool, wire::MachineList)> done);
 
  private:
@@ -44,7 +45,7 @@
     std::function<void(net::Result)> done;
   };
   void submit(Call call, bool urgent);
-  /// Sends what the rate allows now, and sets the timer for the next call.
+  /// Sends as many queued calls as the rate permits, and sets the timer for the next one.
   void send_queued_calls();
   void send_rent_request(std::string body, int attempts_left, std::function<void(RentResult)> done);
 
--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -8,24 +8,25 @@
 
 namespace shunttrail::controller {
 namespace {
-/// Between two reads of the machine types: prices change.
+/// Interval between two reads of the machine types; their prices change.
 constexpr double kTypesIntervalS = 60;
-/// Between two collections of what the shards want: requests that come meanwhile are grouped.
+/// Interval between two collections of the shards' requests. Requests made in between are grouped.
 constexpr double kCollectIntervalS = 0.4;
-/// Between two reads of the machine list, at least.
+/// Shortest interval between two reads of the machine list.
 constexpr double kMinListIntervalS = 6;
-/// The share of this node's cloud calls that goes into the list.
+/// Share of this node's cloud calls that may be spent on reading the list.
 constexpr double kListCallShare = 0.2;
-/// Machines that a page of the list holds.
+/// Number of machines on one page of the list.
 constexpr double kListPageMachines = 500;
-/// Lists in a row that lack a machine before it counts as gone: lists come out of order.
-constexpr int kMaxMissingLists = 2;
-/// A listed machine without a record is adopted after so long.
+/// Number of consecutive lists that must lack a machine before it counts as gone: lists may be
+/// received out of order.
+constexpr int kMissingListsUntilGone = 2;
+/// Time for which a machine must be listed without an inventory record before it is adopted.
 constexpr double kAdoptAfterS = 20;
-/// Late heartbeats of deleted machines are refused for so long.
+/// Time for which heartbeats of a deleted machine are refused.
 constexpr double kDeletionRetentionS = 600;
-/// Machines that one call deletes; the rest goes with the next. 4,000 that deregister_node at once
-/// take 40 calls.
+/// Largest number of machines deleted by one call; the others are deleted by later calls. Deleting
+/// 4,000 machines at once takes 40 calls.
 constexpr std::size_t kMaxDeletions = 100;
 }  // namespace
 
@@ -35,8 +36,8 @@
       reply<Changes>([this](const Changes& changes) { on_changes(*changes); }));
 }
 
-// Whoever deleted it, what has left the inventory is gone: a late copy of its last heartbeats must
-// not bring it back.
+// A machine that has left the inventory is deleted, whichever node deleted it. Recording this keeps
+// a late copy of one of its heartbeats from having it adopted again.
 void CloudManager::on_changes(const std::vector<state::Change>& changes) {
   const state::StateCache& cache = components_.state_store->cache();
   for (const auto& change : changes)
@@ -84,12 +85,14 @@
 
 // ---- rents and returns
 
-// One deletion at a time, of one shard: what leaves meanwhile goes with the next. Calls are scarcer
-// than machines, and a call for every one that leaves would keep hundreds on the bill.
+// Sends at most one deletion call at a time, for one shard. Machines to return that come up
+// meanwhile are grouped into the next call. The rate limit on calls is tight: with one call for
+// each machine, hundreds of machines would be billed while their deletions wait.
 void CloudManager::collect_requests() {
   next_collect_at_ = loop_.now() + kCollectIntervalS;
   forget_old_deletions();
-  // Without an id of its own this process rents nothing: a request's name is never used twice.
+  // A rental request's name contains the process id, so that no name is ever used twice. Without an
+  // id nothing can be rented.
   if (!components_.membership->process_id()) return;
   const int shard_to_return = is_deleting_ ? -1 : next_shard_to_return();
   if (shard_to_return >= 0) {
@@ -108,7 +111,7 @@
   }
 }
 
-// The next shard in turn that this node leads; -1: none.
+// Returns the next shard, in rotation, that this node leads; -1 if there is none.
 int CloudManager::next_shard_to_return() const {
   const int shards = components_.settings.shards();
   for (int i = 0; i < shards; ++i) {
@@ -136,7 +139,7 @@
 
 void CloudManager::rent(int shard, std::uint64_t opened_under,
                         const scheduler::ScaleOutRequest& request) {
-  // The process id, which no other process has, and a counter: no request's name is used twice.
+  // The process id, which no other process has, and a counter make the name unique.
   const std::string name = "c-" + std::to_string(components_.membership->process_id()) + "-" +
                            std::to_string(++rent_requests_);
   const std::string& type = catalogue_.types[request.tier / 2].spec.name;
@@ -170,7 +173,7 @@
                               const std::vector<std::string>& machines, bool is_deleted) {
   is_deleting_ = false;
   if (is_deleted) {
-    // Gone, whoever leads the shard by now.
+    // The machines are gone, even if another node leads the shard by now.
     for (const auto& name : machines) {
       deleted_at_[name] = loop_.now();
       components_.inventory->drop(name);
@@ -181,8 +184,8 @@
 
 // ---- the list
 
-// Every node reads the list for its own machines; the one that leads the first shard also looks for
-// machines that have no record.
+// Every node reads the list to check its own machines. The node that leads the first shard also
+// adopts listed machines that have no inventory record.
 void CloudManager::start_list() {
   current_list_.clear();
   read_list_page("");
@@ -238,7 +241,8 @@
   next_list_at_ = loop_.now() + list_interval();
 }
 
-// Once listed, a machine stays listed until it is gone.
+// Reports machines that have been missing from several consecutive lists: a machine that was listed
+// once stays in the list until it is gone.
 void CloudManager::report_unlisted() {
   for (auto it = listed_machines_.begin(); it != listed_machines_.end();) {
     const std::string& name = *it;
@@ -247,7 +251,7 @@
       ++it;
       continue;
     }
-    if (++missing_from_lists_[name] < kMaxMissingLists) {
+    if (++missing_from_lists_[name] < kMissingListsUntilGone) {
       ++it;
       continue;
     }
@@ -260,7 +264,8 @@
   }
 }
 
-// In seconds: long lists are read less often, since each page is a call.
+// Returns the interval between two reads of the list, in seconds. Long lists are read less often,
+// since each page takes one call.
 double CloudManager::list_interval() const {
   const double pages = 1 + static_cast<double>(current_list_.size()) / kListPageMachines;
   const double calls_per_s =
--- a/src/controller/cloud_manager.h
+++ b/src/controller/cloud_manager.h
@@ -1,4 +1,4 @@
-/// The cloud's machines: types, rents, returns and the list of what runs.
+/// The cloud's machines: their types, rentals, deletions and the list of existing machines.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -15,23 +15,28 @@
 
 namespace shunttrail::controller {
 
-/// Carries out what the shard controllers ask of the cloud and handles the failures of its API: the
-/// shard controllers learn what was rented, refused and deleted, and nothing of calls that failed.
+/// Carries out the shard controllers' rental and deletion requests and handles failures of the
+/// cloud's API. The shard controllers are notified of machines that were rented, refused or
+/// deleted. They are not notified of single calls that failed and are retried.
 class CloudManager : public actor::Actor {
  public:
   CloudManager(actor::Loop& loop, ControllerComponents& components);
-  /// To be called at short, regular intervals.
+  /// Loads machine types, collects requests and reads the machine list when each is due. Must be
+  /// called at short, regular intervals.
   void tick();
-  /// A heartbeat came from a machine without a record.
+  /// Records the address of a machine that has sent a heartbeat but has no inventory record.
   void unknown_machine_reported(std::string machine, std::string address);
 
-  /// The machine types; empty: not read yet.
+  /// Returns the machine types; empty before they have been loaded.
   [[nodiscard]] const scheduler::MachineCatalogue& catalogue() const { return catalogue_; }
-  /// The machine's address as last listed or reported; null: unknown.
+  /// Returns the machine's latest known address, from the cloud's list or its heartbeat; null if
+  /// unknown.
   [[nodiscard]] const std::string* address(const std::string& machine) const;
-  /// When the machine was rented (time of day, seconds), by the latest list; 0: not listed yet.
+  /// Returns when the machine was rented (time of day, seconds) according to the latest list; 0 if
+  /// it has not been listed yet.
   [[nodiscard]] double rented_at(const std::string& machine) const;
-  /// Whether the machine was deleted lately: heartbeats of it are late copies.
+  /// Returns whether the machine was deleted recently. Heartbeats of such a machine are late
+  /// copies.
   [[nodiscard]] bool was_recently_deleted(const std::string& machine) const {
     return deleted_at_.contains(machine);
   }
@@ -68,18 +73,20 @@
 
   double next_collect_at_ = 0;
   int next_shard_to_return_ = 0;
-  /// A deletion is in flight, or a shard has been asked for what to delete.
+  /// A deletion call is in flight, or a shard has been asked which machines to delete.
   bool is_deleting_ = false;
   std::uint64_t rent_requests_ = 0;
-  std::map<std::string, double> deleted_at_;  ///< Machines deleted lately, loop time.
+  /// When each recently deleted machine was deleted, loop time.
+  std::map<std::string, double> deleted_at_;
 
   double next_list_at_ = 0;
   bool is_listing_ = false;
-  std::set<std::string> listed_machines_;  ///< Machines of earlier lists that are not known gone.
-  std::set<std::string> current_list_;     ///< Machines of the list that is being read.
-  std::map<std::string, int>
-      missing_from_lists_;  ///< Of `listed_machines_`: how many lists in a row lacked it.
-  /// Listed machines without a record, and since when (loop time).
+  /// Machines that appeared in a list and are not known to be gone.
+  std::set<std::string> listed_machines_;
+  std::set<std::string> current_list_;  ///< Machines in the list that is being read.
+  /// For machines of `listed_machines_`: how many consecutive lists did not contain them.
+  std::map<std::string, int> missing_from_lists_;
+  /// Listed machines without an inventory record, and since when (loop time).
   std::map<std::string, double> unrecorded_since_;
   std::unordered_map<std::string, KnownMachine> known_machines_;
 };
