--- a/src/controller/components.h
+++ b/src/controller/components.h
@@ -1,4 +1,4 @@
-/// The parts of one controller, as they know one another.
+/// The parts of one controller and the pointers through which they reach each other.
 #pragma once
 #include <cstddef>
 #include <memory>
@@ -19,21 +19,25 @@
 class HeartbeatRelay;
 class ShardController;
 
-/// Each part is an actor that owns its state: the others read what it shows as const, and change it
-/// by its messages, each of which runs in a turn of the owner's. Answers come to whoever asked by a
-/// reply address (actor::Actor::reply). Controller sets all pointers before any message is taken.
+/// The parts of one controller. Each part is an actor that owns its state. Other parts read that
+/// state through const methods and change it by sending messages, which the actor handles one at a
+/// time. Callbacks are reply addresses (actor::Actor::reply), so they run in the caller's mailbox.
+/// Controller sets all pointers before any message is handled.
 struct ControllerComponents {
   const config::Settings& settings;
   const config::Tuning& tuning;
   state::Client& state_client;
-  StateStore* state_store = nullptr;          ///< The cached state, reads and commits.
-  SchemaManager* schema = nullptr;            ///< Whether this build may serve.
-  Membership* membership = nullptr;           ///< This process's lease, and who leads what.
-  JobResults* job_results = nullptr;          ///< How jobs ended; jobs that wait for others.
-  CloudManager* cloud_manager = nullptr;      ///< Machine types, rents, returns and the list.
-  Inventory* inventory = nullptr;             ///< Which shard a machine belongs to.
-  PeerGossip* peer_gossip = nullptr;          ///< What the other controllers say.
-  HeartbeatRelay* heartbeat_relay = nullptr;  ///< Heartbeats by way of a sibling.
+  StateStore* state_store = nullptr;  ///< The cache of the state service, reads and commits.
+  SchemaManager* schema = nullptr;    ///< The active schema version; whether this build may serve.
+  /// This process's lease and node key, and the leader election.
+  Membership* membership = nullptr;
+  JobResults* job_results = nullptr;  ///< Final records of jobs; dependencies between jobs.
+  /// Machine types, rentals, deletions and the machine list.
+  CloudManager* cloud_manager = nullptr;
+  Inventory* inventory = nullptr;  ///< The shard of each machine.
+  /// Heartbeats and offers exchanged with the other controllers.
+  PeerGossip* peer_gossip = nullptr;
+  HeartbeatRelay* heartbeat_relay = nullptr;  ///< Relays workers' heartbeats between controllers.
   std::vector<std::unique_ptr<ShardController>> shard_controllers{};  ///< By shard.
 
   [[nodiscard]] ShardController& shard_controller(int shard) const {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -9,10 +9,10 @@
 namespace {
 constexpr double kTickIntervalS = 0.2;
 constexpr double kLogIntervalS = 10;
-/// A request's body, as the protocol has it. Of these, a heartbeat grows with the machine: its 64
-/// running tasks and as many ended ones take about 100 bytes each.
+/// Largest body of a public request, as the protocol defines it. The largest bodies are heartbeats,
+/// which grow with the machine: 64 running tasks and as many ended ones take about 100 bytes each.
 constexpr std::size_t kMaxBodyBytes = 64 * 1024;
-/// A heartbeat, with what a sibling that relays it puts before it.
+/// Largest body of an internal request: a heartbeat and the header that a relaying controller adds.
 constexpr std::size_t kMaxInternalBodyBytes = kMaxBodyBytes + 64;
 }  // namespace
 
@@ -22,7 +22,8 @@
       state_client_(loop, settings),
       components_{settings, tuning, state_client_},
       state_store_(loop, settings, state_client_),
-      // From here on the parts listen to the state store as they are made.
+      // The state store must be set before the next parts: they register as its listeners when they
+      // are constructed.
       schema_(loop, (components_.state_store = &state_store_, components_), build),
       job_results_(loop, components_),
       membership_(loop, components_),
@@ -104,7 +105,7 @@
   exchange->send({404, "{}", 0});
 }
 
-// Messages and stored values that could not be decoded.
+// Returns the number of messages and stored values that could not be decoded.
 std::uint64_t Controller::malformed() const {
   std::uint64_t count = worker_api_.malformed() + peer_gossip_.malformed() +
                         heartbeat_relay_.malformed() + state_store_.cache().malformed();
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,4 +1,4 @@
-/// One controller: its parts, wired together, and its two HTTP servers.
+/// One controller: its parts, the connections between them, and its two HTTP servers.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -22,18 +22,19 @@
 
 namespace shunttrail::controller {
 
-/// Owns the parts, gives each its regular tick, and hands requests to them: those of users and
-/// workers from the public server, those of siblings and operators from the internal one.
+/// Owns the parts, calls each one's tick() at regular intervals, and routes requests to them. The
+/// public server takes requests of users and workers; the internal server takes those of the other
+/// controllers and of operators.
 class Controller : public actor::Actor {
  public:
   /// `settings` and `tuning` have to outlive the controller.
   Controller(actor::Loop& loop, const config::Settings& settings, const config::Tuning& tuning,
              schema::Build build);
-  /// With what this build can do under the tuning.
+  /// Constructs a controller with the schema versions that this build supports under the tuning.
   Controller(actor::Loop& loop, const config::Settings& settings, const config::Tuning& tuning)
       : Controller(loop, settings, tuning, schema::current_build(tuning.delegation)) {}
 
-  /// Whether this node leads the shard and its scheduler is open.
+  /// Returns whether this node leads the shard and has opened its scheduler.
   [[nodiscard]] bool leads(int shard) const {
     return components_.shard_controller(shard).scheduler() != nullptr;
   }
@@ -50,8 +51,8 @@
   state::Client state_client_;
   ControllerComponents components_;
   StateStore state_store_;
-  // Told of changes in this order: the schema version, the dependencies between jobs, the members,
-  // then the shards.
+  // Listeners of the state store are called in the order of construction: the schema version, the
+  // dependencies between jobs, the membership, then the shards.
   SchemaManager schema_;
   JobResults job_results_;
   Membership membership_;
--- a/src/controller/direct_command_sender.cpp
+++ b/src/controller/direct_command_sender.cpp
@@ -9,11 +9,11 @@
 
 namespace shunttrail::controller {
 namespace {
-/// One in so many of the process's sockets is for requests to workers.
+/// The process's sockets divided by this number may be used for requests to workers.
 constexpr std::size_t kSocketShareDivisor = 4;
 constexpr double kCommandTimeoutS = 2;
 constexpr double kProbeTimeoutS = 1;
-/// A machine counts as unreachable for so many heartbeat intervals.
+/// Number of heartbeat intervals for which a machine counts as unreachable.
 constexpr double kUnreachableHeartbeats = 3;
 
 config::Endpoint parse_endpoint(const std::string& address) {
@@ -77,7 +77,8 @@
   host_.send_pending_work();
 }
 
-// Nothing is concluded from silence while this node may be the one that is cut off.
+// Sends no probes while this node may itself be cut off: then the silence of workers proves
+// nothing.
 void DirectCommandSender::send_probes() {
   scheduler::ShardScheduler* scheduler = host_.active_scheduler();
   if (!scheduler || !host_.may_start_tasks()) return;
@@ -96,8 +97,9 @@
   return worker_clients_.at(machine, parse_endpoint(address), connection_limit());
 }
 
-// All shards that this node leads share a part of the sockets: one controller that leads every
-// shard still has sockets for every worker's heartbeat and every user.
+// Returns how many worker connections this shard may keep. All shards that this node leads share a
+// part of the process's sockets. A controller that leads every shard therefore still has sockets
+// for every worker's heartbeat and for its users.
 std::size_t DirectCommandSender::connection_limit() const {
   std::size_t led_shards = 0;
   for (const auto& controller : host_.components().shard_controllers)
--- a/src/controller/direct_command_sender.h
+++ b/src/controller/direct_command_sender.h
@@ -11,26 +11,27 @@
 
 namespace shunttrail::controller {
 
-/// Sends starts straight to workers whose next heartbeat is not due soon, and asks silent workers
-/// whether they live. Keeps the connections to them.
+/// Sends start commands directly to workers whose next heartbeat is not due soon, and probes silent
+/// workers for liveness. Keeps the connections to the workers.
 class DirectCommandSender {
  public:
   DirectCommandSender(ShardHost& host, actor::Loop& loop) : host_(host), worker_clients_(loop) {}
 
-  /// Sends the direct commands that the scheduler has, except to machines for which
-  /// `has_held_response` is true: their response will carry them.
+  /// Sends the scheduler's direct commands, except to machines for which `has_held_response`
+  /// returns true: the held response will carry their commands.
   void send_commands(const std::function<bool(const std::string&)>& has_held_response);
-  /// Probes machines that have been silent for too long.
+  /// Probes the machines that the scheduler's failure detector finds silent for too long.
   void send_probes();
-  /// The machine's heartbeat came by way of a sibling: this node cannot reach it for now.
+  /// Marks the machine unreachable for some time: its heartbeat was relayed by another controller,
+  /// so this node probably cannot reach it.
   void mark_unreachable(const std::string& machine);
-  /// The machine's heartbeat came straight to this node.
+  /// Marks the machine reachable: its heartbeat came directly to this node.
   void mark_reachable(const std::string& machine) { unreachable_until_.erase(machine); }
-  /// The machine left the shard.
+  /// Removes a machine that has left the shard, and closes its connection.
   void forget(const std::string& machine);
-  /// Leadership is lost: forgets all machines and closes the connections.
+  /// Removes all machines and closes all connections. Called when leadership is lost.
   void reset();
-  /// Responses that could not be decoded.
+  /// Returns the number of workers' responses that could not be decoded.
   [[nodiscard]] std::uint64_t malformed() const { return malformed_; }
 
  private:
@@ -40,8 +41,9 @@
   [[nodiscard]] std::size_t connection_limit() const;
 
   ShardHost& host_;
-  /// By machine: loop time send_at which it counts as unreachable from this node. No direct command
-  /// is sent there, which would hold up the start that the response to its heartbeat can bring.
+  /// By machine: the loop time until which it counts as unreachable from this node. No direct
+  /// command is sent to such a machine: a command in flight would delay the start command that the
+  /// response to its next relayed heartbeat can carry.
   std::unordered_map<std::string, double> unreachable_until_;
   net::Pool worker_clients_;  ///< By machine.
   std::uint64_t malformed_ = 0;
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -11,17 +11,18 @@
 
 namespace shunttrail::controller {
 namespace {
-/// For a sibling's response, of the 4 s that a worker waits.
+/// Time-out of a relayed heartbeat. It is part of the 4 s for which the worker waits.
 constexpr double kRelayTimeoutS = 2.5;
-/// Heartbeats in flight to one sibling; none are queued beyond that, and one too many counts as a
-/// sibling that does not answer. The siblings share a quarter of the sockets: with 2,000 of them,
-/// 250 each. Of 4,000 machines that are cut off from one leader of all shards, each of two siblings
-/// gets 667 heartbeats a second at 3 s between them, and has 200 of them in flight if each waits
-/// for a commit (Tuning::response_hold_s).
+/// Limits of heartbeats in flight to one sibling (another controller). No heartbeat is queued
+/// beyond the limit: one that exceeds it counts as not answered by the sibling. The siblings share
+/// a quarter of the sockets: with 2,000 sockets and two siblings, 250 each. If 4,000 machines are
+/// cut off from one leader of all shards, each of two siblings gets 667 heartbeats a second at a
+/// heartbeat interval of 3 s, and has 200 of them in flight if each waits for a commit
+/// (Tuning::response_hold_s).
 constexpr std::size_t kMinInFlight = 48;
 constexpr std::size_t kSocketShareDivisor = 4;
 constexpr std::size_t kMaxQueued = 0;
-/// The version of relayed heartbeats that this build sends.
+/// Message version of the relayed heartbeats that this build sends.
 constexpr std::uint32_t kRelayVersion = 1;
 
 std::size_t max_in_flight(const config::Settings& settings) {
@@ -83,7 +84,8 @@
   const bool is_answered = response.status != 0;
   routes_.relayed(leader, is_answered, now);
   if (!is_answered) ++counters(leader).unanswered;
-  // The sibling's build takes no relayed heartbeats (404), or none of this version (400).
+  // The leader's build does not support relayed heartbeats (404), or not this message version
+  // (400).
   const bool is_unsupported = response.status == 404 || response.status == 400;
   if (is_unsupported) {
     spdlog::info("{} takes no relayed heartbeats", node_name(leader));
--- a/src/controller/heartbeat_relay.h
+++ b/src/controller/heartbeat_relay.h
@@ -1,4 +1,4 @@
-/// Heartbeats of workers that do not reach their shard's leader, by way of a sibling.
+/// Relaying of heartbeats from workers that cannot reach their shard's leader.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -13,32 +13,32 @@
 
 namespace shunttrail::controller {
 
-/// Relays heartbeats to the leader of another shard if the worker has shown that it does not reach
-/// it. A relayed heartbeat is answered as any other, and never relayed again.
+/// Relays a heartbeat to the leader of its machine's shard if the worker has shown that it cannot
+/// reach that leader. A relayed heartbeat is answered as any other, and is never relayed again.
 class HeartbeatRelay : public actor::Actor {
  public:
   HeartbeatRelay(actor::Loop& loop, ControllerComponents& components);
 
-  /// A heartbeat of a machine in zone `zone`, whose shard node `leader` (-1: nobody) leads, is
-  /// redirected (421), relayed, or refused (503).
+  /// Redirects (421), relays or refuses (503) the heartbeat of a machine in zone `zone` whose shard
+  /// is led by node `leader` (-1: none).
   void route_heartbeat(net::ExchangePtr exchange, std::string machine,
                        relay::RelayRoutes::Order order, int zone, int leader);
-  /// Unpacks a heartbeat that a sibling relayed and hands it to `then`, in an exchange that
-  /// responds to the sibling. 400 if it cannot be decoded.
+  /// Decodes a heartbeat that another controller relayed and passes it to `then`, in an exchange
+  /// that responds to that controller. Responds with 400 if it cannot be decoded.
   void handle_relayed(const net::ExchangePtr& exchange,
                       const std::function<void(net::ExchangePtr)>& then);
 
-  /// The routes in use and the counters, as JSON for the operators.
+  /// Returns the routes in use and the counters, as JSON for operators.
   [[nodiscard]] std::string describe() const;
-  /// Relayed heartbeats that could not be decoded.
+  /// Returns the number of relayed heartbeats that could not be decoded.
   [[nodiscard]] std::uint64_t malformed() const { return malformed_; }
 
  private:
-  /// Of one sibling.
+  /// Counters of the exchange with one other controller.
   struct Counters {
-    std::uint64_t relayed = 0;     ///< Heartbeats sent to it.
-    std::uint64_t unanswered = 0;  ///< Of these, without a response.
-    std::uint64_t received = 0;    ///< Heartbeats that it sent here.
+    std::uint64_t relayed = 0;     ///< Heartbeats relayed to it.
+    std::uint64_t unanswered = 0;  ///< Relayed heartbeats that it did not answer.
+    std::uint64_t received = 0;    ///< Heartbeats that it relayed to this node.
   };
   void route(const net::ExchangePtr& exchange, const std::string& machine,
              relay::RelayRoutes::Order order, int zone, int leader);
@@ -50,7 +50,7 @@
   Counters& counters(int node) { return counters_[static_cast<std::size_t>(node)]; }
 
   ControllerComponents& components_;
-  std::vector<std::unique_ptr<net::Client>> clients_;  ///< By node; null: this one.
+  std::vector<std::unique_ptr<net::Client>> clients_;  ///< By node; null for this node.
   relay::RelayRoutes routes_;
   std::vector<Counters> counters_;  ///< By node.
   std::uint64_t malformed_ = 0;
--- a/src/controller/heartbeat_responder.cpp
+++ b/src/controller/heartbeat_responder.cpp
@@ -44,9 +44,9 @@
   exchange->send({421, wire::encode_redirect(node), 0});
 }
 
-// The worker has obeyed a newer leader than this node knows of, or came from another shard whose
-// token is higher. The state service is read before anything else; if this node still leads, it
-// advances its token.
+// The worker has obeyed commands under a higher token than this node's: either a newer leader's, or
+// that of another shard which the machine belonged to before. The state service is read before
+// anything else is decided. If this node still leads the shard, the scheduler advances its token.
 void HeartbeatResponder::reread_leadership(const wire::Heartbeat& heartbeat) {
   host_.components().state_store->linearizable_read(
       host_.reply<bool>([this, machine = heartbeat.machine, seen = heartbeat.token](bool is_read) {
@@ -58,8 +58,9 @@
       }));
 }
 
-// The response to a direct command has overtaken this heartbeat: it tells nothing new, and keeps
-// the lease. So the worker is told what has to end: this may be the last response that it hears.
+// The response to a direct command was newer than this heartbeat and arrived first. The heartbeat
+// carries no new information, but its response renews the lease. It therefore carries the stop
+// commands: it may be the last response that the worker receives.
 void HeartbeatResponder::respond_to_older_heartbeat(const net::ExchangePtr& exchange,
                                                     const std::string& machine) {
   const scheduler::ShardScheduler& scheduler = *host_.active_scheduler();
@@ -67,7 +68,7 @@
   exchange->send(heartbeat_response(scheduler.token(), scheduler.stop_commands(machine)));
 }
 
-// A newer heartbeat of the machine is here: the one whose response is held is answered by 503.
+// Answers the held heartbeat of this machine with 503, since a newer one has arrived.
 void HeartbeatResponder::refuse_superseded(const std::string& machine) {
   auto held = held_.find(machine);
   if (held == held_.end()) return;
@@ -77,8 +78,9 @@
 
 void HeartbeatResponder::respond(const net::ExchangePtr& exchange, const std::string& machine) {
   scheduler::ShardScheduler& scheduler = *host_.active_scheduler();
-  // A cancelled task that may still be started there must not find a lease that this response has
-  // renewed: not before the token is advanced, or the direct command answered.
+  // A start command that the machine has not acknowledged may still arrive there, possibly of a
+  // task that has been cancelled. No response may renew the machine's lease until the token has
+  // been advanced or the direct command has been answered.
   if (scheduler.has_unacknowledged_start(machine)) return exchange->send(unavailable());
   const auto commands = scheduler.commands_for(machine, host_.may_start_tasks(), host_.now());
   exchange->send(heartbeat_response(scheduler.token(), commands));
--- a/src/controller/heartbeat_responder.h
+++ b/src/controller/heartbeat_responder.h
@@ -1,4 +1,4 @@
-/// Responses to the heartbeats of one shard's workers, at once or after a commit.
+/// Responses to the heartbeats of one shard's workers, sent at once or after a commit.
 #pragma once
 #include <map>
 #include <string>
@@ -9,30 +9,30 @@
 
 namespace shunttrail::controller {
 
-/// Hands heartbeats to the scheduler and sends the responses. A response renews the worker's lease
-/// and carries commands; one whose starts wait for a commit is held for a while, so that the worker
-/// need not wait for its next heartbeat.
+/// Passes heartbeats to the scheduler and sends the responses. A response renews the worker's lease
+/// and carries commands. If the start commands for a worker wait for a commit, its response is held
+/// for a limited time, so that the worker does not have to wait for its next heartbeat.
 class HeartbeatResponder {
  public:
   explicit HeartbeatResponder(ShardHost& host) : host_(host) {}
 
-  /// Takes a heartbeat and responds, now or once a commit that it waits for is applied. Responds
-  /// with 421 (redirect) if this node does not lead the shard or has been replaced, 503 if the
-  /// lease must not be renewed.
+  /// Handles a heartbeat. Responds with 200 at once, or once the commit that the response waits for
+  /// is applied; with 421 (redirect) if this node does not lead the shard or the worker has seen a
+  /// newer token; and with 503 if the worker's lease must not be renewed.
   void handle(const net::ExchangePtr& exchange, const wire::Heartbeat& heartbeat);
   /// Sends the held responses that need not wait any longer.
   void flush_held();
-  /// Whether a response to this machine is held: it will carry what a direct command would.
+  /// Returns whether a response to this machine is held. It will carry the machine's commands.
   [[nodiscard]] bool is_held(const std::string& machine) const { return held_.contains(machine); }
-  /// The machine is deleted. Its held response, if any, is dropped.
+  /// Drops the held response, if any, of a machine that has been deleted.
   void forget(const std::string& machine) { held_.erase(machine); }
-  /// Leadership is lost: held heartbeats are refused (503).
+  /// Refuses all held heartbeats with 503. Called when leadership is lost.
   void refuse_held();
 
  private:
   struct HeldResponse {
     net::ExchangePtr exchange;
-    double send_at = 0;  ///< Loop time at which it is sent in any case.
+    double send_at = 0;  ///< Loop time at which it is sent even if the commit has not been applied.
   };
   void redirect_to_leader(const net::ExchangePtr& exchange);
   void reread_leadership(const wire::Heartbeat& heartbeat);
--- a/src/controller/inventory.cpp
+++ b/src/controller/inventory.cpp
@@ -14,16 +14,19 @@
 using scheduler::InventoryChange;
 
 constexpr char kTagLetter = 'm';
-/// Pages that one transaction changes; what is left goes with the next. With 32 machines a page,
-/// 4,000 new machines take 125 pages in 21 transactions.
+/// Largest number of pages changed by one transaction; the remaining ones are changed by later
+/// transactions. With 32 machines a page, 4,000 new machines take 125 pages in 21 transactions.
 constexpr std::size_t kMaxPagesPerTransaction = 6;
-/// A shard with so many more machines than the one with the fewest adopts none.
+/// A shard adopts no machine if it has more than this many machines beyond the shard with the
+/// fewest.
 constexpr int kMaxShardImbalance = 4;
 constexpr double kCommitTimeoutS = 3;
-/// Nodes that race for a page come back at different times, so far apart.
+/// Step of the retry delay after a failed commit. It is multiplied by the node's index plus one, so
+/// that nodes that compete for a page retry at different times.
 constexpr double kRetryStepS = 0.1;
 
-// Machines rented together have names that end in consecutive numbers: these spread them evenly.
+// Machines that are rented together have names that end in consecutive numbers. Using the number as
+// the key spreads them evenly over the shards.
 std::size_t spread_key(const std::string& machine) {
   const auto digits = machine.find_last_not_of("0123456789") + 1;
   if (digits < machine.size()) return std::strtoull(machine.c_str() + digits, nullptr, 10);
@@ -66,8 +69,9 @@
   pending_changes_.emplace(machine.name, std::move(change));
 }
 
-// Several nodes adopt at once when a fleet is found running, so the choice rests on the machine's
-// name; but a shard that has far fewer machines comes first.
+// Several nodes may adopt the same machine at the same time when a running fleet is found. The
+// choice therefore depends on the machine's name, so that they agree. If the preferred shard has
+// many more machines than the smallest one, the smallest one is chosen.
 int Inventory::shard_for_orphan(const std::string& machine) const {
   const std::vector<int> counts = machines_by_shard();
   const auto fewest = std::min_element(counts.begin(), counts.end());
@@ -77,7 +81,7 @@
   return static_cast<int>(preferred);
 }
 
-// Including those that are to be added.
+// Returns the number of machines by shard, including those with a pending addition.
 std::vector<int> Inventory::machines_by_shard() const {
   std::vector<int> counts(static_cast<std::size_t>(components_.settings.shards()), 0);
   auto count = [&](int shard) {
@@ -104,7 +108,7 @@
   append_changes(batch);
   auto priority = state::RequestPriority::work;
   if (batch.transaction.ops.empty() && components_.schema->is_converter()) {
-    // Conversion takes what the write rate leaves over.
+    // Conversion uses only the part of the write rate that nothing else needs.
     priority = state::RequestPriority::sweep;
     append_conversions(batch);
   }
@@ -117,7 +121,8 @@
       std::move(transaction), priority, kCommitTimeoutS,
       reply<state::CommitResult>([this](const state::CommitResult& result) {
         is_commit_in_flight_ = false;
-        // It lost a race, or its outcome is not known: what was read since decides anew.
+        // The commit lost a race, or its outcome is unknown. The retry evaluates the changes
+        // against the state that has been read since.
         if (result.kind != state::CommitResult::applied)
           retry_at_ = loop_.now() + kRetryStepS * (1 + components_.settings.self);
       }));
@@ -130,7 +135,7 @@
          pending->second.machine.shard == shard;
 }
 
-// Takes over what the schedulers of this node's shards ask for.
+// Adds the changes that the schedulers of this node's shards request to the pending changes.
 void Inventory::collect_scheduler_changes() {
   auto is_known = [this](const std::string& machine, InventoryChange::Kind kind, int shard) {
     return is_pending(machine, kind, shard);
@@ -159,11 +164,11 @@
   }
 }
 
-// Pages that stand in another form than the active schema version's. Each transaction is_converter
-// a few; one that fails, or whose node dies, leaves them as they were.
+// Appends pages that are stored in another form than the active schema version's. Each transaction
+// converts a few pages; if it fails, or its node dies, they stay as they were.
 void Inventory::append_conversions(Batch& batch) {
   const state::StateCache& cache = components_.state_store->cache();
-  std::set<int> bases;  // the parts of a page are converted together
+  std::set<int> bases;  // all parts of a page are converted together
   for (const int part : cache.inventory_to_convert()) {
     if (!batch.has_space()) break;
     const int base = state::inventory_base(part);
@@ -174,8 +179,9 @@
   }
 }
 
-// Applies the pending changes of these machines, all of one page; obsolete ones are forgotten. True
-// if the page has changed. `leader_preconditions`: further preconditions of the page's write.
+// Applies the pending changes of these machines, all of one page, and discards the obsolete ones.
+// Returns true if the page has changed. Adds to `leader_preconditions` the preconditions on leader
+// keys that the page's write needs.
 bool Inventory::apply_changes(shard::InventoryPage& page, const std::vector<std::string>& machines,
                               Preconditions& leader_preconditions) {
   bool is_changed = false;
@@ -195,7 +201,7 @@
   const bool is_recorded = page.find(name) != nullptr;
   switch (change.kind) {
     case InventoryChange::add:
-      if (is_recorded) return Outcome::obsolete;  // perhaps as another shard's
+      if (is_recorded) return Outcome::obsolete;  // possibly under another shard
       page.set(change.machine);
       return Outcome::applied;
     case InventoryChange::drop:
@@ -208,8 +214,9 @@
   return Outcome::obsolete;
 }
 
-// Only the leader of its shard gives a machine away, and only while it leads. Its scheduler is
-// asked now: the one that made the change may be closed, and its successor have work there.
+// Only the leader of a machine's shard may transfer it, and only while it leads. The shard's
+// present scheduler is asked again: the one that requested the transfer may have been closed, and
+// its successor may have placed work on the machine.
 Inventory::Outcome Inventory::apply_transfer(shard::InventoryPage& page, const std::string& machine,
                                              Preconditions& leader_preconditions) {
   const wire::MachineRecord* recorded = page.find(machine);
@@ -227,7 +234,7 @@
   return Outcome::applied;
 }
 
-// Puts the page's changes into the transaction, if there is room for them.
+// Appends the page's changes to the transaction, if it has space for all of them.
 void Inventory::append_page(Batch& batch, shard::InventoryPage& page,
                             Preconditions leader_preconditions) {
   page.record_ages(
@@ -240,7 +247,8 @@
   wire::Transaction changes = page.changes(batch.limits.value_bytes, batch.tag);
   for (auto& leader : leader_preconditions) changes.preconditions.push_back(std::move(leader));
   std::erase_if(changes.preconditions, is_in_batch);
-  // A page that has to be split takes several operations; another one may have room beside it.
+  // A page that has to be split takes several operations. If it does not fit, a later page still
+  // may.
   if (all.ops.size() + changes.ops.size() > batch.limits.ops ||
       all.preconditions.size() + changes.preconditions.size() > batch.limits.preconditions)
     return;
--- a/src/controller/inventory.h
+++ b/src/controller/inventory.h
@@ -1,4 +1,4 @@
-/// The inventory: which shard each machine belongs to.
+/// The inventory, which records the shard of each machine.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -15,32 +15,32 @@
 
 namespace shunttrail::controller {
 
-/// Writes machines into the inventory's pages and out of them. All nodes write the same pages, so
-/// every write is conditional on its page's revision, and what failed is decided anew from what is
-/// stored then.
+/// Adds machines to the inventory's pages, moves them between shards and removes them. All nodes
+/// write the same pages. Every write is therefore conditional on its page's revision, and a change
+/// whose write failed is evaluated again against the stored page.
 class Inventory : public actor::Actor {
  public:
   Inventory(actor::Loop& loop, ControllerComponents& components);
-  /// To be called at short, regular intervals.
+  /// Commits the next batch of changes, if one is due. Must be called at short, regular intervals.
   void tick();
-  /// A machine without a record was found: some shard takes it.
+  /// Adds a machine that has no record to the inventory, under a shard that is chosen here.
   void adopt_orphan(wire::MachineRecord machine);
-  /// The cloud has confirmed the machine's deletion.
+  /// Removes a machine whose deletion the cloud has confirmed.
   void drop(std::string machine);
 
  private:
   using Preconditions = std::vector<std::pair<std::string, std::uint64_t>>;
-  /// A transaction that is being filled, within the limits of the state service.
+  /// A transaction under construction, within the limits of the state service.
   struct Batch {
     wire::Transaction transaction;
     state::TransactionLimits limits;
     std::string tag;
     [[nodiscard]] bool has_space() const;
   };
-  /// What becomes of a pending change.
+  /// Outcome of applying a pending change.
   enum class Outcome {
-    applied,   ///< To the page in memory.
-    obsolete,  ///< There is nothing left to be done.
+    applied,   ///< The page in memory has been changed.
+    obsolete,  ///< The change is no longer needed.
   };
   void add_orphan(const wire::MachineRecord& machine);
   [[nodiscard]] int shard_for_orphan(const std::string& machine) const;
