--- a/src/controller/job_cancellation.cpp
+++ b/src/controller/job_cancellation.cpp
@@ -9,9 +9,9 @@
 
 namespace shunttrail::controller {
 namespace {
-/// How often other commits on the job's keys may come first.
+/// Number of attempts. One fails if another commit changes the job's keys first.
 constexpr int kAttempts = 4;
-/// A cancellation that could not be sent by then is given up.
+/// Time after which a cancellation that could not be sent is abandoned.
 constexpr double kCommitTimeoutS = 1;
 }  // namespace
 
@@ -36,8 +36,9 @@
   const state::StateCache& cache = components_.state_store->cache();
   if (cache.job(id)) return commit(exchange, id, attempts_left);
   if (cache.waiting(id)) return cancel_waiting(exchange, id, attempts_left);
-  // Not live at the linearizable read: it has ended, or nobody knows it. One that is accepted just
-  // now is called unknown, and not queued: that is no response to a cancellation.
+  // The job was not live at the linearizable read: it has ended, or was never accepted. A job that
+  // is accepted after that read is reported as unknown. It must not be reported as queued, which is
+  // no valid response to a cancellation.
   queries_.respond_with_result(exchange, id, JobStateDetail::state,
                                [exchange] { exchange->send(no_such_job_response()); });
 }
@@ -48,14 +49,15 @@
   components_.job_results->dependency_states(
       {id}, actor_.reply<DependencyStates>(
                 [this, exchange, id, attempts_left](const DependencyStates& states) {
-                  // Cancelled already, with a job that it depends on.
+                  // Already cancelled, since a job that it depends on was cancelled.
                   if (states.of[0] == jobs::DependencyGraph::DependencyState::cancelled)
                     return exchange->send(cancelled_response(id));
                   commit(exchange, id, attempts_left);
                 }));
 }
 
-// Done and cancelled race for the same keys: whichever commit comes first is how the job ended.
+// The commits that record the job as done and as cancelled have preconditions on the same keys: the
+// one that is applied first decides how the job ended.
 void JobCancellation::commit(const net::ExchangePtr& exchange, const std::string& id,
                              int attempts_left) {
   const state::StateCache& cache = components_.state_store->cache();
--- a/src/controller/job_cancellation.h
+++ b/src/controller/job_cancellation.h
@@ -10,17 +10,17 @@
 
 namespace shunttrail::controller {
 
-/// Handles POST /v2/runs/ID/withdraw: replaces a live job's key by a final record that says
-/// cancelled, in one commit. A job that has ended stays as it ended.
+/// Handles POST /v2/runs/ID/withdraw: replaces the key of a live job by a final record that marks
+/// it cancelled, in one commit. A job that has already ended keeps its final record.
 class JobCancellation {
  public:
-  /// Replies run in the mailbox of `actor`.
+  /// Callbacks run in the mailbox of `actor`.
   JobCancellation(actor::Actor& actor, ControllerComponents& components, JobQueries& queries,
                   TagSequence& tags)
       : actor_(actor), components_(components), queries_(queries), tags_(tags) {}
 
-  /// 200 with the state that the job ended in, 404 if it was never accepted, 503 if that is not
-  /// known.
+  /// Responds with 200 and the state in which the job ended, with 404 if no job of this id was ever
+  /// accepted, or with 503 if the outcome is not known.
   void handle(const net::ExchangePtr& exchange, const std::string& id);
 
  private:
--- a/src/controller/job_feasibility.cpp
+++ b/src/controller/job_feasibility.cpp
@@ -6,12 +6,12 @@
 namespace shunttrail::controller {
 namespace {
 
-/// What sums of decimal fractions may exceed a limit by.
+/// Tolerance for rounding errors in sums of decimal fractions that are compared with a limit.
 constexpr double kRoundingTolerance = 1e-9;
 
 bool exceeds(double demand, double limit) { return demand > limit + kRoundingTolerance; }
 
-// How many of the job's tasks have to run at the same time.
+// Returns how many of the job's tasks have to run at the same time.
 std::uint32_t simultaneous_tasks(const wire::JobSpec& job) {
   return job.service || job.gang ? job.tasks : 1;
 }
@@ -20,12 +20,13 @@
                const scheduler::MachineCatalogue& catalogue, std::size_t type) {
   const auto& machine = catalogue.types[type].spec;
   const int on_demand_tier = 2 * static_cast<int>(type);
-  // To the last digit too: Resources rounds to millionths, and the worker would refuse the task.
+  // The unrounded values are compared as well: Resources rounds to millionths, and the worker would
+  // refuse a task that exceeds the machine by less than that.
   return catalogue.accepts(on_demand_tier, job, need) && !exceeds(job.cpus, machine.cpus) &&
          !exceeds(job.gpus, machine.gpus) && !exceeds(job.mem_gb, machine.mem_gb);
 }
 
-// The zones in which one of the job's tasks fits a machine.
+// Returns the zones that have a machine type on which one of the job's tasks fits.
 std::set<std::size_t> feasible_zones(const wire::JobSpec& job, const config::Settings& settings,
                                      const scheduler::MachineCatalogue& catalogue) {
   const auto need = jobs::Resources::of(job.cpus, job.gpus, job.mem_gb);
@@ -54,7 +55,8 @@
     return JobFeasibility::infeasible;
   const std::set<std::size_t> zones = feasible_zones(job, settings, catalogue);
   if (zones.empty()) return JobFeasibility::infeasible;
-  // At most half of the tasks that run together may be in one zone: it takes two zones.
+  // At most half of the tasks that run at the same time may be in one zone, so two zones are
+  // needed.
   if (job.anti_affinity && tasks > 1 && (job.same_zone || zones.size() < 2))
     return JobFeasibility::infeasible;
   return JobFeasibility::feasible;
--- a/src/controller/job_feasibility.h
+++ b/src/controller/job_feasibility.h
@@ -1,4 +1,4 @@
-/// Whether a job can ever run in this cluster.
+/// Feasibility: whether a job can ever run in this cluster.
 #pragma once
 #include "config/settings.h"
 #include "scheduler/shard_scheduler.h"
@@ -8,11 +8,13 @@
 
 enum class JobFeasibility {
   feasible,
-  infeasible,  ///< No state of the cluster lets it run: beyond its team's or all machines' limits.
-  unknown,     ///< The machine types have not been read yet.
+  /// The job can never run: it exceeds its team's limits or those of every machine type.
+  infeasible,
+  unknown,  ///< The machine types have not been read yet.
 };
 
-/// Compares what the job asks for with its team's limits and with the machine types of the zones.
+/// Compares the job's resource requests with its team's limits and with the machine types in the
+/// zones.
 [[nodiscard]] JobFeasibility check_feasibility(const wire::JobSpec& job,
                                                const config::Settings& settings,
                                                const scheduler::MachineCatalogue& catalogue);
--- a/src/controller/job_queries.cpp
+++ b/src/controller/job_queries.cpp
@@ -7,7 +7,8 @@
 
 namespace shunttrail::controller {
 namespace {
-/// How often final records may turn out to be missing before the query is given up.
+/// Number of attempts before a query is abandoned. One fails if a final record that it needs has
+/// not been read yet.
 constexpr int kQueryAttempts = 3;
 }  // namespace
 
@@ -22,7 +23,7 @@
 }
 
 void JobQueries::run(const Query& query) {
-  // A final record stays as it is, and needs no fresh read.
+  // A final record never changes, so a cached one needs no new read.
   if (const auto* result = components_.job_results->cached_result(query.id))
     return query.exchange->send(job_result_response(query.id, *result, query.detail));
   if (query.attempts_left == 0) return query.exchange->send(unavailable_response());
@@ -32,7 +33,8 @@
   }));
 }
 
-// The cache holds at least what was committed before the query began.
+// Responds from the cache, which holds at least everything that was committed before the query
+// began.
 void JobQueries::respond_from_cache(const Query& query) {
   const state::StateCache& cache = components_.state_store->cache();
   if (const state::JobEntry* job = cache.job(query.id)) {
@@ -58,8 +60,9 @@
               }));
 }
 
-// A waiting job's state follows from the jobs that it depends on, whoever leads its shard and
-// however far its own record is behind: a job below a cancelled one has never started.
+// Derives a waiting job's state from the jobs that it depends on. The job's own record may be out
+// of date, and its shard may have any leader: a job that depends on a cancelled one has never
+// started.
 void JobQueries::respond_waiting(const Query& query) {
   using DependencyStates = JobResults::DependencyStates;
   components_.job_results->dependency_states(
--- a/src/controller/job_queries.h
+++ b/src/controller/job_queries.h
@@ -1,4 +1,4 @@
-/// The state of single jobs, as users are told it.
+/// Queries of single jobs' states by users.
 #pragma once
 #include <functional>
 #include <string>
@@ -11,21 +11,23 @@
 
 namespace shunttrail::controller {
 
-/// Works out a job's state and responds with it. This is the one place where that is done, so that
-/// polls, repeated submissions and cancellations never contradict each other.
+/// Determines a job's state and responds with it. Polls, repeated submissions and cancellations all
+/// use this class, so that their responses never contradict each other.
 class JobQueries {
  public:
-  /// Replies run in the mailbox of `actor`.
+  /// Callbacks run in the mailbox of `actor`.
   JobQueries(actor::Actor& actor, ControllerComponents& components)
       : actor_(actor), components_(components) {}
 
-  /// GET /v2/runs/ID: 200 with the state and counts, 404 if the job was never accepted.
+  /// Handles GET /v2/runs/ID: responds with 200, the state and the counts, or with 404 if the job
+  /// was never accepted.
   void poll(const net::ExchangePtr& exchange, const std::string& id);
-  /// Responds with the job's state, by a read that begins after the request came, or by 503 if that
-  /// read fails. Calls `on_unknown` instead if no job of that id was ever accepted.
+  /// Responds with the job's state as of a read that begins after the request arrived, or with 503
+  /// if that read fails. Calls `on_unknown` instead if no job of this id was ever accepted.
   void respond_with_state(const net::ExchangePtr& exchange, const std::string& id,
                           JobStateDetail detail, std::function<void()> on_unknown);
-  /// The same for a job that the latest linearizable read showed not to be live.
+  /// Responds like `respond_with_state` for a job that was not live at the latest linearizable
+  /// read.
   void respond_with_result(const net::ExchangePtr& exchange, const std::string& id,
                            JobStateDetail detail, std::function<void()> on_unknown);
 
--- a/src/controller/job_results.cpp
+++ b/src/controller/job_results.cpp
@@ -12,21 +12,23 @@
 namespace shunttrail::controller {
 namespace {
 constexpr char kTagLetter = 'j';
-/// Final records kept in memory; the oldest are dropped first. One that is not there is read from
-/// the state service, so more jobs cost reads and lose nothing.
+/// Number of final records kept in memory; the oldest are dropped first. A record that is not
+/// cached is read from the state service, so a larger number of jobs costs reads but loses nothing.
 constexpr std::size_t kMaxCachedResults = 4000;
-/// Final records that are read ahead at the same time.
+/// Largest number of final records that are read ahead concurrently.
 constexpr std::size_t kMaxReadAhead = 6;
-/// After a read ahead that failed.
+/// Delay after a failed read-ahead.
 constexpr double kReadRetryDelayS = 0.2;
-/// Before other nodes move a job that its shard's leader should have moved.
+/// Time for which the leader of a job's shard has precedence for a transition of the job.
 constexpr double kLeaderGraceS = 2;
-/// After a transition that was not applied.
+/// Delay after a transition that was not applied.
 constexpr double kTransitionRetryDelayS = 0.3;
 constexpr double kTransitionTimeoutS = 3;
-/// Between the first change and what it makes possible: what comes meanwhile shares it.
+/// Delay between the first change and the transitions that it makes possible. Changes that arrive
+/// in the meantime are handled together.
 constexpr double kAdvanceDelayS = 0.04;
-/// Entries of `transition_due_since_` beyond twice the due jobs, before it is cleaned.
+/// Number of entries by which `transition_due_since_` may exceed twice the number of due jobs
+/// before it is cleaned.
 constexpr std::size_t kTransitionDueSlack = 16;
 }  // namespace
 
@@ -133,9 +135,9 @@
   reader_.answered(read, found, has_more);
 }
 
-// The jobs of the page, all of which have ended. Only records that are waited for are kept: the
-// rest would push these out. One that cannot be decoded is there all the same, and keeps no other
-// from its response.
+// Returns the ids of the page's jobs, all of which have ended. Caches only the records that a
+// caller waits for; the others would evict those. A record that cannot be decoded still counts as
+// found, and does not keep the other records from being returned.
 std::vector<std::string> JobResults::cache_range(const wire::KeyPage& page) {
   constexpr std::string_view kPrefix = state::kJobResults;
   std::vector<std::string> found;
@@ -153,8 +155,9 @@
 
 // ---- waiting jobs
 
-// By message, and not read from another actor's turn: what the cache has told this actor comes
-// before what is asked of it. A job below a cancelled one must not be called queued again.
+// The states are computed in a message to this actor, and not read in another actor's turn. All
+// cache changes that were sent to this actor before the request are thereby applied first: a job
+// that depends on a cancelled one must never be reported as queued again.
 void JobResults::dependency_states(std::vector<std::string> ids,
                                    std::function<void(DependencyStates)> then) {
   post([this, ids = std::move(ids), then = std::move(then)] {
@@ -183,8 +186,8 @@
   schedule_advance();
 }
 
-// What the job depends on may have ended, and been read for somebody else, before anything depended
-// on it: what is known is not read again.
+// A dependency may have ended, and its final record may have been read for another caller, before
+// any job depended on it. A cached record is used and not read again.
 void JobResults::on_waiting_set(const std::string& id) {
   dependencies_.key_changed(id);
   const state::JobEntry* job = components_.state_store->cache().waiting(id);
@@ -208,8 +211,9 @@
   }
 }
 
-// The leader of a job's shard moves it. If it does not, being dead, cut off or of a version that
-// knows no such jobs, the others do, one after the other.
+// Returns whether this node may move the job. The leader of the job's shard moves it. If the leader
+// does not, because it is dead, cut off or of a version without waiting jobs, the other nodes try
+// one after the other.
 bool JobResults::may_transition(const std::string& id) {
   const state::JobEntry* job = components_.state_store->cache().waiting(id);
   if (!job) return false;
@@ -233,7 +237,7 @@
   forget_completed_transitions();
 }
 
-// Reads ahead how the jobs ended that waiting ones depend on.
+// Reads ahead the final records of the jobs that waiting jobs depend on.
 void JobResults::read_dependencies() {
   for (const auto& id : dependencies_.unread()) {
     if (read_ahead_ids_.size() >= kMaxReadAhead) break;
@@ -254,8 +258,8 @@
                 [&](const auto& entry) { return !cache.waiting(entry.first); });
 }
 
-// Several jobs share a transaction; a cascade of cancellations over thousands goes on at the write
-// rate that is left over.
+// Commits transitions of several jobs in one transaction. A cascade of cancellations over thousands
+// of jobs takes only the part of the write rate that nothing else needs.
 void JobResults::write_transition(Transition transition) {
   const bool is_ready = transition == Transition::to_ready;
   TransitionWriter& writer = is_ready ? ready_writer_ : cancelled_writer_;
@@ -267,7 +271,7 @@
   if (transitions.txn.ops.empty()) return;
   writer.is_in_flight = true;
   const std::size_t transitioned_jobs =
-      transitions.txn.ops.size() / 2;  // each drops a key and sets one
+      transitions.txn.ops.size() / 2;  // each transition deletes one key and sets one
   const auto priority = is_ready ? state::RequestPriority::work : state::RequestPriority::sweep;
   components_.state_store->commit_or_reread(
       std::move(transitions.txn), priority, kTransitionTimeoutS,
@@ -279,7 +283,8 @@
               writer.transitioned_jobs += transitioned_jobs;
               for (const auto& [id, result] : results) cache_result(id, result);
             } else {
-              // It lost a race, or its outcome is not known: what was read since decides anew.
+              // The commit lost a race, or its outcome is unknown. The retry is decided by the
+              // state that has been read since.
               writer.retry_at = loop_.now() + kTransitionRetryDelayS;
             }
             schedule_advance();
--- a/src/controller/job_results.h
+++ b/src/controller/job_results.h
@@ -1,4 +1,5 @@
-/// How jobs ended, as far as it has been read, and the transitions of jobs that wait for others.
+/// Final records of ended jobs, as far as they have been read, and the state transitions of jobs
+/// that wait for their dependencies.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -16,45 +17,50 @@
 
 namespace shunttrail::controller {
 
-/// Reads final records, keeps the latest ones, and moves waiting jobs on to ready or to cancelled
-/// through the state service. Any controller may move a job; its shard's leader does so first.
-/// Callbacks are reply addresses (actor::Actor::reply).
+/// Reads final records, caches the latest ones, and moves waiting jobs to the ready or the
+/// cancelled state through the state service. Any controller may move a job, but the leader of its
+/// shard has precedence. Callbacks are reply addresses (actor::Actor::reply).
 class JobResults : public actor::Actor {
  public:
   JobResults(actor::Loop& loop, ControllerComponents& components);
-  /// To be called at short, regular intervals.
+  /// Reads final records and commits transitions that are due. Must be called at short, regular
+  /// intervals.
   void tick();
 
-  /// The job's final record; null: not known here, whether or not there is one.
+  /// Returns the job's final record, or null if it is not cached, whether or not one is stored.
   [[nodiscard]] const wire::JobResultRecord* cached_result(const std::string& id) const;
   [[nodiscard]] const jobs::DependencyGraph& dependencies() const { return dependencies_; }
-  /// Jobs that this node has made ready.
+  /// Returns the number of jobs that this node has made ready.
   [[nodiscard]] std::uint64_t made_ready() const { return ready_writer_.transitioned_jobs; }
-  /// Jobs that this node has cancelled with a job that they depend on.
+  /// Returns the number of jobs that this node has cancelled because a job that they depend on was
+  /// cancelled.
   [[nodiscard]] std::uint64_t cancelled_with_dependencies() const {
     return cancelled_writer_.transitioned_jobs;
   }
 
-  /// The states of waiting jobs. Where one is unread, `missing` has the jobs whose final records
-  /// have to be read first.
+  /// States of waiting jobs. If one of them is `unread`, `missing` holds the jobs whose final
+  /// records have to be read first.
   struct DependencyStates {
-    std::vector<jobs::DependencyGraph::DependencyState> of;  ///< In the order of the ids asked for.
+    std::vector<jobs::DependencyGraph::DependencyState> of;  ///< In the order of the requested ids.
     std::vector<std::string> missing;
   };
-  /// The states after every change that the cache holds by now.
+  /// Calls `then` with the states of these jobs after all changes that the cache holds at the time
+  /// of the call.
   void dependency_states(std::vector<std::string> ids, std::function<void(DependencyStates)> then);
-  /// This node has written a final record.
+  /// Caches a final record that this node has written.
   void result_written(std::string id, wire::JobResultRecord result);
 
   using LookupResult = jobs::Found;
-  /// Reads one final record. What is found is known (`cached_result`) before `then` is told.
+  /// Reads one final record. A record that is found is cached (`cached_result`) before `then` is
+  /// called.
   void lookup(std::string id, std::function<void(LookupResult)> then);
-  /// Reads several at the same time; `then` is told whether all reads succeeded, found or not.
+  /// Reads several final records concurrently. Calls `then` with true if all reads succeeded,
+  /// whether or not records were found, and with false otherwise.
   void lookup_all(std::vector<std::string> ids, std::function<void(bool)> then);
 
  private:
   enum class Transition { to_ready, to_cancelled };
-  /// The commits of one kind of transition: one in flight at most.
+  /// The commits of one kind of transition, of which at most one is in flight.
   struct TransitionWriter {
     bool is_in_flight = false;
     double retry_at = 0;
@@ -80,8 +86,8 @@
   std::unordered_map<std::string, wire::JobResultRecord> results_;
   std::deque<std::string> result_ids_by_age_;
   jobs::ResultReader reader_;
-  std::set<std::string> read_ahead_ids_;  ///< Jobs whose final records are read ahead.
-  /// Waiting jobs that have to be moved, and since when (loop time).
+  std::set<std::string> read_ahead_ids_;  ///< Jobs whose final records are being read ahead.
+  /// Waiting jobs for which a transition is due, and since when (loop time).
   std::unordered_map<std::string, double> transition_due_since_;
   TransitionWriter ready_writer_;
   TransitionWriter cancelled_writer_;
--- a/src/controller/job_submission.cpp
+++ b/src/controller/job_submission.cpp
@@ -11,15 +11,16 @@
 namespace shunttrail::controller {
 namespace {
 
-/// A submission that could not be committed by then is refused.
+/// Time after which a submission that could not be committed is refused.
 constexpr double kCommitTimeoutS = 1;
-/// So is one that comes when the latest read of the state service is older.
+/// Submissions are refused if the latest read of the state service is older than this.
 constexpr double kMaxReadAgeS = 6;
-/// After which a user is to retry, if the state service cannot be read.
+/// Retry-After value sent to users if the state service cannot be read.
 constexpr double kUnreadRetryAfterS = 2;
 
-// The response to a job that was not accepted before. A feasible one gets here only if it was known
-// a moment ago, and is to be submitted again.
+// Returns the response to a job that the latest read did not find. An infeasible job is refused.
+// Otherwise the response asks the user to submit it again: either the machine types have not been
+// loaded yet, or the cache held the job when the request arrived.
 net::Answer refusal_response(JobFeasibility feasibility) {
   if (feasibility == JobFeasibility::infeasible)
     return net::error_response(422, "this job can never run here");
@@ -38,7 +39,7 @@
   handle_valid(exchange, std::move(job));
 }
 
-// With the id of a job that was accepted it is a repeated submission, whatever its body is now.
+// A malformed body with the id of an accepted job counts as a repeated submission.
 void JobSubmission::handle_malformed(const net::ExchangePtr& exchange, const std::string& why) {
   const std::string id = wire::job_id_of(exchange->body);
   if (id.empty()) return exchange->send(net::error_response(400, why));
@@ -62,7 +63,7 @@
   return components_.job_results->cached_result(id) || cache.job(id) || cache.waiting(id);
 }
 
-// The state of the job if it was accepted before, else `otherwise`.
+// Responds with the job's state if it was accepted before, and with `otherwise` if not.
 void JobSubmission::respond_with_state_or(const net::ExchangePtr& exchange, const std::string& id,
                                           net::Answer otherwise) {
   queries_.respond_with_state(
@@ -93,7 +94,8 @@
       return dependencies;
     }
     if (result)
-      dependencies.is_any_cancelled |= result->cancelled;  // one that is done need not be awaited
+      // a finished dependency is not waited for
+      dependencies.is_any_cancelled |= result->cancelled;
     else if (live)
       dependencies.unfinished.push_back(id);
     else
@@ -102,9 +104,10 @@
   return dependencies;
 }
 
-// Every dependency has to have been accepted. That is for good, so what the cache has seen will do;
-// what it has not is looked for in two steps: by one read that begins now, for jobs that another
-// node accepted an instant ago, and then among the final records, all at once.
+// Checks that every dependency has been accepted at some time. An acceptance is never revoked, so
+// jobs in the cache need no new read. The others are searched for in two steps: first by a
+// linearizable read, which shows jobs that another node has accepted an instant ago, and then among
+// the final records, all at once.
 void JobSubmission::check_dependencies(const net::ExchangePtr& exchange, wire::JobRecord job,
                                        DependencyRead read) {
   Dependencies dependencies = classify_dependencies(job.spec);
@@ -122,7 +125,7 @@
   accept(exchange, make_acceptance(job, dependencies.is_any_cancelled));
 }
 
-// Reads what has not been read yet about the not_found dependencies, and checks again.
+// Reads the next source for the dependencies that were not found, and checks again.
 void JobSubmission::read_dependencies(const net::ExchangePtr& exchange, wire::JobRecord job,
                                       DependencyRead read, std::vector<std::string> not_found) {
   const bool reads_state = read == DependencyRead::cache;
@@ -141,7 +144,7 @@
                                                          bool is_cancelled) {
   const wire::JobSpec& spec = job.spec;
   if (is_cancelled) {
-    // A job that depends on a cancelled one is cancelled from the start.
+    // A job that depends on a cancelled job is cancelled from the start.
     const wire::JobResultRecord result = wire::cancelled_record(spec, tags_.next());
     return {spec.id, wire::JobState::cancelled, state::job_result_key(spec.id),
             wire::encode_record(result), result};
@@ -183,13 +186,15 @@
   refuse(exchange, unavailable_response());
 }
 
-// The state service's limit may have been learned by the commit that it refused.
+// Checked again after a commit that was refused as too large: the limit of the state service may
+// have been learned from that response.
 bool JobSubmission::exceeds_value_limit(const Acceptance& acceptance) const {
   return acceptance.value.size() >
          components_.state_client.limits().transaction_limits().value_bytes;
 }
 
-// Another node may have accepted the job under another body an instant ago.
+// The job's state takes precedence: another node may have accepted the job with a smaller body an
+// instant ago.
 void JobSubmission::refuse_oversized(const net::ExchangePtr& exchange, const std::string& id) {
   respond_with_state_or(exchange, id,
                         net::error_response(400, "the job's description is too long"));
--- a/src/controller/job_submission.h
+++ b/src/controller/job_submission.h
@@ -17,41 +17,43 @@
 namespace shunttrail::controller {
 
 /// Handles POST /v2/runs: validates the job and its dependencies and commits it. A repeated
-/// submission of an accepted job is never refused, whatever its body is now: the response is the
-/// job's state.
+/// submission of an accepted job is never refused, even if its body has changed: the response is
+/// the job's state.
 class JobSubmission {
  public:
-  /// Replies run in the mailbox of `actor`.
+  /// Callbacks run in the mailbox of `actor`.
   JobSubmission(actor::Actor& actor, const actor::Loop& loop, ControllerComponents& components,
                 JobQueries& queries, TagSequence& tags)
       : actor_(actor), loop_(loop), components_(components), queries_(queries), tags_(tags) {}
 
-  /// 201: accepted; 200: accepted before; 400: malformed; 422: can never run, or names a dependency
-  /// that it may not have; 503: not now.
+  /// Responds with 201 if the job is accepted, 200 if it was accepted before, 400 if it is
+  /// malformed or too large, 422 if it can never run or has an invalid dependency, and 503 if it
+  /// cannot be accepted at present.
   void handle(const net::ExchangePtr& exchange);
 
-  /// Well-formed submissions so far.
+  /// Returns the number of well-formed submissions.
   [[nodiscard]] std::uint64_t submissions() const { return submissions_; }
-  /// Of these, refused by 503 since the state service could not be read or written in time.
+  /// Returns how many of them were refused with 503 because the state service could not be read or
+  /// written in time.
   [[nodiscard]] std::uint64_t refused() const { return refused_; }
 
  private:
-  /// What has been read about the dependencies by the time of a check.
+  /// The most authoritative source that has been read for the dependencies by the time of a check.
   enum class DependencyRead { cache, linearizable, job_results };
-  /// A job's dependencies, by what is known of them.
+  /// A job's dependencies by their known state. Finished ones are left out.
   struct Dependencies {
     std::vector<std::string> unfinished;
     std::vector<std::string> not_found;
     bool is_any_cancelled = false;
-    std::string error;  ///< Why the job must be refused; empty: no reason.
+    std::string error;  ///< The reason for which the job is refused; empty if there is none.
   };
-  /// What is committed for an accepted job.
+  /// The key and value that are committed for an accepted job.
   struct Acceptance {
     std::string id;
     wire::JobState state = wire::JobState::queued;
     std::string key;
     std::string value;
-    /// If the job is cancelled from the start: its final record.
+    /// The final record of a job that is cancelled from the start.
     std::optional<wire::JobResultRecord> result;
   };
   void handle_malformed(const net::ExchangePtr& exchange, const std::string& why);
--- a/src/controller/team_query.cpp
+++ b/src/controller/team_query.cpp
@@ -19,7 +19,7 @@
 
 using DependencyState = jobs::DependencyGraph::DependencyState;
 
-// None: malformed or out of range.
+// Returns the limit, or none if the text is malformed or out of range.
 std::optional<std::size_t> parse_limit(const std::string& text) {
   if (text.empty()) return kDefaultLimit;
   if (text.size() > kMaxLimitDigits) return std::nullopt;
@@ -46,7 +46,8 @@
       }));
 }
 
-// Two lists in order of ids are merged: jobs that may run, and jobs that wait for others.
+// Merges two lists that are ordered by id: jobs that may run, and jobs that wait for their
+// dependencies.
 TeamQuery::Page TeamQuery::collect(const std::string& team, const std::string& after,
                                    std::size_t limit) const {
   const state::StateCache& cache = components_.state_store->cache();
@@ -91,8 +92,8 @@
     wire::JobState state = job.progress.placed ? wire::JobState::running : wire::JobState::queued;
     if (job.is_waiting) {
       const DependencyState dependency_state = states.of[next_waiting++];
-      // A job that was shown as cancelled must not be shown as queued again, so without the final
-      // records nothing is shown.
+      // A job that has been reported as cancelled must never be reported as queued again. The state
+      // is therefore not reported before the final records have been read.
       if (dependency_state == DependencyState::unread)
         return exchange->send(unavailable_response());
       if (dependency_state == DependencyState::cancelled) state = wire::JobState::cancelled;
--- a/src/controller/team_query.h
+++ b/src/controller/team_query.h
@@ -1,4 +1,4 @@
-/// A team's live jobs, as users are told them.
+/// Queries of a team's live jobs by users.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -13,15 +13,16 @@
 
 namespace shunttrail::controller {
 
-/// Responds to GET /v2/teams/TEAM: one page of the team's live jobs, in order of their ids.
+/// Responds to GET /v2/teams/TEAM with one page of the team's live jobs, ordered by id.
 class TeamQuery {
  public:
-  /// Replies run in the mailbox of `actor`.
+  /// Callbacks run in the mailbox of `actor`.
   TeamQuery(actor::Actor& actor, ControllerComponents& components)
       : actor_(actor), components_(components) {}
 
-  /// The page after the job `after`, of at most `limit` jobs (both query parameters). 404: no such
-  /// team; 400: malformed parameters; 503: the state service or final records cannot be read.
+  /// Responds with the page that begins after the job `after` and has at most `limit` jobs (both
+  /// are query parameters). Responds with 404 if there is no such team, with 400 if a parameter is
+  /// malformed, and with 503 if the state service or final records cannot be read.
   void handle(const net::ExchangePtr& exchange, const std::string& team);
 
  private:
@@ -33,7 +34,7 @@
   struct Page {
     std::string team;
     std::vector<Job> jobs;
-    std::vector<std::string> waiting_ids;  ///< Of the waiting jobs among them, in their order.
+    std::vector<std::string> waiting_ids;  ///< Ids of the page's waiting jobs, in order.
     bool has_next = false;
   };
   [[nodiscard]] Page collect(const std::string& team, const std::string& after,
--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -12,7 +12,7 @@
 namespace shunttrail::controller {
 namespace {
 constexpr char kTagLetter = 'u';
-/// This node counts as healthy if it has read the state service so recently.
+/// Largest age of the latest read of the state service at which this node counts as healthy.
 constexpr double kHealthyReadAgeS = 4;
 
 constexpr std::string_view kHealthPath = "/up";
@@ -37,7 +37,7 @@
 
 void UserApi::route(const net::ExchangePtr& exchange) {
   const std::string& path = exchange->path;
-  // A build that cannot read the stored state tells nobody anything.
+  // A build that cannot read the stored state must not answer any request from it.
   if (!components_.schema->may_serve()) return exchange->send(unavailable_response());
   if (path == kHealthPath) return respond_health(exchange);
   if (path == kJobsPath && exchange->post) return submission_.handle(exchange);
@@ -47,7 +47,8 @@
   exchange->send(no_such_path_response());
 }
 
-// `job_path`: what follows the prefix: a job's id and, in a POST, what is to be done with it.
+// `job_path` is the path after the prefix: a job's id and, for a POST, the suffix that names the
+// operation.
 void UserApi::route_job(const net::ExchangePtr& exchange, std::string job_path) {
   if (exchange->post) {
     if (!job_path.ends_with(kCancelSuffix)) return exchange->send(no_such_path_response());
@@ -60,7 +61,8 @@
     queries_.poll(exchange, job_path);
 }
 
-// Taking this node out of the load balancer helps only if another one can serve.
+// Reports this node as unhealthy only if another node can serve: otherwise it would not help to
+// remove it from the load balancer.
 void UserApi::respond_health(const net::ExchangePtr& exchange) const {
   const bool is_healthy = components_.state_store->fresh(kHealthyReadAgeS) ||
                           !components_.peer_gossip->another_serves();
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -1,5 +1,5 @@
-/// The users' HTTP interface: job submissions, queries and cancellations, a team's view, and the
-/// load balancer's health check.
+/// The HTTP interface for users: job submissions, queries and cancellations, listing of a team's
+/// jobs, and the load balancer's health check.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -19,10 +19,10 @@
  public:
   UserApi(actor::Loop& loop, ControllerComponents& components);
 
-  /// Responds to any request of a user; 404 if no handler has its path.
+  /// Responds to any user request; with 404 if no handler has its path.
   void handle_request(net::ExchangePtr exchange);
 
-  /// Well-formed submissions so far, and how many of them were refused as not possible now.
+  /// Returns the number of well-formed submissions, and how many of them were refused with 503.
   [[nodiscard]] std::uint64_t submissions() const { return submission_.submissions(); }
   [[nodiscard]] std::uint64_t refused() const { return submission_.refused(); }
 
--- a/src/controller/worker_api.cpp
+++ b/src/controller/worker_api.cpp
@@ -16,8 +16,8 @@
   post([this, exchange = std::move(exchange), path] { route_heartbeat(exchange, path); });
 }
 
-// The machine's shard by the inventory, or, if it was rented just now, by the scheduler that has it
-// before the inventory does. None: nobody's machine.
+// Returns the machine's shard according to the inventory or, if the machine was rented just now and
+// is not in the inventory yet, according to the schedulers. None: the machine belongs to no shard.
 std::optional<int> WorkerApi::shard_of(const std::string& machine) const {
   if (const auto* record = components_.state_store->cache().machine(machine)) return record->shard;
   std::optional<int> found;
@@ -35,8 +35,8 @@
   return member.mod_revision != 0 && schema::refusal(view, member.build).empty();
 }
 
-// Another node whose build can read the stored state: the shard's leader, if it is known. Empty:
-// there is none.
+// Returns another node whose build can read the stored state, preferably the shard's leader; empty
+// if there is none.
 std::string WorkerApi::node_that_may_serve(std::optional<int> shard) const {
   const config::Settings& settings = components_.settings;
   if (shard && *shard < settings.shards()) {
@@ -58,7 +58,7 @@
     return exchange->send({400, "{}", 0});
   }
   // A leader that has not read the state service within the staleness bound may have been replaced,
-  // and may not know of cancellations: it must let the leases run out.
+  // and may not know of cancellations. It must let the workers' leases expire.
   if (!components_.state_store->fresh(components_.settings.staleness_bound_s()))
     return exchange->send({503, "{}", 0});
   const std::optional<int> shard = shard_of(heartbeat.machine);
@@ -69,7 +69,7 @@
   exchange->send({503, "{}", 0});
 }
 
-// Nothing can have been placed on a machine that the inventory does not hold.
+// Adopts a machine that the inventory does not hold. No task can have been placed on it.
 void WorkerApi::adopt(const wire::Heartbeat& heartbeat) const {
   components_.cloud_manager->unknown_machine_reported(heartbeat.machine, heartbeat.addr);
   components_.inventory->adopt_orphan(
--- a/src/controller/worker_api.h
+++ b/src/controller/worker_api.h
@@ -1,4 +1,5 @@
-/// The workers' HTTP interface: each heartbeat goes to the controller of its machine's shard.
+/// The HTTP interface for workers, which passes each heartbeat to the controller of its machine's
+/// shard.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -12,17 +13,18 @@
 
 namespace shunttrail::controller {
 
-/// Routes heartbeats: to the shard controller here, to the shard's leader elsewhere, or, of
-/// machines without a record, to their adoption.
+/// Routes each heartbeat to this node's shard controller or to the node that leads the shard.
+/// Adopts machines that have no inventory record.
 class WorkerApi : public actor::Actor {
  public:
   WorkerApi(actor::Loop& loop, ControllerComponents& components)
       : Actor(loop), components_(components) {}
 
-  /// 200 by the shard controller; 400: malformed; 421: another node leads the machine's shard; 503:
-  /// this node cannot tell, or has just had the machine adopted.
+  /// Handles a heartbeat. The shard controller responds with 200. Other responses are 400 if the
+  /// heartbeat is malformed, 421 if another node should get it, and 503 if this node cannot decide,
+  /// or the machine has no record and is now being adopted.
   void handle_heartbeat(net::ExchangePtr exchange, HeartbeatPath path = HeartbeatPath::direct);
-  /// Heartbeats that could not be decoded.
+  /// Returns the number of heartbeats that could not be decoded.
   [[nodiscard]] std::uint64_t malformed() const { return malformed_; }
 
  private:
