--- a/src/controller/leadership_mover.cpp
+++ b/src/controller/leadership_mover.cpp
@@ -10,7 +10,7 @@
 
 namespace shunttrail::controller {
 namespace {
-/// A leadership commit that could not be sent by then is given up.
+/// Time after which a leadership commit that could not be sent is abandoned.
 constexpr double kCommitTimeoutS = 3;
 }  // namespace
 
@@ -39,8 +39,8 @@
   }
 }
 
-// The leader key has changed under the active scheduler: either by its own commit that advances the
-// token, or because this node has been replaced.
+// Handles a change of the leader key while the scheduler is active. Either this node's own commit
+// has advanced the token, or this node has been replaced.
 void LeadershipMover::follow_leader_key() {
   scheduler::ShardScheduler* scheduler = host_.active_scheduler();
   const auto& leader = host_.state_store().cache().leader(host_.shard());
@@ -92,9 +92,10 @@
   host_.close_scheduler();
 }
 
-// If the commit lost a race, or its outcome is not known, nothing is done before the state service
-// has been read again: the leader key's revision tells what happened. Should the commit be applied
-// later still, its precondition on that revision keeps it from undoing anything newer.
+// Commits a change of the leader key. If the commit lost a race, or its outcome is unknown, no
+// decision is made until the state service has been read again: the leader key's revision shows
+// what happened. If the commit is applied later still, its precondition on that revision keeps it
+// from overwriting anything newer.
 void LeadershipMover::commit(wire::Transaction transaction) {
   commit_in_flight_ = true;
   host_.components().state_store->commit_or_reread(
@@ -102,7 +103,7 @@
       host_.reply<state::CommitResult>([this](const state::CommitResult& result) {
         commit_in_flight_ = false;
         if (result.kind != state::CommitResult::applied) return decide();
-        // A token is acted under only once everything before it has been read.
+        // A token may be used only once everything that was committed before it has been read.
         host_.components().state_store->linearizable_read(
             host_.reply<bool>([this](bool) { decide(); }));
       }));
--- a/src/controller/leadership_mover.h
+++ b/src/controller/leadership_mover.h
@@ -1,4 +1,4 @@
-/// Leadership of one shard at this node: taking it, keeping it, handing it over and giving it up.
+/// Leadership of one shard at this node: acquiring, keeping, handing over and giving it up.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,15 +8,15 @@
 
 namespace shunttrail::controller {
 
-/// Carries out what shard::LeaderElection decides, by commits on the shard's leader key. The
+/// Carries out the decisions of shard::LeaderElection by commits on the shard's leader key. The
 /// revision of that key is the shard's fencing token.
 class LeadershipMover {
  public:
   explicit LeadershipMover(ShardHost& host) : host_(host) {}
 
-  /// Opens or closes the scheduler and starts leadership commits, as the cached state demands.
+  /// Opens or closes the scheduler and starts leadership commits, as the cached state requires.
   void decide();
-  /// Whether a commit on the leader key has not been answered yet.
+  /// Returns whether a commit on the leader key has not been answered yet.
   [[nodiscard]] bool commit_in_flight() const { return commit_in_flight_; }
 
  private:
@@ -29,7 +29,7 @@
   void commit(wire::Transaction transaction);
 
   ShardHost& host_;
-  /// The latest token whose scheduler was closed here: never to be acted under again.
+  /// The latest token whose scheduler was closed here. It must never be used again.
   std::uint64_t last_closed_token_ = 0;
   bool commit_in_flight_ = false;
   /// Tag of the latest commit that advances the active scheduler's token.
--- a/src/controller/membership.cpp
+++ b/src/controller/membership.cpp
@@ -9,11 +9,11 @@
 
 namespace shunttrail::controller {
 namespace {
-/// Between two registrations over a node key that this process did not write.
+/// Shortest interval between two registrations that overwrite a node key of another process.
 constexpr double kOverwriteIntervalS = 1;
-/// The lease is renewed so many times while it lasts.
+/// Number of times that the lease is renewed within its duration.
 constexpr double kRenewalsPerLease = 4;
-/// A commit on the node key that could not be sent by then is given up.
+/// Time after which a commit on the node key that could not be sent is abandoned.
 constexpr double kCommitTimeoutS = 3;
 }  // namespace
 
@@ -60,8 +60,8 @@
 
 void Membership::keep_registered() {
   if (is_lease_request_in_flight_ || !components_.state_store->loaded()) return;
-  // A build that cannot read the stored state is no member: it is not registered, and if it was,
-  // others need not wait for the lease to end.
+  // A build that cannot read the stored state must not be registered. If it was registered, its
+  // node key is deleted, so that other nodes need not wait for the lease to end.
   if (!components_.schema->may_serve()) return deregister_node();
   if (!lease_id_) return acquire_lease();
   restore_node_key();
@@ -105,9 +105,10 @@
 
 // ---- the node key
 
-// The registration of an earlier process of this node may come late, and another process may have
-// been started under this name: the key is written anew, but two that do so must not fill the state
-// service.
+// Writes the node key again if it does not hold this process's registration: a late registration of
+// an earlier process of this node may have replaced it, or another process may have been started
+// under the same node name. The interval between overwrites keeps two such processes from flooding
+// the state service.
 void Membership::restore_node_key() {
   const std::uint64_t key_revision =
       components_.state_store->cache().node_revision(components_.settings.self);
--- a/src/controller/membership.h
+++ b/src/controller/membership.h
@@ -1,4 +1,5 @@
-/// This process among the controllers: its lease, its node key, and who leads which shard.
+/// Membership of this process among the controllers: its lease, its node key, and the election of
+/// shard leaders.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -11,20 +12,25 @@
 
 namespace shunttrail::controller {
 
-/// Keeps the node key under a lease, so that others see that this process lives, and tells the
-/// shard controllers when leadership may have changed. The first lease's id names the process.
+/// Keeps the node key under a lease, so that other nodes see that this process is alive, and
+/// notifies the shard controllers when leadership may have changed. The id of its first lease
+/// identifies the process.
 class Membership : public actor::Actor {
  public:
   Membership(actor::Loop& loop, ControllerComponents& components);
-  /// To be called at short, regular intervals.
+  /// Renews the lease, restores the node key and updates the election. Must be called at short,
+  /// regular intervals.
   void tick();
-  /// A leader may have changed in a way that the cache does not show: the shard controllers check.
+  /// Has the shard controllers check their leadership, after an event that may affect it but is not
+  /// shown by the cache.
   void reconsider_leadership();
 
   [[nodiscard]] const shard::LeaderElection& election() const { return election_; }
-  /// An id that no other process has: that of its first lease. 0: none yet.
+  /// Returns an id that no other process has, which is the id of this process's first lease; 0
+  /// before it has one.
   [[nodiscard]] std::uint64_t process_id() const { return process_id_; }
-  /// A tag for what this process writes; `letter` tells its writers apart, each counts `n`.
+  /// Returns the tag of write number `n` of the writer `letter`. The letter distinguishes the
+  /// writers of this process, each of which counts its own writes.
   [[nodiscard]] std::string tag(char letter, std::uint64_t n) const;
 
  private:
@@ -45,12 +51,12 @@
   shard::LeaderElection election_;
   std::uint64_t lease_id_ = 0;  ///< 0: none.
   std::uint64_t process_id_ = 0;
-  /// The revision of the node key as this process wrote it; 0: not written.
+  /// The revision of the node key as this process wrote it; 0 if it has not been written.
   std::uint64_t registered_key_revision_ = 0;
   bool is_lease_request_in_flight_ = false;
   bool is_commit_in_flight_ = false;
   double renew_at_ = 0;
-  /// Before that, a node key that another process wrote is not overwritten.
+  /// The loop time before which a node key that another process wrote is not overwritten.
   double may_overwrite_at_ = 0;
 };
 
--- a/src/controller/peer_gossip.cpp
+++ b/src/controller/peer_gossip.cpp
@@ -13,16 +13,18 @@
 namespace {
 constexpr double kHeartbeatIntervalS = 1;
 constexpr double kHeartbeatTimeoutS = 2;
-/// A shard's load is acted on for so long.
+/// Time for which a reported load or offer is valid.
 constexpr double kLoadValidS = 2.5;
-/// Between two transfers from one shard: the first has to show in the loads before the second.
+/// Shortest interval between two transfers from one shard: the loads must reflect the first
+/// transfer before the second is decided.
 constexpr double kTransferIntervalS = 2.5;
-/// This node says that it serves if it has read the state service so recently.
+/// Largest age of the latest read of the state service at which this node reports that it can
+/// serve.
 constexpr double kServingReadAgeS = 3;
-/// Connections to one sibling, and requests that wait for one.
+/// Largest numbers of connections to one other controller, and of requests that wait for one.
 constexpr int kMaxConnections = 2;
 constexpr int kMaxQueuedRequests = 4;
-/// Loads are sent in hundredths of a machine, and cut off beyond so many machines.
+/// Loads are sent in hundredths of a machine, and are limited to this many machines.
 constexpr double kLoadScale = 100;
 constexpr double kMaxSentLoad = 1e7;
 
@@ -89,7 +91,8 @@
   exchange->send({200, "{}", 0});
 }
 
-// True if the sibling knows a newer token of a shard that this node leads.
+// Records the sender's load of the shard. Returns true if the sender knows a newer token of a shard
+// that this node leads.
 bool PeerGossip::record_shard_status(int shard, const peer::PeerHeartbeat& heartbeat) {
   const peer::PeerHeartbeat::Load& load = heartbeat.loads[shard];
   if (load.owned) loads_[shard] = {loop_.now(), decode_load(load)};
@@ -118,7 +121,8 @@
   return heartbeat;
 }
 
-// The shard's present load, which is kept as well; nothing unless this node leads it.
+// Computes and records the shard's present load if this node leads the shard. Returns an empty load
+// otherwise.
 peer::PeerHeartbeat::Load PeerGossip::update_own_load(int shard) {
   const scheduler::ShardScheduler* scheduler = components_.shard_controller(shard).scheduler();
   if (!scheduler) return {};
@@ -130,7 +134,7 @@
 
 // ---- transfers
 
-// Machines go to the shards that lack them, once every shard's load is known.
+// Requests transfers of machines to the shards that lack them, once every shard's load is known.
 void PeerGossip::rebalance() {
   const std::vector<shard::Load> loads = recent_loads();
   if (loads.size() < loads_.size()) return;
@@ -138,7 +142,7 @@
     transfer_machines(shard, loads);
 }
 
-// By shard, up to the first one whose load is not known.
+// Returns the loads by shard, up to the first shard whose load is not known.
 std::vector<shard::Load> PeerGossip::recent_loads() const {
   const double now = loop_.now();
   std::vector<shard::Load> loads;
@@ -154,8 +158,11 @@
   const double now = loop_.now();
   if (!scheduler || now < transferred_at_[from] + kTransferIntervalS) return;
   transferred_at_[from] = now;
-  // What is marked to go already is part of what there is to give, in every leader's eyes: else
-  // each would see less than there is, and promise once more what another has promised.
+  // Machines that are already marked for transfer still count in the capacity of this shard, which
+  // all leaders compute with. While any machine is marked, the amounts for all other shards are
+  // therefore sent again, also an amount of 0: the scheduler then keeps machines marked beyond the
+  // amount. Otherwise a leader would see less capacity than there is, and promise machines again
+  // that another leader has promised.
   const bool has_pending_transfers = scheduler->transferring() > 0;
   const std::vector<int> transfers = shard::transfers(loads, from);
   for (int to = 0; to < components_.settings.shards(); ++to) {
@@ -166,7 +173,7 @@
   }
 }
 
-// By tier, how many vCPUs of the shard's work that is not placed yet it could take.
+// Returns for each tier how many vCPUs of the shard's unplaced work it could take.
 std::vector<double> PeerGossip::waiting_vcpus_by_tier(int shard) const {
   const scheduler::MachineCatalogue& catalogue = components_.cloud_manager->catalogue();
   const state::StateCache& cache = components_.state_store->cache();
@@ -187,7 +194,7 @@
   return vcpus;
 }
 
-// ---- offers of room (docs/delegation.md)
+// ---- offers of free capacity (docs/delegation.md)
 
 void PeerGossip::exchange_room_offers() {
   if (!components_.tuning.delegation || components_.cloud_manager->catalogue().empty()) return;
@@ -196,7 +203,8 @@
   distribute_room_offers(own);
 }
 
-// Of all shards that this node leads, as many as one message holds.
+// Returns the offers of all shards that this node leads, limited to the number that one message
+// holds.
 std::vector<scheduler::RoomOffer> PeerGossip::own_room_offers() const {
   std::vector<scheduler::RoomOffer> own;
   for (const auto& controller : components_.shard_controllers) {
@@ -209,7 +217,8 @@
   return own;
 }
 
-// An empty message is sent once, after which the siblings' copies expire by themselves.
+// Sends the offers to the other controllers. An empty message is sent only once; after that,
+// earlier offers expire at the receivers.
 void PeerGossip::send_room_offers(const std::vector<scheduler::RoomOffer>& offers) {
   if (offers.empty() && !has_sent_offers_) return;
   has_sent_offers_ = !offers.empty();
@@ -245,7 +254,7 @@
   exchange->send({200, "{}", 0});
 }
 
-// Each shard that this node leads gets what all others offer, of this node's own ones too.
+// Passes to each shard the offers of all other shards, including those that this node leads.
 void PeerGossip::distribute_room_offers(const std::vector<scheduler::RoomOffer>& own) {
   std::vector<scheduler::RoomOffer> all = own;
   for (const ReceivedOffers& report : offers_)
--- a/src/controller/peer_gossip.h
+++ b/src/controller/peer_gossip.h
@@ -1,4 +1,5 @@
-/// The heartbeats between controllers, and the transfers of machines that rest on them.
+/// Heartbeats between controllers, and the transfers of machines and offers of free capacity that
+/// depend on them.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -14,22 +15,24 @@
 
 namespace shunttrail::controller {
 
-/// Tells the siblings which tokens this node knows, whether it can serve, and the loads of the
-/// shards that it leads; keeps what they tell. Nothing here is needed for safety.
+/// Sends the other controllers the tokens that this node knows, whether it can serve, and the loads
+/// of the shards that it leads; stores what they send. Safety does not depend on this class.
 class PeerGossip : public actor::Actor {
  public:
   PeerGossip(actor::Loop& loop, ControllerComponents& components);
-  /// To be called at short, regular intervals.
+  /// Sends heartbeats and offers when they are due. Must be called at short, regular intervals.
   void tick();
-  /// A sibling's heartbeat: 200, or 400 if it cannot be decoded.
+  /// Handles another controller's heartbeat. Responds with 200, or with 400 if it cannot be
+  /// decoded.
   void handle_heartbeat(net::ExchangePtr exchange);
-  /// A sibling's offers of room: 200, or 400 if they cannot be decoded.
+  /// Handles another controller's offers of free capacity. Responds with 200, or with 400 if they
+  /// cannot be decoded.
   void handle_room_offers(net::ExchangePtr exchange);
 
-  /// Whether a sibling may be able to serve: it has said so lately, or none is heard
-  /// (peer::another_serves).
+  /// Returns whether another controller may be able to serve: one has recently reported that it
+  /// can, or none is heard (peer::another_serves).
   [[nodiscard]] bool another_serves() const;
-  /// Heartbeats that could not be decoded.
+  /// Returns the number of heartbeats and offers that could not be decoded.
   [[nodiscard]] std::uint64_t malformed() const { return malformed_; }
 
  private:
@@ -54,18 +57,18 @@
   [[nodiscard]] std::vector<double> waiting_vcpus_by_tier(int shard) const;
 
   ControllerComponents& components_;
-  std::vector<std::unique_ptr<net::Client>> clients_;  ///< By node; null: this one.
+  std::vector<std::unique_ptr<net::Client>> clients_;  ///< By node; null for this node.
   std::vector<peer::PeerStatus> peer_status_;          ///< By node.
   std::vector<ShardLoadReport> loads_;                 ///< By shard.
   std::vector<double> transferred_at_;                 ///< By shard, loop time.
   const double started_at_;
-  /// What a sibling offers.
+  /// The latest offers of another controller.
   struct ReceivedOffers {
     double at = -1e9;  ///< Loop time.
     std::vector<scheduler::RoomOffer> offers;
   };
   std::vector<ReceivedOffers> offers_;  ///< By node.
-  bool has_sent_offers_ = false;        ///< With the latest heartbeat.
+  bool has_sent_offers_ = false;        ///< The latest message had offers.
   double next_heartbeat_at_ = 0;
   std::uint64_t malformed_ = 0;
 };
--- a/src/controller/schema_manager.cpp
+++ b/src/controller/schema_manager.cpp
@@ -11,9 +11,10 @@
 namespace shunttrail::controller {
 namespace {
 constexpr char kTagLetter = 'l';
-/// Any node may commit a step; they try one after the other, so far apart.
+/// Any node may commit a step. Each node waits for this delay times its index, so that they try one
+/// after the other.
 constexpr double kNodeDelayS = 0.5;
-/// A step is decided by a read that is not older.
+/// Largest age of the read of the state service by which a step is decided.
 constexpr double kMaxReadAgeS = 3;
 constexpr double kStepTimeoutS = 3;
 constexpr double kOrderTimeoutS = 3;
@@ -155,7 +156,7 @@
   const std::string reason = schema::refused(view, components_.settings.nodes, order);
   if (!reason.empty()) return exchange->send(error_response(400, reason));
   schema::Orders orders = schema::with(view.orders, order);
-  // Repeating an order is harmless, and costs nothing.
+  // A repeated order changes nothing, so nothing is committed.
   if (orders == view.orders) return exchange->send({200, describe(), 0});
   components_.state_store->commit_or_reread(
       schema::commit_of(view, std::move(orders), tags_.next()), state::RequestPriority::user,
--- a/src/controller/schema_manager.h
+++ b/src/controller/schema_manager.h
@@ -1,4 +1,5 @@
-/// The active schema version at this node: what it allows, its changes, and the operators' orders.
+/// The active schema version at this node: what it permits, how it changes, and the operators'
+/// orders.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,29 +15,32 @@
 
 namespace shunttrail::controller {
 
-/// Tells whether this build may serve beside the stored state, makes the steps that raise, settle
-/// and lower the active version (docs/schema.md), and takes the operators' orders about it.
+/// Determines whether this build may serve with the stored state, commits the steps that raise,
+/// settle and lower the active version (docs/schema.md), and handles the operators' orders.
 class SchemaManager : public actor::Actor {
  public:
   SchemaManager(actor::Loop& loop, ControllerComponents& components, schema::Build build);
-  /// To be called at short, regular intervals.
+  /// Evaluates the rollout and commits a step that is due. Must be called at short, regular
+  /// intervals.
   void tick();
-  /// GET: responds with `describe`. POST: takes an order; 400: malformed or not possible, 503: not
-  /// committed, or its outcome is not known.
+  /// Handles GET by responding with `describe`, and POST by carrying out an order. Responds with
+  /// 400 if the order is malformed or not possible, and with 503 if it was not committed or its
+  /// outcome is unknown.
   void handle_request(net::ExchangePtr exchange);
 
   [[nodiscard]] const schema::Build& build() const { return build_; }
-  /// Why this build must not serve beside the state as it has been read; empty: it may.
+  /// Returns why this build must not serve with the stored state as it was last read; empty if it
+  /// may.
   [[nodiscard]] std::string refusal() const;
   [[nodiscard]] bool may_serve() const { return refusal().empty(); }
-  /// Whether it is this node that is_converter what is stored in another form than the active
-  /// version's: one node at a time does.
+  /// Returns whether this node converts the values that are stored in another form than the active
+  /// version's. One node at a time does.
   [[nodiscard]] bool is_converter() const;
-  /// The rollout's status, as JSON for the operators.
+  /// Returns the rollout's status, as JSON for operators.
   [[nodiscard]] std::string describe() const;
 
  private:
-  /// Who blocks the next step, and why.
+  /// The node that blocks the next step, and the reason.
   using BlockerKey = std::pair<std::string, std::string>;
   void on_changes(const std::vector<state::Change>& changes);
   void evaluate();
@@ -54,10 +58,10 @@
   ControllerComponents& components_;
   const schema::Build build_;
   schema::RolloutStatus rollout_status_;
-  std::map<BlockerKey, double> blocked_since_;  ///< Loop time.
-  std::string logged_refusal_;                  ///< The latest refusal in the log.
-  double step_since_ = 0;                       ///< Loop time; 0: there is no step to be made.
-  int step_from_version_ = -1;                  ///< The active version that the step starts from.
+  std::map<BlockerKey, double> blocked_since_;  ///< Since when (loop time), by blocker.
+  std::string logged_refusal_;                  ///< The latest refusal that was logged.
+  double step_since_ = 0;       ///< Since when a step is due (loop time); 0 if none is.
+  int step_from_version_ = -1;  ///< The active version at the latest evaluation.
   bool is_commit_in_flight_ = false;
   TagSequence tags_;
 };
--- a/src/controller/shard_controller.cpp
+++ b/src/controller/shard_controller.cpp
@@ -9,9 +9,11 @@
 
 namespace shunttrail::controller {
 namespace {
-/// Between the first cause of a scheduling pass and the pass: what comes meanwhile shares it.
+/// Delay between the first cause of a scheduling pass and the pass. Causes that arrive in the
+/// meantime share the pass.
 constexpr double kPassDelayS = 0.04;
-/// The letters of the shards' tags begin at 'a' and are used again after so many shards.
+/// Number of letters, beginning at 'a', used in the shards' tags. Shards beyond that number reuse
+/// them.
 constexpr int kShardLetters = 20;
 /// The scheduler's random seed is its token, spread by Knuth's multiplicative hash.
 constexpr std::uint64_t kSeedMultiplier = 2654435761;
@@ -79,7 +81,7 @@
   });
 }
 
-// ---- the cloud's answers
+// ---- the cloud's responses
 
 void ShardController::cloud_requests(bool with_returns, std::function<void(CloudRequests)> then) {
   post([this, with_returns, then = std::move(then)] {
@@ -96,7 +98,7 @@
 void ShardController::rented(std::uint64_t opened_under, scheduler::ScaleOutRequest request,
                              std::vector<std::string> machines) {
   post([this, opened_under, request = std::move(request), machines = std::move(machines)] {
-    // Machines rented for a scheduler that is closed send heartbeats, and are adopted.
+    // Machines rented for a scheduler that has been closed will send heartbeats and be adopted.
     if (is_current(opened_under)) scheduler_->rented(request, machines, now());
     schedule_pass();
   });
@@ -154,8 +156,8 @@
         on_machine_set(change.name);
         break;
       case state::Change::machine_gone:
-        // Only what the cloud has deleted leaves the inventory, or what has gone on to another part
-        // of its page: such a machine is still there, and so are its tasks.
+        // A machine leaves the inventory only once the cloud has deleted it. If it was only moved
+        // to another part of its page, the cache still has it, and its tasks continue.
         if (!state_store().cache().machine(change.name)) remove_machine(change.name);
         break;
       default:
@@ -187,13 +189,14 @@
   return job.delegation && job.delegation->is_readable && job.delegation->shard == shard();
 }
 
-// Takes the job if its team belongs to this shard, or it is delegated here.
+// Adds the job to the scheduler if its team belongs to this shard, or if it is delegated to this
+// shard.
 void ShardController::add_job(const std::string& id, const state::JobEntry& job) {
   const int team = settings().team_index(job.record.spec.team);
   if (!has_team(team) && !is_delegated_here(job.record)) return;
   const double loop_now = now();
   const double wall_now = loop_.wall_now();
-  // Of a delegated job, only what this shard has stored itself counts as stored.
+  // For a delegated job, only the results that this shard has stored itself count as done.
   const state::StateCache& cache = state_store().cache();
   const auto done = job.record.delegation ? cache.done(id, shard()) : cache.done(id);
   scheduler_->job_added(job.record, team, done, loop_now, wall_now);
--- a/src/controller/shard_controller.h
+++ b/src/controller/shard_controller.h
@@ -1,4 +1,4 @@
-/// One shard at this node: the actor that owns the shard's scheduler while this node leads it.
+/// One shard at this node: the actor that has the shard's scheduler while this node leads it.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -20,57 +20,64 @@
 
 /// How a heartbeat reached this node.
 enum class HeartbeatPath {
-  direct,   ///< From the worker.
-  relayed,  ///< From a sibling, since the worker does not reach this node.
+  direct,   ///< Directly from the worker.
+  relayed,  ///< Relayed by another controller, since the worker cannot reach this node.
 };
 
-/// Wires the parts of one shard together and brings them what concerns the shard: changes of the
-/// cached state, heartbeats, and what the cloud answers. Public methods, but for the const ones,
-/// leave a message in the actor's mailbox and return at once.
+/// Connects the parts of one shard and passes them the events that concern it: changes of the
+/// cached state, heartbeats, and responses of the cloud. Public methods that are not const post a
+/// message to the actor's mailbox and return at once.
 class ShardController : public actor::Actor, private ShardHost {
  public:
   ShardController(actor::Loop& loop, ControllerComponents& components, int shard);
 
-  /// Null: this node does not lead the shard.
+  /// Returns the scheduler; null if this node does not lead the shard.
   [[nodiscard]] const scheduler::ShardScheduler* scheduler() const { return scheduler_.get(); }
-  /// Responses of workers that could not be decoded.
+  /// Returns the number of workers' responses that could not be decoded.
   [[nodiscard]] std::uint64_t malformed() const { return direct_commands_.malformed(); }
 
-  /// To be called at short, regular intervals.
+  /// Advances the scheduler's time, probes silent workers and runs a scheduling pass. Must be
+  /// called at short, regular intervals.
   void tick();
-  /// The leader of the shard may have changed.
+  /// Checks whether this node has to take, keep or give up the shard's leadership.
   void reconsider_leadership();
-  /// Responds now, or once a commit that the response waits for is applied.
+  /// Handles a worker's heartbeat. Responds at once, or once the commit that the response waits for
+  /// is applied.
   void take_heartbeat(net::ExchangePtr exchange, wire::Heartbeat heartbeat,
                       HeartbeatPath path = HeartbeatPath::direct);
-  /// Jobs that depend on this one have come or gone. `due`: loop time.
+  /// Sets a job's effective priority, after jobs that depend on it were added or removed. `due` is
+  /// in loop time.
   void set_effective_priority(std::string job, wire::Priority priority, double due);
-  /// Another shard lacks machines.
+  /// Requests the transfer of machines to another shard that lacks them.
   void transfer(scheduler::MachineTransfer transfer);
 
-  /// What other shards offer for waiting tasks (docs/delegation.md).
+  /// Sets the free capacity that other shards offer for waiting tasks (docs/delegation.md).
   void set_room_offers(std::vector<scheduler::RoomOffer> offers);
 
-  /// What the cloud is to be asked for. Its answers name the scheduler by the token that it was
-  /// opened under: for another scheduler they come too late.
+  /// Requests to the cloud. The calls that report their outcomes name the scheduler by the token
+  /// under which it was opened. An outcome for a scheduler that has been closed since is ignored.
   struct CloudRequests {
     std::uint64_t opened_under = 0;
     std::vector<std::string> machines_to_return;
     std::vector<scheduler::ScaleOutRequest> scale_out;
   };
-  /// Hands `then` the present requests, each once; those to return machines only if `with_returns`.
+  /// Calls `then` with the new requests, each of which is passed on only once. Machines to return
+  /// are included only if `with_returns` is true.
   void cloud_requests(bool with_returns, std::function<void(CloudRequests)> then);
-  /// A scale-out request was granted.
+  /// Reports the machines that were rented for a scale-out request.
   void rented(std::uint64_t opened_under, scheduler::ScaleOutRequest request,
               std::vector<std::string> machines);
-  /// A scale-out request was refused; `no_capacity`: since the cloud has no such machines left.
+  /// Reports that a scale-out request was refused. `no_capacity` is true if the cloud has no such
+  /// machines left.
   void rent_refused(std::uint64_t opened_under, scheduler::ScaleOutRequest request,
                     bool no_capacity);
-  /// The cloud answered the deletion of these machines; `is_deleted`: they are gone.
+  /// Reports the outcome of a deletion. `is_deleted` is true if the machines are gone, and false if
+  /// the deletion failed and has to be requested again.
   void deleted(std::uint64_t opened_under, std::vector<std::string> machines, bool is_deleted);
-  /// The cloud's list says that the machine failed, or (`is_unlisted`) has it no more.
+  /// Reports that the machine is listed as failed or, if `is_unlisted`, that the cloud does not
+  /// list it any more.
   void machine_failed(std::string machine, bool is_unlisted);
-  /// The cloud's list says where the machine is reached.
+  /// Sets the address that the cloud's list gives for the machine.
   void set_machine_address(std::string machine, std::string address);
 
  private:
--- a/src/controller/shard_host.h
+++ b/src/controller/shard_host.h
@@ -1,4 +1,4 @@
-/// What the parts of one shard controller share with each other and ask of their owner.
+/// The interface between a shard controller and its parts.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -12,9 +12,9 @@
 
 namespace shunttrail::controller {
 
-/// The owner of one shard's parts: leadership, transactions, heartbeat responses and direct
-/// commands. All parts run in the owner's actor, so none of them needs a lock; each asks for the
-/// others' work through this interface and knows nothing else of them.
+/// The interface that a shard controller offers its parts: leadership, transactions, heartbeat
+/// responses and direct commands. All parts run in the shard controller's actor, so none of them
+/// needs a lock. They request each other's work only through this interface.
 class ShardHost {
  public:
   ShardHost(actor::Actor& actor, const actor::Loop& loop, ControllerComponents& components,
@@ -24,30 +24,30 @@
   ShardHost& operator=(const ShardHost&) = delete;
   virtual ~ShardHost() = default;
 
-  /// The scheduler while this node leads the shard; null: it does not.
+  /// Returns the scheduler; null if this node does not lead the shard.
   [[nodiscard]] virtual scheduler::ShardScheduler* active_scheduler() = 0;
-  /// Makes the scheduler from the cached state, under the fencing token `token`.
+  /// Creates the scheduler from the cached state, under the fencing token `token`.
   virtual void open_scheduler(std::uint64_t token) = 0;
-  /// Drops the scheduler and everything that was to be sent in its name.
+  /// Destroys the scheduler and discards everything that was to be sent on its behalf.
   virtual void close_scheduler() = 0;
   /// Checks whether leadership has to be taken, kept, handed over or given up.
   virtual void decide_leadership() = 0;
-  /// Arms the next scheduling pass, unless it is armed.
+  /// Schedules the next scheduling pass, unless one is scheduled already.
   virtual void schedule_pass() = 0;
-  /// Sends the direct commands and the transaction that may go out now.
+  /// Sends the direct commands and the transaction that may be sent now.
   virtual void send_pending_work() = 0;
   /// Answers the held heartbeats that need not wait any longer.
   virtual void flush_held_responses() = 0;
-  /// A tag for the next write in this shard's name.
+  /// Returns the tag for the next write on this shard's behalf.
   [[nodiscard]] virtual std::string next_tag() = 0;
 
-  /// Whether the active scheduler is the one that was opened under this token: answers to requests
-  /// of an earlier one come too late.
+  /// Returns whether the active scheduler is the one that was opened under this token. Responses to
+  /// requests of an earlier scheduler must be ignored.
   [[nodiscard]] bool is_current(std::uint64_t opened_under) {
     const scheduler::ShardScheduler* scheduler = active_scheduler();
     return scheduler && scheduler->opened_under() == opened_under;
   }
-  /// Whether the state service was read recently enough to start tasks (docs/safety.md).
+  /// Returns whether the state service was read recently enough to start tasks (docs/safety.md).
   [[nodiscard]] bool may_start_tasks() const {
     return components_.state_store->fresh(kStartMaxReadAgeS);
   }
@@ -57,7 +57,7 @@
   [[nodiscard]] const config::Settings& settings() const { return components_.settings; }
   [[nodiscard]] const StateStore& state_store() const { return *components_.state_store; }
 
-  /// A reply address of the owner's actor (actor::Actor::reply).
+  /// Returns a reply address (actor::Actor::reply) of the shard controller's actor.
   template <class... Values, class Handler>
   std::function<void(Values...)> reply(Handler handler) {
     return actor_.reply<Values...>(std::move(handler));
--- a/src/controller/state_store.cpp
+++ b/src/controller/state_store.cpp
@@ -8,24 +8,25 @@
 namespace shunttrail::controller {
 namespace {
 
-/// Between the beginnings of two watches: changes come in bundles.
+/// Shortest interval between the beginnings of two watches, so that several changes are delivered
+/// at once.
 constexpr double kWatchIntervalS = 0.15;
 constexpr int kWatchBlockMs = 1000;
 constexpr double kWatchBackoffStepS = 0.1;
 constexpr double kMaxWatchBackoffS = 1;
-/// Between two linearizable reads.
+/// Shortest interval between two linearizable reads.
 constexpr double kReadIntervalS = 0.06;
-/// Before the first one: requests that come together share it.
+/// Delay before a linearizable read, so that requests that arrive together share it.
 constexpr double kReadDelayS = 0.004;
 
-/// The response to a watch from a revision that the state service has compacted.
+/// Status of a response to a watch from a revision that the state service has compacted.
 constexpr int kRevisionCompacted = 410;
 
 void require_ok(const net::Result& response) {
   if (response.status != 200) throw wire::Malformed("status " + std::to_string(response.status));
 }
 
-// The events that the cache takes: only they are kept beside a commit in flight.
+// Returns the events that concern the cache. Only these are kept while the commit is in flight.
 std::vector<wire::Event> cached_events(const wire::Transaction& transaction) {
   std::vector<wire::Event> events;
   for (const auto& op : transaction.ops)
@@ -62,8 +63,7 @@
 
 void StateStore::reload() {
   is_loading_ = true;
-  // What is known of the first keys is as old as the first request, so the age of the whole read
-  // counts from there.
+  // The first page is as old as the first request, so the age of the whole read counts from there.
   FullRead read;
   read.began_at = loop_.now();
   read_page(std::move(read));
@@ -88,8 +88,8 @@
     is_loading_ = false;
     return;
   }
-  // The first page's revision counts: what changes while the pages are read is read again by the
-  // watch.
+  // The watch starts at the first page's revision: changes made while the other pages are read are
+  // then read again by the watch.
   if (!read.revision) read.revision = page.revision;
   const bool has_next = page.more && !page.items.empty();
   for (auto& item : page.items) read.items.push_back(std::move(item));
--- a/src/controller/state_store.h
+++ b/src/controller/state_store.h
@@ -1,5 +1,5 @@
-/// The state service as this node knows it: the cache, the watch that keeps it current,
-/// linearizable reads, and commits.
+/// The state service as seen by this node: the cache, the watch that keeps it current, linearizable
+/// reads, and commits.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -16,47 +16,50 @@
 /// Changes of the cache, shared by all listeners.
 using Changes = std::shared_ptr<const std::vector<state::Change>>;
 
-/// Keeps a cache of everything under the root prefix and handles the failures of the state service:
-/// whoever commits learns whether the commit was applied and, if that is not so or not known, can
-/// have everything read again first. Callbacks are reply addresses (actor::Actor::reply).
+/// Caches all keys under the root prefix and handles failures of the state service. A committer is
+/// notified whether its commit was applied. If it was not, or the outcome is unknown, the store can
+/// read the state again before it notifies the committer. Callbacks are reply addresses
+/// (actor::Actor::reply).
 class StateStore : public actor::Actor {
  public:
   StateStore(actor::Loop& loop, const config::Settings& settings, state::Client& client);
 
-  /// Tells `listener` of every change of the cache, in order. Listeners are told in the order in
+  /// Calls `listener` for every change of the cache, in order. Listeners are called in the order in
   /// which they were added.
   void listen(std::function<void(Changes)> listener) { listeners_.push_back(std::move(listener)); }
-  /// To be called at short, regular intervals.
+  /// Starts a full read if the cache is not loaded. Must be called at short, regular intervals.
   void tick();
 
   [[nodiscard]] const state::StateCache& cache() const { return cache_; }
-  /// Whether the cache holds all keys and the watch goes on from there.
+  /// Returns whether the cache holds all keys and the watch continues from its revision.
   [[nodiscard]] bool loaded() const { return is_loaded_; }
-  /// Whether the latest successful read began less than `max_age_s` ago.
+  /// Returns whether the latest successful read began less than `max_age_s` ago.
   [[nodiscard]] bool fresh(double max_age_s) const;
 
-  /// A read that begins after this call: whatever was committed before is in the cache once `then`
-  /// is told true; false: the read failed. Requests that come while one is in flight share the next
-  /// one.
+  /// Starts a read after this call. Calls `then` with true once the cache holds everything that was
+  /// committed before the call, or with false if the read failed. Requests made while a read is in
+  /// flight share the next one.
   void linearizable_read(std::function<void(bool)> then);
-  /// A transaction that was applied is in the cache, and listeners are told, before `done` is. One
-  /// that could not be sent within `timeout_s` is not executed.
+  /// Commits a transaction. If it is applied, the cache is updated and the listeners are called
+  /// before `done`. A transaction that could not be sent within `timeout_s` is not executed.
   void commit(wire::Transaction transaction, state::RequestPriority priority, double timeout_s,
               std::function<void(state::CommitResult)> done);
-  /// Takes over a transaction whose response was lost and that was found to have been applied.
+  /// Updates the cache by a transaction whose response was lost and that turned out to have been
+  /// applied.
   void apply_commit(const wire::Transaction& transaction, std::uint64_t revision,
                     std::function<void()> done);
-  /// As `commit`; a transaction that was not applied, or perhaps not, is followed by a read, so
-  /// that what is decided next is decided by what is stored then.
+  /// Commits like `commit`. If the transaction was not applied, or the outcome is unknown, the
+  /// state is read again before `done` is called, so that the next decision is based on the stored
+  /// state.
   void commit_or_reread(wire::Transaction transaction, state::RequestPriority priority,
                         double timeout_s, std::function<void(state::CommitResult)> done);
 
  private:
   /// A read of all keys, page by page.
   struct FullRead {
-    double began_at = 0;  ///< When the first page was asked for, loop time.
+    double began_at = 0;  ///< When the first page was requested, loop time.
     std::string last_key;
-    std::uint64_t revision = 0;  ///< Of the first page; 0: not read yet.
+    std::uint64_t revision = 0;  ///< Revision of the first page; 0 before it is read.
     std::vector<wire::Event> items;
   };
   void reload();
@@ -82,7 +85,7 @@
   /// When the latest successful read of the state service began, loop time.
   double last_read_at_ = -1e9;
   double next_watch_at_ = 0;
-  /// After the latest failed watch; grows with each until one succeeds.
+  /// Delay after the latest failed watch; it grows with each failure until a watch succeeds.
   double watch_backoff_s_ = 0;
   std::vector<std::function<void(bool)>> read_waiters_;
   bool is_read_scheduled_ = false;
--- a/src/controller/tag_sequence.h
+++ b/src/controller/tag_sequence.h
@@ -1,4 +1,4 @@
-/// Tags: the values by which a process recognizes what it has written itself.
+/// Tags: values by which a process recognizes its own writes.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -7,16 +7,17 @@
 
 namespace shunttrail::controller {
 
-/// Hands out the tags of one writer of this process. No tag is handed out twice, not by other
-/// processes either (Membership::tag), so a tag found in the state service proves that the write
-/// that carried it was applied.
+/// Generates the tags of one writer of this process. No tag is generated twice, not even by another
+/// process (Membership::tag). A tag that is found in the state service therefore proves that the
+/// write with that tag was applied.
 class TagSequence {
  public:
-  /// `letter` tells the writers of one process apart.
+  /// `letter` distinguishes the writers of one process.
   TagSequence(const ControllerComponents& components, char letter)
       : components_(components), letter_(letter) {}
 
-  /// The next tag. Valid only while the process has an id (Membership::process_id).
+  /// Returns the next tag. Must not be called before the process has an id
+  /// (Membership::process_id).
   [[nodiscard]] std::string next();
 
  private:
--- a/src/controller/transaction_pipeline.cpp
+++ b/src/controller/transaction_pipeline.cpp
@@ -8,12 +8,12 @@
 
 namespace shunttrail::controller {
 namespace {
-/// Between two commits of a shard. Every controller reads every change: waiting makes the commits
-/// fewer and fuller.
+/// Shortest interval between two commits of a shard. Every controller reads every change, so fewer,
+/// larger commits cost less.
 constexpr double kCommitIntervalS = 0.1;
-/// Before a transaction whose outcome is not known is sent again.
+/// Delay before a transaction whose outcome is unknown is sent again.
 constexpr double kRetryDelayS = 0.3;
-/// A transaction that could not be sent by then is made anew.
+/// Time after which a transaction that could not be sent is abandoned and sent again later.
 constexpr double kCommitTimeoutS = 5;
 
 constexpr std::string_view kJobResultPrefix = state::kJobResults;
@@ -32,19 +32,21 @@
   send();
 }
 
-// True if there is a new transaction to send.
+// Builds the next transaction. Returns true if there is one to send.
 bool TransactionPipeline::prepare_transaction() {
   scheduler::ShardScheduler& scheduler = *host_.active_scheduler();
   const double now = host_.now();
   if (scheduler.transaction_in_flight()) return false;
-  // The token is advanced between transactions: a busy scheduler would never be without one, and
-  // machines that came from another shard would stand idle until it was.
+  // A needed token is obtained before the next transaction is built. A busy scheduler always has
+  // another transaction, so the token would never be advanced, and machines that were transferred
+  // from another shard would stay idle.
   if (scheduler.needs_new_token(now)) {
     host_.decide_leadership();
     return false;
   }
-  // Not made before it can be sent: urgent starts would wait behind a transaction that waits for
-  // the write rate, and twice as many would be made.
+  // The transaction is built only when the write rate permits sending it. Built earlier, urgent
+  // starts would wait behind a transaction that is itself waiting for the write rate, and twice as
+  // many transactions would be built.
   state::Client& client = host_.components().state_client;
   state::TransactionLimits limits = client.limits().transaction_limits();
   const std::size_t budget = client.writes_now(state::RequestPriority::work);
@@ -90,9 +92,10 @@
   }
 }
 
-// A precondition has changed, or the limits have fallen, or this is the second copy of a
-// transaction whose first response was lost: the tag on one of the keys that it writes tells. What
-// was not applied is made anew, in a size that is chosen then.
+// Finds out whether a refused transaction was applied earlier. Either a precondition or the limits
+// have changed, or this is the second copy of a transaction whose first response was lost. The tag
+// in one of the keys that it writes tells which. If it was not applied, the scheduler builds a new
+// one, whose size is chosen then.
 void TransactionPipeline::read_outcome(std::uint64_t opened_under) {
   const wire::Transaction::Op* last_write = nullptr;
   for (const auto& op : transaction_.ops)
@@ -106,7 +109,8 @@
       }));
 }
 
-// The present value of a key that the transaction was to write: applied if it has our tag.
+// Handles the present value of a key that the transaction writes. The transaction was applied if
+// the value has its tag.
 void TransactionPipeline::on_outcome_read(std::uint64_t opened_under, bool only_deletes,
                                           const net::Result& response) {
   if (response.status == 404) return on_not_applied();
@@ -137,7 +141,7 @@
   host_.send_pending_work();
 }
 
-// Before the next transaction is made, what made this one fail has to be read.
+// Reads the change that made the transaction fail before the next one is built.
 void TransactionPipeline::on_not_applied() {
   const std::uint64_t opened_under = host_.active_scheduler()->opened_under();
   host_.components().state_store->linearizable_read(
--- a/src/controller/transaction_pipeline.h
+++ b/src/controller/transaction_pipeline.h
@@ -1,4 +1,4 @@
-/// Group commit of one shard: at most one transaction in flight, until its outcome is known.
+/// Group commit for one shard, with at most one transaction in flight until its outcome is known.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -7,16 +7,17 @@
 
 namespace shunttrail::controller {
 
-/// Commits the transactions that the shard's scheduler makes. One whose outcome is not known is
-/// sent again unchanged; its preconditions let it be applied only once (docs/safety.md).
+/// Commits the transactions that the shard's scheduler builds. A transaction whose outcome is
+/// unknown is sent again unchanged; its preconditions ensure that it is applied at most once
+/// (docs/safety.md).
 class TransactionPipeline {
  public:
   explicit TransactionPipeline(ShardHost& host) : host_(host) {}
 
-  /// Sends the next transaction, or the unresolved one again, if one may go out now. The shard has
-  /// to have an active scheduler and no leadership commit in flight.
+  /// Sends the next transaction, or resends the one whose outcome is unknown, if it may be sent
+  /// now. The shard must have an active scheduler and no leadership commit in flight.
   void commit_next();
-  /// The scheduler was closed: its transaction is of no concern any more.
+  /// Discards the transaction of a scheduler that was closed.
   void reset() { must_resend_ = false; }
 
  private:
@@ -33,9 +34,9 @@
   ShardHost& host_;
   /// The transaction in flight, kept until its outcome is known.
   wire::Transaction transaction_;
-  /// Tag of what the transaction writes.
+  /// Tag of the values that the transaction writes.
   std::string tag_;
-  /// The transaction in flight has to be sent again.
+  /// The transaction in flight has to be sent again, since its outcome is unknown.
   bool must_resend_ = false;
   double next_commit_at_ = 0;
 };
