--- a/app/shunttrail-controller.cpp
+++ b/app/shunttrail-controller.cpp
@@ -47,7 +47,7 @@
     controller::Controller controller(loop, settings, tuning);
     loop.run();
   } catch (const std::exception& error) {
-    spdlog::error("{}", error.what());
+    spdlog::error("the controller ends after an error: {}", error.what());
     return 1;
   }
   return 0;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -74,8 +74,9 @@
     if (controller->scheduler()) spdlog::info("scheduler {}", controller->scheduler()->summary());
   const auto cost = state_client_.cost();
   spdlog::info(
-      "state service: {} answered 429, {:.1f} s waited, {:.1f} writes a second, {} queued; "
-      "{} jobs wait for others, {} made ready, {} cancelled with others",
+      "state service: {} requests answered 429, {:.1f} s waited, {:.1f} writes a second, "
+      "{} requests queued; jobs: {} wait for dependencies, {} made ready, {} cancelled with a "
+      "dependency",
       cost.refused, cost.waited_s, cost.write_rate, state_client_.queued(),
       state_store_.cache().waiting().size(), job_results_.made_ready(),
       job_results_.cancelled_with_dependencies());
--- a/src/controller/direct_command_sender.cpp
+++ b/src/controller/direct_command_sender.cpp
@@ -72,7 +72,8 @@
     scheduler->take_heartbeat(wire::decode_heartbeat(response.body), host_.now(), true);
   } catch (const wire::Malformed& error) {
     ++malformed_;
-    spdlog::info("malformed response from {}: {}", commands.machine, error.what());
+    spdlog::info("cannot decode the response of machine {} to direct commands: {}",
+                 commands.machine, error.what());
   }
   host_.send_pending_work();
 }
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -88,7 +88,8 @@
   // (400).
   const bool is_unsupported = response.status == 404 || response.status == 400;
   if (is_unsupported) {
-    spdlog::info("{} takes no relayed heartbeats", node_name(leader));
+    spdlog::info("relaying a heartbeat to {}: its build does not support it (status {})",
+                 node_name(leader), response.status);
     routes_.unavailable(leader, now);
   }
   const bool is_worker_response = response.status == 200 || response.status == 421;
--- a/src/controller/job_results.cpp
+++ b/src/controller/job_results.cpp
@@ -147,7 +147,7 @@
     try {
       cache_result(found.back(), wire::decode_job_result(*item.value));
     } catch (const wire::Malformed& error) {
-      spdlog::error("{}: {}", item.key, error.what());
+      spdlog::error("cannot decode the final record {}: {}", item.key, error.what());
     }
   }
   return found;
--- a/src/controller/leadership_mover.cpp
+++ b/src/controller/leadership_mover.cpp
@@ -69,8 +69,8 @@
   transaction.preconditions = move.preconditions;
   transaction.ops.push_back({state::leader_key(host_.shard()),
                              wire::encode_record(wire::LeaderRecord{node, host_.next_tag()}), 0});
-  spdlog::info("shard {}: {} leadership -> {}", host_.shard(), is_take ? "take" : "hand over",
-               node);
+  spdlog::info("shard {}: committing {} as its leader ({})", host_.shard(), node,
+               is_take ? "taking the shard" : "handing it over");
   commit(std::move(transaction));
 }
 
@@ -82,13 +82,13 @@
   transaction.preconditions.emplace_back(key, token);
   transaction.ops.push_back(
       {key, wire::encode_record(wire::LeaderRecord{host_.settings().node, token_commit_tag_}), 0});
-  spdlog::info("shard {}: advancing token {}", host_.shard(), token);
+  spdlog::info("shard {}: advancing the fencing token from {}", host_.shard(), token);
   commit(std::move(transaction));
 }
 
 void LeadershipMover::close_scheduler() {
   last_closed_token_ = host_.active_scheduler()->token();
-  spdlog::info("shard {}: closing token {}", host_.shard(), last_closed_token_);
+  spdlog::info("shard {}: closing the scheduler of token {}", host_.shard(), last_closed_token_);
   host_.close_scheduler();
 }
 
--- a/src/controller/schema_manager.cpp
+++ b/src/controller/schema_manager.cpp
@@ -83,7 +83,8 @@
 void SchemaManager::log_refusal() {
   std::string reason = refusal();
   if (reason == logged_refusal_) return;
-  if (!reason.empty()) spdlog::error("this node serves nothing: {}", reason);
+  if (!reason.empty())
+    spdlog::error("node {} cannot serve any request: {}", components_.settings.node, reason);
   logged_refusal_ = std::move(reason);
 }
 
@@ -97,8 +98,8 @@
     const bool is_new = known == blocked_since_.end();
     blocked_since[key] = is_new ? now : known->second;
     if (is_new)
-      spdlog::info("schema: version {} is active; blocked by {}, which {}", active, blocker.by,
-                   blocker.reason);
+      spdlog::info("schema: version {} is active; the next step is blocked by {}, which {}", active,
+                   blocker.by, blocker.reason);
   }
   blocked_since_ = std::move(blocked_since);
 }
@@ -129,8 +130,8 @@
       kStepTimeoutS, reply<state::CommitResult>([this, next](const state::CommitResult& result) {
         is_commit_in_flight_ = false;
         if (result.kind == state::CommitResult::applied)
-          spdlog::info("schema: version {} is active, forms of {} to {} may be stored", next.active,
-                       next.lowest, next.highest);
+          spdlog::info("schema: version {} is active; forms of versions {} to {} may be stored",
+                       next.active, next.lowest, next.highest);
         evaluate();
       }));
 }
@@ -144,11 +145,12 @@
   } catch (const wire::Malformed& error) {
     return exchange->send(error_response(400, error.what()));
   }
-  components_.state_store->linearizable_read(
-      reply<bool>([this, exchange, order = std::move(order)](bool is_read) {
-        if (is_read) return commit_order(exchange, order);
-        exchange->send(error_response(503, "the state service cannot be read", kOrderRetryAfterS));
-      }));
+  components_.state_store->linearizable_read(reply<bool>([this, exchange,
+                                                          order = std::move(order)](bool is_read) {
+    if (is_read) return commit_order(exchange, order);
+    exchange->send(error_response(
+        503, "the order was not carried out: the state service cannot be read", kOrderRetryAfterS));
+  }));
 }
 
 void SchemaManager::commit_order(const net::ExchangePtr& exchange, const schema::Order& order) {
@@ -165,7 +167,8 @@
         evaluate();
         if (result.kind == state::CommitResult::applied)
           return exchange->send({200, describe(), 0});
-        exchange->send(error_response(503, "not carried out, or not known", kOrderRetryAfterS));
+        exchange->send(error_response(503, "the order was not committed, or its outcome is unknown",
+                                      kOrderRetryAfterS));
       }));
 }
 
--- a/src/controller/shard_controller.cpp
+++ b/src/controller/shard_controller.cpp
@@ -230,7 +230,8 @@
   for (const auto& [number, page] : cache.placement_pages(shard()))
     scheduler_->recover_page(number, page, opened_at);
   scheduler_->sync_delegations(cache, opened_at);
-  spdlog::info("shard {}: leading under token {} {}", shard(), token, scheduler_->summary());
+  spdlog::info("shard {}: opened the scheduler of token {}: {}", shard(), token,
+               scheduler_->summary());
   scheduler_->tick(opened_at);
   schedule_pass();
 }
--- a/src/controller/state_store.cpp
+++ b/src/controller/state_store.cpp
@@ -84,7 +84,8 @@
     require_ok(response);
     page = wire::decode_keys(response.body);
   } catch (const wire::Malformed& error) {
-    spdlog::info("cannot read the state service: {}", error.what());
+    spdlog::info("reading all keys: the page after key '{}' cannot be read: {}", read.last_key,
+                 error.what());
     is_loading_ = false;
     return;
   }
@@ -127,7 +128,7 @@
 void StateStore::on_watch_response(double began_at, const net::Result& response) {
   if (response.status == kRevisionCompacted) {
     is_loaded_ = false;
-    spdlog::info("the watch revision is compacted: reading all keys");
+    spdlog::info("watch: revision {} is compacted, reading all keys", cache_.revision());
     return;
   }
   try {
@@ -151,7 +152,8 @@
 void StateStore::delay_watch(const char* why) {
   watch_backoff_s_ = std::min(kMaxWatchBackoffS, watch_backoff_s_ * 2 + kWatchBackoffStepS);
   next_watch_at_ = loop_.now() + watch_backoff_s_;
-  spdlog::debug("watch: {}", why);
+  spdlog::debug("watch from revision {} failed, retrying in {:.1f} s: {}", cache_.revision(),
+                watch_backoff_s_, why);
 }
 
 // ---- linearizable reads
--- a/src/controller/worker_api.cpp
+++ b/src/controller/worker_api.cpp
@@ -54,7 +54,7 @@
     heartbeat = wire::decode_heartbeat(exchange->body);
   } catch (const wire::Malformed& error) {
     ++malformed_;
-    spdlog::info("malformed heartbeat: {}", error.what());
+    spdlog::info("cannot decode a heartbeat of {} bytes: {}", exchange->body.size(), error.what());
     return exchange->send({400, "{}", 0});
   }
   // A leader that has not read the state service within the staleness bound may have been replaced,
