--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -14,325 +14,342 @@
 namespace {
 
 constexpr int kNodes = 3;
-constexpr double kStep = 0.05, kHold = 8;
+constexpr double kStepS = 0.05, kLeaseS = 8;
 
-// The state service with holds.
-struct Service {
-  struct Hold {
-    double until;
+// The state service with leases.
+struct LeasedStateService {
+  struct Lease {
+    double expires_at;
     std::set<std::string> keys;
   };
   Store store;
-  std::map<std::uint64_t, Hold> holds;
-  std::uint64_t next = 1;
+  std::map<std::uint64_t, Lease> leases;
+  std::uint64_t next_lease_id = 1;
 
-  std::optional<std::uint64_t> commit(const wire::Transaction& t) {
-    for (const auto& op : t.ops)
-      if (op.lease && !holds.contains(op.lease)) return std::nullopt;
-    auto revision = store.commit(t);
+  std::optional<std::uint64_t> commit(const wire::Transaction& transaction) {
+    for (const auto& op : transaction.ops)
+      if (op.lease && !leases.contains(op.lease)) return std::nullopt;
+    auto revision = store.commit(transaction);
     if (!revision) return revision;
-    for (const auto& op : t.ops) {
-      for (auto& [id, h] : holds) h.keys.erase(op.key);
-      if (op.lease && op.value) holds[op.lease].keys.insert(op.key);
+    for (const auto& op : transaction.ops) {
+      for (auto& [id, lease] : leases) lease.keys.erase(op.key);
+      if (op.lease && op.value) leases[op.lease].keys.insert(op.key);
     }
     return revision;
   }
   void tick(double now) {
-    for (auto it = holds.begin(); it != holds.end();) {
-      if (it->second.until > now) {
+    for (auto it = leases.begin(); it != leases.end();) {
+      if (it->second.expires_at > now) {
         ++it;
         continue;
       }
-      wire::Transaction t;
-      for (const auto& k : it->second.keys) t.ops.push_back({k, std::nullopt, 0});
-      it = holds.erase(it);
-      if (!t.ops.empty()) store.commit(t);
+      wire::Transaction transaction;
+      for (const auto& key : it->second.keys) transaction.ops.push_back({key, std::nullopt, 0});
+      it = leases.erase(it);
+      if (!transaction.ops.empty()) store.commit(transaction);
     }
   }
 };
 
-class Restarts {
+class RestartSimulation {
  public:
-  explicit Restarts(unsigned seed) : rng_(seed), base_(make_settings(kNodes)) {
-    for (int n = 0; n < kNodes; ++n) start(n);
-    pass(20);
+  explicit RestartSimulation(unsigned seed) : rng_(seed), settings_(make_settings(kNodes)) {
+    for (int node = 0; node < kNodes; ++node) start(node);
+    advance(20);
   }
 
   // One process's life from what it is asked; all that it sends may come late, or unanswered.
   struct Process {
     int node = 0;
     config::Settings settings;
-    std::unique_ptr<state::StateCache> world;
-    std::unique_ptr<shard::LeaderElection> ownership;
-    std::uint64_t id = 0, boot = 0, hold = 0, mine = 0, tags = 0;
-    bool asked_hold = false, registering = false;
-    double read_at = 0, renew_at = 0, born = 0, displaced_after = 0;
-    std::vector<bool> moving;
-    std::vector<std::uint64_t> acts, spent;  // by shard
-    std::string tags_begin() const { return settings.node + "." + std::to_string(boot) + "."; }
+    std::unique_ptr<state::StateCache> cache;
+    std::unique_ptr<shard::LeaderElection> election;
+    std::uint64_t number = 0, process_id = 0, lease_id = 0, registered_revision = 0, tag_count = 0;
+    bool is_lease_requested = false, is_registering = false;
+    double next_read_at = 0, next_renewal_at = 0, started_at = 0, may_overwrite_at = 0;
+    std::vector<bool> is_move_in_flight;
+    std::vector<std::uint64_t> acting_tokens, closed_tokens;  // by shard
+    std::string tag_prefix() const {
+      return settings.node + "." + std::to_string(process_id) + ".";
+    }
   };
 
   void start(int node) {
-    auto p = std::make_shared<Process>();
-    p->node = node;
-    p->settings = base_;
-    p->settings.self = node;
-    p->settings.node = base_.nodes[static_cast<std::size_t>(node)];
-    p->world = std::make_unique<state::StateCache>(p->settings);
-    p->ownership = std::make_unique<shard::LeaderElection>(p->settings);
-    p->id = ++ids_;
-    p->born = now_;
-    p->read_at = now_ + 0.1;
-    p->moving.assign(kNodes, false);
-    p->acts.assign(kNodes, 0);
-    p->spent.assign(kNodes, 0);
-    live_.push_back(p);
+    auto process = std::make_shared<Process>();
+    process->node = node;
+    process->settings = settings_;
+    process->settings.self = node;
+    process->settings.node = settings_.nodes[static_cast<std::size_t>(node)];
+    process->cache = std::make_unique<state::StateCache>(process->settings);
+    process->election = std::make_unique<shard::LeaderElection>(process->settings);
+    process->number = ++process_count_;
+    process->started_at = now_;
+    process->next_read_at = now_ + 0.1;
+    process->is_move_in_flight.assign(kNodes, false);
+    process->acting_tokens.assign(kNodes, 0);
+    process->closed_tokens.assign(kNodes, 0);
+    running_.push_back(process);
   }
   void kill(int node) {
-    std::erase_if(live_, [&](const auto& p) { return p->node == node; });
+    std::erase_if(running_, [&](const auto& process) { return process->node == node; });
   }
   void restart(int node, double delay) {
     kill(node);
-    std::erase_if(starts_, [&](const auto& s) { return s.second == node; });
-    starts_.push_back({now_ + delay, node});
+    std::erase_if(scheduled_starts_,
+                  [&](const auto& scheduled) { return scheduled.second == node; });
+    scheduled_starts_.push_back({now_ + delay, node});
   }
-  void pass(double seconds) {
-    for (const double until = now_ + seconds; now_ < until; now_ += kStep) step();
+  void advance(double seconds) {
+    for (const double until = now_ + seconds; now_ < until; now_ += kStepS) step();
   }
   double now() const { return now_; }
-  std::size_t commits() const { return commits_; }
-  void lose(double late, double unanswered) { late_ = late, unanswered_ = unanswered; }
-  bool served(int shard) const {
-    return std::any_of(live_.begin(), live_.end(), [&](const auto& p) {
-      return p->acts[static_cast<std::size_t>(shard)] != 0 &&
-             p->acts[static_cast<std::size_t>(shard)] ==
+  std::size_t commit_count() const { return commit_count_; }
+  void set_fault_probabilities(double late, double lost_response) {
+    late_probability_ = late, lost_response_probability_ = lost_response;
+  }
+  bool is_led(int shard) const {
+    return std::any_of(running_.begin(), running_.end(), [&](const auto& process) {
+      return process->acting_tokens[static_cast<std::size_t>(shard)] != 0 &&
+             process->acting_tokens[static_cast<std::size_t>(shard)] ==
                  service_.store.mod_revision(state::leader_key(shard));
     });
   }
-  bool all_served() const {
-    for (int k = 0; k < kNodes; ++k)
-      if (!served(k)) return false;
+  bool all_shards_led() const {
+    for (int shard = 0; shard < kNodes; ++shard)
+      if (!is_led(shard)) return false;
     return true;
   }
   // Nothing of former selves is left: a hold a process, and every node key hangs on the hold of the
   // one that runs.
-  void expect_clean() const {
-    EXPECT_EQ(service_.holds.size(), live_.size());
-    for (const auto& p : live_) {
-      auto h = service_.holds.find(p->hold);
-      ASSERT_NE(h, service_.holds.end());
-      EXPECT_TRUE(h->second.keys.contains(state::node_key(p->settings.node)));
+  void expect_only_state_of_running_processes() const {
+    EXPECT_EQ(service_.leases.size(), running_.size());
+    for (const auto& process : running_) {
+      auto lease = service_.leases.find(process->lease_id);
+      ASSERT_NE(lease, service_.leases.end());
+      EXPECT_TRUE(lease->second.keys.contains(state::node_key(process->settings.node)));
     }
   }
-  bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(rng_) < p; }
-  unsigned draw(unsigned n) { return static_cast<unsigned>(rng_() % n); }
+  bool chance(double probability) {
+    return std::uniform_real_distribution<>(0, 1)(rng_) < probability;
+  }
+  unsigned draw_below(unsigned limit) { return static_cast<unsigned>(rng_() % limit); }
 
  private:
   using ProcessPtr = std::shared_ptr<Process>;
-  struct Sent {
-    double at;
-    std::function<void()> arrive;
+  struct Message {
+    double deliver_at;
+    std::function<void()> deliver;
   };
-  bool alive(const ProcessPtr& p) const {
-    return std::find(live_.begin(), live_.end(), p) != live_.end();
+  bool is_running(const ProcessPtr& process) const {
+    return std::find(running_.begin(), running_.end(), process) != running_.end();
   }
   // To the state service and back; the answer may be lost, and what was sent may arrive long after.
-  void send(std::function<void()> arrive) {
-    const double delay = chance(late_) ? 0.2 + draw(200) / 10.0 : 0.01;
-    sent_.push_back({now_ + delay, std::move(arrive)});
+  void send(std::function<void()> deliver) {
+    const double delay = chance(late_probability_) ? 0.2 + draw_below(200) / 10.0 : 0.01;
+    messages_.push_back({now_ + delay, std::move(deliver)});
   }
-  void commit(const ProcessPtr& p, wire::Transaction t,
+  void commit(const ProcessPtr& process, wire::Transaction transaction,
               std::function<void(std::optional<std::uint64_t>)> done) {
-    ++commits_;
-    send([this, p, t = std::move(t), done = std::move(done)] {
-      auto revision = service_.commit(t);
-      if (!alive(p)) return;
+    ++commit_count_;
+    send([this, process, transaction = std::move(transaction), done = std::move(done)] {
+      auto revision = service_.commit(transaction);
+      if (!is_running(process)) return;
       // No answer: its fate is read before anything is decided.
-      done(chance(unanswered_) ? std::nullopt : revision);
+      done(chance(lost_response_probability_) ? std::nullopt : revision);
     });
   }
-  void read(Process& p) {
-    std::vector<state::Change> ch;
-    service_.store.read(*p.world, ch);
-    p.ownership->observe(*p.world, now_);
+  void read(Process& process) {
+    std::vector<state::Change> changes;
+    service_.store.read(*process.cache, changes);
+    process.election->observe(*process.cache, now_);
   }
 
   void step() {
     service_.tick(now_);
-    for (std::size_t i = 0; i < starts_.size();)
-      if (starts_[i].first <= now_) {
-        const int node = starts_[i].second;
-        starts_.erase(starts_.begin() + static_cast<long>(i));
+    for (std::size_t i = 0; i < scheduled_starts_.size();)
+      if (scheduled_starts_[i].first <= now_) {
+        const int node = scheduled_starts_[i].second;
+        scheduled_starts_.erase(scheduled_starts_.begin() + static_cast<long>(i));
         start(node);
       } else {
         ++i;
       }
-    std::vector<Sent> due;
-    std::erase_if(sent_, [&](Sent& s) {
-      if (s.at > now_) return false;
-      due.push_back(std::move(s));
+    std::vector<Message> due;
+    std::erase_if(messages_, [&](Message& message) {
+      if (message.deliver_at > now_) return false;
+      due.push_back(std::move(message));
       return true;
     });
-    for (auto& s : due) s.arrive();
-    for (const auto& p : std::vector<ProcessPtr>(live_)) run(p);
+    for (auto& message : due) message.deliver();
+    for (const auto& process : std::vector<ProcessPtr>(running_)) run(process);
   }
 
   // As Membership and ShardController do it.
-  void run(const ProcessPtr& p) {
-    if (now_ < p->read_at) return;
-    read(*p);
-    p->read_at = now_ + (chance(0.5) ? kStep : 3 * kStep);
-    if (!p->hold) {
-      if (!p->asked_hold) ask_hold(p);
+  void run(const ProcessPtr& process) {
+    if (now_ < process->next_read_at) return;
+    read(*process);
+    process->next_read_at = now_ + (chance(0.5) ? kStepS : 3 * kStepS);
+    if (!process->lease_id) {
+      if (!process->is_lease_requested) request_lease(process);
       return;
     }
-    const std::uint64_t stands = p->world->node_revision(p->node);
-    if (!p->registering && (!p->mine || stands != p->mine) &&
-        (!stands || now_ >= p->displaced_after)) {
-      p->displaced_after = now_ + 1;
-      enroll(p);
+    const std::uint64_t key_revision = process->cache->node_revision(process->node);
+    if (!process->is_registering &&
+        (!process->registered_revision || key_revision != process->registered_revision) &&
+        (!key_revision || now_ >= process->may_overwrite_at)) {
+      process->may_overwrite_at = now_ + 1;
+      register_node(process);
     }
-    if (now_ >= p->renew_at) {
-      p->renew_at = now_ + kHold / 4;
-      send([this, p] {
-        auto h = service_.holds.find(p->hold);
-        if (h != service_.holds.end())
-          h->second.until = now_ + kHold;
+    if (now_ >= process->next_renewal_at) {
+      process->next_renewal_at = now_ + kLeaseS / 4;
+      send([this, process] {
+        auto lease = service_.leases.find(process->lease_id);
+        if (lease != service_.leases.end())
+          lease->second.expires_at = now_ + kLeaseS;
         else
-          p->hold = 0, p->asked_hold = false;
+          process->lease_id = 0, process->is_lease_requested = false;
       });
     }
-    for (int k = 0; k < kNodes; ++k) decide(p, k);
+    for (int shard = 0; shard < kNodes; ++shard) decide(process, shard);
   }
-  void ask_hold(const ProcessPtr& p) {
-    p->asked_hold = true;
-    send([this, p] {
-      const std::uint64_t id = service_.next++;
-      service_.holds[id] = {now_ + kHold, {}};
-      if (!alive(p)) return;
-      p->hold = id;
-      if (!p->boot) p->boot = id;
-      p->renew_at = now_ + kHold / 4;
+  void request_lease(const ProcessPtr& process) {
+    process->is_lease_requested = true;
+    send([this, process] {
+      const std::uint64_t id = service_.next_lease_id++;
+      service_.leases[id] = {now_ + kLeaseS, {}};
+      if (!is_running(process)) return;
+      process->lease_id = id;
+      if (!process->process_id) process->process_id = id;
+      process->next_renewal_at = now_ + kLeaseS / 4;
     });
   }
-  void enroll(const ProcessPtr& p) {
-    auto t = schema::enroll(p->world->schema(), p->settings.node, p->boot, schema::current_build(),
-                            p->hold);
-    if (!t) return;
-    p->registering = true;
-    commit(p, *t, [this, p](std::optional<std::uint64_t> revision) {
-      p->registering = false;
+  void register_node(const ProcessPtr& process) {
+    auto transaction =
+        schema::enroll(process->cache->schema(), process->settings.node, process->process_id,
+                       schema::current_build(), process->lease_id);
+    if (!transaction) return;
+    process->is_registering = true;
+    commit(process, *transaction, [this, process](std::optional<std::uint64_t> revision) {
+      process->is_registering = false;
       if (!revision) return;
-      p->mine = *revision;
-      p->ownership->registered(*revision, p->tags_begin());
+      process->registered_revision = *revision;
+      process->election->registered(*revision, process->tag_prefix());
     });
   }
-  void decide(const ProcessPtr& p, int shard) {
-    const auto k = static_cast<std::size_t>(shard);
-    if (p->acts[k] && p->world->leader(shard).mod_revision != p->acts[k]) {
-      p->spent[k] = p->acts[k];
-      p->acts[k] = 0;
+  void decide(const ProcessPtr& process, int shard) {
+    const auto index = static_cast<std::size_t>(shard);
+    if (process->acting_tokens[index] &&
+        process->cache->leader(shard).mod_revision != process->acting_tokens[index]) {
+      process->closed_tokens[index] = process->acting_tokens[index];
+      process->acting_tokens[index] = 0;
     }
-    if (p->moving[k]) return;
-    shard::LeadershipMove m = p->ownership->decide(*p->world, shard, now_, p->spent[k]);
-    if (m.kind == shard::LeadershipMove::none) return;
-    if (m.kind == shard::LeadershipMove::lead) {
-      p->acts[k] = m.token;
+    if (process->is_move_in_flight[index]) return;
+    shard::LeadershipMove move =
+        process->election->decide(*process->cache, shard, now_, process->closed_tokens[index]);
+    if (move.kind == shard::LeadershipMove::none) return;
+    if (move.kind == shard::LeadershipMove::lead) {
+      process->acting_tokens[index] = move.token;
       // The rule: a token belongs to one process, for good. Its attempts are numbered by it.
-      auto [it, fresh] = acted_.try_emplace({shard, m.token}, p->id);
-      EXPECT_EQ(it->second, p->id)
-          << "two processes act for shard " << shard << " under " << m.token << " at " << now_;
+      auto [user, is_first_use] =
+          process_by_token_.try_emplace({shard, move.token}, process->number);
+      EXPECT_EQ(user->second, process->number)
+          << "two processes act for shard " << shard << " under " << move.token << " at " << now_;
       return;
     }
-    if (m.kind == shard::LeadershipMove::hand_over) {
-      p->spent[k] = p->acts[k];
-      p->acts[k] = 0;
+    if (move.kind == shard::LeadershipMove::hand_over) {
+      process->closed_tokens[index] = process->acting_tokens[index];
+      process->acting_tokens[index] = 0;
     }
-    const int to = m.kind == shard::LeadershipMove::take ? p->node : m.to;
-    wire::Transaction t;
-    t.preconditions = m.preconditions;
-    t.ops.push_back(
+    const int to = move.kind == shard::LeadershipMove::take ? process->node : move.to;
+    wire::Transaction transaction;
+    transaction.preconditions = move.preconditions;
+    transaction.ops.push_back(
         {state::leader_key(shard),
-         wire::encode_record(wire::LeaderRecord{base_.nodes[static_cast<std::size_t>(to)],
-                                                p->tags_begin() + "a" + std::to_string(++p->tags)}),
+         wire::encode_record(wire::LeaderRecord{
+             settings_.nodes[static_cast<std::size_t>(to)],
+             process->tag_prefix() + "a" + std::to_string(++process->tag_count)}),
          0});
-    p->moving[k] = true;
-    commit(p, std::move(t), [this, p, k](std::optional<std::uint64_t>) {
-      p->moving[k] = false;
-      read(*p);
+    process->is_move_in_flight[index] = true;
+    commit(process, std::move(transaction), [this, process, index](std::optional<std::uint64_t>) {
+      process->is_move_in_flight[index] = false;
+      read(*process);
     });
   }
 
   std::mt19937 rng_;
-  config::Settings base_;
-  Service service_;
-  std::vector<ProcessPtr> live_;
-  std::vector<std::pair<double, int>> starts_;
-  std::vector<Sent> sent_;
-  std::map<std::pair<int, std::uint64_t>, std::uint64_t> acted_;  // shard, token: process
-  double now_ = 0, late_ = 0, unanswered_ = 0;
-  std::uint64_t ids_ = 0;
-  std::size_t commits_ = 0;
+  config::Settings settings_;
+  LeasedStateService service_;
+  std::vector<ProcessPtr> running_;
+  std::vector<std::pair<double, int>> scheduled_starts_;
+  std::vector<Message> messages_;
+  std::map<std::pair<int, std::uint64_t>, std::uint64_t>
+      process_by_token_;  // shard, token: process
+  double now_ = 0, late_probability_ = 0, lost_response_probability_ = 0;
+  std::uint64_t process_count_ = 0;
+  std::size_t commit_count_ = 0;
 };
 
 // The operators' letter: a process that ends may be started again within a fraction of a second.
-TEST(Restarts, OnceTwiceAndInLoopsNoTokenIsSharedAndServiceComesBack) {
+TEST(Restarts, RepeatedRestartsNeverShareATokenAndAllShardsAreLedAgain) {
   for (unsigned seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE(seed);
-    Restarts r(seed);
-    ASSERT_TRUE(r.all_served());
-    r.lose(0.15, 0.1);
-    const bool all = seed % 2, twins = seed % 5 == 0;
+    RestartSimulation simulation(seed);
+    ASSERT_TRUE(simulation.all_shards_led());
+    simulation.set_fault_probabilities(0.15, 0.1);
+    const bool restarts_all_nodes = seed % 2, starts_second_processes = seed % 5 == 0;
     for (int i = 0; i < 20; ++i) {
-      const double delay = 0.05 + r.draw(20) * 0.05;
-      for (int n = 0; n < kNodes; ++n)
-        if (all || n == static_cast<int>(seed % kNodes)) r.restart(n, delay);
+      const double delay = 0.05 + simulation.draw_below(20) * 0.05;
+      for (int node = 0; node < kNodes; ++node)
+        if (restarts_all_nodes || node == static_cast<int>(seed % kNodes))
+          simulation.restart(node, delay);
       // Killed at any step of the start that follows.
-      r.pass(0.05 * (1 + r.draw(40)));
-      if (twins && i % 7 == 3) r.start(static_cast<int>(r.draw(kNodes)));
+      simulation.advance(0.05 * (1 + simulation.draw_below(40)));
+      if (starts_second_processes && i % 7 == 3)
+        simulation.start(static_cast<int>(simulation.draw_below(kNodes)));
     }
-    r.lose(0, 0);
-    for (int n = 0; n < kNodes; ++n) r.restart(n, 0.2);
-    r.pass(20);
-    EXPECT_TRUE(r.all_served());
-    r.pass(kHold + 30);  // late ones have come, holds of former selves have ended
-    r.expect_clean();
-    EXPECT_TRUE(r.all_served());
+    simulation.set_fault_probabilities(0, 0);
+    for (int node = 0; node < kNodes; ++node) simulation.restart(node, 0.2);
+    simulation.advance(20);
+    EXPECT_TRUE(simulation.all_shards_led());
+    simulation.advance(kLeaseS + 30);  // late ones have come, holds of former selves have ended
+    simulation.expect_only_state_of_running_processes();
+    EXPECT_TRUE(simulation.all_shards_led());
   }
 }
 
 // A quick restart serves within a second of its start, with its former self's key still there; and
 // never later than one after six seconds.
 TEST(Restarts, AQuickRestartServesAtOnce) {
-  std::map<double, double> back;  // seconds from the end until all shards are served
+  std::map<double, double> recovery_s;  // seconds from the end until all shards are served
   for (double delay : {0.05, 0.2, 1.0, 6.0}) {
-    Restarts r(7);
-    const double at = r.now();
-    for (int n = 0; n < kNodes; ++n) r.restart(n, delay);
-    r.pass(delay);
-    while (!r.all_served() && r.now() < at + 30) r.pass(kStep);
-    back[delay] = r.now() - at;
+    RestartSimulation simulation(7);
+    const double ended_at = simulation.now();
+    for (int node = 0; node < kNodes; ++node) simulation.restart(node, delay);
+    simulation.advance(delay);
+    while (!simulation.all_shards_led() && simulation.now() < ended_at + 30)
+      simulation.advance(kStepS);
+    recovery_s[delay] = simulation.now() - ended_at;
   }
-  EXPECT_LT(back[0.05], 1.05);
-  EXPECT_LT(back[0.2], 1.2);
-  EXPECT_LT(back[1.0], 2.0);
-  for (double delay : {0.05, 0.2, 1.0}) EXPECT_LE(back[delay], back[6.0]);
+  EXPECT_LT(recovery_s[0.05], 1.05);
+  EXPECT_LT(recovery_s[0.2], 1.2);
+  EXPECT_LT(recovery_s[1.0], 2.0);
+  for (double delay : {0.05, 0.2, 1.0}) EXPECT_LE(recovery_s[delay], recovery_s[6.0]);
 }
 
 // What a crash loop of one node costs: commits in proportion to its starts, and the others' shards
 // stay where they are.
-TEST(Restarts, ACrashLoopOfOneNodeIsBounded) {
-  Restarts r(3);
-  const std::size_t before = r.commits();
-  constexpr int kLoops = 20;
-  for (int i = 0; i < kLoops; ++i) {
-    r.restart(1, 0.2);
-    r.pass(1.3);
-    EXPECT_TRUE(r.served(0));
-    EXPECT_TRUE(r.served(2));
+TEST(Restarts, ACrashLoopOfOneNodeCostsFewCommitsAndLeavesOtherShardsAlone) {
+  RestartSimulation simulation(3);
+  const std::size_t commits_before = simulation.commit_count();
+  constexpr int kRestarts = 20;
+  for (int i = 0; i < kRestarts; ++i) {
+    simulation.restart(1, 0.2);
+    simulation.advance(1.3);
+    EXPECT_TRUE(simulation.is_led(0));
+    EXPECT_TRUE(simulation.is_led(2));
   }
   // A registration and its shard, each start; nobody else moves anything.
-  EXPECT_LE(r.commits() - before, 3u * kLoops);
+  EXPECT_LE(simulation.commit_count() - commits_before, 3u * kRestarts);
 }
 
 }  // namespace
