--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -1,7 +1,8 @@
-// Processes that end and are started again within a fraction of a second, at every step of a start,
-// once and in loops, one node's and all of them: holds, registrations, reads, ownership commits.
-// What a former self has sent is applied late, perhaps after its successor has read; its hold and
-// node key still stand; now and then two processes of one name run at once.
+// Controller processes that end and are restarted within a fraction of a second: at every step of a
+// start (lease request, registration, read, leadership commit), once and repeatedly, on one node
+// and on all. Requests of an ended process may be applied late, even after its successor has read
+// the state; its lease and node key still exist when the successor starts. Occasionally two
+// processes of the same node run at once.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -16,7 +17,7 @@
 constexpr int kNodes = 3;
 constexpr double kStepS = 0.05, kLeaseS = 8;
 
-// The state service with leases.
+// The state service with leases: a lease that expires deletes the keys attached to it.
 struct LeasedStateService {
   struct Lease {
     double expires_at;
@@ -58,7 +59,7 @@
     advance(20);
   }
 
-  // One process's life from what it is asked; all that it sends may come late, or unanswered.
+  // One controller process. Its requests may arrive late, and responses to its commits may be lost.
   struct Process {
     int node = 0;
     config::Settings settings;
@@ -68,7 +69,7 @@
     bool is_lease_requested = false, is_registering = false;
     double next_read_at = 0, next_renewal_at = 0, started_at = 0, may_overwrite_at = 0;
     std::vector<bool> is_move_in_flight;
-    std::vector<std::uint64_t> acting_tokens, closed_tokens;  // by shard
+    std::vector<std::uint64_t> acting_tokens, closed_tokens;  // by shard; 0: none
     std::string tag_prefix() const {
       return settings.node + "." + std::to_string(process_id) + ".";
     }
@@ -119,8 +120,8 @@
       if (!is_led(shard)) return false;
     return true;
   }
-  // Nothing of former selves is left: a hold a process, and every node key hangs on the hold of the
-  // one that runs.
+  // Checks that nothing of ended processes remains: there is one lease for each running process,
+  // and every node key is attached to the lease of the node's running process.
   void expect_only_state_of_running_processes() const {
     EXPECT_EQ(service_.leases.size(), running_.size());
     for (const auto& process : running_) {
@@ -143,7 +144,7 @@
   bool is_running(const ProcessPtr& process) const {
     return std::find(running_.begin(), running_.end(), process) != running_.end();
   }
-  // To the state service and back; the answer may be lost, and what was sent may arrive long after.
+  // Sends a request to the state service. It may arrive long after it was sent.
   void send(std::function<void()> deliver) {
     const double delay = chance(late_probability_) ? 0.2 + draw_below(200) / 10.0 : 0.01;
     messages_.push_back({now_ + delay, std::move(deliver)});
@@ -154,7 +155,7 @@
     send([this, process, transaction = std::move(transaction), done = std::move(done)] {
       auto revision = service_.commit(transaction);
       if (!is_running(process)) return;
-      // No answer: its fate is read before anything is decided.
+      // A lost response: the process reads the state before it decides anything.
       done(chance(lost_response_probability_) ? std::nullopt : revision);
     });
   }
@@ -184,7 +185,7 @@
     for (const auto& process : std::vector<ProcessPtr>(running_)) run(process);
   }
 
-  // As Membership and ShardController do it.
+  // Does in one step what Membership and ShardController do.
   void run(const ProcessPtr& process) {
     if (now_ < process->next_read_at) return;
     read(*process);
@@ -249,7 +250,7 @@
     if (move.kind == shard::LeadershipMove::none) return;
     if (move.kind == shard::LeadershipMove::lead) {
       process->acting_tokens[index] = move.token;
-      // The rule: a token belongs to one process, for good. Its attempts are numbered by it.
+      // A token belongs to one process forever, since the attempts of tasks are numbered by it.
       auto [user, is_first_use] =
           process_by_token_.try_emplace({shard, move.token}, process->number);
       EXPECT_EQ(user->second, process->number)
@@ -283,13 +284,14 @@
   std::vector<std::pair<double, int>> scheduled_starts_;
   std::vector<Message> messages_;
   std::map<std::pair<int, std::uint64_t>, std::uint64_t>
-      process_by_token_;  // shard, token: process
+      process_by_token_;  // process number by shard and token
   double now_ = 0, late_probability_ = 0, lost_response_probability_ = 0;
   std::uint64_t process_count_ = 0;
   std::size_t commit_count_ = 0;
 };
 
-// The operators' letter: a process that ends may be started again within a fraction of a second.
+// Operators may restart a process that has ended within a fraction of a second. No token may be
+// used by two processes, and all shards must be led again afterwards.
 TEST(Restarts, RepeatedRestartsNeverShareATokenAndAllShardsAreLedAgain) {
   for (unsigned seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE(seed);
@@ -302,7 +304,7 @@
       for (int node = 0; node < kNodes; ++node)
         if (restarts_all_nodes || node == static_cast<int>(seed % kNodes))
           simulation.restart(node, delay);
-      // Killed at any step of the start that follows.
+      // The process is ended at any step of the start that follows.
       simulation.advance(0.05 * (1 + simulation.draw_below(40)));
       if (starts_second_processes && i % 7 == 3)
         simulation.start(static_cast<int>(simulation.draw_below(kNodes)));
@@ -311,16 +313,19 @@
     for (int node = 0; node < kNodes; ++node) simulation.restart(node, 0.2);
     simulation.advance(20);
     EXPECT_TRUE(simulation.all_shards_led());
-    simulation.advance(kLeaseS + 30);  // late ones have come, holds of former selves have ended
+    // Late requests have arrived, leases of ended processes have expired.
+    simulation.advance(kLeaseS + 30);
     simulation.expect_only_state_of_running_processes();
     EXPECT_TRUE(simulation.all_shards_led());
   }
 }
 
-// A quick restart serves within a second of its start, with its former self's key still there; and
-// never later than one after six seconds.
+// A process that is restarted quickly leads its shards within a second of its start, although the
+// node key of its predecessor still exists, and never later than one that is restarted after six
+// seconds.
 TEST(Restarts, AQuickRestartServesAtOnce) {
-  std::map<double, double> recovery_s;  // seconds from the end until all shards are served
+  // By restart delay: seconds from the end until all shards are led.
+  std::map<double, double> recovery_s;
   for (double delay : {0.05, 0.2, 1.0, 6.0}) {
     RestartSimulation simulation(7);
     const double ended_at = simulation.now();
@@ -336,8 +341,8 @@
   for (double delay : {0.05, 0.2, 1.0}) EXPECT_LE(recovery_s[delay], recovery_s[6.0]);
 }
 
-// What a crash loop of one node costs: commits in proportion to its starts, and the others' shards
-// stay where they are.
+// A crash loop of one node causes a number of commits in proportion to its starts, and the shards
+// of the other nodes keep their leaders.
 TEST(Restarts, ACrashLoopOfOneNodeCostsFewCommitsAndLeavesOtherShardsAlone) {
   RestartSimulation simulation(3);
   const std::size_t commits_before = simulation.commit_count();
@@ -348,7 +353,8 @@
     EXPECT_TRUE(simulation.is_led(0));
     EXPECT_TRUE(simulation.is_led(2));
   }
-  // A registration and its shard, each start; nobody else moves anything.
+  // Each start commits a registration and the leadership of the node's shard; no other node
+  // commits.
   EXPECT_LE(simulation.commit_count() - commits_before, 3u * kRestarts);
 }
 
