--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -1,5 +1,5 @@
-// Services beside arrays on one scheduler: what a deployment with both showed. Each preconditions
-// against a failure that was seen there (docs/incidents/guimaraes-montagem-1.md).
+// Services and job arrays on one scheduler. Each test guards against a failure that was seen in a
+// deployment with both (docs/incidents/guimaraes-montagem-1.md).
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -9,8 +9,8 @@
 namespace shunttrail::test {
 namespace {
 
-// When arrays were through, replicas stood on hundreds of machines, one or two on each, for as long
-// as their services ran.
+// After arrays had completed, one or two replicas remained on each of hundreds of machines for as
+// long as their services ran.
 TEST(ReplicaConsolidation, ReplicasOnNearlyEmptyMachinesAreMovedTogether) {
   SchedulerSite site;
   site.machine("m-1", 0);
@@ -31,7 +31,8 @@
     ASSERT_EQ(site.live_tasks("m-1") + site.live_tasks("m-2"), 3u)
         << "moved at " << now << ", before it had settled";
   }
-  // The fuller one stays; the other's replica is stopped, and starts again stored_ids.
+  // The fuller machine keeps its replicas. The replica on the other one is stopped and started
+  // again on the fuller one.
   for (double now = 40; now < 240; now += 1) {
     site.scheduler->tick(now);
     site.commit(now);
@@ -65,7 +66,8 @@
   site.job(3, 2, 1, true, 4);
   site.all_report(5);
   site.complete("m-x", filler.spec.id);
-  // Room enough for its replica, and moves enough in hand, from the first look on.
+  // From the first check on, the other machine has enough free capacity for the replica, and the
+  // limit on moves permits one.
   for (double now = 6; now < 40; now += 2) {
     site.all_report(now);
     site.scheduler->tick(now);
@@ -78,7 +80,7 @@
   EXPECT_EQ(site.scheduler->counters().consolidated, 1u);
 }
 
-// Replicas on a machine that died waited 65 s for the proof by silence.
+// Replicas on a machine that had died waited for 65 s until its silence proved that it was dead.
 TEST(FailureDetector, ASilentMachineWithReplicasIsDeletedLongBeforeItsLeaseExpires) {
   SchedulerSite site;
   for (int i = 1; i <= 4; ++i) {
@@ -99,7 +101,7 @@
   }
   EXPECT_GT(deleted_at, 6);
   EXPECT_LT(deleted_at, 6 + site.settings.lease_s / 2);
-  // Nothing of it runs elsewhere before the deletion is answered.
+  // Its tasks are not started elsewhere before the deletion is confirmed.
   EXPECT_EQ(site.scheduler->load(deleted_at).capacity, 3);
   site.machine("m-5", deleted_at);
   site.all_report(deleted_at, dead);
@@ -110,7 +112,8 @@
   EXPECT_EQ(site.live_tasks("m-5"), 4u);
 }
 
-// Where a network is cut, or this node stood still, hundreds are silent at once: none is deleted.
+// If a network is cut, or this node was suspended, hundreds of machines are silent at once; none of
+// them may be deleted.
 TEST(FailureDetector, ASilentZoneIsNotDeletedAndOnlyAShareOfTheMachinesIsDeletedAtOnce) {
   SchedulerSite site;
   for (int i = 1; i <= 40; ++i) {
@@ -126,7 +129,7 @@
     site.probe(now, zone_a);
   }
   EXPECT_TRUE(site.scheduler->machines_to_return().empty());
-  // All are heard lost_at; then nine of the twenty of a zone are dead at once.
+  // All machines are heard again. Then nine of the twenty machines of a zone die at once.
   site.all_report(16);
   for (const auto& name : zone_a)
     if (dead.size() < 9) dead.insert(name);
@@ -139,7 +142,8 @@
   for (const auto& name : deleted) EXPECT_TRUE(dead.contains(name));
 }
 
-// A switch takes most of a zone with it, though not all: the few that answer are no evidence.
+// A failed switch silences most machines of a zone but not all. That a few machines still answer
+// does not show that the others are dead.
 TEST(FailureDetector, AMostlySilentZoneCountsAsCutOffAlthoughSomeOfItsMachinesAnswer) {
   SchedulerSite site;
   std::set<std::string> dead;
@@ -154,12 +158,13 @@
     if (static_cast<int>(now * 4) % 40 == 0) site.all_report(now, dead);
     site.probe(now, dead);
   }
-  // What died before that shows is deleted: one, at the most, since all go silent together.
+  // Machines that die before the cut is recognized may be deleted: at most one here, since all
+  // become silent at the same time.
   EXPECT_LE(site.scheduler->machines_to_return().size(), 1u);
 }
 
-// A machine whose reports arrive and whose answers do not looked alive for ever; every start on it
-// was lost.
+// A machine whose heartbeats arrived but which did not receive the responses appeared to be alive
+// forever, and every start command for it was lost.
 TEST(FailureDetector, AMachineThatLosesResponsesGetsNoWorkAndIsReplaced) {
   SchedulerSite site;
   site.machine("m-1", 0);
@@ -168,7 +173,7 @@
   site.all_report(1);
   site.job(1, 3, 4, false, 1);
   site.commit(1);
-  // The starts on m-1 are sent in answers that do not get stored_ids.
+  // The start commands for m-1 are in responses that do not arrive.
   for (double now = 2; now < 6; now += 1) site.report("m-1", now, true);
   for (const char* machine : {"m-2", "m-3"}) site.report(machine, 6);
   EXPECT_FALSE(site.probe(6.1, {"m-1"}) == 0);
@@ -195,8 +200,8 @@
   EXPECT_EQ(site.live_tasks("m-1") + site.live_tasks("m-2"), 2u);
 }
 
-// Copies of a report come late, over and over: they put off the proof by silence, and were answered
-// with starts that nobody got.
+// Late copies of a heartbeat kept arriving. They delayed the proof by silence, and were answered
+// with start commands that no worker received.
 TEST(DuplicateHeartbeat, NeitherDelaysTheProofOfSilenceNorRenewsTheLease) {
   SchedulerSite site;
   site.machine("m-1", 0);
@@ -217,14 +222,15 @@
     site.scheduler->tick(now);
     if (site.scheduler->counters().lost) lost_at = now;
   }
-  // It is over a lease and two reports after the last that was heard of it, copies or not, and not
-  // before every lease that an answer may have renewed is over.
+  // The task counts as lost a lease and two heartbeat intervals after the machine's last genuine
+  // heartbeat, despite the copies, and not before every lease that a response may have renewed has
+  // expired.
   EXPECT_GE(lost_at, 6 + site.settings.lease_s);
   EXPECT_LE(lost_at, 8 + site.settings.lease_s + 2 * site.settings.heartbeat_s);
 }
 
-// With the whole fleet rented, up to 1,000 machines stood ordered at a time, each refusal sent
-// their tasks through the chain lost_at, and a controller was at its processor limit.
+// With the whole fleet rented, up to 1,000 machines were requested at a time, each refusal passed
+// their tasks through the chain again, and a controller reached its processor limit.
 TEST(Rents, AfterARefusalRequestsStaySmallUntilOneIsGranted) {
   SchedulerSite site;
   site.job(1, 400, 4, false, 0);
@@ -235,7 +241,7 @@
     site.scheduler->rent_refused(request, 0, true, 0);
   }
   EXPECT_GE(first_requested, 50u);
-  // Each tier and zone is tried once in full.
+  // Each tier and zone is requested once in full.
   for (double now = 0.5; now < 40; now += 0.5) {
     site.scheduler->tick(now);
     site.scheduler->run_scheduling_pass(now);
@@ -249,7 +255,7 @@
     }
     EXPECT_LE(requested, 8u);  // two tiers, two zones
   }
-  // Once some are to be had it asks for more each time.
+  // Once machines are available, the size of the requests grows.
   std::size_t largest_request = 0;
   int rented = 0;
   for (double now = 60; now < 80; now += 0.5) {
@@ -266,13 +272,14 @@
   EXPECT_GE(largest_request, 32u);
 }
 
-// First come, first served kept arrays of 35 s behind arrays of 150 s that had minutes to spare.
+// First come, first served kept arrays of 35 s waiting behind arrays of 150 s that had minutes to
+// spare.
 TEST(ServiceOrder, StandardJobsRunByTheirLatestStartAndNoneStarves) {
   SchedulerSite site;
   site.machine("m-1", 0);
   auto running = site.job(1, 1, 4, false, 0, 1000);
   site.all_report(0.5);
-  site.job(2, 1, 4, false, 1, 500);  // first, but with time to spare
+  site.job(2, 1, 4, false, 1, 500);  // submitted first, but with time to spare
   auto tight = site.job(3, 1, 4, false, 2, 60);
   site.all_report(3);
   site.complete("m-1", running.spec.id);
@@ -280,13 +287,13 @@
   ASSERT_EQ(site.live_tasks("m-1"), 1u);
   EXPECT_TRUE(std::any_of(site.workers.at("m-1").tasks.begin(), site.workers.at("m-1").tasks.end(),
                           [&](const auto& task) { return task.id.job == tight.spec.id; }));
-  // What came 120 s later goes behind it, however tight.
+  // A job that arrives 120 s later runs after this one, however early its latest start is.
   auto record = make_job(9, 1, 4);
   jobs::Job without_deadline(record, 0, 0, 1, 0, 0);
   EXPECT_DOUBLE_EQ(without_deadline.latest_start(), 120);
 }
 
-// In a full fleet a replica waited until an array's task had been stopped and had saved.
+// In a full fleet a replica waited until a task of an array had been stopped and had saved.
 TEST(UrgentHeadroom, AFullFleetKeepsAFewCpusFreeForUrgentJobs) {
   SchedulerSite site;
   for (int i = 0; i < 60; ++i) site.machine("m-" + std::to_string(100 + i), 0, i % 2 ? "a" : "b");
@@ -299,7 +306,7 @@
   for (const auto& [name, worker] : site.workers) running += site.live_tasks(name);
   EXPECT_GE(running, 240u - 4);
   EXPECT_LE(running, 240u - 2);
-  // It goes to the next urgent job at once.
+  // The next urgent job gets this capacity at once.
   site.job(3, 2, 1, true, 8);
   site.all_report(9);
   running = 0;
@@ -307,10 +314,10 @@
   EXPECT_GE(running, 240u - 2);
 }
 
-// ---- answers about jobs that are over
+// ---- reading the results of ended jobs
 
-// Asked about in the worst order, the youngest first, each range count one question more and no
-// other: 1,000 questions took 1,000 reader.
+// With requests in the worst order, the youngest job first, each range read answered only one more
+// request: 1,000 requests took 1,000 reads.
 TEST(ResultReader, TheOrderOfRequestsDoesNotMatter) {
   using jobs::ResultReader;
   for (const int step : {1, -1, 7, -7, 331}) {
@@ -337,8 +344,8 @@
   }
 }
 
-// Each question had a read of its own, served within three seconds or not at all: with thousands of
-// jobs over and many asked about, every answer came too late for its user.
+// Each request had a read of its own, which was made within three seconds or not at all. With
+// thousands of ended jobs and many requests, every answer came too late for its user.
 RC_GTEST_PROP(ResultReader, EveryRequestIsAnsweredCorrectlyWithFewReads, ()) {
   using jobs::Found;
   using jobs::ResultReader;
@@ -346,7 +353,7 @@
   std::set<std::string> stored_ids;
   struct Request {
     std::string id;
-    bool was_stored;  // when it was asked
+    bool was_stored;  // at the time of the request
     std::optional<Found> answer;
   };
   std::vector<std::unique_ptr<Request>> requests;
@@ -357,7 +364,7 @@
     Request* request = requests.back().get();
     RC_ASSERT(reader.request(job, [request](Found found) { request->answer = found; }));
   };
-  // What the state service says: a range holds 100 records here.
+  // Performs a read with the records that the state service holds; a range holds up to 100 of them.
   auto perform = [&](const ResultReader::Read& read, const std::set<std::string>& stored) {
     std::vector<std::string> found;
     if (!read.range) {
@@ -386,7 +393,8 @@
     else
       perform(read, stored);
   }
-  // The faults are over: what still waits is through after as many reads as the records fill.
+  // No more faults: the requests that still wait are answered after as many reads as the records
+  // need.
   int rounds = 0;
   for (; !reads_in_flight.empty() || reader.waiting(); ++rounds) {
     while (auto read = reader.next()) reads_in_flight.emplace_back(*read, stored_ids);
@@ -395,7 +403,8 @@
     reads_in_flight.erase(reads_in_flight.begin());
     perform(read, stored);
   }
-  // What was out, one round of ranges and the end of the one under way, and the last few singly.
+  // The bound counts the reads that were in flight, one round of ranges with the end of the round
+  // under way, and the last few single reads.
   RC_ASSERT(rounds <= 7 + static_cast<int>(stored_ids.size() / 100 + 3) + 7);
   for (const auto& request : requests) {
     RC_ASSERT(request->answer.has_value());
