--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -1,5 +1,4 @@
 /// @file
-///
 /// The client of the cloud's API. It keeps within this node's share of the cloud's call rate.
 #pragma once
 #include <deque>
--- a/src/controller/job_submission.cpp
+++ b/src/controller/job_submission.cpp
@@ -96,7 +96,7 @@
       return dependencies;
     }
     if (result)
-      // a finished dependency is not waited for
+      // A finished dependency is not waited for.
       dependencies.is_any_cancelled |= result->cancelled;
     else if (live)
       dependencies.unfinished.push_back(id);
