--- a/src/controller/job_submission.cpp
+++ b/src/controller/job_submission.cpp
@@ -23,9 +23,7 @@
 // loaded yet, or the cache held the job when the request arrived.
 net::Answer refusal_response(JobFeasibility feasibility) {
   if (feasibility == JobFeasibility::infeasible)
-    return net::error_response(422,
-                               "this job can never run: its team is unknown, its requests exceed "
-                               "the team's limits, or no machine types and zones satisfy them");
+    return net::error_response(422, "this job can never run here");
   return unavailable_response();
 }
 
@@ -85,14 +83,14 @@
   Dependencies dependencies;
   for (const auto& id : job.dependencies) {
     if (id == job.id) {
-      dependencies.error = "awaits lists the job itself: " + id;
+      dependencies.error = "awaits names the job itself";
       return dependencies;
     }
     const state::JobEntry* live = cache.job(id);
     if (!live) live = cache.waiting(id);
     const wire::JobResultRecord* result = components_.job_results->cached_result(id);
     if ((live && live->record.spec.service) || (result && result->service)) {
-      dependencies.error = "awaits lists a service, which never ends: " + id;
+      dependencies.error = "awaits names a service";
       return dependencies;
     }
     if (result)
@@ -115,8 +113,7 @@
   Dependencies dependencies = classify_dependencies(job.spec);
   const bool any_not_found = !dependencies.not_found.empty();
   if (dependencies.error.empty() && any_not_found && read == DependencyRead::job_results)
-    dependencies.error =
-        "awaits lists a job that was never accepted: " + dependencies.not_found.front();
+    dependencies.error = "awaits names a job that was never accepted";
   if (!dependencies.error.empty())
     return respond_with_state_or(exchange, job.spec.id,
                                  net::error_response(422, dependencies.error));
@@ -199,11 +196,8 @@
 // The job's state takes precedence: another node may have accepted the job with a smaller body an
 // instant ago.
 void JobSubmission::refuse_oversized(const net::ExchangePtr& exchange, const std::string& id) {
-  const std::size_t limit = components_.state_client.limits().transaction_limits().value_bytes;
-  respond_with_state_or(
-      exchange, id,
-      net::error_response(400, "the job's description exceeds the state service's limit of " +
-                                   std::to_string(limit) + " bytes"));
+  respond_with_state_or(exchange, id,
+                        net::error_response(400, "the job's description is too long"));
 }
 
 }  // namespace shunttrail::controller
