--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -89,26 +89,26 @@
     site.all_report(0.5 + i);
   }
   const std::set<std::string> dead{"m-1"};
-  double deleted_at = 0;
-  for (double now = 6; now < 20 && !deleted_at; now += 0.25) {
+  double deletion_requested_at = 0;
+  for (double now = 6; now < 20 && !deletion_requested_at; now += 0.25) {
     if (static_cast<int>(now * 4) % 40 == 0) site.all_report(now, dead);
     site.scheduler->tick(now);
     site.probe(now, dead);
     for (const auto& name : site.scheduler->machines_to_return()) {
       EXPECT_EQ(name, "m-1");
-      deleted_at = now;
+      deletion_requested_at = now;
     }
   }
-  EXPECT_GT(deleted_at, 6);
-  EXPECT_LT(deleted_at, 6 + site.settings.lease_s / 2);
+  EXPECT_GT(deletion_requested_at, 6);
+  EXPECT_LT(deletion_requested_at, 6 + site.settings.lease_s / 2);
   // Its tasks are not started elsewhere before the deletion is confirmed.
-  EXPECT_EQ(site.scheduler->load(deleted_at).capacity, 3);
-  site.machine("m-5", deleted_at);
-  site.all_report(deleted_at, dead);
+  EXPECT_EQ(site.scheduler->load(deletion_requested_at).capacity, 3);
+  site.machine("m-5", deletion_requested_at);
+  site.all_report(deletion_requested_at, dead);
   EXPECT_EQ(site.live_tasks("m-5"), 0u);
-  site.scheduler->machine_gone("m-1", deleted_at);
-  site.commit(deleted_at);
-  site.all_report(deleted_at + 1, dead);
+  site.scheduler->machine_gone("m-1", deletion_requested_at);
+  site.commit(deletion_requested_at);
+  site.all_report(deletion_requested_at + 1, dead);
   EXPECT_EQ(site.live_tasks("m-5"), 4u);
 }
 
