--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -8,24 +8,25 @@
 
 namespace shunttrail::controller {
 namespace {
-/// Between two reads of the machine types: prices change.
+/// Interval between two reads of the machine types; their prices change.
 constexpr double kTypesIntervalS = 60;
-/// Between two collections of what the shards want: requests that come meanwhile are grouped.
+/// Interval between two collections of the shards' requests. Requests made in between are grouped.
 constexpr double kCollectIntervalS = 0.4;
-/// Between two reads of the machine list, at least.
+/// Shortest interval between two reads of the machine list.
 constexpr double kMinListIntervalS = 6;
-/// The share of this node's cloud calls that goes into the list.
+/// Share of this node's cloud calls that may be spent on reading the list.
 constexpr double kListCallShare = 0.2;
-/// Machines that a page of the list holds.
+/// Number of machines on one page of the list.
 constexpr double kListPageMachines = 500;
-/// Lists in a row that lack a machine before it counts as gone: lists come out of order.
-constexpr int kListsUntilGone = 2;
-/// A listed machine without a record is adopted after so long.
+/// Number of consecutive lists that must lack a machine before it counts as gone: lists may be
+/// received out of order.
+constexpr int kMissingListsUntilGone = 2;
+/// Time for which a machine must be listed without an inventory record before it is adopted.
 constexpr double kAdoptAfterS = 20;
-/// Late heartbeats of deleted machines are refused for so long.
-constexpr double kRemovedKeptS = 600;
-/// Machines that one call deletes; the rest goes with the next. 4,000 that leave at once take 40
-/// calls.
+/// Time for which heartbeats of a deleted machine are refused.
+constexpr double kDeletionRetentionS = 600;
+/// Largest number of machines deleted by one call; the others are deleted by later calls. Deleting
+/// 4,000 machines at once takes 40 calls.
 constexpr std::size_t kMaxDeletions = 100;
 }  // namespace
 
@@ -35,61 +36,63 @@
       reply<Changes>([this](const Changes& changes) { on_changes(*changes); }));
 }
 
-// Whoever deleted it, what has left the inventory is gone: a late copy of its last heartbeats must
-// not bring it back.
+// A machine that has left the inventory is deleted, whichever node deleted it. Recording this keeps
+// a late copy of one of its heartbeats from having it adopted again.
 void CloudManager::on_changes(const std::vector<state::Change>& changes) {
   const state::StateCache& cache = components_.state_store->cache();
   for (const auto& change : changes)
     if (change.kind == state::Change::machine_deleted && !cache.machine(change.name))
-      removed_at_[change.name] = loop_.now();
+      deleted_at_[change.name] = loop_.now();
 }
 
 const std::string* CloudManager::address(const std::string& machine) const {
-  auto known = known_.find(machine);
-  return known == known_.end() ? nullptr : &known->second.address;
+  auto known = known_machines_.find(machine);
+  return known == known_machines_.end() ? nullptr : &known->second.address;
 }
 
 double CloudManager::rented_at(const std::string& machine) const {
-  auto known = known_.find(machine);
-  return known == known_.end() ? 0 : known->second.rented_at;
+  auto known = known_machines_.find(machine);
+  return known == known_machines_.end() ? 0 : known->second.rented_at;
 }
 
 void CloudManager::unknown_machine_reported(std::string machine, std::string address) {
   post([this, machine = std::move(machine), address = std::move(address)] {
-    known_[machine].address = address;
+    known_machines_[machine].address = address;
   });
 }
 
 void CloudManager::tick() {
   post([this] {
     const double now = loop_.now();
-    if (catalogue_.empty() || now - types_read_at_ > kTypesIntervalS) load_types();
+    if (catalogue_.empty() || now - types_loaded_at_ > kTypesIntervalS) load_types();
     if (now >= next_collect_at_) collect_requests();
     if (now > next_list_at_ && !is_listing_ && components_.state_store->loaded()) start_list();
   });
 }
 
 void CloudManager::load_types() {
-  if (is_reading_types_) return;
-  is_reading_types_ = true;
+  if (is_loading_types_) return;
+  is_loading_types_ = true;
   using Types = std::vector<wire::MachineType>;
   client_.types(reply<Types>([this](const Types& types) {
-    is_reading_types_ = false;
+    is_loading_types_ = false;
     if (types.empty()) return;
-    types_read_at_ = loop_.now();
+    types_loaded_at_ = loop_.now();
     catalogue_.load(types, components_.settings);
-    components_.membership->reconsider();
+    components_.membership->reconsider_leadership();
   }));
 }
 
 // ---- rents and returns
 
-// One deletion at a time, of one shard: what leaves meanwhile goes with the next. Calls are scarcer
-// than machines, and a call for every one that leaves would keep hundreds on the bill.
+// Sends at most one deletion call at a time, for one shard. Machines to return that come up
+// meanwhile are grouped into the next call. The rate limit on calls is tight: with one call for
+// each machine, hundreds of machines would be billed while their deletions wait.
 void CloudManager::collect_requests() {
   next_collect_at_ = loop_.now() + kCollectIntervalS;
-  forget_removed();
-  // Without an id of its own this process rents nothing: a request's name is never used twice.
+  forget_old_deletions();
+  // A rental request's name contains the process id, so that no name is ever used twice. Without an
+  // id nothing can be rented.
   if (!components_.membership->process_id()) return;
   const int shard_to_return = is_deleting_ ? -1 : next_shard_to_return();
   if (shard_to_return >= 0) {
@@ -108,7 +111,7 @@
   }
 }
 
-// The next shard in turn that this node leads; -1: none.
+// Returns the next shard, in rotation, that this node leads; -1 if there is none.
 int CloudManager::next_shard_to_return() const {
   const int shards = components_.settings.shards();
   for (int i = 0; i < shards; ++i) {
@@ -118,10 +121,10 @@
   return -1;
 }
 
-void CloudManager::forget_removed() {
+void CloudManager::forget_old_deletions() {
   const double now = loop_.now();
-  std::erase_if(removed_at_,
-                [&](const auto& removed) { return now - removed.second > kRemovedKeptS; });
+  std::erase_if(deleted_at_,
+                [&](const auto& removed) { return now - removed.second > kDeletionRetentionS; });
 }
 
 void CloudManager::execute(int shard, ShardController::CloudRequests requests, bool with_returns) {
@@ -136,7 +139,7 @@
 
 void CloudManager::rent(int shard, std::uint64_t opened_under,
                         const scheduler::ScaleOutRequest& request) {
-  // The process id, which no other process has, and a counter: no request's name is used twice.
+  // The process id, which no other process has, and a counter make the name unique.
   const std::string name = "c-" + std::to_string(components_.membership->process_id()) + "-" +
                            std::to_string(++rent_requests_);
   const std::string& type = catalogue_.types[request.tier / 2].spec.name;
@@ -170,9 +173,9 @@
                               const std::vector<std::string>& machines, bool is_deleted) {
   is_deleting_ = false;
   if (is_deleted) {
-    // Gone, whoever leads the shard by now.
+    // The machines are gone, even if another node leads the shard by now.
     for (const auto& name : machines) {
-      removed_at_[name] = loop_.now();
+      deleted_at_[name] = loop_.now();
       components_.inventory->drop(name);
     }
   }
@@ -181,10 +184,10 @@
 
 // ---- the list
 
-// Every node reads the list for its own machines; the one that leads the first shard also looks for
-// machines that have no record.
+// Every node reads the list to check its own machines. The node that leads the first shard also
+// adopts listed machines that have no inventory record.
 void CloudManager::start_list() {
-  listed_now_.clear();
+  current_list_.clear();
   read_list_page("");
 }
 
@@ -204,17 +207,17 @@
 }
 
 void CloudManager::on_listed(const wire::ListedMachine& machine) {
-  listed_now_.insert(machine.name);
-  listed_.insert(machine.name);
-  known_[machine.name] = {machine.addr, loop_.wall_now() - machine.age_s};
+  current_list_.insert(machine.name);
+  listed_machines_.insert(machine.name);
+  known_machines_[machine.name] = {machine.addr, loop_.wall_now() - machine.age_s};
   if (const auto* record = components_.state_store->cache().machine(machine.name))
-    on_listed_known(machine, record->shard);
+    on_listed_recorded(machine, record->shard);
   else
-    on_listed_unknown(machine);
+    on_listed_unrecorded(machine);
 }
 
-void CloudManager::on_listed_known(const wire::ListedMachine& machine, int shard) {
-  unknown_since_.erase(machine.name);
+void CloudManager::on_listed_recorded(const wire::ListedMachine& machine, int shard) {
+  unrecorded_since_.erase(machine.name);
   if (shard >= components_.settings.shards()) return;
   ShardController& controller = components_.shard_controller(shard);
   if (!controller.scheduler()) return;
@@ -222,11 +225,11 @@
   if (machine.state == "failed") controller.machine_failed(machine.name, false);
 }
 
-void CloudManager::on_listed_unknown(const wire::ListedMachine& machine) {
+void CloudManager::on_listed_unrecorded(const wire::ListedMachine& machine) {
   const bool leads_first_shard = components_.shard_controller(0).scheduler() != nullptr;
-  if (!leads_first_shard || removed(machine.name)) return;
+  if (!leads_first_shard || was_recently_deleted(machine.name)) return;
   const double now = loop_.now();
-  const double since = unknown_since_.try_emplace(machine.name, now).first->second;
+  const double since = unrecorded_since_.try_emplace(machine.name, now).first->second;
   if (now - since > kAdoptAfterS)
     components_.inventory->adopt_orphan(
         {machine.name, machine.type, machine.zone, machine.spot, 0, 0, 0});
@@ -238,31 +241,33 @@
   next_list_at_ = loop_.now() + list_interval();
 }
 
-// Once listed, a machine stays listed until it is gone.
+// Reports machines that have been missing from several consecutive lists: a machine that was listed
+// once stays in the list until it is gone.
 void CloudManager::report_unlisted() {
-  for (auto it = listed_.begin(); it != listed_.end();) {
+  for (auto it = listed_machines_.begin(); it != listed_machines_.end();) {
     const std::string& name = *it;
-    if (listed_now_.contains(name)) {
-      unlisted_.erase(name);
+    if (current_list_.contains(name)) {
+      missing_from_lists_.erase(name);
       ++it;
       continue;
     }
-    if (++unlisted_[name] < kListsUntilGone) {
+    if (++missing_from_lists_[name] < kMissingListsUntilGone) {
       ++it;
       continue;
     }
     for (const auto& controller : components_.shard_controllers)
       controller->machine_failed(name, true);
-    unlisted_.erase(name);
-    unknown_since_.erase(name);
-    known_.erase(name);
-    it = listed_.erase(it);
+    missing_from_lists_.erase(name);
+    unrecorded_since_.erase(name);
+    known_machines_.erase(name);
+    it = listed_machines_.erase(it);
   }
 }
 
-// In seconds: long lists are read less often, since each page is a call.
+// Returns the interval between two reads of the list, in seconds. Long lists are read less often,
+// since each page takes one call.
 double CloudManager::list_interval() const {
-  const double pages = 1 + static_cast<double>(listed_now_.size()) / kListPageMachines;
+  const double pages = 1 + static_cast<double>(current_list_.size()) / kListPageMachines;
   const double calls_per_s =
       components_.settings.cloud_rps / components_.settings.shards() * kListCallShare;
   return std::max(kMinListIntervalS, pages / calls_per_s);
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -9,10 +9,10 @@
 namespace {
 constexpr double kTickIntervalS = 0.2;
 constexpr double kLogIntervalS = 10;
-/// A request's body, as the protocol has it. Of these, a heartbeat grows with the machine: its 64
-/// running tasks and as many ended ones take about 100 bytes each.
+/// Largest body of a public request, as the protocol defines it. The largest bodies are heartbeats,
+/// which grow with the machine: 64 running tasks and as many ended ones take about 100 bytes each.
 constexpr std::size_t kMaxBodyBytes = 64 * 1024;
-/// A heartbeat, with what a sibling that relays it puts before it.
+/// Largest body of an internal request: a heartbeat and the header that a relaying controller adds.
 constexpr std::size_t kMaxInternalBodyBytes = kMaxBodyBytes + 64;
 }  // namespace
 
@@ -22,7 +22,8 @@
       state_client_(loop, settings),
       components_{settings, tuning, state_client_},
       state_store_(loop, settings, state_client_),
-      // From here on the parts listen to the state store as they are made.
+      // The state store must be set before the next parts: they register as its listeners when they
+      // are constructed.
       schema_(loop, (components_.state_store = &state_store_, components_), build),
       job_results_(loop, components_),
       membership_(loop, components_),
@@ -73,11 +74,12 @@
     if (controller->scheduler()) spdlog::info("scheduler {}", controller->scheduler()->summary());
   const auto cost = state_client_.cost();
   spdlog::info(
-      "state service: {} answered 429, {:.1f} s waited, {:.1f} writes a second, {} queued; "
-      "{} jobs wait for others, {} made ready, {} cancelled with others",
+      "state service: {} requests answered 429, {:.1f} s waited, {:.1f} writes a second, "
+      "{} requests queued; jobs: {} wait for dependencies, {} made ready, {} cancelled with a "
+      "dependency",
       cost.refused, cost.waited_s, cost.write_rate, state_client_.queued(),
       state_store_.cache().waiting().size(), job_results_.made_ready(),
-      job_results_.ended_with_others());
+      job_results_.cancelled_with_dependencies());
   spdlog::info("schema {}", schema_.describe());
   spdlog::info("relay {}", heartbeat_relay_.describe());
 }
@@ -92,7 +94,7 @@
 void Controller::serve_internal(const net::ExchangePtr& exchange) {
   const std::string& path = exchange->path;
   const bool is_post = exchange->post;
-  if (path == "/peer/beat" && is_post) return peer_gossip_.handle_request(exchange);
+  if (path == "/peer/beat" && is_post) return peer_gossip_.handle_heartbeat(exchange);
   if (path == "/peer/room" && is_post) return peer_gossip_.handle_room_offers(exchange);
   if (path == "/peer/report" && is_post)
     return heartbeat_relay_.handle_relayed(exchange, [this](const net::ExchangePtr& relayed) {
@@ -104,7 +106,7 @@
   exchange->send({404, "{}", 0});
 }
 
-// Messages and stored values that could not be decoded.
+// Returns the number of messages and stored values that could not be decoded.
 std::uint64_t Controller::malformed() const {
   std::uint64_t count = worker_api_.malformed() + peer_gossip_.malformed() +
                         heartbeat_relay_.malformed() + state_store_.cache().malformed();
@@ -124,7 +126,7 @@
                  {"refused", user_api_.refused()},
                  {"waiting", cache.waiting().size()},
                  {"made_ready", job_results_.made_ready()},
-                 {"ended_with_others", job_results_.ended_with_others()},
+                 {"ended_with_others", job_results_.cancelled_with_dependencies()},
                  {"state_429", cost.refused},
                  {"state_too_large", state_client_.limits().refusals()},
                  {"state_waited_s", cost.waited_s},
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -11,23 +11,24 @@
 
 namespace shunttrail::controller {
 namespace {
-/// For a sibling's response, of the 4 s that a worker waits.
+/// Time-out of a relayed heartbeat. It is part of the 4 s for which the worker waits.
 constexpr double kRelayTimeoutS = 2.5;
-/// Heartbeats in flight to one sibling; none are queued beyond that, and one too many counts as a
-/// sibling that does not answer. The siblings share a quarter of the sockets: with 2,000 of them,
-/// 250 each. Of 4,000 machines that are cut off from one leader of all shards, each of two siblings
-/// gets 667 heartbeats a second at 3 s between them, and has 200 of them in flight if each waits
-/// for a commit (Tuning::response_hold_s).
+/// Limits of heartbeats in flight to one sibling (another controller). No heartbeat is queued
+/// beyond the limit: one that exceeds it counts as not answered by the sibling. The siblings share
+/// a quarter of the sockets: with 2,000 sockets and two siblings, 250 each. If 4,000 machines are
+/// cut off from one leader of all shards, each of two siblings gets 667 heartbeats a second at a
+/// heartbeat interval of 3 s, and has 200 of them in flight if each waits for a commit
+/// (Tuning::response_hold_s).
 constexpr std::size_t kMinInFlight = 48;
-constexpr std::size_t kShareOfSockets = 4;
+constexpr std::size_t kSocketShareDivisor = 4;
 constexpr std::size_t kMaxQueued = 0;
-/// The version of relayed heartbeats that this build sends.
+/// Message version of the relayed heartbeats that this build sends.
 constexpr std::uint32_t kRelayVersion = 1;
 
 std::size_t max_in_flight(const config::Settings& settings) {
   const std::size_t siblings = std::max<std::size_t>(1, settings.peers.size());
   const auto sockets = static_cast<std::size_t>(settings.max_sockets);
-  return std::max(kMinInFlight, sockets / kShareOfSockets / siblings);
+  return std::max(kMinInFlight, sockets / kSocketShareDivisor / siblings);
 }
 }  // namespace
 
@@ -83,14 +84,16 @@
   const bool is_answered = response.status != 0;
   routes_.record_response(leader, is_answered, now);
   if (!is_answered) ++counters(leader).unanswered;
-  // The sibling's build takes no relayed heartbeats (404), or none of this version (400).
+  // The leader's build does not support relayed heartbeats (404), or not this message version
+  // (400).
   const bool is_unsupported = response.status == 404 || response.status == 400;
   if (is_unsupported) {
-    spdlog::info("{} takes no relayed heartbeats", node_name(leader));
+    spdlog::info("relaying a heartbeat to {}: its build does not support it (status {})",
+                 node_name(leader), response.status);
     routes_.record_unsupported(leader, now);
   }
-  const bool is_for_worker = response.status == 200 || response.status == 421;
-  if (is_for_worker)
+  const bool is_worker_response = response.status == 200 || response.status == 421;
+  if (is_worker_response)
     exchange->send({response.status, std::move(response.body), 0});
   else
     exchange->send({503, "{}", 0});
@@ -103,7 +106,7 @@
     ++malformed_;
     return exchange->send({400, "{}", 0});
   }
-  ++counters(relayed->node).taken;
+  ++counters(relayed->node).received;
   exchange->body = std::move(relayed->heartbeat);
   then(exchange);
 }
@@ -130,7 +133,7 @@
     siblings.push_back({{"to", settings.nodes[node]},
                         {"passed", count.relayed},
                         {"unanswered", count.unanswered},
-                        {"taken", count.taken}});
+                        {"taken", count.received}});
   }
   return json{{"node", settings.node},
               {"relay", components_.tuning.relay},
--- a/src/controller/inventory.cpp
+++ b/src/controller/inventory.cpp
@@ -14,16 +14,19 @@
 using scheduler::InventoryChange;
 
 constexpr char kTagLetter = 'm';
-/// Pages that one transaction changes; what is left goes with the next. With 32 machines a page,
-/// 4,000 new machines take 125 pages in 21 transactions.
+/// Largest number of pages changed by one transaction; the remaining ones are changed by later
+/// transactions. With 32 machines a page, 4,000 new machines take 125 pages in 21 transactions.
 constexpr std::size_t kMaxPagesPerTransaction = 6;
-/// A shard with so many more machines than the one with the fewest adopts none.
+/// A shard adopts no machine if it has more than this many machines beyond the shard with the
+/// fewest.
 constexpr int kMaxShardImbalance = 4;
 constexpr double kCommitTimeoutS = 3;
-/// Nodes that race for a page come back at different times, so far apart.
+/// Step of the retry delay after a failed commit. It is multiplied by the node's index plus one, so
+/// that nodes that compete for a page retry at different times.
 constexpr double kRetryStepS = 0.1;
 
-// Machines rented together have names that end in consecutive numbers: these spread them evenly.
+// Machines that are rented together have names that end in consecutive numbers. Using the number as
+// the key spreads them evenly over the shards.
 std::size_t spread_key(const std::string& machine) {
   const auto digits = machine.find_last_not_of("0123456789") + 1;
   if (digits < machine.size()) return std::strtoull(machine.c_str() + digits, nullptr, 10);
@@ -31,7 +34,7 @@
 }
 }  // namespace
 
-bool Inventory::Batch::has_room() const {
+bool Inventory::Batch::has_space() const {
   return transaction.ops.size() < std::min(kMaxPagesPerTransaction, limits.ops);
 }
 
@@ -66,8 +69,9 @@
   pending_changes_.emplace(machine.name, std::move(change));
 }
 
-// Several nodes adopt at once when a fleet is found running, so the choice rests on the machine's
-// name; but a shard that has far fewer machines comes first.
+// Several nodes may adopt the same machine at the same time when a running fleet is found. The
+// choice therefore depends on the machine's name, so that they agree. If the preferred shard has
+// many more machines than the smallest one, the smallest one is chosen.
 int Inventory::shard_for_orphan(const std::string& machine) const {
   const std::vector<int> counts = machines_by_shard();
   const auto fewest = std::min_element(counts.begin(), counts.end());
@@ -77,7 +81,7 @@
   return static_cast<int>(preferred);
 }
 
-// Including those that are to be added.
+// Returns the number of machines by shard, including those with a pending addition.
 std::vector<int> Inventory::machines_by_shard() const {
   std::vector<int> counts(static_cast<std::size_t>(components_.settings.shards()), 0);
   auto count = [&](int shard) {
@@ -99,12 +103,12 @@
 
 void Inventory::write_next() {
   if (!can_write()) return;
-  collect_changes();
+  collect_scheduler_changes();
   Batch batch{{}, components_.state_client.limits().present(), tags_.next()};
   append_changes(batch);
   auto priority = state::RequestPriority::work;
-  if (batch.transaction.ops.empty() && components_.schema->converts()) {
-    // Conversion takes what the write rate leaves over.
+  if (batch.transaction.ops.empty() && components_.schema->is_converter()) {
+    // Conversion uses only the part of the write rate that nothing else needs.
     priority = state::RequestPriority::sweep;
     append_conversions(batch);
   }
@@ -113,11 +117,12 @@
 
 void Inventory::commit(wire::Transaction transaction, state::RequestPriority priority) {
   is_commit_in_flight_ = true;
-  components_.state_store->resolve_unknown_commit(
+  components_.state_store->commit_or_reread(
       std::move(transaction), priority, kCommitTimeoutS,
       reply<state::CommitResult>([this](const state::CommitResult& result) {
         is_commit_in_flight_ = false;
-        // It lost a race, or its outcome is not known: what was read since decides anew.
+        // The commit lost a race, or its outcome is unknown. The retry evaluates the changes
+        // against the state that has been read since.
         if (result.kind != state::CommitResult::applied)
           retry_at_ = loop_.now() + kRetryStepS * (1 + components_.settings.self);
       }));
@@ -130,8 +135,8 @@
          pending->second.machine.shard == shard;
 }
 
-// Takes over what the schedulers of this node's shards ask for.
-void Inventory::collect_changes() {
+// Adds the changes that the schedulers of this node's shards request to the pending changes.
+void Inventory::collect_scheduler_changes() {
   auto is_known = [this](const std::string& machine, InventoryChange::Kind kind, int shard) {
     return is_pending(machine, kind, shard);
   };
@@ -151,20 +156,21 @@
   for (const auto& [name, change] : pending_changes_)
     machines_by_page[state::inventory_page(name)].push_back(name);
   for (const auto& [number, machines] : machines_by_page) {
-    if (!batch.has_room()) break;
+    if (!batch.has_space()) break;
     shard::InventoryPage page(components_.state_store->cache(), number);
-    Preconditions leaders;
-    if (apply_changes(page, machines, leaders)) append_page(batch, page, std::move(leaders));
+    Preconditions leader_preconditions;
+    if (apply_changes(page, machines, leader_preconditions))
+      append_page(batch, page, std::move(leader_preconditions));
   }
 }
 
-// Pages that stand in another form than the active schema version's. Each transaction converts a
-// few; one that fails, or whose node dies, leaves them as they were.
+// Appends pages that are stored in another form than the active schema version's. Each transaction
+// converts a few pages; if it fails, or its node dies, they stay as they were.
 void Inventory::append_conversions(Batch& batch) {
   const state::StateCache& cache = components_.state_store->cache();
-  std::set<int> bases;  // the parts of a page are converted together
+  std::set<int> bases;  // all parts of a page are converted together
   for (const int part : cache.inventory_to_convert()) {
-    if (!batch.has_room()) break;
+    if (!batch.has_space()) break;
     const int base = state::page_of_inventory_part(part);
     if (!bases.insert(base).second) continue;
     shard::InventoryPage page(cache, base);
@@ -173,13 +179,14 @@
   }
 }
 
-// Applies the pending changes of these machines, all of one page; obsolete ones are forgotten. True
-// if the page has changed. `leaders`: further preconditions of the page's write.
+// Applies the pending changes of these machines, all of one page, and discards the obsolete ones.
+// Returns true if the page has changed. Adds to `leader_preconditions` the preconditions on leader
+// keys that the page's write needs.
 bool Inventory::apply_changes(shard::InventoryPage& page, const std::vector<std::string>& machines,
-                              Preconditions& leaders) {
+                              Preconditions& leader_preconditions) {
   bool is_changed = false;
   for (const auto& name : machines) {
-    if (apply_change(page, pending_changes_.at(name), leaders) == Outcome::applied)
+    if (apply_change(page, pending_changes_.at(name), leader_preconditions) == Outcome::applied)
       is_changed = true;
     else
       pending_changes_.erase(name);
@@ -188,12 +195,13 @@
 }
 
 Inventory::Outcome Inventory::apply_change(shard::InventoryPage& page,
-                                           const InventoryChange& change, Preconditions& leaders) {
+                                           const InventoryChange& change,
+                                           Preconditions& leader_preconditions) {
   const std::string& name = change.machine.name;
   const bool is_recorded = page.find(name) != nullptr;
   switch (change.kind) {
     case InventoryChange::add:
-      if (is_recorded) return Outcome::obsolete;  // perhaps as another shard's
+      if (is_recorded) return Outcome::obsolete;  // possibly under another shard
       page.set(change.machine);
       return Outcome::applied;
     case InventoryChange::drop:
@@ -201,31 +209,34 @@
       page.drop(name);
       return Outcome::applied;
     case InventoryChange::transfer:
-      return apply_transfer(page, name, leaders);
+      return apply_transfer(page, name, leader_preconditions);
   }
   return Outcome::obsolete;
 }
 
-// Only the leader of its shard gives a machine away, and only while it leads. Its scheduler is
-// asked now: the one that made the change may be closed, and its successor have work there.
+// Only the leader of a machine's shard may transfer it, and only while it leads. The shard's
+// present scheduler is asked again: the one that requested the transfer may have been closed, and
+// its successor may have placed work on the machine.
 Inventory::Outcome Inventory::apply_transfer(shard::InventoryPage& page, const std::string& machine,
-                                             Preconditions& leaders) {
+                                             Preconditions& leader_preconditions) {
   const wire::MachineRecord* recorded = page.find(machine);
   if (!recorded || recorded->shard >= components_.settings.shards()) return Outcome::obsolete;
   const int from = recorded->shard;
-  const scheduler::ShardScheduler* giver = components_.shard_controller(from).scheduler();
-  const int to = giver ? giver->transfer_target(machine) : -1;
+  const scheduler::ShardScheduler* source_scheduler =
+      components_.shard_controller(from).scheduler();
+  const int to = source_scheduler ? source_scheduler->transfer_target(machine) : -1;
   if (to < 0 || to == from) return Outcome::obsolete;
-  leaders.emplace_back(state::leader_key(from), giver->token());
-  wire::MachineRecord given = *recorded;
-  given.shard = to;
-  given.token = giver->token();
-  page.set(given);
+  leader_preconditions.emplace_back(state::leader_key(from), source_scheduler->token());
+  wire::MachineRecord transferred_record = *recorded;
+  transferred_record.shard = to;
+  transferred_record.token = source_scheduler->token();
+  page.set(transferred_record);
   return Outcome::applied;
 }
 
-// Puts the page's changes into the transaction, if there is room for them.
-void Inventory::append_page(Batch& batch, shard::InventoryPage& page, Preconditions leaders) {
+// Appends the page's changes to the transaction, if it has space for all of them.
+void Inventory::append_page(Batch& batch, shard::InventoryPage& page,
+                            Preconditions leader_preconditions) {
   page.fill_rental_times(
       [this](const std::string& machine) { return components_.cloud_manager->rented_at(machine); });
   wire::Transaction& all = batch.transaction;
@@ -234,9 +245,10 @@
            all.preconditions.end();
   };
   wire::Transaction changes = page.changes(batch.limits.value_bytes, batch.tag);
-  for (auto& leader : leaders) changes.preconditions.push_back(std::move(leader));
+  for (auto& leader : leader_preconditions) changes.preconditions.push_back(std::move(leader));
   std::erase_if(changes.preconditions, is_in_batch);
-  // A page that has to be split takes several operations; another one may have room beside it.
+  // A page that has to be split takes several operations. If it does not fit, a later page still
+  // may.
   if (all.ops.size() + changes.ops.size() > batch.limits.ops ||
       all.preconditions.size() + changes.preconditions.size() > batch.limits.preconditions)
     return;
--- a/src/controller/job_results.cpp
+++ b/src/controller/job_results.cpp
@@ -12,22 +12,24 @@
 namespace shunttrail::controller {
 namespace {
 constexpr char kTagLetter = 'j';
-/// Final records kept in memory; the oldest are dropped first. One that is not there is read from
-/// the state service, so more jobs cost reads and lose nothing.
-constexpr std::size_t kFinalsKept = 4000;
-/// Final records that are read ahead at the same time.
+/// Number of final records kept in memory; the oldest are dropped first. A record that is not
+/// cached is read from the state service, so a larger number of jobs costs reads but loses nothing.
+constexpr std::size_t kMaxCachedResults = 4000;
+/// Largest number of final records that are read ahead concurrently.
 constexpr std::size_t kMaxReadAhead = 6;
-/// After a read ahead that failed.
+/// Delay after a failed read-ahead.
 constexpr double kReadRetryDelayS = 0.2;
-/// Before other nodes move a job that its shard's leader should have moved.
+/// Time for which the leader of a job's shard has precedence for a transition of the job.
 constexpr double kLeaderGraceS = 2;
-/// After a transition that was not applied.
+/// Delay after a transition that was not applied.
 constexpr double kTransitionRetryDelayS = 0.3;
 constexpr double kTransitionTimeoutS = 3;
-/// Between the first change and what it makes possible: what comes meanwhile shares it.
+/// Delay between the first change and the transitions that it makes possible. Changes that arrive
+/// in the meantime are handled together.
 constexpr double kAdvanceDelayS = 0.04;
-/// Entries of `movable_since_` beyond twice the movable jobs, before it is cleaned.
-constexpr std::size_t kMovableSlack = 16;
+/// Number of entries by which `transition_due_since_` may exceed twice the number of due jobs
+/// before it is cleaned.
+constexpr std::size_t kTransitionDueSlack = 16;
 }  // namespace
 
 JobResults::JobResults(actor::Loop& loop, ControllerComponents& components)
@@ -45,32 +47,32 @@
 }
 
 void JobResults::schedule_advance() {
-  if (is_advance_armed_) return;
-  is_advance_armed_ = true;
+  if (is_advance_scheduled_) return;
+  is_advance_scheduled_ = true;
   advance_timer_.after(kAdvanceDelayS);
 }
 
 // ---- final records
 
-const wire::JobResultRecord* JobResults::final(const std::string& id) const {
+const wire::JobResultRecord* JobResults::cached_result(const std::string& id) const {
   auto result = results_.find(id);
   return result == results_.end() ? nullptr : &result->second;
 }
 
 void JobResults::result_written(std::string id, wire::JobResultRecord result) {
   post([this, id = std::move(id), result = std::move(result)] {
-    remember(id, result);
+    cache_result(id, result);
     schedule_advance();
   });
 }
 
-void JobResults::remember(const std::string& id, const wire::JobResultRecord& result) {
+void JobResults::cache_result(const std::string& id, const wire::JobResultRecord& result) {
   dependencies_.job_ended(id, result.cancelled);
   if (!results_.emplace(id, result).second) return;
-  results_by_age_.push_back(id);
-  if (results_by_age_.size() > kFinalsKept) {
-    results_.erase(results_by_age_.front());
-    results_by_age_.pop_front();
+  result_ids_by_age_.push_back(id);
+  if (result_ids_by_age_.size() > kMaxCachedResults) {
+    results_.erase(result_ids_by_age_.front());
+    result_ids_by_age_.pop_front();
   }
 }
 
@@ -122,9 +124,9 @@
     if (read.range) {
       const wire::KeyPage page = wire::decode_keys(response.body);
       has_more = page.more;
-      found = take_range(page);
+      found = cache_range(page);
     } else {
-      remember(read.id, wire::decode_job_result(*wire::decode_key(response.body).value));
+      cache_result(read.id, wire::decode_job_result(*wire::decode_key(response.body).value));
       found.push_back(read.id);
     }
   } catch (const wire::Malformed&) {
@@ -133,19 +135,19 @@
   reader_.answered(read, found, has_more);
 }
 
-// The jobs of the page, all of which have ended. Only records that are waited for are kept: the
-// rest would push these out. One that cannot be decoded is there all the same, and keeps no other
-// from its response.
-std::vector<std::string> JobResults::take_range(const wire::KeyPage& page) {
+// Returns the ids of the page's jobs, all of which have ended. Caches only the records that a
+// caller waits for; the others would evict those. A record that cannot be decoded still counts as
+// found, and does not keep the other records from being returned.
+std::vector<std::string> JobResults::cache_range(const wire::KeyPage& page) {
   constexpr std::string_view kPrefix = state::kJobResults;
   std::vector<std::string> found;
   for (const auto& item : page.items) {
     found.push_back(item.key.substr(kPrefix.size()));
     if (!item.value || !reader_.is_waiting(found.back())) continue;
     try {
-      remember(found.back(), wire::decode_job_result(*item.value));
+      cache_result(found.back(), wire::decode_job_result(*item.value));
     } catch (const wire::Malformed& error) {
-      spdlog::error("{}: {}", item.key, error.what());
+      spdlog::error("cannot decode the final record {}: {}", item.key, error.what());
     }
   }
   return found;
@@ -153,8 +155,9 @@
 
 // ---- waiting jobs
 
-// By message, and not read from another actor's turn: what the cache has told this actor comes
-// before what is asked of it. A job below a cancelled one must not be called queued again.
+// The states are computed in a message to this actor, and not read in another actor's turn. All
+// cache changes that were sent to this actor before the request are thereby applied first: a job
+// that depends on a cancelled one must never be reported as queued again.
 void JobResults::dependency_states(std::vector<std::string> ids,
                                    std::function<void(DependencyStates)> then) {
   post([this, ids = std::move(ids), then = std::move(then)] {
@@ -183,14 +186,14 @@
   schedule_advance();
 }
 
-// What the job depends on may have ended, and been read for somebody else, before anything depended
-// on it: what is known is not read again.
+// A dependency may have ended, and its final record may have been read for another caller, before
+// any job depended on it. A cached record is used and not read again.
 void JobResults::on_waiting_set(const std::string& id) {
   dependencies_.key_changed(id);
   const state::JobEntry* job = components_.state_store->cache().waiting(id);
   if (!job) return;
   for (const auto& dependency : job->record.spec.dependencies)
-    if (const auto* result = final(dependency))
+    if (const auto* result = cached_result(dependency))
       dependencies_.job_ended(dependency, result->cancelled);
 }
 
@@ -208,13 +211,14 @@
   }
 }
 
-// The leader of a job's shard moves it. If it does not, being dead, cut off or of a version that
-// knows no such jobs, the others do, one after the other.
-bool JobResults::may_move(const std::string& id) {
+// Returns whether this node may move the job. The leader of the job's shard moves it. If the leader
+// does not, because it is dead, cut off or of a version without waiting jobs, the other nodes try
+// one after the other.
+bool JobResults::may_transition(const std::string& id) {
   const state::JobEntry* job = components_.state_store->cache().waiting(id);
   if (!job) return false;
   const double now = loop_.now();
-  const double since = movable_since_.try_emplace(id, now).first->second;
+  const double since = transition_due_since_.try_emplace(id, now).first->second;
   const int team = components_.settings.team_index(job->record.spec.team);
   if (team >= 0 && components_.shard_controller(components_.settings.team_shard[team]).scheduler())
     return true;
@@ -222,7 +226,7 @@
 }
 
 void JobResults::advance() {
-  is_advance_armed_ = false;
+  is_advance_scheduled_ = false;
   const StateStore& store = *components_.state_store;
   if (!store.loaded()) return;
   if (loop_.now() >= next_read_at_) read_dependencies();
@@ -230,31 +234,32 @@
     return;
   write_transition(Transition::to_ready);
   write_transition(Transition::to_cancelled);
-  forget_moved_jobs();
+  forget_completed_transitions();
 }
 
-// Reads ahead how the jobs ended that waiting ones depend on.
+// Reads ahead the final records of the jobs that waiting jobs depend on.
 void JobResults::read_dependencies() {
   for (const auto& id : dependencies_.unread()) {
-    if (reading_.size() >= kMaxReadAhead) break;
-    if (results_.contains(id) || !reading_.insert(id).second) continue;
+    if (read_ahead_ids_.size() >= kMaxReadAhead) break;
+    if (results_.contains(id) || !read_ahead_ids_.insert(id).second) continue;
     read(id, [this, id](LookupResult result) {
-      reading_.erase(id);
+      read_ahead_ids_.erase(id);
       if (result != LookupResult::yes) next_read_at_ = loop_.now() + kReadRetryDelayS;
       schedule_advance();
     });
   }
 }
 
-void JobResults::forget_moved_jobs() {
-  const std::size_t movable = dependencies_.ready().size() + dependencies_.doomed().size();
-  if (movable_since_.size() <= 2 * movable + kMovableSlack) return;
+void JobResults::forget_completed_transitions() {
+  const std::size_t due = dependencies_.ready().size() + dependencies_.doomed().size();
+  if (transition_due_since_.size() <= 2 * due + kTransitionDueSlack) return;
   const state::StateCache& cache = components_.state_store->cache();
-  std::erase_if(movable_since_, [&](const auto& entry) { return !cache.waiting(entry.first); });
+  std::erase_if(transition_due_since_,
+                [&](const auto& entry) { return !cache.waiting(entry.first); });
 }
 
-// Several jobs share a transaction; a cascade of cancellations over thousands goes on at the write
-// rate that is left over.
+// Commits transitions of several jobs in one transaction. A cascade of cancellations over thousands
+// of jobs takes only the part of the write rate that nothing else needs.
 void JobResults::write_transition(Transition transition) {
   const bool is_ready = transition == Transition::to_ready;
   TransitionWriter& writer = is_ready ? ready_writer_ : cancelled_writer_;
@@ -262,22 +267,24 @@
   jobs::StateTransitions transitions = jobs::state_transitions(
       components_.state_store->cache(), dependencies_, is_ready,
       components_.state_client.limits().transaction_limits(), loop_.wall_now(), tags_.next(),
-      [this](const std::string& id) { return may_move(id); });
+      [this](const std::string& id) { return may_transition(id); });
   if (transitions.txn.ops.empty()) return;
   writer.is_in_flight = true;
-  const std::size_t moved_jobs = transitions.txn.ops.size() / 2;  // each drops a key and sets one
+  const std::size_t transitioned_jobs =
+      transitions.txn.ops.size() / 2;  // each transition deletes one key and sets one
   const auto priority = is_ready ? state::RequestPriority::work : state::RequestPriority::sweep;
-  components_.state_store->resolve_unknown_commit(
+  components_.state_store->commit_or_reread(
       std::move(transitions.txn), priority, kTransitionTimeoutS,
       reply<state::CommitResult>(
-          [this, &writer, moved_jobs,
+          [this, &writer, transitioned_jobs,
            results = std::move(transitions.results)](const state::CommitResult& committed) {
             writer.is_in_flight = false;
             if (committed.kind == state::CommitResult::applied) {
-              writer.moved_jobs += moved_jobs;
-              for (const auto& [id, result] : results) remember(id, result);
+              writer.transitioned_jobs += transitioned_jobs;
+              for (const auto& [id, result] : results) cache_result(id, result);
             } else {
-              // It lost a race, or its outcome is not known: what was read since decides anew.
+              // The commit lost a race, or its outcome is unknown. The retry is decided by the
+              // state that has been read since.
               writer.retry_at = loop_.now() + kTransitionRetryDelayS;
             }
             schedule_advance();
--- a/src/controller/job_results.h
+++ b/src/controller/job_results.h
@@ -1,4 +1,5 @@
-/// How jobs ended, as far as it has been read, and the transitions of jobs that wait for others.
+/// Final records of ended jobs, as far as they have been read, and the state transitions of jobs
+/// that wait for their dependencies.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -16,76 +17,83 @@
 
 namespace shunttrail::controller {
 
-/// Reads final records, keeps the latest ones, and moves waiting jobs on to ready or to cancelled
-/// through the state service. Any controller may move a job; its shard's leader does so first.
-/// Callbacks are reply addresses (actor::Actor::reply).
+/// Reads final records, caches the latest ones, and moves waiting jobs to the ready or the
+/// cancelled state through the state service. Any controller may move a job, but the leader of its
+/// shard has precedence. Callbacks are reply addresses (actor::Actor::reply).
 class JobResults : public actor::Actor {
  public:
   JobResults(actor::Loop& loop, ControllerComponents& components);
-  /// To be called at short, regular intervals.
+  /// Reads final records and commits transitions that are due. Must be called at short, regular
+  /// intervals.
   void tick();
 
-  /// The job's final record; null: not known here, whether or not there is one.
-  [[nodiscard]] const wire::JobResultRecord* final(const std::string& id) const;
+  /// Returns the job's final record, or null if it is not cached, whether or not one is stored.
+  [[nodiscard]] const wire::JobResultRecord* cached_result(const std::string& id) const;
   [[nodiscard]] const jobs::DependencyGraph& dependencies() const { return dependencies_; }
-  /// Jobs that this node has made ready.
-  [[nodiscard]] std::uint64_t made_ready() const { return ready_writer_.moved_jobs; }
-  /// Jobs that this node has cancelled with a job that they depend on.
-  [[nodiscard]] std::uint64_t ended_with_others() const { return cancelled_writer_.moved_jobs; }
+  /// Returns the number of jobs that this node has made ready.
+  [[nodiscard]] std::uint64_t made_ready() const { return ready_writer_.transitioned_jobs; }
+  /// Returns the number of jobs that this node has cancelled because a job that they depend on was
+  /// cancelled.
+  [[nodiscard]] std::uint64_t cancelled_with_dependencies() const {
+    return cancelled_writer_.transitioned_jobs;
+  }
 
-  /// The states of waiting jobs. Where one is unread, `missing` has the jobs whose final records
-  /// have to be read first.
+  /// States of waiting jobs. If one of them is `unread`, `missing` holds the jobs whose final
+  /// records have to be read first.
   struct DependencyStates {
-    std::vector<jobs::DependencyGraph::DependencyState> of;  ///< In the order of the ids asked for.
+    std::vector<jobs::DependencyGraph::DependencyState> of;  ///< In the order of the requested ids.
     std::vector<std::string> missing;
   };
-  /// The states after every change that the cache holds by now.
+  /// Calls `then` with the states of these jobs after all changes that the cache holds at the time
+  /// of the call.
   void dependency_states(std::vector<std::string> ids, std::function<void(DependencyStates)> then);
-  /// This node has written a final record.
+  /// Caches a final record that this node has written.
   void result_written(std::string id, wire::JobResultRecord result);
 
   using LookupResult = jobs::Found;
-  /// Reads one final record. What is found is known (`final`) before `then` is told.
+  /// Reads one final record. A record that is found is cached (`cached_result`) before `then` is
+  /// called.
   void lookup(std::string id, std::function<void(LookupResult)> then);
-  /// Reads several at the same time; `then` is told whether all reads succeeded, found or not.
+  /// Reads several final records concurrently. Calls `then` with true if all reads succeeded,
+  /// whether or not records were found, and with false otherwise.
   void lookup_all(std::vector<std::string> ids, std::function<void(bool)> then);
 
  private:
   enum class Transition { to_ready, to_cancelled };
-  /// The commits of one kind of transition: one in flight at most.
+  /// The commits of one kind of transition, of which at most one is in flight.
   struct TransitionWriter {
     bool is_in_flight = false;
     double retry_at = 0;
-    std::uint64_t moved_jobs = 0;
+    std::uint64_t transitioned_jobs = 0;
   };
   void on_changes(const std::vector<state::Change>& changes);
   void on_waiting_set(const std::string& id);
-  void remember(const std::string& id, const wire::JobResultRecord& result);
+  void cache_result(const std::string& id, const wire::JobResultRecord& result);
   void read(const std::string& id, std::function<void(LookupResult)> then);
   void send_reads();
   void on_read_response(const jobs::ResultReader::Read& read, const net::Result& response);
-  std::vector<std::string> take_range(const wire::KeyPage& page);
+  std::vector<std::string> cache_range(const wire::KeyPage& page);
   void send_effective_priorities();
   void schedule_advance();
   void advance();
   void read_dependencies();
   void write_transition(Transition transition);
-  void forget_moved_jobs();
-  bool may_move(const std::string& id);
+  void forget_completed_transitions();
+  bool may_transition(const std::string& id);
 
   ControllerComponents& components_;
   jobs::DependencyGraph dependencies_;
   std::unordered_map<std::string, wire::JobResultRecord> results_;
-  std::deque<std::string> results_by_age_;
+  std::deque<std::string> result_ids_by_age_;
   jobs::ResultReader reader_;
-  std::set<std::string> reading_;  ///< Jobs whose final records are read ahead.
-  /// Waiting jobs that have to be moved, and since when (loop time).
-  std::unordered_map<std::string, double> movable_since_;
+  std::set<std::string> read_ahead_ids_;  ///< Jobs whose final records are being read ahead.
+  /// Waiting jobs for which a transition is due, and since when (loop time).
+  std::unordered_map<std::string, double> transition_due_since_;
   TransitionWriter ready_writer_;
   TransitionWriter cancelled_writer_;
   double next_read_at_ = 0;
   TagSequence tags_;
-  bool is_advance_armed_ = false;
+  bool is_advance_scheduled_ = false;
   actor::Timer advance_timer_;
 };
 
--- a/src/controller/membership.cpp
+++ b/src/controller/membership.cpp
@@ -9,11 +9,11 @@
 
 namespace shunttrail::controller {
 namespace {
-/// Between two registrations over a node key that this process did not write.
+/// Shortest interval between two registrations that overwrite a node key of another process.
 constexpr double kOverwriteIntervalS = 1;
-/// The lease is renewed so many times while it lasts.
+/// Number of times that the lease is renewed within its duration.
 constexpr double kRenewalsPerLease = 4;
-/// A commit on the node key that could not be sent by then is given up.
+/// Time after which a commit on the node key that could not be sent is abandoned.
 constexpr double kCommitTimeoutS = 3;
 }  // namespace
 
@@ -34,12 +34,12 @@
 void Membership::tick() {
   post([this] {
     keep_registered();
-    observe();
+    update_election();
   });
 }
 
-void Membership::reconsider() {
-  post([this] { observe(); });
+void Membership::reconsider_leadership() {
+  post([this] { update_election(); });
 }
 
 void Membership::on_changes(const std::vector<state::Change>& changes) {
@@ -47,10 +47,10 @@
       std::any_of(changes.begin(), changes.end(), [](const state::Change& change) {
         return change.kind == state::Change::leader || change.kind == state::Change::node;
       });
-  if (concerns_leaders) observe();
+  if (concerns_leaders) update_election();
 }
 
-void Membership::observe() {
+void Membership::update_election() {
   if (!components_.state_store->loaded()) return;
   election_.observe(components_.state_store->cache(), loop_.now());
   for (const auto& controller : components_.shard_controllers) controller->reconsider_leadership();
@@ -60,9 +60,9 @@
 
 void Membership::keep_registered() {
   if (is_lease_request_in_flight_ || !components_.state_store->loaded()) return;
-  // A build that cannot read the stored state is no member: it is not registered, and if it was,
-  // others need not wait for the lease to end.
-  if (!components_.schema->may_serve()) return leave();
+  // A build that cannot read the stored state must not be registered. If it was registered, its
+  // node key is deleted, so that other nodes need not wait for the lease to end.
+  if (!components_.schema->may_serve()) return deregister_node();
   if (!lease_id_) return acquire_lease();
   restore_node_key();
   if (loop_.now() >= renew_at_) renew_lease();
@@ -105,28 +105,29 @@
 
 // ---- the node key
 
-// The registration of an earlier process of this node may come late, and another process may have
-// been started under this name: the key is written anew, but two that do so must not fill the state
-// service.
+// Writes the node key again if it does not hold this process's registration: a late registration of
+// an earlier process of this node may have replaced it, or another process may have been started
+// under the same node name. The interval between overwrites keeps two such processes from flooding
+// the state service.
 void Membership::restore_node_key() {
   const std::uint64_t key_revision =
       components_.state_store->cache().node_revision(components_.settings.self);
-  if (own_key_revision_ && key_revision == own_key_revision_) return;
+  if (registered_key_revision_ && key_revision == registered_key_revision_) return;
   const bool is_taken = key_revision != 0;
-  if (is_taken && loop_.now() < overwrite_after_) return;
-  overwrite_after_ = loop_.now() + kOverwriteIntervalS;
+  if (is_taken && loop_.now() < may_overwrite_at_) return;
+  may_overwrite_at_ = loop_.now() + kOverwriteIntervalS;
   register_node();
 }
 
-void Membership::leave() {
+void Membership::deregister_node() {
   const std::string key = state::node_key(components_.settings.node);
   const std::uint64_t key_revision =
       components_.state_store->cache().node_revision(components_.settings.self);
   if (is_commit_in_flight_ || !key_revision) return;
   is_commit_in_flight_ = true;
-  own_key_revision_ = 0;
+  registered_key_revision_ = 0;
   wire::Transaction transaction{{{key, key_revision}}, {{key, std::nullopt, 0}}};
-  components_.state_store->resolve_unknown_commit(
+  components_.state_store->commit_or_reread(
       std::move(transaction), state::RequestPriority::safety, kCommitTimeoutS,
       reply<state::CommitResult>(
           [this](const state::CommitResult&) { is_commit_in_flight_ = false; }));
@@ -139,7 +140,7 @@
                      process_id_, components_.schema->build(), lease_id_);
   if (!transaction) return;
   is_commit_in_flight_ = true;
-  components_.state_store->resolve_unknown_commit(
+  components_.state_store->commit_or_reread(
       std::move(*transaction), state::RequestPriority::safety, kCommitTimeoutS,
       reply<state::CommitResult>(
           [this](const state::CommitResult& result) { on_registered(result); }));
@@ -149,9 +150,9 @@
   is_commit_in_flight_ = false;
   if (result.kind == state::CommitResult::no_lease) lease_id_ = 0;
   if (result.kind != state::CommitResult::applied) return;
-  own_key_revision_ = result.revision;
+  registered_key_revision_ = result.revision;
   election_.registered(result.revision, tag_prefix());
-  observe();
+  update_election();
 }
 
 }  // namespace shunttrail::controller
--- a/src/controller/peer_gossip.cpp
+++ b/src/controller/peer_gossip.cpp
@@ -13,16 +13,18 @@
 namespace {
 constexpr double kHeartbeatIntervalS = 1;
 constexpr double kHeartbeatTimeoutS = 2;
-/// A shard's load is acted on for so long.
+/// Time for which a reported load or offer is valid.
 constexpr double kLoadValidS = 2.5;
-/// Between two transfers from one shard: the first has to show in the loads before the second.
+/// Shortest interval between two transfers from one shard: the loads must reflect the first
+/// transfer before the second is decided.
 constexpr double kTransferIntervalS = 2.5;
-/// This node says that it serves if it has read the state service so recently.
+/// Largest age of the latest read of the state service at which this node reports that it can
+/// serve.
 constexpr double kServingReadAgeS = 3;
-/// Connections to one sibling, and requests that wait for one.
+/// Largest numbers of connections to one other controller, and of requests that wait for one.
 constexpr int kMaxConnections = 2;
 constexpr int kMaxQueuedRequests = 4;
-/// Loads are sent in hundredths of a machine, and cut off beyond so many machines.
+/// Loads are sent in hundredths of a machine, and are limited to this many machines.
 constexpr double kLoadScale = 100;
 constexpr double kMaxSentLoad = 1e7;
 
@@ -58,12 +60,12 @@
   });
 }
 
-void PeerGossip::handle_request(net::ExchangePtr exchange) {
-  post([this, exchange = std::move(exchange)] { take_heartbeat(exchange); });
+void PeerGossip::handle_heartbeat(net::ExchangePtr exchange) {
+  post([this, exchange = std::move(exchange)] { receive_heartbeat(exchange); });
 }
 
 void PeerGossip::handle_room_offers(net::ExchangePtr exchange) {
-  post([this, exchange = std::move(exchange)] { take_room_offers(exchange); });
+  post([this, exchange = std::move(exchange)] { receive_room_offers(exchange); });
 }
 
 bool PeerGossip::another_serves() const {
@@ -72,7 +74,7 @@
 
 // ---- heartbeats
 
-void PeerGossip::take_heartbeat(const net::ExchangePtr& exchange) {
+void PeerGossip::receive_heartbeat(const net::ExchangePtr& exchange) {
   const int shards = components_.settings.shards();
   const auto heartbeat = peer::decode(exchange->body, shards);
   if (!heartbeat) {
@@ -82,15 +84,16 @@
   peer_status_[heartbeat->node] = {loop_.now(), heartbeat->serving};
   bool may_be_replaced = false;
   for (int shard = 0; shard < shards; ++shard)
-    may_be_replaced |= take_shard_status(shard, *heartbeat);
+    may_be_replaced |= record_shard_status(shard, *heartbeat);
   if (may_be_replaced)
     components_.state_store->linearizable_read(
-        reply<bool>([this](bool) { components_.membership->reconsider(); }));
+        reply<bool>([this](bool) { components_.membership->reconsider_leadership(); }));
   exchange->send({200, "{}", 0});
 }
 
-// True if the sibling knows a newer token of a shard that this node leads.
-bool PeerGossip::take_shard_status(int shard, const peer::PeerHeartbeat& heartbeat) {
+// Records the sender's load of the shard. Returns true if the sender knows a newer token of a shard
+// that this node leads.
+bool PeerGossip::record_shard_status(int shard, const peer::PeerHeartbeat& heartbeat) {
   const peer::PeerHeartbeat::Load& load = heartbeat.loads[shard];
   if (load.sender_leads) loads_[shard] = {loop_.now(), decode_load(load)};
   const scheduler::ShardScheduler* scheduler = components_.shard_controller(shard).scheduler();
@@ -113,13 +116,14 @@
   heartbeat.serving = store.fresh(kServingReadAgeS) && components_.schema->may_serve();
   for (int shard = 0; shard < components_.settings.shards(); ++shard) {
     heartbeat.tokens.push_back(store.cache().leader(shard).mod_revision);
-    heartbeat.loads.push_back(report_load(shard));
+    heartbeat.loads.push_back(update_own_load(shard));
   }
   return heartbeat;
 }
 
-// The shard's present load, which is kept as well; nothing unless this node leads it.
-peer::PeerHeartbeat::Load PeerGossip::report_load(int shard) {
+// Computes and records the shard's present load if this node leads the shard. Returns an empty load
+// otherwise.
+peer::PeerHeartbeat::Load PeerGossip::update_own_load(int shard) {
   const scheduler::ShardScheduler* scheduler = components_.shard_controller(shard).scheduler();
   if (!scheduler) return {};
   const double now = loop_.now();
@@ -130,7 +134,7 @@
 
 // ---- transfers
 
-// Machines go to the shards that lack them, once every shard's load is known.
+// Requests transfers of machines to the shards that lack them, once every shard's load is known.
 void PeerGossip::rebalance() {
   const std::vector<shard::Load> loads = recent_loads();
   if (loads.size() < loads_.size()) return;
@@ -138,7 +142,7 @@
     transfer_machines(shard, loads);
 }
 
-// By shard, up to the first one whose load is not known.
+// Returns the loads by shard, up to the first shard whose load is not known.
 std::vector<shard::Load> PeerGossip::recent_loads() const {
   const double now = loop_.now();
   std::vector<shard::Load> loads;
@@ -154,19 +158,22 @@
   const double now = loop_.now();
   if (!scheduler || now < transferred_at_[from] + kTransferIntervalS) return;
   transferred_at_[from] = now;
-  // What is marked to go already is part of what there is to give, in every leader's eyes: else
-  // each would see less than there is, and promise once more what another has promised.
-  const bool has_pledged = scheduler->transferring() > 0;
+  // Machines that are already marked for transfer still count in the capacity of this shard, which
+  // all leaders compute with. While any machine is marked, the amounts for all other shards are
+  // therefore sent again, also an amount of 0: the scheduler then keeps machines marked beyond the
+  // amount. Otherwise a leader would see less capacity than there is, and promise machines again
+  // that another leader has promised.
+  const bool has_pending_transfers = scheduler->transferring() > 0;
   const std::vector<int> transfers = shard::transfers(loads, from);
   for (int to = 0; to < components_.settings.shards(); ++to) {
     const int machines = transfers[static_cast<std::size_t>(to)];
-    if (to == from || (machines <= 0 && !has_pledged)) continue;
+    if (to == from || (machines <= 0 && !has_pending_transfers)) continue;
     components_.shard_controller(from).transfer(
         {to, static_cast<double>(machines), waiting_vcpus_by_tier(to)});
   }
 }
 
-// By tier, how many vCPUs of the shard's work that is not placed yet it could take.
+// Returns for each tier how many vCPUs of the shard's unplaced work it could take.
 std::vector<double> PeerGossip::waiting_vcpus_by_tier(int shard) const {
   const scheduler::MachineCatalogue& catalogue = components_.cloud_manager->catalogue();
   const state::StateCache& cache = components_.state_store->cache();
@@ -187,16 +194,17 @@
   return vcpus;
 }
 
-// ---- offers of room (docs/delegation.md)
+// ---- offers of free capacity (docs/delegation.md)
 
 void PeerGossip::exchange_room_offers() {
   if (!components_.tuning.delegation || components_.cloud_manager->catalogue().empty()) return;
   const std::vector<scheduler::RoomOffer> own = own_room_offers();
   send_room_offers(own);
-  hand_out_room_offers(own);
+  distribute_room_offers(own);
 }
 
-// Of all shards that this node leads, as many as one message holds.
+// Returns the offers of all shards that this node leads, limited to the number that one message
+// holds.
 std::vector<scheduler::RoomOffer> PeerGossip::own_room_offers() const {
   std::vector<scheduler::RoomOffer> own;
   for (const auto& controller : components_.shard_controllers) {
@@ -209,7 +217,8 @@
   return own;
 }
 
-// An empty message is sent once, after which the siblings' copies expire by themselves.
+// Sends the offers to the other controllers. An empty message is sent only once; after that,
+// earlier offers expire at the receivers.
 void PeerGossip::send_room_offers(const std::vector<scheduler::RoomOffer>& offers) {
   if (offers.empty() && !has_sent_offers_) return;
   has_sent_offers_ = !offers.empty();
@@ -226,14 +235,14 @@
     if (client) client->request("POST", "/peer/room", body, kHeartbeatTimeoutS, [](net::Result) {});
 }
 
-void PeerGossip::take_room_offers(const net::ExchangePtr& exchange) {
+void PeerGossip::receive_room_offers(const net::ExchangePtr& exchange) {
   const auto message = peer::decode_capacity_offers(exchange->body, components_.settings.shards());
   if (!message) {
     ++malformed_;
     return exchange->send({400, "{}", 0});
   }
   const scheduler::MachineCatalogue& catalogue = components_.cloud_manager->catalogue();
-  OfferReport& report = offers_[message->node];
+  ReceivedOffers& report = offers_[message->node];
   report = {loop_.now(), {}};
   for (const peer::CapacityOffers::Offer& offer : message->offers) {
     const int type = catalogue.type_index(offer.type);
@@ -245,10 +254,10 @@
   exchange->send({200, "{}", 0});
 }
 
-// Each shard that this node leads gets what all others offer, of this node's own ones too.
-void PeerGossip::hand_out_room_offers(const std::vector<scheduler::RoomOffer>& own) {
+// Passes to each shard the offers of all other shards, including those that this node leads.
+void PeerGossip::distribute_room_offers(const std::vector<scheduler::RoomOffer>& own) {
   std::vector<scheduler::RoomOffer> all = own;
-  for (const OfferReport& report : offers_)
+  for (const ReceivedOffers& report : offers_)
     if (loop_.now() - report.at <= kLoadValidS)
       all.insert(all.end(), report.offers.begin(), report.offers.end());
   for (int shard = 0; shard < components_.settings.shards(); ++shard) {
--- a/src/controller/schema_manager.cpp
+++ b/src/controller/schema_manager.cpp
@@ -11,9 +11,10 @@
 namespace shunttrail::controller {
 namespace {
 constexpr char kTagLetter = 'l';
-/// Any node may commit a step; they try one after the other, so far apart.
+/// Any node may commit a step. Each node waits for this delay times its index, so that they try one
+/// after the other.
 constexpr double kNodeDelayS = 0.5;
-/// A step is decided by a read that is not older.
+/// Largest age of the read of the state service by which a step is decided.
 constexpr double kMaxReadAgeS = 3;
 constexpr double kStepTimeoutS = 3;
 constexpr double kOrderTimeoutS = 3;
@@ -56,7 +57,7 @@
   return schema::serving_refusal(components_.state_store->cache().schema(), build_);
 }
 
-bool SchemaManager::converts() const {
+bool SchemaManager::is_converter() const {
   const schema::StoredView& view = components_.state_store->cache().schema();
   for (std::size_t node = 0; node < view.members.size(); ++node) {
     const schema::StoredView::Member& member = view.members[node];
@@ -82,7 +83,8 @@
 void SchemaManager::log_refusal() {
   std::string reason = refusal();
   if (reason == logged_refusal_) return;
-  if (!reason.empty()) spdlog::error("this node serves nothing: {}", reason);
+  if (!reason.empty())
+    spdlog::error("node {} cannot serve any request: {}", components_.settings.node, reason);
   logged_refusal_ = std::move(reason);
 }
 
@@ -96,8 +98,8 @@
     const bool is_new = known == blocked_since_.end();
     blocked_since[key] = is_new ? now : known->second;
     if (is_new)
-      spdlog::info("schema: version {} is active; blocked by {}, which {}", active, blocker.by,
-                   blocker.reason);
+      spdlog::info("schema: version {} is active; the next step is blocked by {}, which {}", active,
+                   blocker.by, blocker.reason);
   }
   blocked_since_ = std::move(blocked_since);
 }
@@ -123,13 +125,13 @@
   const schema::VersionRecord next = rollout_status_.step.record;
   is_commit_in_flight_ = true;
   step_since_ = 0;
-  components_.state_store->resolve_unknown_commit(
+  components_.state_store->commit_or_reread(
       schema::commit_of(rollout_status_.step, tags_.next()), state::RequestPriority::safety,
       kStepTimeoutS, reply<state::CommitResult>([this, next](const state::CommitResult& result) {
         is_commit_in_flight_ = false;
         if (result.kind == state::CommitResult::applied)
-          spdlog::info("schema: version {} is active, forms of {} to {} may be stored", next.active,
-                       next.lowest, next.highest);
+          spdlog::info("schema: version {} is active; forms of versions {} to {} may be stored",
+                       next.active, next.lowest, next.highest);
         evaluate();
       }));
 }
@@ -143,11 +145,12 @@
   } catch (const wire::Malformed& error) {
     return exchange->send(error_response(400, error.what()));
   }
-  components_.state_store->linearizable_read(
-      reply<bool>([this, exchange, order = std::move(order)](bool is_read) {
-        if (is_read) return commit_order(exchange, order);
-        exchange->send(error_response(503, "the state service cannot be read", kOrderRetryAfterS));
-      }));
+  components_.state_store->linearizable_read(reply<bool>([this, exchange,
+                                                          order = std::move(order)](bool is_read) {
+    if (is_read) return commit_order(exchange, order);
+    exchange->send(error_response(
+        503, "the order was not carried out: the state service cannot be read", kOrderRetryAfterS));
+  }));
 }
 
 void SchemaManager::commit_order(const net::ExchangePtr& exchange, const schema::Order& order) {
@@ -155,16 +158,17 @@
   const std::string reason = schema::order_refusal(view, components_.settings.nodes, order);
   if (!reason.empty()) return exchange->send(error_response(400, reason));
   schema::Orders orders = schema::apply_order(view.orders, order);
-  // Repeating an order is harmless, and costs nothing.
+  // A repeated order changes nothing, so nothing is committed.
   if (orders == view.orders) return exchange->send({200, describe(), 0});
-  components_.state_store->resolve_unknown_commit(
+  components_.state_store->commit_or_reread(
       schema::commit_of(view, std::move(orders), tags_.next()), state::RequestPriority::user,
       kOrderTimeoutS,
       reply<state::CommitResult>([this, exchange](const state::CommitResult& result) {
         evaluate();
         if (result.kind == state::CommitResult::applied)
           return exchange->send({200, describe(), 0});
-        exchange->send(error_response(503, "not carried out, or not known", kOrderRetryAfterS));
+        exchange->send(error_response(503, "the order was not committed, or its outcome is unknown",
+                                      kOrderRetryAfterS));
       }));
 }
 
--- a/src/controller/shard_controller.cpp
+++ b/src/controller/shard_controller.cpp
@@ -9,9 +9,11 @@
 
 namespace shunttrail::controller {
 namespace {
-/// Between the first cause of a scheduling pass and the pass: what comes meanwhile shares it.
+/// Delay between the first cause of a scheduling pass and the pass. Causes that arrive in the
+/// meantime share the pass.
 constexpr double kPassDelayS = 0.04;
-/// The letters of the shards' tags begin at 'a' and are used again after so many shards.
+/// Number of letters, beginning at 'a', used in the shards' tags. Shards beyond that number reuse
+/// them.
 constexpr int kShardLetters = 20;
 /// The scheduler's random seed is its token, spread by Knuth's multiplicative hash.
 constexpr std::uint64_t kSeedMultiplier = 2654435761;
@@ -79,7 +81,7 @@
   });
 }
 
-// ---- the cloud's answers
+// ---- the cloud's responses
 
 void ShardController::cloud_requests(bool with_returns, std::function<void(CloudRequests)> then) {
   post([this, with_returns, then = std::move(then)] {
@@ -96,7 +98,7 @@
 void ShardController::rented(std::uint64_t opened_under, scheduler::ScaleOutRequest request,
                              std::vector<std::string> machines) {
   post([this, opened_under, request = std::move(request), machines = std::move(machines)] {
-    // Machines rented for a scheduler that is closed send heartbeats, and are adopted.
+    // Machines rented for a scheduler that has been closed will send heartbeats and be adopted.
     if (is_current(opened_under)) scheduler_->rented(request, machines, now());
     schedule_pass();
   });
@@ -154,9 +156,9 @@
         on_machine_set(change.name);
         break;
       case state::Change::machine_deleted:
-        // Only what the cloud has deleted leaves the inventory, or what has gone on to another part
-        // of its page: such a machine is still there, and so are its tasks.
-        if (!state_store().cache().machine(change.name)) lose_machine(change.name);
+        // A machine leaves the inventory only once the cloud has deleted it. If it was only moved
+        // to another part of its page, the cache still has it, and its tasks continue.
+        if (!state_store().cache().machine(change.name)) remove_machine(change.name);
         break;
       default:
         break;
@@ -176,10 +178,10 @@
   if (machine->shard == shard())
     add_machine(*machine);
   else
-    lose_machine(name);
+    remove_machine(name);
 }
 
-bool ShardController::owns_team(int team) const {
+bool ShardController::has_team(int team) const {
   return team >= 0 && settings().team_shard[team] == shard();
 }
 
@@ -187,13 +189,14 @@
   return job.delegation && job.delegation->is_readable && job.delegation->shard == shard();
 }
 
-// Takes the job if its team belongs to this shard, or it is delegated here.
+// Adds the job to the scheduler if its team belongs to this shard, or if it is delegated to this
+// shard.
 void ShardController::add_job(const std::string& id, const state::JobEntry& job) {
   const int team = settings().team_index(job.record.spec.team);
-  if (!owns_team(team) && !is_delegated_here(job.record)) return;
+  if (!has_team(team) && !is_delegated_here(job.record)) return;
   const double loop_now = now();
   const double wall_now = loop_.wall_now();
-  // Of a delegated job, only what this shard has stored itself counts as stored.
+  // For a delegated job, only the results that this shard has stored itself count as done.
   const state::StateCache& cache = state_store().cache();
   const auto done = job.record.delegation ? cache.done(id, shard()) : cache.done(id);
   scheduler_->job_added(job.record, team, done, loop_now, wall_now);
@@ -208,7 +211,7 @@
     scheduler_->set_machine_address(machine.name, *address);
 }
 
-void ShardController::lose_machine(const std::string& name) {
+void ShardController::remove_machine(const std::string& name) {
   scheduler_->machine_moved(name, now());
   direct_commands_.forget(name);
 }
@@ -227,7 +230,8 @@
   for (const auto& [number, page] : cache.placement_pages(shard()))
     scheduler_->recover_page(number, page, opened_at);
   scheduler_->sync_delegations(cache, opened_at);
-  spdlog::info("shard {}: leading under token {} {}", shard(), token, scheduler_->summary());
+  spdlog::info("shard {}: opened the scheduler of token {}: {}", shard(), token,
+               scheduler_->summary());
   scheduler_->tick(opened_at);
   schedule_pass();
 }
@@ -240,13 +244,13 @@
 }
 
 void ShardController::schedule_pass() {
-  if (is_pass_armed_ || !scheduler_) return;
-  is_pass_armed_ = true;
+  if (is_pass_scheduled_ || !scheduler_) return;
+  is_pass_scheduled_ = true;
   pass_timer_.after(kPassDelayS);
 }
 
 void ShardController::run_scheduling_pass() {
-  is_pass_armed_ = false;
+  is_pass_scheduled_ = false;
   if (!scheduler_) return;
   if (scheduler_->scheduling_due()) scheduler_->run_scheduling_pass(now());
   send_pending_work();
--- a/src/controller/state_store.cpp
+++ b/src/controller/state_store.cpp
@@ -8,24 +8,25 @@
 namespace shunttrail::controller {
 namespace {
 
-/// Between the beginnings of two watches: changes come in bundles.
+/// Shortest interval between the beginnings of two watches, so that several changes are delivered
+/// at once.
 constexpr double kWatchIntervalS = 0.15;
 constexpr int kWatchBlockMs = 1000;
 constexpr double kWatchBackoffStepS = 0.1;
 constexpr double kMaxWatchBackoffS = 1;
-/// Between two linearizable reads.
+/// Shortest interval between two linearizable reads.
 constexpr double kReadIntervalS = 0.06;
-/// Before the first one: requests that come together share it.
+/// Delay before a linearizable read, so that requests that arrive together share it.
 constexpr double kReadDelayS = 0.004;
 
-/// The response to a watch from a revision that the state service has compacted.
+/// Status of a response to a watch from a revision that the state service has compacted.
 constexpr int kRevisionCompacted = 410;
 
 void require_ok(const net::Result& response) {
   if (response.status != 200) throw wire::Malformed("status " + std::to_string(response.status));
 }
 
-// The events that the cache takes: only they are kept beside a commit in flight.
+// Returns the events that concern the cache. Only these are kept while the commit is in flight.
 std::vector<wire::Event> cached_events(const wire::Transaction& transaction) {
   std::vector<wire::Event> events;
   for (const auto& op : transaction.ops)
@@ -62,8 +63,7 @@
 
 void StateStore::reload() {
   is_loading_ = true;
-  // What is known of the first keys is as old as the first request, so the age of the whole read
-  // counts from there.
+  // The first page is as old as the first request, so the age of the whole read counts from there.
   FullRead read;
   read.began_at = loop_.now();
   read_page(std::move(read));
@@ -84,12 +84,13 @@
     require_ok(response);
     page = wire::decode_keys(response.body);
   } catch (const wire::Malformed& error) {
-    spdlog::info("cannot read the state service: {}", error.what());
+    spdlog::info("reading all keys: the page after key '{}' cannot be read: {}", read.last_key,
+                 error.what());
     is_loading_ = false;
     return;
   }
-  // The first page's revision counts: what changes while the pages are read is read again by the
-  // watch.
+  // The watch starts at the first page's revision: changes made while the other pages are read are
+  // then read again by the watch.
   if (!read.revision) read.revision = page.revision;
   const bool has_next = page.more && !page.items.empty();
   for (auto& item : page.items) read.items.push_back(std::move(item));
@@ -127,7 +128,7 @@
 void StateStore::on_watch_response(double began_at, const net::Result& response) {
   if (response.status == kRevisionCompacted) {
     is_loaded_ = false;
-    spdlog::info("the watch revision is compacted: reading all keys");
+    spdlog::info("watch: revision {} is compacted, reading all keys", cache_.revision());
     return;
   }
   try {
@@ -151,28 +152,29 @@
 void StateStore::delay_watch(const char* why) {
   watch_backoff_s_ = std::min(kMaxWatchBackoffS, watch_backoff_s_ * 2 + kWatchBackoffStepS);
   next_watch_at_ = loop_.now() + watch_backoff_s_;
-  spdlog::debug("watch: {}", why);
+  spdlog::debug("watch from revision {} failed, retrying in {:.1f} s: {}", cache_.revision(),
+                watch_backoff_s_, why);
 }
 
 // ---- linearizable reads
 
 void StateStore::linearizable_read(std::function<void(bool)> then) {
-  post([this, then = std::move(then)]() mutable { wait_for_read(std::move(then)); });
+  post([this, then = std::move(then)]() mutable { enqueue_linearizable_read(std::move(then)); });
 }
 
-void StateStore::wait_for_read(std::function<void(bool)> then) {
+void StateStore::enqueue_linearizable_read(std::function<void(bool)> then) {
   if (!is_loaded_) return then(false);
   read_waiters_.push_back(std::move(then));
-  if (!is_read_in_flight_ && !is_read_armed_) arm_linearizable_read(kReadDelayS);
+  if (!is_read_in_flight_ && !is_read_scheduled_) schedule_linearizable_read(kReadDelayS);
 }
 
-void StateStore::arm_linearizable_read(double delay_s) {
-  is_read_armed_ = true;
+void StateStore::schedule_linearizable_read(double delay_s) {
+  is_read_scheduled_ = true;
   read_timer_.after(delay_s);
 }
 
 void StateStore::start_linearizable_read() {
-  is_read_armed_ = false;
+  is_read_scheduled_ = false;
   if (is_read_in_flight_ || read_waiters_.empty()) return;
   is_read_in_flight_ = true;
   auto waiters = std::make_shared<std::vector<std::function<void(bool)>>>();
@@ -186,7 +188,7 @@
                   on_watch_response(began_at, response);
                 const bool is_read = is_ok && last_read_at_ >= began_at;
                 for (const auto& waiter : *waiters) waiter(is_read);
-                if (!read_waiters_.empty()) arm_linearizable_read(kReadIntervalS);
+                if (!read_waiters_.empty()) schedule_linearizable_read(kReadIntervalS);
               }));
 }
 
@@ -220,13 +222,12 @@
   });
 }
 
-void StateStore::resolve_unknown_commit(wire::Transaction transaction,
-                                        state::RequestPriority priority, double timeout_s,
-                                        std::function<void(state::CommitResult)> done) {
+void StateStore::commit_or_reread(wire::Transaction transaction, state::RequestPriority priority,
+                                  double timeout_s, std::function<void(state::CommitResult)> done) {
   commit(std::move(transaction), priority, timeout_s,
          [this, done = std::move(done)](state::CommitResult result) {
            if (result.kind == state::CommitResult::applied) return done(std::move(result));
-           wait_for_read([result = std::move(result), done](bool) { done(result); });
+           enqueue_linearizable_read([result = std::move(result), done](bool) { done(result); });
          });
 }
 
