--- a/tests/delegation_test.cpp
+++ b/tests/delegation_test.cpp
@@ -303,7 +303,7 @@
                      {{state::leader_key(shard),
                        wire::encode_record(wire::LeaderRecord{"node-0", "x"}), 0}}});
       read();
-      store_.commit(roster_txn(cache_, {{name, "t4", "a", false, shard, 0, 0}}, 1));
+      store_.commit(inventory_transaction(cache_, {{name, "t4", "a", false, shard, 0, 0}}, 1));
       read();
       shards_.push_back(open(shard));
       Worker worker;
@@ -384,12 +384,12 @@
     for (std::size_t shard = 0; shard < workers_.size(); ++shard) {
       Worker& worker = workers_[shard];
       auto& scheduler = *shards_[shard];
-      const wire::Heartbeat heartbeat = worker.report();
+      const wire::Heartbeat heartbeat = worker.heartbeat();
       if (scheduler.take_heartbeat(heartbeat, now_) ==
           scheduler::ShardScheduler::HeartbeatResult::unknown)
         continue;
-      worker.obey(scheduler.token(), scheduler.commands_for(worker.name, true, now_),
-                  heartbeat.incarnation, now_, now_, rng_);
+      worker.execute(scheduler.token(), scheduler.commands_for(worker.name, true, now_),
+                     heartbeat.incarnation, now_, now_, rng_);
     }
   }
   // Offers, commits and heartbeats of so many seconds.
--- a/tests/emulators.h
+++ b/tests/emulators.h
@@ -51,8 +51,9 @@
 
 // A inventory page as a node would write it, with these machines added to what is there, in the
 // form of a state level.
-inline wire::Transaction roster_txn(const state::StateCache& w,
-                                    const std::vector<wire::MachineRecord>& add, int form = 0) {
+inline wire::Transaction inventory_transaction(const state::StateCache& w,
+                                               const std::vector<wire::MachineRecord>& add,
+                                               int form = 0) {
   std::map<int, std::vector<wire::MachineRecord>> pages;
   for (const auto& m : add) {
     int page = state::inventory_page(m.name);
@@ -107,40 +108,40 @@
     std::uint64_t attempt;
     wire::TaskState state;
     wire::ExitReason why;
-    double ends;
+    double ends_at;
   };
   std::string name, zone = "a";
-  std::uint64_t session = 1, seq = 0, token = 0;
-  double last_ok = 0;  // when the last answered report was sent
+  std::uint64_t incarnation = 1, sequence = 0, token = 0;
+  double last_answered_sent_at = 0;  // when the last answered report was sent
   std::vector<Task> tasks;
-  int target = 0;
+  int node = 0;
 
-  wire::Heartbeat report() {
+  wire::Heartbeat heartbeat() {
     wire::Heartbeat r;
     r.machine = name;
     r.addr = "10.0.0.1:1";
     r.type = "t4";
     r.zone = zone;
     r.spot = true;
-    r.incarnation = session;
-    r.sequence = ++seq;
+    r.incarnation = incarnation;
+    r.sequence = ++sequence;
     r.token = token;
     for (const auto& t : tasks) r.tasks.push_back({t.id, t.attempt, t.state, t.why});
     return r;
   }
-  void lease(double now, double lease_s) {
-    if (now - last_ok > lease_s) {
+  void check_lease(double now, double lease_s) {
+    if (now - last_answered_sent_at > lease_s) {
       tasks.clear();
-      ++session;
-      last_ok = now;
+      ++incarnation;
+      last_answered_sent_at = now;
     }
   }
-  // An answer of 200 to the report sent at `sent` in `of_session`.
-  bool obey(std::uint64_t t, const std::vector<wire::Command>& commands, std::uint64_t of_session,
-            double sent, double now, std::mt19937& rng) {
-    if (t < token || of_session != session) return false;
+  // An answer of 200 to the report sent at `sent` in `of_incarnation`.
+  bool execute(std::uint64_t t, const std::vector<wire::Command>& commands,
+               std::uint64_t of_incarnation, double sent, double now, std::mt19937& rng) {
+    if (t < token || of_incarnation != incarnation) return false;
     token = t;
-    last_ok = std::max(last_ok, sent);
+    last_answered_sent_at = std::max(last_answered_sent_at, sent);
     for (const auto& c : commands) {
       auto it = std::find_if(tasks.begin(), tasks.end(), [&](const Task& k) {
         return k.id.job == c.task.job && k.id.index == c.task.index && k.attempt == c.attempt;
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -46,13 +46,14 @@
     Worker w;
     w.name = "m-" + std::to_string(100000 + machines_++);
     w.zone = zone;
-    w.last_ok = now_;
+    w.last_answered_sent_at = now_;
     state::StateCache now_there(s_);
     std::vector<state::Change> changes;
     store_.read(now_there, changes);
     // While builds of several state levels write, pages stand in either form.
-    store_.commit(roster_txn(now_there, {{w.name, "t4", zone, true, 0, 0, 1733000000 + now_}},
-                             static_cast<int>(rng_() % 2)));
+    store_.commit(inventory_transaction(now_there,
+                                        {{w.name, "t4", zone, true, 0, 0, 1733000000 + now_}},
+                                        static_cast<int>(rng_() % 2)));
     workers_.push_back(w);
   }
 
@@ -230,11 +231,11 @@
                            [&](const Worker& w) { return w.name == d.machine; });
     if (it == workers_.end()) return std::nullopt;
     int status = 409;
-    if (token >= it->token && d.incarnation == it->session) {
-      it->obey(token, d.commands, d.incarnation, -1e9, now_, rng_);
+    if (token >= it->token && d.incarnation == it->incarnation) {
+      it->execute(token, d.commands, d.incarnation, -1e9, now_, rng_);
       status = 200;
     }
-    return std::pair(status, it->report());
+    return std::pair(status, it->heartbeat());
   }
   void raise(Node& n) {
     wire::Transaction t;
@@ -254,7 +255,7 @@
         r.token > n.scheduler->token() || !n.scheduler->has_machine(r.machine) ||
         n.scheduler->take_heartbeat(r, now_) ==
             scheduler::ShardScheduler::HeartbeatResult::unknown) {
-      if (answer_to) answer_to->target = 1 - target;
+      if (answer_to) answer_to->node = 1 - target;
       return;
     }
     pump(n);
@@ -263,7 +264,7 @@
     std::uint64_t token = n.scheduler->token();
     if (!answer_to || chance(0.1)) return;  // the answer is lost
     std::vector<wire::TaskId> before;
-    if (!answer_to->obey(token, commands, r.incarnation, sent, now_, rng_)) return;
+    if (!answer_to->execute(token, commands, r.incarnation, sent, now_, rng_)) return;
   }
 
   void step() {
@@ -371,9 +372,9 @@
     if (workers_.size() < 3) add_machine(chance(0.5) ? "a" : "b");
 
     for (auto& w : workers_) {
-      w.lease(now_, s_.lease_s);
+      w.check_lease(now_, s_.lease_s);
       for (auto& t : w.tasks)
-        if (t.state != wire::TaskState::exited && t.ends <= now_) {
+        if (t.state != wire::TaskState::exited && t.ends_at <= now_) {
           t.state = wire::TaskState::exited;
           t.why = (rng_() % 10) ? wire::ExitReason::done : wire::ExitReason::error;
           if (t.why == wire::ExitReason::done)
@@ -393,17 +394,17 @@
       auto it = std::find_if(workers_.begin(), workers_.end(),
                              [&](const Worker& w) { return w.name == name; });
       if (it == workers_.end() || !chance(0.3)) continue;
-      wire::Heartbeat r = it->report();
+      wire::Heartbeat r = it->heartbeat();
       if (chance(0.05)) continue;  // lost
       if (chance(0.05)) {          // held back: the worker has long given up on it
-        held_.push_back({now_ + static_cast<double>(rng_() % 50), it->target, r});
-        it->target = 1 - it->target;
+        held_.push_back({now_ + static_cast<double>(rng_() % 50), it->node, r});
+        it->node = 1 - it->node;
         continue;
       }
       // A copy of it comes as well, from seconds to well over a lease later, to either node.
       if (chance(0.08))
         held_.push_back({now_ + static_cast<double>(rng_() % 90), static_cast<int>(rng_() % 2), r});
-      deliver(it->target, r, &*it, now_);
+      deliver(it->node, r, &*it, now_);
       check();
     }
     check();
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -150,13 +150,13 @@
     return *desks[static_cast<std::size_t>(world.machine(machine)->shard)];
   }
   void report(Worker& k) {
-    auto r = k.report();
+    auto r = k.heartbeat();
     r.spot = false;
     scheduler::ShardScheduler& scheduler = leader_of(k.name);
     ASSERT_EQ(scheduler.take_heartbeat(r, now), scheduler::ShardScheduler::HeartbeatResult::fresh)
         << k.name;
-    k.obey(scheduler.token(), scheduler.commands_for(k.name, true, now), r.incarnation, now, now,
-           rng);
+    k.execute(scheduler.token(), scheduler.commands_for(k.name, true, now), r.incarnation, now, now,
+              rng);
   }
   void all_report() {
     now += settings.heartbeat_s;
--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -72,7 +72,7 @@
   d.submit(sized(1, 1, wire::Priority::standard), 0);
   d.pass_second(1);
   ASSERT_EQ(d.live_tasks("m-1"), 1u);
-  d.workers.at("m-1").tasks[0].ends = 1e9;
+  d.workers.at("m-1").tasks[0].ends_at = 1e9;
   const auto large = d.submit(sized(2, 4, wire::Priority::standard), 2);
   double now = 2, longest = 0;
   for (int n = 3; n < 40; ++n) {
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -43,14 +43,14 @@
   }
   void machine(const std::string& name, double now, const std::string& zone = "a") {
     wire::MachineRecord r{name, "t4", zone, false, 0, 0};
-    store.commit(roster_txn(cache, {r}));
+    store.commit(inventory_transaction(cache, {r}));
     read();
     scheduler->machine_known(r, now);
     scheduler->set_machine_address(name, "10.0.0.1:1");
     Worker k;
     k.name = name;
     k.zone = zone;
-    k.last_ok = now;
+    k.last_answered_sent_at = now;
     workers[name] = k;
     report(name, now);
   }
@@ -83,14 +83,14 @@
   scheduler::ShardScheduler::HeartbeatResult report(const std::string& name, double now,
                                                     bool response_lost = false) {
     Worker& k = workers.at(name);
-    k.lease(now, settings.lease_s);
-    auto r = k.report();
+    k.check_lease(now, settings.lease_s);
+    auto r = k.heartbeat();
     r.spot = false;
     auto heard = scheduler->take_heartbeat(r, now);
     if (heard != scheduler::ShardScheduler::HeartbeatResult::fresh) return heard;
     commit(now);
     auto commands = scheduler->commands_for(name, true, now);
-    if (!response_lost) k.obey(scheduler->token(), commands, r.incarnation, now, now, rng);
+    if (!response_lost) k.execute(scheduler->token(), commands, r.incarnation, now, now, rng);
     return heard;
   }
   /// Every machine but these sends two heartbeats.
@@ -120,7 +120,8 @@
     for (auto& [name, k] : workers)
       for (auto& task : k.tasks) {
         const auto* j = cache.job(task.id.job);
-        if (task.state == TaskState::running && task.ends <= now && !(j && j->record.spec.service))
+        if (task.state == TaskState::running && task.ends_at <= now &&
+            !(j && j->record.spec.service))
           task.state = TaskState::exited, task.why = wire::ExitReason::done;
       }
     all_report(now);
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -23,7 +23,7 @@
       machines.push_back({w.name, "t4", w.zone, true, 0, 0});
       workers_.push_back(w);
     }
-    store_.commit(roster_txn(world_, machines));
+    store_.commit(inventory_transaction(world_, machines));
     auto big = make_job(1, 3000, 1);
     auto urgent = make_job(2, 40, 2);
     urgent.spec.priority = wire::Priority::high;
@@ -100,20 +100,20 @@
     }
     commits();
     for (auto& w : workers_) {
-      w.lease(now_, s_.lease_s);
+      w.check_lease(now_, s_.lease_s);
       for (auto& t : w.tasks)
-        if (t.state != wire::TaskState::exited && t.ends <= now_) {
+        if (t.state != wire::TaskState::exited && t.ends_at <= now_) {
           t.state = wire::TaskState::exited;
           t.why = wire::ExitReason::done;
           done_.insert(t.id.job + "/" + std::to_string(t.id.index));
         }
       if (!desk_ || !chance(0.4) || chance(0.05)) continue;  // not yet, or lost
-      auto r = w.report();
+      auto r = w.heartbeat();
       if (r.token > desk_->token() ||
           desk_->take_heartbeat(r, now_) != scheduler::ShardScheduler::HeartbeatResult::fresh)
         continue;
       auto commands = desk_->commands_for(w.name, true, now_);
-      if (!chance(0.05)) w.obey(desk_->token(), commands, r.incarnation, now_, now_, rng_);
+      if (!chance(0.05)) w.execute(desk_->token(), commands, r.incarnation, now_, now_, rng_);
     }
     check();
   }
--- a/tests/schema_test.cpp
+++ b/tests/schema_test.cpp
@@ -210,7 +210,7 @@
   for (int i = 0; i < 64; ++i)
     fleet.push_back({"m-" + std::to_string(320000 + i), "a-type-with-a-name", "zone-with-a-name",
                      true, 0, 123456, 1733000000.0 + i});
-  store.commit(roster_txn(w, fleet));
+  store.commit(inventory_transaction(w, fleet));
   auto level = [&](const VersionRecord& r) {
     store.commit({{}, {{schema::kActiveKey, schema::encode(r), 0}}});
     store.read(w, ch);
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -38,9 +38,9 @@
     for (auto& o : d.scheduler->direct_commands(
              true, [](const auto&) { return false; }, now)) {
       Worker& k = d.workers.at(o.machine);
-      k.obey(d.scheduler->token(), o.commands, k.session, -1e9, now, d.rng);
+      k.execute(d.scheduler->token(), o.commands, k.incarnation, -1e9, now, d.rng);
       d.scheduler->direct_commands_done(o, 200);
-      d.scheduler->take_heartbeat(k.report(), now, true);
+      d.scheduler->take_heartbeat(k.heartbeat(), now, true);
     }
     d.all_report(now + 0.5);
   }
@@ -203,7 +203,7 @@
   d.job(1, 1, 4, false, 0);
   d.all_report(1);
   ASSERT_EQ(d.live_tasks("m-1"), 1u);
-  auto copy = d.workers.at("m-1").report();
+  auto copy = d.workers.at("m-1").heartbeat();
   d.scheduler->take_heartbeat(copy, 2);
   static_cast<void>(d.scheduler->commands_for("m-1", true, 2));
   d.machine("m-2", 2);
--- a/tests/shard_scheduler_test.cpp
+++ b/tests/shard_scheduler_test.cpp
@@ -40,7 +40,7 @@
   }
   void machine(const std::string& name) {
     wire::MachineRecord r{name, "t4", "a", false, 0, 0};
-    store.commit(roster_txn(cache, {r}));
+    store.commit(inventory_transaction(cache, {r}));
     read();
     scheduler->machine_known(r, 0);
   }
@@ -603,7 +603,7 @@
   for (int i = 1; i <= 4; ++i) {
     const std::string name = "m-" + std::to_string(i), type = i == 2 ? "t4" : "t16";
     wire::MachineRecord m{name, type, "a", false, 0, 0};
-    d.store.commit(roster_txn(d.cache, {m}));
+    d.store.commit(inventory_transaction(d.cache, {m}));
     d.read();
     d.scheduler->machine_known(m, 0);
     wire::Heartbeat r;
@@ -632,7 +632,7 @@
   for (int i = 0; i < 200; ++i)
     fleet.push_back({"m-" + std::to_string(100000 + i), "t4", "a", false, 0, 0});
   d.settings.teams[0].cpus_max = 1e6;
-  d.store.commit(roster_txn(d.cache, fleet));
+  d.store.commit(inventory_transaction(d.cache, fleet));
   d.read();
   for (const auto& m : fleet) {
     d.scheduler->machine_known(m, 0);
@@ -672,7 +672,7 @@
   std::vector<wire::MachineRecord> fleet;
   for (int i = 0; i < 100; ++i)
     fleet.push_back({"m-" + std::to_string(100000 + i), "t4", "a", false, 0, 0});
-  d.store.commit(roster_txn(d.cache, fleet));
+  d.store.commit(inventory_transaction(d.cache, fleet));
   d.read();
   for (const auto& m : fleet) d.scheduler->machine_known(m, 0);
   std::map<std::string, std::vector<wire::TaskStatus>> there;
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -265,7 +265,7 @@
   std::vector<wire::MachineRecord> machines;
   for (int i = 0; i < 600; ++i)
     machines.push_back({"m-" + std::to_string(100000 + i), "t4", "a", true, 0, 0});
-  store.commit(roster_txn(w, machines));
+  store.commit(inventory_transaction(w, machines));
   std::vector<state::Change> ch;
   store.read(w, ch);
   auto job = make_job(1, 2400, 1);
