--- a/src/emulators/cloud.cpp
+++ b/src/emulators/cloud.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 constexpr std::size_t kMaxRequestBytes = 64 * 1024;
-constexpr std::size_t kMaxListed = 500;
+constexpr std::size_t kMaxPageMachines = 500;
 constexpr std::size_t kMaxLimitDigits = 5;
 constexpr double kBurstS = 2;  // so many seconds' worth of requests may come at once
-constexpr double kLeastBootS = 0.1;
+constexpr double kMinBootS = 0.1;
 constexpr std::size_t kNameDigits = 6;
 
 // The machines that one answer lists.
@@ -23,8 +23,8 @@
   const std::string limit = net::query_value(query, "limit");
   if (limit.empty() || limit.size() > kMaxLimitDigits ||
       limit.find_first_not_of("0123456789") != std::string::npos)
-    return kMaxListed;
-  return std::min<std::size_t>(kMaxListed, std::stoul(limit));
+    return kMaxPageMachines;
+  return std::min<std::size_t>(kMaxPageMachines, std::stoul(limit));
 }
 }  // namespace
 
@@ -34,12 +34,12 @@
     : Actor(loop),
       types_(std::move(types)),
       rps_(rps),
-      tokens_(kBurstS * rps),
+      request_tokens_(kBurstS * rps),
       refilled_at_(loop.now()),
       file_(std::move(file)),
       power_(std::move(power)),
       rng_(seed),
-      timer_(loop, [this] { boot(); }),
+      timer_(loop, [this] { boot_due_machines(); }),
       http_(loop, at, kMaxRequestBytes, [this](net::ExchangePtr exchange) { handle(exchange); }) {
   load();
   timer_.after(0);
@@ -67,10 +67,10 @@
 
 bool CloudEmulator::take_token() {
   const double now = loop_.now();
-  tokens_ = std::min(kBurstS * rps_, tokens_ + (now - refilled_at_) * rps_);
+  request_tokens_ = std::min(kBurstS * rps_, request_tokens_ + (now - refilled_at_) * rps_);
   refilled_at_ = now;
-  if (tokens_ < 1) return false;
-  tokens_ -= 1;
+  if (request_tokens_ < 1) return false;
+  request_tokens_ -= 1;
   return true;
 }
 
@@ -84,12 +84,12 @@
 
 net::Answer CloudEmulator::rent(const std::string& body) {
   const client_protocol::RentRequest request = client_protocol::decode_rent(body);
-  if (auto earlier = requests_.find(request.name); earlier != requests_.end())
+  if (auto earlier = rented_by_request_.find(request.name); earlier != rented_by_request_.end())
     return {200, client_protocol::encode_rented(earlier->second), 0};
   const EmulatedMachineType& type = find_type(request.type, request.zone);
   const int count = std::min<int>(request.count, capacity(type, request.zone));
   if (count <= 0) return {503, "{\"error\":\"no capacity\"}", 0};
-  auto& names = requests_[request.name];
+  auto& names = rented_by_request_[request.name];
   for (int i = 0; i < count; ++i)
     names.push_back(add_machine(type.spec, request.zone, request.spot));
   save();
@@ -110,16 +110,16 @@
 
 // How many more machines of the type can be rented in the zone now.
 int CloudEmulator::capacity(const EmulatedMachineType& type, const std::string& zone) const {
-  const auto none = none_until_.find(zone);
-  if (refusing_ || (none != none_until_.end() && none->second > loop_.now())) return 0;
+  const auto none = refused_until_.find(zone);
+  if (refuses_rentals_ || (none != refused_until_.end() && none->second > loop_.now())) return 0;
   const auto rented = std::count_if(machines_.begin(), machines_.end(),
                                     [&](const auto& m) { return m.second.type == type.spec.name; });
-  return type.most - static_cast<int>(rented);
+  return type.max_machines - static_cast<int>(rented);
 }
 
 std::string CloudEmulator::add_machine(const wire::MachineType& type, const std::string& zone,
                                        bool spot) {
-  const std::string number = std::to_string(next_++);
+  const std::string number = std::to_string(next_number_++);
   Machine m;
   m.name = "m-" + std::string(kNameDigits - std::min(kNameDigits, number.size()), '0') + number;
   m.type = type.name;
@@ -127,7 +127,7 @@
   m.spot = spot;
   m.address = power_.address();
   m.rented_at = loop_.wall_now();
-  m.known_at = loop_.now();
+  m.added_at = loop_.now();
   m.boots_at = loop_.now() + boot_time_s(type);
   std::string name = m.name;
   machines_[name] = std::move(m);
@@ -135,8 +135,8 @@
 }
 
 double CloudEmulator::boot_time_s(const wire::MachineType& type) {
-  if (quick_s_ > 0)
-    return std::uniform_real_distribution<>(std::min(kLeastBootS, quick_s_), quick_s_)(rng_);
+  if (max_boot_s_ > 0)
+    return std::uniform_real_distribution<>(std::min(kMinBootS, max_boot_s_), max_boot_s_)(rng_);
   return type.boot_s * std::uniform_real_distribution<>(0.6, 1.5)(rng_);
 }
 
@@ -144,14 +144,14 @@
   std::vector<std::string> there;
   for (const auto& name : client_protocol::decode_delete(exchange->body))
     if (auto it = machines_.find(name); it != machines_.end()) {
-      it->second.going = true;
+      it->second.deleting = true;
       there.push_back(name);
     }
   // They stay listed until they are gone, and are answered for only then.
   power_.off(there, reply<>([this, exchange, there] {
                for (const auto& name : there)
                  if (auto m = machines_.extract(name); m && lag_s_ > 0)
-                   gone_[name] = {m.mapped(), loop_.now()};
+                   deleted_[name] = {m.mapped(), loop_.now()};
                save();
                exchange->send({200, "{}", 0});
              }));
@@ -161,9 +161,9 @@
     double as_of) const {
   std::map<std::string, const Machine*> listed;
   for (const auto& [name, machine] : machines_)
-    if (machine.known_at <= as_of) listed[name] = &machine;
-  for (const auto& [name, gone] : gone_)
-    if (gone.machine.known_at <= as_of && gone.gone_at > as_of) listed[name] = &gone.machine;
+    if (machine.added_at <= as_of) listed[name] = &machine;
+  for (const auto& [name, gone] : deleted_)
+    if (gone.machine.added_at <= as_of && gone.deleted_at > as_of) listed[name] = &gone.machine;
   return listed;
 }
 
@@ -171,7 +171,8 @@
   const std::size_t most = page_size(query);
   const double age = lag_s_ > 0 ? lag_s_ * std::uniform_real_distribution<>(0.5, 2)(rng_) : 0;
   const double as_of = loop_.now() - age;
-  std::erase_if(gone_, [&](const auto& g) { return g.second.gone_at < loop_.now() - 2 * lag_s_; });
+  std::erase_if(deleted_,
+                [&](const auto& g) { return g.second.deleted_at < loop_.now() - 2 * lag_s_; });
   const auto listed = machines_as_of(as_of);
   wire::MachineList page;
   for (auto it = listed.upper_bound(net::query_value(query, "after")); it != listed.end(); ++it) {
@@ -180,20 +181,20 @@
       break;
     }
     const Machine& m = *it->second;
-    const char* state = m.on && m.on_at <= as_of ? "running" : "booting";
+    const char* state = m.booted && m.booted_at <= as_of ? "running" : "booting";
     page.machines.push_back(
         {m.name, m.address, m.type, m.zone, state, m.spot, loop_.wall_now() - m.rented_at - age});
   }
   return {200, client_protocol::encode_machines(page), 0};
 }
 
-void CloudEmulator::boot() {
+void CloudEmulator::boot_due_machines() {
   double now = loop_.now(), next = now + 1;
   for (auto& [name, m] : machines_) {
-    if (m.on || m.going) continue;
+    if (m.booted || m.deleting) continue;
     if (m.boots_at <= now) {
-      m.on = true;
-      m.on_at = now;
+      m.booted = true;
+      m.booted_at = now;
       power_.on(m);
     } else {
       next = std::min(next, m.boots_at);
@@ -204,7 +205,7 @@
 
 void CloudEmulator::save() const {
   if (file_.empty()) return;
-  json j = {{"next", next_}, {"requests", requests_}, {"machines", json::array()}};
+  json j = {{"next", next_number_}, {"requests", rented_by_request_}, {"machines", json::array()}};
   for (const auto& [name, m] : machines_)
     j["machines"].push_back({{"name", name},
                              {"type", m.type},
@@ -219,8 +220,8 @@
   if (!in) return;
   json j = json::parse(in, nullptr, false);
   if (!j.is_object()) throw std::runtime_error(file_.string() + " is damaged");
-  next_ = j["next"];
-  requests_ = j["requests"].get<decltype(requests_)>();
+  next_number_ = j["next"];
+  rented_by_request_ = j["requests"].get<decltype(rented_by_request_)>();
   for (const auto& e : j["machines"]) {
     Machine m;
     m.name = e["name"];
--- a/src/emulators/cloud.h
+++ b/src/emulators/cloud.h
@@ -16,7 +16,7 @@
 
 struct EmulatedMachineType {
   wire::MachineType spec;
-  int most = 0;  ///< machines of this type at a time, over all zones
+  int max_machines = 0;  ///< machines of this type at a time, over all zones
 };
 
 class CloudEmulator : public actor::Actor {
@@ -24,12 +24,12 @@
   struct Machine {
     std::string name, type, zone, address;
     bool spot = false;
-    bool on = false;       ///< it has booted
-    bool going = false;    ///< asked to be deleted: never switched on any more
-    double rented_at = 0;  ///< wall clock
-    double boots_at = 0;   ///< steady clock, as are these
-    double known_at = 0;   ///< rented, or read from the file
-    double on_at = 0;      ///< switched on
+    bool booted = false;    ///< it has booted
+    bool deleting = false;  ///< asked to be deleted: never switched on any more
+    double rented_at = 0;   ///< wall clock
+    double boots_at = 0;    ///< steady clock, as are these
+    double added_at = 0;    ///< rented, or read from the file
+    double booted_at = 0;   ///< switched on
   };
   /// How machines are switched on and off.
   struct Power {
@@ -48,21 +48,23 @@
   /// Rented machines by name.
   [[nodiscard]] const std::map<std::string, Machine>& machines() const { return machines_; }
   /// From now on rentals are refused (or not any more), as when the cloud has no capacity.
-  void refuse(bool on) { refusing_ = on; }
+  void refuse_rentals(bool on) { refuses_rentals_ = on; }
   /// Rentals in this zone are refused for so long.
-  void refuse_in(const std::string& zone, double for_s) { none_until_[zone] = loop_.now() + for_s; }
+  void refuse_rentals_in(const std::string& zone, double for_s) {
+    refused_until_[zone] = loop_.now() + for_s;
+  }
   /// Lists show how things were up to twice so long ago, and may be older than the one before.
-  void lag(double seconds) { lag_s_ = seconds; }
+  void set_list_lag(double seconds) { lag_s_ = seconds; }
   /// A spot machine has been taken back: it is not listed any more.
-  void taken(const std::string& name) { machines_.erase(name); }
+  void remove_reclaimed(const std::string& name) { machines_.erase(name); }
   /// Machines rented from now on boot within so many seconds instead of their type's boot time; 0:
   /// the type's.
-  void quick(double within_s) { quick_s_ = within_s; }
+  void set_max_boot_time(double within_s) { max_boot_s_ = within_s; }
 
  private:
-  struct GoneMachine {
+  struct DeletedMachine {
     Machine machine;
-    double gone_at;  // steady clock
+    double deleted_at;  // steady clock
   };
   void handle(const net::ExchangePtr& exchange);
   void dispatch(const net::ExchangePtr& exchange);
@@ -77,24 +79,25 @@
   net::Answer list(const std::string& query);
   [[nodiscard]] std::map<std::string, const Machine*> machines_as_of(double as_of) const;
   bool take_token();
-  void boot();
+  void boot_due_machines();
   void save() const;
   void load();
 
   std::vector<EmulatedMachineType> types_;
   double rps_;
-  double tokens_;       // requests that may come at once
-  double refilled_at_;  // steady clock
+  double request_tokens_;  // requests that may come at once
+  double refilled_at_;     // steady clock
   std::filesystem::path file_;
   Power power_;
   std::map<std::string, Machine> machines_;
-  std::map<std::string, std::vector<std::string>> requests_;  // machines rented, by request name
-  std::uint64_t next_ = 1;                                    // number of the next machine
-  bool refusing_ = false;
-  double quick_s_ = 0;
+  std::map<std::string, std::vector<std::string>>
+      rented_by_request_;          // machines rented, by request name
+  std::uint64_t next_number_ = 1;  // number of the next machine
+  bool refuses_rentals_ = false;
+  double max_boot_s_ = 0;
   double lag_s_ = 0;
-  std::map<std::string, double> none_until_;  // by zone, steady clock
-  std::map<std::string, GoneMachine> gone_;   // lately, as lists may still show them
+  std::map<std::string, double> refused_until_;    // by zone, steady clock
+  std::map<std::string, DeletedMachine> deleted_;  // lately, as lists may still show them
   std::mt19937 rng_;
   actor::Timer timer_;
   net::Server http_;
--- a/src/emulators/state.cpp
+++ b/src/emulators/state.cpp
@@ -16,25 +16,25 @@
 namespace fs = std::filesystem;
 using nlohmann::json;
 namespace {
-constexpr std::size_t kMaxRecentEvents = 10000;
+constexpr std::size_t kMaxWindowEvents = 10000;
 constexpr std::size_t kMaxPageBytes = 512 * 1024;
 constexpr std::uint64_t kMaxPageEntries = 1000;
 constexpr std::uint64_t kMaxWatchMs = 60000;
 constexpr std::size_t kMaxRequestBytes = 64 * 1024;
-constexpr std::size_t kMaxCountDigits = 18;  // every such number fits into 64 bits
+constexpr std::size_t kMaxNumberDigits = 18;  // every such number fits into 64 bits
 constexpr double kTickS = 0.05;
 constexpr std::string_view kLeasesPath = "/holds";
 constexpr std::string_view kRenewSuffix = "/renew";
 
-bool is_count(const std::string& text) {
-  return !text.empty() && text.size() <= kMaxCountDigits &&
+bool is_number(const std::string& text) {
+  return !text.empty() && text.size() <= kMaxNumberDigits &&
          text.find_first_not_of("0123456789") == std::string::npos;
 }
 
-std::uint64_t count(const std::string& query, const char* name, std::uint64_t fallback) {
+std::uint64_t parse_count(const std::string& query, const char* name, std::uint64_t fallback) {
   std::string s = net::query_value(query, name);
   if (s.empty()) return fallback;
-  if (!is_count(s)) throw wire::Malformed(std::string(name) + " is not a count");
+  if (!is_number(s)) throw wire::Malformed(std::string(name) + " is not a count");
   return std::stoull(s);
 }
 }  // namespace
@@ -59,17 +59,17 @@
   if (fd_ >= 0) ::close(fd_);
 }
 
-void StateServiceEmulator::limit(double rps, double write_rps) {
+void StateServiceEmulator::set_rate_limits(double rps, double write_rps) {
   request_limit_ = {rps, rps, loop_.now()};
   write_limit_ = {write_rps, write_rps, loop_.now()};
 }
 
 bool StateServiceEmulator::RateLimit::take(double n, double now) {
   if (per_s <= 0) return true;
-  left = std::min(per_s, left + (now - at) * per_s);
+  tokens = std::min(per_s, tokens + (now - at) * per_s);
   at = now;
-  if (left < n) return false;
-  left -= n;
+  if (tokens < n) return false;
+  tokens -= n;
   return true;
 }
 
@@ -107,7 +107,8 @@
 net::Answer StateServiceEmulator::list(const std::string& query) {
   const std::string prefix = net::query_value(query, "starts"),
                     after = net::query_value(query, "after");
-  const std::uint64_t limit = std::min(count(query, "limit", kMaxPageEntries), kMaxPageEntries);
+  const std::uint64_t limit =
+      std::min(parse_count(query, "limit", kMaxPageEntries), kMaxPageEntries);
   std::vector<std::string> entries;
   std::size_t bytes = 0;
   auto it = after > prefix ? keys_.upper_bound(after) : keys_.lower_bound(prefix);
@@ -150,11 +151,11 @@
     } else if (it != keys_.end()) {
       keys_.erase(it);
     }
-    recent_.push_back({op.key, op.value, revision});
+    window_.push_back({op.key, op.value, revision});
   }
-  while (recent_.size() > kMaxRecentEvents) {
-    first_recent_ = recent_.front().mod_revision;
-    recent_.pop_front();
+  while (window_.size() > kMaxWindowEvents) {
+    window_start_ = window_.front().mod_revision;
+    window_.pop_front();
   }
   post([this] { answer_watchers(); });
 }
@@ -165,7 +166,7 @@
 void StateServiceEmulator::answer_watchers() {
   std::deque<Watcher> waiting;
   for (auto& w : watchers_) {
-    if (const auto body = changes(w.prefix, w.after))
+    if (const auto body = encode_changes(w.prefix, w.after))
       w.exchange->send({200, *body, 0});
     else
       waiting.push_back(std::move(w));
@@ -173,13 +174,13 @@
   watchers_ = std::move(waiting);
 }
 
-std::optional<std::string> StateServiceEmulator::changes(const std::string& prefix,
-                                                         std::uint64_t after) const {
+std::optional<std::string> StateServiceEmulator::encode_changes(const std::string& prefix,
+                                                                std::uint64_t after) const {
   std::vector<wire::Event> out;
   auto from =
-      std::upper_bound(recent_.begin(), recent_.end(), after,
+      std::upper_bound(window_.begin(), window_.end(), after,
                        [](std::uint64_t r, const wire::Event& e) { return r < e.mod_revision; });
-  for (auto it = from; it != recent_.end(); ++it)
+  for (auto it = from; it != window_.end(); ++it)
     if (it->key.starts_with(prefix)) out.push_back(*it);
   if (out.empty()) return std::nullopt;
   return client_protocol::encode_watch(revision_, out);
@@ -189,11 +190,11 @@
   const std::string& query = exchange->query;
   try {
     const std::string prefix = net::query_value(query, "starts");
-    const std::uint64_t after = count(query, "after", 0);
-    const std::uint64_t wait_ms = std::min(count(query, "block_ms", 0), kMaxWatchMs);
+    const std::uint64_t after = parse_count(query, "after", 0);
+    const std::uint64_t wait_ms = std::min(parse_count(query, "block_ms", 0), kMaxWatchMs);
     const double until = loop_.now() + static_cast<double>(wait_ms) / 1000;
-    if (after < first_recent_) return exchange->send({410, "{}", 0});
-    const auto body = changes(prefix, after);
+    if (after < window_start_) return exchange->send({410, "{}", 0});
+    const auto body = encode_changes(prefix, after);
     if (body) return exchange->send({200, *body, 0});
     if (until <= loop_.now())
       return exchange->send({200, client_protocol::encode_watch(revision_, {}), 0});
@@ -210,11 +211,11 @@
   std::string id = exchange.path.substr(std::min(exchange.path.size(), kLeasesPath.size() + 1));
   const bool renew = id.ends_with(kRenewSuffix);
   if (renew) id.resize(id.size() - kRenewSuffix.size());
-  if (!is_count(id)) return {404, "{}", 0};
+  if (!is_number(id)) return {404, "{}", 0};
   auto lease = leases_.find(std::stoull(id));
   if (lease == leases_.end()) return {404, "{}", 0};
   if (renew && exchange.post) {
-    lease->second.until = loop_.now() + lease->second.life_s;
+    lease->second.until = loop_.now() + lease->second.ttl_s;
     return {200, client_protocol::encode_lease(lease->first), 0};
   }
   if (!exchange.del) return {405, "{}", 0};
@@ -223,10 +224,10 @@
 }
 
 net::Answer StateServiceEmulator::grant_lease(const std::string& body) {
-  const double life_s = static_cast<double>(client_protocol::decode_life_ms(body)) / 1000;
+  const double ttl_s = static_cast<double>(client_protocol::decode_life_ms(body)) / 1000;
   const std::uint64_t id = next_lease_++;
-  append(json{{"hold", id}, {"life_s", life_s}}.dump());
-  leases_[id] = {life_s, loop_.now() + life_s, {}};
+  append(json{{"hold", id}, {"life_s", ttl_s}}.dump());
+  leases_[id] = {ttl_s, loop_.now() + ttl_s, {}};
   return {200, client_protocol::encode_lease(id), 0};
 }
 
@@ -240,13 +241,13 @@
   leases_.erase(id);
 }
 
-void StateServiceEmulator::outage(bool on) {
+void StateServiceEmulator::set_outage(bool on) {
   in_outage_ = on;
   if (!on) renew_all_leases();
 }
 
 void StateServiceEmulator::renew_all_leases() {
-  for (auto& [id, lease] : leases_) lease.until = loop_.now() + lease.life_s;
+  for (auto& [id, lease] : leases_) lease.until = loop_.now() + lease.ttl_s;
 }
 
 void StateServiceEmulator::tick() {
@@ -283,13 +284,13 @@
 void StateServiceEmulator::append(const std::string& line) {
   if (fd_ < 0) return;
   std::string bytes = line + "\n";
-  std::string_view left = bytes;
-  while (!left.empty()) {
-    ssize_t n = ::write(fd_, left.data(), left.size());
+  std::string_view unwritten = bytes;
+  while (!unwritten.empty()) {
+    ssize_t n = ::write(fd_, unwritten.data(), unwritten.size());
     if (n < 0 && errno == EINTR) continue;
     // Half a line may be there: only a new start finds out where the log ends.
     if (n < 0) throw std::system_error(errno, std::generic_category(), log_.string());
-    left.remove_prefix(static_cast<std::size_t>(n));
+    unwritten.remove_prefix(static_cast<std::size_t>(n));
   }
   if (::fdatasync(fd_) != 0) throw std::system_error(errno, std::generic_category(), log_.string());
 }
@@ -299,8 +300,8 @@
   read_log();
   // As after an outage every lease has its full time again; the watch window begins anew.
   renew_all_leases();
-  recent_.clear();
-  first_recent_ = revision_;
+  window_.clear();
+  window_start_ = revision_;
   write_compacted_log();
 }
 
@@ -319,7 +320,7 @@
     } else if (j.contains("hold")) {
       std::uint64_t id = j["hold"];
       next_lease_ = std::max(next_lease_, id + 1);
-      leases_[id].life_s = j["life_s"];
+      leases_[id].ttl_s = j["life_s"];
     } else if (j.contains("k")) {
       std::uint64_t lease = j["lease"];
       keys_[j["k"]] = {j["value"].dump(), j["stamp"], lease};
@@ -339,8 +340,7 @@
   if (fd_ < 0) throw std::system_error(errno, std::generic_category(), aside.string());
   std::ostringstream out;
   out << json{{"ledger", revision_}, {"next_hold", next_lease_}}.dump();
-  for (const auto& [id, l] : leases_)
-    out << "\n" << json{{"hold", id}, {"life_s", l.life_s}}.dump();
+  for (const auto& [id, l] : leases_) out << "\n" << json{{"hold", id}, {"life_s", l.ttl_s}}.dump();
   for (const auto& [k, e] : keys_)
     out << "\n{\"k\":" << json(k).dump() << ",\"value\":" << e.value
         << ",\"stamp\":" << e.mod_revision << ",\"lease\":" << e.lease << "}";
--- a/src/emulators/state.h
+++ b/src/emulators/state.h
@@ -24,10 +24,10 @@
   StateServiceEmulator& operator=(const StateServiceEmulator&) = delete;
   /// An outage begins or ends: everything is answered 503, open watches stay open, and once it is
   /// over every lease has its full time again.
-  void outage(bool on);
+  void set_outage(bool on);
   /// Requests and written keys a second; above these, with bursts of a second's worth, requests are
   /// answered 429. Without this call there are no limits.
-  void limit(double rps, double write_rps);
+  void set_rate_limits(double rps, double write_rps);
 
  private:
   struct Entry {
@@ -36,7 +36,7 @@
     std::uint64_t lease = 0;  // 0: none
   };
   struct Lease {
-    double life_s = 0;
+    double ttl_s = 0;
     double until = 0;  // steady clock
     std::set<std::string> keys;
   };
@@ -49,7 +49,7 @@
   // A token bucket of one second's worth.
   struct RateLimit {
     double per_s = 0;  // 0: no limit
-    double left = 0;
+    double tokens = 0;
     double at = 0;  // when it was last refilled, steady clock
     bool take(double n, double now);
   };
@@ -62,7 +62,7 @@
   net::Answer grant_lease(const std::string& body);
   void watch(const net::ExchangePtr& exchange);
   // The events after this revision as a watch's body; none: there are none.
-  std::optional<std::string> changes(const std::string& prefix, std::uint64_t after) const;
+  std::optional<std::string> encode_changes(const std::string& prefix, std::uint64_t after) const;
   void apply(const wire::Transaction& transaction, std::uint64_t revision);
   void answer_watchers();
   void drop_lease(std::uint64_t id);
@@ -77,8 +77,8 @@
 
   std::map<std::string, Entry> keys_;
   std::map<std::uint64_t, Lease> leases_;
-  std::deque<wire::Event> recent_;  // the watch window
-  std::uint64_t first_recent_ = 0;  // the last revision before the window
+  std::deque<wire::Event> window_;  // the watch window
+  std::uint64_t window_start_ = 0;  // the last revision before the window
   std::uint64_t revision_ = 0;      // of the last transaction
   std::uint64_t next_lease_ = 1;
   std::deque<Watcher> watchers_;
--- a/src/emulators/worker.cpp
+++ b/src/emulators/worker.cpp
@@ -9,23 +9,23 @@
 using wire::TaskState;
 
 namespace {
-constexpr double kHeartbeatTimeoutS = 4;  // for the answer to a heartbeat
-constexpr double kNextNodeDelayS = 1;     // before the next controller is tried
-constexpr double kLeastGapS = 0.5;        // between two heartbeats
-constexpr double kLeaseSlackS = 1e-3;     // the timer is due just after the lease's end
+constexpr double kHeartbeatTimeoutS = 4;    // for the answer to a heartbeat
+constexpr double kNextNodeDelayS = 1;       // before the next controller is tried
+constexpr double kMinHeartbeatGapS = 0.5;   // between two heartbeats
+constexpr double kLeaseTimerSlackS = 1e-3;  // the timer is due just after the lease's end
 constexpr double kCpuTolerance = 1e-9;
 constexpr std::size_t kMaxRequestBytes = 64 * 1024;
 constexpr double kNever = 1e18;
 }  // namespace
 
 WorkerEmulator::WorkerEmulator(actor::Loop& loop, Settings settings, Describe describe,
-                               unsigned seed, Watched watched)
+                               unsigned seed, Observer observer)
     : Actor(loop),
       settings_(std::move(settings)),
       describe_(std::move(describe)),
-      watched_(std::move(watched)),
+      observer_(std::move(observer)),
       rng_(seed),
-      leased_from_(loop.now()),
+      lease_renewed_at_(loop.now()),
       node_(seed % settings_.nodes.size()),
       heartbeat_timer_(loop, [this] { send_heartbeat(); }),
       task_timer_(loop, [this] { advance_tasks(); }),
@@ -50,25 +50,27 @@
   r.incarnation = incarnation_;
   r.sequence = ++sequence_;
   r.token = token_;
-  if (taken_at_) r.notice_s = std::max(0.0, *taken_at_ - loop_.now());
-  for (const Task& t : tasks_) r.tasks.push_back({t.id, t.attempt, t.state, t.why, t.kept});
+  if (reclaimed_at_) r.notice_s = std::max(0.0, *reclaimed_at_ - loop_.now());
+  for (const Task& t : tasks_)
+    r.tasks.push_back({t.id, t.attempt, t.state, t.exit_reason, t.progress_saved});
   return r;
 }
 
 void WorkerEmulator::send_heartbeat() {
   check_lease();
   if (in_flight_) {
-    send_again_ = true;
+    send_soon_after_answer_ = true;
     return;
   }
   in_flight_ = true;
-  send_again_ = false;
+  send_soon_after_answer_ = false;
   sent_at_ = loop_.now();
-  nodes_[node_]->request(
-      "POST", "/agent/beat", client_protocol::encode_heartbeat(heartbeat()), kHeartbeatTimeoutS,
-      reply<net::Result>([this, sent_at = sent_at_, of = incarnation_](net::Result result) {
-        heartbeat_answered(sent_at, of, result);
-      }));
+  nodes_[node_]->request("POST", "/agent/beat", client_protocol::encode_heartbeat(heartbeat()),
+                         kHeartbeatTimeoutS,
+                         reply<net::Result>([this, sent_at = sent_at_,
+                                             incarnation = incarnation_](net::Result result) {
+                           heartbeat_answered(sent_at, incarnation, result);
+                         }));
 }
 
 void WorkerEmulator::heartbeat_answered(double sent_at, std::uint64_t incarnation,
@@ -87,15 +89,15 @@
   try {
     const auto response = client_protocol::decode_heartbeat_response(body);
     if (incarnation == incarnation_ && response.token && *response.token >= token_) {
-      leased_from_ = std::max(leased_from_, sent_at);
+      lease_renewed_at_ = std::max(lease_renewed_at_, sent_at);
       execute(*response.token, response.commands);
     }
   } catch (const wire::Malformed&) {
     // Nothing is done by it, and the lease is not renewed.
   }
-  const double pause = settings_.report_s * std::uniform_real_distribution<>(0.75, 1.25)(rng_);
-  heartbeat_timer_.after(
-      std::max(send_again_ ? kLeastGapS : pause, sent_at + kLeastGapS - loop_.now()));
+  const double pause = settings_.heartbeat_s * std::uniform_real_distribution<>(0.75, 1.25)(rng_);
+  heartbeat_timer_.after(std::max(send_soon_after_answer_ ? kMinHeartbeatGapS : pause,
+                                  sent_at + kMinHeartbeatGapS - loop_.now()));
 }
 
 void WorkerEmulator::redirect(const std::string& node_name) {
@@ -112,19 +114,19 @@
 
 void WorkerEmulator::send_heartbeat_soon() {
   if (in_flight_) {
-    send_again_ = true;
+    send_soon_after_answer_ = true;
     return;
   }
-  heartbeat_timer_.after(std::max(0.0, sent_at_ + kLeastGapS - loop_.now()));
+  heartbeat_timer_.after(std::max(0.0, sent_at_ + kMinHeartbeatGapS - loop_.now()));
 }
 
 void WorkerEmulator::check_lease() {
-  const double left = leased_from_ + settings_.lease_s - loop_.now();
-  if (left >= 0) return lease_timer_.after(left + kLeaseSlackS);
+  const double left = lease_renewed_at_ + settings_.lease_s - loop_.now();
+  if (left >= 0) return lease_timer_.after(left + kLeaseTimerSlackS);
   leases_lost_ += !tasks_.empty();
   tasks_.clear();
   ++incarnation_;
-  leased_from_ = loop_.now();
+  lease_renewed_at_ = loop_.now();
   lease_timer_.after(settings_.lease_s);
   send_heartbeat_soon();
 }
@@ -137,24 +139,24 @@
     exchange->send({status, client_protocol::encode_heartbeat(heartbeat()), 0});
   };
   if (exchange->path == "/status") return answer_state(200);
-  client_protocol::HeartbeatResponse order;
+  client_protocol::HeartbeatResponse message;
   try {
-    order = client_protocol::decode_heartbeat_response(exchange->body);
+    message = client_protocol::decode_heartbeat_response(exchange->body);
   } catch (const wire::Malformed&) {
     return exchange->send({400, "{}", 0});
   }
   if (exchange->path != "/orders") return exchange->send({404, "{}", 0});
-  if (!order.token || !order.session) return exchange->send({400, "{}", 0});
-  if (*order.token < token_ || *order.session != incarnation_) return answer_state(409);
-  execute(*order.token, order.commands);
+  if (!message.token || !message.session) return exchange->send({400, "{}", 0});
+  if (*message.token < token_ || *message.session != incarnation_) return answer_state(409);
+  execute(*message.token, message.commands);
   answer_state(200);
 }
 
 void WorkerEmulator::execute(std::uint64_t token, const std::vector<Command>& commands) {
   if (token > token_) {
     token_ = token;
-    if (loop_.now() - token_told_at_ > settings_.lease_s / 2) {
-      token_told_at_ = loop_.now();
+    if (loop_.now() - token_reported_at_ > settings_.lease_s / 2) {
+      token_reported_at_ = loop_.now();
       send_heartbeat_soon();
     }
   }
@@ -174,15 +176,15 @@
   } else if (command.op == Command::Op::stop && known && !exited) {
     stop(*task, command.grace_s);
   } else if (command.op == Command::Op::acknowledge && exited) {
-    watched_.acknowledged(*task);
+    observer_.acknowledged(*task);
     tasks_.erase(task);
     send_heartbeat_soon();
   }
 }
 
 // Why a task cannot be started; none: it can.
-ExitReason WorkerEmulator::refusal(const wire::TaskId& task,
-                                   const std::optional<Work>& work) const {
+ExitReason WorkerEmulator::refusal_reason(const wire::TaskId& task,
+                                          const std::optional<Work>& work) const {
   if (!work) return ExitReason::unknown;
   double used = 0;
   for (const Task& other : tasks_) {
@@ -197,15 +199,15 @@
 void WorkerEmulator::start(const Command& command) {
   Task task{command.task, command.attempt, TaskState::fetching, ExitReason::none, false, {}, 0};
   const auto work = describe_(command.task);
-  task.why = refusal(command.task, work);
-  if (task.why != ExitReason::none) {
+  task.exit_reason = refusal_reason(command.task, work);
+  if (task.exit_reason != ExitReason::none) {
     task.state = TaskState::exited;
   } else {
     task.work = *work;
-    task.next = loop_.now() + work->fetch_s;
+    task.phase_ends_at = loop_.now() + work->fetch_s;
   }
   tasks_.push_back(task);
-  watched_.moved(*this, tasks_.back(), task.state);
+  observer_.state_changed(*this, tasks_.back(), task.state);
   send_heartbeat_soon();
 }
 
@@ -215,31 +217,31 @@
   if (was == TaskState::saving && grace_s > 0) return;
   if (was == TaskState::running && task.work.checkpoint_s > 0 && grace_s >= task.work.save_s) {
     task.state = TaskState::saving;
-    task.next = loop_.now() + task.work.save_s;
+    task.phase_ends_at = loop_.now() + task.work.save_s;
   } else {
     task.state = TaskState::exited;
-    task.why = ExitReason::stopped;
+    task.exit_reason = ExitReason::stopped;
   }
-  watched_.moved(*this, task, was);
+  observer_.state_changed(*this, task, was);
   send_heartbeat_soon();
 }
 
-void WorkerEmulator::notice(double recall_s) {
-  taken_at_ = loop_.now() + recall_s;
+void WorkerEmulator::announce_reclaim(double recall_s) {
+  reclaimed_at_ = loop_.now() + recall_s;
   send_heartbeat_soon();
 }
 
 // ---- tasks
 
-void WorkerEmulator::stood_still(double seconds) {
-  for (Task& task : tasks_) task.next += seconds;
+void WorkerEmulator::extend_tasks(double seconds) {
+  for (Task& task : tasks_) task.phase_ends_at += seconds;
   arm_task_timer();
 }
 
 void WorkerEmulator::arm_task_timer() {
   double next = kNever;
   for (const Task& task : tasks_)
-    if (task.state != TaskState::exited) next = std::min(next, task.next);
+    if (task.state != TaskState::exited) next = std::min(next, task.phase_ends_at);
   if (next < kNever) task_timer_.after(std::max(0.0, next - loop_.now()));
 }
 
@@ -247,7 +249,7 @@
   check_lease();
   const double now = loop_.now();
   for (Task& task : tasks_)
-    if (task.state != TaskState::exited && task.next <= now) advance(task, now);
+    if (task.state != TaskState::exited && task.phase_ends_at <= now) advance(task, now);
   arm_task_timer();
 }
 
@@ -255,13 +257,13 @@
   const TaskState was = task.state;
   if (was == TaskState::fetching) {
     task.state = TaskState::running;
-    task.next = now + task.work.run_s;
+    task.phase_ends_at = now + task.work.run_s;
   } else {
     task.state = TaskState::exited;
-    task.kept = was == TaskState::saving;
-    task.why = task.kept ? ExitReason::stopped : ExitReason::done;
+    task.progress_saved = was == TaskState::saving;
+    task.exit_reason = task.progress_saved ? ExitReason::stopped : ExitReason::done;
   }
-  watched_.moved(*this, task, was);
+  observer_.state_changed(*this, task, was);
   send_heartbeat_soon();
 }
 
--- a/src/emulators/worker.h
+++ b/src/emulators/worker.h
@@ -22,10 +22,10 @@
   struct Settings {
     std::string name, type, zone;  ///< of the machine
     bool spot = true;
-    config::Endpoint at;    ///< where it listens for direct commands
-    double cpus = 4;        ///< vcpus
-    double report_s = 5;    ///< mean time between heartbeats
-    double lease_s = 26.5;  ///< its tasks are killed so long after the last answered heartbeat
+    config::Endpoint at;     ///< where it listens for direct commands
+    double cpus = 4;         ///< vcpus
+    double heartbeat_s = 5;  ///< mean time between heartbeats
+    double lease_s = 26.5;   ///< its tasks are killed so long after the last answered heartbeat
     std::vector<std::pair<std::string, config::Endpoint>> nodes;  ///< controllers by name
   };
   /// What a task needs and how long its phases take.
@@ -42,35 +42,35 @@
     wire::TaskId id;
     std::uint64_t attempt = 0;
     wire::TaskState state = wire::TaskState::fetching;
-    wire::ExitReason why = wire::ExitReason::none;  ///< once it has exited
-    bool kept = false;                              ///< stopped, and its progress was saved
+    wire::ExitReason exit_reason = wire::ExitReason::none;  ///< once it has exited
+    bool progress_saved = false;                            ///< stopped, and its progress was saved
     Work work;
-    double next = 0;  ///< when its state ends: fetched, completed, or saved
+    double phase_ends_at = 0;  ///< when its state ends: fetched, completed, or saved
   };
   /// Called as tasks change.
-  struct Watched {
+  struct Observer {
     /// After each change of a task's state; `was`: the one before, the same for a new task.
-    std::function<void(const WorkerEmulator&, const Task&, wire::TaskState was)> moved;
+    std::function<void(const WorkerEmulator&, const Task&, wire::TaskState was)> state_changed;
     /// An exited task is removed by command.
     std::function<void(const Task&)> acknowledged;
   };
   /// `seed` draws the first controller and the times between heartbeats.
   WorkerEmulator(actor::Loop& loop, Settings settings, Describe describe, unsigned seed,
-                 Watched watched);
+                 Observer observer);
 
   [[nodiscard]] const Settings& settings() const { return settings_; }
   /// None once its lease is over, also while the machine hangs: a hanging one may go on within its
   /// lease, and kills its tasks first when it goes on later.
   [[nodiscard]] const std::vector<Task>& tasks() const {
     static const std::vector<Task> none;
-    return loop_.now() - leased_from_ > settings_.lease_s ? none : tasks_;
+    return loop_.now() - lease_renewed_at_ > settings_.lease_s ? none : tasks_;
   }
   /// The cloud's notice that it takes the machine back in so many seconds.
-  void notice(double recall_s);
+  void announce_reclaim(double recall_s);
   /// The machine has stood still for so long: what its tasks have left to do is still left.
-  void stood_still(double seconds);
+  void extend_tasks(double seconds);
   /// Its incarnation: counts up whenever its lease has ended.
-  [[nodiscard]] std::uint64_t session() const { return incarnation_; }
+  [[nodiscard]] std::uint64_t incarnation() const { return incarnation_; }
   /// Leases that have ended with tasks on the machine.
   [[nodiscard]] std::uint64_t leases_lost() const { return leases_lost_; }
 
@@ -85,8 +85,8 @@
   void execute(std::uint64_t token, const std::vector<wire::Command>& commands);
   void execute_one(const wire::Command& command);
   void start(const wire::Command& command);
-  [[nodiscard]] wire::ExitReason refusal(const wire::TaskId& task,
-                                         const std::optional<Work>& work) const;
+  [[nodiscard]] wire::ExitReason refusal_reason(const wire::TaskId& task,
+                                                const std::optional<Work>& work) const;
   void stop(Task& task, double grace_s);
   void send_heartbeat_soon();
   void advance_tasks();
@@ -96,20 +96,20 @@
 
   const Settings settings_;
   Describe describe_;
-  Watched watched_;
+  Observer observer_;
   std::mt19937 rng_;
   std::vector<Task> tasks_;
   std::uint64_t incarnation_ = 1;
   std::uint64_t sequence_ = 0;  // of the last heartbeat
   std::uint64_t token_ = 0;     // highest that it has seen
   std::uint64_t leases_lost_ = 0;
-  double leased_from_;              // when the last answered heartbeat was sent
-  double sent_at_ = -1e9;           // the last heartbeat
-  double token_told_at_ = -1e9;     // when a new token last caused a heartbeat
-  std::size_t node_ = 0;            // the controller that heartbeats go to
-  bool in_flight_ = false;          // a heartbeat is
-  bool send_again_ = false;         // soon after the one in flight
-  std::optional<double> taken_at_;  // when the cloud takes the machine, by its notice
+  double lease_renewed_at_;              // when the last answered heartbeat was sent
+  double sent_at_ = -1e9;                // the last heartbeat
+  double token_reported_at_ = -1e9;      // when a new token last caused a heartbeat
+  std::size_t node_ = 0;                 // the controller that heartbeats go to
+  bool in_flight_ = false;               // a heartbeat is
+  bool send_soon_after_answer_ = false;  // soon after the one in flight
+  std::optional<double> reclaimed_at_;   // when the cloud takes the machine, by its notice
   std::vector<std::unique_ptr<net::Client>> nodes_;
   actor::Timer heartbeat_timer_, task_timer_, lease_timer_;
   net::Server http_;
--- a/src/local_cluster/settings.cpp
+++ b/src/local_cluster/settings.cpp
@@ -46,7 +46,7 @@
   type.spec.spot_price = read_amount(node, place, "spot", type.spec.price);
   type.spec.boot_s = read_amount(node, place, "boot-s", 1);
   type.spec.cache_gb = cache_gb;
-  type.most = static_cast<int>(read_amount(node, place, "most", 4));
+  type.max_machines = static_cast<int>(read_amount(node, place, "most", 4));
   return type;
 }
 
--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -177,8 +177,8 @@
 // ---- state service and cloud
 
 void FaultInjector::outage(double for_s) {
-  state_.outage(true);
-  simulation_.at(simulation_.now() + for_s, [this] { state_.outage(false); });
+  state_.set_outage(true);
+  simulation_.at(simulation_.now() + for_s, [this] { state_.set_outage(false); });
 }
 
 void FaultInjector::refuse(int node, double for_s) {
@@ -239,7 +239,7 @@
   const double now = simulation_.now();
   const double until = std::max(faults.hung_until, now + for_s);
   // Some programs go by the clock, and some by what they have been given to run.
-  if (simulation_.chance(0.5)) m.worker->stood_still(until - std::max(faults.hung_until, now));
+  if (simulation_.chance(0.5)) m.worker->extend_tasks(until - std::max(faults.hung_until, now));
   faults.hung_until = until;
   m.host->freeze(until);
 }
@@ -269,19 +269,19 @@
 void FaultInjector::take_machine(int machine, double notice_s) {
   const SimulatedMachine& m = machines_[machine];
   if (!m.worker || !m.worker->settings().spot) return;
-  if (notice_s > 0) m.worker->notice(notice_s);
+  if (notice_s > 0) m.worker->announce_reclaim(notice_s);
   // The notice can be half of what it says, or one and a half times.
   const double taken_at = simulation_.now() + notice_s * simulation_.draw(0.5, 1.5);
   simulation_.at(taken_at, [this, machine] {
     machines_.kill(machine);
-    cloud_.taken(machines_[machine].name);
+    cloud_.remove_reclaimed(machines_[machine].name);
   });
 }
 
 void FaultInjector::lose_zone(const std::string& zone, double none_for_s) {
   for (int machine = 0; machine < machines_.size(); ++machine)
     if (machines_[machine].zone == zone) machines_.kill(machine);
-  cloud_.refuse_in(zone, none_for_s);
+  cloud_.refuse_rentals_in(zone, none_for_s);
 }
 
 bool FaultInjector::is_reachable(int machine) const {
--- a/src/simulation/rule_checker.cpp
+++ b/src/simulation/rule_checker.cpp
@@ -60,7 +60,7 @@
   // As it leaves: between two checks of the machines, too.
   if (was == TaskState::running || was == TaskState::saving) check_cancelled(task);
   if (task.state == TaskState::running) check_start(worker, task);
-  return task.state == TaskState::exited && task.why == wire::ExitReason::done &&
+  return task.state == TaskState::exited && task.exit_reason == wire::ExitReason::done &&
          jobs_.complete(task.id);
 }
 
@@ -108,7 +108,7 @@
 }
 
 void RuleChecker::task_acknowledged(const WorkerEmulator::Task& task) {
-  if (task.why == wire::ExitReason::done) acknowledged_.insert(task_name(task.id));
+  if (task.exit_reason == wire::ExitReason::done) acknowledged_.insert(task_name(task.id));
 }
 
 // Rules: quota, ran_cancelled, also of what depends on a cancelled job.
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -33,7 +33,7 @@
       controllers_(simulation_, options_),
       machines_(
           simulation_, options_, controllers_.hosts(),
-          [this](const wire::TaskId& task) { return jobs_.work_of(task); }, watch_workers()),
+          [this](const wire::TaskId& task) { return jobs_.work_of(task); }, make_worker_observer()),
       state_host_(simulation_, "state"),
       cloud_host_(simulation_, "cloud"),
       state_(state_host_.loop(), controllers_.settings().state, ""),
@@ -47,8 +47,8 @@
   simulation_.hold_answer = [this](const Request& request) {
     return faults_.answer_delay(request);
   };
-  state_.limit(options_.state_rps, options_.state_write_rps);
-  cloud_.lag(options_.list_lag_s);
+  state_.set_rate_limits(options_.state_rps, options_.state_write_rps);
+  cloud_.set_list_lag(options_.list_lag_s);
   controllers_.start_all();
 }
 
@@ -58,7 +58,7 @@
   simulation_.hold_answer = nullptr;
 }
 
-WorkerEmulator::Watched SimulatedCluster::watch_workers() {
+WorkerEmulator::Observer SimulatedCluster::make_worker_observer() {
   return {
       [this](const WorkerEmulator& worker, const WorkerEmulator::Task& task, wire::TaskState was) {
         if (rules_.task_moved(worker, task, was)) users_.task_completed(task.id.job);
@@ -81,7 +81,7 @@
     simulation_.run_until(std::min(until, simulation_.now() + kCheckGapS));
     rules_.check_machines();
     rules_.check_waiting([this](int machine) { return faults_.is_reachable(machine); });
-    cloud_.quick(options_.quick_boots_s);
+    cloud_.set_max_boot_time(options_.quick_boots_s);
     faults_.send_kept_heartbeats();
   }
 }
--- a/src/simulation/simulated_cluster.h
+++ b/src/simulation/simulated_cluster.h
@@ -49,7 +49,7 @@
   void ask_everywhere();
 
  private:
-  emulators::WorkerEmulator::Watched watch_workers();
+  emulators::WorkerEmulator::Observer make_worker_observer();
   emulators::CloudEmulator::Power power();
 
   ClusterOptions options_;
--- a/src/simulation/simulated_machines.cpp
+++ b/src/simulation/simulated_machines.cpp
@@ -16,12 +16,12 @@
 SimulatedMachines::SimulatedMachines(Simulation& simulation, const ClusterOptions& options,
                                      std::vector<std::string> controllers,
                                      WorkerEmulator::Describe describe,
-                                     WorkerEmulator::Watched watched)
+                                     WorkerEmulator::Observer observer)
     : simulation_(simulation),
       options_(options),
       controllers_(std::move(controllers)),
       describe_(std::move(describe)),
-      watched_(std::move(watched)) {}
+      observer_(std::move(observer)) {}
 
 std::string SimulatedMachines::next_address() {
   return "w-" + std::to_string(++addresses_) + ":" + std::to_string(kWorkerPort);
@@ -42,14 +42,14 @@
   settings.spot = rented.spot;
   settings.at = {host, kWorkerPort};
   settings.cpus = cpus_of(rented.type);
-  settings.report_s = options_.heartbeat_s;
+  settings.heartbeat_s = options_.heartbeat_s;
   settings.lease_s = options_.lease_s;
   for (const auto& controller : controllers_)
     settings.nodes.emplace_back(controller, config::Endpoint{controller, kPublicPort});
   machine_by_host_[host] = size();
   const auto seed = static_cast<unsigned>(simulation_.rng()());
   machine->worker = std::make_unique<WorkerEmulator>(machine->host->loop(), std::move(settings),
-                                                     describe_, seed, watched_);
+                                                     describe_, seed, observer_);
   machines_.push_back(std::move(machine));
 }
 
--- a/src/simulation/simulated_machines.h
+++ b/src/simulation/simulated_machines.h
@@ -32,7 +32,7 @@
   SimulatedMachines(Simulation& simulation, const ClusterOptions& options,
                     std::vector<std::string> controllers,
                     emulators::WorkerEmulator::Describe describe,
-                    emulators::WorkerEmulator::Watched watched);
+                    emulators::WorkerEmulator::Observer observer);
 
   /// An address that no machine has had.
   std::string next_address();
@@ -62,7 +62,7 @@
   const ClusterOptions& options_;
   const std::vector<std::string> controllers_;
   const emulators::WorkerEmulator::Describe describe_;
-  const emulators::WorkerEmulator::Watched watched_;
+  const emulators::WorkerEmulator::Observer observer_;
   std::vector<std::unique_ptr<SimulatedMachine>> machines_;
   std::map<std::string, int> machine_by_host_;
   std::uint64_t addresses_ = 0;
--- a/tests/fault_combinations_emulators_test.cpp
+++ b/tests/fault_combinations_emulators_test.cpp
@@ -44,15 +44,15 @@
     WorkerEmulator::Settings s;
     s.name = "m-1";
     s.at = {"w-1", 9};
-    s.report_s = 2;
+    s.heartbeat_s = 2;
     s.lease_s = 15;
     s.nodes = {{"node-0", {"node-0", 80}}};
     machine.any_order_after_freezes();
     worker = std::make_unique<WorkerEmulator>(
         machine.loop(), s, [this](const wire::TaskId&) { return work; }, 1,
-        WorkerEmulator::Watched{[this](const WorkerEmulator&, const WorkerEmulator::Task& t,
-                                       TaskState) { states.push_back(t.state); },
-                                [](const WorkerEmulator::Task&) {}});
+        WorkerEmulator::Observer{[this](const WorkerEmulator&, const WorkerEmulator::Task& t,
+                                        TaskState) { states.push_back(t.state); },
+                                 [](const WorkerEmulator::Task&) {}});
     sim.run_until(1);
   }
   void order(const char* what, double brake_s = 0, std::uint64_t session = 1, int task = 0) {
@@ -78,8 +78,8 @@
   EXPECT_EQ(b.state(), TaskState::saving);
   b.pass(0.2);
   ASSERT_EQ(b.state(), TaskState::exited);
-  EXPECT_TRUE(b.worker->tasks().front().kept);
-  EXPECT_EQ(b.worker->tasks().front().why, wire::ExitReason::stopped);
+  EXPECT_TRUE(b.worker->tasks().front().progress_saved);
+  EXPECT_EQ(b.worker->tasks().front().exit_reason, wire::ExitReason::stopped);
 }
 
 TEST(WorkerEmulator, EndsAtOnceWithoutTimeOrWithoutCheckpoints) {
@@ -91,7 +91,7 @@
     b.order("halt", checkpoints ? 5.9 : 60);
     b.pass(0.1);
     ASSERT_EQ(b.state(), TaskState::exited);
-    EXPECT_FALSE(b.worker->tasks().front().kept);
+    EXPECT_FALSE(b.worker->tasks().front().progress_saved);
   }
 }
 
@@ -108,7 +108,7 @@
     EXPECT_EQ(b.state(), second > 0 ? TaskState::saving : TaskState::exited) << second;
     b.pass(2);
     ASSERT_EQ(b.state(), TaskState::exited) << second;
-    EXPECT_EQ(b.worker->tasks().front().kept, second > 0) << second;
+    EXPECT_EQ(b.worker->tasks().front().progress_saved, second > 0) << second;
   }
 }
 
@@ -127,7 +127,7 @@
     b.pass(18.5);
     EXPECT_TRUE(b.worker->tasks().empty());
     b.pass(1);
-    EXPECT_EQ(b.worker->session(), 2u);
+    EXPECT_EQ(b.worker->incarnation(), 2u);
     EXPECT_TRUE(b.worker->tasks().empty());
     EXPECT_EQ(b.states, std::vector<TaskState>{}) << seed;
   }
@@ -147,7 +147,7 @@
     b.order("halt");
     b.order("start", 0, 1, 1);
     b.pass(7.2);
-    EXPECT_EQ(b.worker->session(), 1u);
+    EXPECT_EQ(b.worker->incarnation(), 1u);
     EXPECT_EQ(b.worker->tasks().size(), 2u);
     seen.insert(b.states);
   }
@@ -164,7 +164,7 @@
     b.pass(0.5);
     b.answers = false;
     b.pass(15);
-    EXPECT_EQ(b.worker->session(), 2u) << seed;
+    EXPECT_EQ(b.worker->incarnation(), 2u) << seed;
   }
 }
 
@@ -172,7 +172,7 @@
   Simulation sim(1);
   Host service(sim, "state"), user(sim, "node-0");
   emulators::StateServiceEmulator state(service.loop(), {"state", 1}, "");
-  state.limit(10, 4);
+  state.set_rate_limits(10, 4);
   std::vector<int> gets, writes;
   std::vector<net::Network::Handle> out;
   auto ask = [&](const char* method, const char* path, const std::string& body,
