--- a/src/simulation/cluster_options.h
+++ b/src/simulation/cluster_options.h
@@ -32,33 +32,36 @@
   double cancel_s = 46.5;  ///< no task of a cancelled job runs this long after the confirmation
 
   // ---- faulty settings, for tests which show that the rules are checked
-  double told_cancel_s = 0;    ///< what controllers have for `cancel_s`; 0: the same
-  double told_team_limit = 0;  ///< what controllers have for `team_limit`; 0: the same
+  double controllers_cancel_s = 0;    ///< what controllers have for `cancel_s`; 0: the same
+  double controllers_team_limit = 0;  ///< what controllers have for `team_limit`; 0: the same
 
   // ---- rates and delays
   double state_rps = 3000;         ///< requests a second that the state service takes
   double state_write_rps = 1000;   ///< written keys a second that the state service takes
   double cloud_rps = 60;           ///< requests a second that the cloud takes
   double state_latency_s = 0.005;  ///< mean round trip to the state service
-  double slow_links_s = 0;         ///< upper bound of every one-way delay; 0: the delays by default
-  double quick_boots_s = 0;  ///< upper bound of new machines' boot times; 0: the type's boot time
-  double list_lag_s = 0;     ///< the cloud's lists are up to twice as old; 0: current
-  double wall_off_s = 0.1;   ///< largest error of a controller's time of day, either way
-  bool relay = true;         ///< whether controllers relay heartbeats for each other
-  bool delegation = true;    ///< whether waiting tasks go to shards with idle room
+  double max_link_delay_s = 0;     ///< upper bound of every one-way delay; 0: the delays by default
+  double max_boot_s = 0;  ///< upper bound of new machines' boot times; 0: the type's boot time
+  double list_lag_s = 0;  ///< the cloud's lists are up to twice as old; 0: current
+  double wall_clock_error_s = 0.1;  ///< largest error of a controller's time of day, either way
+  bool relay = true;                ///< whether controllers relay heartbeats for each other
+  bool delegation = true;           ///< whether waiting tasks go to shards with idle room
 
   // ---- requests that go wrong
   double heartbeat_copies = 0;  ///< share of heartbeats that are delivered again later
-  double copies_for_next = 0;   ///< share of heartbeats that are sent again to the next leader
+  double copies_for_next_leader =
+      0;                   ///< share of heartbeats that are sent again to the next leader
   double late_writes = 0;  ///< share of transactions without answer that are applied 2 to 12 s late
   double lost_answers = 0;  ///< share of transactions that are applied and get no answer
   /// Restricts `lost_answers` to transactions with such a body; none: all transactions.
-  std::function<bool(const std::string& body)> lose_answer_of;
+  std::function<bool(const std::string& body)> lose_answer_if;
 
   // ---- users
-  double close_looks = 0;     ///< share of a job's changes after which all controllers are asked
-  double cancel_at_once = 0;  ///< share of jobs that are cancelled as soon as they are accepted
-  double meet_ends = 0;  ///< share of jobs for which other requests arrive just as they complete
+  double query_bursts = 0;  ///< share of a job's changes after which all controllers are asked
+  double immediate_cancellations =
+      0;  ///< share of jobs that are cancelled as soon as they are accepted
+  double requests_at_completion =
+      0;  ///< share of jobs for which other requests arrive just as they complete
 };
 
 }  // namespace shunttrail::simulation
--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -82,9 +82,9 @@
       delivery.arrives = false;
     return delivery;
   }
-  if (options_.slow_links_s > 0) {
-    delivery.there_s = simulation_.draw(0, options_.slow_links_s);
-    delivery.back_s = simulation_.draw(0, options_.slow_links_s);
+  if (options_.max_link_delay_s > 0) {
+    delivery.there_s = simulation_.draw(0, options_.max_link_delay_s);
+    delivery.back_s = simulation_.draw(0, options_.max_link_delay_s);
   }
   if (request.to == "state") {
     deliver_to_state(request, delivery);
@@ -95,7 +95,7 @@
   const bool is_heartbeat = request.path == kHeartbeatPath;
   if (is_heartbeat && simulation_.chance(options_.heartbeat_copies))
     delivery.copies_s = {simulation_.draw(2, 2.2 * options_.lease_s)};
-  if (is_heartbeat && simulation_.chance(options_.copies_for_next))
+  if (is_heartbeat && simulation_.chance(options_.copies_for_next_leader))
     kept_heartbeats_.push_back(request);
   if (const int machine = machines_.find_host(request.to); machine >= 0) {
     const MachineFaults& faults = machine_faults(machine);
@@ -109,7 +109,7 @@
 }
 
 void FaultInjector::deliver_to_state(const Request& request, Delivery& delivery) {
-  if (options_.slow_links_s <= 0)
+  if (options_.max_link_delay_s <= 0)
     delivery.there_s = delivery.back_s = options_.state_latency_s / 2 * simulation_.draw(0.5, 1.5);
   if (simulation_.now() < state_slow_until_)
     delivery.there_s = delivery.back_s = state_latency_s_ / 2 * simulation_.draw(0.5, 1.5);
@@ -130,7 +130,7 @@
 
 bool FaultInjector::is_answer_lost(const Request& request) {
   if (options_.lost_answers <= 0) return false;
-  if (options_.lose_answer_of && !options_.lose_answer_of(request.body)) return false;
+  if (options_.lose_answer_if && !options_.lose_answer_if(request.body)) return false;
   return simulation_.chance(options_.lost_answers);
 }
 
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -81,7 +81,7 @@
     simulation_.run_until(std::min(until, simulation_.now() + kCheckGapS));
     rules_.check_machines();
     rules_.check_waiting([this](int machine) { return faults_.is_reachable(machine); });
-    cloud_.set_max_boot_time(options_.quick_boots_s);
+    cloud_.set_max_boot_time(options_.max_boot_s);
     faults_.send_kept_heartbeats();
   }
 }
--- a/src/simulation/simulated_controllers.cpp
+++ b/src/simulation/simulated_controllers.cpp
@@ -13,19 +13,20 @@
   config::Settings s;
   for (int n = 0; n < options.controllers; ++n) s.nodes.push_back("node-" + std::to_string(n));
   s.zones = {"a", "b"};
-  const double limit = options.told_team_limit > 0 ? options.told_team_limit : options.team_limit;
+  const double limit =
+      options.controllers_team_limit > 0 ? options.controllers_team_limit : options.team_limit;
   for (int t = 0; t < options.teams; ++t) {
     s.teams.push_back({kTeams[static_cast<std::size_t>(t)], limit / 2, limit, 0, 0});
     s.team_shard.push_back(t % options.controllers);
   }
   s.heartbeat_s = options.heartbeat_s;
   s.lease_s = options.lease_s;
-  s.cancel_s = options.told_cancel_s > 0 ? options.told_cancel_s : options.cancel_s;
+  s.cancel_s = options.controllers_cancel_s > 0 ? options.controllers_cancel_s : options.cancel_s;
   s.state_limits = s.state_next = {3000, 1000, 16, 16};
   s.state_limits.rps = s.state_next.rps = options.state_rps;
   s.state_limits.write_rps = s.state_next.write_rps = options.state_write_rps;
   s.cloud_rps = options.cloud_rps;
-  s.clock_off_ms = 1000 * options.wall_off_s;
+  s.clock_off_ms = 1000 * options.wall_clock_error_s;
   s.list_lag_s = options.list_lag_s > 0 ? options.list_lag_s : 1;
   s.state = {"state", 1};
   s.cloud = {"cloud", 1};
@@ -51,7 +52,7 @@
   if (p.controller) return;
   const int offset = node % 3 - 1;  // clocks are slow, right and fast in turn
   p.host = std::make_unique<Host>(simulation_, hosts()[static_cast<std::size_t>(node)],
-                                  1 + offset * kClockDrift, offset * options_.wall_off_s);
+                                  1 + offset * kClockDrift, offset * options_.wall_clock_error_s);
   const std::string& self = p.host->name();
   p.settings = shared_settings_;
   p.settings.node = self;
--- a/src/simulation/simulated_users.cpp
+++ b/src/simulation/simulated_users.cpp
@@ -207,8 +207,8 @@
 void SimulatedUsers::task_completed(const std::string& id) {
   SimulatedJob& job = jobs_.at(id);
   if (++job.done < job.spec.tasks) return;
-  if (drawn(options_.close_looks)) ask_all_repeatedly(id);
-  if (drawn(options_.meet_ends)) send_other_requests(id);
+  if (drawn(options_.query_bursts)) ask_all_repeatedly(id);
+  if (drawn(options_.requests_at_completion)) send_other_requests(id);
 }
 
 // The last task's report is on its way to the controllers at this moment: these requests arrive
@@ -241,12 +241,12 @@
   const bool first_answer = job.told_accepted < 0;
   if (first_answer) {
     job.told_accepted = now;
-    if (drawn(options_.cancel_at_once))
+    if (drawn(options_.immediate_cancellations))
       simulation_.at(now + simulation_.draw(0, 0.1), [this, id] { cancel(id); });
   }
   if (first_cancelled) job.told_cancelled = now;
   if (first_done) job.told_done = now;
-  if ((first_answer || first_cancelled || first_done) && drawn(options_.close_looks))
+  if ((first_answer || first_cancelled || first_done) && drawn(options_.query_bursts))
     ask_all_repeatedly(id);
 }
 
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -76,8 +76,8 @@
   deliver(std::make_shared<Request>(std::move(r)), text(to), [](const net::Answer&) {});
 }
 
-Host::Host(Simulation& sim, std::string name, double rate, double wall_off_s)
-    : sim_(sim), name_(std::move(name)), rate_(rate), wall_off_s_(wall_off_s) {}
+Host::Host(Simulation& sim, std::string name, double rate, double wall_clock_error_s)
+    : sim_(sim), name_(std::move(name)), rate_(rate), wall_clock_error_s_(wall_clock_error_s) {}
 Host::~Host() {
   std::erase_if(sim_.listeners_, [&](const auto& l) { return l.second.host == this; });
 }
@@ -88,7 +88,7 @@
 }
 double Host::now() const { return 1000 + sim_.now() * rate_; }
 double Host::wall_now() const {
-  return kMidnight + sim_.now() + wall_off_s_ * std::cos(sim_.now() / kWander);
+  return kMidnight + sim_.now() + wall_clock_error_s_ * std::cos(sim_.now() / kWander);
 }
 
 actor::EventSource::Handle Host::schedule(double seconds, std::function<void()> fn) {
--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -25,7 +25,7 @@
  public:
   /// `rate`: seconds that its steady clock shows in one second (PROTOCOL: apart by 0.05% at most).
   /// `wall_off_s`: the time of day wanders by so much to either side.
-  Host(Simulation& sim, std::string name, double rate = 1, double wall_off_s = 0);
+  Host(Simulation& sim, std::string name, double rate = 1, double wall_clock_error_s = 0);
   ~Host() override;
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
@@ -61,7 +61,7 @@
   };
   Simulation& sim_;
   const std::string name_;
-  const double rate_, wall_off_s_;
+  const double rate_, wall_clock_error_s_;
   std::shared_ptr<Life> life_ = std::make_shared<Life>();
   actor::Loop loop_{*this};
 };
--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -95,8 +95,8 @@
   Users out;
   cluster.options().late_writes = cluster.options().heartbeat_copies =
       cluster.options().lost_answers = 0;
-  cluster.options().close_looks = cluster.options().meet_ends = cluster.options().cancel_at_once =
-      0;
+  cluster.options().query_bursts = cluster.options().requests_at_completion =
+      cluster.options().immediate_cancellations = 0;
   cluster.pass(240);
   cluster.ask_everywhere();
   for (const auto& [id, j] : cluster.users().jobs()) {
@@ -168,8 +168,8 @@
   const Users u = expect_users(
       1, 25,
       [](SimulatedCluster& cluster) {
-        cluster.options().close_looks = 0.7;
-        cluster.options().cancel_at_once = 0.2;
+        cluster.options().query_bursts = 0.7;
+        cluster.options().immediate_cancellations = 0.2;
       },
       GetParam().faults);
   EXPECT_GT(u.looks, u.histories * 400);
@@ -183,8 +183,8 @@
   const Users u = expect_users(
       101, 125,
       [](SimulatedCluster& cluster) {
-        cluster.options().meet_ends = 0.8;
-        cluster.options().close_looks = 0.15;
+        cluster.options().requests_at_completion = 0.8;
+        cluster.options().query_bursts = 0.15;
       },
       GetParam().faults);
   EXPECT_GT(u.ends, u.histories * 10);
@@ -234,13 +234,14 @@
       201, 225,
       [](SimulatedCluster& cluster) {
         cluster.options().lost_answers = GetParam().share;
-        cluster.options().lose_answer_of = [kind = GetParam().kind](const std::string& body) {
+        cluster.options().lose_answer_if = [kind = GetParam().kind](const std::string& body) {
           return kind_of(body) == kind;
         };
-        cluster.options().close_looks = 0.3;
+        cluster.options().query_bursts = 0.3;
         // What waits is rarely called off otherwise.
-        cluster.options().cancel_at_once = GetParam().kind == "waiting cancelled" ? 0.4 : 0.1;
-        cluster.options().meet_ends = 0.2;
+        cluster.options().immediate_cancellations =
+            GetParam().kind == "waiting cancelled" ? 0.4 : 0.1;
+        cluster.options().requests_at_completion = 0.2;
       },
       {"roll and back", "leader cut from state"});
   EXPECT_GE(u.lost * 25, GetParam().least * u.histories);
@@ -264,7 +265,7 @@
     play_users(seed,
                [&seen](SimulatedCluster& cluster) {
                  cluster.options().lost_answers = 1e-12;
-                 cluster.options().lose_answer_of = [&seen](const std::string& body) {
+                 cluster.options().lose_answer_if = [&seen](const std::string& body) {
                    ++seen[kind_of(body)];
                    return false;
                  };
--- a/tests/fault_combinations_delegation_test.cpp
+++ b/tests/fault_combinations_delegation_test.cpp
@@ -91,7 +91,7 @@
   void calm_down() {
     ClusterOptions& options = cluster.options();
     options.late_writes = options.lost_answers = options.heartbeat_copies = 0;
-    options.copies_for_next = options.slow_links_s = 0;
+    options.copies_for_next_leader = options.max_link_delay_s = 0;
     cluster.rules().faults_are_over();
     cluster.pass(kCalm);
     cluster.ask_everywhere();
--- a/tests/fault_combinations_limits_test.cpp
+++ b/tests/fault_combinations_limits_test.cpp
@@ -31,8 +31,8 @@
 // Nothing faults the cluster any more: all jobs end, users are answered, and no machine stays
 // rented without work.
 void calm_down(SimulatedCluster& cluster) {
-  cluster.options().late_writes = cluster.options().lost_answers = cluster.options().slow_links_s =
-      0;
+  cluster.options().late_writes = cluster.options().lost_answers =
+      cluster.options().max_link_delay_s = 0;
   cluster.rules().faults_are_over();
   cluster.pass(kCalm);
   cluster.ask_everywhere();
@@ -95,7 +95,7 @@
   s.team_limit = 8;
   SimulatedCluster as_told(1, s);
   EXPECT_EQ(limited(as_told).rules().broken(), Strings{});
-  s.told_team_limit = 3;
+  s.controllers_team_limit = 3;
   SimulatedCluster fewer(1, s);
   EXPECT_NE(broken_so(limited(fewer), "neglected"), Strings{});
 }
@@ -103,7 +103,7 @@
 TEST(Limits, MoreThanALimitIsSeen) {
   ClusterOptions s;
   s.team_limit = 5;
-  s.told_team_limit = 8;
+  s.controllers_team_limit = 8;
   SimulatedCluster more(1, s);
   EXPECT_NE(broken_so(limited(more), "quota"), Strings{});
 }
@@ -258,7 +258,7 @@
     s.team_limit = 10;
     s.machines = 4;
     s.big_machines = 3;
-    s.quick_boots_s = 2;
+    s.max_boot_s = 2;
     s.list_lag_s = 3;
     SimulatedCluster cluster(seed, s);
     auto& sim = cluster.sim();
@@ -462,7 +462,7 @@
     auto& sim = cluster.sim();
     const ClusterOptions& s = cluster.options();
     cluster.pass(12);
-    cluster.options().slow_links_s = sim.draw(0.05, 0.4);
+    cluster.options().max_link_delay_s = sim.draw(0.05, 0.4);
     from = sim.now();
     const double arrivals = 240;
     const double load = sim.draw(1.1, 1.7);  // of the room
@@ -527,7 +527,7 @@
       all.push_back(sub);
     }
     cluster.pass(kBegin + 10);
-    cluster.options().slow_links_s = 0;
+    cluster.options().max_link_delay_s = 0;
   }
 };
 
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -38,13 +38,14 @@
 struct Gap {
   SimulatedCluster cluster;
   int cancelled = 0;
-  static ClusterOptions options(unsigned seed, double told_cancel_s) {
+  static ClusterOptions options(unsigned seed, double controllers_cancel_s) {
     ClusterOptions s;
     s.controllers = 2 + static_cast<int>(seed % 4);
-    s.told_cancel_s = told_cancel_s;
+    s.controllers_cancel_s = controllers_cancel_s;
     return s;
   }
-  Gap(unsigned seed, double told_cancel_s) : cluster(seed, options(seed, told_cancel_s)) {
+  Gap(unsigned seed, double controllers_cancel_s)
+      : cluster(seed, options(seed, controllers_cancel_s)) {
     auto& sim = cluster.sim();
     cluster.pass(12);
     std::vector<std::string> jobs;
--- a/tests/named_faults.h
+++ b/tests/named_faults.h
@@ -99,10 +99,10 @@
   set_for_a_while(c, &ClusterOptions::lost_answers, c.sim().draw(0.1, 0.6));
 }
 inline void keep_heartbeats_for_next_leader(SimulatedCluster& c) {
-  set_for_a_while(c, &ClusterOptions::copies_for_next, c.sim().draw(0.1, 0.5), 90);
+  set_for_a_while(c, &ClusterOptions::copies_for_next_leader, c.sim().draw(0.1, 0.5), 90);
 }
 inline void slow_links(SimulatedCluster& c) {
-  set_for_a_while(c, &ClusterOptions::slow_links_s, c.sim().draw(0.2, 1));
+  set_for_a_while(c, &ClusterOptions::max_link_delay_s, c.sim().draw(0.2, 1));
 }
 
 // ---- state service and cloud
@@ -222,8 +222,8 @@
   }
 }
 inline void boot_machines_at_once(SimulatedCluster& c) {
-  c.options().quick_boots_s = c.sim().draw(0.3, 2);
-  c.sim().at(c.now() + 90, [&c] { c.options().quick_boots_s = 0; });
+  c.options().max_boot_s = c.sim().draw(0.3, 2);
+  c.sim().at(c.now() + 90, [&c] { c.options().max_boot_s = 0; });
   for (int i = 0; i < 2; ++i) kill_machine(c);
 }
 
