--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -40,7 +40,7 @@
 int FaultInjector::link_of(const std::string& other, bool other_sends) const {
   if (other == "state") return Link::state;
   if (controllers_.find_host(other) >= 0) return Link::peers;
-  if (other.starts_with("w")) return Link::workers | (other_sends ? Link::reports : 0);
+  if (other.starts_with("w")) return Link::workers | (other_sends ? Link::heartbeats : 0);
   return 0;
 }
 
@@ -91,12 +91,12 @@
     return delivery;
   }
   const double now = simulation_.now();
-  if (request.to == "cloud" && now < cloud_out_until_) delivery.refused = kServiceUnavailable;
+  if (request.to == "cloud" && now < cloud_outage_until_) delivery.refused = kServiceUnavailable;
   const bool is_heartbeat = request.path == kHeartbeatPath;
   if (is_heartbeat && simulation_.chance(options_.heartbeat_copies))
     delivery.copies_s = {simulation_.draw(2, 2.2 * options_.lease_s)};
   if (is_heartbeat && simulation_.chance(options_.copies_for_next_leader))
-    kept_heartbeats_.push_back(request);
+    saved_heartbeats_.push_back(request);
   if (const int machine = machines_.find_host(request.to); machine >= 0) {
     const MachineFaults& faults = machine_faults(machine);
     if (faults.responses_lost_until > now) delivery.arrives = false;
@@ -163,9 +163,9 @@
   return changed;
 }
 
-void FaultInjector::send_kept_heartbeats() {
+void FaultInjector::send_saved_heartbeats() {
   if (!update_leaders()) return;
-  for (const Request& heartbeat : std::exchange(kept_heartbeats_, {}))
+  for (const Request& heartbeat : std::exchange(saved_heartbeats_, {}))
     for (const auto& host : controllers_.hosts()) {
       const double delay_s = simulation_.chance(0.5) ? 0 : simulation_.draw(0, 4);
       simulation_.at(simulation_.now() + delay_s, [this, heartbeat, host] {
@@ -190,7 +190,7 @@
   state_slow_until_ = simulation_.now() + for_s;
 }
 
-void FaultInjector::cloud_outage(double for_s) { cloud_out_until_ = simulation_.now() + for_s; }
+void FaultInjector::cloud_outage(double for_s) { cloud_outage_until_ = simulation_.now() + for_s; }
 
 // ---- controllers
 
@@ -244,7 +244,7 @@
   m.host->freeze(until);
 }
 
-void FaultInjector::hang_in_chains(int machine, int times) {
+void FaultInjector::hang_repeatedly(int machine, int times) {
   const SimulatedMachine& m = machines_[machine];
   if (!m.worker) return;
   auto within_lease = [this] { return simulation_.draw(1, 0.95 * options_.lease_s); };
@@ -266,7 +266,7 @@
 
 void FaultInjector::kill_machine(int machine) { machines_.kill(machine); }
 
-void FaultInjector::take_machine(int machine, double notice_s) {
+void FaultInjector::reclaim_machine(int machine, double notice_s) {
   const SimulatedMachine& m = machines_[machine];
   if (!m.worker || !m.worker->settings().spot) return;
   if (notice_s > 0) m.worker->announce_reclaim(notice_s);
@@ -278,19 +278,20 @@
   });
 }
 
-void FaultInjector::lose_zone(const std::string& zone, double none_for_s) {
+void FaultInjector::lose_zone(const std::string& zone, double no_capacity_s) {
   for (int machine = 0; machine < machines_.size(); ++machine)
     if (machines_[machine].zone == zone) machines_.kill(machine);
-  cloud_.refuse_rentals_in(zone, none_for_s);
+  cloud_.refuse_rentals_in(zone, no_capacity_s);
 }
 
 bool FaultInjector::is_reachable(int machine) const {
   const auto n = static_cast<std::size_t>(machine);
   if (n >= machine_faults_.size()) return true;
   const MachineFaults& faults = machine_faults_[n];
-  const double unreached_until = std::max({faults.responses_lost_until, faults.heartbeats_cut_until,
-                                           faults.commands_held_until, faults.hung_until});
-  return unreached_until <= simulation_.now();
+  const double unreachable_until =
+      std::max({faults.responses_lost_until, faults.heartbeats_cut_until,
+                faults.commands_held_until, faults.hung_until});
+  return unreachable_until <= simulation_.now();
 }
 
 }  // namespace shunttrail::simulation
--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -37,7 +37,7 @@
 
   /// What a controller can be cut from; can be combined. `workers` holds both ways, `reports` only
   /// for what workers send to it.
-  enum Link { state = 1, peers = 2, workers = 4, reports = 8 };
+  enum Link { state = 1, peers = 2, workers = 4, heartbeats = 8 };
   /// Requests over these links (Link) are lost, and so are answers. Replaces an earlier cut.
   void cut(int node, int links, double for_s);
   /// Nothing passes between the zone and all hosts outside of it, among them users, state service
@@ -64,13 +64,13 @@
   void hang(int machine, double for_s);
   /// The machine stands still so many times, each within its lease, with a moment or a few turns in
   /// between.
-  void hang_in_chains(int machine, int times);
+  void hang_repeatedly(int machine, int times);
   /// The machine is gone at once; the cloud still lists it.
   void kill_machine(int machine);
   /// The cloud takes a spot machine back. 0: without notice.
-  void take_machine(int machine, double notice_s);
+  void reclaim_machine(int machine, double notice_s);
   /// The zone's machines are gone at once, and the cloud has no others there for so long.
-  void lose_zone(const std::string& zone, double none_for_s);
+  void lose_zone(const std::string& zone, double no_capacity_s);
   /// Whether no fault keeps the machine from hearing of its controllers.
   [[nodiscard]] bool is_reachable(int machine) const;
 
@@ -80,7 +80,7 @@
   /// Seconds by which an answer is held up; below 0: it is lost.
   [[nodiscard]] double answer_delay(const Request& request);
   /// Sends the heartbeats that were kept (`copies_for_next`) once a shard has another leader.
-  void send_kept_heartbeats();
+  void send_saved_heartbeats();
   /// Transactions that were applied without an answer (`lost_answers`).
   [[nodiscard]] std::uint64_t answers_lost() const { return answers_lost_; }
 
@@ -121,8 +121,8 @@
   std::vector<MachineFaults> machine_faults_;  // grows with the machines that have had one
   ZoneCut zone_cut_;
   double state_slow_until_ = 0, state_latency_s_ = 0;
-  double cloud_out_until_ = 0;
-  std::vector<Request> kept_heartbeats_;
+  double cloud_outage_until_ = 0;
+  std::vector<Request> saved_heartbeats_;
   std::vector<int> leaders_;  // of each shard, as last seen; -1: none yet
   std::uint64_t answers_lost_ = 0;
 };
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -82,7 +82,7 @@
     rules_.check_machines();
     rules_.check_waiting([this](int machine) { return faults_.is_reachable(machine); });
     cloud_.set_max_boot_time(options_.max_boot_s);
-    faults_.send_kept_heartbeats();
+    faults_.send_saved_heartbeats();
   }
 }
 
--- a/tests/named_faults.h
+++ b/tests/named_faults.h
@@ -211,14 +211,14 @@
 inline void hang_machines_in_chains(SimulatedCluster& c) {
   for (int i = 0; i < 3; ++i) {
     const int times = 2 + static_cast<int>(c.sim().rng()() % 4);
-    c.faults().hang_in_chains(random_machine(c), times);
+    c.faults().hang_repeatedly(random_machine(c), times);
   }
 }
 inline void kill_machine(SimulatedCluster& c) { c.faults().kill_machine(random_machine(c)); }
 inline void take_spot_machines(SimulatedCluster& c) {
   for (int i = 0; i < 2; ++i) {
     const double notice_s = c.sim().chance(0.2) ? 0 : c.sim().draw(10, 30);
-    c.faults().take_machine(random_machine(c), notice_s);
+    c.faults().reclaim_machine(random_machine(c), notice_s);
   }
 }
 inline void boot_machines_at_once(SimulatedCluster& c) {
@@ -234,7 +234,7 @@
   const bool in_chain = c.sim().chance(0.3);
   c.sim().at(c.now() + c.sim().draw(0, 2), [&c, machine, for_s, in_chain] {
     if (in_chain)
-      c.faults().hang_in_chains(machine, 3);
+      c.faults().hang_repeatedly(machine, 3);
     else
       c.faults().hang(machine, for_s);
   });
@@ -257,7 +257,7 @@
 // held on the way and jobs are cancelled.
 inline void hold_commands_and_relay_heartbeats(SimulatedCluster& c) {
   const double for_s = c.sim().draw(10, 100);
-  c.faults().cut(c.controllers().random_leader(), FaultInjector::reports, for_s);
+  c.faults().cut(c.controllers().random_leader(), FaultInjector::heartbeats, for_s);
   for (int machine = 0; machine < c.machines().size(); ++machine) {
     if (c.sim().chance(0.7))
       c.faults().hold_direct_commands(machine, for_s * c.sim().draw(0.5, 1.5));
