--- a/src/simulation/job_records.cpp
+++ b/src/simulation/job_records.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr double kServiceRunS = 1e9;         // longer than any history
-constexpr double kCompletedAlreadyS = 0.01;  // a result that is kept: the task exits at once
+constexpr double kCompletedTaskRunS = 0.01;  // a result that is kept: the task exits at once
 }  // namespace
 
 void JobRecords::add(wire::JobSpec spec, double run_s) {
@@ -28,10 +28,10 @@
 
 bool JobRecords::is_cancelled_by_users(const std::string& id) const {
   const SimulatedJob& job = at(id);
-  return job.cancel_asked || std::any_of(job.spec.dependencies.begin(), job.spec.dependencies.end(),
-                                         [&](const std::string& dependency) {
-                                           return is_cancelled_by_users(dependency);
-                                         });
+  return job.cancel_requested ||
+         std::any_of(
+             job.spec.dependencies.begin(), job.spec.dependencies.end(),
+             [&](const std::string& dependency) { return is_cancelled_by_users(dependency); });
 }
 
 std::optional<emulators::WorkerEmulator::Work> JobRecords::work_of(const wire::TaskId& task) const {
@@ -39,7 +39,7 @@
   if (found == jobs_.end()) return std::nullopt;
   const SimulatedJob& job = found->second;
   double run_s = job.run_s * (1 + task.index % 3);
-  if (is_completed(task)) run_s = kCompletedAlreadyS;
+  if (is_completed(task)) run_s = kCompletedTaskRunS;
   if (job.spec.service) run_s = kServiceRunS;
   return emulators::WorkerEmulator::Work{job.spec.cpus, job.spec.image_gb, run_s,
                                          job.spec.checkpoint_s, job.spec.save_s};
--- a/src/simulation/job_records.h
+++ b/src/simulation/job_records.h
@@ -19,14 +19,14 @@
 /// A job as its user knows it. Times are simulated seconds; below 0: not yet.
 struct SimulatedJob {
   wire::JobSpec spec;
-  double run_s = 10;           ///< run time of the shortest tasks
-  bool accepted = false;       ///< a submission was answered 200 or 201
-  bool cancel_asked = false;   ///< a user has asked for its cancellation
-  double told_cancelled = -1;  ///< when a user was first told that it is cancelled
-  double told_done = -1;       ///< when a user was first told that it is done
-  double answered = -1;        ///< when a question about it was last answered
-  double told_accepted = -1;   ///< when a user was first told of it at all
-  std::uint32_t done = 0;      ///< tasks that have completed on a machine
+  double run_s = 10;                  ///< run time of the shortest tasks
+  bool accepted = false;              ///< a submission was answered 200 or 201
+  bool cancel_requested = false;      ///< a user has asked for its cancellation
+  double cancelled_reported_at = -1;  ///< when a user was first told that it is cancelled
+  double done_reported_at = -1;       ///< when a user was first told that it is done
+  double last_answered_at = -1;       ///< when a question about it was last answered
+  double first_reported_at = -1;      ///< when a user was first told of it at all
+  std::uint32_t completed_tasks = 0;  ///< tasks that have completed on a machine
 };
 
 /// The jobs of all users by id, and the tasks that have completed.
--- a/src/simulation/rule_checker.cpp
+++ b/src/simulation/rule_checker.cpp
@@ -52,10 +52,10 @@
 
 bool RuleChecker::task_moved(const WorkerEmulator& worker, const WorkerEmulator::Task& task,
                              TaskState was) {
-  const double told_cancelled = jobs_.at(task.id.job).told_cancelled;
-  if (task.state == TaskState::fetching) count_start(task_name(task.id), told_cancelled);
-  if (task.state == TaskState::running && told_cancelled >= 0)
-    after_cancel_.begun = std::max(after_cancel_.begun, simulation_.now() - told_cancelled);
+  const double cancelled_reported_at = jobs_.at(task.id.job).cancelled_reported_at;
+  if (task.state == TaskState::fetching) count_start(task_name(task.id), cancelled_reported_at);
+  if (task.state == TaskState::running && cancelled_reported_at >= 0)
+    after_cancel_.begun = std::max(after_cancel_.begun, simulation_.now() - cancelled_reported_at);
   saves_ += task.state == TaskState::saving;
   // As it leaves: between two checks of the machines, too.
   if (was == TaskState::running || was == TaskState::saving) check_cancelled(task);
@@ -64,11 +64,12 @@
          jobs_.complete(task.id);
 }
 
-void RuleChecker::count_start(const std::string& name, double told_cancelled) {
+void RuleChecker::count_start(const std::string& name, double cancelled_reported_at) {
   ++starts_;
   begun_again_ += acknowledged_.contains(name);
-  if (told_cancelled >= 0)
-    after_cancel_.obeyed = std::max(after_cancel_.obeyed, simulation_.now() - told_cancelled);
+  if (cancelled_reported_at >= 0)
+    after_cancel_.obeyed =
+        std::max(after_cancel_.obeyed, simulation_.now() - cancelled_reported_at);
 }
 
 // Rules: ran_twice, wrong_place, too_early.
@@ -129,7 +130,7 @@
 
 // A task that is on a machine, or leaves it in this moment. One that waits for its image is not.
 void RuleChecker::check_cancelled(const WorkerEmulator::Task& task) {
-  const double told = jobs_.at(task.id.job).told_cancelled;
+  const double told = jobs_.at(task.id.job).cancelled_reported_at;
   if (told < 0) return;
   const double since = simulation_.now() - told;
   after_cancel_.on_machine = std::max(after_cancel_.on_machine, since);
@@ -149,7 +150,7 @@
     if (result.status == 200) report("invented: " + id);
     return std::nullopt;
   }
-  if (told_before(job->told_accepted, asked_at)) check_accepted_answer(id, result.status);
+  if (told_before(job->first_reported_at, asked_at)) check_accepted_answer(id, result.status);
   if (result.status != 200 && result.status != 201) return std::nullopt;
   const JobState state = client_protocol::decode_job_state(result.body).state;
   check_final_state(id, *job, state, asked_at);
@@ -177,10 +178,11 @@
   const bool cancelled = state == JobState::cancelled;
   const bool done = state == JobState::done;
   // Of two final states one is wrong, whichever was asked for first.
-  if ((told_before(job.told_cancelled, asked_at) && !cancelled) ||
-      (job.told_cancelled >= 0 && done))
+  if ((told_before(job.cancelled_reported_at, asked_at) && !cancelled) ||
+      (job.cancelled_reported_at >= 0 && done))
     report("went_back: " + id + " was called cancelled, and now " + wire::state_name(state));
-  if ((told_before(job.told_done, asked_at) && !done) || (job.told_done >= 0 && cancelled))
+  if ((told_before(job.done_reported_at, asked_at) && !done) ||
+      (job.done_reported_at >= 0 && cancelled))
     report("went_back: " + id + " was called done, and now " + wire::state_name(state));
 }
 
@@ -200,7 +202,8 @@
 
 // Nothing but room and limits keeps its tasks from starting.
 bool RuleChecker::wants_room(const SimulatedJob& job) const {
-  if (!job.accepted || job.told_done >= 0 || jobs_.is_cancelled_by_users(job.spec.id)) return false;
+  if (!job.accepted || job.done_reported_at >= 0 || jobs_.is_cancelled_by_users(job.spec.id))
+    return false;
   return std::all_of(job.spec.dependencies.begin(), job.spec.dependencies.end(),
                      [&](const std::string& id) { return jobs_.all_completed(id); });
 }
--- a/src/simulation/rule_checker.h
+++ b/src/simulation/rule_checker.h
@@ -93,7 +93,7 @@
   };
   using TaskOnMachine = std::pair<std::string, std::string>;  // names
 
-  void count_start(const std::string& name, double told_cancelled);
+  void count_start(const std::string& name, double cancelled_reported_at);
   void check_start(const emulators::WorkerEmulator& worker,
                    const emulators::WorkerEmulator::Task& task);
   void check_place(const emulators::WorkerEmulator& worker, const wire::TaskId& task,
--- a/src/simulation/simulated_users.cpp
+++ b/src/simulation/simulated_users.cpp
@@ -78,7 +78,7 @@
 }
 
 void SimulatedUsers::cancel(const std::string& id, int node) {
-  jobs_.at(id).cancel_asked = true;
+  jobs_.at(id).cancel_requested = true;
   cancel_until_answered(id, node);
 }
 
@@ -96,7 +96,7 @@
 
 void SimulatedUsers::poll(const std::string& id) {
   const SimulatedJob& job = jobs_.at(id);
-  const bool over = job.told_done >= 0 || job.told_cancelled >= 0;
+  const bool over = job.done_reported_at >= 0 || job.cancelled_reported_at >= 0;
   const double sent = simulation_.now();
   ask_once(id, any_node());
   simulation_.at(sent + (over ? kPollGapOverS : kPollGapS), [this, id] { poll(id); });
@@ -114,10 +114,10 @@
     const SimulatedJob& job = jobs_.at(id);
     ask_once("run-9" + id.substr(5), node);  // which nobody submitted
     // Another body only once its user knows that it was accepted: before, it would be a submission.
-    const bool other = job.told_accepted >= 0 && simulation_.chance(0.5);
+    const bool other = job.first_reported_at >= 0 && simulation_.chance(0.5);
     const std::string body = other ? other_body(id) : std::string();
     submit_once(id, any_node(), body);
-    if (job.told_done >= 0 || job.told_cancelled >= 0) cancel_once(id, any_node());
+    if (job.done_reported_at >= 0 || job.cancelled_reported_at >= 0) cancel_once(id, any_node());
   } else {
     ask_once(id, node);
   }
@@ -130,7 +130,7 @@
 void SimulatedUsers::ask_everywhere() {
   for (const auto& [id, known] : jobs_.all()) {
     if (!known.accepted) continue;
-    jobs_.at(id).answered = -1;
+    jobs_.at(id).last_answered_at = -1;
     auto pending = std::make_shared<PendingAnswers>(PendingAnswers{id, {}, simulation_.now()});
     for (int node = 0; node < controllers_.count(); ++node) pending->nodes.insert(node);
     ask_pending(pending);
@@ -168,7 +168,7 @@
 
 void SimulatedUsers::cancel_once(const std::string& id, int node) {
   SimulatedJob& job = jobs_.at(id);
-  job.cancel_asked |= job.told_done < 0 && job.told_cancelled < 0;
+  job.cancel_requested |= job.done_reported_at < 0 && job.cancelled_reported_at < 0;
   send(node, "POST", job_path(id) + "/withdraw", "{}", kWriteTimeoutS,
        [this, id, sent = simulation_.now()](net::Result result) {
          answered(id, result, sent, UserRequest::cancellation);
@@ -206,7 +206,7 @@
 
 void SimulatedUsers::task_completed(const std::string& id) {
   SimulatedJob& job = jobs_.at(id);
-  if (++job.done < job.spec.tasks) return;
+  if (++job.completed_tasks < job.spec.tasks) return;
   if (drawn(options_.query_bursts)) ask_all_repeatedly(id);
   if (drawn(options_.requests_at_completion)) send_other_requests(id);
 }
@@ -235,17 +235,17 @@
 
 void SimulatedUsers::note_state(const std::string& id, SimulatedJob& job, wire::JobState state) {
   const double now = simulation_.now();
-  job.answered = now;
-  const bool first_cancelled = state == wire::JobState::cancelled && job.told_cancelled < 0;
-  const bool first_done = state == wire::JobState::done && job.told_done < 0;
-  const bool first_answer = job.told_accepted < 0;
+  job.last_answered_at = now;
+  const bool first_cancelled = state == wire::JobState::cancelled && job.cancelled_reported_at < 0;
+  const bool first_done = state == wire::JobState::done && job.done_reported_at < 0;
+  const bool first_answer = job.first_reported_at < 0;
   if (first_answer) {
-    job.told_accepted = now;
+    job.first_reported_at = now;
     if (drawn(options_.immediate_cancellations))
       simulation_.at(now + simulation_.draw(0, 0.1), [this, id] { cancel(id); });
   }
-  if (first_cancelled) job.told_cancelled = now;
-  if (first_done) job.told_done = now;
+  if (first_cancelled) job.cancelled_reported_at = now;
+  if (first_done) job.done_reported_at = now;
   if ((first_answer || first_cancelled || first_done) && drawn(options_.query_bursts))
     ask_all_repeatedly(id);
 }
--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -58,7 +58,7 @@
                     " s, image " + std::to_string(s.image_gb) + " GB, saves in " +
                     std::to_string(s.save_s) + (s.same_zone ? ", one zone" : "") +
                     (s.anti_affinity ? ", spread" : "") + (s.zone ? ", zone " + *s.zone : "") +
-                    (j.cancel_asked ? ", cancelled" : "");
+                    (j.cancel_requested ? ", cancelled" : "");
   for (const auto& a : s.dependencies) out += ", awaits " + a;
   for (int m : cluster.machines().with_job(s.id)) out += ", on machine " + std::to_string(m);
   return out;
@@ -165,14 +165,15 @@
   }
 
   static bool is_over(const SimulatedJob& job) {
-    return job.spec.service || !job.accepted || job.told_done >= 0 || job.told_cancelled >= 0;
+    return job.spec.service || !job.accepted || job.done_reported_at >= 0 ||
+           job.cancelled_reported_at >= 0;
   }
 
   bool has_replicas() const {
     const auto& jobs = cluster_.users().jobs();
     return std::any_of(jobs.begin(), jobs.end(), [](const auto& known) {
       const SimulatedJob& job = known.second;
-      return job.spec.service && job.accepted && job.told_cancelled < 0;
+      return job.spec.service && job.accepted && job.cancelled_reported_at < 0;
     });
   }
 
--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -101,7 +101,7 @@
   cluster.ask_everywhere();
   for (const auto& [id, j] : cluster.users().jobs()) {
     out.accepted += j.accepted;
-    const bool over = j.told_done >= 0 || j.told_cancelled >= 0;
+    const bool over = j.done_reported_at >= 0 || j.cancelled_reported_at >= 0;
     out.over += over;
     if (j.spec.service)
       cluster.users().cancel(id);
@@ -321,7 +321,7 @@
     cluster.pass(120);
     EXPECT_EQ(named.size(), 40u);
     EXPECT_GT(waited, 10u);  // had to: what was known to be over is not awaited
-    for (const auto& [id, j] : cluster.users().jobs()) EXPECT_GE(j.told_done, 0) << id;
+    for (const auto& [id, j] : cluster.users().jobs()) EXPECT_GE(j.done_reported_at, 0) << id;
     EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
   }
 }
@@ -546,7 +546,7 @@
     if (i > 5) cluster.faults().cut(1, FaultInjector::state, 4);
     if (i > 8) cluster.faults().refuse(2, 4);
     const std::string id = cluster.users().submit(spec("red", 1 + i % 3), 1, 0);
-    while (cluster.users().jobs().at(id).told_accepted < 0) cluster.pass(0.005);
+    while (cluster.users().jobs().at(id).first_reported_at < 0) cluster.pass(0.005);
     for (int n = 0; n < 12; ++n, ++asked)
       cluster.users().submit_once(id, n % 3, cluster.users().other_body(id));
     if (i % 3 == 0) cluster.users().cancel(id);
@@ -557,10 +557,10 @@
   }
   cluster.pass(120);
   for (const auto& [id, j] : cluster.users().jobs()) {
-    EXPECT_TRUE(j.told_done >= 0 || j.told_cancelled >= 0) << id;
+    EXPECT_TRUE(j.done_reported_at >= 0 || j.cancelled_reported_at >= 0) << id;
     const json answer = json::parse(user.submit(node(), cluster.users().other_body(id)).body);
     EXPECT_EQ(answer.at("uid"), id);
-    EXPECT_EQ(answer.at("signal"), j.told_done >= 0 ? "done" : "cancelled");
+    EXPECT_EQ(answer.at("signal"), j.done_reported_at >= 0 ? "done" : "cancelled");
   }
   EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
 }
@@ -582,8 +582,8 @@
   cluster.pass(60);
   std::size_t cancelled = 0, done = 0;
   for (const auto& [id, j] : cluster.users().jobs()) {
-    cancelled += j.told_cancelled >= 0;
-    done += j.told_done >= 0;
+    cancelled += j.cancelled_reported_at >= 0;
+    done += j.done_reported_at >= 0;
   }
   EXPECT_EQ(cancelled + done, 150u);
   EXPECT_GT(cancelled, 15u);
@@ -595,7 +595,7 @@
 TEST_F(OddRequests, NobodysJobsAreUnknownAndADoneOneStaysDone) {
   const std::string id = cluster.users().submit(spec("red", 2), 1);
   cluster.pass(60);
-  ASSERT_GE(cluster.users().jobs().at(id).told_done, 0);
+  ASSERT_GE(cluster.users().jobs().at(id).done_reported_at, 0);
   for (int n = 0; n < 3; ++n) {
     for (const char* path :
          {"/v2/runs/run-9", "/v2/runs/run-", "/v2/runs/", "/v2/runs/x", "/v2/runs/run-900000/2"}) {
@@ -671,8 +671,8 @@
   cluster.pass(60);
   std::size_t over = 0, said_cancelled = 0;
   for (const auto& [id, j] : cluster.users().jobs()) {
-    over += j.told_done >= 0 || j.told_cancelled >= 0;
-    said_cancelled += j.told_cancelled >= 0;
+    over += j.done_reported_at >= 0 || j.cancelled_reported_at >= 0;
+    said_cancelled += j.cancelled_reported_at >= 0;
   }
   EXPECT_EQ(submitted, 960u);
   EXPECT_EQ(over, submitted);
--- a/tests/fault_combinations_cancel_test.cpp
+++ b/tests/fault_combinations_cancel_test.cpp
@@ -49,7 +49,8 @@
     for (int i = 0; i < 200 && held_from < 0; ++i) cluster.pass(0.02);
     for (const auto& j : jobs) cluster.users().cancel(j);
     cluster.pass(hold_s + 60);
-    for (const auto& j : jobs) told = std::max(told, cluster.users().jobs().at(j).told_cancelled);
+    for (const auto& j : jobs)
+      told = std::max(told, cluster.users().jobs().at(j).cancelled_reported_at);
     cluster.sim().way = nullptr;
   }
 };
--- a/tests/fault_combinations_delegation_test.cpp
+++ b/tests/fault_combinations_delegation_test.cpp
@@ -100,7 +100,7 @@
   Strings unfinished() const {
     Strings out;
     for (const auto& [id, job] : cluster.users().jobs())
-      if (job.accepted && job.told_done < 0 && job.told_cancelled < 0)
+      if (job.accepted && job.done_reported_at < 0 && job.cancelled_reported_at < 0)
         out.push_back(describe(cluster, job));
     return out;
   }
--- a/tests/fault_combinations_limits_test.cpp
+++ b/tests/fault_combinations_limits_test.cpp
@@ -40,7 +40,7 @@
   for (const auto& [id, j] : cluster.users().jobs())
     if (j.spec.service)
       cluster.users().cancel(id);
-    else if (j.accepted && j.told_done < 0 && j.told_cancelled < 0)
+    else if (j.accepted && j.done_reported_at < 0 && j.cancelled_reported_at < 0)
       unfinished.push_back(id);
   EXPECT_EQ(unfinished, Strings{});
   cluster.pass(120);
@@ -393,7 +393,7 @@
       }
       if (left-- > 0)
         for (const auto& [id, j] : cluster.users().jobs())
-          if (j.accepted && !j.cancel_asked && j.told_done < 0 && sim.chance(0.02)) {
+          if (j.accepted && !j.cancel_requested && j.done_reported_at < 0 && sim.chance(0.02)) {
             ++cancelled;
             cluster.users().cancel(id);
             break;
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -23,7 +23,7 @@
   cluster.pass(150);
   for (const auto& [id, j] : cluster.users().jobs()) {
     EXPECT_TRUE(j.accepted) << id;
-    EXPECT_GE(j.told_done, 0) << id;
+    EXPECT_GE(j.done_reported_at, 0) << id;
   }
   cluster.ask_everywhere();
   EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
--- a/tests/named_faults.h
+++ b/tests/named_faults.h
@@ -49,7 +49,7 @@
 inline std::vector<std::string> cancel_some(SimulatedCluster& c, double share) {
   std::vector<std::string> cancelled;
   for (const auto& [id, job] : c.users().jobs())
-    if (job.accepted && !job.cancel_asked && job.told_done < 0 && c.sim().chance(share))
+    if (job.accepted && !job.cancel_requested && job.done_reported_at < 0 && c.sim().chance(share))
       cancelled.push_back(id);
   for (const auto& id : cancelled) c.users().cancel(id);
   return cancelled;
