--- a/src/simulation/rule_checker.cpp
+++ b/src/simulation/rule_checker.cpp
@@ -32,7 +32,9 @@
   return !spec.anti_affinity || here < static_cast<int>(zone_limit(spec));
 }
 
-bool told_before(double told_at, double asked_at) { return told_at >= 0 && told_at <= asked_at; }
+bool reported_before(double reported_at, double asked_at) {
+  return reported_at >= 0 && reported_at <= asked_at;
+}
 }  // namespace
 
 RuleChecker::RuleChecker(const Simulation& simulation, const ClusterOptions& options,
@@ -43,19 +45,20 @@
   broken_.push_back("at " + std::to_string(simulation_.now()) + ": " + what);
 }
 
-double RuleChecker::begun_at(const std::string& job) const {
-  const auto at = begun_.find(job);
-  return at == begun_.end() ? -1 : at->second;
+double RuleChecker::first_run_at(const std::string& job) const {
+  const auto at = first_run_at_.find(job);
+  return at == first_run_at_.end() ? -1 : at->second;
 }
 
 // ---- tasks
 
-bool RuleChecker::task_moved(const WorkerEmulator& worker, const WorkerEmulator::Task& task,
-                             TaskState was) {
+bool RuleChecker::task_state_changed(const WorkerEmulator& worker, const WorkerEmulator::Task& task,
+                                     TaskState was) {
   const double cancelled_reported_at = jobs_.at(task.id.job).cancelled_reported_at;
   if (task.state == TaskState::fetching) count_start(task_name(task.id), cancelled_reported_at);
   if (task.state == TaskState::running && cancelled_reported_at >= 0)
-    after_cancel_.begun = std::max(after_cancel_.begun, simulation_.now() - cancelled_reported_at);
+    after_cancel_.run_started =
+        std::max(after_cancel_.run_started, simulation_.now() - cancelled_reported_at);
   saves_ += task.state == TaskState::saving;
   // As it leaves: between two checks of the machines, too.
   if (was == TaskState::running || was == TaskState::saving) check_cancelled(task);
@@ -66,15 +69,15 @@
 
 void RuleChecker::count_start(const std::string& name, double cancelled_reported_at) {
   ++starts_;
-  begun_again_ += acknowledged_.contains(name);
+  restarts_after_completion_ += acknowledged_.contains(name);
   if (cancelled_reported_at >= 0)
-    after_cancel_.obeyed =
-        std::max(after_cancel_.obeyed, simulation_.now() - cancelled_reported_at);
+    after_cancel_.start_executed =
+        std::max(after_cancel_.start_executed, simulation_.now() - cancelled_reported_at);
 }
 
 // Rules: ran_twice, wrong_place, too_early.
 void RuleChecker::check_start(const WorkerEmulator& worker, const WorkerEmulator::Task& task) {
-  begun_.try_emplace(task.id.job, simulation_.now());
+  first_run_at_.try_emplace(task.id.job, simulation_.now());
   const std::string name = task_name(task.id);
   std::uint32_t same_zone = 0, other_zones = 0;  // the job's tasks
   for (const auto& machine : machines_.all()) {
@@ -130,9 +133,9 @@
 
 // A task that is on a machine, or leaves it in this moment. One that waits for its image is not.
 void RuleChecker::check_cancelled(const WorkerEmulator::Task& task) {
-  const double told = jobs_.at(task.id.job).cancelled_reported_at;
-  if (told < 0) return;
-  const double since = simulation_.now() - told;
+  const double reported_at = jobs_.at(task.id.job).cancelled_reported_at;
+  if (reported_at < 0) return;
+  const double since = simulation_.now() - reported_at;
   after_cancel_.on_machine = std::max(after_cancel_.on_machine, since);
   if (since > options_.cancel_s)
     report("ran_cancelled: " + task_name(task.id) + ", " + std::to_string(since) +
@@ -150,7 +153,7 @@
     if (result.status == 200) report("invented: " + id);
     return std::nullopt;
   }
-  if (told_before(job->first_reported_at, asked_at)) check_accepted_answer(id, result.status);
+  if (reported_before(job->first_reported_at, asked_at)) check_accepted_answer(id, result.status);
   if (result.status != 200 && result.status != 201) return std::nullopt;
   const JobState state = client_protocol::decode_job_state(result.body).state;
   check_final_state(id, *job, state, asked_at);
@@ -178,17 +181,17 @@
   const bool cancelled = state == JobState::cancelled;
   const bool done = state == JobState::done;
   // Of two final states one is wrong, whichever was asked for first.
-  if ((told_before(job.cancelled_reported_at, asked_at) && !cancelled) ||
+  if ((reported_before(job.cancelled_reported_at, asked_at) && !cancelled) ||
       (job.cancelled_reported_at >= 0 && done))
     report("went_back: " + id + " was called cancelled, and now " + wire::state_name(state));
-  if ((told_before(job.done_reported_at, asked_at) && !done) ||
+  if ((reported_before(job.done_reported_at, asked_at) && !done) ||
       (job.done_reported_at >= 0 && cancelled))
     report("went_back: " + id + " was called done, and now " + wire::state_name(state));
 }
 
 // ---- room
 
-double RuleChecker::used(const std::string& team) const {
+double RuleChecker::used_cpus(const std::string& team) const {
   double cpus = 0;
   for (const auto& machine : machines_.all()) {
     if (!machine->worker) continue;
@@ -201,17 +204,17 @@
 }
 
 // Nothing but room and limits keeps its tasks from starting.
-bool RuleChecker::wants_room(const SimulatedJob& job) const {
+bool RuleChecker::waits_only_for_capacity(const SimulatedJob& job) const {
   if (!job.accepted || job.done_reported_at >= 0 || jobs_.is_cancelled_by_users(job.spec.id))
     return false;
   return std::all_of(job.spec.dependencies.begin(), job.spec.dependencies.end(),
                      [&](const std::string& id) { return jobs_.all_completed(id); });
 }
 
-bool RuleChecker::room_for(const std::string& id) const {
+bool RuleChecker::has_capacity_for(const std::string& id) const {
   const SimulatedJob& job = jobs_.at(id);
-  if (!wants_room(job)) return false;
-  if (used(job.spec.team) + job.spec.cpus > options_.team_limit + kCpuTolerance) return false;
+  if (!waits_only_for_capacity(job)) return false;
+  if (used_cpus(job.spec.team) + job.spec.cpus > options_.team_limit + kCpuTolerance) return false;
   std::map<std::string, int> by_zone;  // its own tasks
   for (const auto& machine : machines_.all())
     if (machine->worker)
@@ -235,7 +238,7 @@
   });
 }
 
-std::string RuleChecker::room() const {
+std::string RuleChecker::describe_machines() const {
   std::string out;
   for (const auto& machine : machines_.all()) {
     if (!machine->worker) continue;
@@ -260,17 +263,17 @@
   for (int n = 0; n < machines_.size(); ++n) {
     const SimulatedMachine& machine = machines_[n];
     if (!machine.worker) continue;
-    Room room{&machine, machine.worker->settings().cpus, kMachineMemoryGb};
+    FreeCapacity free{&machine, machine.worker->settings().cpus, kMachineMemoryGb};
     for (const auto& task : machine.worker->tasks()) {
       if (task.state == TaskState::exited) continue;
       const wire::JobSpec& spec = jobs_.at(task.id.job).spec;
-      room.cpus -= spec.cpus;
-      room.memory_gb -= spec.mem_gb;
+      free.cpus -= spec.cpus;
+      free.memory_gb -= spec.mem_gb;
       usage.cpus_by_team[spec.team] += spec.cpus;
       ++usage.by_zone[task.id.job][machine.zone];
       usage.placed.insert(task_name(task.id));
     }
-    if (is_reachable(n)) usage.rooms.push_back(room);
+    if (is_reachable(n)) usage.free_capacities.push_back(free);
   }
   return usage;
 }
@@ -288,7 +291,7 @@
 
 // The machines that could take one of the job's tasks; none if a gang's would not all find room.
 std::vector<const SimulatedMachine*> RuleChecker::machines_for(const SimulatedJob& job,
-                                                               std::size_t at_once,
+                                                               std::size_t started_together,
                                                                const Usage& usage) const {
   const wire::JobSpec& spec = job.spec;
   const auto placed = usage.by_zone.find(spec.id);
@@ -296,15 +299,15 @@
       placed == usage.by_zone.end() ? std::map<std::string, int>{} : placed->second;
   std::vector<const SimulatedMachine*> fitting;
   std::map<std::string, std::size_t> fitting_tasks;  // by zone
-  for (const Room& room : usage.rooms) {
-    const auto& settings = room.machine->worker->settings();
+  for (const FreeCapacity& free : usage.free_capacities) {
+    const auto& settings = free.machine->worker->settings();
     const auto in_zone = by_zone.find(settings.zone);
     const int here = in_zone == by_zone.end() ? 0 : in_zone->second;
-    if (room.cpus + kCpuTolerance < spec.cpus || room.memory_gb + kCpuTolerance < spec.mem_gb)
+    if (free.cpus + kCpuTolerance < spec.cpus || free.memory_gb + kCpuTolerance < spec.mem_gb)
       continue;
     if (!place_allowed(spec, settings, here, !by_zone.empty() && !here)) continue;
-    fitting.push_back(room.machine);
-    fitting_tasks[settings.zone] += static_cast<std::size_t>(room.cpus / spec.cpus + kCpuTolerance);
+    fitting.push_back(free.machine);
+    fitting_tasks[settings.zone] += static_cast<std::size_t>(free.cpus / spec.cpus + kCpuTolerance);
   }
   if (!spec.gang) return fitting;
   const std::size_t zone_most = spec.anti_affinity ? zone_limit(spec) : spec.tasks;
@@ -313,37 +316,38 @@
     largest_zone = std::max(largest_zone, std::min(count, zone_most));
     all_zones += std::min(count, zone_most);
   }
-  if ((spec.same_zone ? largest_zone : all_zones) < at_once) return {};
+  if ((spec.same_zone ? largest_zone : all_zones) < started_together) return {};
   return fitting;
 }
 
 // Rule: neglected. A task that waits, and a machine that could take it, both for the same 90 s.
 void RuleChecker::check_waiting(const std::function<bool(int)>& is_reachable) {
   const double now = simulation_.now();
-  if (faults_over_since_ < 0 || now < waiting_checked_at_ + kWaitingCheckGapS) return;
+  if (faults_ended_at_ < 0 || now < waiting_checked_at_ + kWaitingCheckGapS) return;
   waiting_checked_at_ = now;
   Usage on_machines = usage(is_reachable);
-  std::map<TaskOnMachine, double> beside_room;
+  std::map<TaskOnMachine, double> could_run_since;
   for (const auto& [id, job] : jobs_.all()) {
-    if (!wants_room(job)) continue;
+    if (!waits_only_for_capacity(job)) continue;
     const std::vector<std::string> waiting = waiting_tasks(job, on_machines);
     if (waiting.empty()) continue;
-    const std::size_t at_once = job.spec.gang ? waiting.size() : 1;  // a gang begins together
-    const double cpus = job.spec.cpus * static_cast<double>(at_once);
+    const std::size_t started_together =
+        job.spec.gang ? waiting.size() : 1;  // a gang begins together
+    const double cpus = job.spec.cpus * static_cast<double>(started_together);
     if (on_machines.cpus_by_team[job.spec.team] + cpus > options_.team_limit + kCpuTolerance)
       continue;
-    for (const SimulatedMachine* machine : machines_for(job, at_once, on_machines))
-      for (const auto& task : waiting) note_waiting(task, *machine, beside_room);
+    for (const SimulatedMachine* machine : machines_for(job, started_together, on_machines))
+      for (const auto& task : waiting) record_waiting(task, *machine, could_run_since);
   }
-  beside_room_ = std::move(beside_room);
+  could_run_since_ = std::move(could_run_since);
 }
 
-void RuleChecker::note_waiting(const std::string& task, const SimulatedMachine& machine,
-                               std::map<TaskOnMachine, double>& beside_room) {
+void RuleChecker::record_waiting(const std::string& task, const SimulatedMachine& machine,
+                                 std::map<TaskOnMachine, double>& could_run_since) {
   const TaskOnMachine key(task, machine.name);
-  const auto seen = beside_room_.find(key);
-  const double since = seen == beside_room_.end() ? simulation_.now() : seen->second;
-  beside_room[key] = since;
+  const auto seen = could_run_since_.find(key);
+  const double since = seen == could_run_since_.end() ? simulation_.now() : seen->second;
+  could_run_since[key] = since;
   if (simulation_.now() - since >= kNeglectedS && neglected_.insert(task).second)
     report("neglected: " + task + " has waited for 90 s beside room on " + machine.name);
 }
--- a/src/simulation/rule_checker.h
+++ b/src/simulation/rule_checker.h
@@ -26,9 +26,9 @@
  public:
   /// Delays after a user was told that a job is cancelled, in seconds; -1: there was none.
   struct AfterCancel {
-    double obeyed = -1;      ///< until the latest start command that a worker obeyed
-    double begun = -1;       ///< until the latest start of a task's run
-    double on_machine = -1;  ///< longest that a task was still on a machine
+    double start_executed = -1;  ///< until the latest start command that a worker obeyed
+    double run_started = -1;     ///< until the latest start of a task's run
+    double on_machine = -1;      ///< longest that a task was still on a machine
   };
 
   RuleChecker(const Simulation& simulation, const ClusterOptions& options,
@@ -38,8 +38,8 @@
 
   /// A worker's task has changed its state (WorkerEmulator::Watched). True if it has completed and
   /// had never before.
-  bool task_moved(const emulators::WorkerEmulator& worker,
-                  const emulators::WorkerEmulator::Task& task, wire::TaskState was);
+  bool task_state_changed(const emulators::WorkerEmulator& worker,
+                          const emulators::WorkerEmulator::Task& task, wire::TaskState was);
   /// A worker has forgotten an exited task by command.
   void task_acknowledged(const emulators::WorkerEmulator::Task& task);
   /// Checks the answer to a user's request that was sent at `asked_at`. Returns the job's state
@@ -51,7 +51,7 @@
   /// Checks that no task waits beside room: neglected. Has no effect before `faults_are_over`.
   void check_waiting(const std::function<bool(int machine)>& is_reachable);
   /// From now on no task may wait for 90 s beside a machine that has room for it.
-  void faults_are_over() { faults_over_since_ = simulation_.now(); }
+  void faults_have_ended() { faults_ended_at_ = simulation_.now(); }
   /// Records a broken rule, with the time.
   void report(const std::string& what);
 
@@ -64,29 +64,31 @@
   /// Tasks that were stopped and began to save.
   [[nodiscard]] std::uint64_t saves() const { return saves_; }
   /// Starts of tasks whose completion had been acknowledged.
-  [[nodiscard]] std::uint64_t begun_again() const { return begun_again_; }
-  [[nodiscard]] std::size_t done_tasks() const { return jobs_.completed_tasks(); }
+  [[nodiscard]] std::uint64_t restarts_after_completion() const {
+    return restarts_after_completion_;
+  }
+  [[nodiscard]] std::size_t completed_tasks() const { return jobs_.completed_tasks(); }
   /// When the first of the job's tasks came to run; -1: none has.
-  [[nodiscard]] double begun_at(const std::string& job) const;
+  [[nodiscard]] double first_run_at(const std::string& job) const;
   [[nodiscard]] const AfterCancel& after_cancel() const { return after_cancel_; }
   /// vcpus of the team's tasks on machines, in any state but exited.
-  [[nodiscard]] double used(const std::string& team) const;
+  [[nodiscard]] double used_cpus(const std::string& team) const;
   /// Whether a task of the job could begin on a machine that is empty or holds its own team's tasks
   /// only. Others may belong to another shard, and machines move between shards only when they are
   /// empty (KNOWN-RED.txt).
-  [[nodiscard]] bool room_for(const std::string& job) const;
+  [[nodiscard]] bool has_capacity_for(const std::string& job) const;
   /// Zone, vcpus in use and in all, and tasks by machine; for messages.
-  [[nodiscard]] std::string room() const;
+  [[nodiscard]] std::string describe_machines() const;
 
  private:
-  struct Room {
+  struct FreeCapacity {
     const SimulatedMachine* machine;
     double cpus;
     double memory_gb;
   };
   /// What is on the machines at one moment.
   struct Usage {
-    std::vector<Room> rooms;  // of reachable machines
+    std::vector<FreeCapacity> free_capacities;  // of reachable machines
     std::map<std::string, double> cpus_by_team;
     std::map<std::string, std::map<std::string, int>> by_zone;  // a job's tasks
     std::set<std::string> placed;                               // tasks by name
@@ -102,28 +104,29 @@
   void check_accepted_answer(const std::string& id, int status);
   void check_final_state(const std::string& id, const SimulatedJob& job, wire::JobState state,
                          double asked_at);
-  [[nodiscard]] bool wants_room(const SimulatedJob& job) const;
+  [[nodiscard]] bool waits_only_for_capacity(const SimulatedJob& job) const;
   [[nodiscard]] Usage usage(const std::function<bool(int machine)>& is_reachable) const;
   [[nodiscard]] std::vector<std::string> waiting_tasks(const SimulatedJob& job,
                                                        const Usage& usage) const;
   [[nodiscard]] std::vector<const SimulatedMachine*> machines_for(const SimulatedJob& job,
-                                                                  std::size_t at_once,
+                                                                  std::size_t started_together,
                                                                   const Usage& usage) const;
-  void note_waiting(const std::string& task, const SimulatedMachine& machine,
-                    std::map<TaskOnMachine, double>& beside_room);
+  void record_waiting(const std::string& task, const SimulatedMachine& machine,
+                      std::map<TaskOnMachine, double>& could_run_since);
 
   const Simulation& simulation_;
   const ClusterOptions& options_;
   const SimulatedMachines& machines_;
   JobRecords& jobs_;
   std::vector<std::string> broken_;
-  std::set<std::string> acknowledged_;   // completed tasks that workers have forgotten
-  std::map<std::string, double> begun_;  // by job
+  std::set<std::string> acknowledged_;          // completed tasks that workers have forgotten
+  std::map<std::string, double> first_run_at_;  // by job
   AfterCancel after_cancel_;
-  std::uint64_t starts_ = 0, saves_ = 0, begun_again_ = 0;
-  double faults_over_since_ = -1, waiting_checked_at_ = 0;
-  std::map<TaskOnMachine, double> beside_room_;  // since when a task has waited beside the machine
-  std::set<std::string> neglected_;              // tasks that were reported
+  std::uint64_t starts_ = 0, saves_ = 0, restarts_after_completion_ = 0;
+  double faults_ended_at_ = -1, waiting_checked_at_ = 0;
+  std::map<TaskOnMachine, double>
+      could_run_since_;              // since when a task has waited beside the machine
+  std::set<std::string> neglected_;  // tasks that were reported
 };
 
 }  // namespace shunttrail::simulation
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -61,7 +61,7 @@
 WorkerEmulator::Observer SimulatedCluster::make_worker_observer() {
   return {
       [this](const WorkerEmulator& worker, const WorkerEmulator::Task& task, wire::TaskState was) {
-        if (rules_.task_moved(worker, task, was)) users_.task_completed(task.id.job);
+        if (rules_.task_state_changed(worker, task, was)) users_.task_completed(task.id.job);
       },
       [this](const WorkerEmulator::Task& task) { rules_.task_acknowledged(task); }};
 }
--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -17,11 +17,11 @@
 
 /// What a history has come to.
 struct HistoryResult {
-  std::vector<std::string> broken;      ///< rules, see RuleChecker::broken
-  std::vector<std::string> faults;      ///< the names of those that were drawn, in order
-  std::vector<std::string> unfinished;  ///< accepted jobs that are not over, described
-  std::size_t done = 0;                 ///< tasks that have completed
-  std::uint64_t begun_again = 0;        ///< see RuleChecker
+  std::vector<std::string> broken;              ///< rules, see RuleChecker::broken
+  std::vector<std::string> faults;              ///< the names of those that were drawn, in order
+  std::vector<std::string> unfinished;          ///< accepted jobs that are not over, described
+  std::size_t done = 0;                         ///< tasks that have completed
+  std::uint64_t restarts_after_completion = 0;  ///< see RuleChecker
   std::uint64_t saves = 0;
   RuleChecker::AfterCancel after_cancel;
   std::uint64_t digest = 0;  ///< of the whole history, see Simulation::digest
@@ -161,7 +161,7 @@
     options.late_writes = options.heartbeat_copies = options.lost_answers = 0;
     cluster_.pass(420);
     cluster_.ask_everywhere();
-    room_ = cluster_.rules().room();
+    room_ = cluster_.rules().describe_machines();
   }
 
   static bool is_over(const SimulatedJob& job) {
@@ -183,7 +183,7 @@
   void finish() {
     const bool replicas = has_replicas();
     for (const auto& [id, job] : cluster_.users().jobs())
-      if (!is_over(job) && (!replicas || cluster_.rules().room_for(id))) late_.insert(id);
+      if (!is_over(job) && (!replicas || cluster_.rules().has_capacity_for(id))) late_.insert(id);
     for (const auto& [id, job] : cluster_.users().jobs())
       if (job.spec.service) cluster_.users().cancel(id);
     cluster_.pass(60);
@@ -197,8 +197,8 @@
     if (!result_.unfinished.empty()) result_.unfinished.push_back("room: " + room_);
     const RuleChecker& rules = cluster_.rules();
     result_.broken = rules.broken();
-    result_.done = rules.done_tasks();
-    result_.begun_again = rules.begun_again();
+    result_.done = rules.completed_tasks();
+    result_.restarts_after_completion = rules.restarts_after_completion();
     result_.saves = rules.saves();
     result_.after_cancel = rules.after_cancel();
     result_.digest = cluster_.digest();
@@ -235,16 +235,16 @@
     EXPECT_EQ(p.broken, std::vector<std::string>{}) << "seed " << seed << ": " << text(p.faults);
     EXPECT_EQ(p.unfinished, std::vector<std::string>{})
         << "seed " << seed << ": " << text(p.faults);
-    EXPECT_EQ(p.begun_again, 0u) << "seed " << seed << ": " << text(p.faults);
+    EXPECT_EQ(p.restarts_after_completion, 0u) << "seed " << seed << ": " << text(p.faults);
     done += p.done;
-    latest.obeyed = std::max(latest.obeyed, p.after_cancel.obeyed);
-    latest.begun = std::max(latest.begun, p.after_cancel.begun);
+    latest.start_executed = std::max(latest.start_executed, p.after_cancel.start_executed);
+    latest.run_started = std::max(latest.run_started, p.after_cancel.run_started);
     latest.on_machine = std::max(latest.on_machine, p.after_cancel.on_machine);
   }
   EXPECT_GT(done, (last - first + 1) * 10u);
   // In what is written of the run; no rule is made of them.
-  ::testing::Test::RecordProperty("obeyed_after_cancel_s", std::to_string(latest.obeyed));
-  ::testing::Test::RecordProperty("begun_after_cancel_s", std::to_string(latest.begun));
+  ::testing::Test::RecordProperty("obeyed_after_cancel_s", std::to_string(latest.start_executed));
+  ::testing::Test::RecordProperty("begun_after_cancel_s", std::to_string(latest.run_started));
   ::testing::Test::RecordProperty("on_machine_after_cancel_s", std::to_string(latest.on_machine));
 }
 
--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -56,7 +56,7 @@
   std::uint64_t histories = 1;
   std::vector<std::string> broken;
   std::size_t unfinished = 0, accepted = 0, over = 0;
-  std::uint64_t begun_again = 0, looks = 0, ends = 0, lost = 0;
+  std::uint64_t restarts_after_completion = 0, looks = 0, ends = 0, lost = 0;
   bool level_settled = false;
 };
 
@@ -116,7 +116,7 @@
     out.level_settled = record.active > 0 && record.settled();
   }
   out.broken = cluster.rules().broken();
-  out.begun_again = cluster.rules().begun_again();
+  out.restarts_after_completion = cluster.rules().restarts_after_completion();
   out.looks = cluster.users().close_questions();
   out.ends = cluster.users().ends_met();
   out.lost = cluster.faults().answers_lost();
@@ -133,7 +133,7 @@
     Users u = play_users(seed, tweak, named);
     EXPECT_EQ(u.broken, std::vector<std::string>{}) << "seed " << seed << ": " << text(named);
     EXPECT_EQ(u.unfinished, 0u) << "seed " << seed << ": " << text(named);
-    EXPECT_EQ(u.begun_again, 0u) << "seed " << seed << ": " << text(named);
+    EXPECT_EQ(u.restarts_after_completion, 0u) << "seed " << seed << ": " << text(named);
     EXPECT_TRUE(u.level_settled) << "seed " << seed << ": " << text(named);
     all.looks += u.looks;
     all.ends += u.ends;
@@ -686,7 +686,7 @@
   EXPECT_LT(most[1].bytes, most[0].bytes * 1.5 + 4096);
   cluster.ask_everywhere();
   EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
-  EXPECT_EQ(cluster.rules().begun_again(), 0u);
+  EXPECT_EQ(cluster.rules().restarts_after_completion(), 0u);
   EXPECT_EQ(cluster.machines().leases_lost(), 0u);
 }
 
--- a/tests/fault_combinations_delegation_test.cpp
+++ b/tests/fault_combinations_delegation_test.cpp
@@ -92,7 +92,7 @@
     ClusterOptions& options = cluster.options();
     options.late_writes = options.lost_answers = options.heartbeat_copies = 0;
     options.copies_for_next_leader = options.max_link_delay_s = 0;
-    cluster.rules().faults_are_over();
+    cluster.rules().faults_have_ended();
     cluster.pass(kCalm);
     cluster.ask_everywhere();
   }
@@ -113,7 +113,7 @@
     history.calm_down();
     EXPECT_EQ(history.cluster.rules().broken(), Strings{});
     EXPECT_EQ(history.unfinished(), Strings{});
-    EXPECT_EQ(history.cluster.rules().begun_again(), 0u);
+    EXPECT_EQ(history.cluster.rules().restarts_after_completion(), 0u);
     opened += history.written.opened;
   });
   EXPECT_GT(opened, 6);
--- a/tests/fault_combinations_held_test.cpp
+++ b/tests/fault_combinations_held_test.cpp
@@ -73,7 +73,7 @@
       });
     });
     hung += start.met;
-    obeyed_late += start.cluster.rules().after_cancel().obeyed > 10;
+    obeyed_late += start.cluster.rules().after_cancel().start_executed > 10;
     EXPECT_EQ(start.cluster.rules().broken(), std::vector<std::string>{});
   }
   EXPECT_GT(hung, 20);
--- a/tests/fault_combinations_limits_test.cpp
+++ b/tests/fault_combinations_limits_test.cpp
@@ -33,7 +33,7 @@
 void calm_down(SimulatedCluster& cluster) {
   cluster.options().late_writes = cluster.options().lost_answers =
       cluster.options().max_link_delay_s = 0;
-  cluster.rules().faults_are_over();
+  cluster.rules().faults_have_ended();
   cluster.pass(kCalm);
   cluster.ask_everywhere();
   Strings unfinished;
@@ -85,7 +85,7 @@
   cluster.pass(12);
   for (int i = 0; i < 4; ++i) cluster.users().submit(spec("red", 2), 150);
   cluster.pass(60);
-  cluster.rules().faults_are_over();
+  cluster.rules().faults_have_ended();
   cluster.pass(130);
   return cluster;
 }
@@ -134,7 +134,7 @@
       }
     cluster.pass(sim.draw(25, 35));
     for (const char* team : kTeam)
-      at_limit += cluster.rules().used(team) > cluster.options().team_limit - 1e-9;
+      at_limit += cluster.rules().used_cpus(team) > cluster.options().team_limit - 1e-9;
     if (first) {
       leader_goes(cluster);
       cluster.pass(sim.draw(0, 25));
@@ -221,7 +221,7 @@
   cluster.pass(3);
   cluster.users().submit(spec("red", 1, 1), 20);
   cluster.pass(5);
-  cluster.rules().faults_are_over();
+  cluster.rules().faults_have_ended();
   cluster.pass(150);
   EXPECT_EQ(cluster.rules().broken(), Strings{});
 }
@@ -239,7 +239,7 @@
   cluster.pass(15);
   cluster.users().submit(spec("blue", 1, 2), 20);
   cluster.pass(5);
-  cluster.rules().faults_are_over();
+  cluster.rules().faults_have_ended();
   cluster.pass(150);
   EXPECT_EQ(cluster.rules().broken(), Strings{});
 }
@@ -342,7 +342,7 @@
     }
     cluster.pass(90);
     expect_calm(cluster);
-    done += cluster.rules().done_tasks();
+    done += cluster.rules().completed_tasks();
   });
   EXPECT_GT(lost, 0);
   EXPECT_GT(done, static_cast<unsigned>(seeds) * 20u);
@@ -455,7 +455,7 @@
     return test::possible(j, all, from, room(), cluster.options().team_limit);
   }
   bool begun(const Submitted& j, double within) const {
-    const double at = cluster.rules().begun_at(j.id);
+    const double at = cluster.rules().first_run_at(j.id);
     return at >= 0 && at - j.at <= within;
   }
   explicit Overload(unsigned seed) : cluster(seed, options(seed)) {
@@ -585,7 +585,7 @@
                 std::to_string(static_cast<int>(k.priority)) + ", " + std::to_string(k.tasks) +
                 " of " + std::to_string(k.cpus) + (k.gang ? ", a gang" : "") +
                 (k.same_zone ? ", one zone" : "") + ", submitted at " + std::to_string(j.at) +
-                ", begun at " + std::to_string(o.cluster.rules().begun_at(j.id));
+                ", begun at " + std::to_string(o.cluster.rules().first_run_at(j.id));
     }
     expect_half(largest);
   });
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -27,7 +27,7 @@
   }
   cluster.ask_everywhere();
   EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
-  EXPECT_EQ(cluster.rules().done_tasks(), 30u);
+  EXPECT_EQ(cluster.rules().completed_tasks(), 30u);
   EXPECT_EQ(cluster.machines().leases_lost(), 0u);
 }
 
