--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -68,14 +68,16 @@
 
 CloudEmulator::Power SimulatedCluster::power() {
   return {[this] { return machines_.next_address(); },
-          [this](const CloudEmulator::Machine& rented) { machines_.power_on(rented); },
+          [this](const CloudEmulator::Machine& rented_machines) {
+            machines_.power_on(rented_machines);
+          },
           [this](const std::vector<std::string>& names, const std::function<void()>& gone) {
             machines_.power_off(names);
             gone();
           }};
 }
 
-void SimulatedCluster::pass(double seconds) {
+void SimulatedCluster::run_for(double seconds) {
   const double until = simulation_.now() + seconds;
   while (simulation_.now() < until) {
     simulation_.run_until(std::min(until, simulation_.now() + kCheckGapS));
@@ -86,9 +88,9 @@
   }
 }
 
-void SimulatedCluster::ask_everywhere() {
-  users_.ask_everywhere();
-  pass(SimulatedUsers::ask_everywhere_s());
+void SimulatedCluster::query_all_controllers() {
+  users_.query_all_controllers();
+  run_for(SimulatedUsers::query_all_controllers_s());
 }
 
 }  // namespace shunttrail::simulation
--- a/src/simulation/simulated_cluster.h
+++ b/src/simulation/simulated_cluster.h
@@ -26,7 +26,7 @@
   SimulatedCluster& operator=(const SimulatedCluster&) = delete;
 
   /// Lets simulated time pass, and checks the rules four times a second.
-  void pass(double seconds);
+  void run_for(double seconds);
   [[nodiscard]] double now() const { return simulation_.now(); }
   Simulation& sim() { return simulation_; }
   /// Of the history so far, see Simulation::digest.
@@ -43,10 +43,10 @@
   SimulatedControllers& controllers() { return controllers_; }
   [[nodiscard]] const SimulatedMachines& machines() const { return machines_; }
   /// Machines that the cloud has rented out.
-  [[nodiscard]] std::size_t rented() const { return cloud_.machines().size(); }
+  [[nodiscard]] std::size_t rented_machines() const { return cloud_.machines().size(); }
   /// Asks every controller about every accepted job, and lets the time pass that this takes. What
   /// is not answered, or as if it were forgotten, breaks a rule.
-  void ask_everywhere();
+  void query_all_controllers();
 
  private:
   emulators::WorkerEmulator::Observer make_worker_observer();
--- a/src/simulation/simulated_machines.cpp
+++ b/src/simulation/simulated_machines.cpp
@@ -27,21 +27,21 @@
   return "w-" + std::to_string(++addresses_) + ":" + std::to_string(kWorkerPort);
 }
 
-void SimulatedMachines::power_on(const emulators::CloudEmulator::Machine& rented) {
-  const std::string host = rented.address.substr(0, rented.address.find(':'));
+void SimulatedMachines::power_on(const emulators::CloudEmulator::Machine& rented_machines) {
+  const std::string host = rented_machines.address.substr(0, rented_machines.address.find(':'));
   auto machine = std::make_unique<SimulatedMachine>();
-  machine->name = rented.name;
-  machine->zone = rented.zone;
+  machine->name = rented_machines.name;
+  machine->zone = rented_machines.zone;
   machine->host =
       std::make_unique<Host>(simulation_, host, 1 + simulation_.draw(-kClockDrift, kClockDrift));
   machine->host->any_order_after_freezes();
   WorkerEmulator::Settings settings;
-  settings.name = rented.name;
-  settings.type = rented.type;
-  settings.zone = rented.zone;
-  settings.spot = rented.spot;
+  settings.name = rented_machines.name;
+  settings.type = rented_machines.type;
+  settings.zone = rented_machines.zone;
+  settings.spot = rented_machines.spot;
   settings.at = {host, kWorkerPort};
-  settings.cpus = cpus_of(rented.type);
+  settings.cpus = cpus_of(rented_machines.type);
   settings.heartbeat_s = options_.heartbeat_s;
   settings.lease_s = options_.lease_s;
   for (const auto& controller : controllers_)
--- a/src/simulation/simulated_machines.h
+++ b/src/simulation/simulated_machines.h
@@ -36,7 +36,7 @@
 
   /// An address that no machine has had.
   std::string next_address();
-  void power_on(const emulators::CloudEmulator::Machine& rented);
+  void power_on(const emulators::CloudEmulator::Machine& rented_machines);
   void power_off(const std::vector<std::string>& names);
   /// The machine is gone at once; no effect on one that is.
   void kill(int machine);
--- a/src/simulation/simulated_users.cpp
+++ b/src/simulation/simulated_users.cpp
@@ -125,9 +125,9 @@
                  [this, id, step, until] { ask_closely(id, step + 1, until); });
 }
 
-double SimulatedUsers::ask_everywhere_s() { return kForgottenS + kPollGapS + kPollTimeoutS; }
+double SimulatedUsers::query_all_controllers_s() { return kForgottenS + kPollGapS + kPollTimeoutS; }
 
-void SimulatedUsers::ask_everywhere() {
+void SimulatedUsers::query_all_controllers() {
   for (const auto& [id, known] : jobs_.all()) {
     if (!known.accepted) continue;
     jobs_.at(id).last_answered_at = -1;
--- a/src/simulation/simulated_users.h
+++ b/src/simulation/simulated_users.h
@@ -36,8 +36,8 @@
   void ask_all_repeatedly(const std::string& job);
   /// Asks every controller about every accepted job until it answers; whoever does not within
   /// `kForgottenS` breaks a rule. Simulated time has to pass after this: `ask_everywhere_s()`.
-  void ask_everywhere();
-  [[nodiscard]] static double ask_everywhere_s();
+  void query_all_controllers();
+  [[nodiscard]] static double query_all_controllers_s();
 
   // ---- single requests
 
--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -74,9 +74,9 @@
       : always_(std::move(always)), cluster_(seed, drawn_options(seed)) {}
 
   HistoryResult play() {
-    cluster_.pass(12);
+    cluster_.run_for(12);
     submit_jobs(6);
-    cluster_.pass(sim_.draw(5, 20));
+    cluster_.run_for(sim_.draw(5, 20));
     for (int round = 0; round < 2; ++round) {
       begin_faults();
       work_on();
@@ -143,7 +143,7 @@
       const NamedFault& fault = named_faults()[n];
       result_.faults.emplace_back(fault.name);
       if (cluster_.machines().size() > 0) fault.begin(cluster_);
-      cluster_.pass(sim_.draw(0, 6));
+      cluster_.run_for(sim_.draw(0, 6));
     }
   }
 
@@ -151,16 +151,16 @@
     for (int i = 0; i < 6; ++i) {
       submit_jobs(static_cast<int>(sim_.rng()() % 3));
       if (sim_.chance(0.6)) cluster_.users().cancel(drawn_submitted());
-      cluster_.pass(sim_.draw(1, 12));
+      cluster_.run_for(sim_.draw(1, 12));
     }
   }
 
   void wait_until_quiet() {
-    cluster_.pass(80);  // the longest fault is over
+    cluster_.run_for(80);  // the longest fault is over
     ClusterOptions& options = cluster_.options();
     options.late_writes = options.heartbeat_copies = options.lost_answers = 0;
-    cluster_.pass(420);
-    cluster_.ask_everywhere();
+    cluster_.run_for(420);
+    cluster_.query_all_controllers();
     room_ = cluster_.rules().describe_machines();
   }
 
@@ -186,8 +186,8 @@
       if (!is_over(job) && (!replicas || cluster_.rules().has_capacity_for(id))) late_.insert(id);
     for (const auto& [id, job] : cluster_.users().jobs())
       if (job.spec.service) cluster_.users().cancel(id);
-    cluster_.pass(60);
-    if (replicas) cluster_.pass(300);
+    cluster_.run_for(60);
+    if (replicas) cluster_.run_for(300);
   }
 
   void collect() {
--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -28,7 +28,7 @@
     std::optional<net::Result> answer;
     auto kept = host_.request(to, method, path, body, 5,
                               [&answer](net::Result r) { answer = std::move(r); });
-    while (!answer) cluster_.pass(0.02);
+    while (!answer) cluster_.run_for(0.02);
     return *answer;
   }
   net::Result ask(int node, const char* method, const std::string& path,
@@ -40,7 +40,7 @@
     for (int tries = 0; tries < 10; ++tries) {
       net::Result r = ask(node, "POST", "/v2/runs", body);
       if (r.status != 503) return r;
-      cluster_.pass(1);
+      cluster_.run_for(1);
     }
     return {};
   }
@@ -71,7 +71,7 @@
   SimulatedCluster cluster(seed, options);
   auto& sim = cluster.sim();
   tweak(cluster);
-  cluster.pass(12);
+  cluster.run_for(12);
   std::vector<std::string> jobs;
   for (const auto& t : named_faults())
     if (std::find(named.begin(), named.end(), t.name) != named.end())
@@ -89,16 +89,16 @@
         s.dependencies = {a};
     jobs.push_back(cluster.users().submit(std::move(s), sim.draw(0.5, 6)));
     if (sim.chance(0.15)) cluster.users().cancel(jobs[sim.rng()() % jobs.size()]);
-    cluster.pass(sim.draw(0.2, 4));
+    cluster.run_for(sim.draw(0.2, 4));
   }
-  cluster.pass(60);  // the longest fault is over
+  cluster.run_for(60);  // the longest fault is over
   Users out;
   cluster.options().late_writes = cluster.options().heartbeat_copies =
       cluster.options().lost_answers = 0;
   cluster.options().query_bursts = cluster.options().requests_at_completion =
       cluster.options().immediate_cancellations = 0;
-  cluster.pass(240);
-  cluster.ask_everywhere();
+  cluster.run_for(240);
+  cluster.query_all_controllers();
   for (const auto& [id, j] : cluster.users().jobs()) {
     out.accepted += j.accepted;
     const bool over = j.done_reported_at >= 0 || j.cancelled_reported_at >= 0;
@@ -108,7 +108,7 @@
     else
       out.unfinished += j.accepted && !over;
   }
-  cluster.pass(60);
+  cluster.run_for(60);
   const net::Result level = Asker(cluster).ask(config::Endpoint{"state", 1}, "GET",
                                                std::string("/kv/") + schema::kActiveKey);
   if (level.status == 200) {
@@ -287,7 +287,7 @@
     options.state_latency_s = 0.2;
     SimulatedCluster cluster(5, options);
     auto& sim = cluster.sim();
-    cluster.pass(15);
+    cluster.run_for(15);
     std::set<std::string> named;
     std::size_t waited = 0;
     sim.way = [way = sim.way, &cluster, &sim, &named, &waited](const simulation::Request& r) {
@@ -316,9 +316,9 @@
     };
     for (int i = 0; i < 40; ++i) {
       cluster.users().submit(spec("red", 1), 1);
-      cluster.pass(2);
+      cluster.run_for(2);
     }
-    cluster.pass(120);
+    cluster.run_for(120);
     EXPECT_EQ(named.size(), 40u);
     EXPECT_GT(waited, 10u);  // had to: what was known to be over is not awaited
     for (const auto& [id, j] : cluster.users().jobs()) EXPECT_GE(j.done_reported_at, 0) << id;
@@ -425,7 +425,7 @@
     s.more_types = {{lone, 2}};
     return s;
   }
-  OddRequests() { cluster.pass(12); }
+  OddRequests() { cluster.run_for(12); }
   std::string fresh() { return "run-" + std::to_string(700000 + next++); }
   int node() { return next % cluster.options().controllers; }
   // Refused so, and unknown at another node afterwards.
@@ -546,16 +546,16 @@
     if (i > 5) cluster.faults().cut(1, FaultInjector::state, 4);
     if (i > 8) cluster.faults().refuse(2, 4);
     const std::string id = cluster.users().submit(spec("red", 1 + i % 3), 1, 0);
-    while (cluster.users().jobs().at(id).first_reported_at < 0) cluster.pass(0.005);
+    while (cluster.users().jobs().at(id).first_reported_at < 0) cluster.run_for(0.005);
     for (int n = 0; n < 12; ++n, ++asked)
       cluster.users().submit_once(id, n % 3, cluster.users().other_body(id));
     if (i % 3 == 0) cluster.users().cancel(id);
     for (int n = 0; n < 12; ++n, ++asked) {
-      cluster.pass(0.2);
+      cluster.run_for(0.2);
       cluster.users().submit_once(id, n % 3, cluster.users().other_body(id));
     }
   }
-  cluster.pass(120);
+  cluster.run_for(120);
   for (const auto& [id, j] : cluster.users().jobs()) {
     EXPECT_TRUE(j.done_reported_at >= 0 || j.cancelled_reported_at >= 0) << id;
     const json answer = json::parse(user.submit(node(), cluster.users().other_body(id)).body);
@@ -577,9 +577,9 @@
     for (int n = 1; n <= 1 + i % 2; ++n)
       cluster.sim().at(cluster.now() + cluster.sim().draw(0, 0.012),
                        [this, id, i, n] { cluster.users().cancel_once(id, (i + n) % 3); });
-    cluster.pass(0.3);
+    cluster.run_for(0.3);
   }
-  cluster.pass(60);
+  cluster.run_for(60);
   std::size_t cancelled = 0, done = 0;
   for (const auto& [id, j] : cluster.users().jobs()) {
     cancelled += j.cancelled_reported_at >= 0;
@@ -594,7 +594,7 @@
 // Questions about jobs that nobody submitted; cancellations of them, and of what is done.
 TEST_F(OddRequests, NobodysJobsAreUnknownAndADoneOneStaysDone) {
   const std::string id = cluster.users().submit(spec("red", 2), 1);
-  cluster.pass(60);
+  cluster.run_for(60);
   ASSERT_GE(cluster.users().jobs().at(id).done_reported_at, 0);
   for (int n = 0; n < 3; ++n) {
     for (const char* path :
@@ -647,7 +647,7 @@
     }
     return h;
   };
-  cluster.pass(20);
+  cluster.run_for(20);
   std::size_t submitted = 0, cancelled = 0;
   Held most[2];  // in each half of the time
   for (int s = 0; s < 240; ++s) {
@@ -660,7 +660,7 @@
         cluster.sim().at(cluster.now() + cluster.sim().draw(0, 6),
                          [&cluster, id] { cluster.users().cancel(id); });
       }
-      cluster.pass(0.25);
+      cluster.run_for(0.25);
     }
     const Held now = held();
     Held& m = most[s / 120];
@@ -668,7 +668,7 @@
     m.bytes = std::max(m.bytes, now.bytes);
     m.jobs = std::max(m.jobs, now.jobs);
   }
-  cluster.pass(60);
+  cluster.run_for(60);
   std::size_t over = 0, said_cancelled = 0;
   for (const auto& [id, j] : cluster.users().jobs()) {
     over += j.done_reported_at >= 0 || j.cancelled_reported_at >= 0;
@@ -684,7 +684,7 @@
   // Bounded by what is unfinished: no more in the second half than in the first.
   EXPECT_LT(most[1].keys, most[0].keys * 1.5 + 10);
   EXPECT_LT(most[1].bytes, most[0].bytes * 1.5 + 4096);
-  cluster.ask_everywhere();
+  cluster.query_all_controllers();
   EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
   EXPECT_EQ(cluster.rules().restarts_after_completion(), 0u);
   EXPECT_EQ(cluster.machines().leases_lost(), 0u);
--- a/tests/fault_combinations_cancel_test.cpp
+++ b/tests/fault_combinations_cancel_test.cpp
@@ -25,10 +25,10 @@
   }
   HeldStart(unsigned seed, double margin, double hold_s, bool raises)
       : cluster(seed, options(margin)) {
-    cluster.pass(12);
+    cluster.run_for(12);
     // Something runs on every machine, so that they are there, and report now and then only.
     for (int i = 0; i < 6; ++i) cluster.users().submit(spec(i % 2 ? "red" : "blue", 1), 200);
-    cluster.pass(20);
+    cluster.run_for(20);
     cluster.sim().way = [this, way = cluster.sim().way, raises](const simulation::Request& r) {
       auto w = way(r);
       if (r.path == "/agent/beat" && cluster.now() >= mute_from) w.arrives = false;
@@ -46,9 +46,9 @@
     std::vector<std::string> jobs;
     for (int i = 0; i < 4; ++i)
       jobs.push_back(cluster.users().submit(spec(i % 2 ? "red" : "blue", 1), 200));
-    for (int i = 0; i < 200 && held_from < 0; ++i) cluster.pass(0.02);
+    for (int i = 0; i < 200 && held_from < 0; ++i) cluster.run_for(0.02);
     for (const auto& j : jobs) cluster.users().cancel(j);
-    cluster.pass(hold_s + 60);
+    cluster.run_for(hold_s + 60);
     for (const auto& j : jobs)
       told = std::max(told, cluster.users().jobs().at(j).cancelled_reported_at);
     cluster.sim().way = nullptr;
@@ -83,14 +83,14 @@
     options.relay = false;
     SimulatedCluster cluster(seed, options);
     auto& sim = cluster.sim();
-    cluster.pass(12);
+    cluster.run_for(12);
     std::vector<std::string> jobs;
     for (int i = 0; i < 4; ++i) jobs.push_back(cluster.users().submit(spec("red", 2), 300));
-    cluster.pass(20);
+    cluster.run_for(20);
     for (const auto& j : jobs) cluster.users().cancel(j);
     for (int m = 0; m < cluster.machines().size(); ++m) cluster.faults().hang(m, 21);
     const double goes_on = cluster.now() + 21;
-    cluster.pass(sim.draw(13, 19));
+    cluster.run_for(sim.draw(13, 19));
     cluster.faults().kill(0, 0.3);
     std::map<std::string, double> greeted;  // when each machine's answer to an order left
     std::map<std::string, int> answered;
@@ -111,7 +111,7 @@
         overtaken += greeted.contains(r.from);
       return hold(r);
     };
-    cluster.pass(60);
+    cluster.run_for(60);
     EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
   }
   EXPECT_GT(overtaken, 10);
--- a/tests/fault_combinations_delegation_test.cpp
+++ b/tests/fault_combinations_delegation_test.cpp
@@ -68,10 +68,10 @@
   explicit OneTeamIsBusy(unsigned seed) : cluster(seed, options(seed)) {
     watch_writes(cluster, written);
     auto& sim = cluster.sim();
-    cluster.pass(12);
+    cluster.run_for(12);
     for (const char* team : kTeams)
       jobs.push_back(cluster.users().submit(spec(team, 1, 1), sim.draw(120, 200)));
-    cluster.pass(12);
+    cluster.run_for(12);
     const int busy = static_cast<int>(sim.rng()() % 4);
     for (int i = 0; i < 6; ++i) {
       wire::JobSpec job = spec(kTeams[busy], 1 + sim.rng()() % 4, sim.chance(0.3) ? 2 : 1);
@@ -85,7 +85,7 @@
       }
       jobs.push_back(cluster.users().submit(job, sim.draw(10, 45)));
     }
-    cluster.pass(sim.draw(18, 26));
+    cluster.run_for(sim.draw(18, 26));
   }
 
   void calm_down() {
@@ -93,8 +93,8 @@
     options.late_writes = options.lost_answers = options.heartbeat_copies = 0;
     options.copies_for_next_leader = options.max_link_delay_s = 0;
     cluster.rules().faults_have_ended();
-    cluster.pass(kCalm);
-    cluster.ask_everywhere();
+    cluster.run_for(kCalm);
+    cluster.query_all_controllers();
   }
 
   Strings unfinished() const {
@@ -133,12 +133,12 @@
         const NamedFault& fault = named_faults()[sim.rng()() % named_faults().size()];
         names += std::string(fault.name) + " ";
         fault.begin(cluster);
-        cluster.pass(sim.draw(0, 6));
+        cluster.run_for(sim.draw(0, 6));
       }
       if (sim.chance(0.5)) faults::cancel_some(cluster, 0.2);
-      cluster.pass(sim.draw(5, 25));
+      cluster.run_for(sim.draw(5, 25));
     }
-    cluster.pass(kLongestFault);
+    cluster.run_for(kLongestFault);
     history.calm_down();
     EXPECT_EQ(cluster.rules().broken(), Strings{}) << names;
     EXPECT_EQ(history.unfinished(), Strings{}) << names;
@@ -162,7 +162,7 @@
     if (sim.chance(0.5)) cluster.options().lost_answers = sim.draw(0.05, 0.4);
     for (int look = 0; look < 240; ++look) {
       const int before = history.written.opened + history.written.closed;
-      cluster.pass(0.25);
+      cluster.run_for(0.25);
       if (history.written.opened + history.written.closed == before || !sim.chance(0.5)) continue;
       ++met;
       const double in_s = sim.draw(0, 1.5);
@@ -181,7 +181,7 @@
       });
       if (sim.chance(0.3)) faults::cancel_some(cluster, 0.2);
     }
-    cluster.pass(kLongestFault);
+    cluster.run_for(kLongestFault);
     history.calm_down();
     EXPECT_EQ(cluster.rules().broken(), Strings{});
     EXPECT_EQ(history.unfinished(), Strings{});
@@ -211,11 +211,11 @@
       faults::cancel_some(cluster, 0.25);
       for (const char* team : kTeams)
         if (sim.chance(0.5)) cluster.users().submit(spec(team, 3, 1), sim.draw(10, 30));
-      cluster.pass(sim.draw(3, 15));
+      cluster.run_for(sim.draw(3, 15));
       if (sim.chance(0.4))
         cluster.faults().kill(cluster.controllers().random_leader(), sim.draw(0.05, 10));
     }
-    cluster.pass(kLongestFault);
+    cluster.run_for(kLongestFault);
     history.calm_down();
     EXPECT_EQ(cluster.rules().broken(), Strings{});
     EXPECT_EQ(history.unfinished(), Strings{});
--- a/tests/fault_combinations_emulators_test.cpp
+++ b/tests/fault_combinations_emulators_test.cpp
@@ -62,7 +62,7 @@
                              std::to_string(brake_s) + "}]}";
     out.push_back(node.request({"w-1", 9}, "POST", "/orders", body, 60, [](net::Result) {}));
   }
-  void pass(double s) { sim.run_until(sim.now() + s); }
+  void run_for(double s) { sim.run_until(sim.now() + s); }
   TaskState state() const {
     return worker->tasks().empty() ? TaskState::exited : worker->tasks().front().state;
   }
@@ -71,12 +71,12 @@
 TEST(WorkerEmulator, SavesWhenItIsStoppedWithTime) {
   Bench b;
   b.order("start");
-  b.pass(2);
+  b.run_for(2);
   ASSERT_EQ(b.state(), TaskState::running);
   b.order("halt", 6);
-  b.pass(5.9);
+  b.run_for(5.9);
   EXPECT_EQ(b.state(), TaskState::saving);
-  b.pass(0.2);
+  b.run_for(0.2);
   ASSERT_EQ(b.state(), TaskState::exited);
   EXPECT_TRUE(b.worker->tasks().front().progress_saved);
   EXPECT_EQ(b.worker->tasks().front().exit_reason, wire::ExitReason::stopped);
@@ -87,9 +87,9 @@
     Bench b;
     b.work.checkpoint_s = checkpoints ? 10 : 0;
     b.order("start");
-    b.pass(2);
+    b.run_for(2);
     b.order("halt", checkpoints ? 5.9 : 60);
-    b.pass(0.1);
+    b.run_for(0.1);
     ASSERT_EQ(b.state(), TaskState::exited);
     EXPECT_FALSE(b.worker->tasks().front().progress_saved);
   }
@@ -100,13 +100,13 @@
   for (const double second : {30.0, 1.0, 0.0}) {
     Bench b;
     b.order("start");
-    b.pass(2);
+    b.run_for(2);
     b.order("halt", 20);
-    b.pass(4);
+    b.run_for(4);
     b.order("halt", second);
-    b.pass(0.1);
+    b.run_for(0.1);
     EXPECT_EQ(b.state(), second > 0 ? TaskState::saving : TaskState::exited) << second;
-    b.pass(2);
+    b.run_for(2);
     ASSERT_EQ(b.state(), TaskState::exited) << second;
     EXPECT_EQ(b.worker->tasks().front().progress_saved, second > 0) << second;
   }
@@ -119,14 +119,14 @@
     Bench b(seed);
     b.work.run_s = 4;
     b.order("start");
-    b.pass(2);
+    b.run_for(2);
     b.states.clear();
     b.machine.freeze(b.sim.now() + 20);
-    b.pass(1);
+    b.run_for(1);
     b.order("start", 0, 1, 1);
-    b.pass(18.5);
+    b.run_for(18.5);
     EXPECT_TRUE(b.worker->tasks().empty());
-    b.pass(1);
+    b.run_for(1);
     EXPECT_EQ(b.worker->incarnation(), 2u);
     EXPECT_TRUE(b.worker->tasks().empty());
     EXPECT_EQ(b.states, std::vector<TaskState>{}) << seed;
@@ -140,13 +140,13 @@
     b.work.run_s = 4;
     b.work.checkpoint_s = 0;
     b.order("start");
-    b.pass(2);
+    b.run_for(2);
     b.states.clear();
     b.machine.freeze(b.sim.now() + 8);
-    b.pass(1);
+    b.run_for(1);
     b.order("halt");
     b.order("start", 0, 1, 1);
-    b.pass(7.2);
+    b.run_for(7.2);
     EXPECT_EQ(b.worker->incarnation(), 1u);
     EXPECT_EQ(b.worker->tasks().size(), 2u);
     seen.insert(b.states);
@@ -158,12 +158,12 @@
 TEST(WorkerEmulator, AnAnswerThatWaitedForAHangRenewsNoLease) {
   for (unsigned seed = 1; seed <= 40; ++seed) {
     Bench b(seed);
-    b.pass(1.3);  // a report of its own is on its way now and then
+    b.run_for(1.3);  // a report of its own is on its way now and then
     b.answers = true;
     b.machine.freeze(b.sim.now() + 14);
-    b.pass(0.5);
+    b.run_for(0.5);
     b.answers = false;
-    b.pass(15);
+    b.run_for(15);
     EXPECT_EQ(b.worker->incarnation(), 2u) << seed;
   }
 }
--- a/tests/fault_combinations_held_test.cpp
+++ b/tests/fault_combinations_held_test.cpp
@@ -29,11 +29,11 @@
       }
       return way(r);
     };
-    cluster.pass(12);
+    cluster.run_for(12);
     cluster.users().submit(spec("red", 5), 200);  // so that machines with room are there
-    cluster.pass(20 + cluster.sim().draw(0, 5));
+    cluster.run_for(20 + cluster.sim().draw(0, 5));
     job_ = cluster.users().submit(spec("red", 1), 60);
-    cluster.pass(120);
+    cluster.run_for(120);
   }
 
   void cancel() { cluster.users().cancel(job_); }
--- a/tests/fault_combinations_limits_test.cpp
+++ b/tests/fault_combinations_limits_test.cpp
@@ -34,8 +34,8 @@
   cluster.options().late_writes = cluster.options().lost_answers =
       cluster.options().max_link_delay_s = 0;
   cluster.rules().faults_have_ended();
-  cluster.pass(kCalm);
-  cluster.ask_everywhere();
+  cluster.run_for(kCalm);
+  cluster.query_all_controllers();
   Strings unfinished;
   for (const auto& [id, j] : cluster.users().jobs())
     if (j.spec.service)
@@ -43,8 +43,8 @@
     else if (j.accepted && j.done_reported_at < 0 && j.cancelled_reported_at < 0)
       unfinished.push_back(id);
   EXPECT_EQ(unfinished, Strings{});
-  cluster.pass(120);
-  EXPECT_EQ(cluster.rented(), 0u);
+  cluster.run_for(120);
+  EXPECT_EQ(cluster.rented_machines(), 0u);
 }
 // And no job waits beside room.
 void expect_calm(SimulatedCluster& cluster) {
@@ -82,11 +82,11 @@
 
 // Four jobs that fit, and limits by which the controllers place fewer, or more.
 SimulatedCluster& limited(SimulatedCluster& cluster) {
-  cluster.pass(12);
+  cluster.run_for(12);
   for (int i = 0; i < 4; ++i) cluster.users().submit(spec("red", 2), 150);
-  cluster.pass(60);
+  cluster.run_for(60);
   cluster.rules().faults_have_ended();
-  cluster.pass(130);
+  cluster.run_for(130);
   return cluster;
 }
 
@@ -126,18 +126,18 @@
   // `first`: the leader goes before anything is cancelled.
   AtLimit(unsigned seed, bool first) : cluster(seed, options(seed)) {
     auto& sim = cluster.sim();
-    cluster.pass(12);
+    cluster.run_for(12);
     for (int round = 0; round < 3; ++round)
       for (const char* team : kTeam) {
         cluster.users().submit(spec(team, 2), sim.draw(40, 110));
         cluster.users().submit(spec(team, 1, 2), sim.draw(40, 110));
       }
-    cluster.pass(sim.draw(25, 35));
+    cluster.run_for(sim.draw(25, 35));
     for (const char* team : kTeam)
       at_limit += cluster.rules().used_cpus(team) > cluster.options().team_limit - 1e-9;
     if (first) {
       leader_goes(cluster);
-      cluster.pass(sim.draw(0, 25));
+      cluster.run_for(sim.draw(0, 25));
     }
     std::vector<std::string> running;
     for (const auto& [id, j] : cluster.users().jobs())
@@ -148,11 +148,11 @@
       for (int m : cluster.machines().with_job(id)) unasked(m);
       sim.at(sim.now() + sim.draw(0, 3), [this, id] { cluster.users().cancel(id); });
     }
-    cluster.pass(sim.draw(0, 4));
+    cluster.run_for(sim.draw(0, 4));
     if (!first) leader_goes(cluster);
-    cluster.pass(sim.draw(0, 30));
+    cluster.run_for(sim.draw(0, 30));
     if (sim.chance(0.5)) leader_goes(cluster);
-    cluster.pass(kLongest);
+    cluster.run_for(kLongest);
   }
   void unasked(int machine) {
     auto& sim = cluster.sim();
@@ -214,15 +214,15 @@
   s.controllers = 1;
   s.machines = 1;
   SimulatedCluster cluster(1, s);
-  cluster.pass(12);
+  cluster.run_for(12);
   cluster.users().submit(spec("red", 1, 3), 300);
-  cluster.pass(15);
+  cluster.run_for(15);
   cluster.users().submit(spec("red", 1, 2), 20);
-  cluster.pass(3);
+  cluster.run_for(3);
   cluster.users().submit(spec("red", 1, 1), 20);
-  cluster.pass(5);
+  cluster.run_for(5);
   cluster.rules().faults_have_ended();
-  cluster.pass(150);
+  cluster.run_for(150);
   EXPECT_EQ(cluster.rules().broken(), Strings{});
 }
 
@@ -233,14 +233,14 @@
   s.controllers = 2;
   s.machines = 2;
   SimulatedCluster cluster(1, s);
-  cluster.pass(12);
+  cluster.run_for(12);
   cluster.users().submit(spec("red", 1, 1), 300);
   cluster.users().submit(spec("blue", 1, 4), 300);
-  cluster.pass(15);
+  cluster.run_for(15);
   cluster.users().submit(spec("blue", 1, 2), 20);
-  cluster.pass(5);
+  cluster.run_for(5);
   cluster.rules().faults_have_ended();
-  cluster.pass(150);
+  cluster.run_for(150);
   EXPECT_EQ(cluster.rules().broken(), Strings{});
 }
 
@@ -262,7 +262,7 @@
     s.list_lag_s = 3;
     SimulatedCluster cluster(seed, s);
     auto& sim = cluster.sim();
-    cluster.pass(12);
+    cluster.run_for(12);
     std::vector<std::string> jobs;
     for (int i = 0; i < 9; ++i) {
       wire::JobSpec j = spec(kTeam[i % 3], 1 + sim.rng()() % 3, sim.chance(0.3) ? 2 : 1);
@@ -285,12 +285,12 @@
         sim.at(sim.now() + cancels + sim.draw(0, 4),
                [&cluster, id] { cluster.users().cancel(id); });
       }
-    cluster.pass(5);
+    cluster.run_for(5);
     quick += cluster.machines().size() > 0;
-    cluster.pass(20);
+    cluster.run_for(20);
     if (sim.chance(0.5))
       cluster.faults().kill(cluster.controllers().random_leader(), sim.draw(0.05, 15));
-    cluster.pass(kLongest);
+    cluster.run_for(kLongest);
     expect_calm(cluster);
   });
   EXPECT_GT(quick, 0);
@@ -311,7 +311,7 @@
     s.machines = 8;
     SimulatedCluster cluster(seed, s);
     auto& sim = cluster.sim();
-    cluster.pass(12);
+    cluster.run_for(12);
     for (int i = 0; i < 12; ++i) {
       wire::JobSpec j = spec(kTeam[i % 2], 1 + sim.rng()() % 6);
       switch (sim.rng()() % 4) {
@@ -331,16 +331,16 @@
       j.gang = sim.chance(0.15);
       cluster.users().submit(j, sim.draw(5, 40));
     }
-    cluster.pass(sim.draw(12, 30));
+    cluster.run_for(sim.draw(12, 30));
     for (int round = 0; round < 2; ++round) {
       const int there = cluster.machines().size();
       cluster.faults().lose_zone(sim.chance(0.5) ? "a" : "b", sim.draw(20, 90));
       lost += there > 0;
       if (sim.chance(0.6)) leader_goes(cluster);
       if (sim.chance(0.3)) cluster.faults().slow_state(sim.draw(0.2, 2), sim.draw(5, 30));
-      cluster.pass(sim.draw(5, 60));
+      cluster.run_for(sim.draw(5, 60));
     }
-    cluster.pass(90);
+    cluster.run_for(90);
     expect_calm(cluster);
     done += cluster.rules().completed_tasks();
   });
@@ -362,11 +362,11 @@
     s.machines = 5;
     SimulatedCluster cluster(seed, s);
     auto& sim = cluster.sim();
-    cluster.pass(12);
+    cluster.run_for(12);
     // One team has it all at first; then the other one's work needs machines of the first.
     for (int i = 0; i < 5; ++i)
       cluster.users().submit(spec("red", 1 + sim.rng()() % 3), sim.draw(8, 30));
-    cluster.pass(sim.draw(10, 20));
+    cluster.run_for(sim.draw(10, 20));
     for (int i = 0; i < 8; ++i)
       cluster.users().submit(spec("blue", 1 + sim.rng()() % 3), sim.draw(15, 60));
     std::vector<int> owners(static_cast<std::size_t>(s.controllers), -1);
@@ -400,9 +400,9 @@
           }
       if (look % 20 == 0)
         cluster.users().submit(spec(kTeam[look / 20 % 2], 1 + sim.rng()() % 3), 20);
-      cluster.pass(0.25);
+      cluster.run_for(0.25);
     }
-    cluster.pass(30);
+    cluster.run_for(30);
     expect_calm(cluster);
   });
   EXPECT_GT(changes, seeds * 8);
@@ -461,7 +461,7 @@
   explicit Overload(unsigned seed) : cluster(seed, options(seed)) {
     auto& sim = cluster.sim();
     const ClusterOptions& s = cluster.options();
-    cluster.pass(12);
+    cluster.run_for(12);
     cluster.options().max_link_delay_s = sim.draw(0.05, 0.4);
     from = sim.now();
     const double arrivals = 240;
@@ -521,12 +521,12 @@
       // Spread over the time by its share of the work.
       sub.at = from + work / (load * room());
       work += sub.work;
-      if (sub.at > sim.now()) cluster.pass(sub.at - sim.now());
+      if (sub.at > sim.now()) cluster.run_for(sub.at - sim.now());
       sub.id = cluster.users().submit(j, k.run_s);
       sub.at = sim.now();
       all.push_back(sub);
     }
-    cluster.pass(kBegin + 10);
+    cluster.run_for(kBegin + 10);
     cluster.options().max_link_delay_s = 0;
   }
 };
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -18,14 +18,14 @@
 
 TEST(FaultCombinations, WithoutFaultsAllJobsComplete) {
   SimulatedCluster cluster(1, ClusterOptions{});
-  cluster.pass(15);
+  cluster.run_for(15);
   for (int i = 0; i < 6; ++i) cluster.users().submit(spec(i % 2 ? "red" : "blue", 5), 10);
-  cluster.pass(150);
+  cluster.run_for(150);
   for (const auto& [id, j] : cluster.users().jobs()) {
     EXPECT_TRUE(j.accepted) << id;
     EXPECT_GE(j.done_reported_at, 0) << id;
   }
-  cluster.ask_everywhere();
+  cluster.query_all_controllers();
   EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
   EXPECT_EQ(cluster.rules().completed_tasks(), 30u);
   EXPECT_EQ(cluster.machines().leases_lost(), 0u);
@@ -47,12 +47,12 @@
   Gap(unsigned seed, double controllers_cancel_s)
       : cluster(seed, options(seed, controllers_cancel_s)) {
     auto& sim = cluster.sim();
-    cluster.pass(12);
+    cluster.run_for(12);
     std::vector<std::string> jobs;
     for (int i = 0; i < 8; ++i)
       jobs.push_back(
           cluster.users().submit(spec(i % 2 ? "red" : "blue", 1 + i % 3), sim.draw(90, 160)));
-    cluster.pass(sim.draw(8, 25));
+    cluster.run_for(sim.draw(8, 25));
     const int leader = cluster.controllers().leader(0);
     const double lone = sim.draw(1, 14);  // until it is down for all
     if (leader < 0) return;
@@ -68,13 +68,13 @@
       sim.at(sim.now() + sim.draw(first, lone),
              [this, id = jobs[i], other] { cluster.users().cancel(id, other); });
     }
-    cluster.pass(lone);
+    cluster.run_for(lone);
     const double down = cluster.options().cancel_s + sim.draw(5, 30);
     cluster.faults().outage(down);
     if (sim.chance(0.3))
       cluster.faults().kill((leader + 1) % cluster.options().controllers, sim.draw(0.05, 8));
     if (sim.chance(0.2)) cluster.faults().freeze(leader, sim.draw(1, 20));
-    cluster.pass(down + 40);
+    cluster.run_for(down + 40);
   }
 };
 
@@ -84,7 +84,7 @@
     SCOPED_TRACE(seed);
     Gap g(seed, 0);
     cancelled += g.cancelled;
-    g.cluster.ask_everywhere();
+    g.cluster.query_all_controllers();
     ASSERT_EQ(g.cluster.rules().broken(), std::vector<std::string>{});
   }
   EXPECT_GT(cancelled, 60 * 4);
@@ -118,9 +118,9 @@
       options.machines = 12;
       options.relay = false;
       SimulatedCluster cluster(static_cast<unsigned>(turn), options);
-      cluster.pass(12);
+      cluster.run_for(12);
       for (int i = 0; i < 4; ++i) cluster.users().submit(spec("red", 3), 120);
-      cluster.pass(15);
+      cluster.run_for(15);
       const int old = cluster.controllers().leader(0);
       ASSERT_GE(old, 0);
       const std::string successor = "node-" + std::to_string(1 - old);
@@ -138,7 +138,7 @@
         return w;
       };
       cluster.faults().cut(old, FaultInjector::state | FaultInjector::peers, cut_s);
-      cluster.pass(cut_s - 0.05);
+      cluster.run_for(cut_s - 0.05);
       taken_over += cluster.controllers().leads(1 - old, 0);
       // The first read that tells of the successor is on its way back.
       auto read = std::make_shared<bool>(false);
@@ -153,7 +153,7 @@
         return held;
       };
       const std::uint64_t starts = cluster.rules().starts();
-      cluster.pass(150);
+      cluster.run_for(150);
       begun_anew += cluster.rules().starts() > starts;
       ASSERT_EQ(cluster.rules().broken(), std::vector<std::string>{});
     }
