--- a/src/simulation/simulated_users.cpp
+++ b/src/simulation/simulated_users.cpp
@@ -9,16 +9,16 @@
 namespace shunttrail::simulation {
 
 namespace {
-constexpr double kPollGapS = 5;        // between two questions about a job
-constexpr double kPollGapOverS = 20;   // about one that is over
-constexpr double kPollTimeoutS = 2;    // for the answer to a question
-constexpr double kWriteTimeoutS = 5;   // to a submission or a cancellation
-constexpr double kLeastRetryGapS = 1;  // before either is repeated
-constexpr double kSubmitForS = 60;     // a submission is repeated for so long
-constexpr double kForgottenS = 75;     // a job about which no question is answered for so long
-constexpr double kAskCloselyForS = 0.5;
-constexpr int kSubmitEvery = 6;    // so many close questions, one submission
-constexpr int kFirstJob = 100000;  // number in the first job's id
+constexpr double kPollIntervalS = 5;           // between two questions about a job
+constexpr double kFinishedPollIntervalS = 20;  // about one that is over
+constexpr double kPollTimeoutS = 2;            // for the answer to a question
+constexpr double kWriteTimeoutS = 5;           // to a submission or a cancellation
+constexpr double kMinRetryDelayS = 1;          // before either is repeated
+constexpr double kSubmitRetryS = 60;           // a submission is repeated for so long
+constexpr double kAnswerDeadlineS = 75;  // a job about which no question is answered for so long
+constexpr double kQueryBurstS = 0.5;
+constexpr int kBurstStepsPerSubmission = 6;  // so many close questions, one submission
+constexpr int kFirstJob = 100000;            // number in the first job's id
 
 std::string job_path(const std::string& id) { return "/v2/runs/" + id; }
 }  // namespace
@@ -34,7 +34,7 @@
       host_(simulation, "users") {}
 
 void SimulatedUsers::send(int node, const char* method, const std::string& path,
-                          const std::string& body, double timeout_s, Done done) {
+                          const std::string& body, double timeout_s, Callback done) {
   const std::uint64_t number = ++requests_;
   const std::string& host = controllers_.hosts()[static_cast<std::size_t>(node)];
   in_flight_[number] = host_.request({host, kPublicPort}, method, path, body, timeout_s,
@@ -46,7 +46,7 @@
                                      });
 }
 
-int SimulatedUsers::any_node() {
+int SimulatedUsers::random_node() {
   return static_cast<int>(simulation_.rng()() % static_cast<std::size_t>(controllers_.count()));
 }
 
@@ -56,76 +56,79 @@
   spec.id = "run-" + std::to_string(kFirstJob + next_job_++);
   std::string id = spec.id;
   jobs_.add(std::move(spec), run_s);
-  submit_until(id, node, simulation_.now() + kSubmitForS);
+  submit_with_retries(id, node, simulation_.now() + kSubmitRetryS);
   return id;
 }
 
-void SimulatedUsers::submit_until(const std::string& id, int node, double until) {
+void SimulatedUsers::submit_with_retries(const std::string& id, int node, double until) {
   const double sent = simulation_.now();
-  const int to = node >= 0 ? node : any_node();
+  const int to = node >= 0 ? node : random_node();
   send(to, "POST", "/v2/runs", wire::encode_job(jobs_.at(id).spec), kWriteTimeoutS,
        [this, id, node, until, sent](net::Result result) {
-         answered(id, result, sent, UserRequest::submission);
+         handle_answer(id, result, sent, UserRequest::submission);
          const double now = simulation_.now();
          if (result.status == 200 || result.status == 201) {
            jobs_.at(id).accepted = true;
-           simulation_.at(now + kPollGapS, [this, id] { poll(id); });
+           simulation_.at(now + kPollIntervalS, [this, id] { poll(id); });
          } else if (now < until) {
-           simulation_.at(now + std::max(kLeastRetryGapS, result.retry_after_s),
-                          [this, id, node, until] { submit_until(id, node, until); });
+           simulation_.at(now + std::max(kMinRetryDelayS, result.retry_after_s),
+                          [this, id, node, until] { submit_with_retries(id, node, until); });
          }
        });
 }
 
 void SimulatedUsers::cancel(const std::string& id, int node) {
   jobs_.at(id).cancel_requested = true;
-  cancel_until_answered(id, node);
+  cancel_with_retries(id, node);
 }
 
-void SimulatedUsers::cancel_until_answered(const std::string& id, int node) {
+void SimulatedUsers::cancel_with_retries(const std::string& id, int node) {
   const double sent = simulation_.now();
-  const int to = node >= 0 ? node : any_node();
+  const int to = node >= 0 ? node : random_node();
   send(to, "POST", job_path(id) + "/withdraw", "{}", kWriteTimeoutS,
        [this, id, sent](net::Result result) {
-         answered(id, result, sent, UserRequest::cancellation);
+         handle_answer(id, result, sent, UserRequest::cancellation);
          if (result.status == 200 || (result.status == 404 && !jobs_.at(id).accepted)) return;
-         simulation_.at(simulation_.now() + std::max(kLeastRetryGapS, result.retry_after_s),
-                        [this, id] { cancel_until_answered(id, kAnyNode); });
+         simulation_.at(simulation_.now() + std::max(kMinRetryDelayS, result.retry_after_s),
+                        [this, id] { cancel_with_retries(id, kAnyNode); });
        });
 }
 
 void SimulatedUsers::poll(const std::string& id) {
   const SimulatedJob& job = jobs_.at(id);
-  const bool over = job.done_reported_at >= 0 || job.cancelled_reported_at >= 0;
+  const bool finished = job.done_reported_at >= 0 || job.cancelled_reported_at >= 0;
   const double sent = simulation_.now();
-  ask_once(id, any_node());
-  simulation_.at(sent + (over ? kPollGapOverS : kPollGapS), [this, id] { poll(id); });
+  query_once(id, random_node());
+  simulation_.at(sent + (finished ? kFinishedPollIntervalS : kPollIntervalS),
+                 [this, id] { poll(id); });
 }
 
-void SimulatedUsers::ask_all_repeatedly(const std::string& id) {
-  ask_closely(id, 0, simulation_.now() + kAskCloselyForS);
+void SimulatedUsers::start_query_burst(const std::string& id) {
+  continue_query_burst(id, 0, simulation_.now() + kQueryBurstS);
 }
 
-void SimulatedUsers::ask_closely(const std::string& id, int step, double until) {
+void SimulatedUsers::continue_query_burst(const std::string& id, int step, double until) {
   if (simulation_.now() > until) return;
-  ++close_questions_;
+  ++burst_queries_;
   const int node = step % controllers_.count();
-  if (step % kSubmitEvery == kSubmitEvery - 1) {
+  if (step % kBurstStepsPerSubmission == kBurstStepsPerSubmission - 1) {
     const SimulatedJob& job = jobs_.at(id);
-    ask_once("run-9" + id.substr(5), node);  // which nobody submitted
+    query_once("run-9" + id.substr(5), node);  // which nobody submitted
     // Another body only once its user knows that it was accepted: before, it would be a submission.
     const bool other = job.first_reported_at >= 0 && simulation_.chance(0.5);
-    const std::string body = other ? other_body(id) : std::string();
-    submit_once(id, any_node(), body);
-    if (job.done_reported_at >= 0 || job.cancelled_reported_at >= 0) cancel_once(id, any_node());
+    const std::string body = other ? altered_body(id) : std::string();
+    submit_once(id, random_node(), body);
+    if (job.done_reported_at >= 0 || job.cancelled_reported_at >= 0) cancel_once(id, random_node());
   } else {
-    ask_once(id, node);
+    query_once(id, node);
   }
   simulation_.at(simulation_.now() + simulation_.draw(0.001, 0.05),
-                 [this, id, step, until] { ask_closely(id, step + 1, until); });
+                 [this, id, step, until] { continue_query_burst(id, step + 1, until); });
 }
 
-double SimulatedUsers::query_all_controllers_s() { return kForgottenS + kPollGapS + kPollTimeoutS; }
+double SimulatedUsers::query_all_controllers_s() {
+  return kAnswerDeadlineS + kPollIntervalS + kPollTimeoutS;
+}
 
 void SimulatedUsers::query_all_controllers() {
   for (const auto& [id, known] : jobs_.all()) {
@@ -133,36 +136,38 @@
     jobs_.at(id).last_answered_at = -1;
     auto pending = std::make_shared<PendingAnswers>(PendingAnswers{id, {}, simulation_.now()});
     for (int node = 0; node < controllers_.count(); ++node) pending->nodes.insert(node);
-    ask_pending(pending);
+    query_pending(pending);
   }
 }
 
-void SimulatedUsers::ask_pending(const std::shared_ptr<PendingAnswers>& pending) {
+void SimulatedUsers::query_pending(const std::shared_ptr<PendingAnswers>& pending) {
   if (pending->nodes.empty()) return;
   const double sent = simulation_.now();
-  if (sent - pending->began_at > kForgottenS)
+  if (sent - pending->began_at > kAnswerDeadlineS)
     return rules_.report("forgotten: no answer about " + pending->job + " at node " +
                          std::to_string(*pending->nodes.begin()));
   for (const int node : pending->nodes)
     send(node, "GET", job_path(pending->job), "", kPollTimeoutS,
          [this, node, pending, sent](net::Result result) {
            if (result.status == 200 || result.status == 404) pending->nodes.erase(node);
-           answered(pending->job, result, sent);
+           handle_answer(pending->job, result, sent);
          });
-  simulation_.at(sent + kPollGapS, [this, pending] { ask_pending(pending); });
+  simulation_.at(sent + kPollIntervalS, [this, pending] { query_pending(pending); });
 }
 
 // ---- single requests
 
-void SimulatedUsers::ask_once(const std::string& id, int node) {
+void SimulatedUsers::query_once(const std::string& id, int node) {
   send(node, "GET", job_path(id), "", kPollTimeoutS,
-       [this, id, sent = simulation_.now()](net::Result result) { answered(id, result, sent); });
+       [this, id, sent = simulation_.now()](net::Result result) {
+         handle_answer(id, result, sent);
+       });
 }
 
 void SimulatedUsers::submit_once(const std::string& id, int node, const std::string& body) {
   send(node, "POST", "/v2/runs", body.empty() ? wire::encode_job(jobs_.at(id).spec) : body,
        kWriteTimeoutS, [this, id, sent = simulation_.now()](net::Result result) {
-         answered(id, result, sent, UserRequest::submission);
+         handle_answer(id, result, sent, UserRequest::submission);
        });
 }
 
@@ -171,11 +176,11 @@
   job.cancel_requested |= job.done_reported_at < 0 && job.cancelled_reported_at < 0;
   send(node, "POST", job_path(id) + "/withdraw", "{}", kWriteTimeoutS,
        [this, id, sent = simulation_.now()](net::Result result) {
-         answered(id, result, sent, UserRequest::cancellation);
+         handle_answer(id, result, sent, UserRequest::cancellation);
        });
 }
 
-std::string SimulatedUsers::other_body(const std::string& id) {
+std::string SimulatedUsers::altered_body(const std::string& id) {
   wire::JobSpec spec = jobs_.at(id).spec;
   switch (simulation_.rng()() % 5) {
     case 0:
@@ -207,14 +212,14 @@
 void SimulatedUsers::task_completed(const std::string& id) {
   SimulatedJob& job = jobs_.at(id);
   if (++job.completed_tasks < job.spec.tasks) return;
-  if (drawn(options_.query_bursts)) ask_all_repeatedly(id);
-  if (drawn(options_.requests_at_completion)) send_other_requests(id);
+  if (happens(options_.query_bursts)) start_query_burst(id);
+  if (happens(options_.requests_at_completion)) send_requests_at_completion(id);
 }
 
 // The last task's report is on its way to the controllers at this moment: these requests arrive
 // before it, with it, during its commit and after.
-void SimulatedUsers::send_other_requests(const std::string& id) {
-  ++ends_met_;
+void SimulatedUsers::send_requests_at_completion(const std::string& id) {
+  ++completions_with_requests_;
   auto soon = [this] {
     return simulation_.now() + (simulation_.chance(0.3) ? 0 : simulation_.draw(0, 0.4));
   };
@@ -223,17 +228,17 @@
   if (kinds & cancellation) simulation_.at(soon(), [this, id] { cancel(id); });
   if (kinds & questions)
     for (int node = 0; node < controllers_.count(); ++node)
-      simulation_.at(soon(), [this, id, node] { ask_once(id, node); });
-  if (kinds & submission) simulation_.at(soon(), [this, id] { submit_once(id, any_node()); });
+      simulation_.at(soon(), [this, id, node] { query_once(id, node); });
+  if (kinds & submission) simulation_.at(soon(), [this, id] { submit_once(id, random_node()); });
 }
 
-void SimulatedUsers::answered(const std::string& id, const net::Result& result, double asked_at,
-                              UserRequest request) {
+void SimulatedUsers::handle_answer(const std::string& id, const net::Result& result,
+                                   double asked_at, UserRequest request) {
   const auto state = rules_.check_answer(id, result, asked_at, request);
-  if (state) note_state(id, jobs_.at(id), *state);
+  if (state) record_state(id, jobs_.at(id), *state);
 }
 
-void SimulatedUsers::note_state(const std::string& id, SimulatedJob& job, wire::JobState state) {
+void SimulatedUsers::record_state(const std::string& id, SimulatedJob& job, wire::JobState state) {
   const double now = simulation_.now();
   job.last_answered_at = now;
   const bool first_cancelled = state == wire::JobState::cancelled && job.cancelled_reported_at < 0;
@@ -241,13 +246,13 @@
   const bool first_answer = job.first_reported_at < 0;
   if (first_answer) {
     job.first_reported_at = now;
-    if (drawn(options_.immediate_cancellations))
+    if (happens(options_.immediate_cancellations))
       simulation_.at(now + simulation_.draw(0, 0.1), [this, id] { cancel(id); });
   }
   if (first_cancelled) job.cancelled_reported_at = now;
   if (first_done) job.done_reported_at = now;
-  if ((first_answer || first_cancelled || first_done) && drawn(options_.query_bursts))
-    ask_all_repeatedly(id);
+  if ((first_answer || first_cancelled || first_done) && happens(options_.query_bursts))
+    start_query_burst(id);
 }
 
 }  // namespace shunttrail::simulation
--- a/src/simulation/simulated_users.h
+++ b/src/simulation/simulated_users.h
@@ -33,7 +33,7 @@
   void cancel(const std::string& job, int node = kAnyNode);
   /// For half a second, 1 to 50 ms apart: questions to all controllers, with repeated submissions
   /// and, of what is over, cancellations among them.
-  void ask_all_repeatedly(const std::string& job);
+  void start_query_burst(const std::string& job);
   /// Asks every controller about every accepted job until it answers; whoever does not within
   /// `kForgottenS` breaks a rule. Simulated time has to pass after this: `ask_everywhere_s()`.
   void query_all_controllers();
@@ -41,12 +41,12 @@
 
   // ---- single requests
 
-  void ask_once(const std::string& job, int node);
+  void query_once(const std::string& job, int node);
   /// Submits the job again, or this body, if it is not empty.
   void submit_once(const std::string& job, int node, const std::string& body = "");
   void cancel_once(const std::string& job, int node);
   /// A body under the job's id that it never had: other tasks, what can never run, a missing field.
-  std::string other_body(const std::string& job);
+  std::string altered_body(const std::string& job);
 
   // ---- what happens elsewhere
 
@@ -54,13 +54,15 @@
   void task_completed(const std::string& job);
 
   /// Rounds of questions that `ask_all_repeatedly` has made.
-  [[nodiscard]] std::uint64_t close_questions() const { return close_questions_; }
+  [[nodiscard]] std::uint64_t burst_queries() const { return burst_queries_; }
   /// Jobs whose completion met other requests (`ClusterOptions::meet_ends`).
-  [[nodiscard]] std::uint64_t ends_met() const { return ends_met_; }
+  [[nodiscard]] std::uint64_t completions_with_requests() const {
+    return completions_with_requests_;
+  }
   [[nodiscard]] const std::map<std::string, SimulatedJob>& jobs() const { return jobs_.all(); }
 
  private:
-  using Done = std::function<void(net::Result)>;
+  using Callback = std::function<void(net::Result)>;
   /// Controllers that still have to answer about a job.
   struct PendingAnswers {
     std::string job;
@@ -69,18 +71,18 @@
   };
 
   void send(int node, const char* method, const std::string& path, const std::string& body,
-            double timeout_s, Done done);
-  int any_node();
-  bool drawn(double share) { return share > 0 && simulation_.chance(share); }
-  void submit_until(const std::string& id, int node, double until);
-  void cancel_until_answered(const std::string& id, int node);
+            double timeout_s, Callback done);
+  int random_node();
+  bool happens(double share) { return share > 0 && simulation_.chance(share); }
+  void submit_with_retries(const std::string& id, int node, double until);
+  void cancel_with_retries(const std::string& id, int node);
   void poll(const std::string& id);
-  void ask_closely(const std::string& id, int step, double until);
-  void ask_pending(const std::shared_ptr<PendingAnswers>& pending);
-  void send_other_requests(const std::string& id);
-  void answered(const std::string& id, const net::Result& result, double asked_at,
-                UserRequest request = UserRequest::state);
-  void note_state(const std::string& id, SimulatedJob& job, wire::JobState state);
+  void continue_query_burst(const std::string& id, int step, double until);
+  void query_pending(const std::shared_ptr<PendingAnswers>& pending);
+  void send_requests_at_completion(const std::string& id);
+  void handle_answer(const std::string& id, const net::Result& result, double asked_at,
+                     UserRequest request = UserRequest::state);
+  void record_state(const std::string& id, SimulatedJob& job, wire::JobState state);
 
   Simulation& simulation_;
   const ClusterOptions& options_;
@@ -90,7 +92,7 @@
   Host host_;
   std::map<std::uint64_t, net::Network::Handle> in_flight_;  // requests, by number
   std::uint64_t next_job_ = 0, requests_ = 0;
-  std::uint64_t close_questions_ = 0, ends_met_ = 0;
+  std::uint64_t burst_queries_ = 0, completions_with_requests_ = 0;
 };
 
 }  // namespace shunttrail::simulation
--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -117,8 +117,8 @@
   }
   out.broken = cluster.rules().broken();
   out.restarts_after_completion = cluster.rules().restarts_after_completion();
-  out.looks = cluster.users().close_questions();
-  out.ends = cluster.users().ends_met();
+  out.looks = cluster.users().burst_queries();
+  out.ends = cluster.users().completions_with_requests();
   out.lost = cluster.faults().answers_lost();
   return out;
 }
@@ -310,7 +310,7 @@
           for (int n = 0; n < cluster.options().controllers; ++n)
             if (n != owner)
               sim.at(sim.now() + sim.draw(0.05, 0.4),
-                     [&cluster, ending, n] { cluster.users().ask_once(ending, n); });
+                     [&cluster, ending, n] { cluster.users().query_once(ending, n); });
         }
       return way(r);
     };
@@ -548,17 +548,17 @@
     const std::string id = cluster.users().submit(spec("red", 1 + i % 3), 1, 0);
     while (cluster.users().jobs().at(id).first_reported_at < 0) cluster.run_for(0.005);
     for (int n = 0; n < 12; ++n, ++asked)
-      cluster.users().submit_once(id, n % 3, cluster.users().other_body(id));
+      cluster.users().submit_once(id, n % 3, cluster.users().altered_body(id));
     if (i % 3 == 0) cluster.users().cancel(id);
     for (int n = 0; n < 12; ++n, ++asked) {
       cluster.run_for(0.2);
-      cluster.users().submit_once(id, n % 3, cluster.users().other_body(id));
+      cluster.users().submit_once(id, n % 3, cluster.users().altered_body(id));
     }
   }
   cluster.run_for(120);
   for (const auto& [id, j] : cluster.users().jobs()) {
     EXPECT_TRUE(j.done_reported_at >= 0 || j.cancelled_reported_at >= 0) << id;
-    const json answer = json::parse(user.submit(node(), cluster.users().other_body(id)).body);
+    const json answer = json::parse(user.submit(node(), cluster.users().altered_body(id)).body);
     EXPECT_EQ(answer.at("uid"), id);
     EXPECT_EQ(answer.at("signal"), j.done_reported_at >= 0 ? "done" : "cancelled");
   }
--- a/tests/fault_combinations_digest_test.cpp
+++ b/tests/fault_combinations_digest_test.cpp
@@ -82,15 +82,15 @@
 TEST(SimulationDigest, SeesWhatIsAskedAndWhatIsAnsweredAndWhen) {
   const std::uint64_t plain = OneExchange{}.digest();
   EXPECT_EQ(OneExchange{}.digest(), plain);
-  OneExchange later, other_path, other_body, other_status, other_answer, other_retry;
+  OneExchange later, other_path, altered_body, other_status, other_answer, other_retry;
   later.at_s = 1.0000001;
   other_path.path = "/y";
-  other_body.body = "Question";
+  altered_body.body = "Question";
   other_status.answer.status = 201;
   other_answer.answer.body = "Answer";
   other_retry.answer.retry_after_s = 1;
   for (const OneExchange& other :
-       {later, other_path, other_body, other_status, other_answer, other_retry})
+       {later, other_path, altered_body, other_status, other_answer, other_retry})
     EXPECT_NE(other.digest(), plain);
 }
 
