--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -77,30 +77,32 @@
   }
   if (const double until = zone_cut_until(request)) {
     if (simulation_.chance(0.5))
-      delivery.there_s = until - simulation_.now();
+      delivery.request_delay_s = until - simulation_.now();
     else
       delivery.arrives = false;
     return delivery;
   }
   if (options_.max_link_delay_s > 0) {
-    delivery.there_s = simulation_.draw(0, options_.max_link_delay_s);
-    delivery.back_s = simulation_.draw(0, options_.max_link_delay_s);
+    delivery.request_delay_s = simulation_.draw(0, options_.max_link_delay_s);
+    delivery.answer_delay_s = simulation_.draw(0, options_.max_link_delay_s);
   }
   if (request.to == "state") {
     deliver_to_state(request, delivery);
     return delivery;
   }
   const double now = simulation_.now();
-  if (request.to == "cloud" && now < cloud_outage_until_) delivery.refused = kServiceUnavailable;
+  if (request.to == "cloud" && now < cloud_outage_until_)
+    delivery.refusal_status = kServiceUnavailable;
   const bool is_heartbeat = request.path == kHeartbeatPath;
   if (is_heartbeat && simulation_.chance(options_.heartbeat_copies))
-    delivery.copies_s = {simulation_.draw(2, 2.2 * options_.lease_s)};
+    delivery.copy_delays_s = {simulation_.draw(2, 2.2 * options_.lease_s)};
   if (is_heartbeat && simulation_.chance(options_.copies_for_next_leader))
     saved_heartbeats_.push_back(request);
   if (const int machine = machines_.find_host(request.to); machine >= 0) {
     const MachineFaults& faults = machine_faults(machine);
     if (faults.responses_lost_until > now) delivery.arrives = false;
-    if (faults.commands_held_until > now) delivery.there_s = faults.commands_held_until - now;
+    if (faults.commands_held_until > now)
+      delivery.request_delay_s = faults.commands_held_until - now;
   }
   if (const int machine = machines_.find_host(request.from);
       machine >= 0 && machine_faults(machine).heartbeats_cut_until > now)
@@ -110,20 +112,22 @@
 
 void FaultInjector::deliver_to_state(const Request& request, Delivery& delivery) {
   if (options_.max_link_delay_s <= 0)
-    delivery.there_s = delivery.back_s = options_.state_latency_s / 2 * simulation_.draw(0.5, 1.5);
+    delivery.request_delay_s = delivery.answer_delay_s =
+        options_.state_latency_s / 2 * simulation_.draw(0.5, 1.5);
   if (simulation_.now() < state_slow_until_)
-    delivery.there_s = delivery.back_s = state_latency_s_ / 2 * simulation_.draw(0.5, 1.5);
+    delivery.request_delay_s = delivery.answer_delay_s =
+        state_latency_s_ / 2 * simulation_.draw(0.5, 1.5);
   const int node = controllers_.find_host(request.from);
   if (node >= 0 && controller_faults(node).refused_until > simulation_.now()) {
-    delivery.refused = kServiceUnavailable;
+    delivery.refusal_status = kServiceUnavailable;
     return;
   }
   if (request.path != kCommitPath) return;
   if (simulation_.chance(options_.late_writes)) {
     delivery.arrives = false;
-    delivery.copies_s = {simulation_.draw(kDelayedCommitMinS, kDelayedCommitMaxS)};
+    delivery.copy_delays_s = {simulation_.draw(kDelayedCommitMinS, kDelayedCommitMaxS)};
   } else if (is_answer_lost(request)) {
-    delivery.answered = false;
+    delivery.answer_arrives = false;
     ++answers_lost_;
   }
 }
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -43,8 +43,8 @@
       rules_(simulation_, options_, machines_, jobs_),
       users_(simulation_, options_, controllers_, jobs_, rules_),
       faults_(simulation_, options_, controllers_, machines_, state_, cloud_) {
-  simulation_.way = [this](const Request& request) { return faults_.deliver(request); };
-  simulation_.hold_answer = [this](const Request& request) {
+  simulation_.delivery_of = [this](const Request& request) { return faults_.deliver(request); };
+  simulation_.answer_delay_of = [this](const Request& request) {
     return faults_.answer_delay(request);
   };
   state_.set_rate_limits(options_.state_rps, options_.state_write_rps);
@@ -54,8 +54,8 @@
 
 // What the controllers send as they end concerns nobody, and the faults are gone by then.
 SimulatedCluster::~SimulatedCluster() {
-  simulation_.way = nullptr;
-  simulation_.hold_answer = nullptr;
+  simulation_.delivery_of = nullptr;
+  simulation_.answer_delay_of = nullptr;
 }
 
 WorkerEmulator::Observer SimulatedCluster::make_worker_observer() {
--- a/src/simulation/simulated_machines.cpp
+++ b/src/simulation/simulated_machines.cpp
@@ -34,7 +34,7 @@
   machine->zone = rented_machines.zone;
   machine->host =
       std::make_unique<Host>(simulation_, host, 1 + simulation_.draw(-kClockDrift, kClockDrift));
-  machine->host->any_order_after_freezes();
+  machine->host->shuffle_after_freezes();
   WorkerEmulator::Settings settings;
   settings.name = rented_machines.name;
   settings.type = rented_machines.type;
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -5,9 +5,9 @@
 
 namespace shunttrail::simulation {
 namespace {
-constexpr double kMidnight = 1.7e9;  // the time of day at the simulation's start
-constexpr double kTimerStep = 1e-6;
-constexpr double kWander = 70;  // seconds in which a time of day wanders by a radian
+constexpr double kStartWallClockS = 1.7e9;  // the time of day at the simulation's start
+constexpr double kTimerResolutionS = 1e-6;
+constexpr double kClockErrorRadianS = 70;  // seconds in which a time of day wanders by a radian
 std::string text(const config::Endpoint& at) { return at.host + ":" + std::to_string(at.port); }
 }  // namespace
 
@@ -36,7 +36,12 @@
 // ---- time
 
 void Simulation::at(double when, std::function<void()> fn) {
-  push({when, ++orders_, std::make_shared<std::function<void()>>(std::move(fn)), {}, {}, false});
+  push({when,
+        ++event_count_,
+        std::make_shared<std::function<void()>>(std::move(fn)),
+        {},
+        {},
+        false});
 }
 
 void Simulation::run_until(double at) {
@@ -45,30 +50,31 @@
     queue_.pop();
     now_ = std::max(now_, e.at);
     if (e.on_host) {
-      auto life = e.life.lock();
-      if (!life) continue;
-      if (life->frozen_until <= now_ && !life->next.empty() &&
-          --life->next.front().turns_left == 0) {
-        life->frozen_since = now_;
-        life->frozen_until = now_ + life->next.front().for_s;
-        life->next.pop_front();
+      auto process = e.process.lock();
+      if (!process) continue;
+      if (process->frozen_until <= now_ && !process->pending_freezes.empty() &&
+          --process->pending_freezes.front().turns_left == 0) {
+        process->frozen_since = now_;
+        process->frozen_until = now_ + process->pending_freezes.front().for_s;
+        process->pending_freezes.pop_front();
       }
-      if (life->frozen_until > now_) {
-        hold(std::move(e), *life);
+      if (process->frozen_until > now_) {
+        postpone(std::move(e), *process);
         continue;
       }
     }
-    auto fn = e.own ? std::move(e.own) : e.asked.lock();
+    auto fn = e.owned_callback ? std::move(e.owned_callback) : e.weak_callback.lock();
     if (fn) (*fn)();
   }
   now_ = std::max(now_, at);
 }
 
-void Simulation::hold(Event e, const Host::Life& life) {
+void Simulation::postpone(Event e, const Host::ProcessState& process) {
   // What waits in the host's own mailboxes keeps its order. The rest draws one, among what its
   // first turns post too.
-  if (life.any_order && e.at > life.frozen_since) e.order = rng_() % (2 * orders_ + 2);
-  e.at = life.frozen_until;
+  if (process.shuffle_after_freeze && e.at > process.frozen_since)
+    e.sequence = rng_() % (2 * event_count_ + 2);
+  e.at = process.frozen_until;
   push(std::move(e));
 }
 
@@ -83,20 +89,21 @@
 }
 
 void Host::freeze(double until) {
-  if (life_->frozen_until <= sim_.now()) life_->frozen_since = sim_.now();
-  life_->frozen_until = std::max(life_->frozen_until, until);
+  if (process_->frozen_until <= sim_.now()) process_->frozen_since = sim_.now();
+  process_->frozen_until = std::max(process_->frozen_until, until);
 }
 double Host::now() const { return 1000 + sim_.now() * rate_; }
 double Host::wall_now() const {
-  return kMidnight + sim_.now() + wall_clock_error_s_ * std::cos(sim_.now() / kWander);
+  return kStartWallClockS + sim_.now() +
+         wall_clock_error_s_ * std::cos(sim_.now() / kClockErrorRadianS);
 }
 
 actor::EventSource::Handle Host::schedule(double seconds, std::function<void()> fn) {
   auto kept = std::make_shared<std::function<void()>>(std::move(fn));
   // As fine as a real timer is: what is due by less than a rounding must not come at this very
   // moment, find nothing due, and be set again for ever.
-  const double wait = seconds > 0 ? std::max(seconds, kTimerStep) : 0;
-  sim_.push({sim_.now() + wait / rate_, ++sim_.orders_, {}, kept, life_, true});
+  const double wait = seconds > 0 ? std::max(seconds, kTimerResolutionS) : 0;
+  sim_.push({sim_.now() + wait / rate_, ++sim_.event_count_, {}, kept, process_, true});
   return kept;
 }
 
@@ -110,27 +117,27 @@
 
 // To whoever listens there when it arrives; nobody: as a connection that is refused.
 void Simulation::deliver(const std::shared_ptr<Request>& r, const std::string& to,
-                         const std::function<void(const net::Answer&)>& pass_on) {
-  auto reply = [this, r, pass_on](const net::Answer& a) {
+                         const std::function<void(const net::Answer&)>& on_answer) {
+  auto reply = [this, r, on_answer](const net::Answer& a) {
     record_answer(*r, a);
-    pass_on(a);
+    on_answer(a);
   };
   auto l = listeners_.find(to);
   if (l == listeners_.end() || l->second.handler.expired()) return reply({0, "", 0});
   const auto handler = l->second.handler;
-  const std::weak_ptr<Host::Life> life = l->second.host->life_;
+  const std::weak_ptr<Host::ProcessState> process = l->second.host->process_;
   // The exchange is made in the host's own turn: one that is frozen, or ends before, has seen
   // nothing.
-  auto take = std::make_shared<std::function<void()>>([this, handler, r, reply, life] {
+  auto handle_request = std::make_shared<std::function<void()>>([this, handler, r, reply, process] {
     auto h = handler.lock();
     if (!h) return;
     record(Step::request_delivered, *r);
     (*h)(std::make_shared<net::Exchange>(r->method, r->path, r->body,
-                                         [reply, life](const net::Answer& a) {
-                                           if (!life.expired()) reply(a);
+                                         [reply, process](const net::Answer& a) {
+                                           if (!process.expired()) reply(a);
                                          }));
   });
-  push({now_, ++orders_, take, {}, life, true});
+  push({now_, ++event_count_, handle_request, {}, process, true});
 }
 
 net::Network::Handle Host::request(const config::Endpoint& to, std::string method, std::string path,
@@ -140,45 +147,47 @@
   auto r = std::make_shared<Request>(
       Request{name_, to.host, std::move(method), std::move(path), std::move(body)});
   sim.record(Simulation::Step::request_sent, *r);
-  const Delivery way = sim.way ? sim.way(*r) : Delivery{};
+  const Delivery delivery = sim.delivery_of ? sim.delivery_of(*r) : Delivery{};
   // The first of an answer and the timeout; neither once the asker has let go.
-  struct Flight {
+  struct PendingRequest {
     std::function<void(net::Result)> done;
     EventSource::Handle timeout;
   };
-  auto flight = std::make_shared<Flight>();
-  flight->done = std::move(done);
-  std::weak_ptr<Flight> in_flight = flight;
-  auto finish = [in_flight](net::Result result) {
-    if (auto f = in_flight.lock())
+  auto pending = std::make_shared<PendingRequest>();
+  pending->done = std::move(done);
+  std::weak_ptr<PendingRequest> weak_pending = pending;
+  auto finish = [weak_pending](net::Result result) {
+    if (auto f = weak_pending.lock())
       if (auto then = std::exchange(f->done, nullptr)) then(std::move(result));
   };
-  flight->timeout = schedule(timeout_s, [finish] { finish({}); });
+  pending->timeout = schedule(timeout_s, [finish] { finish({}); });
   // Answers come in the asker's own turns.
-  auto arrive = [&sim, finish, life = std::weak_ptr<Life>(life_)](double after,
-                                                                  net::Result result) {
+  auto arrive = [&sim, finish, process = std::weak_ptr<ProcessState>(process_)](
+                    double after, net::Result result) {
     auto fn = std::make_shared<std::function<void()>>(
         [finish, result = std::move(result)] { finish(result); });
-    sim.push({sim.now() + after, ++sim.orders_, fn, {}, life, true});
+    sim.push({sim.now() + after, ++sim.event_count_, fn, {}, process, true});
   };
-  if (way.refused) {
-    const net::Answer refusal{way.refused, "{\"error\":\"trouble\"}", 0};
+  if (delivery.refusal_status) {
+    const net::Answer refusal{delivery.refusal_status, "{\"error\":\"trouble\"}", 0};
     sim.record_answer(*r, refusal);
-    arrive(way.there_s + way.back_s, {refusal.status, refusal.body, refusal.retry_after_s});
-    return flight;
+    arrive(delivery.request_delay_s + delivery.answer_delay_s,
+           {refusal.status, refusal.body, refusal.retry_after_s});
+    return pending;
   }
-  auto reply = [&sim, r, way, arrive](const net::Answer& a) {
-    const double held = sim.hold_answer ? sim.hold_answer(*r) : 0;
-    if (!way.answered || held < 0) return;
-    arrive(way.back_s + held, {a.status, a.body, std::ceil(a.retry_after_s)});
+  auto reply = [&sim, r, delivery, arrive](const net::Answer& a) {
+    const double extra_delay_s = sim.answer_delay_of ? sim.answer_delay_of(*r) : 0;
+    if (!delivery.answer_arrives || extra_delay_s < 0) return;
+    arrive(delivery.answer_delay_s + extra_delay_s, {a.status, a.body, std::ceil(a.retry_after_s)});
   };
   const std::string address = text(to);
-  if (way.arrives)
-    sim.at(sim.now() + way.there_s, [&sim, r, address, reply] { sim.deliver(r, address, reply); });
-  for (double later : way.copies_s)
-    sim.at(sim.now() + way.there_s + later,
+  if (delivery.arrives)
+    sim.at(sim.now() + delivery.request_delay_s,
+           [&sim, r, address, reply] { sim.deliver(r, address, reply); });
+  for (double copy_delay_s : delivery.copy_delays_s)
+    sim.at(sim.now() + delivery.request_delay_s + copy_delay_s,
            [&sim, r, address] { sim.deliver(r, address, [](const net::Answer&) {}); });
-  return flight;
+  return pending;
 }
 
 }  // namespace shunttrail::simulation
--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -36,9 +36,11 @@
   void freeze(double until);
   /// The process stands still for so long after so many more of its turns (events that its loop
   /// handles); the turns of a further call count from when it goes on.
-  void freeze_after(std::uint64_t turns, double for_s) { life_->next.push_back({turns, for_s}); }
+  void freeze_after(std::uint64_t turns, double for_s) {
+    process_->pending_freezes.push_back({turns, for_s});
+  }
   /// After a freeze, what has come meanwhile and what fell due is handled in a drawn order.
-  void any_order_after_freezes() { life_->any_order = true; }
+  void shuffle_after_freezes() { process_->shuffle_after_freeze = true; }
 
   double now() const override;
   double wall_now() const override;
@@ -54,15 +56,15 @@
     std::uint64_t turns_left;
     double for_s;
   };
-  struct Life {
+  struct ProcessState {
     double frozen_since = 0, frozen_until = 0;
-    std::deque<Freeze> next;
-    bool any_order = false;
+    std::deque<Freeze> pending_freezes;
+    bool shuffle_after_freeze = false;
   };
   Simulation& sim_;
   const std::string name_;
   const double rate_, wall_clock_error_s_;
-  std::shared_ptr<Life> life_ = std::make_shared<Life>();
+  std::shared_ptr<ProcessState> process_ = std::make_shared<ProcessState>();
   actor::Loop loop_{*this};
 };
 
@@ -74,11 +76,11 @@
 
 /// What becomes of a request on its way.
 struct Delivery {
-  double there_s = 0.002, back_s = 0.002;  ///< one-way delays
-  bool arrives = true;                     ///< otherwise it is lost, and nobody answers
-  bool answered = true;                    ///< otherwise the answer is lost
-  int refused = 0;                 ///< status by which it is refused on the way; 0: it is not
-  std::vector<double> copies_s{};  ///< delivered again so much later, without an answer
+  double request_delay_s = 0.002, answer_delay_s = 0.002;  ///< one-way delays
+  bool arrives = true;                  ///< otherwise it is lost, and nobody answers
+  bool answer_arrives = true;           ///< otherwise the answer is lost
+  int refusal_status = 0;               ///< status by which it is refused on the way; 0: it is not
+  std::vector<double> copy_delays_s{};  ///< delivered again so much later, without an answer
 };
 
 /// The order of all events.
@@ -109,20 +111,20 @@
   std::uint64_t digest() const { return digest_.value(); }
 
   /// Asked as each request leaves. None: nothing is ever lost.
-  std::function<Delivery(const Request&)> way;
+  std::function<Delivery(const Request&)> delivery_of;
   /// Asked as its answer leaves: seconds that it is held up, or below 0: it is lost.
-  std::function<double(const Request&)> hold_answer;
+  std::function<double(const Request&)> answer_delay_of;
 
  private:
   friend class Host;
   struct Event {
     double at;
-    std::uint64_t order;
-    std::shared_ptr<std::function<void()>> own;  // kept by the event, or
-    std::weak_ptr<std::function<void()>> asked;  // by whoever holds the handle
-    std::weak_ptr<Host::Life> life;
+    std::uint64_t sequence;
+    std::shared_ptr<std::function<void()>> owned_callback;  // kept by the event, or
+    std::weak_ptr<std::function<void()>> weak_callback;     // by whoever holds the handle
+    std::weak_ptr<Host::ProcessState> process;
     bool on_host;
-    bool operator>(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
+    bool operator>(const Event& o) const { return at != o.at ? at > o.at : sequence > o.sequence; }
   };
   struct Listener {
     Host* host;
@@ -133,12 +135,12 @@
   void record(Step step, const Request& request);
   void record_answer(const Request& request, const net::Answer& answer);
   void push(Event e) { queue_.push(std::move(e)); }
-  void hold(Event e, const Host::Life& life);
+  void postpone(Event e, const Host::ProcessState& process);
   void deliver(const std::shared_ptr<Request>& r, const std::string& to,
-               const std::function<void(const net::Answer&)>& pass_on);
+               const std::function<void(const net::Answer&)>& on_answer);
 
   double now_ = 0;
-  std::uint64_t orders_ = 0;
+  std::uint64_t event_count_ = 0;
   std::mt19937 rng_;
   HistoryDigest digest_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -290,8 +290,9 @@
     cluster.run_for(15);
     std::set<std::string> named;
     std::size_t waited = 0;
-    sim.way = [way = sim.way, &cluster, &sim, &named, &waited](const simulation::Request& r) {
-      if (r.path != "/commit") return way(r);
+    sim.delivery_of = [delivery_of = sim.delivery_of, &cluster, &sim, &named,
+                       &waited](const simulation::Request& r) {
+      if (r.path != "/commit") return delivery_of(r);
       const std::string kind = kind_of(r.body);
       waited += r.body.find("\"needs\"") != std::string::npos;
       if (kind == "end")
@@ -312,7 +313,7 @@
               sim.at(sim.now() + sim.draw(0.05, 0.4),
                      [&cluster, ending, n] { cluster.users().query_once(ending, n); });
         }
-      return way(r);
+      return delivery_of(r);
     };
     for (int i = 0; i < 40; ++i) {
       cluster.users().submit(spec("red", 1), 1);
@@ -567,10 +568,11 @@
 
 // A cancellation is answered by an outcome, also one that comes beside the submission itself.
 TEST_F(OddRequests, ACancellationBesideTheSubmission) {
-  cluster.sim().way = [way = cluster.sim().way, this](const simulation::Request& r) {
-    auto w = way(r);
-    if (r.path == "/v2/runs") w.there_s += cluster.sim().draw(0, 0.03);
-    return w;
+  cluster.sim().delivery_of = [delivery_of = cluster.sim().delivery_of,
+                               this](const simulation::Request& r) {
+    auto delivery = delivery_of(r);
+    if (r.path == "/v2/runs") delivery.request_delay_s += cluster.sim().draw(0, 0.03);
+    return delivery;
   };
   for (int i = 0; i < 150; ++i) {
     const std::string id = cluster.users().submit(spec("red", 1), 1, i % 3);
--- a/tests/fault_combinations_cancel_test.cpp
+++ b/tests/fault_combinations_cancel_test.cpp
@@ -29,16 +29,17 @@
     // Something runs on every machine, so that they are there, and report now and then only.
     for (int i = 0; i < 6; ++i) cluster.users().submit(spec(i % 2 ? "red" : "blue", 1), 200);
     cluster.run_for(20);
-    cluster.sim().way = [this, way = cluster.sim().way, raises](const simulation::Request& r) {
-      auto w = way(r);
-      if (r.path == "/agent/beat" && cluster.now() >= mute_from) w.arrives = false;
+    cluster.sim().delivery_of = [this, delivery_of = cluster.sim().delivery_of,
+                                 raises](const simulation::Request& r) {
+      auto delivery = delivery_of(r);
+      if (r.path == "/agent/beat" && cluster.now() >= mute_from) delivery.arrives = false;
       if (r.path == "/commit" && held_from >= 0 && !raises &&
           r.body.find("{\"set\":\"st/o/") != std::string::npos)
-        w.refused = 503;
-      if (r.path == "/orders" && w.there_s > 1 && held_from < 0 &&
+        delivery.refusal_status = 503;
+      if (r.path == "/orders" && delivery.request_delay_s > 1 && held_from < 0 &&
           r.body.find("\"start\"") != std::string::npos)
         held_from = cluster.now();
-      return w;
+      return delivery;
     };
     for (int m = 0; m < cluster.machines().size(); ++m)
       cluster.faults().hold_direct_commands(m, hold_s);
@@ -51,7 +52,7 @@
     cluster.run_for(hold_s + 60);
     for (const auto& j : jobs)
       told = std::max(told, cluster.users().jobs().at(j).cancelled_reported_at);
-    cluster.sim().way = nullptr;
+    cluster.sim().delivery_of = nullptr;
   }
 };
 
@@ -94,22 +95,22 @@
     cluster.faults().kill(0, 0.3);
     std::map<std::string, double> greeted;  // when each machine's answer to an order left
     std::map<std::string, int> answered;
-    sim.way = [&, way = sim.way](const simulation::Request& r) {
-      auto w = way(r);
+    sim.delivery_of = [&, delivery_of = sim.delivery_of](const simulation::Request& r) {
+      auto delivery = delivery_of(r);
       if (r.path == "/agent/beat" && cluster.now() >= goes_on) {
-        w.there_s = 0.8;
-        w.arrives = answered[r.from] == 0;
+        delivery.request_delay_s = 0.8;
+        delivery.arrives = answered[r.from] == 0;
       }
       // The resync request is the last direct commands that gets there.
       if (r.path == "/orders" && cluster.now() >= goes_on && greeted.contains(r.to))
-        w.arrives = false;
-      return w;
+        delivery.arrives = false;
+      return delivery;
     };
-    sim.hold_answer = [&, hold = sim.hold_answer](const simulation::Request& r) {
+    sim.answer_delay_of = [&, answer_delay_of = sim.answer_delay_of](const simulation::Request& r) {
       if (r.path == "/orders" && cluster.now() >= goes_on) greeted[r.to] = cluster.now();
       if (r.path == "/agent/beat" && cluster.now() >= goes_on && answered[r.from]++ == 0)
         overtaken += greeted.contains(r.from);
-      return hold(r);
+      return answer_delay_of(r);
     };
     cluster.run_for(60);
     EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
--- a/tests/fault_combinations_delegation_test.cpp
+++ b/tests/fault_combinations_delegation_test.cpp
@@ -38,14 +38,15 @@
 };
 
 void watch_writes(SimulatedCluster& cluster, Written& written) {
-  cluster.sim().way = [way = cluster.sim().way, &written](const simulation::Request& request) {
+  cluster.sim().delivery_of = [delivery_of = cluster.sim().delivery_of,
+                               &written](const simulation::Request& request) {
     if (request.path == "/commit" && request.body.find("\"set\":\"st/j/") != std::string::npos) {
       const bool is_delegated = request.body.find("\"delegation\":") != std::string::npos;
       const bool is_closed = request.body.find("\"closed\":1") != std::string::npos;
       written.closed += is_closed;
       written.opened += is_delegated && !is_closed;
     }
-    return way(request);
+    return delivery_of(request);
   };
 }
 
--- a/tests/fault_combinations_emulators_test.cpp
+++ b/tests/fault_combinations_emulators_test.cpp
@@ -47,7 +47,7 @@
     s.heartbeat_s = 2;
     s.lease_s = 15;
     s.nodes = {{"node-0", {"node-0", 80}}};
-    machine.any_order_after_freezes();
+    machine.shuffle_after_freezes();
     worker = std::make_unique<WorkerEmulator>(
         machine.loop(), s, [this](const wire::TaskId&) { return work; }, 1,
         WorkerEmulator::Observer{[this](const WorkerEmulator&, const WorkerEmulator::Task& t,
--- a/tests/fault_combinations_held_test.cpp
+++ b/tests/fault_combinations_held_test.cpp
@@ -21,14 +21,15 @@
   // Submits a job once machines with room are there; as its start is sent, its user cancels it and
   // the fault begins.
   void play(const Fault& fault) {
-    cluster.sim().way = [this, fault, way = cluster.sim().way](const simulation::Request& r) {
-      if (r.path == "/agent/beat") reported_[r.from] = cluster.now();
-      if (!met && is_start(r)) {
-        met = true;
-        fault(*this, cluster.machines().find_host(r.to), r.to);
-      }
-      return way(r);
-    };
+    cluster.sim().delivery_of =
+        [this, fault, delivery_of = cluster.sim().delivery_of](const simulation::Request& r) {
+          if (r.path == "/agent/beat") reported_[r.from] = cluster.now();
+          if (!met && is_start(r)) {
+            met = true;
+            fault(*this, cluster.machines().find_host(r.to), r.to);
+          }
+          return delivery_of(r);
+        };
     cluster.run_for(12);
     cluster.users().submit(spec("red", 5), 200);  // so that machines with room are there
     cluster.run_for(20 + cluster.sim().draw(0, 5));
--- a/tests/fault_combinations_state_test.cpp
+++ b/tests/fault_combinations_state_test.cpp
@@ -23,10 +23,10 @@
     s.nodes = {"node-0"};
     s.node = "node-0";
     s.state = {"state", 1};
-    sim.way = [](const simulation::Request&) {
-      simulation::Delivery w;
-      w.there_s = w.back_s = 0.8;
-      return w;
+    sim.delivery_of = [](const simulation::Request&) {
+      simulation::Delivery delivery;
+      delivery.request_delay_s = delivery.answer_delay_s = 0.8;
+      return delivery;
     };
     server = std::make_unique<net::Server>(
         service.loop(), s.state, 64 * 1024, [this](const net::ExchangePtr& ex) {
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -126,25 +126,25 @@
       const std::string successor = "node-" + std::to_string(1 - old);
       const int there = cluster.machines().size();
       const double until = cluster.now() + 100;
-      cluster.sim().way = [way = cluster.sim().way, &cluster, successor, there,
-                           until](const simulation::Request& r) {
-        auto w = way(r);
-        if (cluster.now() > until) return w;
-        if (r.path == "/rentals/delete") w.refused = 503;
+      cluster.sim().delivery_of = [delivery_of = cluster.sim().delivery_of, &cluster, successor,
+                                   there, until](const simulation::Request& r) {
+        auto delivery = delivery_of(r);
+        if (cluster.now() > until) return delivery;
+        if (r.path == "/rentals/delete") delivery.refusal_status = 503;
         const std::string& other = r.from == successor ? r.to : r.from;
         if (other.starts_with("w-") && (r.from == successor || r.to == successor) &&
             std::stoi(other.substr(2)) <= there)
-          w.arrives = false;
-        return w;
+          delivery.arrives = false;
+        return delivery;
       };
       cluster.faults().cut(old, FaultInjector::state | FaultInjector::peers, cut_s);
       cluster.run_for(cut_s - 0.05);
       taken_over += cluster.controllers().leads(1 - old, 0);
       // The first read that tells of the successor is on its way back.
       auto read = std::make_shared<bool>(false);
-      cluster.sim().hold_answer = [hold = cluster.sim().hold_answer, &cluster, read, old,
-                                   turn](const simulation::Request& r) {
-        const double held = hold(r);
+      cluster.sim().answer_delay_of = [answer_delay_of = cluster.sim().answer_delay_of, &cluster,
+                                       read, old, turn](const simulation::Request& r) {
+        const double held = answer_delay_of(r);
         if (!*read && held >= 0 && r.from == "node-" + std::to_string(old) &&
             r.path.starts_with("/watch")) {
           *read = true;
