--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -1,5 +1,5 @@
-/// The faults of a simulated cluster: what becomes of requests between its hosts, and processes and
-/// machines that end or stand still.
+/// The faults of a simulated cluster: lost, delayed and refused requests between its hosts, and
+/// processes and machines that end or freeze.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -14,8 +14,8 @@
 
 namespace shunttrail::simulation {
 
-/// Faults begin when they are ordered and last so many seconds (`for_s`). Controllers and machines
-/// are given by number.
+/// Each fault begins with the call and lasts `for_s` seconds. Controllers and machines are
+/// identified by number.
 class FaultInjector {
  public:
   FaultInjector(Simulation& simulation, const ClusterOptions& options,
@@ -24,71 +24,78 @@
 
   // ---- state service and cloud
 
-  /// The state service answers nobody.
+  /// The state service answers every request 503.
   void outage(double for_s);
-  /// The state service refuses this controller's requests.
+  /// The state service refuses this controller's requests with 503.
   void refuse(int node, double for_s);
   /// Round trips to the state service take about `latency_s`.
   void slow_state(double latency_s, double for_s);
-  /// The cloud refuses every request.
+  /// The cloud refuses every request with 503.
   void cloud_outage(double for_s);
 
   // ---- controllers
 
-  /// What a controller can be cut from; can be combined. `workers` holds both ways, `reports` only
-  /// for what workers send to it.
+  /// The links that a controller can be cut from; the values can be combined. `workers` stands for
+  /// both directions, `heartbeats` only for the requests that workers send to the controller.
   enum Link { state = 1, peers = 2, workers = 4, heartbeats = 8 };
-  /// Requests over these links (Link) are lost, and so are answers. Replaces an earlier cut.
+  /// Requests and answers over these links (Link) are lost. Replaces an earlier cut.
   void cut(int node, int links, double for_s);
-  /// Nothing passes between the zone and all hosts outside of it, among them users, state service
-  /// and cloud. Half of what is sent arrives, in order, when it is over.
+  /// Cuts the zone off from all hosts outside of it, among them users, state service and cloud.
+  /// Half of the messages sent in the meantime are lost; the others arrive in order when the cut
+  /// ends.
   void cut_zone(const std::string& zone, double for_s);
-  /// The process ends, and starts again later.
+  /// The process ends at once and starts again after `back_after_s` seconds.
   void kill(int node, double back_after_s);
-  /// The process stands still.
+  /// The process is frozen: it handles no events.
   void freeze(int node, double for_s);
-  /// The process stands still once it has taken so many more of its turns.
+  /// The process freezes once it has handled `turns` more events.
   void freeze_after(int node, std::uint64_t turns, double for_s);
 
   // ---- machines
 
-  /// The worker's requests arrive; answers to them, and requests to it, are lost.
+  /// The worker's requests arrive; the answers to them and all requests to the worker are lost.
   void lose_responses(int machine, double for_s);
-  /// The worker's requests are lost; requests to it and its answers to them arrive.
+  /// The worker's requests are lost; requests to the worker and its answers arrive.
   void cut_heartbeats(int machine, double for_s);
-  /// Requests to the worker arrive when it is over.
+  /// Requests to the worker are delayed until the fault ends.
   void hold_direct_commands(int machine, double for_s);
-  /// The worker's answers to requests arrive when it is over.
+  /// The worker's answers to requests are delayed until the fault ends.
   void hold_direct_answers(int machine, double for_s);
-  /// The machine stands still.
+  /// The machine hangs: its worker handles no events.
   void hang(int machine, double for_s);
-  /// The machine stands still so many times, each within its lease, with a moment or a few turns in
-  /// between.
+  /// The machine hangs `times` times, each time for less than its lease. Between two hangs it runs
+  /// for 0.05 to 1 s or for a few events.
   void hang_repeatedly(int machine, int times);
-  /// The machine is gone at once; the cloud still lists it.
+  /// The machine fails at once; the cloud still lists it.
   void kill_machine(int machine);
-  /// The cloud takes a spot machine back. 0: without notice.
+  /// The cloud reclaims a spot machine. `notice_s`: the time that its notice announces; 0: it gives
+  /// no notice. No effect on other machines.
   void reclaim_machine(int machine, double notice_s);
-  /// The zone's machines are gone at once, and the cloud has no others there for so long.
+  /// All machines in the zone fail at once, and the cloud rents out no others there for
+  /// `no_capacity_s` seconds.
   void lose_zone(const std::string& zone, double no_capacity_s);
-  /// Whether no fault keeps the machine from hearing of its controllers.
+  /// Returns whether heartbeats, responses and commands between the machine and its controllers are
+  /// free of faults of the machine.
   [[nodiscard]] bool is_reachable(int machine) const;
 
   // ---- requests, see Simulation
 
+  /// Returns how the request is delivered under the present faults.
   [[nodiscard]] Delivery deliver(const Request& request);
-  /// Seconds by which an answer is held up; below 0: it is lost.
+  /// Returns the additional delay of the answer to a request in seconds, or a negative number if
+  /// the answer is lost.
   [[nodiscard]] double answer_delay(const Request& request);
-  /// Sends the heartbeats that were kept (`copies_for_next`) once a shard has another leader.
+  /// Sends copies of the saved heartbeats (`copies_for_next_leader`) to all controllers if a shard
+  /// has had a change of leader since the last call.
   void send_saved_heartbeats();
-  /// Transactions that were applied without an answer (`lost_answers`).
+  /// The number of transactions that were applied without an answer (`lost_answers`).
   [[nodiscard]] std::uint64_t answers_lost() const { return answers_lost_; }
 
  private:
   struct ControllerFaults {
-    int cut_links = 0;  // of Link
+    int cut_links = 0;  // values of Link
     double cut_until = 0;
-    double refused_until = 0;  // by the state service
+    double refused_until = 0;  // the state service refuses its requests until then
   };
   struct MachineFaults {
     double responses_lost_until = 0;
@@ -105,8 +112,10 @@
   MachineFaults& machine_faults(int machine);
   [[nodiscard]] bool is_cut(const std::string& from, const std::string& to) const;
   [[nodiscard]] int link_of(const std::string& other, bool other_sends) const;
-  [[nodiscard]] std::string zone_of(const std::string& host) const;   // empty: in none
-  [[nodiscard]] double zone_cut_until(const Request& request) const;  // 0: it passes
+  // Returns the zone of a controller's or machine's host; empty for any other host.
+  [[nodiscard]] std::string zone_of(const std::string& host) const;
+  // Returns when the cut that separates sender and receiver ends; 0 if none does.
+  [[nodiscard]] double zone_cut_until(const Request& request) const;
   void deliver_to_state(const Request& request, Delivery& delivery);
   bool is_answer_lost(const Request& request);
   bool update_leaders();
@@ -118,12 +127,12 @@
   emulators::StateServiceEmulator& state_;
   emulators::CloudEmulator& cloud_;
   std::vector<ControllerFaults> controller_faults_;
-  std::vector<MachineFaults> machine_faults_;  // grows with the machines that have had one
+  std::vector<MachineFaults> machine_faults_;  // by machine; extended on first use
   ZoneCut zone_cut_;
   double state_slow_until_ = 0, state_latency_s_ = 0;
   double cloud_outage_until_ = 0;
   std::vector<Request> saved_heartbeats_;
-  std::vector<int> leaders_;  // of each shard, as last seen; -1: none yet
+  std::vector<int> leaders_;  // by shard, the last known leader; -1: none so far
   std::uint64_t answers_lost_ = 0;
 };
 
--- a/src/simulation/rule_checker.h
+++ b/src/simulation/rule_checker.h
@@ -1,5 +1,6 @@
-/// The rules that a simulated cluster has to keep. They know nothing of the controllers' state:
-/// only what is on the machines and what users are told (docs/simulation.md lists them).
+/// Checks the rules that a simulated cluster has to keep (docs/simulation.md lists them). The
+/// checks use only the tasks on the machines and the answers to users, never the controllers'
+/// state.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -19,65 +20,68 @@
 
 namespace shunttrail::simulation {
 
-/// What a user asked for when a controller answered about a job.
+/// The kind of a user's request about a job.
 enum class UserRequest { state, submission, cancellation };
 
 class RuleChecker {
  public:
-  /// Delays after a user was told that a job is cancelled, in seconds; -1: there was none.
+  /// The longest delays, in seconds, between the report to a user that a job is cancelled and later
+  /// events of its tasks. -1: there was no such event.
   struct AfterCancel {
-    double start_executed = -1;  ///< until the latest start command that a worker obeyed
-    double run_started = -1;     ///< until the latest start of a task's run
-    double on_machine = -1;      ///< longest that a task was still on a machine
+    double start_executed = -1;  ///< until a worker executed a start command
+    double run_started = -1;     ///< until a task began to run
+    double on_machine = -1;      ///< until a task was last seen running or saving on a machine
   };
 
   RuleChecker(const Simulation& simulation, const ClusterOptions& options,
               const SimulatedMachines& machines, JobRecords& jobs);
 
-  // ---- what has happened
+  // ---- events
 
-  /// A worker's task has changed its state (WorkerEmulator::Watched). True if it has completed and
-  /// had never before.
+  /// Checks a change of a worker's task (WorkerEmulator::Observer). Returns true if the task has
+  /// completed for the first time.
   bool task_state_changed(const emulators::WorkerEmulator& worker,
                           const emulators::WorkerEmulator::Task& task, wire::TaskState was);
-  /// A worker has forgotten an exited task by command.
+  /// Records that a worker has removed an exited task after an acknowledge command.
   void task_acknowledged(const emulators::WorkerEmulator::Task& task);
-  /// Checks the answer to a user's request that was sent at `asked_at`. Returns the job's state
-  /// that it tells, if it tells one. Throws wire::Malformed.
+  /// Checks the answer to a user's request that was sent at `asked_at`. Returns the job's state in
+  /// the answer, if it has one. Throws wire::Malformed if the body cannot be decoded.
   std::optional<wire::JobState> check_answer(const std::string& id, const net::Result& result,
                                              double asked_at, UserRequest request);
-  /// Checks what is on the machines now: quota, ran_cancelled.
+  /// Checks the tasks that are on the machines now. Rules: quota, ran_cancelled.
   void check_machines();
-  /// Checks that no task waits beside room: neglected. Has no effect before `faults_are_over`.
+  /// Checks that no task waits while a reachable machine has free capacity for it. Rule: neglected.
+  /// Has no effect before `faults_have_ended`.
   void check_waiting(const std::function<bool(int machine)>& is_reachable);
-  /// From now on no task may wait for 90 s beside a machine that has room for it.
+  /// Enables the rule `neglected`: from now on no task may wait for 90 s while a machine has free
+  /// capacity for it.
   void faults_have_ended() { faults_ended_at_ = simulation_.now(); }
-  /// Records a broken rule, with the time.
+  /// Records a broken rule with the present time.
   void report(const std::string& what);
 
   // ---- results
 
   /// The broken rules: "at <time>: <rule>: <details>".
   [[nodiscard]] const std::vector<std::string>& broken() const { return broken_; }
-  /// Start commands that workers obeyed.
+  /// The number of start commands that workers accepted.
   [[nodiscard]] std::uint64_t starts() const { return starts_; }
-  /// Tasks that were stopped and began to save.
+  /// The number of times that a stopped task began to save a checkpoint.
   [[nodiscard]] std::uint64_t saves() const { return saves_; }
-  /// Starts of tasks whose completion had been acknowledged.
+  /// The number of starts of tasks whose completion had been acknowledged before.
   [[nodiscard]] std::uint64_t restarts_after_completion() const {
     return restarts_after_completion_;
   }
   [[nodiscard]] std::size_t completed_tasks() const { return jobs_.completed_tasks(); }
-  /// When the first of the job's tasks came to run; -1: none has.
+  /// Returns when the first of the job's tasks began to run, or -1 if none has.
   [[nodiscard]] double first_run_at(const std::string& job) const;
   [[nodiscard]] const AfterCancel& after_cancel() const { return after_cancel_; }
-  /// vcpus of the team's tasks on machines, in any state but exited.
+  /// Returns the vcpus of the team's tasks on machines, in any state but exited.
   [[nodiscard]] double used_cpus(const std::string& team) const;
-  /// Whether a task of the job could begin on a machine that is empty or holds its own team's tasks
-  /// only. Others may belong to another shard, and machines move between shards only when they are
-  /// empty (KNOWN-RED.txt).
+  /// Returns whether a task of the job could start on a machine that is empty or runs tasks of the
+  /// job's own team only. Other machines may belong to another shard, and machines move between
+  /// shards only when they are empty (KNOWN-RED.txt).
   [[nodiscard]] bool has_capacity_for(const std::string& job) const;
-  /// Zone, vcpus in use and in all, and tasks by machine; for messages.
+  /// Returns the zone, used and total vcpus, and tasks of each machine, for failure messages.
   [[nodiscard]] std::string describe_machines() const;
 
  private:
@@ -86,14 +90,14 @@
     double cpus;
     double memory_gb;
   };
-  /// What is on the machines at one moment.
+  /// The tasks and the free capacity of all machines at one moment.
   struct Usage {
-    std::vector<FreeCapacity> free_capacities;  // of reachable machines
+    std::vector<FreeCapacity> free_capacities;  // of reachable machines only
     std::map<std::string, double> cpus_by_team;
-    std::map<std::string, std::map<std::string, int>> by_zone;  // a job's tasks
-    std::set<std::string> placed;                               // tasks by name
+    std::map<std::string, std::map<std::string, int>> by_zone;  // number of tasks by job and zone
+    std::set<std::string> placed;                               // names of tasks
   };
-  using TaskOnMachine = std::pair<std::string, std::string>;  // names
+  using TaskOnMachine = std::pair<std::string, std::string>;  // names of a task and a machine
 
   void count_start(const std::string& name, double cancelled_reported_at);
   void check_start(const emulators::WorkerEmulator& worker,
@@ -119,14 +123,14 @@
   const SimulatedMachines& machines_;
   JobRecords& jobs_;
   std::vector<std::string> broken_;
-  std::set<std::string> acknowledged_;          // completed tasks that workers have forgotten
+  std::set<std::string> acknowledged_;          // completed tasks that workers have removed
   std::map<std::string, double> first_run_at_;  // by job
   AfterCancel after_cancel_;
   std::uint64_t starts_ = 0, saves_ = 0, restarts_after_completion_ = 0;
   double faults_ended_at_ = -1, waiting_checked_at_ = 0;
-  std::map<TaskOnMachine, double>
-      could_run_since_;              // since when a task has waited beside the machine
-  std::set<std::string> neglected_;  // tasks that were reported
+  // When a waiting task was first seen while the machine had free capacity for it.
+  std::map<TaskOnMachine, double> could_run_since_;
+  std::set<std::string> neglected_;  // tasks that were reported for the rule `neglected`
 };
 
 }  // namespace shunttrail::simulation
--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -1,6 +1,6 @@
-/// Simulated time, hosts and the network between them, for the library's own actors: one process,
-/// no sockets, no wall clock, and with the same seed the same history. All times are seconds. Not
-/// thread-safe.
+/// Simulated time, hosts and the network between them, on which the product's own actors run. A
+/// simulation is one process without sockets or a real clock; the same seed gives the same history.
+/// All times are in seconds. Not thread-safe.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -20,11 +20,13 @@
 
 class Simulation;
 
-/// One life of one process: its loop drives whatever is made on it, and ends with it.
+/// One simulated process, from its start to its end. Actors that are created on its loop run on
+/// simulated time and must not outlive the host.
 class Host final : public actor::EventSource, public net::Network {
  public:
-  /// `rate`: seconds that its steady clock shows in one second (PROTOCOL: apart by 0.05% at most).
-  /// `wall_off_s`: the time of day wanders by so much to either side.
+  /// `rate`: seconds that its steady clock advances in one simulated second (PROTOCOL: the rates of
+  /// two hosts differ by 0.05% at most). `wall_clock_error_s`: largest error of its wall clock,
+  /// fast or slow; the error varies with time.
   Host(Simulation& sim, std::string name, double rate = 1, double wall_clock_error_s = 0);
   ~Host() override;
   Host(const Host&) = delete;
@@ -32,14 +34,14 @@
 
   const std::string& name() const { return name_; }
   actor::Loop& loop() { return loop_; }
-  /// The process stands still until this moment of the simulation; what comes meanwhile waits.
+  /// Freezes the process until this simulated time; events that fall due meanwhile are postponed.
   void freeze(double until);
-  /// The process stands still for so long after so many more of its turns (events that its loop
-  /// handles); the turns of a further call count from when it goes on.
+  /// Freezes the process for `for_s` seconds once it has handled `turns` more events. The turns of
+  /// a further call are counted from the end of that freeze.
   void freeze_after(std::uint64_t turns, double for_s) {
     process_->pending_freezes.push_back({turns, for_s});
   }
-  /// After a freeze, what has come meanwhile and what fell due is handled in a drawn order.
+  /// Makes the process handle the events that a freeze has postponed in random order.
   void shuffle_after_freezes() { process_->shuffle_after_freeze = true; }
 
   double now() const override;
@@ -68,22 +70,24 @@
   actor::Loop loop_{*this};
 };
 
-/// An HTTP request on its way.
+/// An HTTP request in transit.
 struct Request {
-  std::string from, to;  ///< hosts' names
+  std::string from, to;  ///< host names
   std::string method, path, body;
 };
 
-/// What becomes of a request on its way.
+/// How the network delivers a request and its answer.
 struct Delivery {
   double request_delay_s = 0.002, answer_delay_s = 0.002;  ///< one-way delays
-  bool arrives = true;                  ///< otherwise it is lost, and nobody answers
-  bool answer_arrives = true;           ///< otherwise the answer is lost
-  int refusal_status = 0;               ///< status by which it is refused on the way; 0: it is not
-  std::vector<double> copy_delays_s{};  ///< delivered again so much later, without an answer
+  bool arrives = true;         ///< if false, the request is lost and gets no answer
+  bool answer_arrives = true;  ///< if false, the answer is lost
+  int refusal_status = 0;      ///< HTTP status of a refusal by the network; 0: not refused
+  /// A copy of the request is delivered this much later for each element; answers to copies are
+  /// dropped.
+  std::vector<double> copy_delays_s{};
 };
 
-/// The order of all events.
+/// Handles the events of all hosts in the order of simulated time.
 class Simulation {
  public:
   explicit Simulation(unsigned seed) : rng_(seed) {}
@@ -92,27 +96,28 @@
 
   double now() const { return now_; }
   std::mt19937& rng() { return rng_; }
-  /// Uniformly distributed.
+  /// Returns a uniformly distributed random number.
   double draw(double from, double to) { return std::uniform_real_distribution<>(from, to)(rng_); }
-  /// True with this probability.
+  /// Returns true with this probability.
   bool chance(double share) { return draw(0, 1) < share; }
 
-  /// Handles all events up to this moment.
+  /// Handles all events up to this time.
   void run_until(double at);
   /// Schedules an event of the simulation itself, outside of every host.
   void at(double when, std::function<void()> fn);
-  /// A request that nobody waits for: a copy from somewhere on the way.
+  /// Delivers a copy of a request at once and drops the answer.
   void send_copy(Request r, const config::Endpoint& to);
 
-  /// Identifies the history so far: a hash of every request, as it is sent and as the receiving
-  /// host takes it, and of every answer as it is given, each with its simulated time, in order.
-  /// Equal digests mean the same history; keeping it draws no random numbers and reorders no
+  /// Returns a hash of the history so far: of every request, when it is sent and when the receiving
+  /// host handles it, and of every answer when it is given, each with its simulated time, in order.
+  /// Equal digests mean equal histories. Computing it draws no random numbers and reorders no
   /// events.
   std::uint64_t digest() const { return digest_.value(); }
 
-  /// Asked as each request leaves. None: nothing is ever lost.
+  /// Called when a request is sent. If it is empty, every request is delivered by default.
   std::function<Delivery(const Request&)> delivery_of;
-  /// Asked as its answer leaves: seconds that it is held up, or below 0: it is lost.
+  /// Called when a request is answered; returns the additional delay of the answer in seconds, or a
+  /// negative number if the answer is lost.
   std::function<double(const Request&)> answer_delay_of;
 
  private:
@@ -120,9 +125,11 @@
   struct Event {
     double at;
     std::uint64_t sequence;
-    std::shared_ptr<std::function<void()>> owned_callback;  // kept by the event, or
-    std::weak_ptr<std::function<void()>> weak_callback;     // by whoever holds the handle
-    std::weak_ptr<Host::ProcessState> process;
+    // One of the two is set. The second is owned by the holder of the handle, who cancels the event
+    // by releasing it.
+    std::shared_ptr<std::function<void()>> owned_callback;
+    std::weak_ptr<std::function<void()>> weak_callback;
+    std::weak_ptr<Host::ProcessState> process;  // the event is dropped once the process has ended
     bool on_host;
     bool operator>(const Event& o) const { return at != o.at ? at > o.at : sequence > o.sequence; }
   };
@@ -130,7 +137,7 @@
     Host* host;
     std::weak_ptr<net::Network::Handler> handler;
   };
-  // What is recorded in the digest. The values are hashed: changing one changes every digest.
+  // The kinds of records in the digest. The values are hashed: changing one changes every digest.
   enum class Step : std::uint64_t { request_sent = 1, request_delivered = 2, answer_given = 3 };
   void record(Step step, const Request& request);
   void record_answer(const Request& request, const net::Answer& answer);
