--- a/src/simulation/simulated_cluster.h
+++ b/src/simulation/simulated_cluster.h
@@ -1,6 +1,6 @@
-/// A whole cluster in simulated time: the library's own controllers, emulators for the state
-/// service, the cloud and the workers, and users. It puts the parts together and lets time pass;
-/// each part has its own module.
+/// A whole cluster in simulated time: the product's own controllers, emulators of the state
+/// service, the cloud and the workers, and simulated users. It connects the parts, each of which
+/// has its own module, and advances time.
 #pragma once
 #include <cstdint>
 
@@ -25,13 +25,13 @@
   SimulatedCluster(const SimulatedCluster&) = delete;
   SimulatedCluster& operator=(const SimulatedCluster&) = delete;
 
-  /// Lets simulated time pass, and checks the rules four times a second.
+  /// Advances simulated time and checks the rules four times a second.
   void run_for(double seconds);
   [[nodiscard]] double now() const { return simulation_.now(); }
   Simulation& sim() { return simulation_; }
-  /// Of the history so far, see Simulation::digest.
+  /// The digest of the history so far (Simulation::digest).
   [[nodiscard]] std::uint64_t digest() const { return simulation_.digest(); }
-  /// Shares and delays may be changed while time passes.
+  /// Shares and delays may be changed between calls of `run_for`.
   ClusterOptions& options() { return options_; }
   [[nodiscard]] const ClusterOptions& options() const { return options_; }
 
@@ -42,10 +42,10 @@
   [[nodiscard]] const RuleChecker& rules() const { return rules_; }
   SimulatedControllers& controllers() { return controllers_; }
   [[nodiscard]] const SimulatedMachines& machines() const { return machines_; }
-  /// Machines that the cloud has rented out.
+  /// The number of machines that the cloud has rented out.
   [[nodiscard]] std::size_t rented_machines() const { return cloud_.machines().size(); }
-  /// Asks every controller about every accepted job, and lets the time pass that this takes. What
-  /// is not answered, or as if it were forgotten, breaks a rule.
+  /// Queries every controller about every accepted job and runs until all answers or the deadline
+  /// for them. A missing answer, or one that the job is unknown, breaks the rule `forgotten`.
   void query_all_controllers();
 
  private:
@@ -53,7 +53,7 @@
   emulators::CloudEmulator::Power power();
 
   ClusterOptions options_;
-  Simulation simulation_;  // everything below refers to it
+  Simulation simulation_;  // the members below refer to it
   JobRecords jobs_;
   SimulatedControllers controllers_;
   SimulatedMachines machines_;
--- a/src/simulation/simulated_controllers.h
+++ b/src/simulation/simulated_controllers.h
@@ -1,5 +1,5 @@
-/// The controllers of a simulated cluster: each is the library's own, in a process that can end,
-/// start again and stand still.
+/// The controllers of a simulated cluster: the product's own controllers, each in a simulated
+/// process that can be stopped, started and frozen.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -13,37 +13,38 @@
 
 namespace shunttrail::simulation {
 
-inline constexpr int kPublicPort = 80;    ///< of a controller, for users and workers
-inline constexpr int kInternalPort = 81;  ///< of a controller, for other controllers
+inline constexpr int kPublicPort = 80;    ///< a controller's port for users and workers
+inline constexpr int kInternalPort = 81;  ///< a controller's port for other controllers
 
-/// Controllers are numbered from 0; so are the shards, of which there are as many.
+/// Controllers are numbered from 0. There are as many shards, also numbered from 0.
 class SimulatedControllers {
  public:
   SimulatedControllers(Simulation& simulation, const ClusterOptions& options);
 
   void start_all();
-  /// Starts the process of one that is not running.
+  /// Starts a controller's process. No effect on one that is running.
   void start(int node);
-  /// Ends the process at once.
+  /// Ends a controller's process at once.
   void stop(int node);
-  /// The process stands still for so many seconds; no effect on one that is not running.
+  /// Freezes a controller's process for `for_s` seconds. No effect on one that is not running.
   void freeze(int node, double for_s);
-  /// As `freeze`, once the process has taken so many more of its turns.
+  /// Like `freeze`, once the process has handled `turns` more events.
   void freeze_after(int node, std::uint64_t turns, double for_s);
 
   [[nodiscard]] int count() const { return static_cast<int>(processes_.size()); }
-  /// What all controllers are configured with.
+  /// The settings that all controllers share.
   [[nodiscard]] const config::Settings& settings() const { return shared_settings_; }
-  /// Host names by number.
+  /// The controllers' host names by number.
   [[nodiscard]] const std::vector<std::string>& hosts() const { return shared_settings_.nodes; }
-  /// The number of the controller on this host; -1: none.
+  /// Returns the number of the controller on this host, or -1 if there is none.
   [[nodiscard]] int find_host(const std::string& host) const;
   [[nodiscard]] const std::string& zone_of(int node) const;
-  /// Whether this controller's scheduler for the shard is open.
+  /// Returns whether this controller runs and considers itself the shard's leader.
   [[nodiscard]] bool leads(int node, int shard) const;
-  /// The first controller that leads the shard; -1: none.
+  /// Returns the first controller that considers itself the shard's leader, or -1 if none does.
   [[nodiscard]] int leader(int shard) const;
-  /// The leader of one of the first two teams' shards, drawn; 0 while it has none.
+  /// Returns the leader of a shard that is drawn from those of the first two teams, or 0 if the
+  /// shard has no leader.
   int random_leader();
 
  private:
--- a/src/simulation/simulated_machines.cpp
+++ b/src/simulation/simulated_machines.cpp
@@ -61,7 +61,7 @@
 void SimulatedMachines::kill(int machine) {
   SimulatedMachine& m = *machines_[static_cast<std::size_t>(machine)];
   if (!m.worker) return;
-  leases_lost_by_gone_ += m.worker->leases_lost();
+  leases_lost_on_removed_ += m.worker->leases_lost();
   m.worker.reset();
   m.host.reset();
 }
@@ -85,7 +85,7 @@
 }
 
 std::uint64_t SimulatedMachines::leases_lost() const {
-  std::uint64_t lost = leases_lost_by_gone_;
+  std::uint64_t lost = leases_lost_on_removed_;
   for (const auto& machine : machines_)
     if (machine->worker) lost += machine->worker->leases_lost();
   return lost;
--- a/src/simulation/simulated_machines.h
+++ b/src/simulation/simulated_machines.h
@@ -15,8 +15,8 @@
 
 inline constexpr int kWorkerPort = 9;
 
-/// A machine that the cloud has switched on. It stays in the list, without host and worker, once
-/// it is gone.
+/// A machine that the cloud has switched on. Once it has been switched off or has failed, it stays
+/// in the list without host and worker.
 struct SimulatedMachine {
   std::string name;
   std::string zone;
@@ -27,18 +27,18 @@
 /// Machines are numbered from 0 in the order in which they are switched on.
 class SimulatedMachines {
  public:
-  /// `controllers`: the hosts that workers send heartbeats to. `describe` and `watched` as in
+  /// `controllers`: the hosts that workers send heartbeats to. `describe` and `observer`: see
   /// WorkerEmulator.
   SimulatedMachines(Simulation& simulation, const ClusterOptions& options,
                     std::vector<std::string> controllers,
                     emulators::WorkerEmulator::Describe describe,
                     emulators::WorkerEmulator::Observer observer);
 
-  /// An address that no machine has had.
+  /// Returns an address that no machine has had before.
   std::string next_address();
   void power_on(const emulators::CloudEmulator::Machine& rented_machines);
   void power_off(const std::vector<std::string>& names);
-  /// The machine is gone at once; no effect on one that is.
+  /// Removes host and worker of the machine at once. No effect if it has none any more.
   void kill(int machine);
 
   [[nodiscard]] int size() const { return static_cast<int>(machines_.size()); }
@@ -48,11 +48,12 @@
   [[nodiscard]] const std::vector<std::unique_ptr<SimulatedMachine>>& all() const {
     return machines_;
   }
-  /// The machine on this host, also once it is gone; -1: there never was one.
+  /// Returns the number of the machine on this host, even if it is off, or -1 if there never was
+  /// one.
   [[nodiscard]] int find_host(const std::string& host) const;
-  /// The machines on which tasks of the job are that have not exited.
+  /// Returns the machines that hold a task of the job that has not exited.
   [[nodiscard]] std::vector<int> with_job(const std::string& job) const;
-  /// Leases that ended with tasks on the machine, over all machines so far.
+  /// The number of leases that have ended with tasks on the machine, on all machines so far.
   [[nodiscard]] std::uint64_t leases_lost() const;
 
  private:
@@ -66,7 +67,7 @@
   std::vector<std::unique_ptr<SimulatedMachine>> machines_;
   std::map<std::string, int> machine_by_host_;
   std::uint64_t addresses_ = 0;
-  std::uint64_t leases_lost_by_gone_ = 0;  // of machines that are gone
+  std::uint64_t leases_lost_on_removed_ = 0;  // on machines that were removed
 };
 
 }  // namespace shunttrail::simulation
--- a/src/simulation/simulated_users.h
+++ b/src/simulation/simulated_users.h
@@ -1,5 +1,5 @@
-/// The users of a simulated cluster: they submit jobs, ask about them and cancel them, through any
-/// controller. Every answer is checked against the rules.
+/// The users of a simulated cluster. They submit, query and cancel jobs through any controller.
+/// Every answer is checked against the rules.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -18,44 +18,47 @@
 
 class SimulatedUsers {
  public:
-  /// Stands for a controller that is drawn for each request.
+  /// Sends each request to a random controller.
   static constexpr int kAnyNode = -1;
 
   SimulatedUsers(Simulation& simulation, const ClusterOptions& options,
                  const SimulatedControllers& controllers, JobRecords& jobs, RuleChecker& rules);
 
-  // ---- requests that are repeated
+  // ---- requests with retries
 
-  /// Gives the job an id, which is returned, and submits it; repeated for a minute until it is
-  /// accepted, and asked about from then on. `run_s`: see JobRecords::work_of.
+  /// Submits the job under a new id, which is returned. The submission is repeated for up to a
+  /// minute until it is accepted; from then on the job is polled. `run_s`: see JobRecords::work_of.
   std::string submit(wire::JobSpec spec, double run_s, int node = kAnyNode);
-  /// Repeated, through any controller, until it is answered.
+  /// Cancels the job. The request is repeated, through any controller, until it is answered.
   void cancel(const std::string& job, int node = kAnyNode);
-  /// For half a second, 1 to 50 ms apart: questions to all controllers, with repeated submissions
-  /// and, of what is over, cancellations among them.
+  /// Sends queries about the job to all controllers in turn for half a second, 1 to 50 ms apart.
+  /// Some steps repeat the submission instead and, if the job has ended, cancel it.
   void start_query_burst(const std::string& job);
-  /// Asks every controller about every accepted job until it answers; whoever does not within
-  /// `kForgottenS` breaks a rule. Simulated time has to pass after this: `ask_everywhere_s()`.
+  /// Queries every controller about every accepted job until it answers. A controller that does not
+  /// answer within `kAnswerDeadlineS` breaks the rule `forgotten`. The caller has to let
+  /// `query_all_controllers_s()` seconds of simulated time pass afterwards.
   void query_all_controllers();
   [[nodiscard]] static double query_all_controllers_s();
 
   // ---- single requests
 
   void query_once(const std::string& job, int node);
-  /// Submits the job again, or this body, if it is not empty.
+  /// Repeats the job's submission; with `body` instead of the job's own body if it is not empty.
   void submit_once(const std::string& job, int node, const std::string& body = "");
   void cancel_once(const std::string& job, int node);
-  /// A body under the job's id that it never had: other tasks, what can never run, a missing field.
+  /// Returns a body with the job's id that differs from its own: another number of tasks, a
+  /// specification that can never run, or a missing field.
   std::string altered_body(const std::string& job);
 
-  // ---- what happens elsewhere
+  // ---- events
 
-  /// A task has completed on a machine, for the first time.
+  /// A task of the job has completed on a machine for the first time.
   void task_completed(const std::string& job);
 
-  /// Rounds of questions that `ask_all_repeatedly` has made.
+  /// The number of steps of all query bursts.
   [[nodiscard]] std::uint64_t burst_queries() const { return burst_queries_; }
-  /// Jobs whose completion met other requests (`ClusterOptions::meet_ends`).
+  /// The number of jobs that got other requests during their completion
+  /// (`ClusterOptions::requests_at_completion`).
   [[nodiscard]] std::uint64_t completions_with_requests() const {
     return completions_with_requests_;
   }
@@ -63,7 +66,7 @@
 
  private:
   using Callback = std::function<void(net::Result)>;
-  /// Controllers that still have to answer about a job.
+  /// The controllers that still have to answer a query about a job.
   struct PendingAnswers {
     std::string job;
     std::set<int> nodes;
@@ -90,7 +93,7 @@
   JobRecords& jobs_;
   RuleChecker& rules_;
   Host host_;
-  std::map<std::uint64_t, net::Network::Handle> in_flight_;  // requests, by number
+  std::map<std::uint64_t, net::Network::Handle> in_flight_;  // by request number
   std::uint64_t next_job_ = 0, requests_ = 0;
   std::uint64_t burst_queries_ = 0, completions_with_requests_ = 0;
 };
