--- a/src/emulators/cloud.h
+++ b/src/emulators/cloud.h
@@ -1,5 +1,5 @@
-/// An emulator of the cloud: PROTOCOL, "Controller nodes -> cloud". Its machines are whatever
-/// `Power` switches on and off; rentals and the answers to named requests are kept in a file.
+/// An emulator of the cloud (PROTOCOL, "Controller nodes -> cloud"). `Power` switches its machines
+/// on and off. Rented machines and the results of named rental requests are stored in a file.
 #pragma once
 #include <deque>
 #include <filesystem>
@@ -16,7 +16,7 @@
 
 struct EmulatedMachineType {
   wire::MachineType spec;
-  int max_machines = 0;  ///< machines of this type at a time, over all zones
+  int max_machines = 0;  ///< largest number of rented machines of this type in all zones together
 };
 
 class CloudEmulator : public actor::Actor {
@@ -24,41 +24,42 @@
   struct Machine {
     std::string name, type, zone, address;
     bool spot = false;
-    bool booted = false;    ///< it has booted
-    bool deleting = false;  ///< asked to be deleted: never switched on any more
-    double rented_at = 0;   ///< wall clock
-    double boots_at = 0;    ///< steady clock, as are these
-    double added_at = 0;    ///< rented, or read from the file
-    double booted_at = 0;   ///< switched on
+    bool booted = false;
+    bool deleting = false;  ///< its deletion was requested, so that it is not switched on any more
+    double rented_at = 0;   ///< wall clock, seconds; the times below are of the steady clock
+    double boots_at = 0;    ///< when its boot is due to complete
+    double added_at = 0;    ///< when it was rented; 0 if it was read from the file
+    double booted_at = 0;   ///< when it was switched on
   };
-  /// How machines are switched on and off.
+  /// Callbacks that switch machines on and off.
   struct Power {
-    std::function<std::string()> address;    ///< where a new machine will be found
-    std::function<void(const Machine&)> on;  ///< the machine has booted
-    /// Switches machines off by name and calls back once all are gone.
+    std::function<std::string()> address;    ///< returns the address of a new machine
+    std::function<void(const Machine&)> on;  ///< called when the machine's boot is complete
+    /// Switches machines off by name and calls back once all are off.
     std::function<void(std::vector<std::string>, std::function<void()>)> off;
   };
-  /// `rps`: requests a second, with bursts of two seconds' worth; more are answered 429. Without a
-  /// file nothing is kept. `seed` draws boot times and lags. Throws std::runtime_error if the file
-  /// is damaged.
+  /// `rps`: requests a second, with bursts of up to two seconds' worth; requests above the rate are
+  /// answered 429. `file`: stores the rentals; if empty, they are not stored. `seed`: of the random
+  /// boot times and list ages. Throws std::runtime_error if the file is damaged.
   CloudEmulator(actor::Loop& loop, const config::Endpoint& at,
                 std::vector<EmulatedMachineType> types, double rps, std::filesystem::path file,
                 Power power, unsigned seed = std::random_device{}());
 
-  /// Rented machines by name.
+  /// The rented machines by name.
   [[nodiscard]] const std::map<std::string, Machine>& machines() const { return machines_; }
-  /// From now on rentals are refused (or not any more), as when the cloud has no capacity.
+  /// Turns the refusal of all rentals on or off, as if the cloud had no capacity.
   void refuse_rentals(bool on) { refuses_rentals_ = on; }
-  /// Rentals in this zone are refused for so long.
+  /// Refuses rentals in this zone for `for_s` seconds.
   void refuse_rentals_in(const std::string& zone, double for_s) {
     refused_until_[zone] = loop_.now() + for_s;
   }
-  /// Lists show how things were up to twice so long ago, and may be older than the one before.
+  /// Makes lists out of date: each shows the state of half to twice `seconds` ago, so that a list
+  /// may be older than the previous one. 0: lists are current.
   void set_list_lag(double seconds) { lag_s_ = seconds; }
-  /// A spot machine has been taken back: it is not listed any more.
+  /// Removes a spot machine that the cloud has reclaimed; it is not listed any more.
   void remove_reclaimed(const std::string& name) { machines_.erase(name); }
-  /// Machines rented from now on boot within so many seconds instead of their type's boot time; 0:
-  /// the type's.
+  /// Makes machines that are rented from now on boot within `within_s` seconds instead of their
+  /// type's boot time. 0: the type's boot time again.
   void set_max_boot_time(double within_s) { max_boot_s_ = within_s; }
 
  private:
@@ -85,19 +86,20 @@
 
   std::vector<EmulatedMachineType> types_;
   double rps_;
-  double request_tokens_;  // requests that may come at once
+  double request_tokens_;  // requests that are accepted at present without a wait (token bucket)
   double refilled_at_;     // steady clock
   std::filesystem::path file_;
   Power power_;
   std::map<std::string, Machine> machines_;
   std::map<std::string, std::vector<std::string>>
-      rented_by_request_;          // machines rented, by request name
-  std::uint64_t next_number_ = 1;  // number of the next machine
+      rented_by_request_;          // names of rented machines by request name
+  std::uint64_t next_number_ = 1;  // the next machine's number
   bool refuses_rentals_ = false;
   double max_boot_s_ = 0;
   double lag_s_ = 0;
-  std::map<std::string, double> refused_until_;    // by zone, steady clock
-  std::map<std::string, DeletedMachine> deleted_;  // lately, as lists may still show them
+  std::map<std::string, double> refused_until_;  // by zone, steady clock
+  std::map<std::string, DeletedMachine>
+      deleted_;  // recently deleted machines, which old lists still show
   std::mt19937 rng_;
   actor::Timer timer_;
   net::Server http_;
--- a/src/emulators/state.h
+++ b/src/emulators/state.h
@@ -1,6 +1,7 @@
-/// An emulator of the state service, for clusters on one machine: PROTOCOL, "Controller nodes ->
-/// state service". Its keys and leases are in one log of JSON lines, synced before an answer; a
-/// torn last line is what nobody was told of. The log is compacted at each start.
+/// An emulator of the state service for clusters on one machine (PROTOCOL, "Controller nodes ->
+/// state service"). Keys and leases are stored in one log of JSON lines, which is synced before a
+/// request is answered; an incomplete last line belongs to a request that was never answered and is
+/// ignored. The log is compacted at each start.
 #pragma once
 #include <deque>
 #include <filesystem>
@@ -17,40 +18,42 @@
 
 class StateServiceEmulator : public actor::Actor {
  public:
-  /// `log`: the file; empty: nothing is kept. Throws std::system_error if it cannot be written.
+  /// `log`: the log file; if empty, nothing is stored. Throws std::system_error if it cannot be
+  /// written.
   StateServiceEmulator(actor::Loop& loop, const config::Endpoint& at, std::filesystem::path log);
   ~StateServiceEmulator() override;
   StateServiceEmulator(const StateServiceEmulator&) = delete;
   StateServiceEmulator& operator=(const StateServiceEmulator&) = delete;
-  /// An outage begins or ends: everything is answered 503, open watches stay open, and once it is
-  /// over every lease has its full time again.
+  /// Begins or ends an outage. During an outage every request is answered 503 and open watches stay
+  /// open. At its end every lease is renewed for its full time to live.
   void set_outage(bool on);
-  /// Requests and written keys a second; above these, with bursts of a second's worth, requests are
-  /// answered 429. Without this call there are no limits.
+  /// Limits requests and written keys a second. Above the limits, with bursts of up to one second's
+  /// worth, requests are answered 429. There are no limits before the first call.
   void set_rate_limits(double rps, double write_rps);
 
  private:
   struct Entry {
     std::string value;
     std::uint64_t mod_revision = 0;
-    std::uint64_t lease = 0;  // 0: none
+    std::uint64_t lease = 0;  // id; 0: none
   };
   struct Lease {
     double ttl_s = 0;
-    double until = 0;  // steady clock
+    double until = 0;  // its expiry, steady clock
     std::set<std::string> keys;
   };
   struct Watcher {
     std::string prefix;
-    std::uint64_t after = 0;  // the revision that the client knows
-    double until = 0;         // steady clock
+    std::uint64_t after = 0;  // the last revision that the client has seen
+    double until = 0;         // the watch's time-out, steady clock
     net::ExchangePtr exchange;
   };
-  // A token bucket of one second's worth.
+  // A token bucket that holds up to one second's worth of tokens.
   struct RateLimit {
-    double per_s = 0;  // 0: no limit
+    double per_s = 0;  // tokens a second; 0: no limit
     double tokens = 0;
     double at = 0;  // when it was last refilled, steady clock
+    // Takes n tokens. Returns false, and takes none, if there are fewer.
     bool take(double n, double now);
   };
   void handle(const net::ExchangePtr& exchange);
@@ -61,7 +64,8 @@
   net::Answer handle_lease(const net::Exchange& exchange);
   net::Answer grant_lease(const std::string& body);
   void watch(const net::ExchangePtr& exchange);
-  // The events after this revision as a watch's body; none: there are none.
+  // Returns the events after this revision as the body of a watch's answer, or nothing if there are
+  // no such events.
   std::optional<std::string> encode_changes(const std::string& prefix, std::uint64_t after) const;
   void apply(const wire::Transaction& transaction, std::uint64_t revision);
   void answer_watchers();
@@ -77,13 +81,13 @@
 
   std::map<std::string, Entry> keys_;
   std::map<std::uint64_t, Lease> leases_;
-  std::deque<wire::Event> window_;  // the watch window
+  std::deque<wire::Event> window_;  // the latest events, which watches can still get
   std::uint64_t window_start_ = 0;  // the last revision before the window
-  std::uint64_t revision_ = 0;      // of the last transaction
+  std::uint64_t revision_ = 0;      // the last transaction's
   std::uint64_t next_lease_ = 1;
   std::deque<Watcher> watchers_;
   std::filesystem::path log_;
-  int fd_ = -1;  // of the log; -1: nothing is kept
+  int fd_ = -1;  // the open log; -1: nothing is stored
   bool in_outage_ = false;
   RateLimit request_limit_, write_limit_;
   actor::Timer timer_;
--- a/src/emulators/worker.h
+++ b/src/emulators/worker.h
@@ -1,6 +1,6 @@
-/// An emulator of a worker: PROTOCOL, "Workers -> controller nodes" and "Controller nodes ->
-/// workers". Its tasks are timers: an image that takes a while to fetch, a run time, and the time
-/// that a checkpoint takes. Whatever it is woken by, it checks its lease first. All times are
+/// An emulator of a worker (PROTOCOL, "Workers -> controller nodes" and "Controller nodes ->
+/// workers"). Its tasks are timers for the fetch of the image, the run and the save of a
+/// checkpoint. Each event handler checks the lease before it does anything else. All times are in
 /// seconds of its loop's steady clock.
 #pragma once
 #include <functional>
@@ -20,58 +20,61 @@
 class WorkerEmulator : public actor::Actor {
  public:
   struct Settings {
-    std::string name, type, zone;  ///< of the machine
+    std::string name, type, zone;  ///< the machine's
     bool spot = true;
-    config::Endpoint at;     ///< where it listens for direct commands
+    config::Endpoint at;     ///< the address on which it listens for direct commands
     double cpus = 4;         ///< vcpus
     double heartbeat_s = 5;  ///< mean time between heartbeats
-    double lease_s = 26.5;   ///< its tasks are killed so long after the last answered heartbeat
+    double lease_s = 26.5;   ///< tasks are killed this long after the last answered heartbeat
     std::vector<std::pair<std::string, config::Endpoint>> nodes;  ///< controllers by name
   };
-  /// What a task needs and how long its phases take.
+  /// The resources of a task and the durations of its phases.
   struct Work {
     double cpus = 1;          ///< vcpus
-    double fetch_s = 1;       ///< until its image is there
-    double run_s = 10;        ///< until it completes
-    double checkpoint_s = 0;  ///< time between checkpoints; 0: it never saves
-    double save_s = 0;        ///< to save its progress when it is stopped
+    double fetch_s = 1;       ///< duration of the image's fetch
+    double run_s = 10;        ///< duration of the run
+    double checkpoint_s = 0;  ///< time between checkpoints; 0: the task never saves its progress
+    double save_s = 0;        ///< duration of the save when the task is stopped
   };
-  /// The work of a task; none: there is no such job.
+  /// Returns the work of a task, or nothing if its job does not exist.
   using Describe = std::function<std::optional<Work>(const wire::TaskId&)>;
   struct Task {
     wire::TaskId id;
     std::uint64_t attempt = 0;
     wire::TaskState state = wire::TaskState::fetching;
     wire::ExitReason exit_reason = wire::ExitReason::none;  ///< once it has exited
-    bool progress_saved = false;                            ///< stopped, and its progress was saved
+    bool progress_saved = false;  ///< it was stopped and has saved its progress
     Work work;
-    double phase_ends_at = 0;  ///< when its state ends: fetched, completed, or saved
+    double phase_ends_at = 0;  ///< when the fetch, the run or the save ends
   };
-  /// Called as tasks change.
+  /// Callbacks for changes of tasks.
   struct Observer {
-    /// After each change of a task's state; `was`: the one before, the same for a new task.
+    /// Called after each change of a task's state. `was` is the previous state; for a new task it
+    /// is the present one.
     std::function<void(const WorkerEmulator&, const Task&, wire::TaskState was)> state_changed;
-    /// An exited task is removed by command.
+    /// Called before an exited task is removed by an acknowledge command.
     std::function<void(const Task&)> acknowledged;
   };
-  /// `seed` draws the first controller and the times between heartbeats.
+  /// `seed`: selects the first controller and the times between heartbeats.
   WorkerEmulator(actor::Loop& loop, Settings settings, Describe describe, unsigned seed,
                  Observer observer);
 
   [[nodiscard]] const Settings& settings() const { return settings_; }
-  /// None once its lease is over, also while the machine hangs: a hanging one may go on within its
-  /// lease, and kills its tasks first when it goes on later.
+  /// The worker's tasks; none once its lease has expired, even while the machine hangs. A machine
+  /// that resumes within its lease continues its tasks; one that resumes later kills them before it
+  /// does anything else.
   [[nodiscard]] const std::vector<Task>& tasks() const {
     static const std::vector<Task> none;
     return loop_.now() - lease_renewed_at_ > settings_.lease_s ? none : tasks_;
   }
-  /// The cloud's notice that it takes the machine back in so many seconds.
+  /// The cloud announces that it reclaims the machine in `recall_s` seconds.
   void announce_reclaim(double recall_s);
-  /// The machine has stood still for so long: what its tasks have left to do is still left.
+  /// Postpones the end of each task's phase by the duration of a hang, for tasks whose work stops
+  /// while the machine hangs.
   void extend_tasks(double seconds);
-  /// Its incarnation: counts up whenever its lease has ended.
+  /// The worker's incarnation, which is incremented whenever its lease expires.
   [[nodiscard]] std::uint64_t incarnation() const { return incarnation_; }
-  /// Leases that have ended with tasks on the machine.
+  /// The number of leases that have expired with tasks on the machine.
   [[nodiscard]] std::uint64_t leases_lost() const { return leases_lost_; }
 
  private:
@@ -100,16 +103,17 @@
   std::mt19937 rng_;
   std::vector<Task> tasks_;
   std::uint64_t incarnation_ = 1;
-  std::uint64_t sequence_ = 0;  // of the last heartbeat
-  std::uint64_t token_ = 0;     // highest that it has seen
+  std::uint64_t sequence_ = 0;  // the last heartbeat's sequence number
+  std::uint64_t token_ = 0;     // highest fencing token that it has seen
   std::uint64_t leases_lost_ = 0;
-  double lease_renewed_at_;              // when the last answered heartbeat was sent
-  double sent_at_ = -1e9;                // the last heartbeat
-  double token_reported_at_ = -1e9;      // when a new token last caused a heartbeat
+  double lease_renewed_at_;              // when the last heartbeat with a valid response was sent
+  double sent_at_ = -1e9;                // when the last heartbeat was sent
+  double token_reported_at_ = -1e9;      // when a new token last caused an immediate heartbeat
   std::size_t node_ = 0;                 // the controller that heartbeats go to
-  bool in_flight_ = false;               // a heartbeat is
-  bool send_soon_after_answer_ = false;  // soon after the one in flight
-  std::optional<double> reclaimed_at_;   // when the cloud takes the machine, by its notice
+  bool in_flight_ = false;               // whether a heartbeat awaits its answer
+  bool send_soon_after_answer_ = false;  // whether the next heartbeat follows its answer soon
+  std::optional<double>
+      reclaimed_at_;  // when the cloud reclaims the machine, according to its notice
   std::vector<std::unique_ptr<net::Client>> nodes_;
   actor::Timer heartbeat_timer_, task_timer_, lease_timer_;
   net::Server http_;
