--- a/src/emulators/cloud.cpp
+++ b/src/emulators/cloud.cpp
@@ -141,15 +141,15 @@
 }
 
 void CloudEmulator::remove(const net::ExchangePtr& exchange) {
-  std::vector<std::string> there;
+  std::vector<std::string> rented;
   for (const auto& name : client_protocol::decode_delete(exchange->body))
     if (auto it = machines_.find(name); it != machines_.end()) {
       it->second.deleting = true;
-      there.push_back(name);
+      rented.push_back(name);
     }
   // They stay listed until they are gone, and are answered for only then.
-  power_.off(there, reply<>([this, exchange, there] {
-               for (const auto& name : there)
+  power_.off(rented, reply<>([this, exchange, rented] {
+               for (const auto& name : rented)
                  if (auto m = machines_.extract(name); m && lag_s_ > 0)
                    deleted_[name] = {m.mapped(), loop_.now()};
                save();
@@ -168,7 +168,7 @@
 }
 
 net::Answer CloudEmulator::list(const std::string& query) {
-  const std::size_t most = page_size(query);
+  const std::size_t limit = page_size(query);
   const double age = lag_s_ > 0 ? lag_s_ * std::uniform_real_distribution<>(0.5, 2)(rng_) : 0;
   const double as_of = loop_.now() - age;
   std::erase_if(deleted_,
@@ -176,7 +176,7 @@
   const auto listed = machines_as_of(as_of);
   wire::MachineList page;
   for (auto it = listed.upper_bound(net::query_value(query, "after")); it != listed.end(); ++it) {
-    if (page.machines.size() >= most) {
+    if (page.machines.size() >= limit) {
       page.more = true;
       break;
     }
--- a/src/emulators/state.cpp
+++ b/src/emulators/state.cpp
@@ -334,10 +334,10 @@
 
 // Beside the old one, which it replaces once it is whole.
 void StateServiceEmulator::write_compacted_log() {
-  fs::path aside = log_;
-  aside += ".new";
-  fd_ = ::open(aside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0644);
-  if (fd_ < 0) throw std::system_error(errno, std::generic_category(), aside.string());
+  fs::path temporary = log_;
+  temporary += ".new";
+  fd_ = ::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0644);
+  if (fd_ < 0) throw std::system_error(errno, std::generic_category(), temporary.string());
   std::ostringstream out;
   out << json{{"ledger", revision_}, {"next_hold", next_lease_}}.dump();
   for (const auto& [id, l] : leases_) out << "\n" << json{{"hold", id}, {"life_s", l.ttl_s}}.dump();
@@ -345,7 +345,7 @@
     out << "\n{\"k\":" << json(k).dump() << ",\"value\":" << e.value
         << ",\"stamp\":" << e.mod_revision << ",\"lease\":" << e.lease << "}";
   append(out.str());
-  fs::rename(aside, log_);
+  fs::rename(temporary, log_);
 }
 
 }  // namespace shunttrail::emulators
--- a/src/emulators/worker.cpp
+++ b/src/emulators/worker.cpp
@@ -121,8 +121,8 @@
 }
 
 void WorkerEmulator::check_lease() {
-  const double left = lease_renewed_at_ + settings_.lease_s - loop_.now();
-  if (left >= 0) return lease_timer_.after(left + kLeaseTimerSlackS);
+  const double remaining_s = lease_renewed_at_ + settings_.lease_s - loop_.now();
+  if (remaining_s >= 0) return lease_timer_.after(remaining_s + kLeaseTimerSlackS);
   leases_lost_ += !tasks_.empty();
   tasks_.clear();
   ++incarnation_;
--- a/src/simulation/rule_checker.cpp
+++ b/src/simulation/rule_checker.cpp
@@ -24,12 +24,12 @@
 std::uint32_t zone_limit(const wire::JobSpec& spec) { return (spec.tasks + 1) / 2; }
 
 // Whether type and zone allow a task of the job, of which `here` are in the machine's zone.
-bool place_allowed(const wire::JobSpec& spec, const WorkerEmulator::Settings& machine, int here,
-                   bool elsewhere) {
+bool place_allowed(const wire::JobSpec& spec, const WorkerEmulator::Settings& machine,
+                   int tasks_in_zone, bool runs_in_other_zone) {
   if (!type_allowed(spec, machine)) return false;
   if (spec.zone && *spec.zone != machine.zone) return false;
-  if (spec.same_zone && elsewhere) return false;
-  return !spec.anti_affinity || here < static_cast<int>(zone_limit(spec));
+  if (spec.same_zone && runs_in_other_zone) return false;
+  return !spec.anti_affinity || tasks_in_zone < static_cast<int>(zone_limit(spec));
 }
 
 bool reported_before(double reported_at, double asked_at) {
@@ -41,7 +41,7 @@
                          const SimulatedMachines& machines, JobRecords& jobs)
     : simulation_(simulation), options_(options), machines_(machines), jobs_(jobs) {}
 
-void RuleChecker::report(const std::string& what) {
+void RuleChecker::report(const std::string& violation) {
   broken_.push_back("at " + std::to_string(simulation_.now()) + ": " + what);
 }
 
@@ -53,7 +53,7 @@
 // ---- tasks
 
 bool RuleChecker::task_state_changed(const WorkerEmulator& worker, const WorkerEmulator::Task& task,
-                                     TaskState was) {
+                                     TaskState previous) {
   const double cancelled_reported_at = jobs_.at(task.id.job).cancelled_reported_at;
   if (task.state == TaskState::fetching) count_start(task_name(task.id), cancelled_reported_at);
   if (task.state == TaskState::running && cancelled_reported_at >= 0)
@@ -61,7 +61,7 @@
         std::max(after_cancel_.run_started, simulation_.now() - cancelled_reported_at);
   saves_ += task.state == TaskState::saving;
   // As it leaves: between two checks of the machines, too.
-  if (was == TaskState::running || was == TaskState::saving) check_cancelled(task);
+  if (previous == TaskState::running || previous == TaskState::saving) check_cancelled(task);
   if (task.state == TaskState::running) check_start(worker, task);
   return task.state == TaskState::exited && task.exit_reason == wire::ExitReason::done &&
          jobs_.complete(task.id);
@@ -135,10 +135,10 @@
 void RuleChecker::check_cancelled(const WorkerEmulator::Task& task) {
   const double reported_at = jobs_.at(task.id.job).cancelled_reported_at;
   if (reported_at < 0) return;
-  const double since = simulation_.now() - reported_at;
-  after_cancel_.on_machine = std::max(after_cancel_.on_machine, since);
-  if (since > options_.cancel_s)
-    report("ran_cancelled: " + task_name(task.id) + ", " + std::to_string(since) +
+  const double elapsed_s = simulation_.now() - reported_at;
+  after_cancel_.on_machine = std::max(after_cancel_.on_machine, elapsed_s);
+  if (elapsed_s > options_.cancel_s)
+    report("ran_cancelled: " + task_name(task.id) + ", " + std::to_string(elapsed_s) +
            " s after its user was told");
 }
 
@@ -230,11 +230,11 @@
       if (other.team != job.spec.team) return false;
       cpus -= other.cpus;
     }
-    const bool elsewhere = std::any_of(by_zone.begin(), by_zone.end(), [&](const auto& zone) {
-      return zone.first != settings.zone && zone.second > 0;
-    });
+    const bool runs_in_other_zone = std::any_of(
+        by_zone.begin(), by_zone.end(),
+        [&](const auto& zone) { return zone.first != settings.zone && zone.second > 0; });
     return cpus + kCpuTolerance >= job.spec.cpus &&
-           place_allowed(job.spec, settings, by_zone[settings.zone], elsewhere);
+           place_allowed(job.spec, settings, by_zone[settings.zone], runs_in_other_zone);
   });
 }
 
@@ -302,10 +302,10 @@
   for (const FreeCapacity& free : usage.free_capacities) {
     const auto& settings = free.machine->worker->settings();
     const auto in_zone = by_zone.find(settings.zone);
-    const int here = in_zone == by_zone.end() ? 0 : in_zone->second;
+    const int tasks_in_zone = in_zone == by_zone.end() ? 0 : in_zone->second;
     if (free.cpus + kCpuTolerance < spec.cpus || free.memory_gb + kCpuTolerance < spec.mem_gb)
       continue;
-    if (!place_allowed(spec, settings, here, !by_zone.empty() && !here)) continue;
+    if (!place_allowed(spec, settings, tasks_in_zone, !by_zone.empty() && !tasks_in_zone)) continue;
     fitting.push_back(free.machine);
     fitting_tasks[settings.zone] += static_cast<std::size_t>(free.cpus / spec.cpus + kCpuTolerance);
   }
--- a/src/simulation/rule_checker.h
+++ b/src/simulation/rule_checker.h
@@ -41,7 +41,7 @@
   /// Checks a change of a worker's task (WorkerEmulator::Observer). Returns true if the task has
   /// completed for the first time.
   bool task_state_changed(const emulators::WorkerEmulator& worker,
-                          const emulators::WorkerEmulator::Task& task, wire::TaskState was);
+                          const emulators::WorkerEmulator::Task& task, wire::TaskState previous);
   /// Records that a worker has removed an exited task after an acknowledge command.
   void task_acknowledged(const emulators::WorkerEmulator::Task& task);
   /// Checks the answer to a user's request that was sent at `asked_at`. Returns the job's state in
@@ -57,7 +57,7 @@
   /// capacity for it.
   void faults_have_ended() { faults_ended_at_ = simulation_.now(); }
   /// Records a broken rule with the present time.
-  void report(const std::string& what);
+  void report(const std::string& violation);
 
   // ---- results
 
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -78,14 +78,14 @@
   push(std::move(e));
 }
 
-void Simulation::send_copy(Request r, const config::Endpoint& to) {
-  deliver(std::make_shared<Request>(std::move(r)), text(to), [](const net::Answer&) {});
+void Simulation::send_copy(Request request, const config::Endpoint& to) {
+  deliver(std::make_shared<Request>(std::move(request)), text(to), [](const net::Answer&) {});
 }
 
 Host::Host(Simulation& sim, std::string name, double rate, double wall_clock_error_s)
     : sim_(sim), name_(std::move(name)), rate_(rate), wall_clock_error_s_(wall_clock_error_s) {}
 Host::~Host() {
-  std::erase_if(sim_.listeners_, [&](const auto& l) { return l.second.host == this; });
+  std::erase_if(sim_.listeners_, [&](const auto& entry) { return entry.second.host == this; });
 }
 
 void Host::freeze(double until) {
@@ -99,44 +99,45 @@
 }
 
 actor::EventSource::Handle Host::schedule(double seconds, std::function<void()> fn) {
-  auto kept = std::make_shared<std::function<void()>>(std::move(fn));
+  auto callback = std::make_shared<std::function<void()>>(std::move(fn));
   // As fine as a real timer is: what is due by less than a rounding must not come at this very
   // moment, find nothing due, and be set again for ever.
   const double wait = seconds > 0 ? std::max(seconds, kTimerResolutionS) : 0;
-  sim_.push({sim_.now() + wait / rate_, ++sim_.event_count_, {}, kept, process_, true});
-  return kept;
+  sim_.push({sim_.now() + wait / rate_, ++sim_.event_count_, {}, callback, process_, true});
+  return callback;
 }
 
 // ---- the network
 
 net::Network::Handle Host::listen(const config::Endpoint& at, Handler handler) {
-  auto kept = std::make_shared<Handler>(std::move(handler));
-  sim_.listeners_[text(at)] = {this, kept};
-  return kept;
+  auto shared_handler = std::make_shared<Handler>(std::move(handler));
+  sim_.listeners_[text(at)] = {this, shared_handler};
+  return shared_handler;
 }
 
 // To whoever listens there when it arrives; nobody: as a connection that is refused.
-void Simulation::deliver(const std::shared_ptr<Request>& r, const std::string& to,
+void Simulation::deliver(const std::shared_ptr<Request>& request, const std::string& to,
                          const std::function<void(const net::Answer&)>& on_answer) {
-  auto reply = [this, r, on_answer](const net::Answer& a) {
-    record_answer(*r, a);
+  auto reply = [this, request, on_answer](const net::Answer& a) {
+    record_answer(*request, a);
     on_answer(a);
   };
-  auto l = listeners_.find(to);
-  if (l == listeners_.end() || l->second.handler.expired()) return reply({0, "", 0});
-  const auto handler = l->second.handler;
-  const std::weak_ptr<Host::ProcessState> process = l->second.host->process_;
+  auto listener = listeners_.find(to);
+  if (listener == listeners_.end() || listener->second.handler.expired()) return reply({0, "", 0});
+  const auto handler = listener->second.handler;
+  const std::weak_ptr<Host::ProcessState> process = listener->second.host->process_;
   // The exchange is made in the host's own turn: one that is frozen, or ends before, has seen
   // nothing.
-  auto handle_request = std::make_shared<std::function<void()>>([this, handler, r, reply, process] {
-    auto h = handler.lock();
-    if (!h) return;
-    record(Step::request_delivered, *r);
-    (*h)(std::make_shared<net::Exchange>(r->method, r->path, r->body,
-                                         [reply, process](const net::Answer& a) {
-                                           if (!process.expired()) reply(a);
-                                         }));
-  });
+  auto handle_request =
+      std::make_shared<std::function<void()>>([this, handler, request, reply, process] {
+        auto h = handler.lock();
+        if (!h) return;
+        record(Step::request_delivered, *request);
+        (*h)(std::make_shared<net::Exchange>(request->method, request->path, request->body,
+                                             [reply, process](const net::Answer& a) {
+                                               if (!process.expired()) reply(a);
+                                             }));
+      });
   push({now_, ++event_count_, handle_request, {}, process, true});
 }
 
@@ -144,10 +145,10 @@
                                    std::string body, double timeout_s,
                                    std::function<void(net::Result)> done) {
   Simulation& sim = sim_;
-  auto r = std::make_shared<Request>(
+  auto request = std::make_shared<Request>(
       Request{name_, to.host, std::move(method), std::move(path), std::move(body)});
-  sim.record(Simulation::Step::request_sent, *r);
-  const Delivery delivery = sim.delivery_of ? sim.delivery_of(*r) : Delivery{};
+  sim.record(Simulation::Step::request_sent, *request);
+  const Delivery delivery = sim.delivery_of ? sim.delivery_of(*request) : Delivery{};
   // The first of an answer and the timeout; neither once the asker has let go.
   struct PendingRequest {
     std::function<void(net::Result)> done;
@@ -170,23 +171,23 @@
   };
   if (delivery.refusal_status) {
     const net::Answer refusal{delivery.refusal_status, "{\"error\":\"trouble\"}", 0};
-    sim.record_answer(*r, refusal);
+    sim.record_answer(*request, refusal);
     arrive(delivery.request_delay_s + delivery.answer_delay_s,
            {refusal.status, refusal.body, refusal.retry_after_s});
     return pending;
   }
-  auto reply = [&sim, r, delivery, arrive](const net::Answer& a) {
-    const double extra_delay_s = sim.answer_delay_of ? sim.answer_delay_of(*r) : 0;
+  auto reply = [&sim, request, delivery, arrive](const net::Answer& a) {
+    const double extra_delay_s = sim.answer_delay_of ? sim.answer_delay_of(*request) : 0;
     if (!delivery.answer_arrives || extra_delay_s < 0) return;
     arrive(delivery.answer_delay_s + extra_delay_s, {a.status, a.body, std::ceil(a.retry_after_s)});
   };
   const std::string address = text(to);
   if (delivery.arrives)
     sim.at(sim.now() + delivery.request_delay_s,
-           [&sim, r, address, reply] { sim.deliver(r, address, reply); });
+           [&sim, request, address, reply] { sim.deliver(request, address, reply); });
   for (double copy_delay_s : delivery.copy_delays_s)
     sim.at(sim.now() + delivery.request_delay_s + copy_delay_s,
-           [&sim, r, address] { sim.deliver(r, address, [](const net::Answer&) {}); });
+           [&sim, request, address] { sim.deliver(request, address, [](const net::Answer&) {}); });
   return pending;
 }
 
--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -106,7 +106,7 @@
   /// Schedules an event of the simulation itself, outside of every host.
   void at(double when, std::function<void()> fn);
   /// Delivers a copy of a request at once and drops the answer.
-  void send_copy(Request r, const config::Endpoint& to);
+  void send_copy(Request request, const config::Endpoint& to);
 
   /// Returns a hash of the history so far: of every request, when it is sent and when the receiving
   /// host handles it, and of every answer when it is given, each with its simulated time, in order.
@@ -143,7 +143,7 @@
   void record_answer(const Request& request, const net::Answer& answer);
   void push(Event e) { queue_.push(std::move(e)); }
   void postpone(Event e, const Host::ProcessState& process);
-  void deliver(const std::shared_ptr<Request>& r, const std::string& to,
+  void deliver(const std::shared_ptr<Request>& request, const std::string& to,
                const std::function<void(const net::Answer&)>& on_answer);
 
   double now_ = 0;
