--- a/src/simulation/rule_checker.cpp
+++ b/src/simulation/rule_checker.cpp
@@ -42,7 +42,7 @@
     : simulation_(simulation), options_(options), machines_(machines), jobs_(jobs) {}
 
 void RuleChecker::report(const std::string& violation) {
-  broken_.push_back("at " + std::to_string(simulation_.now()) + ": " + what);
+  broken_.push_back("at " + std::to_string(simulation_.now()) + ": " + violation);
 }
 
 double RuleChecker::first_run_at(const std::string& job) const {
