--- a/src/emulators/cloud.cpp
+++ b/src/emulators/cloud.cpp
@@ -14,11 +14,11 @@
 constexpr std::size_t kMaxRequestBytes = 64 * 1024;
 constexpr std::size_t kMaxPageMachines = 500;
 constexpr std::size_t kMaxLimitDigits = 5;
-constexpr double kBurstS = 2;  // so many seconds' worth of requests may come at once
+constexpr double kBurstS = 2;  // a burst holds as many requests as the rate allows in this time
 constexpr double kMinBootS = 0.1;
 constexpr std::size_t kNameDigits = 6;
 
-// The machines that one answer lists.
+// Returns the largest number of machines in an answer: the query's limit if it is valid.
 std::size_t page_size(const std::string& query) {
   const std::string limit = net::query_value(query, "limit");
   if (limit.empty() || limit.size() > kMaxLimitDigits ||
@@ -97,7 +97,7 @@
   return {200, client_protocol::encode_rented(names), 0};
 }
 
-// Throws wire::Malformed if there is no such type in the zone.
+// Throws wire::Malformed if the zone has no machines of this type.
 const EmulatedMachineType& CloudEmulator::find_type(const std::string& name,
                                                     const std::string& zone) const {
   const auto type = std::find_if(types_.begin(), types_.end(),
@@ -108,7 +108,7 @@
   return *type;
 }
 
-// How many more machines of the type can be rented in the zone now.
+// Returns how many more machines of the type can be rented in the zone now.
 int CloudEmulator::capacity(const EmulatedMachineType& type, const std::string& zone) const {
   const auto none = refused_until_.find(zone);
   if (refuses_rentals_ || (none != refused_until_.end() && none->second > loop_.now())) return 0;
@@ -147,7 +147,7 @@
       it->second.deleting = true;
       rented.push_back(name);
     }
-  // They stay listed until they are gone, and are answered for only then.
+  // The machines stay listed, and the request stays unanswered, until they are off.
   power_.off(rented, reply<>([this, exchange, rented] {
                for (const auto& name : rented)
                  if (auto m = machines_.extract(name); m && lag_s_ > 0)
@@ -219,7 +219,8 @@
   std::ifstream in(file_);
   if (!in) return;
   json j = json::parse(in, nullptr, false);
-  if (!j.is_object()) throw std::runtime_error(file_.string() + " is damaged");
+  if (!j.is_object())
+    throw std::runtime_error(file_.string() + " is damaged: it holds no JSON object");
   next_number_ = j["next"];
   rented_by_request_ = j["requests"].get<decltype(rented_by_request_)>();
   for (const auto& e : j["machines"]) {
--- a/src/emulators/state.cpp
+++ b/src/emulators/state.cpp
@@ -21,7 +21,7 @@
 constexpr std::uint64_t kMaxPageEntries = 1000;
 constexpr std::uint64_t kMaxWatchMs = 60000;
 constexpr std::size_t kMaxRequestBytes = 64 * 1024;
-constexpr std::size_t kMaxNumberDigits = 18;  // every such number fits into 64 bits
+constexpr std::size_t kMaxNumberDigits = 18;  // any number of 18 digits fits into 64 bits
 constexpr double kTickS = 0.05;
 constexpr std::string_view kLeasesPath = "/holds";
 constexpr std::string_view kRenewSuffix = "/renew";
@@ -124,7 +124,7 @@
 
 net::Answer StateServiceEmulator::commit(const std::string& body) {
   wire::Transaction t = client_protocol::decode_transaction(body);
-  // Also of one whose conditions then fail.
+  // A transaction counts against the write rate even if its preconditions fail.
   if (!write_limit_.take(static_cast<double>(t.ops.size()), loop_.now())) return {429, "{}", 0};
   for (const auto& op : t.ops)
     if (op.lease && !leases_.contains(op.lease)) return {400, "{\"error\":\"no such lease\"}", 0};
@@ -162,7 +162,7 @@
 
 // ---- watches
 
-// Whoever waits for a change that has come is answered; the others go on waiting.
+// Answers the watches for which there are events and keeps the others open.
 void StateServiceEmulator::answer_watchers() {
   std::deque<Watcher> waiting;
   for (auto& w : watchers_) {
@@ -253,8 +253,9 @@
 void StateServiceEmulator::tick() {
   if (in_outage_) return;
   drop_expired_leases();
-  // Before the time-outs: those tell the new revision and no events, so that whoever watched would
-  // never hear of the leases' ends.
+  // Watches with events are answered before expired ones are ended. An expired watch is answered
+  // with the new revision and no events, so its client would never get the deletions that the
+  // expired leases have just caused.
   answer_watchers();
   end_expired_watches();
 }
@@ -288,7 +289,7 @@
   while (!unwritten.empty()) {
     ssize_t n = ::write(fd_, unwritten.data(), unwritten.size());
     if (n < 0 && errno == EINTR) continue;
-    // Half a line may be there: only a new start finds out where the log ends.
+    // The line may be written in part, and only a new start can find the end of the log.
     if (n < 0) throw std::system_error(errno, std::generic_category(), log_.string());
     unwritten.remove_prefix(static_cast<std::size_t>(n));
   }
@@ -298,7 +299,8 @@
 void StateServiceEmulator::load() {
   fs::create_directories(log_.parent_path());
   read_log();
-  // As after an outage every lease has its full time again; the watch window begins anew.
+  // As after an outage, every lease is renewed for its full time to live. The watch window is
+  // empty.
   renew_all_leases();
   window_.clear();
   window_start_ = revision_;
@@ -332,7 +334,7 @@
   }
 }
 
-// Beside the old one, which it replaces once it is whole.
+// Writes the log to a temporary file, which replaces the old log once it is complete.
 void StateServiceEmulator::write_compacted_log() {
   fs::path temporary = log_;
   temporary += ".new";
--- a/src/emulators/worker.cpp
+++ b/src/emulators/worker.cpp
@@ -9,10 +9,10 @@
 using wire::TaskState;
 
 namespace {
-constexpr double kHeartbeatTimeoutS = 4;    // for the answer to a heartbeat
-constexpr double kNextNodeDelayS = 1;       // before the next controller is tried
-constexpr double kMinHeartbeatGapS = 0.5;   // between two heartbeats
-constexpr double kLeaseTimerSlackS = 1e-3;  // the timer is due just after the lease's end
+constexpr double kHeartbeatTimeoutS = 4;
+constexpr double kNextNodeDelayS = 1;  // wait before the next controller is tried
+constexpr double kMinHeartbeatGapS = 0.5;
+constexpr double kLeaseTimerSlackS = 1e-3;  // the timer is due this long after the lease's expiry
 constexpr double kCpuTolerance = 1e-9;
 constexpr std::size_t kMaxRequestBytes = 64 * 1024;
 constexpr double kNever = 1e18;
@@ -77,7 +77,8 @@
                                         const net::Result& result) {
   in_flight_ = false;
   check_lease();
-  // One that hung may find an answer that it has waited for too long: dropped as if none had come.
+  // A worker that hung may find the answer to a heartbeat that has timed out meanwhile. The answer
+  // is dropped as if it had not arrived.
   if (result.status == 200 && loop_.now() - sent_at <= kHeartbeatTimeoutS)
     return take_response(sent_at, incarnation, result.body);
   if (result.status == 421) return redirect(client_protocol::redirect_of(result.body));
@@ -93,7 +94,7 @@
       execute(*response.token, response.commands);
     }
   } catch (const wire::Malformed&) {
-    // Nothing is done by it, and the lease is not renewed.
+    // A malformed response is ignored and does not renew the lease.
   }
   const double pause = settings_.heartbeat_s * std::uniform_real_distribution<>(0.75, 1.25)(rng_);
   heartbeat_timer_.after(std::max(send_soon_after_answer_ ? kMinHeartbeatGapS : pause,
@@ -182,7 +183,7 @@
   }
 }
 
-// Why a task cannot be started; none: it can.
+// Returns why a task cannot be started, or ExitReason::none if it can.
 ExitReason WorkerEmulator::refusal_reason(const wire::TaskId& task,
                                           const std::optional<Work>& work) const {
   if (!work) return ExitReason::unknown;
@@ -213,7 +214,8 @@
 
 void WorkerEmulator::stop(Task& task, double grace_s) {
   const TaskState was = task.state;
-  // Only a stop without any time ends one that saves; one with time to save prolongs nothing.
+  // A saving task is ended only by a stop without a grace period. Another stop with one does not
+  // extend the save.
   if (was == TaskState::saving && grace_s > 0) return;
   if (was == TaskState::running && task.work.checkpoint_s > 0 && grace_s >= task.work.save_s) {
     task.state = TaskState::saving;
--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -144,7 +144,7 @@
   if (const double until = zone_cut_until(request))
     return simulation_.chance(0.5) ? until - now : -1;
   const int node = controllers_.find_host(request.from);
-  // What was open when the refusal began waits, as it would in an outage.
+  // Requests that were open when the refusal began are answered after its end, as in an outage.
   if (request.to == "state" && node >= 0)
     return std::max(0.0, controller_faults(node).refused_until - now);
   if (const int machine = machines_.find_host(request.from);
@@ -242,7 +242,7 @@
   MachineFaults& faults = machine_faults(machine);
   const double now = simulation_.now();
   const double until = std::max(faults.hung_until, now + for_s);
-  // Some programs go by the clock, and some by what they have been given to run.
+  // Some programs end at a given time of the clock, others after a given running time.
   if (simulation_.chance(0.5)) m.worker->extend_tasks(until - std::max(faults.hung_until, now));
   faults.hung_until = until;
   m.host->freeze(until);
@@ -274,7 +274,7 @@
   const SimulatedMachine& m = machines_[machine];
   if (!m.worker || !m.worker->settings().spot) return;
   if (notice_s > 0) m.worker->announce_reclaim(notice_s);
-  // The notice can be half of what it says, or one and a half times.
+  // The cloud reclaims the machine after half to one and a half times the announced time.
   const double taken_at = simulation_.now() + notice_s * simulation_.draw(0.5, 1.5);
   simulation_.at(taken_at, [this, machine] {
     machines_.kill(machine);
--- a/src/simulation/job_records.cpp
+++ b/src/simulation/job_records.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr double kServiceRunS = 1e9;         // longer than any history
-constexpr double kCompletedTaskRunS = 0.01;  // a result that is kept: the task exits at once
+constexpr double kCompletedTaskRunS = 0.01;  // run of a task whose stored result already exists
 }  // namespace
 
 void JobRecords::add(wire::JobSpec spec, double run_s) {
--- a/src/simulation/rule_checker.cpp
+++ b/src/simulation/rule_checker.cpp
@@ -11,8 +11,8 @@
 using wire::TaskState;
 
 namespace {
-constexpr double kNeglectedS = 90;       // waiting beside room
-constexpr double kWaitingCheckGapS = 1;  // between two checks for it
+constexpr double kNeglectedS = 90;  // longest wait of a task for which a machine has free capacity
+constexpr double kWaitingCheckGapS = 1;  // time between two checks of the rule `neglected`
 
 bool type_allowed(const wire::JobSpec& spec, const WorkerEmulator::Settings& machine) {
   if (machine.spot && !spec.spot) return false;
@@ -20,10 +20,11 @@
          std::find(spec.types->begin(), spec.types->end(), machine.type) != spec.types->end();
 }
 
-// The most tasks of a job with anti-affinity that one zone may have.
+// Returns the largest number of tasks of a job with anti-affinity that may run in one zone.
 std::uint32_t zone_limit(const wire::JobSpec& spec) { return (spec.tasks + 1) / 2; }
 
-// Whether type and zone allow a task of the job, of which `here` are in the machine's zone.
+// Returns whether the machine's type and zone allow another task of the job, which already runs
+// `tasks_in_zone` tasks in the machine's zone.
 bool place_allowed(const wire::JobSpec& spec, const WorkerEmulator::Settings& machine,
                    int tasks_in_zone, bool runs_in_other_zone) {
   if (!type_allowed(spec, machine)) return false;
@@ -60,7 +61,7 @@
     after_cancel_.run_started =
         std::max(after_cancel_.run_started, simulation_.now() - cancelled_reported_at);
   saves_ += task.state == TaskState::saving;
-  // As it leaves: between two checks of the machines, too.
+  // Covers tasks that leave a machine between two checks of all machines.
   if (previous == TaskState::running || previous == TaskState::saving) check_cancelled(task);
   if (task.state == TaskState::running) check_start(worker, task);
   return task.state == TaskState::exited && task.exit_reason == wire::ExitReason::done &&
@@ -75,11 +76,11 @@
         std::max(after_cancel_.start_executed, simulation_.now() - cancelled_reported_at);
 }
 
-// Rules: ran_twice, wrong_place, too_early.
+// Checks the rules ran_twice, wrong_place and too_early.
 void RuleChecker::check_start(const WorkerEmulator& worker, const WorkerEmulator::Task& task) {
   first_run_at_.try_emplace(task.id.job, simulation_.now());
   const std::string name = task_name(task.id);
-  std::uint32_t same_zone = 0, other_zones = 0;  // the job's tasks
+  std::uint32_t same_zone = 0, other_zones = 0;  // numbers of the job's running tasks
   for (const auto& machine : machines_.all()) {
     if (!machine->worker) continue;
     for (const auto& other : machine->worker->tasks()) {
@@ -92,11 +93,11 @@
     }
   }
   check_place(worker, task.id, same_zone, other_zones);
-  // Not a rule of the protocol, but of what users are promised: README, "Jobs that await others".
+  // This rule is not part of the protocol but promised to users (README, "Jobs that await others").
   for (const auto& dependency : jobs_.at(task.id.job).spec.dependencies)
     for (std::uint32_t i = 0; i < jobs_.at(dependency).spec.tasks; ++i)
       if (!jobs_.is_completed({dependency, i}))
-        report("too_early: " + name + " before " + dependency);
+        report("too_early: " + name + " started before the end of " + dependency);
   check_machines();
 }
 
@@ -115,7 +116,8 @@
   if (task.exit_reason == wire::ExitReason::done) acknowledged_.insert(task_name(task.id));
 }
 
-// Rules: quota, ran_cancelled, also of what depends on a cancelled job.
+// Checks the rules quota and ran_cancelled, the latter also for jobs that depend on a cancelled
+// one.
 void RuleChecker::check_machines() {
   std::map<std::string, double> cpus_by_team;
   for (const auto& machine : machines_.all()) {
@@ -131,7 +133,8 @@
     if (cpus > options_.team_limit + kCpuTolerance) report("quota: " + team);
 }
 
-// A task that is on a machine, or leaves it in this moment. One that waits for its image is not.
+// Checks the rule ran_cancelled for a task that is running or saving, or has just exited. A task
+// that waits for its image does not count.
 void RuleChecker::check_cancelled(const WorkerEmulator::Task& task) {
   const double reported_at = jobs_.at(task.id.job).cancelled_reported_at;
   if (reported_at < 0) return;
@@ -139,18 +142,19 @@
   after_cancel_.on_machine = std::max(after_cancel_.on_machine, elapsed_s);
   if (elapsed_s > options_.cancel_s)
     report("ran_cancelled: " + task_name(task.id) + ", " + std::to_string(elapsed_s) +
-           " s after its user was told");
+           " s after its cancellation was reported to a user");
 }
 
 // ---- answers
 
-// Rules: forgotten, invented, not_done, went_back. All answers about a job, of all controllers, are
-// one register: an answer to a question is never older than an answer before that question.
+// Checks the rules forgotten, invented, not_done and went_back. The answers of all controllers
+// about a job form one linearizable register: an answer to a request is never older than an answer
+// that was received before the request was sent.
 std::optional<JobState> RuleChecker::check_answer(const std::string& id, const net::Result& result,
                                                   double asked_at, UserRequest request) {
   const SimulatedJob* job = jobs_.find(id);
   if (!job) {
-    if (result.status == 200) report("invented: " + id);
+    if (result.status == 200) report("invented: " + id + " was never submitted but has a state");
     return std::nullopt;
   }
   if (reported_before(job->first_reported_at, asked_at)) check_accepted_answer(id, result.status);
@@ -159,37 +163,40 @@
   check_final_state(id, *job, state, asked_at);
   if (request == UserRequest::cancellation && state != JobState::cancelled &&
       state != JobState::done)
-    report("went_back: a cancellation of " + id + " is answered " + wire::state_name(state));
+    report("went_back: a cancellation of " + id + " was answered " + wire::state_name(state));
   if (state == JobState::cancelled && !jobs_.is_cancelled_by_users(id))
-    report("went_back: " + id + " is called cancelled, and nobody asked");
+    report("went_back: " + id + " is reported as cancelled, but no user requested it");
   if (state == JobState::done)
     for (std::uint32_t i = 0; i < job->spec.tasks; ++i)
       if (!jobs_.is_completed({id, i}))
-        report("not_done: " + id + " is called done, and task " + std::to_string(i) + " is not");
+        report("not_done: " + id + " is reported as done, but task " + std::to_string(i) +
+               " has not completed");
   return state;
 }
 
 void RuleChecker::check_accepted_answer(const std::string& id, int status) {
-  if (status == 404) report("forgotten: " + id + " is answered 404");
+  if (status == 404) report("forgotten: a request about " + id + " was answered 404");
   if (status == 400 || status == 422)
-    report("forgotten: " + id + " was refused when it was submitted again");
-  if (status == 201) report("went_back: " + id + " is accepted as if it were new");
+    report("forgotten: a repeated submission of " + id + " was refused as invalid");
+  if (status == 201)
+    report("went_back: a repeated submission of " + id + " was answered 201, like a new job");
 }
 
 void RuleChecker::check_final_state(const std::string& id, const SimulatedJob& job, JobState state,
                                     double asked_at) {
   const bool cancelled = state == JobState::cancelled;
   const bool done = state == JobState::done;
-  // Of two final states one is wrong, whichever was asked for first.
+  // Two different final states of a job contradict each other, whichever request was sent first.
   if ((reported_before(job.cancelled_reported_at, asked_at) && !cancelled) ||
       (job.cancelled_reported_at >= 0 && done))
-    report("went_back: " + id + " was called cancelled, and now " + wire::state_name(state));
+    report("went_back: " + id + " was reported as cancelled, and now as " +
+           wire::state_name(state));
   if ((reported_before(job.done_reported_at, asked_at) && !done) ||
       (job.done_reported_at >= 0 && cancelled))
-    report("went_back: " + id + " was called done, and now " + wire::state_name(state));
+    report("went_back: " + id + " was reported as done, and now as " + wire::state_name(state));
 }
 
-// ---- room
+// ---- capacity
 
 double RuleChecker::used_cpus(const std::string& team) const {
   double cpus = 0;
@@ -203,7 +210,7 @@
   return cpus;
 }
 
-// Nothing but room and limits keeps its tasks from starting.
+// Returns whether nothing but capacity and quotas can keep the job's tasks from starting.
 bool RuleChecker::waits_only_for_capacity(const SimulatedJob& job) const {
   if (!job.accepted || job.done_reported_at >= 0 || jobs_.is_cancelled_by_users(job.spec.id))
     return false;
@@ -215,7 +222,7 @@
   const SimulatedJob& job = jobs_.at(id);
   if (!waits_only_for_capacity(job)) return false;
   if (used_cpus(job.spec.team) + job.spec.cpus > options_.team_limit + kCpuTolerance) return false;
-  std::map<std::string, int> by_zone;  // its own tasks
+  std::map<std::string, int> by_zone;  // numbers of the job's own tasks
   for (const auto& machine : machines_.all())
     if (machine->worker)
       for (const auto& task : machine->worker->tasks())
@@ -257,7 +264,7 @@
   return out;
 }
 
-// What a worker has in any state but exited takes room and counts for its team.
+// A worker's task in any state but exited uses capacity and counts against its team's quota.
 RuleChecker::Usage RuleChecker::usage(const std::function<bool(int)>& is_reachable) const {
   Usage usage;
   for (int n = 0; n < machines_.size(); ++n) {
@@ -289,7 +296,8 @@
   return waiting;
 }
 
-// The machines that could take one of the job's tasks; none if a gang's would not all find room.
+// Returns the machines with free capacity for one of the job's tasks. For a gang there are none
+// unless all of its tasks can be placed together.
 std::vector<const SimulatedMachine*> RuleChecker::machines_for(const SimulatedJob& job,
                                                                std::size_t started_together,
                                                                const Usage& usage) const {
@@ -298,7 +306,7 @@
   const std::map<std::string, int> by_zone =
       placed == usage.by_zone.end() ? std::map<std::string, int>{} : placed->second;
   std::vector<const SimulatedMachine*> fitting;
-  std::map<std::string, std::size_t> fitting_tasks;  // by zone
+  std::map<std::string, std::size_t> fitting_tasks;  // numbers by zone
   for (const FreeCapacity& free : usage.free_capacities) {
     const auto& settings = free.machine->worker->settings();
     const auto in_zone = by_zone.find(settings.zone);
@@ -320,7 +328,8 @@
   return fitting;
 }
 
-// Rule: neglected. A task that waits, and a machine that could take it, both for the same 90 s.
+// Checks the rule neglected: no task waits for 90 s while one and the same machine has free
+// capacity for it throughout.
 void RuleChecker::check_waiting(const std::function<bool(int)>& is_reachable) {
   const double now = simulation_.now();
   if (faults_ended_at_ < 0 || now < waiting_checked_at_ + kWaitingCheckGapS) return;
@@ -332,7 +341,7 @@
     const std::vector<std::string> waiting = waiting_tasks(job, on_machines);
     if (waiting.empty()) continue;
     const std::size_t started_together =
-        job.spec.gang ? waiting.size() : 1;  // a gang begins together
+        job.spec.gang ? waiting.size() : 1;  // all tasks of a gang start together
     const double cpus = job.spec.cpus * static_cast<double>(started_together);
     if (on_machines.cpus_by_team[job.spec.team] + cpus > options_.team_limit + kCpuTolerance)
       continue;
@@ -349,7 +358,7 @@
   const double since = seen == could_run_since_.end() ? simulation_.now() : seen->second;
   could_run_since[key] = since;
   if (simulation_.now() - since >= kNeglectedS && neglected_.insert(task).second)
-    report("neglected: " + task + " has waited for 90 s beside room on " + machine.name);
+    report("neglected: " + task + " has waited for 90 s with free capacity on " + machine.name);
 }
 
 }  // namespace shunttrail::simulation
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -11,7 +11,7 @@
 using emulators::WorkerEmulator;
 
 namespace {
-constexpr double kCheckGapS = 0.25;  // between two checks of the rules
+constexpr double kCheckGapS = 0.25;  // time between two checks of the rules
 constexpr double kBootS = 3;
 
 std::vector<emulators::EmulatedMachineType> machine_types(const ClusterOptions& options,
@@ -52,7 +52,8 @@
   controllers_.start_all();
 }
 
-// What the controllers send as they end concerns nobody, and the faults are gone by then.
+// Members are destroyed in reverse order, the faults before the controllers. Requests that
+// controllers send while they end must not use the faults.
 SimulatedCluster::~SimulatedCluster() {
   simulation_.delivery_of = nullptr;
   simulation_.answer_delay_of = nullptr;
--- a/src/simulation/simulated_controllers.cpp
+++ b/src/simulation/simulated_controllers.cpp
@@ -7,7 +7,9 @@
 
 namespace {
 constexpr std::array kTeams = {"red", "blue", "green", "white"};
-constexpr double kClockDrift = 0.00025;  // as much as the protocol allows between two hosts
+// A clock's rate differs from 1 by this much at most, so that two clocks differ by 0.05%, the
+// protocol's limit.
+constexpr double kClockDrift = 0.00025;
 
 config::Settings make_settings(const ClusterOptions& options) {
   config::Settings s;
@@ -50,7 +52,7 @@
 void SimulatedControllers::start(int node) {
   Process& p = process(node);
   if (p.controller) return;
-  const int offset = node % 3 - 1;  // clocks are slow, right and fast in turn
+  const int offset = node % 3 - 1;  // the clock is slow, exact or fast, by the controller's number
   p.host = std::make_unique<Host>(simulation_, hosts()[static_cast<std::size_t>(node)],
                                   1 + offset * kClockDrift, offset * options_.wall_clock_error_s);
   const std::string& self = p.host->name();
--- a/src/simulation/simulated_machines.cpp
+++ b/src/simulation/simulated_machines.cpp
@@ -10,8 +10,10 @@
 using emulators::WorkerEmulator;
 
 namespace {
-constexpr double kClockDrift = 0.00025;  // as much as the protocol allows between two hosts
-}
+// A clock's rate differs from 1 by this much at most, so that two clocks differ by 0.05%, the
+// protocol's limit.
+constexpr double kClockDrift = 0.00025;
+}  // namespace
 
 SimulatedMachines::SimulatedMachines(Simulation& simulation, const ClusterOptions& options,
                                      std::vector<std::string> controllers,
--- a/src/simulation/simulated_users.cpp
+++ b/src/simulation/simulated_users.cpp
@@ -9,16 +9,16 @@
 namespace shunttrail::simulation {
 
 namespace {
-constexpr double kPollIntervalS = 5;           // between two questions about a job
-constexpr double kFinishedPollIntervalS = 20;  // about one that is over
-constexpr double kPollTimeoutS = 2;            // for the answer to a question
-constexpr double kWriteTimeoutS = 5;           // to a submission or a cancellation
-constexpr double kMinRetryDelayS = 1;          // before either is repeated
-constexpr double kSubmitRetryS = 60;           // a submission is repeated for so long
-constexpr double kAnswerDeadlineS = 75;  // a job about which no question is answered for so long
+constexpr double kPollIntervalS = 5;           // between two queries about a job
+constexpr double kFinishedPollIntervalS = 20;  // between two queries about a job that has ended
+constexpr double kPollTimeoutS = 2;            // of a query
+constexpr double kWriteTimeoutS = 5;           // of a submission or a cancellation
+constexpr double kMinRetryDelayS = 1;          // before a submission or a cancellation is repeated
+constexpr double kSubmitRetryS = 60;           // a submission is repeated for this long
+constexpr double kAnswerDeadlineS = 75;        // a job without an answer for longer is forgotten
 constexpr double kQueryBurstS = 0.5;
-constexpr int kBurstStepsPerSubmission = 6;  // so many close questions, one submission
-constexpr int kFirstJob = 100000;            // number in the first job's id
+constexpr int kBurstStepsPerSubmission = 6;  // the last of so many steps repeats the submission
+constexpr int kFirstJob = 100000;            // the number in the first job's id
 
 std::string job_path(const std::string& id) { return "/v2/runs/" + id; }
 }  // namespace
@@ -39,8 +39,8 @@
   const std::string& host = controllers_.hosts()[static_cast<std::size_t>(node)];
   in_flight_[number] = host_.request({host, kPublicPort}, method, path, body, timeout_s,
                                      [this, number, done = std::move(done)](net::Result result) {
-                                       // The handle has to outlive the callback, which is part of
-                                       // it.
+                                       // The handle owns this callback, so it has to be kept until
+                                       // the callback returns.
                                        const auto handle = in_flight_.extract(number);
                                        done(std::move(result));
                                      });
@@ -113,8 +113,9 @@
   const int node = step % controllers_.count();
   if (step % kBurstStepsPerSubmission == kBurstStepsPerSubmission - 1) {
     const SimulatedJob& job = jobs_.at(id);
-    query_once("run-9" + id.substr(5), node);  // which nobody submitted
-    // Another body only once its user knows that it was accepted: before, it would be a submission.
+    query_once("run-9" + id.substr(5), node);  // a job that nobody submitted
+    // Before its user knows that the job was accepted, another body would be a submission of its
+    // own.
     const bool other = job.first_reported_at >= 0 && simulation_.chance(0.5);
     const std::string body = other ? altered_body(id) : std::string();
     submit_once(id, random_node(), body);
@@ -193,7 +194,7 @@
       spec.team = "nobody";
       break;
     case 3:
-      // Longer than what may be kept.
+      // A specification that is larger than the state service's values may be.
       spec.types.emplace(400, std::string(50, 'x'));
       spec.types->emplace_back("t4");
       break;
@@ -216,8 +217,8 @@
   if (happens(options_.requests_at_completion)) send_requests_at_completion(id);
 }
 
-// The last task's report is on its way to the controllers at this moment: these requests arrive
-// before it, with it, during its commit and after.
+// The worker is about to send the heartbeat with the last task's completion. These requests arrive
+// before it, together with it, during the commit of the result and after it.
 void SimulatedUsers::send_requests_at_completion(const std::string& id) {
   ++completions_with_requests_;
   auto soon = [this] {
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -5,9 +5,9 @@
 
 namespace shunttrail::simulation {
 namespace {
-constexpr double kStartWallClockS = 1.7e9;  // the time of day at the simulation's start
+constexpr double kStartWallClockS = 1.7e9;  // Unix time at the simulation's start
 constexpr double kTimerResolutionS = 1e-6;
-constexpr double kClockErrorRadianS = 70;  // seconds in which a time of day wanders by a radian
+constexpr double kClockErrorRadianS = 70;  // a wall clock's error is a cosine of time / 70 s
 std::string text(const config::Endpoint& at) { return at.host + ":" + std::to_string(at.port); }
 }  // namespace
 
@@ -70,8 +70,9 @@
 }
 
 void Simulation::postpone(Event e, const Host::ProcessState& process) {
-  // What waits in the host's own mailboxes keeps its order. The rest draws one, among what its
-  // first turns post too.
+  // Events that were due when the freeze began are posts of the host's own mailboxes and keep their
+  // order. Later ones get a random place, which may be among the events that the host's first turns
+  // post.
   if (process.shuffle_after_freeze && e.at > process.frozen_since)
     e.sequence = rng_() % (2 * event_count_ + 2);
   e.at = process.frozen_until;
@@ -100,8 +101,8 @@
 
 actor::EventSource::Handle Host::schedule(double seconds, std::function<void()> fn) {
   auto callback = std::make_shared<std::function<void()>>(std::move(fn));
-  // As fine as a real timer is: what is due by less than a rounding must not come at this very
-  // moment, find nothing due, and be set again for ever.
+  // A real timer has a limited resolution. Without it, a timer whose delay is lost in rounding
+  // would fire at the same simulated time, find nothing due and be set again endlessly.
   const double wait = seconds > 0 ? std::max(seconds, kTimerResolutionS) : 0;
   sim_.push({sim_.now() + wait / rate_, ++sim_.event_count_, {}, callback, process_, true});
   return callback;
@@ -115,7 +116,8 @@
   return shared_handler;
 }
 
-// To whoever listens there when it arrives; nobody: as a connection that is refused.
+// Delivers the request to the listener at this address at the time of arrival. Without a listener
+// it is answered like a refused connection.
 void Simulation::deliver(const std::shared_ptr<Request>& request, const std::string& to,
                          const std::function<void(const net::Answer&)>& on_answer) {
   auto reply = [this, request, on_answer](const net::Answer& a) {
@@ -126,8 +128,8 @@
   if (listener == listeners_.end() || listener->second.handler.expired()) return reply({0, "", 0});
   const auto handler = listener->second.handler;
   const std::weak_ptr<Host::ProcessState> process = listener->second.host->process_;
-  // The exchange is made in the host's own turn: one that is frozen, or ends before, has seen
-  // nothing.
+  // The exchange is created in an event of the receiving host, so that a host which is frozen or
+  // ends before has not seen the request.
   auto handle_request =
       std::make_shared<std::function<void()>>([this, handler, request, reply, process] {
         auto h = handler.lock();
@@ -149,7 +151,8 @@
       Request{name_, to.host, std::move(method), std::move(path), std::move(body)});
   sim.record(Simulation::Step::request_sent, *request);
   const Delivery delivery = sim.delivery_of ? sim.delivery_of(*request) : Delivery{};
-  // The first of an answer and the timeout; neither once the asker has let go.
+  // The callback gets the answer or the time-out, whichever comes first, and neither once the
+  // sender has released the handle.
   struct PendingRequest {
     std::function<void(net::Result)> done;
     EventSource::Handle timeout;
@@ -162,7 +165,7 @@
       if (auto then = std::exchange(f->done, nullptr)) then(std::move(result));
   };
   pending->timeout = schedule(timeout_s, [finish] { finish({}); });
-  // Answers come in the asker's own turns.
+  // Answers arrive in an event of the sending host.
   auto arrive = [&sim, finish, process = std::weak_ptr<ProcessState>(process_)](
                     double after, net::Result result) {
     auto fn = std::make_shared<std::function<void()>>(
