--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -20,7 +20,7 @@
   std::vector<std::string> broken;              ///< rules, see RuleChecker::broken
   std::vector<std::string> faults;              ///< the names of those that were drawn, in order
   std::vector<std::string> unfinished;          ///< accepted jobs that are not over, described
-  std::size_t done = 0;                         ///< tasks that have completed
+  std::size_t completed_tasks = 0;              ///< tasks that have completed
   std::uint64_t restarts_after_completion = 0;  ///< see RuleChecker
   std::uint64_t saves = 0;
   RuleChecker::AfterCancel after_cancel;
@@ -28,7 +28,7 @@
 };
 
 /// For a share of the seeds any settings that are accepted, and rates near what a cluster needs.
-inline ClusterOptions drawn_options(unsigned seed) {
+inline ClusterOptions random_options(unsigned seed) {
   std::mt19937 rng(seed * 7919u + 17);
   auto draw = [&](double from, double to) {
     return std::uniform_real_distribution<>(from, to)(rng);
@@ -70,8 +70,8 @@
 class HistoryPlayer {
  public:
   /// The faults named are always among those that begin.
-  HistoryPlayer(unsigned seed, std::vector<std::string> always)
-      : always_(std::move(always)), cluster_(seed, drawn_options(seed)) {}
+  HistoryPlayer(unsigned seed, std::vector<std::string> required_faults)
+      : required_faults_(std::move(required_faults)), cluster_(seed, random_options(seed)) {}
 
   HistoryResult play() {
     cluster_.run_for(12);
@@ -79,17 +79,17 @@
     cluster_.run_for(sim_.draw(5, 20));
     for (int round = 0; round < 2; ++round) {
       begin_faults();
-      work_on();
+      continue_workload();
     }
-    wait_until_quiet();
-    finish();
+    end_faults();
+    end_services();
     collect();
     return std::move(result_);
   }
 
  private:
   // The order of the draws is part of every history's digest.
-  wire::JobSpec drawn_job() {
+  wire::JobSpec random_job() {
     const auto tasks = static_cast<std::uint32_t>(1 + sim_.rng()() % 3);
     wire::JobSpec job = spec(sim_.chance(0.5) ? "red" : "blue", tasks);
     job.same_zone = sim_.chance(0.15);
@@ -107,31 +107,34 @@
       job.checkpoint_s = sim_.draw(5, 30);
       job.save_s = sim_.draw(2, 25);
     }
-    if (sim_.chance(0.25) && !submitted_.empty()) {
-      const std::string& other = drawn_submitted();
+    if (sim_.chance(0.25) && !submitted_jobs_.empty()) {
+      const std::string& other = random_submitted_job();
       const SimulatedJob& known = cluster_.users().jobs().at(other);
       if (known.accepted && !known.spec.service) job.dependencies = {other};
     }
     return job;
   }
 
-  const std::string& drawn_submitted() { return submitted_[sim_.rng()() % submitted_.size()]; }
+  const std::string& random_submitted_job() {
+    return submitted_jobs_[sim_.rng()() % submitted_jobs_.size()];
+  }
 
   void submit_jobs(int count) {
     for (int i = 0; i < count; ++i) {
-      wire::JobSpec job = drawn_job();
+      wire::JobSpec job = random_job();
       const double run_s = sim_.chance(0.3) ? sim_.draw(30, 60) : sim_.draw(2, 15);
-      submitted_.push_back(cluster_.users().submit(std::move(job), run_s));
+      submitted_jobs_.push_back(cluster_.users().submit(std::move(job), run_s));
     }
   }
 
-  std::vector<std::size_t> drawn_faults() {
+  std::vector<std::size_t> random_faults() {
     const auto& all = named_faults();
     std::vector<std::size_t> drawn;
     for (std::size_t n = 0; n < all.size(); ++n)
-      if (std::find(always_.begin(), always_.end(), all[n].name) != always_.end())
+      if (std::find(required_faults_.begin(), required_faults_.end(), all[n].name) !=
+          required_faults_.end())
         drawn.push_back(n);
-    EXPECT_EQ(drawn.size(), always_.size());
+    EXPECT_EQ(drawn.size(), required_faults_.size());
     std::shuffle(drawn.begin(), drawn.end(), sim_.rng());
     const std::size_t count = 2 + sim_.rng()() % 2;
     while (drawn.size() < count) drawn.push_back(sim_.rng()() % all.size());
@@ -139,7 +142,7 @@
   }
 
   void begin_faults() {
-    for (const std::size_t n : drawn_faults()) {
+    for (const std::size_t n : random_faults()) {
       const NamedFault& fault = named_faults()[n];
       result_.faults.emplace_back(fault.name);
       if (cluster_.machines().size() > 0) fault.begin(cluster_);
@@ -147,29 +150,29 @@
     }
   }
 
-  void work_on() {
+  void continue_workload() {
     for (int i = 0; i < 6; ++i) {
       submit_jobs(static_cast<int>(sim_.rng()() % 3));
-      if (sim_.chance(0.6)) cluster_.users().cancel(drawn_submitted());
+      if (sim_.chance(0.6)) cluster_.users().cancel(random_submitted_job());
       cluster_.run_for(sim_.draw(1, 12));
     }
   }
 
-  void wait_until_quiet() {
+  void end_faults() {
     cluster_.run_for(80);  // the longest fault is over
     ClusterOptions& options = cluster_.options();
     options.late_writes = options.heartbeat_copies = options.lost_answers = 0;
     cluster_.run_for(420);
     cluster_.query_all_controllers();
-    room_ = cluster_.rules().describe_machines();
+    machines_after_faults_ = cluster_.rules().describe_machines();
   }
 
-  static bool is_over(const SimulatedJob& job) {
+  static bool has_ended(const SimulatedJob& job) {
     return job.spec.service || !job.accepted || job.done_reported_at >= 0 ||
            job.cancelled_reported_at >= 0;
   }
 
-  bool has_replicas() const {
+  bool has_services() const {
     const auto& jobs = cluster_.users().jobs();
     return std::any_of(jobs.begin(), jobs.end(), [](const auto& known) {
       const SimulatedJob& job = known.second;
@@ -180,68 +183,74 @@
   // Replicas run to the end of a history, and may hold all that the cloud has in a zone until then.
   // Where there are some, what is unfinished is excused if it has no room, and only until they are
   // gone.
-  void finish() {
-    const bool replicas = has_replicas();
+  void end_services() {
+    const bool with_services = has_services();
     for (const auto& [id, job] : cluster_.users().jobs())
-      if (!is_over(job) && (!replicas || cluster_.rules().has_capacity_for(id))) late_.insert(id);
+      if (!has_ended(job) && (!with_services || cluster_.rules().has_capacity_for(id)))
+        unfinished_despite_capacity_.insert(id);
     for (const auto& [id, job] : cluster_.users().jobs())
       if (job.spec.service) cluster_.users().cancel(id);
     cluster_.run_for(60);
-    if (replicas) cluster_.run_for(300);
+    if (with_services) cluster_.run_for(300);
   }
 
   void collect() {
     for (const auto& [id, job] : cluster_.users().jobs())
-      if (late_.contains(id) || !is_over(job))
+      if (unfinished_despite_capacity_.contains(id) || !has_ended(job))
         result_.unfinished.push_back(describe(cluster_, job));
-    if (!result_.unfinished.empty()) result_.unfinished.push_back("room: " + room_);
+    if (!result_.unfinished.empty())
+      result_.unfinished.push_back("room: " + machines_after_faults_);
     const RuleChecker& rules = cluster_.rules();
     result_.broken = rules.broken();
-    result_.done = rules.completed_tasks();
+    result_.completed_tasks = rules.completed_tasks();
     result_.restarts_after_completion = rules.restarts_after_completion();
     result_.saves = rules.saves();
     result_.after_cancel = rules.after_cancel();
     result_.digest = cluster_.digest();
   }
 
-  const std::vector<std::string> always_;
+  const std::vector<std::string> required_faults_;
   SimulatedCluster cluster_;
   simulation::Simulation& sim_ = cluster_.sim();
-  std::vector<std::string> submitted_;  // jobs
-  std::set<std::string> late_;          // jobs that had room and were not over after the quiet
-  std::string room_;                    // after the quiet
+  std::vector<std::string> submitted_jobs_;  // jobs
+  std::set<std::string>
+      unfinished_despite_capacity_;    // jobs that had room and were not over after the quiet
+  std::string machines_after_faults_;  // after the quiet
   HistoryResult result_;
 };
 
 /// Plays the history of this seed; the faults named are always among those that begin.
-inline HistoryResult play(unsigned seed, const std::vector<std::string>& named = {}) {
-  return HistoryPlayer(seed, named).play();
+inline HistoryResult play_history(unsigned seed,
+                                  const std::vector<std::string>& required_faults = {}) {
+  return HistoryPlayer(seed, required_faults).play();
 }
 
 /// The names, separated by commas.
-inline std::string text(const std::vector<std::string>& names) {
+inline std::string join_names(const std::vector<std::string>& names) {
   std::string out;
   for (const auto& n : names) out += (out.empty() ? "" : ", ") + n;
   return out;
 }
 
 /// Plays the histories of these seeds, both ends included: no rule is broken and no job left.
-inline void expect_whole(unsigned first, unsigned last,
-                         const std::vector<std::string>& named = {}) {
-  std::size_t done = 0;
+inline void expect_no_violations(unsigned first, unsigned last,
+                                 const std::vector<std::string>& required_faults = {}) {
+  std::size_t completed_tasks = 0;
   RuleChecker::AfterCancel latest;
   for (unsigned seed = first; seed <= last; ++seed) {
-    HistoryResult p = play(seed, named);
-    EXPECT_EQ(p.broken, std::vector<std::string>{}) << "seed " << seed << ": " << text(p.faults);
-    EXPECT_EQ(p.unfinished, std::vector<std::string>{})
-        << "seed " << seed << ": " << text(p.faults);
-    EXPECT_EQ(p.restarts_after_completion, 0u) << "seed " << seed << ": " << text(p.faults);
-    done += p.done;
-    latest.start_executed = std::max(latest.start_executed, p.after_cancel.start_executed);
-    latest.run_started = std::max(latest.run_started, p.after_cancel.run_started);
-    latest.on_machine = std::max(latest.on_machine, p.after_cancel.on_machine);
+    HistoryResult result = play_history(seed, required_faults);
+    EXPECT_EQ(result.broken, std::vector<std::string>{})
+        << "seed " << seed << ": " << join_names(result.faults);
+    EXPECT_EQ(result.unfinished, std::vector<std::string>{})
+        << "seed " << seed << ": " << join_names(result.faults);
+    EXPECT_EQ(result.restarts_after_completion, 0u)
+        << "seed " << seed << ": " << join_names(result.faults);
+    completed_tasks += result.completed_tasks;
+    latest.start_executed = std::max(latest.start_executed, result.after_cancel.start_executed);
+    latest.run_started = std::max(latest.run_started, result.after_cancel.run_started);
+    latest.on_machine = std::max(latest.on_machine, result.after_cancel.on_machine);
   }
-  EXPECT_GT(done, (last - first + 1) * 10u);
+  EXPECT_GT(completed_tasks, (last - first + 1) * 10u);
   // In what is written of the run; no rule is made of them.
   ::testing::Test::RecordProperty("obeyed_after_cancel_s", std::to_string(latest.start_executed));
   ::testing::Test::RecordProperty("begun_after_cancel_s", std::to_string(latest.run_started));
--- a/tests/history_digests_main.cpp
+++ b/tests/history_digests_main.cpp
@@ -22,14 +22,14 @@
 
 // Drawn histories, by seed; both ends are included.
 void print_drawn(unsigned first, unsigned last) {
-  for (unsigned seed = first; seed <= last; ++seed) print_digest(std::to_string(seed), play(seed));
+  for (unsigned seed = first; seed <= last; ++seed) print_digest(std::to_string(seed), play_history(seed));
 }
 
 // A history with each named fault, whose seed is the fault's place in the list.
 void print_named() {
   unsigned seed = 0;
   for (const NamedFault& fault : named_faults())
-    print_digest(fault.name, play(++seed, {fault.name}));
+    print_digest(fault.name, play_history(++seed, {fault.name}));
 }
 
 std::optional<unsigned> parse_seed(const char* text) {
--- a/tests/named_faults.h
+++ b/tests/named_faults.h
@@ -15,17 +15,17 @@
 
 /// A job of small tasks that may run on spot machines.
 inline wire::JobSpec spec(const std::string& team, std::uint32_t tasks, double cpus = 1) {
-  wire::JobSpec s;
-  s.job_class = "c";
-  s.team = team;
-  s.image = "img";
-  s.tasks = tasks;
-  s.cpus = cpus;
-  s.mem_gb = 1;
-  s.image_gb = 1;
-  s.spot = true;
-  s.estimate_s = 20;
-  return s;
+  wire::JobSpec job;
+  job.job_class = "c";
+  job.team = team;
+  job.image = "img";
+  job.tasks = tasks;
+  job.cpus = cpus;
+  job.mem_gb = 1;
+  job.image_gb = 1;
+  job.spot = true;
+  job.estimate_s = 20;
+  return job;
 }
 
 /// A fault that begins when it is called, with drawn times and targets. The order in which it draws
@@ -37,234 +37,255 @@
 
 namespace faults {
 
-inline int random_machine(SimulatedCluster& c) {
-  return static_cast<int>(c.sim().rng()() % static_cast<unsigned>(c.machines().size()));
+inline int random_machine(SimulatedCluster& cluster) {
+  return static_cast<int>(cluster.sim().rng()() % static_cast<unsigned>(cluster.machines().size()));
 }
 
-inline int random_node(SimulatedCluster& c) {
-  return static_cast<int>(c.sim().rng()() % static_cast<unsigned>(c.options().controllers));
+inline int random_node(SimulatedCluster& cluster) {
+  return static_cast<int>(cluster.sim().rng()() %
+                          static_cast<unsigned>(cluster.options().controllers));
 }
 
 /// Cancels this share of the jobs that are not over, through any controllers.
-inline std::vector<std::string> cancel_some(SimulatedCluster& c, double share) {
+inline std::vector<std::string> cancel_some(SimulatedCluster& cluster, double share) {
   std::vector<std::string> cancelled;
-  for (const auto& [id, job] : c.users().jobs())
-    if (job.accepted && !job.cancel_requested && job.done_reported_at < 0 && c.sim().chance(share))
+  for (const auto& [id, job] : cluster.users().jobs())
+    if (job.accepted && !job.cancel_requested && job.done_reported_at < 0 &&
+        cluster.sim().chance(share))
       cancelled.push_back(id);
-  for (const auto& id : cancelled) c.users().cancel(id);
+  for (const auto& id : cancelled) cluster.users().cancel(id);
   return cancelled;
 }
 
 /// Submits work of the highest priority, which other work is preempted for.
-inline void submit_urgent(SimulatedCluster& c, int jobs) {
+inline void submit_urgent(SimulatedCluster& cluster, int jobs) {
   for (int i = 0; i < jobs; ++i) {
     wire::JobSpec urgent = spec(i % 2 ? "red" : "blue", 2, 2);
     urgent.priority = wire::Priority::critical;
-    c.users().submit(urgent, c.sim().draw(3, 12));
+    cluster.users().submit(urgent, cluster.sim().draw(3, 12));
   }
 }
 
 /// Sets an option to this value, and to 0 again after 20 s to `longest_s`.
-inline void set_for_a_while(SimulatedCluster& c, double ClusterOptions::*option, double value,
-                            double longest_s = 60) {
-  c.options().*option = value;
-  c.sim().at(c.now() + c.sim().draw(20, longest_s), [&c, option] { c.options().*option = 0; });
+inline void set_temporarily(SimulatedCluster& cluster, double ClusterOptions::*option, double value,
+                            double max_s = 60) {
+  cluster.options().*option = value;
+  cluster.sim().at(cluster.now() + cluster.sim().draw(20, max_s),
+                   [&cluster, option] { cluster.options().*option = 0; });
 }
 
 /// Cuts a leader from what these links (FaultInjector::Link) lead to.
-inline void cut_leader(SimulatedCluster& c, int links) {
-  const double for_s = c.sim().draw(3, 60);
-  c.faults().cut(c.controllers().random_leader(), links, for_s);
+inline void cut_leader(SimulatedCluster& cluster, int links) {
+  const double for_s = cluster.sim().draw(3, 60);
+  cluster.faults().cut(cluster.controllers().random_leader(), links, for_s);
 }
 
 /// Orders the fault for so many drawn machines, each for `shortest_s` to `longest_s`.
-inline void on_machines(SimulatedCluster& c, int machines,
-                        void (FaultInjector::*fault)(int machine, double for_s), double shortest_s,
-                        double longest_s) {
+inline void apply_to_machines(SimulatedCluster& cluster, int machines,
+                              void (FaultInjector::*fault)(int machine, double for_s), double min_s,
+                              double max_s) {
   for (int i = 0; i < machines; ++i) {
-    const double for_s = c.sim().draw(shortest_s, longest_s);
-    (c.faults().*fault)(random_machine(c), for_s);
+    const double for_s = cluster.sim().draw(min_s, max_s);
+    (cluster.faults().*fault)(random_machine(cluster), for_s);
   }
 }
 
 // ---- requests
 
-inline void copy_heartbeats(SimulatedCluster& c) {
-  set_for_a_while(c, &ClusterOptions::heartbeat_copies, 0.4);
+inline void copy_heartbeats(SimulatedCluster& cluster) {
+  set_temporarily(cluster, &ClusterOptions::heartbeat_copies, 0.4);
 }
-inline void delay_writes(SimulatedCluster& c) {
-  set_for_a_while(c, &ClusterOptions::late_writes, c.sim().draw(0.1, 0.5));
+inline void delay_writes(SimulatedCluster& cluster) {
+  set_temporarily(cluster, &ClusterOptions::late_writes, cluster.sim().draw(0.1, 0.5));
 }
-inline void lose_write_answers(SimulatedCluster& c) {
-  set_for_a_while(c, &ClusterOptions::lost_answers, c.sim().draw(0.1, 0.6));
+inline void lose_write_answers(SimulatedCluster& cluster) {
+  set_temporarily(cluster, &ClusterOptions::lost_answers, cluster.sim().draw(0.1, 0.6));
 }
-inline void keep_heartbeats_for_next_leader(SimulatedCluster& c) {
-  set_for_a_while(c, &ClusterOptions::copies_for_next_leader, c.sim().draw(0.1, 0.5), 90);
+inline void copy_heartbeats_to_next_leader(SimulatedCluster& cluster) {
+  set_temporarily(cluster, &ClusterOptions::copies_for_next_leader, cluster.sim().draw(0.1, 0.5),
+                  90);
 }
-inline void slow_links(SimulatedCluster& c) {
-  set_for_a_while(c, &ClusterOptions::max_link_delay_s, c.sim().draw(0.2, 1));
+inline void slow_links(SimulatedCluster& cluster) {
+  set_temporarily(cluster, &ClusterOptions::max_link_delay_s, cluster.sim().draw(0.2, 1));
 }
 
 // ---- state service and cloud
 
-inline void slow_state(SimulatedCluster& c) {
-  const double for_s = c.sim().draw(10, 40);
-  c.faults().slow_state(c.sim().draw(0.2, 2.5), for_s);
+inline void slow_state(SimulatedCluster& cluster) {
+  const double for_s = cluster.sim().draw(10, 40);
+  cluster.faults().slow_state(cluster.sim().draw(0.2, 2.5), for_s);
 }
-inline void refuse_leader(SimulatedCluster& c) {
-  const double for_s = c.sim().draw(3, 40);
-  c.faults().refuse(c.controllers().random_leader(), for_s);
+inline void refuse_leader(SimulatedCluster& cluster) {
+  const double for_s = cluster.sim().draw(3, 40);
+  cluster.faults().refuse(cluster.controllers().random_leader(), for_s);
+}
+inline void outage(SimulatedCluster& cluster) {
+  cluster.faults().outage(cluster.sim().draw(3, 70));
+}
+inline void cloud_outage(SimulatedCluster& cluster) {
+  cluster.faults().cloud_outage(cluster.sim().draw(20, 120));
 }
-inline void outage(SimulatedCluster& c) { c.faults().outage(c.sim().draw(3, 70)); }
-inline void cloud_outage(SimulatedCluster& c) { c.faults().cloud_outage(c.sim().draw(20, 120)); }
 
 // One controller is refused while jobs are cancelled; then the state service is down for all, for
 // longer than a cancellation may take.
-inline void refuse_leader_before_outage(SimulatedCluster& c) {
-  const double outage_s = c.options().cancel_s + c.sim().draw(2, 25);
-  const double refused_s = 1 + c.sim().draw(0, outage_s + 10);
-  c.faults().refuse(c.controllers().random_leader(), refused_s);
-  cancel_some(c, 0.7);
-  c.sim().at(c.now() + 1, [&c, outage_s] { c.faults().outage(outage_s); });
+inline void refuse_leader_before_outage(SimulatedCluster& cluster) {
+  const double outage_s = cluster.options().cancel_s + cluster.sim().draw(2, 25);
+  const double refused_s = 1 + cluster.sim().draw(0, outage_s + 10);
+  cluster.faults().refuse(cluster.controllers().random_leader(), refused_s);
+  cancel_some(cluster, 0.7);
+  cluster.sim().at(cluster.now() + 1, [&cluster, outage_s] { cluster.faults().outage(outage_s); });
 }
 
 // ---- controllers
 
-inline void cut_leader_from_state(SimulatedCluster& c) { cut_leader(c, FaultInjector::state); }
-inline void cut_leader_from_state_and_peers(SimulatedCluster& c) {
-  cut_leader(c, FaultInjector::state | FaultInjector::peers);
-}
-inline void cut_leader_from_workers(SimulatedCluster& c) { cut_leader(c, FaultInjector::workers); }
-inline void cut_leader_from_all(SimulatedCluster& c) {
-  cut_leader(c, FaultInjector::state | FaultInjector::peers | FaultInjector::workers);
-}
-inline void kill_leader(SimulatedCluster& c) {
-  const double back_after_s = c.sim().draw(0.05, 15);
-  c.faults().kill(c.controllers().random_leader(), back_after_s);
-}
-inline void kill_all_controllers(SimulatedCluster& c) {
-  for (int node = 0; node < c.options().controllers; ++node)
-    c.faults().kill(node, c.sim().draw(0.05, 10));
-}
-inline void kill_all_controllers_beyond_lease(SimulatedCluster& c) {
-  for (int node = 0; node < c.options().controllers; ++node)
-    c.faults().kill(node, c.options().lease_s + c.sim().draw(1, 15));
-}
-inline void restart_one_by_one(SimulatedCluster& c) {
-  double at = c.now();
-  for (int node = 0; node < c.options().controllers; ++node) {
-    at += c.sim().draw(0.1, 3);
-    c.sim().at(at, [&c, node] { c.faults().kill(node, 0.2); });
+inline void cut_leader_from_state(SimulatedCluster& cluster) {
+  cut_leader(cluster, FaultInjector::state);
+}
+inline void cut_leader_from_state_and_peers(SimulatedCluster& cluster) {
+  cut_leader(cluster, FaultInjector::state | FaultInjector::peers);
+}
+inline void cut_leader_from_workers(SimulatedCluster& cluster) {
+  cut_leader(cluster, FaultInjector::workers);
+}
+inline void cut_leader_from_all(SimulatedCluster& cluster) {
+  cut_leader(cluster, FaultInjector::state | FaultInjector::peers | FaultInjector::workers);
+}
+inline void kill_leader(SimulatedCluster& cluster) {
+  const double back_after_s = cluster.sim().draw(0.05, 15);
+  cluster.faults().kill(cluster.controllers().random_leader(), back_after_s);
+}
+inline void kill_all_controllers(SimulatedCluster& cluster) {
+  for (int node = 0; node < cluster.options().controllers; ++node)
+    cluster.faults().kill(node, cluster.sim().draw(0.05, 10));
+}
+inline void kill_all_controllers_beyond_lease(SimulatedCluster& cluster) {
+  for (int node = 0; node < cluster.options().controllers; ++node)
+    cluster.faults().kill(node, cluster.options().lease_s + cluster.sim().draw(1, 15));
+}
+inline void restart_one_by_one(SimulatedCluster& cluster) {
+  double at = cluster.now();
+  for (int node = 0; node < cluster.options().controllers; ++node) {
+    at += cluster.sim().draw(0.1, 3);
+    cluster.sim().at(at, [&cluster, node] { cluster.faults().kill(node, 0.2); });
   }
 }
-inline void freeze_node(SimulatedCluster& c) {
-  const double for_s = c.sim().draw(1, 35);
-  c.faults().freeze(random_node(c), for_s);
+inline void freeze_node(SimulatedCluster& cluster) {
+  const double for_s = cluster.sim().draw(1, 35);
+  cluster.faults().freeze(random_node(cluster), for_s);
 }
-inline void freeze_leader(SimulatedCluster& c) {
-  const double for_s = c.sim().draw(1, 35);
-  c.faults().freeze(c.controllers().random_leader(), for_s);
+inline void freeze_leader(SimulatedCluster& cluster) {
+  const double for_s = cluster.sim().draw(1, 35);
+  cluster.faults().freeze(cluster.controllers().random_leader(), for_s);
 }
-inline void freeze_leader_between_turns(SimulatedCluster& c) {
-  const double for_s = c.sim().draw(1, 30);
-  const std::uint64_t turns = 1 + c.sim().rng()() % 3000;
-  c.faults().freeze_after(c.controllers().random_leader(), turns, for_s);
+inline void freeze_leader_between_turns(SimulatedCluster& cluster) {
+  const double for_s = cluster.sim().draw(1, 30);
+  const std::uint64_t turns = 1 + cluster.sim().rng()() % 3000;
+  cluster.faults().freeze_after(cluster.controllers().random_leader(), turns, for_s);
 }
-inline void cut_zone(SimulatedCluster& c) {
-  const double for_s = c.options().lease_s + c.sim().draw(1, 30);
-  c.faults().cut_zone(c.sim().chance(0.5) ? "a" : "b", for_s);
+inline void cut_zone(SimulatedCluster& cluster) {
+  const double for_s = cluster.options().lease_s + cluster.sim().draw(1, 30);
+  cluster.faults().cut_zone(cluster.sim().chance(0.5) ? "a" : "b", for_s);
 }
 
 // Ends a leader, or cuts it off for longer than its lease on the shard.
-inline void change_leader(SimulatedCluster& c) {
-  if (c.sim().chance(0.6)) {
-    const double back_after_s = c.sim().draw(0.05, 8);
-    c.faults().kill(c.controllers().random_leader(), back_after_s);
+inline void change_leader(SimulatedCluster& cluster) {
+  if (cluster.sim().chance(0.6)) {
+    const double back_after_s = cluster.sim().draw(0.05, 8);
+    cluster.faults().kill(cluster.controllers().random_leader(), back_after_s);
     return;
   }
-  const int links = FaultInjector::state | (c.sim().chance(0.5) ? FaultInjector::peers : 0);
-  c.faults().cut(c.controllers().random_leader(), links, 11);
+  const int links = FaultInjector::state | (cluster.sim().chance(0.5) ? FaultInjector::peers : 0);
+  cluster.faults().cut(cluster.controllers().random_leader(), links, 11);
 }
-inline void change_leaders_ten_times(SimulatedCluster& c) {
+inline void change_leaders_ten_times(SimulatedCluster& cluster) {
   for (int i = 0; i < 10; ++i)
-    c.sim().at(c.now() + 12 * i + c.sim().draw(0, 8), [&c] { change_leader(c); });
-  if (!c.sim().chance(0.5)) return;
-  const double outage_s = c.sim().draw(5, 60);
-  c.sim().at(c.now() + c.sim().draw(0, 60), [&c, outage_s] { c.faults().outage(outage_s); });
+    cluster.sim().at(cluster.now() + 12 * i + cluster.sim().draw(0, 8),
+                     [&cluster] { change_leader(cluster); });
+  if (!cluster.sim().chance(0.5)) return;
+  const double outage_s = cluster.sim().draw(5, 60);
+  cluster.sim().at(cluster.now() + cluster.sim().draw(0, 60),
+                   [&cluster, outage_s] { cluster.faults().outage(outage_s); });
 }
 
 // ---- machines
 
-inline void lose_responses(SimulatedCluster& c) {
-  on_machines(c, 3, &FaultInjector::lose_responses, 5, 60);
+inline void lose_responses(SimulatedCluster& cluster) {
+  apply_to_machines(cluster, 3, &FaultInjector::lose_responses, 5, 60);
 }
-inline void cut_heartbeats(SimulatedCluster& c) {
-  on_machines(c, 3, &FaultInjector::cut_heartbeats, 5, 60);
+inline void cut_heartbeats(SimulatedCluster& cluster) {
+  apply_to_machines(cluster, 3, &FaultInjector::cut_heartbeats, 5, 60);
 }
-inline void hang_machines(SimulatedCluster& c) { on_machines(c, 2, &FaultInjector::hang, 2, 40); }
-inline void hang_machines_beyond_lease(SimulatedCluster& c) {
-  on_machines(c, 3, &FaultInjector::hang, 5, c.options().cancel_s + 25);
+inline void hang_machines(SimulatedCluster& cluster) {
+  apply_to_machines(cluster, 2, &FaultInjector::hang, 2, 40);
 }
-inline void hold_direct_commands(SimulatedCluster& c) {
-  on_machines(c, 3, &FaultInjector::hold_direct_commands, 3, 60);
+inline void hang_machines_beyond_lease(SimulatedCluster& cluster) {
+  apply_to_machines(cluster, 3, &FaultInjector::hang, 5, cluster.options().cancel_s + 25);
 }
-inline void hang_machines_in_chains(SimulatedCluster& c) {
+inline void hold_direct_commands(SimulatedCluster& cluster) {
+  apply_to_machines(cluster, 3, &FaultInjector::hold_direct_commands, 3, 60);
+}
+inline void hang_machines_repeatedly(SimulatedCluster& cluster) {
   for (int i = 0; i < 3; ++i) {
-    const int times = 2 + static_cast<int>(c.sim().rng()() % 4);
-    c.faults().hang_repeatedly(random_machine(c), times);
+    const int times = 2 + static_cast<int>(cluster.sim().rng()() % 4);
+    cluster.faults().hang_repeatedly(random_machine(cluster), times);
   }
 }
-inline void kill_machine(SimulatedCluster& c) { c.faults().kill_machine(random_machine(c)); }
-inline void take_spot_machines(SimulatedCluster& c) {
+inline void kill_machine(SimulatedCluster& cluster) {
+  cluster.faults().kill_machine(random_machine(cluster));
+}
+inline void reclaim_spot_machines(SimulatedCluster& cluster) {
   for (int i = 0; i < 2; ++i) {
-    const double notice_s = c.sim().chance(0.2) ? 0 : c.sim().draw(10, 30);
-    c.faults().reclaim_machine(random_machine(c), notice_s);
+    const double notice_s = cluster.sim().chance(0.2) ? 0 : cluster.sim().draw(10, 30);
+    cluster.faults().reclaim_machine(random_machine(cluster), notice_s);
   }
 }
-inline void boot_machines_at_once(SimulatedCluster& c) {
-  c.options().max_boot_s = c.sim().draw(0.3, 2);
-  c.sim().at(c.now() + 90, [&c] { c.options().max_boot_s = 0; });
-  for (int i = 0; i < 2; ++i) kill_machine(c);
+inline void boot_machines_quickly(SimulatedCluster& cluster) {
+  cluster.options().max_boot_s = cluster.sim().draw(0.3, 2);
+  cluster.sim().at(cluster.now() + 90, [&cluster] { cluster.options().max_boot_s = 0; });
+  for (int i = 0; i < 2; ++i) kill_machine(cluster);
 }
 
 // ---- cancellations and preemption
 
-inline void hang_machine_soon(SimulatedCluster& c, int machine) {
-  const double for_s = c.sim().draw(2, 60);
-  const bool in_chain = c.sim().chance(0.3);
-  c.sim().at(c.now() + c.sim().draw(0, 2), [&c, machine, for_s, in_chain] {
-    if (in_chain)
-      c.faults().hang_repeatedly(machine, 3);
-    else
-      c.faults().hang(machine, for_s);
-  });
-}
-inline void cancel_many_and_hang_machines(SimulatedCluster& c) {
+inline void hang_machine_soon(SimulatedCluster& cluster, int machine) {
+  const double for_s = cluster.sim().draw(2, 60);
+  const bool repeatedly = cluster.sim().chance(0.3);
+  cluster.sim().at(cluster.now() + cluster.sim().draw(0, 2),
+                   [&cluster, machine, for_s, repeatedly] {
+                     if (repeatedly)
+                       cluster.faults().hang_repeatedly(machine, 3);
+                     else
+                       cluster.faults().hang(machine, for_s);
+                   });
+}
+inline void cancel_many_and_hang_machines(SimulatedCluster& cluster) {
   int machines_left = 8;
-  for (const auto& id : cancel_some(c, c.sim().draw(0.4, 0.9)))
-    for (const int machine : c.machines().with_job(id)) {
-      if (machines_left == 0 || c.sim().chance(0.2)) continue;
+  for (const auto& id : cancel_some(cluster, cluster.sim().draw(0.4, 0.9)))
+    for (const int machine : cluster.machines().with_job(id)) {
+      if (machines_left == 0 || cluster.sim().chance(0.2)) continue;
       --machines_left;
-      hang_machine_soon(c, machine);
+      hang_machine_soon(cluster, machine);
     }
 }
-inline void preempt_and_cancel(SimulatedCluster& c) {
-  submit_urgent(c, 6);
-  c.sim().at(c.now() + c.sim().draw(2, 15), [&c] { cancel_some(c, 0.5); });
+inline void preempt_and_cancel(SimulatedCluster& cluster) {
+  submit_urgent(cluster, 6);
+  cluster.sim().at(cluster.now() + cluster.sim().draw(2, 15),
+                   [&cluster] { cancel_some(cluster, 0.5); });
 }
 
 // A leader gets heartbeats only through others, while its direct commands and their answers are
 // held on the way and jobs are cancelled.
-inline void hold_commands_and_relay_heartbeats(SimulatedCluster& c) {
-  const double for_s = c.sim().draw(10, 100);
-  c.faults().cut(c.controllers().random_leader(), FaultInjector::heartbeats, for_s);
-  for (int machine = 0; machine < c.machines().size(); ++machine) {
-    if (c.sim().chance(0.7))
-      c.faults().hold_direct_commands(machine, for_s * c.sim().draw(0.5, 1.5));
-    if (c.sim().chance(0.5))
-      c.faults().hold_direct_answers(machine, for_s * c.sim().draw(0.5, 1.5));
+inline void hold_commands_and_relay_heartbeats(SimulatedCluster& cluster) {
+  const double for_s = cluster.sim().draw(10, 100);
+  cluster.faults().cut(cluster.controllers().random_leader(), FaultInjector::heartbeats, for_s);
+  for (int machine = 0; machine < cluster.machines().size(); ++machine) {
+    if (cluster.sim().chance(0.7))
+      cluster.faults().hold_direct_commands(machine, for_s * cluster.sim().draw(0.5, 1.5));
+    if (cluster.sim().chance(0.5))
+      cluster.faults().hold_direct_answers(machine, for_s * cluster.sim().draw(0.5, 1.5));
   }
-  c.sim().at(c.now() + c.sim().draw(0, 10), [&c] { cancel_some(c, 0.4); });
+  cluster.sim().at(cluster.now() + cluster.sim().draw(0, 10),
+                   [&cluster] { cancel_some(cluster, 0.4); });
 }
 
 }  // namespace faults
@@ -295,17 +316,17 @@
       {"a machine dies", faults::kill_machine},
       {"machines mute", faults::cut_heartbeats},
       {"machines hang for long", faults::hang_machines_beyond_lease},
-      {"machines hang in chains", faults::hang_machines_in_chains},
+      {"machines hang in chains", faults::hang_machines_repeatedly},
       {"writes answered by nothing but done", faults::lose_write_answers},
-      {"reports kept for the next leader", faults::keep_heartbeats_for_next_leader},
+      {"reports kept for the next leader", faults::copy_heartbeats_to_next_leader},
       {"many cancelled and their machines hang", faults::cancel_many_and_hang_machines},
       {"others make room and are cancelled", faults::preempt_and_cancel},
-      {"spot machines are taken", faults::take_spot_machines},
+      {"spot machines are taken", faults::reclaim_spot_machines},
       {"a zone cut with its controller", faults::cut_zone},
       {"all away for longer than the lease", faults::kill_all_controllers_beyond_lease},
       {"leaders change ten times", faults::change_leaders_ten_times},
       {"slow links", faults::slow_links},
-      {"new machines up at once", faults::boot_machines_at_once},
+      {"new machines up at once", faults::boot_machines_quickly},
       {"orders held and reports passed on", faults::hold_commands_and_relay_heartbeats},
       {"refused alone with cancellations, then out", faults::refuse_leader_before_outage},
   };
