--- a/tests/fault_combinations_digest_test.cpp
+++ b/tests/fault_combinations_digest_test.cpp
@@ -29,10 +29,10 @@
 }
 
 TEST(HistoryDigest, DoublesDifferInTheirLastBit) {
-  HistoryDigest sum, literal;
-  sum.add_double(0.1 + 0.2);
+  HistoryDigest computed, literal;
+  computed.add_double(0.1 + 0.2);
   literal.add_double(0.3);
-  EXPECT_NE(sum.value(), literal.value());
+  EXPECT_NE(computed.value(), literal.value());
 }
 
 TEST(HistoryDigest, TextsDifferByWhereTheyAreSplit) {
@@ -45,17 +45,18 @@
 }
 
 TEST(FaultCombinationsDigest, TheSameSeedGivesTheSameHistory) {
-  for (unsigned seed : {1u, 2u, 3u}) EXPECT_EQ(play(seed).digest, play(seed).digest) << seed;
+  for (unsigned seed : {1u, 2u, 3u})
+    EXPECT_EQ(play_history(seed).digest, play_history(seed).digest) << seed;
 }
 
 TEST(FaultCombinationsDigest, AnotherSeedGivesAnotherHistory) {
   std::set<std::uint64_t> digests;
-  for (unsigned seed = 1; seed <= 5; ++seed) digests.insert(play(seed).digest);
+  for (unsigned seed = 1; seed <= 5; ++seed) digests.insert(play_history(seed).digest);
   EXPECT_EQ(digests.size(), 5u);
 }
 
 TEST(FaultCombinationsDigest, ANamedFaultChangesTheHistory) {
-  EXPECT_NE(play(1).digest, play(1, {"cloud down"}).digest);
+  EXPECT_NE(play_history(1).digest, play_history(1, {"cloud down"}).digest);
 }
 
 // The two exchanges below differ in one thing each; the digest has to see it.
@@ -68,20 +69,20 @@
     simulation::Simulation simulation(1);
     simulation::Host server(simulation, "server"), client(simulation, "client");
     const config::Endpoint endpoint{"server", 80};
-    const auto listening =
+    const auto listener =
         server.listen(endpoint, [this](const net::ExchangePtr& e) { e->send(answer); });
-    net::Network::Handle asked;
+    net::Network::Handle handle;
     simulation.at(at_s, [&] {
-      asked = client.request(endpoint, "POST", path, body, 5, [](const net::Result&) {});
+      handle = client.request(endpoint, "POST", path, body, 5, [](const net::Result&) {});
     });
     simulation.run_until(10);
     return simulation.digest();
   }
 };
 
-TEST(SimulationDigest, SeesWhatIsAskedAndWhatIsAnsweredAndWhen) {
-  const std::uint64_t plain = OneExchange{}.digest();
-  EXPECT_EQ(OneExchange{}.digest(), plain);
+TEST(SimulationDigest, ChangesWithEachPartOfARequestOrAnswerAndTheirTimes) {
+  const std::uint64_t unchanged = OneExchange{}.digest();
+  EXPECT_EQ(OneExchange{}.digest(), unchanged);
   OneExchange later, other_path, altered_body, other_status, other_answer, other_retry;
   later.at_s = 1.0000001;
   other_path.path = "/y";
@@ -91,7 +92,7 @@
   other_retry.answer.retry_after_s = 1;
   for (const OneExchange& other :
        {later, other_path, altered_body, other_status, other_answer, other_retry})
-    EXPECT_NE(other.digest(), plain);
+    EXPECT_NE(other.digest(), unchanged);
 }
 
 }  // namespace
--- a/tests/fault_combinations_state_test.cpp
+++ b/tests/fault_combinations_state_test.cpp
@@ -9,54 +9,56 @@
 namespace {
 
 // A state service whose pages come slowly, and which answers nothing but them.
-struct SlowPages {
+struct SlowStateService {
   simulation::Simulation sim{1};
   simulation::Host node{sim, "node-0"}, service{sim, "state"};
-  config::Settings s;
-  std::vector<double> pages_at;  // when each was asked for
-  int pages = 5;
+  config::Settings settings;
+  std::vector<double> page_requested_at;  // when each was asked for
+  int page_count = 5;
   std::unique_ptr<state::Client> client;
   std::unique_ptr<controller::StateStore> store;
   std::unique_ptr<net::Server> server;
 
-  SlowPages() {
-    s.nodes = {"node-0"};
-    s.node = "node-0";
-    s.state = {"state", 1};
+  SlowStateService() {
+    settings.nodes = {"node-0"};
+    settings.node = "node-0";
+    settings.state = {"state", 1};
     sim.delivery_of = [](const simulation::Request&) {
       simulation::Delivery delivery;
       delivery.request_delay_s = delivery.answer_delay_s = 0.8;
       return delivery;
     };
     server = std::make_unique<net::Server>(
-        service.loop(), s.state, 64 * 1024, [this](const net::ExchangePtr& ex) {
-          if (ex->path != "/kv") return ex->send({503, "{}", 0});
-          pages_at.push_back(sim.now() - 0.8);
-          const int n = static_cast<int>(pages_at.size());
-          ex->send({200,
-                    client_protocol::encode_page(
-                        {client_protocol::encode_entry("st/x/" + std::to_string(n), "{}", 4, 0)},
-                        n < pages, 9),
-                    0});
+        service.loop(), settings.state, 64 * 1024, [this](const net::ExchangePtr& exchange) {
+          if (exchange->path != "/kv") return exchange->send({503, "{}", 0});
+          page_requested_at.push_back(sim.now() - 0.8);
+          const int number = static_cast<int>(page_requested_at.size());
+          exchange->send(
+              {200,
+               client_protocol::encode_page(
+                   {client_protocol::encode_entry("st/x/" + std::to_string(number), "{}", 4, 0)},
+                   number < page_count, 9),
+               0});
         });
-    client = std::make_unique<state::Client>(node.loop(), s);
-    store = std::make_unique<controller::StateStore>(node.loop(), s, *client);
+    client = std::make_unique<state::Client>(node.loop(), settings);
+    store = std::make_unique<controller::StateStore>(node.loop(), settings, *client);
   }
 };
 
 // A page holds what was so when it was read: all that is known of the keys of the first one is as
 // old as that. An leader that counted from the last page went on answering workers for longer than
 // S after a cancellation that it did not know of.
-TEST(StateStore, AReadOfManyPagesBeganWithTheFirst) {
-  SlowPages p;
-  p.store->tick();
-  p.sim.run_until(30);
-  ASSERT_TRUE(p.store->loaded());
-  ASSERT_EQ(p.pages_at.size(), 5u);
-  const double first = p.sim.now() - p.pages_at.front(), last = p.sim.now() - p.pages_at.back();
-  ASSERT_GT(first - last, 6);
-  EXPECT_FALSE(p.store->fresh(first - 0.1));
-  EXPECT_TRUE(p.store->fresh(first + 0.1));
+TEST(StateStore, AReadOfManyPagesIsAsOldAsItsFirstPage) {
+  SlowStateService service;
+  service.store->tick();
+  service.sim.run_until(30);
+  ASSERT_TRUE(service.store->loaded());
+  ASSERT_EQ(service.page_requested_at.size(), 5u);
+  const double first_page_age_s = service.sim.now() - service.page_requested_at.front(),
+               last_page_age_s = service.sim.now() - service.page_requested_at.back();
+  ASSERT_GT(first_page_age_s - last_page_age_s, 6);
+  EXPECT_FALSE(service.store->fresh(first_page_age_s - 0.1));
+  EXPECT_TRUE(service.store->fresh(first_page_age_s + 0.1));
 }
 
 }  // namespace
