--- a/tests/fault_combinations_limits_test.cpp
+++ b/tests/fault_combinations_limits_test.cpp
@@ -1,4 +1,4 @@
-// Meetings of teams' limits, room, zones and new machines; and that what waits is served.
+// Meetings of teams' limits, room, zones and new machines; and that group waits is served.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -11,17 +11,17 @@
 namespace shunttrail::test {
 namespace {
 
-const char* const kTeam[] = {"red", "blue", "green", "white"};
-constexpr double kLongest = 80;  // of all faults here, counted from the last that begins
-constexpr double kCalm = 420;    // until all is over that can be
+const char* const kTeams[] = {"red", "blue", "green", "white"};
+constexpr double kLongestFaultS = 80;  // of all faults here, counted from the last that begins
+constexpr double kQuietS = 420;        // until all is over that can be
 
 using Strings = std::vector<std::string>;
 
 // SHUNTTRAIL_HISTORIES=FIRST-LAST plays these seeds of each fault combination instead.
 void each_seed(const std::function<void(unsigned)>& play) {
   unsigned first = 1, last = 25;
-  if (const char* more = std::getenv("SHUNTTRAIL_HISTORIES"))
-    std::sscanf(more, "%u-%u", &first, &last);
+  if (const char* range = std::getenv("SHUNTTRAIL_HISTORIES"))
+    std::sscanf(range, "%u-%u", &first, &last);
   for (unsigned seed = first; seed <= last; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     play(seed);
@@ -30,37 +30,38 @@
 
 // Nothing faults the cluster any more: all jobs end, users are answered, and no machine stays
 // rented without work.
-void calm_down(SimulatedCluster& cluster) {
+void end_faults_and_finish(SimulatedCluster& cluster) {
   cluster.options().late_writes = cluster.options().lost_answers =
       cluster.options().max_link_delay_s = 0;
   cluster.rules().faults_have_ended();
-  cluster.run_for(kCalm);
+  cluster.run_for(kQuietS);
   cluster.query_all_controllers();
   Strings unfinished;
-  for (const auto& [id, j] : cluster.users().jobs())
-    if (j.spec.service)
+  for (const auto& [id, job] : cluster.users().jobs())
+    if (job.spec.service)
       cluster.users().cancel(id);
-    else if (j.accepted && j.done_reported_at < 0 && j.cancelled_reported_at < 0)
+    else if (job.accepted && job.done_reported_at < 0 && job.cancelled_reported_at < 0)
       unfinished.push_back(id);
   EXPECT_EQ(unfinished, Strings{});
   cluster.run_for(120);
   EXPECT_EQ(cluster.rented_machines(), 0u);
 }
 // And no job waits beside room.
-void expect_calm(SimulatedCluster& cluster) {
-  calm_down(cluster);
+void expect_no_violations_at_end(SimulatedCluster& cluster) {
+  end_faults_and_finish(cluster);
   EXPECT_EQ(cluster.rules().broken(), Strings{});
 }
 
-Strings broken_so(const SimulatedCluster& cluster, const std::string& rule, bool so = true) {
+Strings violations_of(const SimulatedCluster& cluster, const std::string& rule,
+                      bool matching = true) {
   Strings out;
-  for (const auto& b : cluster.rules().broken())
-    if ((b.find(rule) != std::string::npos) == so) out.push_back(b);
+  for (const auto& violation : cluster.rules().broken())
+    if ((violation.find(rule) != std::string::npos) == matching) out.push_back(violation);
   return out;
 }
 
 // A leader goes, one way or another, for at most a minute.
-void leader_goes(SimulatedCluster& cluster) {
+void fail_leader(SimulatedCluster& cluster) {
   auto& sim = cluster.sim();
   const int leader = cluster.controllers().random_leader();
   switch (sim.rng()() % 5) {
@@ -81,7 +82,7 @@
 // ---- room
 
 // Four jobs that fit, and limits by which the controllers place fewer, or more.
-SimulatedCluster& limited(SimulatedCluster& cluster) {
+SimulatedCluster& run_at_quota(SimulatedCluster& cluster) {
   cluster.run_for(12);
   for (int i = 0; i < 4; ++i) cluster.users().submit(spec("red", 2), 150);
   cluster.run_for(60);
@@ -90,22 +91,22 @@
   return cluster;
 }
 
-TEST(Limits, WorkLeftWaitingBesideRoomIsSeen) {
-  ClusterOptions s;
-  s.team_limit = 8;
-  SimulatedCluster as_told(1, s);
-  EXPECT_EQ(limited(as_told).rules().broken(), Strings{});
-  s.controllers_team_limit = 3;
-  SimulatedCluster fewer(1, s);
-  EXPECT_NE(broken_so(limited(fewer), "neglected"), Strings{});
+TEST(Limits, ALowerQuotaOfTheControllersIsReportedAsNeglected) {
+  ClusterOptions options;
+  options.team_limit = 8;
+  SimulatedCluster configured_as_given(1, options);
+  EXPECT_EQ(run_at_quota(configured_as_given).rules().broken(), Strings{});
+  options.controllers_team_limit = 3;
+  SimulatedCluster configured_lower(1, options);
+  EXPECT_NE(violations_of(run_at_quota(configured_lower), "neglected"), Strings{});
 }
 
-TEST(Limits, MoreThanALimitIsSeen) {
-  ClusterOptions s;
-  s.team_limit = 5;
-  s.controllers_team_limit = 8;
-  SimulatedCluster more(1, s);
-  EXPECT_NE(broken_so(limited(more), "quota"), Strings{});
+TEST(Limits, AHigherQuotaOfTheControllersIsReportedAsExceeded) {
+  ClusterOptions options;
+  options.team_limit = 5;
+  options.controllers_team_limit = 8;
+  SimulatedCluster configured_higher(1, options);
+  EXPECT_NE(violations_of(run_at_quota(configured_higher), "quota"), Strings{});
 }
 
 // ---- limits
@@ -116,45 +117,45 @@
   SimulatedCluster cluster;
   int at_limit = 0, cancelled = 0;
   static ClusterOptions options(unsigned seed) {
-    ClusterOptions s;
-    s.controllers = 2 + static_cast<int>(seed % 4);
-    s.teams = 4;
-    s.team_limit = 6;
-    s.machines = 8;
-    return s;
+    ClusterOptions options;
+    options.controllers = 2 + static_cast<int>(seed % 4);
+    options.teams = 4;
+    options.team_limit = 6;
+    options.machines = 8;
+    return options;
   }
   // `first`: the leader goes before anything is cancelled.
-  AtLimit(unsigned seed, bool first) : cluster(seed, options(seed)) {
+  AtLimit(unsigned seed, bool leader_first) : cluster(seed, options(seed)) {
     auto& sim = cluster.sim();
     cluster.run_for(12);
     for (int round = 0; round < 3; ++round)
-      for (const char* team : kTeam) {
+      for (const char* team : kTeams) {
         cluster.users().submit(spec(team, 2), sim.draw(40, 110));
         cluster.users().submit(spec(team, 1, 2), sim.draw(40, 110));
       }
     cluster.run_for(sim.draw(25, 35));
-    for (const char* team : kTeam)
+    for (const char* team : kTeams)
       at_limit += cluster.rules().used_cpus(team) > cluster.options().team_limit - 1e-9;
-    if (first) {
-      leader_goes(cluster);
+    if (leader_first) {
+      fail_leader(cluster);
       cluster.run_for(sim.draw(0, 25));
     }
     std::vector<std::string> running;
-    for (const auto& [id, j] : cluster.users().jobs())
+    for (const auto& [id, job] : cluster.users().jobs())
       if (!cluster.machines().with_job(id).empty()) running.push_back(id);
     for (const auto& id : running) {
       if (!sim.chance(0.5)) continue;
       ++cancelled;
-      for (int m : cluster.machines().with_job(id)) unasked(m);
+      for (int machine : cluster.machines().with_job(id)) make_unreachable(machine);
       sim.at(sim.now() + sim.draw(0, 3), [this, id] { cluster.users().cancel(id); });
     }
     cluster.run_for(sim.draw(0, 4));
-    if (!first) leader_goes(cluster);
+    if (!leader_first) fail_leader(cluster);
     cluster.run_for(sim.draw(0, 30));
-    if (sim.chance(0.5)) leader_goes(cluster);
-    cluster.run_for(kLongest);
+    if (sim.chance(0.5)) fail_leader(cluster);
+    cluster.run_for(kLongestFaultS);
   }
-  void unasked(int machine) {
+  void make_unreachable(int machine) {
     auto& sim = cluster.sim();
     const double for_s = sim.draw(3, 60);
     switch (sim.rng()() % 6) {
@@ -178,42 +179,42 @@
 void expect_limits(bool leader_first) {
   int seeds = 0, at_limit = 0, cancelled = 0;
   each_seed([&](unsigned seed) {
-    AtLimit m(seed, leader_first);
-    calm_down(m.cluster);
+    AtLimit scenario(seed, leader_first);
+    end_faults_and_finish(scenario.cluster);
     // Room beside waiting work has tests of its own.
-    EXPECT_EQ(broken_so(m.cluster, "neglected", false), Strings{});
+    EXPECT_EQ(violations_of(scenario.cluster, "neglected", false), Strings{});
     ++seeds;
-    at_limit += m.at_limit;
-    cancelled += m.cancelled;
+    at_limit += scenario.at_limit;
+    cancelled += scenario.cancelled;
   });
   EXPECT_GT(at_limit, seeds * 3);  // of four teams
   EXPECT_GT(cancelled, seeds * 3);
 }
 
-TEST(Limits, JobsAreCancelledWhoseMachinesCannotBeAskedThenTheLeaderChanges) {
+TEST(Limits, CancellationsOnUnreachableMachinesBeforeALeaderChangeKeepTheQuota) {
   expect_limits(false);
 }
-TEST(Limits, TheLeaderChangesThenJobsAreCancelledWhoseMachinesCannotBeAsked) {
+TEST(Limits, CancellationsOnUnreachableMachinesAfterALeaderChangeKeepTheQuota) {
   expect_limits(true);
 }
 
 // Once the faults are over, room is given again: nothing waits beside it for 90 s.
-TEST(Limits, RoomIsGivenAgainOnceTheTroublesAreOver) {
+TEST(Limits, FreedCapacityIsUsedOnceTheFaultsHaveEnded) {
   each_seed([&](unsigned seed) {
     for (const bool leader_first : {false, true}) {
-      AtLimit m(seed, leader_first);
-      calm_down(m.cluster);
-      EXPECT_EQ(broken_so(m.cluster, "neglected"), Strings{});
+      AtLimit scenario(seed, leader_first);
+      end_faults_and_finish(scenario.cluster);
+      EXPECT_EQ(violations_of(scenario.cluster, "neglected"), Strings{});
     }
   });
 }
 
 // There is one machine and no other to be had; a task that needs half of it waits for its turn.
-TEST(Limits, ASmallTaskDoesNotWaitBesideRoomBehindALargerOneThatHasNone) {
-  ClusterOptions s;
-  s.controllers = 1;
-  s.machines = 1;
-  SimulatedCluster cluster(1, s);
+TEST(Limits, ASmallTaskStartsBeforeALargerOneThatDoesNotFit) {
+  ClusterOptions options;
+  options.controllers = 1;
+  options.machines = 1;
+  SimulatedCluster cluster(1, options);
   cluster.run_for(12);
   cluster.users().submit(spec("red", 1, 3), 300);
   cluster.run_for(15);
@@ -228,11 +229,11 @@
 
 // Each team's controller has a machine, and there is no other to be had: one is full, the other one
 // hardly in use.
-TEST(Limits, WorkDoesNotWaitBesideRoomOnAnotherControllersMachine) {
-  ClusterOptions s;
-  s.controllers = 2;
-  s.machines = 2;
-  SimulatedCluster cluster(1, s);
+TEST(Limits, ATaskUsesFreeCapacityOnAnotherControllersMachine) {
+  ClusterOptions options;
+  options.controllers = 2;
+  options.machines = 2;
+  SimulatedCluster cluster(1, options);
   cluster.run_for(12);
   cluster.users().submit(spec("red", 1, 1), 300);
   cluster.users().submit(spec("blue", 1, 4), 300);
@@ -248,52 +249,53 @@
 
 // Nothing is rented yet. Machines of two types are up at once and get work, writes lag and lists
 // are old, some of the jobs are cancelled, and the leader ends.
-TEST(Limits, NewMachinesGetWorkAtOnceWhileWritesLagAndTheLeaderEnds) {
-  int seeds = 0, quick = 0, cancelled = 0;
+TEST(Limits, NewMachinesAreUsedWhileWritesLagAndTheLeaderEnds) {
+  int seeds = 0, with_machines = 0, cancelled = 0;
   each_seed([&](unsigned seed) {
     ++seeds;
-    ClusterOptions s;
-    s.controllers = 2 + static_cast<int>(seed % 4);
-    s.teams = 3;
-    s.team_limit = 10;
-    s.machines = 4;
-    s.big_machines = 3;
-    s.max_boot_s = 2;
-    s.list_lag_s = 3;
-    SimulatedCluster cluster(seed, s);
+    ClusterOptions options;
+    options.controllers = 2 + static_cast<int>(seed % 4);
+    options.teams = 3;
+    options.team_limit = 10;
+    options.machines = 4;
+    options.big_machines = 3;
+    options.max_boot_s = 2;
+    options.list_lag_s = 3;
+    SimulatedCluster cluster(seed, options);
     auto& sim = cluster.sim();
     cluster.run_for(12);
     std::vector<std::string> jobs;
     for (int i = 0; i < 9; ++i) {
-      wire::JobSpec j = spec(kTeam[i % 3], 1 + sim.rng()() % 3, sim.chance(0.3) ? 2 : 1);
-      if (sim.chance(0.4)) j.types = {{sim.chance(0.5) ? "t4" : "t8"}};
-      if (sim.chance(0.2)) j.cpus = 6;  // a large machine's
+      wire::JobSpec job = spec(kTeams[i % 3], 1 + sim.rng()() % 3, sim.chance(0.3) ? 2 : 1);
+      if (sim.chance(0.4)) job.types = {{sim.chance(0.5) ? "t4" : "t8"}};
+      if (sim.chance(0.2)) job.cpus = 6;  // a large machine's
       // One at a time within the limit: three jobs of three such tasks are over in six minutes.
-      jobs.push_back(cluster.users().submit(j, sim.draw(5, j.cpus > s.team_limit / 2 ? 20 : 60)));
+      jobs.push_back(
+          cluster.users().submit(job, sim.draw(5, job.cpus > options.team_limit / 2 ? 20 : 60)));
     }
     cluster.faults().slow_state(sim.draw(0.2, 2.5), sim.draw(10, 60));
     if (sim.chance(0.6)) cluster.options().late_writes = sim.draw(0.1, 0.4);
     if (sim.chance(0.6)) cluster.options().lost_answers = sim.draw(0.1, 0.4);
-    const double ends = sim.draw(0.5, 10);
-    const double cancels = sim.draw(0.5, 12);
-    sim.at(sim.now() + ends, [&cluster, &sim] {
+    const double ends_in_s = sim.draw(0.5, 10);
+    const double cancels_in_s = sim.draw(0.5, 12);
+    sim.at(sim.now() + ends_in_s, [&cluster, &sim] {
       cluster.faults().kill(cluster.controllers().random_leader(), sim.draw(0.05, 15));
     });
     for (const auto& id : jobs)
       if (sim.chance(0.4)) {
         ++cancelled;
-        sim.at(sim.now() + cancels + sim.draw(0, 4),
+        sim.at(sim.now() + cancels_in_s + sim.draw(0, 4),
                [&cluster, id] { cluster.users().cancel(id); });
       }
     cluster.run_for(5);
-    quick += cluster.machines().size() > 0;
+    with_machines += cluster.machines().size() > 0;
     cluster.run_for(20);
     if (sim.chance(0.5))
       cluster.faults().kill(cluster.controllers().random_leader(), sim.draw(0.05, 15));
-    cluster.run_for(kLongest);
-    expect_calm(cluster);
+    cluster.run_for(kLongestFaultS);
+    expect_no_violations_at_end(cluster);
   });
-  EXPECT_GT(quick, 0);
+  EXPECT_GT(with_machines, 0);
   EXPECT_GT(cancelled, seeds);
 }
 
@@ -301,47 +303,47 @@
 
 // Jobs bound to a zone, to any one zone and to both, arrays too. All machines of one zone die, and
 // for a while there are none to be had there.
-TEST(Limits, JobsBoundToZonesLoseTheirMachines) {
+TEST(Limits, JobsBoundToZonesFinishAfterTheirMachinesFail) {
   std::uint64_t done = 0;
   int seeds = 0, lost = 0;
   each_seed([&](unsigned seed) {
     ++seeds;
-    ClusterOptions s;
-    s.controllers = 2 + static_cast<int>(seed % 4);
-    s.machines = 8;
-    SimulatedCluster cluster(seed, s);
+    ClusterOptions options;
+    options.controllers = 2 + static_cast<int>(seed % 4);
+    options.machines = 8;
+    SimulatedCluster cluster(seed, options);
     auto& sim = cluster.sim();
     cluster.run_for(12);
     for (int i = 0; i < 12; ++i) {
-      wire::JobSpec j = spec(kTeam[i % 2], 1 + sim.rng()() % 6);
+      wire::JobSpec job = spec(kTeams[i % 2], 1 + sim.rng()() % 6);
       switch (sim.rng()() % 4) {
         case 0:
-          j.zone = "a";
+          job.zone = "a";
           break;
         case 1:
-          j.zone = "b";
+          job.zone = "b";
           break;
         case 2:
-          j.same_zone = true;
+          job.same_zone = true;
           break;
         default:
-          j.anti_affinity = true;
+          job.anti_affinity = true;
       }
-      j.same_zone |= j.zone && sim.chance(0.3);
-      j.gang = sim.chance(0.15);
-      cluster.users().submit(j, sim.draw(5, 40));
+      job.same_zone |= job.zone && sim.chance(0.3);
+      job.gang = sim.chance(0.15);
+      cluster.users().submit(job, sim.draw(5, 40));
     }
     cluster.run_for(sim.draw(12, 30));
     for (int round = 0; round < 2; ++round) {
-      const int there = cluster.machines().size();
+      const int machines_before = cluster.machines().size();
       cluster.faults().lose_zone(sim.chance(0.5) ? "a" : "b", sim.draw(20, 90));
-      lost += there > 0;
-      if (sim.chance(0.6)) leader_goes(cluster);
+      lost += machines_before > 0;
+      if (sim.chance(0.6)) fail_leader(cluster);
       if (sim.chance(0.3)) cluster.faults().slow_state(sim.draw(0.2, 2), sim.draw(5, 30));
       cluster.run_for(sim.draw(5, 60));
     }
     cluster.run_for(90);
-    expect_calm(cluster);
+    expect_no_violations_at_end(cluster);
     done += cluster.rules().completed_tasks();
   });
   EXPECT_GT(lost, 0);
@@ -352,15 +354,15 @@
 
 // Jobs are cancelled in the seconds in which a shard changes hands: taken over, handed back, rolled
 // through all controllers, and while machines go from one shard to another.
-TEST(Limits, JobsAreCancelledWhileTheirShardChangesHands) {
+TEST(Limits, CancellationsDuringLeaderChangesBreakNoRule) {
   int seeds = 0, changes = 0, cancelled = 0;
   each_seed([&](unsigned seed) {
     ++seeds;
-    ClusterOptions s;
-    s.controllers = 2 + static_cast<int>(seed % 3);
-    s.team_limit = 12;
-    s.machines = 5;
-    SimulatedCluster cluster(seed, s);
+    ClusterOptions options;
+    options.controllers = 2 + static_cast<int>(seed % 3);
+    options.team_limit = 12;
+    options.machines = 5;
+    SimulatedCluster cluster(seed, options);
     auto& sim = cluster.sim();
     cluster.run_for(12);
     // One team has it all at first; then the other one's work needs machines of the first.
@@ -369,11 +371,11 @@
     cluster.run_for(sim.draw(10, 20));
     for (int i = 0; i < 8; ++i)
       cluster.users().submit(spec("blue", 1 + sim.rng()() % 3), sim.draw(15, 60));
-    std::vector<int> owners(static_cast<std::size_t>(s.controllers), -1);
-    int left = 0;  // looks in which users cancel
-    for (int look = 0; look < 360; ++look) {
-      if (look % 90 == 10)
-        for (int n = 0; n < s.controllers; ++n) {
+    std::vector<int> leaders(static_cast<std::size_t>(options.controllers), -1);
+    int checks_left = 0;  // looks in which users cancel
+    for (int step = 0; step < 360; ++step) {
+      if (step % 90 == 10)
+        for (int n = 0; n < options.controllers; ++n) {
           const bool roll = sim.chance(0.6);
           if (!roll && n > 0) break;
           const double at = sim.now() + n * sim.draw(0.3, 4);
@@ -382,28 +384,29 @@
                                   sim.draw(0.05, roll ? 1 : 14));
           });
         }
-      for (int shard = 0; shard < s.controllers; ++shard) {
-        int& was = owners[static_cast<std::size_t>(shard)];
-        const int is = cluster.controllers().leader(shard);
-        if (is != was) {
+      for (int shard = 0; shard < options.controllers; ++shard) {
+        int& previous_leader = leaders[static_cast<std::size_t>(shard)];
+        const int now_leading = cluster.controllers().leader(shard);
+        if (now_leading != previous_leader) {
           ++changes;
-          left = 12;
+          checks_left = 12;
         }
-        was = is;
+        previous_leader = now_leading;
       }
-      if (left-- > 0)
-        for (const auto& [id, j] : cluster.users().jobs())
-          if (j.accepted && !j.cancel_requested && j.done_reported_at < 0 && sim.chance(0.02)) {
+      if (checks_left-- > 0)
+        for (const auto& [id, job] : cluster.users().jobs())
+          if (job.accepted && !job.cancel_requested && job.done_reported_at < 0 &&
+              sim.chance(0.02)) {
             ++cancelled;
             cluster.users().cancel(id);
             break;
           }
-      if (look % 20 == 0)
-        cluster.users().submit(spec(kTeam[look / 20 % 2], 1 + sim.rng()() % 3), 20);
+      if (step % 20 == 0)
+        cluster.users().submit(spec(kTeams[step / 20 % 2], 1 + sim.rng()() % 3), 20);
       cluster.run_for(0.25);
     }
     cluster.run_for(30);
-    expect_calm(cluster);
+    expect_no_violations_at_end(cluster);
   });
   EXPECT_GT(changes, seeds * 8);
   EXPECT_GT(cancelled, seeds);
@@ -412,28 +415,28 @@
 // ---- more work than room
 
 struct Submitted {
-  std::string id, cls, team;
+  std::string id, job_class, team;
   wire::Priority priority = wire::Priority::standard;
   double at = 0, size = 0;  // size: vcpus at once
   double work = 0;          // vcpu seconds
 };
 
-// What is possible at all, as plain arithmetic: what has come before this job, and what is more
+// What is possible at all, as plain arithmetic: group has come before this job, and group is more
 // urgent and comes within the four minutes that it may wait, is gone through by then, by all the
-// room and within its team's limit. Two fifths are left to what does not fit together, and to
+// room and within its team's limit. Two fifths are left to group does not fit together, and to
 // machines that are cleared for a task that needs all of one.
-constexpr double kBegin = 240, kShare = 0.6;
-bool possible(const Submitted& job, const std::vector<Submitted>& all, double from, double room,
+constexpr double kMaxWaitS = 240, kUsableShare = 0.6;
+bool possible(const Submitted& job, const std::vector<Submitted>& all, double from, double capacity,
               double limit) {
-  const double until = job.at + kBegin;
-  double ahead = 0, of_team = 0;
+  const double until = job.at + kMaxWaitS;
+  double work_ahead = 0, team_work_ahead = 0;
   for (const auto& other : all) {
     if (other.at > (other.priority < job.priority ? until : job.at)) continue;
-    ahead += other.work;
-    if (other.team == job.team) of_team += other.work;
+    work_ahead += other.work;
+    if (other.team == job.team) team_work_ahead += other.work;
   }
-  return job.size <= limit && ahead <= kShare * room * (until - from) &&
-         of_team <= kShare * limit * (until - from);
+  return job.size <= limit && work_ahead <= kUsableShare * capacity * (until - from) &&
+         team_work_ahead <= kUsableShare * limit * (until - from);
 }
 
 // Classes of all bands, sizes and kinds, and four teams, draw more work than there is room, over
@@ -443,24 +446,24 @@
   std::vector<Submitted> all;
   double from = 0;
   static ClusterOptions options(unsigned seed) {
-    ClusterOptions s;
-    s.controllers = 2 + static_cast<int>(seed % 3);
-    s.teams = 4;
-    s.machines = 6;
-    s.team_limit = 12;
-    return s;
+    ClusterOptions options;
+    options.controllers = 2 + static_cast<int>(seed % 3);
+    options.teams = 4;
+    options.machines = 6;
+    options.team_limit = 12;
+    return options;
   }
-  double room() const { return cluster.options().machines * cluster.options().machine_cpus; }
-  bool possible(const Submitted& j) const {
-    return test::possible(j, all, from, room(), cluster.options().team_limit);
+  double capacity() const { return cluster.options().machines * cluster.options().machine_cpus; }
+  bool possible(const Submitted& job) const {
+    return test::possible(job, all, from, capacity(), cluster.options().team_limit);
   }
-  bool begun(const Submitted& j, double within) const {
-    const double at = cluster.rules().first_run_at(j.id);
-    return at >= 0 && at - j.at <= within;
+  bool started_within(const Submitted& job, double within) const {
+    const double at = cluster.rules().first_run_at(job.id);
+    return at >= 0 && at - job.at <= within;
   }
   explicit Overload(unsigned seed) : cluster(seed, options(seed)) {
     auto& sim = cluster.sim();
-    const ClusterOptions& s = cluster.options();
+    const ClusterOptions& options = cluster.options();
     cluster.run_for(12);
     cluster.options().max_link_delay_s = sim.draw(0.05, 0.4);
     from = sim.now();
@@ -474,120 +477,127 @@
     };
     std::vector<Class> classes;
     for (int c = 0; c < 5; ++c) {
-      Class k;
-      k.spec.job_class = "class-" + std::to_string(c);
-      k.spec.priority = static_cast<wire::Priority>(c % wire::kPriorities);
-      k.spec.gang = sim.chance(0.3);
-      k.spec.same_zone = sim.chance(0.2);
+      Class job_class;
+      job_class.spec.job_class = "class-" + std::to_string(c);
+      job_class.spec.priority = static_cast<wire::Priority>(c % wire::kPriorities);
+      job_class.spec.gang = sim.chance(0.3);
+      job_class.spec.same_zone = sim.chance(0.2);
       if (sim.chance(0.4)) {
-        k.spec.checkpoint_s = sim.draw(5, 20);
-        k.spec.save_s = sim.draw(1, 5);
+        job_class.spec.checkpoint_s = sim.draw(5, 20);
+        job_class.spec.save_s = sim.draw(1, 5);
       }
-      k.run_s = sim.draw(5, 25);
-      k.weight = sim.draw(0.5, 2);
-      k.tasks = 1 + sim.rng()() % 4;
-      classes.push_back(k);
+      job_class.run_s = sim.draw(5, 25);
+      job_class.weight = sim.draw(0.5, 2);
+      job_class.tasks = 1 + sim.rng()() % 4;
+      classes.push_back(job_class);
     }
-    std::vector<double> crowd;  // how much of the work is whose
-    for (int t = 0; t < s.teams; ++t) crowd.push_back(sim.draw(0.5, 2));
-    std::discrete_distribution<std::size_t> a_team(crowd.begin(), crowd.end());
+    std::vector<double> team_weights;  // how much of the work is whose
+    for (int t = 0; t < options.teams; ++t) team_weights.push_back(sim.draw(0.5, 2));
+    std::discrete_distribution<std::size_t> random_team(team_weights.begin(), team_weights.end());
     std::vector<double> weights;
-    for (const auto& k : classes) weights.push_back(k.weight);
-    std::discrete_distribution<std::size_t> a_class(weights.begin(), weights.end());
-    for (double work = 0; work < load * room() * arrivals;) {
-      const Class& k = classes[a_class(sim.rng())];
+    for (const auto& job_class : classes) weights.push_back(job_class.weight);
+    std::discrete_distribution<std::size_t> random_class(weights.begin(), weights.end());
+    for (double work = 0; work < load * capacity() * arrivals;) {
+      const Class& job_class = classes[random_class(sim.rng())];
       const double sizes[] = {0.5, 1, 1, 2, 2, 4};
-      wire::JobSpec j =
-          spec(kTeam[a_team(sim.rng())], 1 + sim.rng()() % k.tasks, sizes[sim.rng()() % 6]);
-      j.job_class = k.spec.job_class;
-      j.priority = k.spec.priority;
-      j.gang = k.spec.gang && j.tasks > 1 && j.tasks * j.cpus <= s.team_limit / 2;
-      j.same_zone = k.spec.same_zone;
-      j.checkpoint_s = k.spec.checkpoint_s;
-      j.save_s = k.spec.save_s;
-      j.service = all.size() % 40 == 20;
-      if (j.service) {
-        j.tasks = 1;
-        j.cpus = 0.5;
+      wire::JobSpec job = spec(kTeams[random_team(sim.rng())], 1 + sim.rng()() % job_class.tasks,
+                               sizes[sim.rng()() % 6]);
+      job.job_class = job_class.spec.job_class;
+      job.priority = job_class.spec.priority;
+      job.gang =
+          job_class.spec.gang && job.tasks > 1 && job.tasks * job.cpus <= options.team_limit / 2;
+      job.same_zone = job_class.spec.same_zone;
+      job.checkpoint_s = job_class.spec.checkpoint_s;
+      job.save_s = job_class.spec.save_s;
+      job.service = all.size() % 40 == 20;
+      if (job.service) {
+        job.tasks = 1;
+        job.cpus = 0.5;
       }
-      j.estimate_s = k.run_s;
-      Submitted sub;
-      sub.cls = j.job_class;
-      sub.team = j.team;
-      sub.priority = j.priority;
-      sub.size = j.cpus * (j.gang ? j.tasks : 1);
-      for (std::uint32_t i = 0; i < j.tasks; ++i)
-        sub.work += j.cpus * (j.service ? arrivals + kBegin : k.run_s * (1 + i % 3) + 2);
+      job.estimate_s = job_class.run_s;
+      Submitted submitted;
+      submitted.job_class = job.job_class;
+      submitted.team = job.team;
+      submitted.priority = job.priority;
+      submitted.size = job.cpus * (job.gang ? job.tasks : 1);
+      for (std::uint32_t i = 0; i < job.tasks; ++i)
+        submitted.work +=
+            job.cpus * (job.service ? arrivals + kMaxWaitS : job_class.run_s * (1 + i % 3) + 2);
       // Spread over the time by its share of the work.
-      sub.at = from + work / (load * room());
-      work += sub.work;
-      if (sub.at > sim.now()) cluster.run_for(sub.at - sim.now());
-      sub.id = cluster.users().submit(j, k.run_s);
-      sub.at = sim.now();
-      all.push_back(sub);
+      submitted.at = from + work / (load * capacity());
+      work += submitted.work;
+      if (submitted.at > sim.now()) cluster.run_for(submitted.at - sim.now());
+      submitted.id = cluster.users().submit(job, job_class.run_s);
+      submitted.at = sim.now();
+      all.push_back(submitted);
     }
-    cluster.run_for(kBegin + 10);
+    cluster.run_for(kMaxWaitS + 10);
     cluster.options().max_link_delay_s = 0;
   }
 };
 
-struct Served {
-  int of = 0, begun = 0;
-  std::string late;
+struct StartCounts {
+  int jobs = 0, started = 0;
+  std::string details;
 };
-void expect_half(const std::map<std::string, Served>& served) {
-  for (const auto& [what, n] : served)
-    EXPECT_GE(2 * n.begun, n.of) << what << ": " << n.begun << " of " << n.of << n.late;
+void expect_half_started(const std::map<std::string, StartCounts>& counts_by_group) {
+  for (const auto& [group, counts] : counts_by_group)
+    EXPECT_GE(2 * counts.started, counts.jobs)
+        << group << ": " << counts.started << " of " << counts.jobs << counts.details;
 }
 
-TEST(Limits, MoreWorkThanRoomServesHalfOfEachClassAndTeam) {
-  int seeds = 0, waited = 0, unserved = 0;
+TEST(Limits, OverloadStartsHalfOfTheJobsOfEachClassAndTeam) {
+  int seeds = 0, waited = 0, never_started = 0;
   each_seed([&](unsigned seed) {
     ++seeds;
-    Overload o(seed);
-    std::map<std::string, Served> served;
-    for (const auto& j : o.all) {
-      waited += !o.begun(j, 30);
-      unserved += !o.begun(j, 1e9);
-      if (!o.possible(j)) continue;
-      for (const auto& what : {"class " + j.cls, "team " + j.team}) {
-        ++served[what].of;
-        served[what].begun += o.begun(j, kBegin);
+    Overload overload(seed);
+    std::map<std::string, StartCounts> counts_by_group;
+    for (const auto& job : overload.all) {
+      waited += !overload.started_within(job, 30);
+      never_started += !overload.started_within(job, 1e9);
+      if (!overload.possible(job)) continue;
+      for (const auto& group : {"class " + job.job_class, "team " + job.team}) {
+        ++counts_by_group[group].jobs;
+        counts_by_group[group].started += overload.started_within(job, kMaxWaitS);
       }
     }
-    expect_half(served);
-    for (const auto& j : o.all)
-      if (o.cluster.users().jobs().at(j.id).spec.service) o.cluster.users().cancel(j.id);
-    calm_down(o.cluster);
-    EXPECT_EQ(broken_so(o.cluster, "neglected", false), Strings{});
+    expect_half_started(counts_by_group);
+    for (const auto& job : overload.all)
+      if (overload.cluster.users().jobs().at(job.id).spec.service)
+        overload.cluster.users().cancel(job.id);
+    end_faults_and_finish(overload.cluster);
+    EXPECT_EQ(violations_of(overload.cluster, "neglected", false), Strings{});
   });
   EXPECT_GT(waited, seeds * 10);  // there was more work than room
-  ::testing::Test::RecordProperty("never_begun", unserved);
+  ::testing::Test::RecordProperty("never_begun", never_started);
 }
 
-TEST(Limits, MoreWorkThanRoomBeginsHalfOfEachClassesLargestWithinFourMinutes) {
+TEST(Limits, OverloadStartsHalfOfEachClassesLargestJobsWithinFourMinutes) {
   int seeds = 0, possible = 0;
   each_seed([&](unsigned seed) {
     ++seeds;
-    Overload o(seed);
+    Overload overload(seed);
     std::map<std::string, double> size;  // of a class's largest
-    for (const auto& j : o.all) size[j.cls] = std::max(size[j.cls], j.size);
-    std::map<std::string, Served> largest;
-    for (const auto& j : o.all) {
-      if (j.size < size[j.cls] || !o.possible(j)) continue;
+    for (const auto& job : overload.all)
+      size[job.job_class] = std::max(size[job.job_class], job.size);
+    std::map<std::string, StartCounts> largest;
+    for (const auto& job : overload.all) {
+      if (job.size < size[job.job_class] || !overload.possible(job)) continue;
       ++possible;
-      Served& n = largest["largest of " + j.cls];
-      ++n.of;
-      n.begun += o.begun(j, kBegin);
-      if (o.begun(j, kBegin)) continue;
-      const wire::JobSpec& k = o.cluster.users().jobs().at(j.id).spec;
-      n.late += "\n" + j.id + " of " + j.team + ", band " +
-                std::to_string(static_cast<int>(k.priority)) + ", " + std::to_string(k.tasks) +
-                " of " + std::to_string(k.cpus) + (k.gang ? ", a gang" : "") +
-                (k.same_zone ? ", one zone" : "") + ", submitted at " + std::to_string(j.at) +
-                ", begun at " + std::to_string(o.cluster.rules().first_run_at(j.id));
+      StartCounts& counts = largest["largest of " + job.job_class];
+      ++counts.jobs;
+      counts.started += overload.started_within(job, kMaxWaitS);
+      if (overload.started_within(job, kMaxWaitS)) continue;
+      const wire::JobSpec& job_spec = overload.cluster.users().jobs().at(job.id).spec;
+      counts.details += "\n" + job.id + " of " + job.team + ", band " +
+                        std::to_string(static_cast<int>(job_spec.priority)) + ", " +
+                        std::to_string(job_spec.tasks) + " of " + std::to_string(job_spec.cpus) +
+                        (job_spec.gang ? ", a gang" : "") +
+                        (job_spec.same_zone ? ", one zone" : "") + ", submitted at " +
+                        std::to_string(job.at) + ", begun at " +
+                        std::to_string(overload.cluster.rules().first_run_at(job.id));
     }
-    expect_half(largest);
+    expect_half_started(largest);
   });
   EXPECT_GT(possible, seeds * 3);
 }
