--- a/tests/fault_combinations_cancel_test.cpp
+++ b/tests/fault_combinations_cancel_test.cpp
@@ -12,61 +12,63 @@
 // reporting: it can be carried out as late as token and incarnation hold. The token cannot be
 // raised, since no such commit is taken, and none of the worker's reports gets through once the
 // start has come.
-struct HeldStart {
+struct DelayedStart {
   SimulatedCluster cluster;
-  double held_from = -1, told = -1, mute_from = 1e18;
-  static ClusterOptions options(double margin) {
-    ClusterOptions s;
-    s.controllers = 2;
-    s.machines = 3;
-    s.team_limit = 64;
-    s.cancel_s = s.lease_s + margin;
-    return s;
+  double start_sent_at = -1, cancelled_reported_at = -1, heartbeats_lost_from = 1e18;
+  static ClusterOptions options(double margin_s) {
+    ClusterOptions options;
+    options.controllers = 2;
+    options.machines = 3;
+    options.team_limit = 64;
+    options.cancel_s = options.lease_s + margin_s;
+    return options;
   }
-  HeldStart(unsigned seed, double margin, double hold_s, bool raises)
-      : cluster(seed, options(margin)) {
+  DelayedStart(unsigned seed, double margin_s, double hold_s, bool token_advances)
+      : cluster(seed, options(margin_s)) {
     cluster.run_for(12);
     // Something runs on every machine, so that they are there, and report now and then only.
     for (int i = 0; i < 6; ++i) cluster.users().submit(spec(i % 2 ? "red" : "blue", 1), 200);
     cluster.run_for(20);
     cluster.sim().delivery_of = [this, delivery_of = cluster.sim().delivery_of,
-                                 raises](const simulation::Request& r) {
-      auto delivery = delivery_of(r);
-      if (r.path == "/agent/beat" && cluster.now() >= mute_from) delivery.arrives = false;
-      if (r.path == "/commit" && held_from >= 0 && !raises &&
-          r.body.find("{\"set\":\"st/o/") != std::string::npos)
+                                 token_advances](const simulation::Request& request) {
+      auto delivery = delivery_of(request);
+      if (request.path == "/agent/beat" && cluster.now() >= heartbeats_lost_from)
+        delivery.arrives = false;
+      if (request.path == "/commit" && start_sent_at >= 0 && !token_advances &&
+          request.body.find("{\"set\":\"st/o/") != std::string::npos)
         delivery.refusal_status = 503;
-      if (r.path == "/orders" && delivery.request_delay_s > 1 && held_from < 0 &&
-          r.body.find("\"start\"") != std::string::npos)
-        held_from = cluster.now();
+      if (request.path == "/orders" && delivery.request_delay_s > 1 && start_sent_at < 0 &&
+          request.body.find("\"start\"") != std::string::npos)
+        start_sent_at = cluster.now();
       return delivery;
     };
-    for (int m = 0; m < cluster.machines().size(); ++m)
-      cluster.faults().hold_direct_commands(m, hold_s);
-    mute_from = cluster.now() + hold_s - 0.2;
+    for (int machine = 0; machine < cluster.machines().size(); ++machine)
+      cluster.faults().hold_direct_commands(machine, hold_s);
+    heartbeats_lost_from = cluster.now() + hold_s - 0.2;
     std::vector<std::string> jobs;
     for (int i = 0; i < 4; ++i)
       jobs.push_back(cluster.users().submit(spec(i % 2 ? "red" : "blue", 1), 200));
-    for (int i = 0; i < 200 && held_from < 0; ++i) cluster.run_for(0.02);
-    for (const auto& j : jobs) cluster.users().cancel(j);
+    for (int i = 0; i < 200 && start_sent_at < 0; ++i) cluster.run_for(0.02);
+    for (const auto& job : jobs) cluster.users().cancel(job);
     cluster.run_for(hold_s + 60);
-    for (const auto& j : jobs)
-      told = std::max(told, cluster.users().jobs().at(j).cancelled_reported_at);
+    for (const auto& job : jobs)
+      cancelled_reported_at =
+          std::max(cancelled_reported_at, cluster.users().jobs().at(job).cancelled_reported_at);
     cluster.sim().delivery_of = nullptr;
   }
 };
 
-TEST(Cancellation, ADelayedStartDoesNotOutliveIt) {
-  for (bool raises : {false, true})
-    for (double margin : {5.0, 8.0, 20.0})
-      for (double beyond : {2.0, 6.0, 30.0}) {
-        SCOPED_TRACE(std::to_string(margin) + ", " + std::to_string(beyond));
-        const double cancel_s = ClusterOptions{}.lease_s + margin;
-        HeldStart h(3, margin, cancel_s + beyond, raises);
-        ASSERT_GE(h.held_from, 0);
-        ASSERT_GE(h.told, h.held_from);
-        ASSERT_LT(h.told, h.held_from + 1);
-        EXPECT_EQ(h.cluster.rules().broken(), std::vector<std::string>{});
+TEST(Cancellation, ADelayedStartIsStoppedWithinCancelS) {
+  for (bool token_advances : {false, true})
+    for (double margin_s : {5.0, 8.0, 20.0})
+      for (double excess_s : {2.0, 6.0, 30.0}) {
+        SCOPED_TRACE(std::to_string(margin_s) + ", " + std::to_string(excess_s));
+        const double cancel_s = ClusterOptions{}.lease_s + margin_s;
+        DelayedStart scenario(3, margin_s, cancel_s + excess_s, token_advances);
+        ASSERT_GE(scenario.start_sent_at, 0);
+        ASSERT_GE(scenario.cancelled_reported_at, scenario.start_sent_at);
+        ASSERT_LT(scenario.cancelled_reported_at, scenario.start_sent_at + 1);
+        EXPECT_EQ(scenario.cluster.rules().broken(), std::vector<std::string>{});
       }
 }
 
@@ -74,7 +76,7 @@
 // it goes on. Its report is on its way while it answers the new leader's resync request: the report
 // has been overtaken, and the answer to it renews the lease. Then nothing gets through to the
 // machine.
-TEST(Cancellation, AnOvertakenHeartbeatDoesNotKeepItsTasks) {
+TEST(Cancellation, AnOvertakenHeartbeatDoesNotExtendCancelledTasks) {
   int overtaken = 0;
   for (unsigned seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE(seed);
@@ -88,29 +90,34 @@
     std::vector<std::string> jobs;
     for (int i = 0; i < 4; ++i) jobs.push_back(cluster.users().submit(spec("red", 2), 300));
     cluster.run_for(20);
-    for (const auto& j : jobs) cluster.users().cancel(j);
-    for (int m = 0; m < cluster.machines().size(); ++m) cluster.faults().hang(m, 21);
-    const double goes_on = cluster.now() + 21;
+    for (const auto& job : jobs) cluster.users().cancel(job);
+    for (int machine = 0; machine < cluster.machines().size(); ++machine)
+      cluster.faults().hang(machine, 21);
+    const double resumes_at = cluster.now() + 21;
     cluster.run_for(sim.draw(13, 19));
     cluster.faults().kill(0, 0.3);
-    std::map<std::string, double> greeted;  // when each machine's answer to an order left
-    std::map<std::string, int> answered;
-    sim.delivery_of = [&, delivery_of = sim.delivery_of](const simulation::Request& r) {
-      auto delivery = delivery_of(r);
-      if (r.path == "/agent/beat" && cluster.now() >= goes_on) {
+    std::map<std::string, double> order_answered_at;  // when each machine's answer to an order left
+    std::map<std::string, int> heartbeats_answered;
+    sim.delivery_of = [&, delivery_of = sim.delivery_of](const simulation::Request& request) {
+      auto delivery = delivery_of(request);
+      if (request.path == "/agent/beat" && cluster.now() >= resumes_at) {
         delivery.request_delay_s = 0.8;
-        delivery.arrives = answered[r.from] == 0;
+        delivery.arrives = heartbeats_answered[request.from] == 0;
       }
       // The resync request is the last direct commands that gets there.
-      if (r.path == "/orders" && cluster.now() >= goes_on && greeted.contains(r.to))
+      if (request.path == "/orders" && cluster.now() >= resumes_at &&
+          order_answered_at.contains(request.to))
         delivery.arrives = false;
       return delivery;
     };
-    sim.answer_delay_of = [&, answer_delay_of = sim.answer_delay_of](const simulation::Request& r) {
-      if (r.path == "/orders" && cluster.now() >= goes_on) greeted[r.to] = cluster.now();
-      if (r.path == "/agent/beat" && cluster.now() >= goes_on && answered[r.from]++ == 0)
-        overtaken += greeted.contains(r.from);
-      return answer_delay_of(r);
+    sim.answer_delay_of = [&, answer_delay_of =
+                                  sim.answer_delay_of](const simulation::Request& request) {
+      if (request.path == "/orders" && cluster.now() >= resumes_at)
+        order_answered_at[request.to] = cluster.now();
+      if (request.path == "/agent/beat" && cluster.now() >= resumes_at &&
+          heartbeats_answered[request.from]++ == 0)
+        overtaken += order_answered_at.contains(request.from);
+      return answer_delay_of(request);
     };
     cluster.run_for(60);
     EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
--- a/tests/fault_combinations_delegation_test.cpp
+++ b/tests/fault_combinations_delegation_test.cpp
@@ -16,16 +16,16 @@
 
 using Strings = std::vector<std::string>;
 
-constexpr double kLongestFault = 80;
-constexpr double kCalm = 420;  // until all is over that can be
+constexpr double kLongestFaultS = 80;
+constexpr double kQuietS = 420;  // until all is over that can be
 
 const char* const kTeams[] = {"red", "blue", "green", "white"};
 
 // SHUNTTRAIL_HISTORIES=FIRST-LAST plays these seeds instead.
 void each_seed(unsigned last, const std::function<void(unsigned)>& play) {
   unsigned first = 1;
-  if (const char* more = std::getenv("SHUNTTRAIL_HISTORIES"))
-    std::sscanf(more, "%u-%u", &first, &last);
+  if (const char* range = std::getenv("SHUNTTRAIL_HISTORIES"))
+    std::sscanf(range, "%u-%u", &first, &last);
   for (unsigned seed = first; seed <= last; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     play(seed);
@@ -33,18 +33,18 @@
 }
 
 // What leaders have asked the state service to write about delegations.
-struct Written {
+struct DelegationWrites {
   int opened = 0, closed = 0;
 };
 
-void watch_writes(SimulatedCluster& cluster, Written& written) {
+void count_writes(SimulatedCluster& cluster, DelegationWrites& writes) {
   cluster.sim().delivery_of = [delivery_of = cluster.sim().delivery_of,
-                               &written](const simulation::Request& request) {
+                               &writes](const simulation::Request& request) {
     if (request.path == "/commit" && request.body.find("\"set\":\"st/j/") != std::string::npos) {
       const bool is_delegated = request.body.find("\"delegation\":") != std::string::npos;
       const bool is_closed = request.body.find("\"closed\":1") != std::string::npos;
-      written.closed += is_closed;
-      written.opened += is_delegated && !is_closed;
+      writes.closed += is_closed;
+      writes.opened += is_delegated && !is_closed;
     }
     return delivery_of(request);
   };
@@ -52,8 +52,8 @@
 
 // As many machines as teams, and the cloud has no others. Every shard's machine is held by a small
 // task of its own; one team has far more work than its machine takes.
-struct OneTeamIsBusy {
-  Written written;
+struct BusyTeamScenario {
+  DelegationWrites writes;
   SimulatedCluster cluster;
   Strings jobs;
 
@@ -66,8 +66,8 @@
     return options;
   }
 
-  explicit OneTeamIsBusy(unsigned seed) : cluster(seed, options(seed)) {
-    watch_writes(cluster, written);
+  explicit BusyTeamScenario(unsigned seed) : cluster(seed, options(seed)) {
+    count_writes(cluster, writes);
     auto& sim = cluster.sim();
     cluster.run_for(12);
     for (const char* team : kTeams)
@@ -89,12 +89,12 @@
     cluster.run_for(sim.draw(18, 26));
   }
 
-  void calm_down() {
+  void end_faults_and_finish() {
     ClusterOptions& options = cluster.options();
     options.late_writes = options.lost_answers = options.heartbeat_copies = 0;
     options.copies_for_next_leader = options.max_link_delay_s = 0;
     cluster.rules().faults_have_ended();
-    cluster.run_for(kCalm);
+    cluster.run_for(kQuietS);
     cluster.query_all_controllers();
   }
 
@@ -107,26 +107,26 @@
   }
 };
 
-TEST(Delegation, WithoutFaultsTheBusyTeamsWorkGoesWhereRoomIs) {
+TEST(Delegation, WithoutFaultsABusyTeamUsesFreeCapacityOfOtherShards) {
   int opened = 0;
   each_seed(12, [&](unsigned seed) {
-    OneTeamIsBusy history(seed);
-    history.calm_down();
-    EXPECT_EQ(history.cluster.rules().broken(), Strings{});
-    EXPECT_EQ(history.unfinished(), Strings{});
-    EXPECT_EQ(history.cluster.rules().restarts_after_completion(), 0u);
-    opened += history.written.opened;
+    BusyTeamScenario scenario(seed);
+    scenario.end_faults_and_finish();
+    EXPECT_EQ(scenario.cluster.rules().broken(), Strings{});
+    EXPECT_EQ(scenario.unfinished(), Strings{});
+    EXPECT_EQ(scenario.cluster.rules().restarts_after_completion(), 0u);
+    opened += scenario.writes.opened;
   });
   EXPECT_GT(opened, 6);
 }
 
 // Two drawn faults twice, while users cancel.
-TEST(Delegation, DrawnFaultsBreakNoRuleAndLeaveNothingWaiting) {
+TEST(Delegation, RandomFaultsBreakNoRuleAndLeaveNoJobUnfinished) {
   int seeds = 0, opened = 0, closed = 0;
   each_seed(30, [&](unsigned seed) {
     ++seeds;
-    OneTeamIsBusy history(seed);
-    SimulatedCluster& cluster = history.cluster;
+    BusyTeamScenario scenario(seed);
+    SimulatedCluster& cluster = scenario.cluster;
     auto& sim = cluster.sim();
     std::string names;
     for (int round = 0; round < 2; ++round) {
@@ -139,12 +139,12 @@
       if (sim.chance(0.5)) faults::cancel_some(cluster, 0.2);
       cluster.run_for(sim.draw(5, 25));
     }
-    cluster.run_for(kLongestFault);
-    history.calm_down();
+    cluster.run_for(kLongestFaultS);
+    scenario.end_faults_and_finish();
     EXPECT_EQ(cluster.rules().broken(), Strings{}) << names;
-    EXPECT_EQ(history.unfinished(), Strings{}) << names;
-    opened += history.written.opened;
-    closed += history.written.closed;
+    EXPECT_EQ(scenario.unfinished(), Strings{}) << names;
+    opened += scenario.writes.opened;
+    closed += scenario.writes.closed;
   });
   EXPECT_GT(opened, seeds / 2);
   EXPECT_GT(closed, seeds / 4);
@@ -152,26 +152,27 @@
 
 // One leader or both end just as a delegation is written, or its tasks start; transactions are
 // lost, carried out late, or carried out and not answered.
-TEST(Delegation, LeadersEndAtEachStep) {
-  int seeds = 0, met = 0;
+TEST(Delegation, LeadersFailAtAnyStepOfADelegation) {
+  int seeds = 0, delegation_steps = 0;
   each_seed(30, [&](unsigned seed) {
     ++seeds;
-    OneTeamIsBusy history(seed);
-    SimulatedCluster& cluster = history.cluster;
+    BusyTeamScenario scenario(seed);
+    SimulatedCluster& cluster = scenario.cluster;
     auto& sim = cluster.sim();
     if (sim.chance(0.5)) cluster.options().late_writes = sim.draw(0.05, 0.3);
     if (sim.chance(0.5)) cluster.options().lost_answers = sim.draw(0.05, 0.4);
-    for (int look = 0; look < 240; ++look) {
-      const int before = history.written.opened + history.written.closed;
+    for (int step = 0; step < 240; ++step) {
+      const int writes_before = scenario.writes.opened + scenario.writes.closed;
       cluster.run_for(0.25);
-      if (history.written.opened + history.written.closed == before || !sim.chance(0.5)) continue;
-      ++met;
-      const double in_s = sim.draw(0, 1.5);
-      const bool is_both = sim.chance(0.3);
-      sim.at(sim.now() + in_s, [&cluster, &sim, is_both] {
+      if (scenario.writes.opened + scenario.writes.closed == writes_before || !sim.chance(0.5))
+        continue;
+      ++delegation_steps;
+      const double delay_s = sim.draw(0, 1.5);
+      const bool both = sim.chance(0.3);
+      sim.at(sim.now() + delay_s, [&cluster, &sim, both] {
         for (int shard = 0; shard < cluster.options().controllers; ++shard) {
           const int leader = cluster.controllers().leader(shard);
-          if (leader < 0 || !(is_both || sim.chance(0.4))) continue;
+          if (leader < 0 || !(both || sim.chance(0.4))) continue;
           if (sim.chance(0.5))
             cluster.faults().kill(leader, sim.draw(0.05, 12));
           else if (sim.chance(0.5))
@@ -182,21 +183,21 @@
       });
       if (sim.chance(0.3)) faults::cancel_some(cluster, 0.2);
     }
-    cluster.run_for(kLongestFault);
-    history.calm_down();
+    cluster.run_for(kLongestFaultS);
+    scenario.end_faults_and_finish();
     EXPECT_EQ(cluster.rules().broken(), Strings{});
-    EXPECT_EQ(history.unfinished(), Strings{});
+    EXPECT_EQ(scenario.unfinished(), Strings{});
   });
-  EXPECT_GT(met, seeds / 2);
+  EXPECT_GT(delegation_steps, seeds / 2);
 }
 
 // Each team works at its limit, and cancelled jobs' tasks are on machines that cannot be asked.
-TEST(Delegation, AJobThatIsCancelledWhereItCannotBeAskedHoldsItsTeamsLimit) {
+TEST(Delegation, CancelledTasksOnUnreachableMachinesCountAgainstTheQuota) {
   int seeds = 0, opened = 0;
   each_seed(20, [&](unsigned seed) {
     ++seeds;
-    OneTeamIsBusy history(seed * 3);  // the lower limit
-    SimulatedCluster& cluster = history.cluster;
+    BusyTeamScenario scenario(seed * 3);  // the lower limit
+    SimulatedCluster& cluster = scenario.cluster;
     auto& sim = cluster.sim();
     for (int round = 0; round < 6; ++round) {
       for (int machine = 0; machine < cluster.machines().size(); ++machine) {
@@ -216,11 +217,11 @@
       if (sim.chance(0.4))
         cluster.faults().kill(cluster.controllers().random_leader(), sim.draw(0.05, 10));
     }
-    cluster.run_for(kLongestFault);
-    history.calm_down();
+    cluster.run_for(kLongestFaultS);
+    scenario.end_faults_and_finish();
     EXPECT_EQ(cluster.rules().broken(), Strings{});
-    EXPECT_EQ(history.unfinished(), Strings{});
-    opened += history.written.opened;
+    EXPECT_EQ(scenario.unfinished(), Strings{});
+    opened += scenario.writes.opened;
   });
   EXPECT_GT(opened, seeds / 2);
 }
@@ -230,18 +231,18 @@
 // another by a common attempt, and attempts are numbered by each shard (`beside_gang` 1 in its
 // shard's log line from 67 s on; "at 179.255197: neglected: run-100004/1 ... on m-000004").
 TEST(Delegation, TheRestOfAGangDoesNotWaitBesideRoom) {
-  OneTeamIsBusy history(427);
-  history.calm_down();
-  EXPECT_EQ(history.cluster.rules().broken(), Strings{});
+  BusyTeamScenario scenario(427);
+  scenario.end_faults_and_finish();
+  EXPECT_EQ(scenario.cluster.rules().broken(), Strings{});
 }
 
 // Known to fail. A job's record holds one delegation: while a task of the job runs in one shard,
 // that has no more room, another task of it waits for 90 s beside room in a third one
 // (`beside_in_progress` 1 from 26 s on; "at 151.747634: neglected: run-100009/1 ... on m-000001").
 TEST(Delegation, TasksOfOneJobGoToTwoShardsAtOnce) {
-  OneTeamIsBusy history(238);
-  history.calm_down();
-  EXPECT_EQ(history.cluster.rules().broken(), Strings{});
+  BusyTeamScenario scenario(238);
+  scenario.end_faults_and_finish();
+  EXPECT_EQ(scenario.cluster.rules().broken(), Strings{});
 }
 
 }  // namespace
--- a/tests/fault_combinations_held_test.cpp
+++ b/tests/fault_combinations_held_test.cpp
@@ -11,24 +11,24 @@
 namespace {
 
 // A cluster of two controllers in which the first direct start of a job meets a fault.
-class HeldStart {
+class DelayedStart {
  public:
   // When `machine` last sent a heartbeat is known by its host.
-  using Fault = std::function<void(HeldStart& start, int machine, const std::string& host)>;
+  using Fault = std::function<void(DelayedStart& start, int machine, const std::string& host)>;
 
-  HeldStart(unsigned seed, const ClusterOptions& options) : cluster(seed, options) {}
+  DelayedStart(unsigned seed, const ClusterOptions& options) : cluster(seed, options) {}
 
   // Submits a job once machines with room are there; as its start is sent, its user cancels it and
   // the fault begins.
   void play(const Fault& fault) {
     cluster.sim().delivery_of =
-        [this, fault, delivery_of = cluster.sim().delivery_of](const simulation::Request& r) {
-          if (r.path == "/agent/beat") reported_[r.from] = cluster.now();
-          if (!met && is_start(r)) {
-            met = true;
-            fault(*this, cluster.machines().find_host(r.to), r.to);
+        [this, fault, delivery_of = cluster.sim().delivery_of](const simulation::Request& request) {
+          if (request.path == "/agent/beat") last_heartbeat_at_[request.from] = cluster.now();
+          if (!fault_began && is_start(request)) {
+            fault_began = true;
+            fault(*this, cluster.machines().find_host(request.to), request.to);
           }
-          return delivery_of(r);
+          return delivery_of(request);
         };
     cluster.run_for(12);
     cluster.users().submit(spec("red", 5), 200);  // so that machines with room are there
@@ -39,71 +39,75 @@
 
   void cancel() { cluster.users().cancel(job_); }
   // Until just before the end of the lease that the last heartbeat from this host has earned.
-  double until_lease_end(const std::string& host) {
-    return reported_[host] + cluster.options().lease_s - 0.3 - cluster.now();
+  double seconds_until_lease_end(const std::string& host) {
+    return last_heartbeat_at_[host] + cluster.options().lease_s - 0.3 - cluster.now();
   }
 
   SimulatedCluster cluster;
-  bool met = false;  // the start has met the fault
+  bool fault_began = false;  // the start has met the fault
 
  private:
-  bool is_start(const simulation::Request& r) const {
-    return !job_.empty() && r.path == "/orders" && r.body.find(job_ + "/") != std::string::npos;
+  bool is_start(const simulation::Request& request) const {
+    return !job_.empty() && request.path == "/orders" &&
+           request.body.find(job_ + "/") != std::string::npos;
   }
 
   std::string job_;
-  std::map<std::string, double> reported_;  // when each machine last sent a heartbeat, by host
+  std::map<std::string, double>
+      last_heartbeat_at_;  // when each machine last sent a heartbeat, by host
 };
 
 // A start that is sent straight to a machine as it begins to hang, and whose job is cancelled at
 // once. The machine goes on within its lease for a moment, in which it reports what it had, is
 // answered, and takes the start; and it hangs again within the lease that this answer has renewed.
-TEST(FaultCombinations, AStartHeldByAMachineThatHangsTwiceIsGoneInTime) {
-  int hung = 0, obeyed_late = 0;
+TEST(FaultCombinations, AStartDelayedByAMachineThatHangsTwiceIsStoppedInTime) {
+  int histories_with_hang = 0, executed_late = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
     ClusterOptions options;
     options.controllers = 2;
-    HeldStart start(seed, options);
-    start.play([&](HeldStart& s, int machine, const std::string& host) {
-      s.cancel();
-      const double first = s.until_lease_end(host);
-      s.cluster.faults().hang(machine, first);
-      s.cluster.sim().at(s.cluster.now() + first + 0.05, [&s, machine, &options] {
-        s.cluster.faults().hang(machine, options.lease_s - 0.3);
-      });
+    DelayedStart start(seed, options);
+    start.play([&](DelayedStart& scenario, int machine, const std::string& host) {
+      scenario.cancel();
+      const double first = scenario.seconds_until_lease_end(host);
+      scenario.cluster.faults().hang(machine, first);
+      scenario.cluster.sim().at(scenario.cluster.now() + first + 0.05,
+                                [&scenario, machine, &options] {
+                                  scenario.cluster.faults().hang(machine, options.lease_s - 0.3);
+                                });
     });
-    hung += start.met;
-    obeyed_late += start.cluster.rules().after_cancel().start_executed > 10;
+    histories_with_hang += start.fault_began;
+    executed_late += start.cluster.rules().after_cancel().start_executed > 10;
     EXPECT_EQ(start.cluster.rules().broken(), std::vector<std::string>{});
   }
-  EXPECT_GT(hung, 20);
-  EXPECT_GT(obeyed_late, 10);
+  EXPECT_GT(histories_with_hang, 20);
+  EXPECT_GT(executed_late, 10);
 }
 
 // The same on its way: the start arrives some seconds late, while the machine reports as ever, and
 // the machine then hangs once, within the lease that its last report has earned.
-TEST(FaultCombinations, AStartHeldOnItsWayToAMachineThatThenHangsIsGoneInTime) {
-  int held = 0;
+TEST(FaultCombinations, AStartDelayedInTransitToAMachineThatThenHangsIsStoppedInTime) {
+  int histories_with_delay = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
     ClusterOptions options;
     options.controllers = 2;
     options.cancel_s = options.lease_s + 5;
     options.heartbeat_s = 2 + seed % 7;
-    HeldStart start(seed, options);
-    start.play([&](HeldStart& s, int machine, const std::string& host) {
-      const double late = 0.3 * (1 + seed);
-      s.cancel();
-      s.cluster.faults().hold_direct_commands(machine, late);
-      s.cluster.sim().at(s.cluster.now() + late + 0.05, [&s, machine, host] {
-        s.cluster.faults().hang(machine, s.until_lease_end(host));
-      });
+    DelayedStart start(seed, options);
+    start.play([&](DelayedStart& scenario, int machine, const std::string& host) {
+      const double delay_s = 0.3 * (1 + seed);
+      scenario.cancel();
+      scenario.cluster.faults().hold_direct_commands(machine, delay_s);
+      scenario.cluster.sim().at(
+          scenario.cluster.now() + delay_s + 0.05, [&scenario, machine, host] {
+            scenario.cluster.faults().hang(machine, scenario.seconds_until_lease_end(host));
+          });
     });
-    held += start.met;
+    histories_with_delay += start.fault_began;
     EXPECT_EQ(start.cluster.rules().broken(), std::vector<std::string>{});
   }
-  EXPECT_GT(held, 20);
+  EXPECT_GT(histories_with_delay, 20);
 }
 
 }  // namespace
