--- a/tests/fault_combinations_emulators_test.cpp
+++ b/tests/fault_combinations_emulators_test.cpp
@@ -25,20 +25,20 @@
 
 // One worker, a controller that answers its reports 200 without commands while `answers`, and
 // whoever sends it direct commands.
-struct Bench {
+struct WorkerBench {
   Simulation sim;
   Host node{sim, "node-0"}, machine{sim, "w-1"};
-  bool answers = true;
+  bool answers_heartbeats = true;
   std::vector<TaskState> states;  // of every task, one after the other
   WorkerEmulator::Work work{1, 0.5, 100, 10, 6};
   std::unique_ptr<net::Server> server;
   std::unique_ptr<WorkerEmulator> worker;
-  std::vector<net::Network::Handle> out;
+  std::vector<net::Network::Handle> handles;
 
-  explicit Bench(unsigned seed = 1) : sim(seed) {
+  explicit WorkerBench(unsigned seed = 1) : sim(seed) {
     server = std::make_unique<net::Server>(node.loop(), config::Endpoint{"node-0", 80}, 64 * 1024,
                                            [this](const net::ExchangePtr& ex) {
-                                             if (answers)
+                                             if (answers_heartbeats)
                                                ex->send({200, R"({"staff":1,"orders":[]})", 0});
                                            });
     WorkerEmulator::Settings s;
@@ -55,142 +55,144 @@
                                  [](const WorkerEmulator::Task&) {}});
     sim.run_until(1);
   }
-  void order(const char* what, double brake_s = 0, std::uint64_t session = 1, int task = 0) {
-    const std::string body = R"({"staff":1,"shift":)" + std::to_string(session) +
-                             R"(,"orders":[{"order":")" + what + R"(","car":"run-100000/)" +
+  void send_command(const char* operation, double grace_s = 0, std::uint64_t incarnation = 1,
+                    int task = 0) {
+    const std::string body = R"({"staff":1,"shift":)" + std::to_string(incarnation) +
+                             R"(,"orders":[{"order":")" + operation + R"(","car":"run-100000/)" +
                              std::to_string(task) + R"(","departure":1,"brake_s":)" +
-                             std::to_string(brake_s) + "}]}";
-    out.push_back(node.request({"w-1", 9}, "POST", "/orders", body, 60, [](net::Result) {}));
+                             std::to_string(grace_s) + "}]}";
+    handles.push_back(node.request({"w-1", 9}, "POST", "/orders", body, 60, [](net::Result) {}));
   }
-  void run_for(double s) { sim.run_until(sim.now() + s); }
+  void run_for(double seconds) { sim.run_until(sim.now() + seconds); }
   TaskState state() const {
     return worker->tasks().empty() ? TaskState::exited : worker->tasks().front().state;
   }
 };
 
-TEST(WorkerEmulator, SavesWhenItIsStoppedWithTime) {
-  Bench b;
-  b.order("start");
-  b.run_for(2);
-  ASSERT_EQ(b.state(), TaskState::running);
-  b.order("halt", 6);
-  b.run_for(5.9);
-  EXPECT_EQ(b.state(), TaskState::saving);
-  b.run_for(0.2);
-  ASSERT_EQ(b.state(), TaskState::exited);
-  EXPECT_TRUE(b.worker->tasks().front().progress_saved);
-  EXPECT_EQ(b.worker->tasks().front().exit_reason, wire::ExitReason::stopped);
+TEST(WorkerEmulator, ATaskStoppedWithEnoughGraceSavesItsProgress) {
+  WorkerBench bench;
+  bench.send_command("start");
+  bench.run_for(2);
+  ASSERT_EQ(bench.state(), TaskState::running);
+  bench.send_command("halt", 6);
+  bench.run_for(5.9);
+  EXPECT_EQ(bench.state(), TaskState::saving);
+  bench.run_for(0.2);
+  ASSERT_EQ(bench.state(), TaskState::exited);
+  EXPECT_TRUE(bench.worker->tasks().front().progress_saved);
+  EXPECT_EQ(bench.worker->tasks().front().exit_reason, wire::ExitReason::stopped);
 }
 
-TEST(WorkerEmulator, EndsAtOnceWithoutTimeOrWithoutCheckpoints) {
+TEST(WorkerEmulator, ATaskStoppedWithoutGraceOrCheckpointsEndsAtOnce) {
   for (const bool checkpoints : {true, false}) {
-    Bench b;
-    b.work.checkpoint_s = checkpoints ? 10 : 0;
-    b.order("start");
-    b.run_for(2);
-    b.order("halt", checkpoints ? 5.9 : 60);
-    b.run_for(0.1);
-    ASSERT_EQ(b.state(), TaskState::exited);
-    EXPECT_FALSE(b.worker->tasks().front().progress_saved);
+    WorkerBench bench;
+    bench.work.checkpoint_s = checkpoints ? 10 : 0;
+    bench.send_command("start");
+    bench.run_for(2);
+    bench.send_command("halt", checkpoints ? 5.9 : 60);
+    bench.run_for(0.1);
+    ASSERT_EQ(bench.state(), TaskState::exited);
+    EXPECT_FALSE(bench.worker->tasks().front().progress_saved);
   }
 }
 
 // Another halt with time prolongs nothing; one without ends it.
-TEST(WorkerEmulator, ASavingTaskIsEndedByAStopWithoutTimeAlone) {
-  for (const double second : {30.0, 1.0, 0.0}) {
-    Bench b;
-    b.order("start");
-    b.run_for(2);
-    b.order("halt", 20);
-    b.run_for(4);
-    b.order("halt", second);
-    b.run_for(0.1);
-    EXPECT_EQ(b.state(), second > 0 ? TaskState::saving : TaskState::exited) << second;
-    b.run_for(2);
-    ASSERT_EQ(b.state(), TaskState::exited) << second;
-    EXPECT_EQ(b.worker->tasks().front().progress_saved, second > 0) << second;
+TEST(WorkerEmulator, ASavingTaskIsEndedOnlyByAStopWithoutGrace) {
+  for (const double second_grace_s : {30.0, 1.0, 0.0}) {
+    WorkerBench bench;
+    bench.send_command("start");
+    bench.run_for(2);
+    bench.send_command("halt", 20);
+    bench.run_for(4);
+    bench.send_command("halt", second_grace_s);
+    bench.run_for(0.1);
+    EXPECT_EQ(bench.state(), second_grace_s > 0 ? TaskState::saving : TaskState::exited)
+        << second_grace_s;
+    bench.run_for(2);
+    ASSERT_EQ(bench.state(), TaskState::exited) << second_grace_s;
+    EXPECT_EQ(bench.worker->tasks().front().progress_saved, second_grace_s > 0) << second_grace_s;
   }
 }
 
 // Orders that came while it hung, its due tasks, its lease and its report come in any order as it
 // goes on; nothing of a lease that is over is run, and no start for its incarnation is taken.
-TEST(WorkerEmulator, NothingSurvivesALeaseThatIsOver) {
+TEST(WorkerEmulator, NoTaskSurvivesAnExpiredLease) {
   for (unsigned seed = 1; seed <= 40; ++seed) {
-    Bench b(seed);
-    b.work.run_s = 4;
-    b.order("start");
-    b.run_for(2);
-    b.states.clear();
-    b.machine.freeze(b.sim.now() + 20);
-    b.run_for(1);
-    b.order("start", 0, 1, 1);
-    b.run_for(18.5);
-    EXPECT_TRUE(b.worker->tasks().empty());
-    b.run_for(1);
-    EXPECT_EQ(b.worker->incarnation(), 2u);
-    EXPECT_TRUE(b.worker->tasks().empty());
-    EXPECT_EQ(b.states, std::vector<TaskState>{}) << seed;
+    WorkerBench bench(seed);
+    bench.work.run_s = 4;
+    bench.send_command("start");
+    bench.run_for(2);
+    bench.states.clear();
+    bench.machine.freeze(bench.sim.now() + 20);
+    bench.run_for(1);
+    bench.send_command("start", 0, 1, 1);
+    bench.run_for(18.5);
+    EXPECT_TRUE(bench.worker->tasks().empty());
+    bench.run_for(1);
+    EXPECT_EQ(bench.worker->incarnation(), 2u);
+    EXPECT_TRUE(bench.worker->tasks().empty());
+    EXPECT_EQ(bench.states, std::vector<TaskState>{}) << seed;
   }
 }
 
-TEST(WorkerEmulator, GoesOnWithinItsLeaseInAnyOrder) {
-  std::set<std::vector<TaskState>> seen;
+TEST(WorkerEmulator, AMachineThatResumesWithinItsLeaseHandlesEventsInAnyOrder) {
+  std::set<std::vector<TaskState>> orders;
   for (unsigned seed = 1; seed <= 40; ++seed) {
-    Bench b(seed);
-    b.work.run_s = 4;
-    b.work.checkpoint_s = 0;
-    b.order("start");
-    b.run_for(2);
-    b.states.clear();
-    b.machine.freeze(b.sim.now() + 8);
-    b.run_for(1);
-    b.order("halt");
-    b.order("start", 0, 1, 1);
-    b.run_for(7.2);
-    EXPECT_EQ(b.worker->incarnation(), 1u);
-    EXPECT_EQ(b.worker->tasks().size(), 2u);
-    seen.insert(b.states);
+    WorkerBench bench(seed);
+    bench.work.run_s = 4;
+    bench.work.checkpoint_s = 0;
+    bench.send_command("start");
+    bench.run_for(2);
+    bench.states.clear();
+    bench.machine.freeze(bench.sim.now() + 8);
+    bench.run_for(1);
+    bench.send_command("halt");
+    bench.send_command("start", 0, 1, 1);
+    bench.run_for(7.2);
+    EXPECT_EQ(bench.worker->incarnation(), 1u);
+    EXPECT_EQ(bench.worker->tasks().size(), 2u);
+    orders.insert(bench.states);
   }
-  EXPECT_GT(seen.size(), 1u);
+  EXPECT_GT(orders.size(), 1u);
 }
 
 // With every answer that waited longer than its patience dropped, the lease ends by itself.
-TEST(WorkerEmulator, AnAnswerThatWaitedForAHangRenewsNoLease) {
+TEST(WorkerEmulator, AnAnswerDelayedByAHangDoesNotRenewTheLease) {
   for (unsigned seed = 1; seed <= 40; ++seed) {
-    Bench b(seed);
-    b.run_for(1.3);  // a report of its own is on its way now and then
-    b.answers = true;
-    b.machine.freeze(b.sim.now() + 14);
-    b.run_for(0.5);
-    b.answers = false;
-    b.run_for(15);
-    EXPECT_EQ(b.worker->incarnation(), 2u) << seed;
+    WorkerBench bench(seed);
+    bench.run_for(1.3);  // a report of its own is on its way now and then
+    bench.answers_heartbeats = true;
+    bench.machine.freeze(bench.sim.now() + 14);
+    bench.run_for(0.5);
+    bench.answers_heartbeats = false;
+    bench.run_for(15);
+    EXPECT_EQ(bench.worker->incarnation(), 2u) << seed;
   }
 }
 
-TEST(StateServiceEmulator, RefusesAboveItsRates) {
+TEST(StateServiceEmulator, RequestsAboveTheRateLimitsAreRefused) {
   Simulation sim(1);
-  Host service(sim, "state"), user(sim, "node-0");
+  Host service(sim, "state"), client(sim, "node-0");
   emulators::StateServiceEmulator state(service.loop(), {"state", 1}, "");
   state.set_rate_limits(10, 4);
   std::vector<int> gets, writes;
-  std::vector<net::Network::Handle> out;
-  auto ask = [&](const char* method, const char* path, const std::string& body,
-                 std::vector<int>& to) {
-    out.push_back(user.request({"state", 1}, method, path, body, 5,
-                               [&to](net::Result r) { to.push_back(r.status); }));
+  std::vector<net::Network::Handle> handles;
+  auto request = [&](const char* method, const char* path, const std::string& body,
+                     std::vector<int>& to) {
+    handles.push_back(client.request({"state", 1}, method, path, body, 5,
+                                     [&to](net::Result r) { to.push_back(r.status); }));
     sim.run_until(sim.now() + 0.01);
   };
   // A second's worth at once; failed conditions count too.
   const std::string write =
       R"({"guards":[{"k":"a","stamp":7}],"writes":[{"drop":"a"},{"drop":"b"}]})";
-  for (int i = 0; i < 3; ++i) ask("POST", "/commit", write, writes);
+  for (int i = 0; i < 3; ++i) request("POST", "/commit", write, writes);
   EXPECT_EQ(writes, (std::vector<int>{409, 409, 429}));
-  for (int i = 0; i < 9; ++i) ask("GET", "/kv/a", "", gets);
+  for (int i = 0; i < 9; ++i) request("GET", "/kv/a", "", gets);
   EXPECT_EQ(std::count(gets.begin(), gets.end(), 404), 8);
   EXPECT_EQ(gets.back(), 429);
   sim.run_until(sim.now() + 0.6);
-  ask("POST", "/commit", write, writes);
+  request("POST", "/commit", write, writes);
   EXPECT_EQ(writes.back(), 409);
 }
 
@@ -200,31 +202,31 @@
 // leader's node key was dropped at revision 16 and the other controller's cache had revision 16 and
 // the key, so that nobody took the shard until the leader itself was back (seen in
 // FaultCombinations.ALeaderFrozenAsItLearnsOfItsSuccessorRenewsNoLease with other seeds: 3 of 120).
-TEST(StateServiceEmulator, AWatchThatTimesOutAsALeaseExpiresTellsOfItsEnd) {
-  int told = 0;
+TEST(StateServiceEmulator, AWatchThatTimesOutAsALeaseExpiresReportsTheDeletion) {
+  int watches_with_event = 0;
   for (int block_ms = 600; block_ms <= 1400; block_ms += 10) {
     SCOPED_TRACE("block_ms " + std::to_string(block_ms));
     Simulation sim(1);
-    Host service(sim, "state"), user(sim, "node-0");
+    Host service(sim, "state"), client(sim, "node-0");
     emulators::StateServiceEmulator state(service.loop(), {"state", 1}, "");
-    std::vector<net::Network::Handle> out;
-    auto ask = [&](const char* method, const std::string& path, const std::string& body,
-                   std::function<void(net::Result)> then) {
-      out.push_back(user.request({"state", 1}, method, path, body, 5, std::move(then)));
+    std::vector<net::Network::Handle> handles;
+    auto request = [&](const char* method, const std::string& path, const std::string& body,
+                       std::function<void(net::Result)> then) {
+      handles.push_back(client.request({"state", 1}, method, path, body, 5, std::move(then)));
       sim.run_until(sim.now() + 0.01);
     };
-    ask("POST", "/holds", R"({"life_ms":1000})", [](const net::Result&) {});
-    ask("POST", "/commit", R"({"guards":[],"writes":[{"set":"st/n/a","value":{},"block":1}]})",
-        [](const net::Result& r) { EXPECT_EQ(r.status, 200); });
+    request("POST", "/holds", R"({"life_ms":1000})", [](const net::Result&) {});
+    request("POST", "/commit", R"({"guards":[],"writes":[{"set":"st/n/a","value":{},"block":1}]})",
+            [](const net::Result& r) { EXPECT_EQ(r.status, 200); });
     std::optional<wire::WatchAnswer> answer;
-    ask("GET", "/watch?starts=st/&after=1&block_ms=" + std::to_string(block_ms), "",
-        [&](const net::Result& r) { answer = wire::decode_watch(r.body); });
+    request("GET", "/watch?starts=st/&after=1&block_ms=" + std::to_string(block_ms), "",
+            [&](const net::Result& r) { answer = wire::decode_watch(r.body); });
     sim.run_until(sim.now() + 3);
     ASSERT_TRUE(answer);
     EXPECT_EQ(answer->events.size(), answer->revision > 1 ? 1u : 0u);
-    told += static_cast<int>(answer->events.size());
+    watches_with_event += static_cast<int>(answer->events.size());
   }
-  EXPECT_GT(told, 20);
+  EXPECT_GT(watches_with_event, 20);
 }
 
 }  // namespace
