--- a/tests/emulators.h
+++ b/tests/emulators.h
@@ -1,4 +1,4 @@
-// Stand-ins for the state service and the workers, by the protocol, for generated histories.
+// A state service and workers in memory, as the protocol defines them, for random histories.
 #pragma once
 #include <algorithm>
 #include <map>
@@ -49,8 +49,8 @@
   return r;
 }
 
-// A inventory page as a node would write it, with these machines added to what is there, in the
-// form of a state level.
+// Returns the transaction with which a controller adds these machines to the inventory pages.
+// `form`: the state level that decides the records' form.
 inline wire::Transaction inventory_transaction(const state::StateCache& w,
                                                const std::vector<wire::MachineRecord>& add,
                                                int form = 0) {
@@ -67,7 +67,7 @@
   return t;
 }
 
-// The state service: commits with preconditions, and the log that watches read.
+// A state service: transactions with preconditions, and the log of events for watches.
 struct Store {
   struct Entry {
     std::string value;
@@ -101,7 +101,7 @@
   }
 };
 
-// A worker: token, incarnation, lease and tasks as the protocol has them.
+// A worker with the protocol's token, incarnation, lease and tasks.
 struct Worker {
   struct Task {
     wire::TaskId id;
@@ -112,7 +112,7 @@
   };
   std::string name, zone = "a";
   std::uint64_t incarnation = 1, sequence = 0, token = 0;
-  double last_answered_sent_at = 0;  // when the last answered report was sent
+  double last_answered_sent_at = 0;  // when the last answered heartbeat was sent
   std::vector<Task> tasks;
   int node = 0;
 
@@ -136,7 +136,8 @@
       last_answered_sent_at = now;
     }
   }
-  // An answer of 200 to the report sent at `sent` in `of_incarnation`.
+  // Executes the commands of a 200 response to the heartbeat that was sent at `sent` in
+  // `of_incarnation`. Returns false, without effect, if the token or the incarnation is outdated.
   bool execute(std::uint64_t t, const std::vector<wire::Command>& commands,
                std::uint64_t of_incarnation, double sent, double now, std::mt19937& rng) {
     if (t < token || of_incarnation != incarnation) return false;
--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -1,4 +1,4 @@
-/// Drawn histories in which faults combine, and what they have to come to.
+/// Random histories with combinations of faults, and the checks of their results.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -15,19 +15,20 @@
 
 namespace shunttrail::test {
 
-/// What a history has come to.
+/// The result of a history.
 struct HistoryResult {
-  std::vector<std::string> broken;              ///< rules, see RuleChecker::broken
-  std::vector<std::string> faults;              ///< the names of those that were drawn, in order
-  std::vector<std::string> unfinished;          ///< accepted jobs that are not over, described
-  std::size_t completed_tasks = 0;              ///< tasks that have completed
+  std::vector<std::string> broken;      ///< the broken rules, see RuleChecker::broken
+  std::vector<std::string> faults;      ///< names of the faults, in the order of their beginnings
+  std::vector<std::string> unfinished;  ///< descriptions of the accepted jobs that have not ended
+  std::size_t completed_tasks = 0;
   std::uint64_t restarts_after_completion = 0;  ///< see RuleChecker
   std::uint64_t saves = 0;
   RuleChecker::AfterCancel after_cancel;
   std::uint64_t digest = 0;  ///< of the whole history, see Simulation::digest
 };
 
-/// For a share of the seeds any settings that are accepted, and rates near what a cluster needs.
+/// Returns options that depend on the seed. A share of the seeds gets any valid protocol times, and
+/// a share gets request rates close to what a cluster needs.
 inline ClusterOptions random_options(unsigned seed) {
   std::mt19937 rng(seed * 7919u + 17);
   auto draw = [&](double from, double to) {
@@ -49,7 +50,7 @@
   return options;
 }
 
-/// A job and where it stands, for messages.
+/// Returns a job's specification and state for failure messages.
 inline std::string describe(const SimulatedCluster& cluster, const SimulatedJob& j) {
   const wire::JobSpec& s = j.spec;
   std::string out = s.id + ": " + s.team + ", band " +
@@ -64,12 +65,12 @@
   return out;
 }
 
-/// Plays one history: two or three faults begin within a few seconds of each other, twice, while
-/// users submit, ask and cancel; then it is quiet, and every accepted job has to be known
-/// everywhere, and to be over.
+/// Plays one history. Twice, two or three faults begin within a few seconds of each other while
+/// users submit, query and cancel jobs. After the end of the faults every controller has to know
+/// every accepted job, and every accepted job has to end.
 class HistoryPlayer {
  public:
-  /// The faults named are always among those that begin.
+  /// `required_faults`: names of faults that are always among those that begin.
   HistoryPlayer(unsigned seed, std::vector<std::string> required_faults)
       : required_faults_(std::move(required_faults)), cluster_(seed, random_options(seed)) {}
 
@@ -95,8 +96,9 @@
     job.same_zone = sim_.chance(0.15);
     job.anti_affinity = !job.same_zone && sim_.chance(0.15);
     if (sim_.chance(0.1)) job.zone = "b";
-    // Replicas run to the end of a history, and would hold what the cloud has in a zone until then:
-    // where there are some, all else is of one size and priority, and finds room beside them.
+    // A service's tasks run to the end of the history and may use all machines of a zone until
+    // then. Services therefore have the default size and priority, and all other jobs of a zone
+    // find free capacity beside them.
     job.service = sim_.chance(0.1);
     if (!job.service) {
       job.priority = static_cast<wire::Priority>(sim_.rng()() % wire::kPriorities);
@@ -159,7 +161,7 @@
   }
 
   void end_faults() {
-    cluster_.run_for(80);  // the longest fault is over
+    cluster_.run_for(80);  // longer than the longest fault
     ClusterOptions& options = cluster_.options();
     options.late_writes = options.heartbeat_copies = options.lost_answers = 0;
     cluster_.run_for(420);
@@ -180,9 +182,9 @@
     });
   }
 
-  // Replicas run to the end of a history, and may hold all that the cloud has in a zone until then.
-  // Where there are some, what is unfinished is excused if it has no room, and only until they are
-  // gone.
+  // The tasks of services may use all machines of a zone until the services are cancelled. In a
+  // history with services an unfinished job without capacity is therefore excused until the
+  // services have ended.
   void end_services() {
     const bool with_services = has_services();
     for (const auto& [id, job] : cluster_.users().jobs())
@@ -212,27 +214,28 @@
   const std::vector<std::string> required_faults_;
   SimulatedCluster cluster_;
   simulation::Simulation& sim_ = cluster_.sim();
-  std::vector<std::string> submitted_jobs_;  // jobs
+  std::vector<std::string> submitted_jobs_;
   std::set<std::string>
-      unfinished_despite_capacity_;    // jobs that had room and were not over after the quiet
-  std::string machines_after_faults_;  // after the quiet
+      unfinished_despite_capacity_;    // jobs that had capacity and had not ended after the faults
+  std::string machines_after_faults_;  // descriptions of the machines after the end of the faults
   HistoryResult result_;
 };
 
-/// Plays the history of this seed; the faults named are always among those that begin.
+/// Plays the history of this seed. `required_faults`: see HistoryPlayer.
 inline HistoryResult play_history(unsigned seed,
                                   const std::vector<std::string>& required_faults = {}) {
   return HistoryPlayer(seed, required_faults).play();
 }
 
-/// The names, separated by commas.
+/// Returns the names, separated by commas.
 inline std::string join_names(const std::vector<std::string>& names) {
   std::string out;
   for (const auto& n : names) out += (out.empty() ? "" : ", ") + n;
   return out;
 }
 
-/// Plays the histories of these seeds, both ends included: no rule is broken and no job left.
+/// Plays the histories of the seeds from `first` to `last`, both included. Expects that no rule is
+/// broken, every accepted job ends, and no completed task is started again.
 inline void expect_no_violations(unsigned first, unsigned last,
                                  const std::vector<std::string>& required_faults = {}) {
   std::size_t completed_tasks = 0;
@@ -251,7 +254,7 @@
     latest.on_machine = std::max(latest.on_machine, result.after_cancel.on_machine);
   }
   EXPECT_GT(completed_tasks, (last - first + 1) * 10u);
-  // In what is written of the run; no rule is made of them.
+  // These delays are recorded in the test report; no rule limits them.
   ::testing::Test::RecordProperty("obeyed_after_cancel_s", std::to_string(latest.start_executed));
   ::testing::Test::RecordProperty("begun_after_cancel_s", std::to_string(latest.run_started));
   ::testing::Test::RecordProperty("on_machine_after_cancel_s", std::to_string(latest.on_machine));
--- a/tests/fault_combinations_cancel_test.cpp
+++ b/tests/fault_combinations_cancel_test.cpp
@@ -1,4 +1,5 @@
-// From a confirmed cancellation to the last task of its job: docs/safety.md has the sum.
+// The time from a confirmed cancellation to the exit of the job's last task. docs/safety.md has the
+// calculation.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -8,10 +9,10 @@
 namespace shunttrail::test {
 namespace {
 
-// A start sent directly is held on its way while its job is cancelled and the worker goes on
-// reporting: it can be carried out as late as token and incarnation hold. The token cannot be
-// raised, since no such commit is taken, and none of the worker's reports gets through once the
-// start has come.
+// A direct start command is delayed while its job is cancelled and the worker still sends
+// heartbeats. It can be executed for as long as token and incarnation stay valid. Unless
+// `token_advances`, the leader cannot advance its token, since the state service refuses that
+// transaction. Once the start has arrived, the worker's heartbeats are lost.
 struct DelayedStart {
   SimulatedCluster cluster;
   double start_sent_at = -1, cancelled_reported_at = -1, heartbeats_lost_from = 1e18;
@@ -26,7 +27,7 @@
   DelayedStart(unsigned seed, double margin_s, double hold_s, bool token_advances)
       : cluster(seed, options(margin_s)) {
     cluster.run_for(12);
-    // Something runs on every machine, so that they are there, and report now and then only.
+    // A task on every machine keeps the machines rented and their heartbeats infrequent.
     for (int i = 0; i < 6; ++i) cluster.users().submit(spec(i % 2 ? "red" : "blue", 1), 200);
     cluster.run_for(20);
     cluster.sim().delivery_of = [this, delivery_of = cluster.sim().delivery_of,
@@ -72,10 +73,10 @@
       }
 }
 
-// A machine hangs with a cancelled task, within its lease, and the leader has just taken over when
-// it goes on. Its report is on its way while it answers the new leader's resync request: the report
-// has been overtaken, and the answer to it renews the lease. Then nothing gets through to the
-// machine.
+// A machine with a cancelled task hangs for less than its lease, and a new leader has taken over
+// when it resumes. The machine's heartbeat is in transit while it answers the new leader's resync
+// request, which overtakes the heartbeat. The response to the overtaken heartbeat renews the lease.
+// After that no message reaches the machine.
 TEST(Cancellation, AnOvertakenHeartbeatDoesNotExtendCancelledTasks) {
   int overtaken = 0;
   for (unsigned seed = 1; seed <= 20; ++seed) {
@@ -96,7 +97,8 @@
     const double resumes_at = cluster.now() + 21;
     cluster.run_for(sim.draw(13, 19));
     cluster.faults().kill(0, 0.3);
-    std::map<std::string, double> order_answered_at;  // when each machine's answer to an order left
+    std::map<std::string, double>
+        order_answered_at;  // when each machine answered an order, by host
     std::map<std::string, int> heartbeats_answered;
     sim.delivery_of = [&, delivery_of = sim.delivery_of](const simulation::Request& request) {
       auto delivery = delivery_of(request);
@@ -104,7 +106,7 @@
         delivery.request_delay_s = 0.8;
         delivery.arrives = heartbeats_answered[request.from] == 0;
       }
-      // The resync request is the last direct commands that gets there.
+      // The resync request is the last direct command that arrives.
       if (request.path == "/orders" && cluster.now() >= resumes_at &&
           order_answered_at.contains(request.to))
         delivery.arrives = false;
--- a/tests/fault_combinations_delegation_test.cpp
+++ b/tests/fault_combinations_delegation_test.cpp
@@ -1,5 +1,5 @@
-// Waiting tasks that run on machines of another shard, while everything else fails: both leaders,
-// the state service, the machines, the users who cancel (docs/delegation.md).
+// Waiting tasks that run on another shard's machines (docs/delegation.md), while there are faults
+// of both leaders, of the state service and of machines, and users cancel jobs.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -17,11 +17,11 @@
 using Strings = std::vector<std::string>;
 
 constexpr double kLongestFaultS = 80;
-constexpr double kQuietS = 420;  // until all is over that can be
+constexpr double kQuietS = 420;  // until every job that can end has ended
 
 const char* const kTeams[] = {"red", "blue", "green", "white"};
 
-// SHUNTTRAIL_HISTORIES=FIRST-LAST plays these seeds instead.
+// SHUNTTRAIL_HISTORIES=FIRST-LAST replaces the seeds.
 void each_seed(unsigned last, const std::function<void(unsigned)>& play) {
   unsigned first = 1;
   if (const char* range = std::getenv("SHUNTTRAIL_HISTORIES"))
@@ -32,7 +32,7 @@
   }
 }
 
-// What leaders have asked the state service to write about delegations.
+// The numbers of transactions that open and close a delegation, as sent to the state service.
 struct DelegationWrites {
   int opened = 0, closed = 0;
 };
@@ -50,8 +50,8 @@
   };
 }
 
-// As many machines as teams, and the cloud has no others. Every shard's machine is held by a small
-// task of its own; one team has far more work than its machine takes.
+// There are as many machines as teams, and the cloud has no others. A small task of its own holds
+// every shard's machine; one team has far more tasks than fit on its machine.
 struct BusyTeamScenario {
   DelegationWrites writes;
   SimulatedCluster cluster;
@@ -120,7 +120,7 @@
   EXPECT_GT(opened, 6);
 }
 
-// Two drawn faults twice, while users cancel.
+// Two random faults begin twice, while users cancel jobs.
 TEST(Delegation, RandomFaultsBreakNoRuleAndLeaveNoJobUnfinished) {
   int seeds = 0, opened = 0, closed = 0;
   each_seed(30, [&](unsigned seed) {
@@ -150,8 +150,8 @@
   EXPECT_GT(closed, seeds / 4);
 }
 
-// One leader or both end just as a delegation is written, or its tasks start; transactions are
-// lost, carried out late, or carried out and not answered.
+// One leader or both fail as a delegation is written or its tasks start, while transactions are
+// lost, applied late, or applied without an answer.
 TEST(Delegation, LeadersFailAtAnyStepOfADelegation) {
   int seeds = 0, delegation_steps = 0;
   each_seed(30, [&](unsigned seed) {
@@ -191,12 +191,12 @@
   EXPECT_GT(delegation_steps, seeds / 2);
 }
 
-// Each team works at its limit, and cancelled jobs' tasks are on machines that cannot be asked.
+// Each team is at its quota, and tasks of cancelled jobs are on machines that cannot be reached.
 TEST(Delegation, CancelledTasksOnUnreachableMachinesCountAgainstTheQuota) {
   int seeds = 0, opened = 0;
   each_seed(20, [&](unsigned seed) {
     ++seeds;
-    BusyTeamScenario scenario(seed * 3);  // the lower limit
+    BusyTeamScenario scenario(seed * 3);  // the lower quota
     SimulatedCluster& cluster = scenario.cluster;
     auto& sim = cluster.sim();
     for (int round = 0; round < 6; ++round) {
@@ -226,18 +226,19 @@
   EXPECT_GT(opened, seeds / 2);
 }
 
-// Known to fail. A gang's task waits for 90 s beside room on another shard's machine while others
-// of its gang run or are done: a gang is delegated only as a whole, since its tasks find one
-// another by a common attempt, and attempts are numbered by each shard (`beside_gang` 1 in its
-// shard's log line from 67 s on; "at 179.255197: neglected: run-100004/1 ... on m-000004").
+// Known to fail. A gang's task waits for 90 s with free capacity on another shard's machine while
+// other tasks of its gang run or are done. A gang is delegated only as a whole, since its tasks
+// find one another by a common attempt, and each shard numbers attempts on its own (`beside_gang` 1
+// in its shard's log line from 67 s on; "at 179.255197: neglected: run-100004/1 ... on m-000004").
 TEST(Delegation, TheRestOfAGangDoesNotWaitBesideRoom) {
   BusyTeamScenario scenario(427);
   scenario.end_faults_and_finish();
   EXPECT_EQ(scenario.cluster.rules().broken(), Strings{});
 }
 
-// Known to fail. A job's record holds one delegation: while a task of the job runs in one shard,
-// that has no more room, another task of it waits for 90 s beside room in a third one
+// Known to fail. A job's record holds one delegation. While a task of the job runs in one shard,
+// which has no more free capacity, another task of it waits for 90 s with free capacity in a third
+// one
 // (`beside_in_progress` 1 from 26 s on; "at 151.747634: neglected: run-100009/1 ... on m-000001").
 TEST(Delegation, TasksOfOneJobGoToTwoShardsAtOnce) {
   BusyTeamScenario scenario(238);
--- a/tests/fault_combinations_digest_test.cpp
+++ b/tests/fault_combinations_digest_test.cpp
@@ -1,4 +1,4 @@
-// The digest of a simulated history: the same for the same seed, another for another seed.
+// The digest of a simulated history is equal for equal seeds and different for different ones.
 #include <gtest/gtest.h>
 
 #include "fault_combinations.h"
@@ -15,7 +15,7 @@
   return digest.value();
 }
 
-// Published values of 64-bit FNV-1a.
+// Published test values of 64-bit FNV-1a.
 TEST(HistoryDigest, IsFnv1a) {
   EXPECT_EQ(digest_of_bytes(""), 0xcbf29ce484222325u);
   EXPECT_EQ(digest_of_bytes("a"), 0xaf63dc4c8601ec8cu);
@@ -59,7 +59,7 @@
   EXPECT_NE(play_history(1).digest, play_history(1, {"cloud down"}).digest);
 }
 
-// The two exchanges below differ in one thing each; the digest has to see it.
+// One request and its answer. Tests change one part at a time, which has to change the digest.
 struct OneExchange {
   double at_s = 1;
   std::string path = "/x", body = "question";
--- a/tests/fault_combinations_emulators_test.cpp
+++ b/tests/fault_combinations_emulators_test.cpp
@@ -1,4 +1,5 @@
-// The emulator worker by itself, as the protocol has workers: saving, hangs and leases.
+// The emulators of the worker and the state service on their own: checkpoints, hangs, leases, rate
+// limits and watches.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,13 +24,13 @@
 using simulation::Simulation;
 using wire::TaskState;
 
-// One worker, a controller that answers its reports 200 without commands while `answers`, and
-// whoever sends it direct commands.
+// One worker and a controller, which answers heartbeats 200 without commands while
+// `answers_heartbeats` is set and sends direct commands.
 struct WorkerBench {
   Simulation sim;
   Host node{sim, "node-0"}, machine{sim, "w-1"};
   bool answers_heartbeats = true;
-  std::vector<TaskState> states;  // of every task, one after the other
+  std::vector<TaskState> states;  // of all tasks, in the order of the changes
   WorkerEmulator::Work work{1, 0.5, 100, 10, 6};
   std::unique_ptr<net::Server> server;
   std::unique_ptr<WorkerEmulator> worker;
@@ -96,7 +97,7 @@
   }
 }
 
-// Another halt with time prolongs nothing; one without ends it.
+// Another stop with a grace period does not extend the save; one without ends it.
 TEST(WorkerEmulator, ASavingTaskIsEndedOnlyByAStopWithoutGrace) {
   for (const double second_grace_s : {30.0, 1.0, 0.0}) {
     WorkerBench bench;
@@ -114,8 +115,9 @@
   }
 }
 
-// Orders that came while it hung, its due tasks, its lease and its report come in any order as it
-// goes on; nothing of a lease that is over is run, and no start for its incarnation is taken.
+// When a machine resumes, the commands that came during the hang, its due tasks, its lease timer
+// and its heartbeat are handled in any order. No task runs after the lease's expiry, and no start
+// command for the old incarnation is accepted.
 TEST(WorkerEmulator, NoTaskSurvivesAnExpiredLease) {
   for (unsigned seed = 1; seed <= 40; ++seed) {
     WorkerBench bench(seed);
@@ -156,11 +158,11 @@
   EXPECT_GT(orders.size(), 1u);
 }
 
-// With every answer that waited longer than its patience dropped, the lease ends by itself.
+// Answers that arrive after the heartbeat's time-out are dropped, so the lease expires.
 TEST(WorkerEmulator, AnAnswerDelayedByAHangDoesNotRenewTheLease) {
   for (unsigned seed = 1; seed <= 40; ++seed) {
     WorkerBench bench(seed);
-    bench.run_for(1.3);  // a report of its own is on its way now and then
+    bench.run_for(1.3);  // in some histories a heartbeat is in transit at this time
     bench.answers_heartbeats = true;
     bench.machine.freeze(bench.sim.now() + 14);
     bench.run_for(0.5);
@@ -183,7 +185,7 @@
                                      [&to](net::Result r) { to.push_back(r.status); }));
     sim.run_until(sim.now() + 0.01);
   };
-  // A second's worth at once; failed conditions count too.
+  // A burst holds one second's worth. Transactions with failed preconditions count too.
   const std::string write =
       R"({"guards":[{"k":"a","stamp":7}],"writes":[{"drop":"a"},{"drop":"b"}]})";
   for (int i = 0; i < 3; ++i) request("POST", "/commit", write, writes);
@@ -196,11 +198,11 @@
   EXPECT_EQ(writes.back(), 409);
 }
 
-// A watch that times out in the very tick in which a lease expires was answered with the revision
-// of the lease's end and without the event, since the events were handed out a turn later and the
-// time-outs in the same one. Whoever watched never heard of the end: of a simulated cluster, a
-// leader's node key was dropped at revision 16 and the other controller's cache had revision 16 and
-// the key, so that nobody took the shard until the leader itself was back (seen in
+// Guards against a watch that times out in the same tick in which a lease expires and is answered
+// with the new revision but without the event. Events were sent one turn later than time-outs were
+// handled, so the client never saw the deletion. In a simulated cluster a leader's node key was
+// deleted at revision 16 while another controller's cache had revision 16 and still the key, so
+// that nobody took the shard until the leader itself was back (seen in
 // FaultCombinations.ALeaderFrozenAsItLearnsOfItsSuccessorRenewsNoLease with other seeds: 3 of 120).
 TEST(StateServiceEmulator, AWatchThatTimesOutAsALeaseExpiresReportsTheDeletion) {
   int watches_with_event = 0;
--- a/tests/fault_combinations_held_test.cpp
+++ b/tests/fault_combinations_held_test.cpp
@@ -1,4 +1,4 @@
-// Starts that are held up while their job is cancelled.
+// Start commands that are delayed while their job is cancelled.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -10,16 +10,16 @@
 namespace shunttrail::test {
 namespace {
 
-// A cluster of two controllers in which the first direct start of a job meets a fault.
+// A cluster in which a fault begins with the first direct start command of a job.
 class DelayedStart {
  public:
-  // When `machine` last sent a heartbeat is known by its host.
+  // Called as the start is sent to `machine`, whose worker runs on `host`.
   using Fault = std::function<void(DelayedStart& start, int machine, const std::string& host)>;
 
   DelayedStart(unsigned seed, const ClusterOptions& options) : cluster(seed, options) {}
 
-  // Submits a job once machines with room are there; as its start is sent, its user cancels it and
-  // the fault begins.
+  // Submits a job once there are machines with free capacity, and begins the fault as its start
+  // command is sent.
   void play(const Fault& fault) {
     cluster.sim().delivery_of =
         [this, fault, delivery_of = cluster.sim().delivery_of](const simulation::Request& request) {
@@ -31,20 +31,21 @@
           return delivery_of(request);
         };
     cluster.run_for(12);
-    cluster.users().submit(spec("red", 5), 200);  // so that machines with room are there
+    cluster.users().submit(spec("red", 5), 200);  // so that machines with free capacity exist
     cluster.run_for(20 + cluster.sim().draw(0, 5));
     job_ = cluster.users().submit(spec("red", 1), 60);
     cluster.run_for(120);
   }
 
   void cancel() { cluster.users().cancel(job_); }
-  // Until just before the end of the lease that the last heartbeat from this host has earned.
+  // Returns the time until 0.3 s before the end of the lease that the last heartbeat from this host
+  // renews.
   double seconds_until_lease_end(const std::string& host) {
     return last_heartbeat_at_[host] + cluster.options().lease_s - 0.3 - cluster.now();
   }
 
   SimulatedCluster cluster;
-  bool fault_began = false;  // the start has met the fault
+  bool fault_began = false;  // whether the start command has been sent
 
  private:
   bool is_start(const simulation::Request& request) const {
@@ -53,13 +54,12 @@
   }
 
   std::string job_;
-  std::map<std::string, double>
-      last_heartbeat_at_;  // when each machine last sent a heartbeat, by host
+  std::map<std::string, double> last_heartbeat_at_;  // by host
 };
 
-// A start that is sent straight to a machine as it begins to hang, and whose job is cancelled at
-// once. The machine goes on within its lease for a moment, in which it reports what it had, is
-// answered, and takes the start; and it hangs again within the lease that this answer has renewed.
+// A start command is sent to a machine as it begins to hang, and its job is cancelled at once. The
+// machine resumes within its lease for a moment, in which its heartbeat is answered and it accepts
+// the start. Then it hangs again, for less than the lease that this answer has renewed.
 TEST(FaultCombinations, AStartDelayedByAMachineThatHangsTwiceIsStoppedInTime) {
   int histories_with_hang = 0, executed_late = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
@@ -84,8 +84,8 @@
   EXPECT_GT(executed_late, 10);
 }
 
-// The same on its way: the start arrives some seconds late, while the machine reports as ever, and
-// the machine then hangs once, within the lease that its last report has earned.
+// The start command is delayed by some seconds in transit while the machine sends heartbeats as
+// usual. Then the machine hangs once, for less than the lease that its last heartbeat renews.
 TEST(FaultCombinations, AStartDelayedInTransitToAMachineThatThenHangsIsStoppedInTime) {
   int histories_with_delay = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
--- a/tests/fault_combinations_state_test.cpp
+++ b/tests/fault_combinations_state_test.cpp
@@ -1,4 +1,4 @@
-// What counts as the beginning of a read of the state service, in simulated time.
+// The age of a read of the state service that takes several pages, in simulated time.
 #include <gtest/gtest.h>
 
 #include "client_protocol/client_protocol.h"
@@ -8,12 +8,12 @@
 namespace shunttrail::test {
 namespace {
 
-// A state service whose pages come slowly, and which answers nothing but them.
+// A state service that answers lists of keys slowly, page by page, and refuses all other requests.
 struct SlowStateService {
   simulation::Simulation sim{1};
   simulation::Host node{sim, "node-0"}, service{sim, "state"};
   config::Settings settings;
-  std::vector<double> page_requested_at;  // when each was asked for
+  std::vector<double> page_requested_at;  // when each page was requested
   int page_count = 5;
   std::unique_ptr<state::Client> client;
   std::unique_ptr<controller::StateStore> store;
@@ -45,9 +45,9 @@
   }
 };
 
-// A page holds what was so when it was read: all that is known of the keys of the first one is as
-// old as that. An leader that counted from the last page went on answering workers for longer than
-// S after a cancellation that it did not know of.
+// The keys of the first page are as old as that page's read. A leader that counted the age of its
+// cache from the last page answered workers for longer than S after a cancellation that it had not
+// read.
 TEST(StateStore, AReadOfManyPagesIsAsOldAsItsFirstPage) {
   SlowStateService service;
   service.store->tick();
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -1,5 +1,5 @@
-// Faults that meet: the library's own controllers in simulated time, with the rules of the
-// protocol checked on the machines and in what users are told.
+// Combinations of faults: the product's own controllers in simulated time. The protocol's rules are
+// checked on the machines and in the answers to users.
 #include "fault_combinations.h"
 
 #include <gtest/gtest.h>
@@ -31,10 +31,10 @@
   EXPECT_EQ(cluster.machines().leases_lost(), 0u);
 }
 
-// The fault combination that broke most: the state service refuses the leading controller alone,
-// another one confirms cancellations, and then it is down for all for longer than cancel_s, while
-// the workers go on reporting to the leader. `told_cancel_s`: what the controllers take cancel_s
-// for.
+// The fault combination that has broken rules most often. The state service refuses the leader's
+// requests while another controller confirms cancellations. Then it has an outage for longer than
+// cancel_s, in which the workers still reach the leader. `controllers_cancel_s`: see
+// ClusterOptions.
 struct LeaderRefusedBeforeOutage {
   SimulatedCluster cluster;
   int cancelled = 0;
@@ -54,10 +54,10 @@
           cluster.users().submit(spec(i % 2 ? "red" : "blue", 1 + i % 3), sim.draw(90, 160)));
     cluster.run_for(sim.draw(8, 25));
     const int leader = cluster.controllers().leader(0);
-    const double until_outage_s = sim.draw(1, 14);  // until it is down for all
+    const double until_outage_s = sim.draw(1, 14);  // time until the outage for all controllers
     if (leader < 0) return;
     cluster.faults().refuse(leader, until_outage_s + sim.draw(0, 30));
-    // Cancelled in every state that a task can be in: some have only just been submitted.
+    // Jobs are cancelled in every state of a task; some have only just been submitted.
     const double first = sim.draw(0, 0.8 * until_outage_s);
     for (std::size_t i = 0; i < jobs.size(); ++i) {
       if (!sim.chance(0.8)) continue;
@@ -90,8 +90,8 @@
   EXPECT_GT(cancelled, 60 * 4);
 }
 
-// The bound S is what holds it: without it, or with one too long by the lease, the rule is broken
-// and the check sees it.
+// The staleness bound S keeps the rule ran_cancelled. Without the bound, or with one that is too
+// long by the lease, the rule is broken and the checker reports it.
 TEST(FaultCombinations, WithoutTheStalenessBoundCancelledTasksRunTooLong) {
   for (double excess_s : {1e6, 26.5}) {
     int broken = 0;
@@ -104,10 +104,11 @@
   }
 }
 
-// An leader cut off from the state service is replaced, reads of it at the last moment of S, and
-// stands still between that read and its next turn, whichever that is. The new leader reaches none
-// of its machines and cannot delete them: it has the proof by silence alone, which what the old one
-// answers when it goes on must not outlast.
+// A leader that is cut off from the state service is replaced. It reads of its successor at the
+// last moment of S and freezes between that read and any of its next turns. The successor reaches
+// none of the old leader's machines and cannot delete them, so that only their silence proves that
+// their leases have expired. Answers that the old leader gives when it resumes must not renew a
+// lease beyond that proof.
 TEST(FaultCombinations, ALeaderFrozenAsItLearnsOfItsSuccessorRenewsNoLease) {
   int taken_over = 0, restarted_tasks = 0;
   for (std::uint64_t turn = 1; turn <= 30; ++turn)
@@ -140,7 +141,7 @@
       cluster.faults().cut(old_leader, FaultInjector::state | FaultInjector::peers, cut_s);
       cluster.run_for(cut_s - 0.05);
       taken_over += cluster.controllers().leads(1 - old_leader, 0);
-      // The first read that tells of the successor is on its way back.
+      // The first read that shows the successor is being answered.
       auto successor_seen = std::make_shared<bool>(false);
       cluster.sim().answer_delay_of = [answer_delay_of = cluster.sim().answer_delay_of, &cluster,
                                        successor_seen, old_leader,
@@ -163,13 +164,14 @@
   EXPECT_GT(restarted_tasks, 20);
 }
 
-// The fault combinations that the operators named, each with others beside it.
+// The fault combinations that the operators named, each together with other random faults.
 struct NamedCombination {
   const char* name;
   std::vector<std::string> faults;
 };
 void PrintTo(const NamedCombination& combination, std::ostream* out) { *out << combination.name; }
-// SHUNTTRAIL_HISTORIES=FIRST-LAST plays these histories instead. False: it does not say so.
+// Reads the seeds to play instead from SHUNTTRAIL_HISTORIES=FIRST-LAST. Returns false if it is
+// unset.
 bool read_seed_range(unsigned& first, unsigned& last) {
   const char* range = std::getenv("SHUNTTRAIL_HISTORIES");
   if (!range) return false;
@@ -241,8 +243,8 @@
                          {"refused alone with cancellations, then out"}}),
     [](const auto& test) { return std::string(test.param.name); });
 
-// What the new faults are for takes place in them: tasks save, and cancelled ones are on machines
-// for long.
+// The faults have their intended effects: tasks save checkpoints, and cancelled tasks stay on
+// machines for more than 10 s after the confirmation.
 TEST(FaultCombinations, TasksSaveAndCancelledOnesOutlastTheirConfirmation) {
   std::uint64_t saves = 0;
   double longest_on_machine_s = 0;
@@ -256,7 +258,7 @@
   EXPECT_GT(longest_on_machine_s, 10);
 }
 
-// Any two or three of them at once.
+// Two or three random faults at a time.
 class DrawnFaults : public ::testing::TestWithParam<unsigned> {};
 TEST_P(DrawnFaults, BreakNoRuleAndForgetNoJob) {
   unsigned first = GetParam() * 60 + 1, last = first + 59;
--- a/tests/history_digests_main.cpp
+++ b/tests/history_digests_main.cpp
@@ -1,5 +1,5 @@
 // Prints digests of simulated histories, one a line, so that two versions can be compared with
-// diff. Rules that a history breaks are the tests' concern and do not change the exit status.
+// diff. Broken rules do not change the exit status; the tests check them.
 #include <spdlog/spdlog.h>
 
 #include <charconv>
@@ -20,12 +20,14 @@
   std::fflush(stdout);
 }
 
-// Drawn histories, by seed; both ends are included.
+// Prints the digests of the random histories of these seeds, both included.
 void print_drawn(unsigned first, unsigned last) {
-  for (unsigned seed = first; seed <= last; ++seed) print_digest(std::to_string(seed), play_history(seed));
+  for (unsigned seed = first; seed <= last; ++seed)
+    print_digest(std::to_string(seed), play_history(seed));
 }
 
-// A history with each named fault, whose seed is the fault's place in the list.
+// Prints the digest of a history with each named fault. The seed is the fault's position in the
+// list.
 void print_named() {
   unsigned seed = 0;
   for (const NamedFault& fault : named_faults())
--- a/tests/named_faults.h
+++ b/tests/named_faults.h
@@ -1,4 +1,4 @@
-/// The faults that tests of fault combinations order by name, and the jobs that go with them.
+/// The faults that fault combination tests select by name, and the jobs that the tests submit.
 #pragma once
 #include <string>
 #include <vector>
@@ -13,7 +13,7 @@
 using simulation::SimulatedCluster;
 using simulation::SimulatedJob;
 
-/// A job of small tasks that may run on spot machines.
+/// Returns the specification of a job of small tasks that may run on spot machines.
 inline wire::JobSpec spec(const std::string& team, std::uint32_t tasks, double cpus = 1) {
   wire::JobSpec job;
   job.job_class = "c";
@@ -28,8 +28,8 @@
   return job;
 }
 
-/// A fault that begins when it is called, with drawn times and targets. The order in which it draws
-/// is part of every history's digest.
+/// A fault that begins when `begin` is called, with random durations and targets. The order of its
+/// random draws is part of every history's digest.
 struct NamedFault {
   const char* name;
   void (*begin)(SimulatedCluster& cluster);
@@ -46,7 +46,7 @@
                           static_cast<unsigned>(cluster.options().controllers));
 }
 
-/// Cancels this share of the jobs that are not over, through any controllers.
+/// Cancels this share of the unfinished jobs, each through any controller. Returns their ids.
 inline std::vector<std::string> cancel_some(SimulatedCluster& cluster, double share) {
   std::vector<std::string> cancelled;
   for (const auto& [id, job] : cluster.users().jobs())
@@ -57,7 +57,7 @@
   return cancelled;
 }
 
-/// Submits work of the highest priority, which other work is preempted for.
+/// Submits jobs of the highest priority, for which other tasks are preempted.
 inline void submit_urgent(SimulatedCluster& cluster, int jobs) {
   for (int i = 0; i < jobs; ++i) {
     wire::JobSpec urgent = spec(i % 2 ? "red" : "blue", 2, 2);
@@ -66,7 +66,7 @@
   }
 }
 
-/// Sets an option to this value, and to 0 again after 20 s to `longest_s`.
+/// Sets an option to this value, and back to 0 after 20 s to `max_s`.
 inline void set_temporarily(SimulatedCluster& cluster, double ClusterOptions::*option, double value,
                             double max_s = 60) {
   cluster.options().*option = value;
@@ -74,13 +74,13 @@
                    [&cluster, option] { cluster.options().*option = 0; });
 }
 
-/// Cuts a leader from what these links (FaultInjector::Link) lead to.
+/// Cuts a random leader off from these links (FaultInjector::Link).
 inline void cut_leader(SimulatedCluster& cluster, int links) {
   const double for_s = cluster.sim().draw(3, 60);
   cluster.faults().cut(cluster.controllers().random_leader(), links, for_s);
 }
 
-/// Orders the fault for so many drawn machines, each for `shortest_s` to `longest_s`.
+/// Begins the fault on `machines` random machines, each for `min_s` to `max_s`.
 inline void apply_to_machines(SimulatedCluster& cluster, int machines,
                               void (FaultInjector::*fault)(int machine, double for_s), double min_s,
                               double max_s) {
@@ -126,8 +126,8 @@
   cluster.faults().cloud_outage(cluster.sim().draw(20, 120));
 }
 
-// One controller is refused while jobs are cancelled; then the state service is down for all, for
-// longer than a cancellation may take.
+// The state service refuses one controller while jobs are cancelled. Then it has an outage that is
+// longer than `cancel_s`.
 inline void refuse_leader_before_outage(SimulatedCluster& cluster) {
   const double outage_s = cluster.options().cancel_s + cluster.sim().draw(2, 25);
   const double refused_s = 1 + cluster.sim().draw(0, outage_s + 10);
@@ -187,7 +187,7 @@
   cluster.faults().cut_zone(cluster.sim().chance(0.5) ? "a" : "b", for_s);
 }
 
-// Ends a leader, or cuts it off for longer than its lease on the shard.
+// Ends a random leader's process, or cuts it off for longer than its lease on the shard.
 inline void change_leader(SimulatedCluster& cluster) {
   if (cluster.sim().chance(0.6)) {
     const double back_after_s = cluster.sim().draw(0.05, 8);
@@ -273,8 +273,8 @@
                    [&cluster] { cancel_some(cluster, 0.5); });
 }
 
-// A leader gets heartbeats only through others, while its direct commands and their answers are
-// held on the way and jobs are cancelled.
+// A leader gets heartbeats only through other controllers, while its direct commands and the
+// answers to them are delayed and jobs are cancelled.
 inline void hold_commands_and_relay_heartbeats(SimulatedCluster& cluster) {
   const double for_s = cluster.sim().draw(10, 100);
   cluster.faults().cut(cluster.controllers().random_leader(), FaultInjector::heartbeats, for_s);
@@ -290,8 +290,8 @@
 
 }  // namespace faults
 
-/// All faults. Histories draw them by their place, and the names are printed with digests: neither
-/// may change if digests are to be compared.
+/// All faults. Histories draw them by their position, and history_digests prints their names, so
+/// the order and the names stay as they are for digests to be comparable.
 inline const std::vector<NamedFault>& named_faults() {
   static const std::vector<NamedFault> all = {
       {"late reports", faults::copy_heartbeats},
