--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -53,14 +53,14 @@
 /// Returns a job's specification and state for failure messages.
 inline std::string describe(const SimulatedCluster& cluster, const SimulatedJob& j) {
   const wire::JobSpec& s = j.spec;
-  std::string out = s.id + ": " + s.team + ", band " +
+  std::string out = s.id + ": " + s.team + ", priority " +
                     std::to_string(static_cast<int>(s.priority)) + ", " + std::to_string(s.tasks) +
-                    " tasks of " + std::to_string(s.cpus) + " cpus, " + std::to_string(j.run_s) +
-                    " s, image " + std::to_string(s.image_gb) + " GB, saves in " +
+                    " tasks of " + std::to_string(s.cpus) + " vcpus, " + std::to_string(j.run_s) +
+                    " s, image " + std::to_string(s.image_gb) + " GB, save time " +
                     std::to_string(s.save_s) + (s.same_zone ? ", one zone" : "") +
-                    (s.anti_affinity ? ", spread" : "") + (s.zone ? ", zone " + *s.zone : "") +
-                    (j.cancel_requested ? ", cancelled" : "");
-  for (const auto& a : s.dependencies) out += ", awaits " + a;
+                    (s.anti_affinity ? ", anti-affinity" : "") +
+                    (s.zone ? ", zone " + *s.zone : "") + (j.cancel_requested ? ", cancelled" : "");
+  for (const auto& a : s.dependencies) out += ", depends on " + a;
   for (int m : cluster.machines().with_job(s.id)) out += ", on machine " + std::to_string(m);
   return out;
 }
@@ -96,9 +96,8 @@
     job.same_zone = sim_.chance(0.15);
     job.anti_affinity = !job.same_zone && sim_.chance(0.15);
     if (sim_.chance(0.1)) job.zone = "b";
-    // A service's tasks run to the end of the history and may use all machines of a zone until
-    // then. Services therefore have the default size and priority, and all other jobs of a zone
-    // find free capacity beside them.
+    // A service's tasks run to the end of the history and may hold a zone's machines until then.
+    // They have the default size and priority, so that other jobs find free capacity beside them.
     job.service = sim_.chance(0.1);
     if (!job.service) {
       job.priority = static_cast<wire::Priority>(sim_.rng()() % wire::kPriorities);
@@ -201,7 +200,7 @@
       if (unfinished_despite_capacity_.contains(id) || !has_ended(job))
         result_.unfinished.push_back(describe(cluster_, job));
     if (!result_.unfinished.empty())
-      result_.unfinished.push_back("room: " + machines_after_faults_);
+      result_.unfinished.push_back("machines: " + machines_after_faults_);
     const RuleChecker& rules = cluster_.rules();
     result_.broken = rules.broken();
     result_.completed_tasks = rules.completed_tasks();
--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -1,7 +1,7 @@
-// What users are told: close looks at all nodes, ends that are met by cancellations, transactions
-// whose answer alone is lost, odd requests, minutes of one-task jobs. The library's own controllers
-// in simulated time; what any user was told about a job is checked as one register
-// (RuleChecker::check_answer).
+// Answers to users: bursts of queries to all controllers, jobs that end while they are cancelled,
+// transactions that are applied without an answer, unusual requests, and minutes of one-task jobs.
+// The product's own controllers run in simulated time. All answers about a job are checked as one
+// linearizable register (RuleChecker::check_answer).
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -19,7 +19,8 @@
 
 using nlohmann::json;
 
-// A user of its own beside the cluster's: one question, and its answer.
+// A user in addition to the cluster's own, who sends one request at a time and waits for its
+// answer.
 class SingleUser {
  public:
   explicit SingleUser(SimulatedCluster& cluster)
@@ -36,7 +37,7 @@
                       const std::string& body = "") {
     return request(config::Endpoint{"node-" + std::to_string(node), 80}, method, path, body);
   }
-  // Until it is decided: 503 says that it cannot be yet.
+  // Repeats the submission until the answer is not 503, which says that it cannot be decided yet.
   net::Result submit(int node, const std::string& body) {
     for (int tries = 0; tries < 10; ++tries) {
       net::Result r = request(node, "POST", "/v2/runs", body);
@@ -51,7 +52,7 @@
   simulation::Host host_;
 };
 
-// ---- histories of short jobs, with users who ask, repeat and cancel
+// ---- histories of short jobs, with users who query, repeat submissions and cancel
 
 struct UserResults {
   std::uint64_t histories = 1;
@@ -64,8 +65,9 @@
 
 using SetOptions = std::function<void(SimulatedCluster&)>;
 
-// Jobs come for a minute and a half, most of one to three short tasks; faults begin within the
-// first; then it is quiet, and every accepted job has to be known everywhere, and to be over.
+// Users submit jobs for a minute and a half, most of them with one to three short tasks. Faults
+// begin twice in the first minute and a quarter. After their end every controller has to know every
+// accepted job, and every accepted job has to end.
 UserResults play_user_history(unsigned seed, const SetOptions& set_options,
                               const std::vector<std::string>& named) {
   ClusterOptions options;
@@ -94,7 +96,7 @@
     if (sim.chance(0.15)) cluster.users().cancel(jobs[sim.rng()() % jobs.size()]);
     cluster.run_for(sim.draw(0.2, 4));
   }
-  cluster.run_for(60);  // the longest fault is over
+  cluster.run_for(60);  // longer than the longest fault
   UserResults results;
   cluster.options().late_writes = cluster.options().heartbeat_copies =
       cluster.options().lost_answers = 0;
@@ -129,7 +131,7 @@
 UserResults expect_consistent_answers(unsigned first, unsigned last, const SetOptions& set_options,
                                       const std::vector<std::string>& named = {}) {
   UserResults all;
-  // SHUNTTRAIL_HISTORIES=FIRST-LAST plays these histories instead.
+  // SHUNTTRAIL_HISTORIES=FIRST-LAST replaces the seeds.
   if (const char* range = std::getenv("SHUNTTRAIL_HISTORIES"))
     if (std::sscanf(range, "%u-%u", &first, &last) != 2) ADD_FAILURE() << range;
   for (unsigned seed = first; seed <= last; ++seed) {
@@ -146,7 +148,7 @@
     all.accepted += results.accepted;
     all.ended += results.ended;
   }
-  // Enough of them to say something.
+  // The histories contain enough jobs for the checks to be meaningful.
   all.histories = last - first + 1;
   EXPECT_GT(all.accepted, all.histories * 20);
   EXPECT_GT(all.ended, all.accepted / 2);
@@ -168,7 +170,8 @@
     FaultSet{"SlowStateServiceAndAllControllersEnd", {"slow state service", "all end"}});
 const auto kParameterName = [](const auto& test) { return std::string(test.param.name); };
 
-// Asked at all nodes within milliseconds, submitted again, some called off at once.
+// Jobs are queried at all controllers within milliseconds and submitted again; some are cancelled
+// at once.
 class RepeatedQueries : public ::testing::TestWithParam<FaultSet> {};
 TEST_P(RepeatedQueries, NeverGetAnOlderState) {
   const UserResults results = expect_consistent_answers(
@@ -182,8 +185,8 @@
 }
 INSTANTIATE_TEST_SUITE_P(With, RepeatedQueries, kFaultSets, kParameterName);
 
-// A cancellation, a question at each node, a repeated submission, at the moment of the last task's
-// end.
+// A cancellation, a query at each controller and a repeated submission arrive as the last task
+// ends.
 class ConcurrentRequestsAtJobEnd : public ::testing::TestWithParam<FaultSet> {};
 TEST_P(ConcurrentRequestsAtJobEnd, SeeOneOutcome) {
   const UserResults results = expect_consistent_answers(
@@ -199,7 +202,10 @@
 
 // ---- lost answers, by kind of transaction
 
-// By what it writes and preconditions: docs/safety.md, "Writes that are carried out late".
+// Returns the kind of a transaction by its writes and preconditions (docs/safety.md, "Writes that
+// are carried out late"): "sheet" writes a placement page, "take" takes over a shard, "raise"
+// advances a leader's token, "ready" makes a waiting job runnable, "end" records a job's result,
+// "roster" writes an inventory page, "leaving" removes a controller's registration.
 std::string kind_of(const std::string& body) {
   const wire::Transaction t = client_protocol::decode_transaction(body);
   std::map<std::string, int> sets, drops, preconditions;
@@ -229,12 +235,12 @@
   return "?";
 }
 
-// Of one kind alone, nearly all answers are lost for a minute and a half, while others read what it
-// wrote: shards change hands, users look closely and call off.
+// Nearly all answers to transactions of one kind are lost for a minute and a half while others read
+// what these have written: leaders change, users query in bursts and cancel.
 struct LostKind {
   const char* name;
   std::string kind;
-  std::uint64_t min_lost;  // so many in 25 histories
+  std::uint64_t min_lost;  // the least number of lost answers in 25 histories
   double share = 0.7;
 };
 void PrintTo(const LostKind& lost, std::ostream* out) { *out << lost.name; }
@@ -248,7 +254,7 @@
           return kind_of(body) == kind;
         };
         cluster.options().query_bursts = 0.3;
-        // What waits is rarely called off otherwise.
+        // Waiting jobs are rarely cancelled otherwise.
         cluster.options().immediate_cancellations =
             GetParam().kind == "waiting cancelled" ? 0.4 : 0.1;
         cluster.options().requests_at_completion = 0.2;
@@ -269,7 +275,8 @@
         LostKind{"InventoryPages", "roster", 50}, LostKind{"StateLevels", "level", 25, 1}),
     [](const auto& test) { return std::string(test.param.name); });
 
-// A node that cannot serve leaves in other tests (levels_test.cpp): here all are of one build.
+// levels_test.cpp covers controllers that leave because they cannot serve the state level. Here all
+// controllers are of one build.
 TEST(LostAnswers, EveryTransactionIsOfAKnownKind) {
   std::map<std::string, int> counts;
   for (unsigned seed = 1; seed <= 6; ++seed)
@@ -287,9 +294,10 @@
   EXPECT_EQ(counts.size(), 12u);
 }
 
-// A job was accepted by a node that did not know yet that what it names had ended, and every node
-// had read that end before the new job's key: none told its pipelines of it then, and none read it
-// again. The job stood still, and each question about it was answered 503.
+// Guards against a job that never becomes ready. A controller accepted a job without knowing that
+// the job which it depends on had ended, and every controller had read that end before the new
+// job's key. None of them told its dependency graph of the end, and none read it again, so that the
+// job stayed waiting and each query about it was answered 503.
 TEST(JobResults, ADependentOfAJobThatIsJustEndingRuns) {
   for (const int controllers : {1, 2, 3}) {
     SCOPED_TRACE(controllers);
@@ -332,15 +340,16 @@
     }
     cluster.run_for(120);
     EXPECT_EQ(ended_jobs.size(), 40u);
-    EXPECT_GT(written_with_dependency, 10u);  // had to: what was known to be over is not awaited
+    EXPECT_GT(written_with_dependency,
+              10u);  // a job that is known to have ended is no dependency in the record
     for (const auto& [id, j] : cluster.users().jobs()) EXPECT_GE(j.done_reported_at, 0) << id;
     EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
   }
 }
 
-// ---- odd requests
+// ---- unusual requests
 
-// A whole submission, as PROTOCOL shows one, that fits the cluster.
+// Returns a complete submission, as in PROTOCOL, that fits the cluster.
 json complete_submission(const std::string& id) {
   return {{"uid", id},
           {"consist", "c"},
@@ -364,8 +373,8 @@
           {"due_s", 900.0}};
 }
 
-// What each field of the protocol's table must not be, as JSON text. Of a field that may be null
-// nothing is wrong with its lack.
+// The invalid values of a field in the protocol's table, as JSON text. An optional field may be
+// null or missing.
 struct Field {
   const char* name;
   bool optional;
@@ -419,7 +428,7 @@
   return all;
 }
 
-// The body with this text in the field's place.
+// Returns the job's body with this JSON text as the field's value.
 std::string body_with(const json& job, const std::string& field, const std::string& value) {
   std::string out = "{";
   for (auto it = job.begin(); it != job.end(); ++it)
@@ -441,7 +450,8 @@
   OddRequests() { cluster.run_for(12); }
   std::string new_id() { return "run-" + std::to_string(700000 + next++); }
   int node() { return next % cluster.options().controllers; }
-  // Refused so, and unknown at another node afterwards.
+  // Expects that the submission is refused with this status and that another controller does not
+  // know the job afterwards.
   void expect_refused(int status, const std::string& id, const std::string& body) {
     EXPECT_EQ(user.submit(node(), body).status, status) << body;
     if (!id.empty()) {
@@ -532,16 +542,17 @@
     expect_refused(422, id, changed(id, change));
   }
   EXPECT_EQ(cluster.rules().starts(), 0u);
-  // Their neighbours can run.
+  // Jobs that differ little from these and can run.
   const std::vector<json> possible = {
       {{"vcpus", 4}},
       {{"mem_gb", 64}},
       {{"stock_types", {"none", "u4"}}},
       {{"yard", "a"}, {"stock_types", {"u4"}}},
-      {{"cars", 100}},  // an array: one task within the limit
+      {{"cars", 100}},  // a job array needs the quota for one task at a time
       {{"haul", "service"}, {"cars", 10}, {"vcpus", 1.6}},
       {{"haul", "group"}, {"cars", 10}, {"vcpus", 1.6}},
-      {{"same_place", true}, {"scatter", true}},  // an array's tasks may run one after the other
+      {{"same_place", true},
+       {"scatter", true}},  // tasks of a job array may run one after the other
       {{"yard", "a"}, {"scatter", true}},
       {{"haul", "group"}, {"cars", 1}, {"same_place", true}, {"scatter", true}},
       {{"haul", "service"}, {"cars", 1}, {"yard", "a"}, {"scatter", true}},
@@ -551,11 +562,11 @@
   for (const json& change : possible) expect_accepted(changed(new_id(), change));
 }
 
-// Whatever comes under the name of an accepted job is a retry: at any node, however soon or late.
+// Any submission with the id of an accepted job is a retry, at any controller and at any time.
 TEST_F(OddRequests, AnyBodyWithAKnownJobIdGetsTheJobsState) {
   std::uint64_t requests = 0;
   for (int i = 0; i < 12; ++i) {
-    // Nodes that have not heard of it yet, and can't ask.
+    // These controllers have not read the job yet and cannot query the state service.
     if (i > 5) cluster.faults().cut(1, FaultInjector::state, 4);
     if (i > 8) cluster.faults().refuse(2, 4);
     const std::string id = cluster.users().submit(spec("red", 1 + i % 3), 1, 0);
@@ -578,7 +589,7 @@
   EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
 }
 
-// A cancellation is answered by an outcome, also one that comes beside the submission itself.
+// Every cancellation gets an outcome, even one that arrives together with the submission itself.
 TEST_F(OddRequests, ACancellationDuringTheSubmissionGetsAnOutcome) {
   cluster.sim().delivery_of = [delivery_of = cluster.sim().delivery_of,
                                this](const simulation::Request& r) {
@@ -605,7 +616,7 @@
   EXPECT_EQ(cluster.rules().broken(), std::vector<std::string>{});
 }
 
-// Questions about jobs that nobody submitted; cancellations of them, and of what is done.
+// Queries and cancellations of jobs that nobody submitted, and cancellations of a job that is done.
 TEST_F(OddRequests, UnknownJobsAreNotFoundAndADoneJobStaysDone) {
   const std::string id = cluster.users().submit(spec("red", 2), 1);
   cluster.run_for(60);
@@ -627,8 +638,9 @@
 
 // ---- minutes of one-task jobs
 
-// Four a second, a quarter of them called off. What the state service holds beside the final
-// records depends on what is unfinished, not on what has been.
+// Four jobs a second are submitted, and a quarter of them is cancelled. Apart from result records,
+// the contents of the state service depend on the number of unfinished jobs, not on that of all
+// jobs.
 TEST(ManySmallJobs, LeaveOnlyTheirResultRecords) {
   ClusterOptions options;
   options.machines = 12;
@@ -663,7 +675,7 @@
   };
   cluster.run_for(20);
   std::size_t submitted = 0, cancelled = 0;
-  StoredState largest[2];  // in each half of the time
+  StoredState largest[2];  // the maxima in each half of the time
   for (int second = 0; second < 240; ++second) {
     for (int i = 0; i < 4; ++i) {
       const std::string id =
@@ -695,7 +707,7 @@
   const StoredState after = read_stored_state();
   EXPECT_EQ(after.jobs, 0u);
   EXPECT_EQ(after.result_records, submitted);
-  // Bounded by what is unfinished: no more in the second half than in the first.
+  // The state is bounded by the unfinished jobs: no more in the second half than in the first.
   EXPECT_LT(largest[1].keys, largest[0].keys * 1.5 + 10);
   EXPECT_LT(largest[1].bytes, largest[0].bytes * 1.5 + 4096);
   cluster.query_all_controllers();
--- a/tests/fault_combinations_limits_test.cpp
+++ b/tests/fault_combinations_limits_test.cpp
@@ -1,4 +1,5 @@
-// Meetings of teams' limits, room, zones and new machines; and that group waits is served.
+// Combinations of team quotas, free capacity, zones and new machines, in which every waiting task
+// has to be served.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -12,12 +13,13 @@
 namespace {
 
 const char* const kTeams[] = {"red", "blue", "green", "white"};
-constexpr double kLongestFaultS = 80;  // of all faults here, counted from the last that begins
-constexpr double kQuietS = 420;        // until all is over that can be
+constexpr double kLongestFaultS =
+    80;  // the longest fault of these tests, counted from the last beginning of a fault
+constexpr double kQuietS = 420;  // until every job that can end has ended
 
 using Strings = std::vector<std::string>;
 
-// SHUNTTRAIL_HISTORIES=FIRST-LAST plays these seeds of each fault combination instead.
+// SHUNTTRAIL_HISTORIES=FIRST-LAST replaces the seeds of each test.
 void each_seed(const std::function<void(unsigned)>& play) {
   unsigned first = 1, last = 25;
   if (const char* range = std::getenv("SHUNTTRAIL_HISTORIES"))
@@ -28,8 +30,8 @@
   }
 }
 
-// Nothing faults the cluster any more: all jobs end, users are answered, and no machine stays
-// rented without work.
+// Ends the faults and expects that all jobs end, users get answers, and no machine stays rented
+// without tasks.
 void end_faults_and_finish(SimulatedCluster& cluster) {
   cluster.options().late_writes = cluster.options().lost_answers =
       cluster.options().max_link_delay_s = 0;
@@ -46,7 +48,7 @@
   cluster.run_for(120);
   EXPECT_EQ(cluster.rented_machines(), 0u);
 }
-// And no job waits beside room.
+// Expects also that no rule is broken, including `neglected`.
 void expect_no_violations_at_end(SimulatedCluster& cluster) {
   end_faults_and_finish(cluster);
   EXPECT_EQ(cluster.rules().broken(), Strings{});
@@ -60,7 +62,7 @@
   return out;
 }
 
-// A leader goes, one way or another, for at most a minute.
+// Kills, cuts off, freezes or refuses a random leader for at most a minute.
 void fail_leader(SimulatedCluster& cluster) {
   auto& sim = cluster.sim();
   const int leader = cluster.controllers().random_leader();
@@ -79,9 +81,9 @@
   }
 }
 
-// ---- room
+// ---- capacity
 
-// Four jobs that fit, and limits by which the controllers place fewer, or more.
+// Submits four jobs that fit into the quota of the options; the controllers may have another quota.
 SimulatedCluster& run_at_quota(SimulatedCluster& cluster) {
   cluster.run_for(12);
   for (int i = 0; i < 4; ++i) cluster.users().submit(spec("red", 2), 150);
@@ -109,10 +111,10 @@
   EXPECT_NE(violations_of(run_at_quota(configured_higher), "quota"), Strings{});
 }
 
-// ---- limits
+// ---- quotas
 
-// Every team is at its limit, with more that waits. Some of the jobs are cancelled, and their
-// machines can't be asked, each in its own way, while the leader changes.
+// Every team is at its quota and has waiting jobs. Some jobs are cancelled while their machines
+// cannot be reached, each for another reason, and the leader changes.
 struct AtLimit {
   SimulatedCluster cluster;
   int at_limit = 0, cancelled = 0;
@@ -124,7 +126,7 @@
     options.machines = 8;
     return options;
   }
-  // `first`: the leader goes before anything is cancelled.
+  // `leader_first`: the leader fails before any job is cancelled.
   AtLimit(unsigned seed, bool leader_first) : cluster(seed, options(seed)) {
     auto& sim = cluster.sim();
     cluster.run_for(12);
@@ -181,13 +183,13 @@
   each_seed([&](unsigned seed) {
     AtLimit scenario(seed, leader_first);
     end_faults_and_finish(scenario.cluster);
-    // Room beside waiting work has tests of its own.
+    // Waiting with free capacity is tested separately.
     EXPECT_EQ(violations_of(scenario.cluster, "neglected", false), Strings{});
     ++seeds;
     at_limit += scenario.at_limit;
     cancelled += scenario.cancelled;
   });
-  EXPECT_GT(at_limit, seeds * 3);  // of four teams
+  EXPECT_GT(at_limit, seeds * 3);  // at least three of four teams on average
   EXPECT_GT(cancelled, seeds * 3);
 }
 
@@ -198,7 +200,7 @@
   expect_limits(true);
 }
 
-// Once the faults are over, room is given again: nothing waits beside it for 90 s.
+// Once the faults have ended, freed capacity is used: no task waits for 90 s with free capacity.
 TEST(Limits, FreedCapacityIsUsedOnceTheFaultsHaveEnded) {
   each_seed([&](unsigned seed) {
     for (const bool leader_first : {false, true}) {
@@ -209,7 +211,8 @@
   });
 }
 
-// There is one machine and no other to be had; a task that needs half of it waits for its turn.
+// There is one machine and the cloud has no others. A task that needs half of it waits for its
+// turn.
 TEST(Limits, ASmallTaskStartsBeforeALargerOneThatDoesNotFit) {
   ClusterOptions options;
   options.controllers = 1;
@@ -227,8 +230,8 @@
   EXPECT_EQ(cluster.rules().broken(), Strings{});
 }
 
-// Each team's controller has a machine, and there is no other to be had: one is full, the other one
-// hardly in use.
+// Each team's controller has one machine, and the cloud has no others. One machine is full, the
+// other one almost unused.
 TEST(Limits, ATaskUsesFreeCapacityOnAnotherControllersMachine) {
   ClusterOptions options;
   options.controllers = 2;
@@ -247,8 +250,8 @@
 
 // ---- new machines
 
-// Nothing is rented yet. Machines of two types are up at once and get work, writes lag and lists
-// are old, some of the jobs are cancelled, and the leader ends.
+// At first no machine is rented. Machines of two types boot quickly and get tasks while writes are
+// late, lists are out of date, some jobs are cancelled and the leader ends.
 TEST(Limits, NewMachinesAreUsedWhileWritesLagAndTheLeaderEnds) {
   int seeds = 0, with_machines = 0, cancelled = 0;
   each_seed([&](unsigned seed) {
@@ -268,8 +271,9 @@
     for (int i = 0; i < 9; ++i) {
       wire::JobSpec job = spec(kTeams[i % 3], 1 + sim.rng()() % 3, sim.chance(0.3) ? 2 : 1);
       if (sim.chance(0.4)) job.types = {{sim.chance(0.5) ? "t4" : "t8"}};
-      if (sim.chance(0.2)) job.cpus = 6;  // a large machine's
-      // One at a time within the limit: three jobs of three such tasks are over in six minutes.
+      if (sim.chance(0.2)) job.cpus = 6;  // fits on a t8 machine only
+      // The quota allows one such task at a time; three jobs of three such tasks end in six
+      // minutes.
       jobs.push_back(
           cluster.users().submit(job, sim.draw(5, job.cpus > options.team_limit / 2 ? 20 : 60)));
     }
@@ -301,8 +305,8 @@
 
 // ---- zones
 
-// Jobs bound to a zone, to any one zone and to both, arrays too. All machines of one zone die, and
-// for a while there are none to be had there.
+// Jobs and job arrays that are bound to one given zone, to any one zone, or spread over both. All
+// machines of one zone fail, and for a while the cloud has no others there.
 TEST(Limits, JobsBoundToZonesFinishAfterTheirMachinesFail) {
   std::uint64_t done = 0;
   int seeds = 0, lost = 0;
@@ -350,10 +354,11 @@
   EXPECT_GT(done, static_cast<unsigned>(seeds) * 20u);
 }
 
-// ---- work changes hands
+// ---- leader changes
 
-// Jobs are cancelled in the seconds in which a shard changes hands: taken over, handed back, rolled
-// through all controllers, and while machines go from one shard to another.
+// Jobs are cancelled in the seconds in which a shard changes its leader: by failover, by return to
+// the first leader, by a rolling restart of all controllers, and while machines move between
+// shards.
 TEST(Limits, CancellationsDuringLeaderChangesBreakNoRule) {
   int seeds = 0, changes = 0, cancelled = 0;
   each_seed([&](unsigned seed) {
@@ -365,14 +370,15 @@
     SimulatedCluster cluster(seed, options);
     auto& sim = cluster.sim();
     cluster.run_for(12);
-    // One team has it all at first; then the other one's work needs machines of the first.
+    // One team uses all machines at first; then the other team's jobs need machines of the first
+    // one.
     for (int i = 0; i < 5; ++i)
       cluster.users().submit(spec("red", 1 + sim.rng()() % 3), sim.draw(8, 30));
     cluster.run_for(sim.draw(10, 20));
     for (int i = 0; i < 8; ++i)
       cluster.users().submit(spec("blue", 1 + sim.rng()() % 3), sim.draw(15, 60));
     std::vector<int> leaders(static_cast<std::size_t>(options.controllers), -1);
-    int checks_left = 0;  // looks in which users cancel
+    int checks_left = 0;  // number of steps in which users still cancel jobs
     for (int step = 0; step < 360; ++step) {
       if (step % 90 == 10)
         for (int n = 0; n < options.controllers; ++n) {
@@ -412,19 +418,20 @@
   EXPECT_GT(cancelled, seeds);
 }
 
-// ---- more work than room
+// ---- overload
 
 struct Submitted {
   std::string id, job_class, team;
   wire::Priority priority = wire::Priority::standard;
-  double at = 0, size = 0;  // size: vcpus at once
+  double at = 0, size = 0;  // size: vcpus of the tasks that start together
   double work = 0;          // vcpu seconds
 };
 
-// What is possible at all, as plain arithmetic: group has come before this job, and group is more
-// urgent and comes within the four minutes that it may wait, is gone through by then, by all the
-// room and within its team's limit. Two fifths are left to group does not fit together, and to
-// machines that are cleared for a task that needs all of one.
+// Returns whether the job can be expected to start in time, by plain arithmetic: the work that was
+// submitted before it, and more urgent work that is submitted within its longest wait of four
+// minutes, can be done by then with the whole capacity and within its team's quota. Two fifths of
+// the capacity are left for tasks that do not fit together and for machines that are drained for a
+// task which needs a whole one.
 constexpr double kMaxWaitS = 240, kUsableShare = 0.6;
 bool possible(const Submitted& job, const std::vector<Submitted>& all, double from, double capacity,
               double limit) {
@@ -439,8 +446,8 @@
          team_work_ahead <= kUsableShare * limit * (until - from);
 }
 
-// Classes of all bands, sizes and kinds, and four teams, draw more work than there is room, over
-// slow links.
+// Jobs of classes with all priorities, sizes and kinds, of four teams, need more than the capacity,
+// over slow links.
 struct Overload {
   SimulatedCluster cluster;
   std::vector<Submitted> all;
@@ -468,8 +475,9 @@
     cluster.options().max_link_delay_s = sim.draw(0.05, 0.4);
     from = sim.now();
     const double arrivals = 240;
-    const double load = sim.draw(1.1, 1.7);  // of the room
-    // A class has its own band, sizes, times and share of the work; teams have theirs.
+    const double load = sim.draw(1.1, 1.7);  // as a multiple of the capacity
+    // Each class has its own priority, sizes, run times and share of the work; each team has a
+    // share.
     struct Class {
       wire::JobSpec spec;
       double run_s, weight;
@@ -491,7 +499,7 @@
       job_class.tasks = 1 + sim.rng()() % 4;
       classes.push_back(job_class);
     }
-    std::vector<double> team_weights;  // how much of the work is whose
+    std::vector<double> team_weights;  // each team's share of the work
     for (int t = 0; t < options.teams; ++t) team_weights.push_back(sim.draw(0.5, 2));
     std::discrete_distribution<std::size_t> random_team(team_weights.begin(), team_weights.end());
     std::vector<double> weights;
@@ -523,7 +531,7 @@
       for (std::uint32_t i = 0; i < job.tasks; ++i)
         submitted.work +=
             job.cpus * (job.service ? arrivals + kMaxWaitS : job_class.run_s * (1 + i % 3) + 2);
-      // Spread over the time by its share of the work.
+      // Jobs are spread over the time of arrivals in proportion to their work.
       submitted.at = from + work / (load * capacity());
       work += submitted.work;
       if (submitted.at > sim.now()) cluster.run_for(submitted.at - sim.now());
@@ -568,7 +576,7 @@
     end_faults_and_finish(overload.cluster);
     EXPECT_EQ(violations_of(overload.cluster, "neglected", false), Strings{});
   });
-  EXPECT_GT(waited, seeds * 10);  // there was more work than room
+  EXPECT_GT(waited, seeds * 10);  // there was more work than capacity
   ::testing::Test::RecordProperty("never_begun", never_started);
 }
 
@@ -577,7 +585,7 @@
   each_seed([&](unsigned seed) {
     ++seeds;
     Overload overload(seed);
-    std::map<std::string, double> size;  // of a class's largest
+    std::map<std::string, double> size;  // of the largest job, by class
     for (const auto& job : overload.all)
       size[job.job_class] = std::max(size[job.job_class], job.size);
     std::map<std::string, StartCounts> largest;
@@ -589,12 +597,12 @@
       counts.started += overload.started_within(job, kMaxWaitS);
       if (overload.started_within(job, kMaxWaitS)) continue;
       const wire::JobSpec& job_spec = overload.cluster.users().jobs().at(job.id).spec;
-      counts.details += "\n" + job.id + " of " + job.team + ", band " +
+      counts.details += "\n" + job.id + " of " + job.team + ", priority " +
                         std::to_string(static_cast<int>(job_spec.priority)) + ", " +
-                        std::to_string(job_spec.tasks) + " of " + std::to_string(job_spec.cpus) +
-                        (job_spec.gang ? ", a gang" : "") +
+                        std::to_string(job_spec.tasks) + " tasks of " +
+                        std::to_string(job_spec.cpus) + (job_spec.gang ? ", a gang" : "") +
                         (job_spec.same_zone ? ", one zone" : "") + ", submitted at " +
-                        std::to_string(job.at) + ", begun at " +
+                        std::to_string(job.at) + ", started at " +
                         std::to_string(overload.cluster.rules().first_run_at(job.id));
     }
     expect_half_started(largest);
