--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -13,60 +13,61 @@
 namespace {
 
 struct Node {
-  explicit Node(const config::Settings& s) : world(s) {}
-  state::StateCache world;
-  jobs::DependencyGraph pipelines{world};
+  explicit Node(const config::Settings& s) : cache(s) {}
+  state::StateCache cache;
+  jobs::DependencyGraph dependencies{cache};
   // The version that knows no jobs that await others: it reads past their keys and moves none.
-  bool old = false;
+  bool old_version = false;
   std::unique_ptr<scheduler::ShardScheduler> scheduler;
-  double fresh = 0;
-  bool cut = false;  // from the state service alone
-  std::optional<wire::Transaction> txn;
-  std::string tag;
+  double synced_at = 0;
+  bool cut_from_state = false;  // from the state service alone
+  std::optional<wire::Transaction> pending;
+  std::string transaction_tag;
 };
 
 class History {
  public:
-  explicit History(unsigned seed) : rng_(seed), s_(make_settings()), c_(make_catalogue(s_)) {
-    for (int i = 0; i < 2; ++i) nodes_.push_back(std::make_unique<Node>(s_));
+  explicit History(unsigned seed)
+      : rng_(seed), settings_(make_settings()), catalogue_(make_catalogue(settings_)) {
+    for (int i = 0; i < 2; ++i) nodes_.push_back(std::make_unique<Node>(settings_));
   }
 
   void run() {
     for (int i = 0; i < 4; ++i) add_machine(i % 2 ? "b" : "a");
     for (now_ = 1; now_ < 400 && !::testing::Test::HasFatalFailure(); now_ += 0.5) step();
   }
-  std::size_t finished() const { return done_truly_.size(); }
-  std::size_t raises() const { return raises_; }
-  std::size_t made_ready() const { return made_ready_; }
+  std::size_t finished() const { return completed_tasks_.size(); }
+  std::size_t token_advances() const { return token_advances_; }
+  std::size_t jobs_made_ready() const { return jobs_made_ready_; }
 
  private:
   bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(rng_) < p; }
 
   void add_machine(const std::string& zone) {
-    Worker w;
-    w.name = "m-" + std::to_string(100000 + machines_++);
-    w.zone = zone;
-    w.last_answered_sent_at = now_;
-    state::StateCache now_there(s_);
+    Worker worker;
+    worker.name = "m-" + std::to_string(100000 + machines_++);
+    worker.zone = zone;
+    worker.last_answered_sent_at = now_;
+    state::StateCache cache(settings_);
     std::vector<state::Change> changes;
-    store_.read(now_there, changes);
+    store_.read(cache, changes);
     // While builds of several state levels write, pages stand in either form.
-    store_.commit(inventory_transaction(now_there,
-                                        {{w.name, "t4", zone, true, 0, 0, 1733000000 + now_}},
+    store_.commit(inventory_transaction(cache,
+                                        {{worker.name, "t4", zone, true, 0, 0, 1733000000 + now_}},
                                         static_cast<int>(rng_() % 2)));
-    workers_.push_back(w);
+    workers_.push_back(worker);
   }
 
   // What was deleted leaves the inventory sooner or later.
-  void leave_roster() {
-    state::StateCache w(s_);
+  void remove_deleted_machines() {
+    state::StateCache cache(settings_);
     std::vector<state::Change> changes;
-    store_.read(w, changes);
+    store_.read(cache, changes);
     std::map<int, std::vector<wire::MachineRecord>> pages;
     for (const auto& name : deleted_) pages[state::inventory_page(name)] = {};
     wire::Transaction t;
     for (auto& [page, left] : pages) {
-      for (const auto& m : w.inventory(page))
+      for (const auto& m : cache.inventory(page))
         if (!deleted_.contains(m.name)) left.push_back(m);
       t.ops.push_back(
           {state::inventory_key(page),
@@ -77,217 +78,228 @@
     deleted_.clear();
   }
 
-  void sync(Node& n) {
-    if (n.cut) return;
+  void sync(Node& node) {
+    if (node.cut_from_state) return;
     std::vector<state::Change> changes;
-    store_.read(n.world, changes);
-    n.fresh = now_;
-    if (n.scheduler && n.world.leader(0).mod_revision != n.scheduler->token()) close(n);
-    for (const auto& ch : changes) {
-      if (ch.kind <= state::Change::waiting_gone) n.pipelines.key_changed(ch.name);
-      if (!n.scheduler) continue;
-      if (ch.kind == state::Change::job_set && n.world.job(ch.name))
-        n.scheduler->job_added(n.world.job(ch.name)->record, 0, n.world.done(ch.name), now_, now_);
-      if (ch.kind == state::Change::job_gone) n.scheduler->job_gone(ch.name, now_);
-      if (ch.kind == state::Change::machine_set && n.world.machine(ch.name))
-        n.scheduler->machine_known(*n.world.machine(ch.name), now_);
-      if (ch.kind == state::Change::machine_gone && !n.world.machine(ch.name))
-        n.scheduler->machine_moved(ch.name, now_);
+    store_.read(node.cache, changes);
+    node.synced_at = now_;
+    if (node.scheduler && node.cache.leader(0).mod_revision != node.scheduler->token())
+      stop_leading(node);
+    for (const auto& change : changes) {
+      if (change.kind <= state::Change::waiting_gone) node.dependencies.key_changed(change.name);
+      if (!node.scheduler) continue;
+      if (change.kind == state::Change::job_set && node.cache.job(change.name))
+        node.scheduler->job_added(node.cache.job(change.name)->record, 0,
+                                  node.cache.done(change.name), now_, now_);
+      if (change.kind == state::Change::job_gone) node.scheduler->job_gone(change.name, now_);
+      if (change.kind == state::Change::machine_set && node.cache.machine(change.name))
+        node.scheduler->machine_known(*node.cache.machine(change.name), now_);
+      if (change.kind == state::Change::machine_gone && !node.cache.machine(change.name))
+        node.scheduler->machine_moved(change.name, now_);
     }
-    for (const auto& id : n.pipelines.take_changed())
-      if (n.scheduler && !n.old && n.world.job(id)) {
-        auto u = n.pipelines.effective_priority(id, n.world.job(id)->record);
-        n.scheduler->set_effective_priority(id, u.priority, u.due);
+    for (const auto& id : node.dependencies.take_changed())
+      if (node.scheduler && !node.old_version && node.cache.job(id)) {
+        auto effective = node.dependencies.effective_priority(id, node.cache.job(id)->record);
+        node.scheduler->set_effective_priority(id, effective.priority, effective.due);
       }
     // What has been read in full: no job below one that is cancelled is called queued.
-    if (n.old) return;
-    for (const auto& [id, e] : n.world.waiting())
-      if (doomed(id)) {
-        ASSERT_NE(n.pipelines.state_of(id), jobs::DependencyGraph::DependencyState::queued)
+    if (node.old_version) return;
+    for (const auto& [id, record] : node.cache.waiting())
+      if (is_below_cancelled(id)) {
+        ASSERT_NE(node.dependencies.state_of(id), jobs::DependencyGraph::DependencyState::queued)
             << "orphaned: " << id;
       }
   }
-  std::optional<bool> ended(const std::string& id) const {  // true: cancelled
+  std::optional<bool> cancelled_result(const std::string& id) const {  // true: cancelled
     auto it = store_.keys.find(state::job_result_key(id));
     if (it == store_.keys.end()) return std::nullopt;
     return wire::decode_job_result(it->second.value).cancelled;
   }
-  bool doomed(const std::string& id) const {
-    if (auto f = ended(id)) return *f;
-    const auto& awaits = specs_.at(id).dependencies;
-    return std::any_of(awaits.begin(), awaits.end(),
-                       [&](const std::string& a) { return doomed(a); });
+  bool is_below_cancelled(const std::string& id) const {
+    if (auto f = cancelled_result(id)) return *f;
+    const auto& spec_dependencies = specs_.at(id).dependencies;
+    return std::any_of(spec_dependencies.begin(), spec_dependencies.end(),
+                       [&](const std::string& a) { return is_below_cancelled(a); });
   }
   // Any node of the new version may move what waits, at any time; its commit may be lost, or come
   // late, or go unanswered.
-  void move_waiting(Node& n) {
-    if (n.old || n.cut) return;
-    auto unread = n.pipelines.unread();
+  void move_waiting_jobs(Node& node) {
+    if (node.old_version || node.cut_from_state) return;
+    auto unread = node.dependencies.unread();
     for (const auto& id : unread)
-      if (auto f = ended(id); f && chance(0.7)) n.pipelines.job_ended(id, *f);
+      if (auto cancelled = cancelled_result(id); cancelled && chance(0.7))
+        node.dependencies.job_ended(id, *cancelled);
     for (bool ready : {true, false}) {
-      auto m = jobs::state_transitions(n.world, n.pipelines, ready, size_, now_,
-                                       "t" + std::to_string(++tags_),
-                                       [](const std::string&) { return true; });
-      if (m.txn.ops.empty() || chance(0.1)) continue;
+      auto transitions = jobs::state_transitions(
+          node.cache, node.dependencies, ready, transaction_limits_, now_,
+          "t" + std::to_string(++transaction_count_), [](const std::string&) { return true; });
+      if (transitions.txn.ops.empty() || chance(0.1)) continue;
       if (chance(0.1)) {
-        late_.emplace_back(now_ + static_cast<double>(rng_() % 60), m.txn);
+        late_transactions_.emplace_back(now_ + static_cast<double>(rng_() % 60), transitions.txn);
         continue;
       }
-      if (!store_.commit(m.txn)) continue;
-      if (ready) ++made_ready_;
-      for (const auto& [id, f] : m.results) cancelled_.try_emplace(id, now_);
+      if (!store_.commit(transitions.txn)) continue;
+      if (ready) ++jobs_made_ready_;
+      for (const auto& [id, result] : transitions.results) cancelled_.try_emplace(id, now_);
     }
   }
-  void close(Node& n) {
-    n.scheduler.reset();
-    n.txn.reset();
+  void stop_leading(Node& node) {
+    node.scheduler.reset();
+    node.pending.reset();
   }
-  void take(int i) {
-    Node& n = *nodes_[i];
-    if (n.cut) return;
-    sync(n);
+  void take_over(int i) {
+    Node& node = *nodes_[i];
+    if (node.cut_from_state) return;
+    sync(node);
     // The upgrade: a process comes back new, or, if it dies before its turn, old.
-    n.old = now_ < 150 && chance(0.5);
+    node.old_version = now_ < 150 && chance(0.5);
     wire::Transaction t;
-    t.preconditions.emplace_back(state::leader_key(0), n.world.mod_revision(state::leader_key(0)));
-    t.ops.push_back(
-        {state::leader_key(0), wire::encode_record(wire::LeaderRecord{s_.nodes[i], "x"}), 0});
+    t.preconditions.emplace_back(state::leader_key(0),
+                                 node.cache.mod_revision(state::leader_key(0)));
+    t.ops.push_back({state::leader_key(0),
+                     wire::encode_record(wire::LeaderRecord{settings_.nodes[i], "x"}), 0});
     if (!store_.commit(t)) return;
-    close(n);
+    stop_leading(node);
     std::vector<state::Change> changes;
-    store_.read(n.world, changes);
-    n.scheduler = std::make_unique<scheduler::ShardScheduler>(
-        s_, tuning_, c_, 0, n.world.leader(0).mod_revision, now_, rng_());
-    for (const auto& [id, j] : n.world.jobs())
-      n.scheduler->job_added(j.record, 0, n.world.done(id), now_, now_);
-    for (const auto& [name, m] : n.world.machines()) n.scheduler->machine_known(m, now_);
-    for (const auto& [k, page] : n.world.placement_pages(0))
-      n.scheduler->recover_page(k, page, now_);
+    store_.read(node.cache, changes);
+    node.scheduler = std::make_unique<scheduler::ShardScheduler>(
+        settings_, tuning_, catalogue_, 0, node.cache.leader(0).mod_revision, now_, rng_());
+    for (const auto& [id, j] : node.cache.jobs())
+      node.scheduler->job_added(j.record, 0, node.cache.done(id), now_, now_);
+    for (const auto& [name, m] : node.cache.machines()) node.scheduler->machine_known(m, now_);
+    for (const auto& [k, page] : node.cache.placement_pages(0))
+      node.scheduler->recover_page(k, page, now_);
   }
   // As the controller does it: the same transaction is repeated until its fate is known.
-  void pump(Node& n) {
-    if (!n.scheduler || n.cut) return;
-    if (!n.txn) {
-      n.tag = "t" + std::to_string(++tags_);
-      n.scheduler->run_scheduling_pass(now_);
-      n.txn = n.scheduler->next_transaction(n.world, size_, n.tag, now_);
-      if (!n.txn) return;
+  void commit_next(Node& node) {
+    if (!node.scheduler || node.cut_from_state) return;
+    if (!node.pending) {
+      node.transaction_tag = "t" + std::to_string(++transaction_count_);
+      node.scheduler->run_scheduling_pass(now_);
+      node.pending = node.scheduler->next_transaction(node.cache, transaction_limits_,
+                                                      node.transaction_tag, now_);
+      if (!node.pending) return;
     }
     if (chance(0.1)) return;  // lost on the way, or refused
     if (chance(0.05)) {
-      late_.emplace_back(now_ + static_cast<double>(rng_() % 60), *n.txn);  // held back
+      late_transactions_.emplace_back(now_ + static_cast<double>(rng_() % 60),
+                                      *node.pending);  // held back
       return;
     }
-    auto rev = store_.commit(*n.txn);
+    auto revision = store_.commit(*node.pending);
     if (chance(0.1)) return;  // carried out, no answer
-    bool applied = rev.has_value();
-    std::uint64_t mod_revision = rev.value_or(0);
+    bool applied = revision.has_value();
+    std::uint64_t mod_revision = revision.value_or(0);
     if (!applied)
-      for (const auto& op : n.txn->ops)
+      for (const auto& op : node.pending->ops)
         if (op.value && store_.mod_revision(op.key) &&
-            store_.keys[op.key].value.find("\"" + n.tag + "\"") != std::string::npos) {
+            store_.keys[op.key].value.find("\"" + node.transaction_tag + "\"") !=
+                std::string::npos) {
           applied = true;
           mod_revision = store_.mod_revision(op.key);
         }
     if (applied) {
-      wire::Transaction t = *n.txn;
-      n.txn.reset();
-      n.scheduler->transaction_applied(now_);
+      wire::Transaction t = *node.pending;
+      node.pending.reset();
+      node.scheduler->transaction_applied(now_);
       std::vector<state::Change> changes;
-      for (const auto& op : t.ops) n.world.apply({op.key, op.value, mod_revision}, changes);
-      sync(n);
+      for (const auto& op : t.ops) node.cache.apply({op.key, op.value, mod_revision}, changes);
+      sync(node);
     } else {
-      sync(n);
-      if (!n.scheduler) return;
-      n.txn.reset();
-      n.scheduler->transaction_failed(now_);
+      sync(node);
+      if (!node.scheduler) return;
+      node.pending.reset();
+      node.scheduler->transaction_failed(now_);
     }
   }
 
   // Direct orders: carried out at once, lost, or held back and carried out much later if token
   // and incarnation still match; and their answers may be lost.
-  void direct(Node& n) {
-    for (auto& d : n.scheduler->direct_commands(
-             now_ - n.fresh < 5, [](const std::string&) { return false; }, now_)) {
+  void send_direct_commands(Node& node) {
+    for (auto& commands : node.scheduler->direct_commands(
+             now_ - node.synced_at < 5, [](const std::string&) { return false; }, now_)) {
       if (chance(0.15)) {
         if (chance(0.7))
-          loose_.push_back({now_ + static_cast<double>(rng_() % 90), n.scheduler->token(), d});
-        n.scheduler->direct_commands_done(d, 0);
+          delayed_commands_.push_back(
+              {now_ + static_cast<double>(rng_() % 90), node.scheduler->token(), commands});
+        node.scheduler->direct_commands_done(commands, 0);
         continue;
       }
-      auto body = order(n.scheduler->token(), d);
+      auto body = deliver_direct_commands(node.scheduler->token(), commands);
       if (!body || chance(0.1)) {
-        n.scheduler->direct_commands_done(d, 0);
+        node.scheduler->direct_commands_done(commands, 0);
         continue;
       }
-      n.scheduler->direct_commands_done(d, body->first);
-      n.scheduler->take_heartbeat(body->second, now_, true);
+      node.scheduler->direct_commands_done(commands, body->first);
+      node.scheduler->take_heartbeat(body->second, now_, true);
     }
   }
-  std::optional<std::pair<int, wire::Heartbeat>> order(std::uint64_t token,
-                                                       const scheduler::DirectCommands& d) {
+  std::optional<std::pair<int, wire::Heartbeat>> deliver_direct_commands(
+      std::uint64_t token, const scheduler::DirectCommands& commands) {
     auto it = std::find_if(workers_.begin(), workers_.end(),
-                           [&](const Worker& w) { return w.name == d.machine; });
+                           [&](const Worker& w) { return w.name == commands.machine; });
     if (it == workers_.end()) return std::nullopt;
     int status = 409;
-    if (token >= it->token && d.incarnation == it->incarnation) {
-      it->execute(token, d.commands, d.incarnation, -1e9, now_, rng_);
+    if (token >= it->token && commands.incarnation == it->incarnation) {
+      it->execute(token, commands.commands, commands.incarnation, -1e9, now_, rng_);
       status = 200;
     }
     return std::pair(status, it->heartbeat());
   }
-  void raise(Node& n) {
+  void advance_token(Node& node) {
     wire::Transaction t;
-    t.preconditions.emplace_back(state::leader_key(0), n.scheduler->token());
+    t.preconditions.emplace_back(state::leader_key(0), node.scheduler->token());
     t.ops.push_back(
         {state::leader_key(0), wire::encode_record(wire::LeaderRecord{"node-0", "raise"}), 0});
-    auto rev = store_.commit(t);
-    if (!rev) return;
-    n.scheduler->advance_token(*rev, now_);
-    ++raises_;
-    sync(n);
+    auto revision = store_.commit(t);
+    if (!revision) return;
+    node.scheduler->advance_token(*revision, now_);
+    ++token_advances_;
+    sync(node);
   }
 
-  void deliver(int target, const wire::Heartbeat& r, Worker* answer_to, double sent) {
-    Node& n = *nodes_[target];
-    if (!n.scheduler || now_ - n.fresh >= s_.staleness_bound_s() ||
-        r.token > n.scheduler->token() || !n.scheduler->has_machine(r.machine) ||
-        n.scheduler->take_heartbeat(r, now_) ==
+  void deliver_heartbeat(int controller, const wire::Heartbeat& heartbeat, Worker* worker,
+                         double sent_at) {
+    Node& node = *nodes_[controller];
+    if (!node.scheduler || now_ - node.synced_at >= settings_.staleness_bound_s() ||
+        heartbeat.token > node.scheduler->token() ||
+        !node.scheduler->has_machine(heartbeat.machine) ||
+        node.scheduler->take_heartbeat(heartbeat, now_) ==
             scheduler::ShardScheduler::HeartbeatResult::unknown) {
-      if (answer_to) answer_to->node = 1 - target;
+      if (worker) worker->node = 1 - controller;
       return;
     }
-    pump(n);
-    if (!n.scheduler) return;
-    auto commands = n.scheduler->commands_for(r.machine, now_ - n.fresh < 5, now_);
-    std::uint64_t token = n.scheduler->token();
-    if (!answer_to || chance(0.1)) return;  // the answer is lost
+    commit_next(node);
+    if (!node.scheduler) return;
+    auto commands =
+        node.scheduler->commands_for(heartbeat.machine, now_ - node.synced_at < 5, now_);
+    std::uint64_t token = node.scheduler->token();
+    if (!worker || chance(0.1)) return;  // the answer is lost
     std::vector<wire::TaskId> before;
-    if (!answer_to->execute(token, commands, r.incarnation, sent, now_, rng_)) return;
+    if (!worker->execute(token, commands, heartbeat.incarnation, sent_at, now_, rng_)) return;
   }
 
   void step() {
-    if (chance(0.02)) nodes_[rng_() % 2]->cut = true;
-    for (auto& n : nodes_)
-      if (n->cut && chance(0.02)) n->cut = false;
-    if (chance(0.01)) close(*nodes_[rng_() % 2]);  // killed
-    bool owned = false;
-    for (auto& n : nodes_) owned |= n->scheduler && !n->cut;
-    if (!owned && chance(0.2)) take(static_cast<int>(rng_() % 2));
-    if (chance(0.01)) take(static_cast<int>(rng_() % 2));  // far too early, which must be safe
-    for (std::size_t i = 0; i < late_.size();)
-      if (late_[i].first <= now_) {
-        store_.commit(late_[i].second);
-        late_.erase(late_.begin() + static_cast<long>(i));
+    if (chance(0.02)) nodes_[rng_() % 2]->cut_from_state = true;
+    for (auto& node : nodes_)
+      if (node->cut_from_state && chance(0.02)) node->cut_from_state = false;
+    if (chance(0.01)) stop_leading(*nodes_[rng_() % 2]);  // killed
+    bool has_leader = false;
+    for (auto& node : nodes_) has_leader |= node->scheduler && !node->cut_from_state;
+    if (!has_leader && chance(0.2)) take_over(static_cast<int>(rng_() % 2));
+    if (chance(0.01)) take_over(static_cast<int>(rng_() % 2));  // far too early, which must be safe
+    for (std::size_t i = 0; i < late_transactions_.size();)
+      if (late_transactions_[i].first <= now_) {
+        store_.commit(late_transactions_[i].second);
+        late_transactions_.erase(late_transactions_.begin() + static_cast<long>(i));
       } else {
         ++i;
       }
 
-    for (std::size_t i = 0; i < loose_.size();)
-      if (loose_[i].at <= now_) {
-        order(loose_[i].token, loose_[i].direct);
-        loose_.erase(loose_.begin() + static_cast<long>(i));
+    for (std::size_t i = 0; i < delayed_commands_.size();)
+      if (delayed_commands_[i].at <= now_) {
+        deliver_direct_commands(delayed_commands_[i].token, delayed_commands_[i].direct);
+        delayed_commands_.erase(delayed_commands_.begin() + static_cast<long>(i));
         check();
       } else {
         ++i;
@@ -305,9 +317,9 @@
           auto it = std::next(specs_.begin(), static_cast<long>(rng_() % specs_.size()));
           if (k == 1 && it->first == r.spec.dependencies.front()) break;
           r.spec.dependencies.push_back(it->first);
-          auto f = ended(it->first);
-          cancelled |= f && *f;
-          if (!f) open.push_back(it->first);
+          auto result = cancelled_result(it->first);
+          cancelled |= result && *result;
+          if (!result) open.push_back(it->first);
         }
       specs_[r.spec.id] = r.spec;
       // The door: below a cancelled job it is over at once, and what is done is not awaited.
@@ -325,7 +337,7 @@
       store_.commit(t);
     }
     // The limits fall, without notice.
-    if (now_ > 200) size_ = {1536, 2, 8};
+    if (now_ > 200) transaction_limits_ = {1536, 2, 8};
     if (chance(0.01) && !specs_.empty()) {
       auto it = std::next(specs_.begin(), static_cast<long>(rng_() % specs_.size()));
       const std::string& id = it->first;
@@ -340,163 +352,169 @@
       if (store_.mod_revision(key) && store_.commit(t)) cancelled_[id] = now_;
     }
 
-    for (auto& n : nodes_) {
-      if (chance(0.8)) sync(*n);
-      move_waiting(*n);
-      if (!n->scheduler) continue;
-      n->scheduler->tick(now_);
-      pump(*n);
-      if (n->scheduler) direct(*n);
-      if (n->scheduler && !n->cut && !n->txn && n->scheduler->needs_new_token(now_)) raise(*n);
-      if (n->scheduler && now_ - n->fresh < 5)
-        for (const auto& p : n->scheduler->probes(now_))
-          n->scheduler->probe_done(
+    for (auto& node : nodes_) {
+      if (chance(0.8)) sync(*node);
+      move_waiting_jobs(*node);
+      if (!node->scheduler) continue;
+      node->scheduler->tick(now_);
+      commit_next(*node);
+      if (node->scheduler) send_direct_commands(*node);
+      if (node->scheduler && !node->cut_from_state && !node->pending &&
+          node->scheduler->needs_new_token(now_))
+        advance_token(*node);
+      if (node->scheduler && now_ - node->synced_at < 5)
+        for (const auto& p : node->scheduler->probes(now_))
+          node->scheduler->probe_done(
               p.machine,
               chance(0.8) && std::any_of(workers_.begin(), workers_.end(),
-                                         [&](auto& w) { return w.name == p.machine; }),
+                                         [&](auto& worker) { return worker.name == p.machine; }),
               now_);
-      if (!n->scheduler) continue;
-      for (auto& w : n->scheduler->scale_out_requests(now_))
-        n->scheduler->rent_refused(w, 0, true, now_);
-      for (auto& name : n->scheduler->machines_to_return()) {
+      if (!node->scheduler) continue;
+      for (auto& request : node->scheduler->scale_out_requests(now_))
+        node->scheduler->rent_refused(request, 0, true, now_);
+      for (auto& name : node->scheduler->machines_to_return()) {
         if (chance(0.5)) {
-          n->scheduler->return_failed(name);
+          node->scheduler->return_failed(name);
           continue;
         }
-        std::erase_if(workers_, [&](const Worker& w) { return w.name == name; });
-        n->scheduler->machine_gone(name, now_);
+        std::erase_if(workers_, [&](const Worker& worker) { return worker.name == name; });
+        node->scheduler->machine_gone(name, now_);
         deleted_.insert(name);
       }
     }
-    if (!deleted_.empty() && chance(0.3)) leave_roster();
+    if (!deleted_.empty() && chance(0.3)) remove_deleted_machines();
     if (workers_.size() < 3) add_machine(chance(0.5) ? "a" : "b");
 
-    for (auto& w : workers_) {
-      w.check_lease(now_, s_.lease_s);
-      for (auto& t : w.tasks)
+    for (auto& worker : workers_) {
+      worker.check_lease(now_, settings_.lease_s);
+      for (auto& t : worker.tasks)
         if (t.state != wire::TaskState::exited && t.ends_at <= now_) {
           t.state = wire::TaskState::exited;
           t.why = (rng_() % 10) ? wire::ExitReason::done : wire::ExitReason::error;
           if (t.why == wire::ExitReason::done)
-            done_truly_.insert(t.id.job + "/" + std::to_string(t.id.index));
+            completed_tasks_.insert(t.id.job + "/" + std::to_string(t.id.index));
         }
     }
-    for (std::size_t i = 0; i < held_.size();)
-      if (held_[i].at <= now_) {
-        deliver(held_[i].target, held_[i].report, nullptr, 0);
-        held_.erase(held_.begin() + static_cast<long>(i));
+    for (std::size_t i = 0; i < delayed_heartbeats_.size();)
+      if (delayed_heartbeats_[i].at <= now_) {
+        deliver_heartbeat(delayed_heartbeats_[i].node, delayed_heartbeats_[i].heartbeat, nullptr,
+                          0);
+        delayed_heartbeats_.erase(delayed_heartbeats_.begin() + static_cast<long>(i));
       } else {
         ++i;
       }
     std::vector<std::string> names;
-    for (auto& w : workers_) names.push_back(w.name);
+    for (auto& worker : workers_) names.push_back(worker.name);
     for (auto& name : names) {
       auto it = std::find_if(workers_.begin(), workers_.end(),
-                             [&](const Worker& w) { return w.name == name; });
+                             [&](const Worker& worker) { return worker.name == name; });
       if (it == workers_.end() || !chance(0.3)) continue;
-      wire::Heartbeat r = it->heartbeat();
+      wire::Heartbeat heartbeat = it->heartbeat();
       if (chance(0.05)) continue;  // lost
       if (chance(0.05)) {          // held back: the worker has long given up on it
-        held_.push_back({now_ + static_cast<double>(rng_() % 50), it->node, r});
+        delayed_heartbeats_.push_back(
+            {now_ + static_cast<double>(rng_() % 50), it->node, heartbeat});
         it->node = 1 - it->node;
         continue;
       }
       // A copy of it comes as well, from seconds to well over a lease later, to either node.
       if (chance(0.08))
-        held_.push_back({now_ + static_cast<double>(rng_() % 90), static_cast<int>(rng_() % 2), r});
-      deliver(it->node, r, &*it, now_);
+        delayed_heartbeats_.push_back(
+            {now_ + static_cast<double>(rng_() % 90), static_cast<int>(rng_() % 2), heartbeat});
+      deliver_heartbeat(it->node, heartbeat, &*it, now_);
       check();
     }
     check();
   }
 
   void check() {
-    std::map<std::string, int> where;
+    std::map<std::string, int> copies;
     double cpus = 0;
     std::map<std::string, std::map<std::string, int>> zones;
-    for (const auto& w : workers_)
-      for (const auto& t : w.tasks) {
+    for (const auto& worker : workers_)
+      for (const auto& t : worker.tasks) {
         if (t.state == wire::TaskState::exited) continue;
         std::string name = t.id.job + "/" + std::to_string(t.id.index);
-        ASSERT_EQ(++where[name], 1) << "ran_twice: " << name << " at " << now_;
+        ASSERT_EQ(++copies[name], 1) << "ran_twice: " << name << " at " << now_;
         cpus += specs_[t.id.job].cpus;
-        ++zones[t.id.job][w.zone];
-        for (const auto& a : specs_[t.id.job].dependencies)
-          ASSERT_TRUE(ended(a) && !*ended(a)) << "too_early: " << name << " at " << now_;
-        auto c = cancelled_.find(t.id.job);
-        ASSERT_TRUE(c == cancelled_.end() || now_ - c->second <= s_.cancel_s)
+        ++zones[t.id.job][worker.zone];
+        for (const auto& dependency : specs_[t.id.job].dependencies)
+          ASSERT_TRUE(cancelled_result(dependency) && !*cancelled_result(dependency))
+              << "too_early: " << name << " at " << now_;
+        auto cancelled = cancelled_.find(t.id.job);
+        ASSERT_TRUE(cancelled == cancelled_.end() || now_ - cancelled->second <= settings_.cancel_s)
             << "ran_cancelled: " << name << " at " << now_;
       }
     ASSERT_LE(cpus, 10.0 + 1e-9) << "quota at " << now_;
-    for (const auto& [job, z] : zones) {
+    for (const auto& [job, count_by_zone] : zones) {
       const auto& spec = specs_[job];
       if (spec.same_zone) {
-        ASSERT_EQ(z.size(), 1u) << "wrong_place: " << job << " at " << now_;
+        ASSERT_EQ(count_by_zone.size(), 1u) << "wrong_place: " << job << " at " << now_;
       }
       if (!spec.anti_affinity) continue;
-      for (const auto& [zone, n] : z) {
-        ASSERT_LE(n, static_cast<int>((spec.tasks + 1) / 2)) << "wrong_place: " << job;
+      for (const auto& [zone, count] : count_by_zone) {
+        ASSERT_LE(count, static_cast<int>((spec.tasks + 1) / 2)) << "wrong_place: " << job;
       }
     }
-    for (const auto& [key, e] : store_.keys) {
+    for (const auto& [key, entry] : store_.keys) {
       if (!key.starts_with("fin/")) continue;
       std::string id = key.substr(4);
-      auto f = wire::decode_job_result(e.value);
-      bool below = std::any_of(specs_[id].dependencies.begin(), specs_[id].dependencies.end(),
-                               [&](const std::string& a) { return doomed(a); });
-      ASSERT_EQ(f.cancelled, below || cancelled_.contains(id)) << "went_back: " << id;
-      if (f.cancelled) continue;
+      auto result = wire::decode_job_result(entry.value);
+      bool is_below = std::any_of(specs_[id].dependencies.begin(), specs_[id].dependencies.end(),
+                                  [&](const std::string& a) { return is_below_cancelled(a); });
+      ASSERT_EQ(result.cancelled, is_below || cancelled_.contains(id)) << "went_back: " << id;
+      if (result.cancelled) continue;
       for (std::uint32_t i = 0; i < specs_[id].tasks; ++i)
-        ASSERT_TRUE(done_truly_.contains(id + "/" + std::to_string(i)))
+        ASSERT_TRUE(completed_tasks_.contains(id + "/" + std::to_string(i)))
             << "not_done: " << id << "/" << i;
     }
   }
 
-  struct HeldReport {
+  struct DelayedHeartbeat {
     double at;
-    int target;
-    wire::Heartbeat report;
+    int node;
+    wire::Heartbeat heartbeat;
   };
-  struct LooseOrder {
+  struct DelayedCommands {
     double at;
     std::uint64_t token;
     scheduler::DirectCommands direct;
   };
-  std::vector<LooseOrder> loose_;
+  std::vector<DelayedCommands> delayed_commands_;
   std::set<std::string> deleted_;
-  std::size_t raises_ = 0, made_ready_ = 0;
-  state::TransactionLimits size_;
+  std::size_t token_advances_ = 0, jobs_made_ready_ = 0;
+  state::TransactionLimits transaction_limits_;
   std::mt19937 rng_;
-  config::Settings s_;
+  config::Settings settings_;
   config::Tuning tuning_;
-  scheduler::MachineCatalogue c_;
+  scheduler::MachineCatalogue catalogue_;
   Store store_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<Worker> workers_;
-  std::vector<std::pair<double, wire::Transaction>> late_;
-  std::vector<HeldReport> held_;
+  std::vector<std::pair<double, wire::Transaction>> late_transactions_;
+  std::vector<DelayedHeartbeat> delayed_heartbeats_;
   std::map<std::string, wire::JobSpec> specs_;
   std::map<std::string, double> cancelled_;
-  std::set<std::string> done_truly_;
+  std::set<std::string> completed_tasks_;
   double now_ = 0;
-  int machines_ = 0, jobs_ = 0, tags_ = 0;
+  int machines_ = 0, jobs_ = 0, transaction_count_ = 0;
 };
 
 TEST(History, RulesHoldUnderEveryFailure) {
-  std::size_t finished = 0, raises = 0, made_ready = 0;
+  std::size_t finished = 0, token_advances = 0, jobs_made_ready = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    History h(seed);
-    h.run();
+    History history(seed);
+    history.run();
     if (HasFatalFailure()) return;
-    finished += h.finished();
-    raises += h.raises();
-    made_ready += h.made_ready();
+    finished += history.finished();
+    token_advances += history.token_advances();
+    jobs_made_ready += history.jobs_made_ready();
   }
   // The histories are about work that runs, not about a service that does nothing.
   EXPECT_GT(finished, 40u * 20u);
-  EXPECT_GT(raises, 40u);
-  EXPECT_GT(made_ready, 40u);
+  EXPECT_GT(token_advances, 40u);
+  EXPECT_GT(jobs_made_ready, 40u);
 }
 
 }  // namespace
