--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -1,7 +1,7 @@
-// Generated histories over the scheduler, the placements and the takeover: two controllers that may
-// both believe they own the shard, commits that are lost, unanswered or applied late, reports and
-// answers that are lost, repeated or held back, cancellations, expired leases, lost machines. The
-// protocol's rules are checked after every step.
+// Random histories of the scheduler, its placements and the failover. Two controllers may both
+// believe that they lead the shard; transactions are lost, left unanswered or applied late;
+// heartbeats and answers are lost, repeated or delayed; jobs are cancelled, leases expire and
+// machines fail. The protocol's rules are checked after every step.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -16,11 +16,12 @@
   explicit Node(const config::Settings& s) : cache(s) {}
   state::StateCache cache;
   jobs::DependencyGraph dependencies{cache};
-  // The version that knows no jobs that await others: it reads past their keys and moves none.
+  // Runs the version that does not know jobs with dependencies: it ignores their keys and does not
+  // make them ready.
   bool old_version = false;
   std::unique_ptr<scheduler::ShardScheduler> scheduler;
   double synced_at = 0;
-  bool cut_from_state = false;  // from the state service alone
+  bool cut_from_state = false;  // from the state service only
   std::optional<wire::Transaction> pending;
   std::string transaction_tag;
 };
@@ -51,14 +52,14 @@
     state::StateCache cache(settings_);
     std::vector<state::Change> changes;
     store_.read(cache, changes);
-    // While builds of several state levels write, pages stand in either form.
+    // While builds with different state levels write, pages may have either form.
     store_.commit(inventory_transaction(cache,
                                         {{worker.name, "t4", zone, true, 0, 0, 1733000000 + now_}},
                                         static_cast<int>(rng_() % 2)));
     workers_.push_back(worker);
   }
 
-  // What was deleted leaves the inventory sooner or later.
+  // Removes the deleted machines from the inventory, at some time after their deletion.
   void remove_deleted_machines() {
     state::StateCache cache(settings_);
     std::vector<state::Change> changes;
@@ -102,7 +103,7 @@
         auto effective = node.dependencies.effective_priority(id, node.cache.job(id)->record);
         node.scheduler->set_effective_priority(id, effective.priority, effective.due);
       }
-    // What has been read in full: no job below one that is cancelled is called queued.
+    // The cache is up to date: no job that depends on a cancelled one may be in the state queued.
     if (node.old_version) return;
     for (const auto& [id, record] : node.cache.waiting())
       if (is_below_cancelled(id)) {
@@ -110,19 +111,21 @@
             << "orphaned: " << id;
       }
   }
-  std::optional<bool> cancelled_result(const std::string& id) const {  // true: cancelled
+  // Returns whether the ended job was cancelled, or nothing if it has not ended.
+  std::optional<bool> cancelled_result(const std::string& id) const {
     auto it = store_.keys.find(state::job_result_key(id));
     if (it == store_.keys.end()) return std::nullopt;
     return wire::decode_job_result(it->second.value).cancelled;
   }
+  // Returns whether the job, or one that it depends on directly or indirectly, was cancelled.
   bool is_below_cancelled(const std::string& id) const {
     if (auto f = cancelled_result(id)) return *f;
     const auto& spec_dependencies = specs_.at(id).dependencies;
     return std::any_of(spec_dependencies.begin(), spec_dependencies.end(),
                        [&](const std::string& a) { return is_below_cancelled(a); });
   }
-  // Any node of the new version may move what waits, at any time; its commit may be lost, or come
-  // late, or go unanswered.
+  // Any controller of the new version may make waiting jobs ready, or end them, at any time. Its
+  // transaction may be lost, applied late, or left unanswered.
   void move_waiting_jobs(Node& node) {
     if (node.old_version || node.cut_from_state) return;
     auto unread = node.dependencies.unread();
@@ -151,7 +154,7 @@
     Node& node = *nodes_[i];
     if (node.cut_from_state) return;
     sync(node);
-    // The upgrade: a process comes back new, or, if it dies before its turn, old.
+    // An upgrade: until 150 s a process may restart with the old or the new version.
     node.old_version = now_ < 150 && chance(0.5);
     wire::Transaction t;
     t.preconditions.emplace_back(state::leader_key(0),
@@ -170,7 +173,7 @@
     for (const auto& [k, page] : node.cache.placement_pages(0))
       node.scheduler->recover_page(k, page, now_);
   }
-  // As the controller does it: the same transaction is repeated until its fate is known.
+  // Like the controller, repeats the same transaction until its outcome is known.
   void commit_next(Node& node) {
     if (!node.scheduler || node.cut_from_state) return;
     if (!node.pending) {
@@ -180,14 +183,14 @@
                                                       node.transaction_tag, now_);
       if (!node.pending) return;
     }
-    if (chance(0.1)) return;  // lost on the way, or refused
+    if (chance(0.1)) return;  // lost, or refused
     if (chance(0.05)) {
       late_transactions_.emplace_back(now_ + static_cast<double>(rng_() % 60),
-                                      *node.pending);  // held back
+                                      *node.pending);  // applied late
       return;
     }
     auto revision = store_.commit(*node.pending);
-    if (chance(0.1)) return;  // carried out, no answer
+    if (chance(0.1)) return;  // applied without an answer
     bool applied = revision.has_value();
     std::uint64_t mod_revision = revision.value_or(0);
     if (!applied)
@@ -213,8 +216,8 @@
     }
   }
 
-  // Direct orders: carried out at once, lost, or held back and carried out much later if token
-  // and incarnation still match; and their answers may be lost.
+  // Sends direct commands. They are executed at once, lost, or delayed and executed later if token
+  // and incarnation still match; their answers may be lost.
   void send_direct_commands(Node& node) {
     for (auto& commands : node.scheduler->direct_commands(
              now_ - node.synced_at < 5, [](const std::string&) { return false; }, now_)) {
@@ -258,6 +261,7 @@
     sync(node);
   }
 
+  // Delivers a heartbeat to a controller. `worker`: gets the response; null for a delayed copy.
   void deliver_heartbeat(int controller, const wire::Heartbeat& heartbeat, Worker* worker,
                          double sent_at) {
     Node& node = *nodes_[controller];
@@ -283,11 +287,12 @@
     if (chance(0.02)) nodes_[rng_() % 2]->cut_from_state = true;
     for (auto& node : nodes_)
       if (node->cut_from_state && chance(0.02)) node->cut_from_state = false;
-    if (chance(0.01)) stop_leading(*nodes_[rng_() % 2]);  // killed
+    if (chance(0.01)) stop_leading(*nodes_[rng_() % 2]);  // the process is killed
     bool has_leader = false;
     for (auto& node : nodes_) has_leader |= node->scheduler && !node->cut_from_state;
     if (!has_leader && chance(0.2)) take_over(static_cast<int>(rng_() % 2));
-    if (chance(0.01)) take_over(static_cast<int>(rng_() % 2));  // far too early, which must be safe
+    if (chance(0.01))
+      take_over(static_cast<int>(rng_() % 2));  // a takeover before the lease's end must be safe
     for (std::size_t i = 0; i < late_transactions_.size();)
       if (late_transactions_[i].first <= now_) {
         store_.commit(late_transactions_[i].second);
@@ -322,7 +327,8 @@
           if (!result) open.push_back(it->first);
         }
       specs_[r.spec.id] = r.spec;
-      // The door: below a cancelled job it is over at once, and what is done is not awaited.
+      // As at admission: a job that depends on a cancelled one ends at once, and finished
+      // dependencies are dropped.
       std::swap(r.spec.dependencies, open);
       wire::Transaction t;
       if (cancelled) {
@@ -336,7 +342,7 @@
       }
       store_.commit(t);
     }
-    // The limits fall, without notice.
+    // The transaction limits are lowered without notice.
     if (now_ > 200) transaction_limits_ = {1536, 2, 8};
     if (chance(0.01) && !specs_.empty()) {
       auto it = std::next(specs_.begin(), static_cast<long>(rng_() % specs_.size()));
@@ -410,14 +416,15 @@
                              [&](const Worker& worker) { return worker.name == name; });
       if (it == workers_.end() || !chance(0.3)) continue;
       wire::Heartbeat heartbeat = it->heartbeat();
-      if (chance(0.05)) continue;  // lost
-      if (chance(0.05)) {          // held back: the worker has long given up on it
+      if (chance(0.05)) continue;  // lost in transit
+      if (chance(0.05)) {          // delayed until the worker has given up on the answer
         delayed_heartbeats_.push_back(
             {now_ + static_cast<double>(rng_() % 50), it->node, heartbeat});
         it->node = 1 - it->node;
         continue;
       }
-      // A copy of it comes as well, from seconds to well over a lease later, to either node.
+      // A copy of the heartbeat also arrives at either controller, from seconds to 90 s later,
+      // which is far longer than a lease.
       if (chance(0.08))
         delayed_heartbeats_.push_back(
             {now_ + static_cast<double>(rng_() % 90), static_cast<int>(rng_() % 2), heartbeat});
@@ -511,7 +518,7 @@
     token_advances += history.token_advances();
     jobs_made_ready += history.jobs_made_ready();
   }
-  // The histories are about work that runs, not about a service that does nothing.
+  // The histories must contain enough completed work, token advances and jobs that become ready.
   EXPECT_GT(finished, 40u * 20u);
   EXPECT_GT(token_advances, 40u);
   EXPECT_GT(jobs_made_ready, 40u);
