--- a/tests/fault_combinations_answers_test.cpp
+++ b/tests/fault_combinations_answers_test.cpp
@@ -275,7 +275,7 @@
         LostKind{"InventoryPages", "roster", 50}, LostKind{"StateLevels", "level", 25, 1}),
     [](const auto& test) { return std::string(test.param.name); });
 
-// levels_test.cpp covers controllers that leave because they cannot serve the state level. Here all
+// A controller that leaves because it cannot serve the state level is left to other tests; here all
 // controllers are of one build.
 TEST(LostAnswers, EveryTransactionIsOfAKnownKind) {
   std::map<std::string, int> counts;
