--- a/src/emulators/cloud.h
+++ b/src/emulators/cloud.h
@@ -91,8 +91,8 @@
   std::filesystem::path file_;
   Power power_;
   std::map<std::string, Machine> machines_;
-  std::map<std::string, std::vector<std::string>>
-      rented_by_request_;          // names of rented machines by request name
+  // Names of the rented machines by request name.
+  std::map<std::string, std::vector<std::string>> rented_by_request_;
   std::uint64_t next_number_ = 1;  // the next machine's number
   bool refuses_rentals_ = false;
   double max_boot_s_ = 0;
--- a/src/emulators/worker.h
+++ b/src/emulators/worker.h
@@ -112,8 +112,7 @@
   std::size_t node_ = 0;                 // the controller that heartbeats go to
   bool in_flight_ = false;               // whether a heartbeat awaits its answer
   bool send_soon_after_answer_ = false;  // whether the next heartbeat follows its answer soon
-  std::optional<double>
-      reclaimed_at_;  // when the cloud reclaims the machine, according to its notice
+  std::optional<double> reclaimed_at_;   // when the cloud reclaims the machine, as announced
   std::vector<std::unique_ptr<net::Client>> nodes_;
   actor::Timer heartbeat_timer_, task_timer_, lease_timer_;
   net::Server http_;
--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -214,8 +214,8 @@
   SimulatedCluster cluster_;
   simulation::Simulation& sim_ = cluster_.sim();
   std::vector<std::string> submitted_jobs_;
-  std::set<std::string>
-      unfinished_despite_capacity_;    // jobs that had capacity and had not ended after the faults
+  // Jobs that had capacity and had not ended after the faults.
+  std::set<std::string> unfinished_despite_capacity_;
   std::string machines_after_faults_;  // descriptions of the machines after the end of the faults
   HistoryResult result_;
 };
--- a/tests/fault_combinations_limits_test.cpp
+++ b/tests/fault_combinations_limits_test.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 const char* const kTeams[] = {"red", "blue", "green", "white"};
-constexpr double kLongestFaultS =
-    80;  // the longest fault of these tests, counted from the last beginning of a fault
+// All faults of these tests end within this time after the last one has begun.
+constexpr double kLongestFaultS = 80;
 constexpr double kQuietS = 420;  // until every job that can end has ended
 
 using Strings = std::vector<std::string>;
@@ -189,7 +189,7 @@
     at_limit += scenario.at_limit;
     cancelled += scenario.cancelled;
   });
-  EXPECT_GT(at_limit, seeds * 3);  // at least three of four teams on average
+  EXPECT_GT(at_limit, seeds * 3);  // more than three of four teams on average
   EXPECT_GT(cancelled, seeds * 3);
 }
 
