--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -40,7 +40,7 @@
 int FaultInjector::link_of(const std::string& other, bool other_sends) const {
   if (other == "state") return Link::state;
   if (controllers_.find_host(other) >= 0) return Link::peers;
-  if (other.starts_with("w")) return Link::workers | (other_sends ? Link::reports : 0);
+  if (other.starts_with("w")) return Link::workers | (other_sends ? Link::heartbeats : 0);
   return 0;
 }
 
@@ -77,30 +77,32 @@
   }
   if (const double until = zone_cut_until(request)) {
     if (simulation_.chance(0.5))
-      delivery.there_s = until - simulation_.now();
+      delivery.request_delay_s = until - simulation_.now();
     else
       delivery.arrives = false;
     return delivery;
   }
-  if (options_.slow_links_s > 0) {
-    delivery.there_s = simulation_.draw(0, options_.slow_links_s);
-    delivery.back_s = simulation_.draw(0, options_.slow_links_s);
+  if (options_.max_link_delay_s > 0) {
+    delivery.request_delay_s = simulation_.draw(0, options_.max_link_delay_s);
+    delivery.answer_delay_s = simulation_.draw(0, options_.max_link_delay_s);
   }
   if (request.to == "state") {
     deliver_to_state(request, delivery);
     return delivery;
   }
   const double now = simulation_.now();
-  if (request.to == "cloud" && now < cloud_out_until_) delivery.refused = kServiceUnavailable;
+  if (request.to == "cloud" && now < cloud_outage_until_)
+    delivery.refusal_status = kServiceUnavailable;
   const bool is_heartbeat = request.path == kHeartbeatPath;
   if (is_heartbeat && simulation_.chance(options_.heartbeat_copies))
-    delivery.copies_s = {simulation_.draw(2, 2.2 * options_.lease_s)};
-  if (is_heartbeat && simulation_.chance(options_.copies_for_next))
-    kept_heartbeats_.push_back(request);
+    delivery.copy_delays_s = {simulation_.draw(2, 2.2 * options_.lease_s)};
+  if (is_heartbeat && simulation_.chance(options_.copies_for_next_leader))
+    saved_heartbeats_.push_back(request);
   if (const int machine = machines_.find_host(request.to); machine >= 0) {
     const MachineFaults& faults = machine_faults(machine);
     if (faults.responses_lost_until > now) delivery.arrives = false;
-    if (faults.commands_held_until > now) delivery.there_s = faults.commands_held_until - now;
+    if (faults.commands_held_until > now)
+      delivery.request_delay_s = faults.commands_held_until - now;
   }
   if (const int machine = machines_.find_host(request.from);
       machine >= 0 && machine_faults(machine).heartbeats_cut_until > now)
@@ -109,28 +111,30 @@
 }
 
 void FaultInjector::deliver_to_state(const Request& request, Delivery& delivery) {
-  if (options_.slow_links_s <= 0)
-    delivery.there_s = delivery.back_s = options_.state_latency_s / 2 * simulation_.draw(0.5, 1.5);
+  if (options_.max_link_delay_s <= 0)
+    delivery.request_delay_s = delivery.answer_delay_s =
+        options_.state_latency_s / 2 * simulation_.draw(0.5, 1.5);
   if (simulation_.now() < state_slow_until_)
-    delivery.there_s = delivery.back_s = state_latency_s_ / 2 * simulation_.draw(0.5, 1.5);
+    delivery.request_delay_s = delivery.answer_delay_s =
+        state_latency_s_ / 2 * simulation_.draw(0.5, 1.5);
   const int node = controllers_.find_host(request.from);
   if (node >= 0 && controller_faults(node).refused_until > simulation_.now()) {
-    delivery.refused = kServiceUnavailable;
+    delivery.refusal_status = kServiceUnavailable;
     return;
   }
   if (request.path != kCommitPath) return;
   if (simulation_.chance(options_.late_writes)) {
     delivery.arrives = false;
-    delivery.copies_s = {simulation_.draw(kDelayedCommitMinS, kDelayedCommitMaxS)};
+    delivery.copy_delays_s = {simulation_.draw(kDelayedCommitMinS, kDelayedCommitMaxS)};
   } else if (is_answer_lost(request)) {
-    delivery.answered = false;
+    delivery.answer_arrives = false;
     ++answers_lost_;
   }
 }
 
 bool FaultInjector::is_answer_lost(const Request& request) {
   if (options_.lost_answers <= 0) return false;
-  if (options_.lose_answer_of && !options_.lose_answer_of(request.body)) return false;
+  if (options_.lose_answer_if && !options_.lose_answer_if(request.body)) return false;
   return simulation_.chance(options_.lost_answers);
 }
 
@@ -140,7 +144,7 @@
   if (const double until = zone_cut_until(request))
     return simulation_.chance(0.5) ? until - now : -1;
   const int node = controllers_.find_host(request.from);
-  // What was open when the refusal began waits, as it would in an outage.
+  // Requests that were open when the refusal began are answered after its end, as in an outage.
   if (request.to == "state" && node >= 0)
     return std::max(0.0, controller_faults(node).refused_until - now);
   if (const int machine = machines_.find_host(request.from);
@@ -163,9 +167,9 @@
   return changed;
 }
 
-void FaultInjector::send_kept_heartbeats() {
+void FaultInjector::send_saved_heartbeats() {
   if (!update_leaders()) return;
-  for (const Request& heartbeat : std::exchange(kept_heartbeats_, {}))
+  for (const Request& heartbeat : std::exchange(saved_heartbeats_, {}))
     for (const auto& host : controllers_.hosts()) {
       const double delay_s = simulation_.chance(0.5) ? 0 : simulation_.draw(0, 4);
       simulation_.at(simulation_.now() + delay_s, [this, heartbeat, host] {
@@ -177,8 +181,8 @@
 // ---- state service and cloud
 
 void FaultInjector::outage(double for_s) {
-  state_.outage(true);
-  simulation_.at(simulation_.now() + for_s, [this] { state_.outage(false); });
+  state_.set_outage(true);
+  simulation_.at(simulation_.now() + for_s, [this] { state_.set_outage(false); });
 }
 
 void FaultInjector::refuse(int node, double for_s) {
@@ -190,7 +194,7 @@
   state_slow_until_ = simulation_.now() + for_s;
 }
 
-void FaultInjector::cloud_outage(double for_s) { cloud_out_until_ = simulation_.now() + for_s; }
+void FaultInjector::cloud_outage(double for_s) { cloud_outage_until_ = simulation_.now() + for_s; }
 
 // ---- controllers
 
@@ -238,13 +242,13 @@
   MachineFaults& faults = machine_faults(machine);
   const double now = simulation_.now();
   const double until = std::max(faults.hung_until, now + for_s);
-  // Some programs go by the clock, and some by what they have been given to run.
-  if (simulation_.chance(0.5)) m.worker->stood_still(until - std::max(faults.hung_until, now));
+  // Some programs end at a given time of the clock, others after a given running time.
+  if (simulation_.chance(0.5)) m.worker->extend_tasks(until - std::max(faults.hung_until, now));
   faults.hung_until = until;
   m.host->freeze(until);
 }
 
-void FaultInjector::hang_in_chains(int machine, int times) {
+void FaultInjector::hang_repeatedly(int machine, int times) {
   const SimulatedMachine& m = machines_[machine];
   if (!m.worker) return;
   auto within_lease = [this] { return simulation_.draw(1, 0.95 * options_.lease_s); };
@@ -266,31 +270,32 @@
 
 void FaultInjector::kill_machine(int machine) { machines_.kill(machine); }
 
-void FaultInjector::take_machine(int machine, double notice_s) {
+void FaultInjector::reclaim_machine(int machine, double notice_s) {
   const SimulatedMachine& m = machines_[machine];
   if (!m.worker || !m.worker->settings().spot) return;
-  if (notice_s > 0) m.worker->notice(notice_s);
-  // The notice can be half of what it says, or one and a half times.
+  if (notice_s > 0) m.worker->announce_reclaim(notice_s);
+  // The cloud reclaims the machine after half to one and a half times the announced time.
   const double taken_at = simulation_.now() + notice_s * simulation_.draw(0.5, 1.5);
   simulation_.at(taken_at, [this, machine] {
     machines_.kill(machine);
-    cloud_.taken(machines_[machine].name);
+    cloud_.remove_reclaimed(machines_[machine].name);
   });
 }
 
-void FaultInjector::lose_zone(const std::string& zone, double none_for_s) {
+void FaultInjector::lose_zone(const std::string& zone, double no_capacity_s) {
   for (int machine = 0; machine < machines_.size(); ++machine)
     if (machines_[machine].zone == zone) machines_.kill(machine);
-  cloud_.refuse_in(zone, none_for_s);
+  cloud_.refuse_rentals_in(zone, no_capacity_s);
 }
 
 bool FaultInjector::is_reachable(int machine) const {
   const auto n = static_cast<std::size_t>(machine);
   if (n >= machine_faults_.size()) return true;
   const MachineFaults& faults = machine_faults_[n];
-  const double unreached_until = std::max({faults.responses_lost_until, faults.heartbeats_cut_until,
-                                           faults.commands_held_until, faults.hung_until});
-  return unreached_until <= simulation_.now();
+  const double unreachable_until =
+      std::max({faults.responses_lost_until, faults.heartbeats_cut_until,
+                faults.commands_held_until, faults.hung_until});
+  return unreachable_until <= simulation_.now();
 }
 
 }  // namespace shunttrail::simulation
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -11,7 +11,7 @@
 using emulators::WorkerEmulator;
 
 namespace {
-constexpr double kCheckGapS = 0.25;  // between two checks of the rules
+constexpr double kCheckGapS = 0.25;  // time between two checks of the rules
 constexpr double kBootS = 3;
 
 std::vector<emulators::EmulatedMachineType> machine_types(const ClusterOptions& options,
@@ -33,7 +33,7 @@
       controllers_(simulation_, options_),
       machines_(
           simulation_, options_, controllers_.hosts(),
-          [this](const wire::TaskId& task) { return jobs_.work_of(task); }, watch_workers()),
+          [this](const wire::TaskId& task) { return jobs_.work_of(task); }, make_worker_observer()),
       state_host_(simulation_, "state"),
       cloud_host_(simulation_, "cloud"),
       state_(state_host_.loop(), controllers_.settings().state, ""),
@@ -43,52 +43,55 @@
       rules_(simulation_, options_, machines_, jobs_),
       users_(simulation_, options_, controllers_, jobs_, rules_),
       faults_(simulation_, options_, controllers_, machines_, state_, cloud_) {
-  simulation_.way = [this](const Request& request) { return faults_.deliver(request); };
-  simulation_.hold_answer = [this](const Request& request) {
+  simulation_.delivery_of = [this](const Request& request) { return faults_.deliver(request); };
+  simulation_.answer_delay_of = [this](const Request& request) {
     return faults_.answer_delay(request);
   };
-  state_.limit(options_.state_rps, options_.state_write_rps);
-  cloud_.lag(options_.list_lag_s);
+  state_.set_rate_limits(options_.state_rps, options_.state_write_rps);
+  cloud_.set_list_lag(options_.list_lag_s);
   controllers_.start_all();
 }
 
-// What the controllers send as they end concerns nobody, and the faults are gone by then.
+// Members are destroyed in reverse order, the faults before the controllers. Requests that
+// controllers send while they end must not use the faults.
 SimulatedCluster::~SimulatedCluster() {
-  simulation_.way = nullptr;
-  simulation_.hold_answer = nullptr;
+  simulation_.delivery_of = nullptr;
+  simulation_.answer_delay_of = nullptr;
 }
 
-WorkerEmulator::Watched SimulatedCluster::watch_workers() {
+WorkerEmulator::Observer SimulatedCluster::make_worker_observer() {
   return {
       [this](const WorkerEmulator& worker, const WorkerEmulator::Task& task, wire::TaskState was) {
-        if (rules_.task_moved(worker, task, was)) users_.task_completed(task.id.job);
+        if (rules_.task_state_changed(worker, task, was)) users_.task_completed(task.id.job);
       },
       [this](const WorkerEmulator::Task& task) { rules_.task_acknowledged(task); }};
 }
 
 CloudEmulator::Power SimulatedCluster::power() {
   return {[this] { return machines_.next_address(); },
-          [this](const CloudEmulator::Machine& rented) { machines_.power_on(rented); },
+          [this](const CloudEmulator::Machine& rented_machines) {
+            machines_.power_on(rented_machines);
+          },
           [this](const std::vector<std::string>& names, const std::function<void()>& gone) {
             machines_.power_off(names);
             gone();
           }};
 }
 
-void SimulatedCluster::pass(double seconds) {
+void SimulatedCluster::run_for(double seconds) {
   const double until = simulation_.now() + seconds;
   while (simulation_.now() < until) {
     simulation_.run_until(std::min(until, simulation_.now() + kCheckGapS));
     rules_.check_machines();
     rules_.check_waiting([this](int machine) { return faults_.is_reachable(machine); });
-    cloud_.quick(options_.quick_boots_s);
-    faults_.send_kept_heartbeats();
+    cloud_.set_max_boot_time(options_.max_boot_s);
+    faults_.send_saved_heartbeats();
   }
 }
 
-void SimulatedCluster::ask_everywhere() {
-  users_.ask_everywhere();
-  pass(SimulatedUsers::ask_everywhere_s());
+void SimulatedCluster::query_all_controllers() {
+  users_.query_all_controllers();
+  run_for(SimulatedUsers::query_all_controllers_s());
 }
 
 }  // namespace shunttrail::simulation
--- a/src/simulation/simulated_users.h
+++ b/src/simulation/simulated_users.h
@@ -1,5 +1,5 @@
-/// The users of a simulated cluster: they submit jobs, ask about them and cancel them, through any
-/// controller. Every answer is checked against the rules.
+/// The users of a simulated cluster. They submit, query and cancel jobs through any controller.
+/// Every answer is checked against the rules.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -18,50 +18,55 @@
 
 class SimulatedUsers {
  public:
-  /// Stands for a controller that is drawn for each request.
+  /// Sends each request to a random controller.
   static constexpr int kAnyNode = -1;
 
   SimulatedUsers(Simulation& simulation, const ClusterOptions& options,
                  const SimulatedControllers& controllers, JobRecords& jobs, RuleChecker& rules);
 
-  // ---- requests that are repeated
+  // ---- requests with retries
 
-  /// Gives the job an id, which is returned, and submits it; repeated for a minute until it is
-  /// accepted, and asked about from then on. `run_s`: see JobRecords::work_of.
+  /// Submits the job under a new id, which is returned. The submission is repeated for up to a
+  /// minute until it is accepted; from then on the job is polled. `run_s`: see JobRecords::work_of.
   std::string submit(wire::JobSpec spec, double run_s, int node = kAnyNode);
-  /// Repeated, through any controller, until it is answered.
+  /// Cancels the job. The request is repeated, through any controller, until it is answered.
   void cancel(const std::string& job, int node = kAnyNode);
-  /// For half a second, 1 to 50 ms apart: questions to all controllers, with repeated submissions
-  /// and, of what is over, cancellations among them.
-  void ask_all_repeatedly(const std::string& job);
-  /// Asks every controller about every accepted job until it answers; whoever does not within
-  /// `kForgottenS` breaks a rule. Simulated time has to pass after this: `ask_everywhere_s()`.
-  void ask_everywhere();
-  [[nodiscard]] static double ask_everywhere_s();
+  /// Sends queries about the job to all controllers in turn for half a second, 1 to 50 ms apart.
+  /// Some steps repeat the submission instead and, if the job has ended, cancel it.
+  void start_query_burst(const std::string& job);
+  /// Queries every controller about every accepted job until it answers. A controller that does not
+  /// answer within `kAnswerDeadlineS` breaks the rule `forgotten`. The caller has to let
+  /// `query_all_controllers_s()` seconds of simulated time pass afterwards.
+  void query_all_controllers();
+  [[nodiscard]] static double query_all_controllers_s();
 
   // ---- single requests
 
-  void ask_once(const std::string& job, int node);
-  /// Submits the job again, or this body, if it is not empty.
+  void query_once(const std::string& job, int node);
+  /// Repeats the job's submission; with `body` instead of the job's own body if it is not empty.
   void submit_once(const std::string& job, int node, const std::string& body = "");
   void cancel_once(const std::string& job, int node);
-  /// A body under the job's id that it never had: other tasks, what can never run, a missing field.
-  std::string other_body(const std::string& job);
+  /// Returns a body with the job's id that differs from its own: another number of tasks, a
+  /// specification that can never run, or a missing field.
+  std::string altered_body(const std::string& job);
 
-  // ---- what happens elsewhere
+  // ---- events
 
-  /// A task has completed on a machine, for the first time.
+  /// A task of the job has completed on a machine for the first time.
   void task_completed(const std::string& job);
 
-  /// Rounds of questions that `ask_all_repeatedly` has made.
-  [[nodiscard]] std::uint64_t close_questions() const { return close_questions_; }
-  /// Jobs whose completion met other requests (`ClusterOptions::meet_ends`).
-  [[nodiscard]] std::uint64_t ends_met() const { return ends_met_; }
+  /// The number of steps of all query bursts.
+  [[nodiscard]] std::uint64_t burst_queries() const { return burst_queries_; }
+  /// The number of jobs that got other requests during their completion
+  /// (`ClusterOptions::requests_at_completion`).
+  [[nodiscard]] std::uint64_t completions_with_requests() const {
+    return completions_with_requests_;
+  }
   [[nodiscard]] const std::map<std::string, SimulatedJob>& jobs() const { return jobs_.all(); }
 
  private:
-  using Done = std::function<void(net::Result)>;
-  /// Controllers that still have to answer about a job.
+  using Callback = std::function<void(net::Result)>;
+  /// The controllers that still have to answer a query about a job.
   struct PendingAnswers {
     std::string job;
     std::set<int> nodes;
@@ -69,18 +74,18 @@
   };
 
   void send(int node, const char* method, const std::string& path, const std::string& body,
-            double timeout_s, Done done);
-  int any_node();
-  bool drawn(double share) { return share > 0 && simulation_.chance(share); }
-  void submit_until(const std::string& id, int node, double until);
-  void cancel_until_answered(const std::string& id, int node);
+            double timeout_s, Callback done);
+  int random_node();
+  bool happens(double share) { return share > 0 && simulation_.chance(share); }
+  void submit_with_retries(const std::string& id, int node, double until);
+  void cancel_with_retries(const std::string& id, int node);
   void poll(const std::string& id);
-  void ask_closely(const std::string& id, int step, double until);
-  void ask_pending(const std::shared_ptr<PendingAnswers>& pending);
-  void send_other_requests(const std::string& id);
-  void answered(const std::string& id, const net::Result& result, double asked_at,
-                UserRequest request = UserRequest::state);
-  void note_state(const std::string& id, SimulatedJob& job, wire::JobState state);
+  void continue_query_burst(const std::string& id, int step, double until);
+  void query_pending(const std::shared_ptr<PendingAnswers>& pending);
+  void send_requests_at_completion(const std::string& id);
+  void handle_answer(const std::string& id, const net::Result& result, double asked_at,
+                     UserRequest request = UserRequest::state);
+  void record_state(const std::string& id, SimulatedJob& job, wire::JobState state);
 
   Simulation& simulation_;
   const ClusterOptions& options_;
@@ -88,9 +93,9 @@
   JobRecords& jobs_;
   RuleChecker& rules_;
   Host host_;
-  std::map<std::uint64_t, net::Network::Handle> in_flight_;  // requests, by number
+  std::map<std::uint64_t, net::Network::Handle> in_flight_;  // by request number
   std::uint64_t next_job_ = 0, requests_ = 0;
-  std::uint64_t close_questions_ = 0, ends_met_ = 0;
+  std::uint64_t burst_queries_ = 0, completions_with_requests_ = 0;
 };
 
 }  // namespace shunttrail::simulation
--- a/tests/emulators.h
+++ b/tests/emulators.h
@@ -1,4 +1,4 @@
-// Stand-ins for the state service and the workers, by the protocol, for generated histories.
+// A state service and workers in memory, as the protocol defines them, for random histories.
 #pragma once
 #include <algorithm>
 #include <map>
@@ -49,10 +49,11 @@
   return r;
 }
 
-// A inventory page as a node would write it, with these machines added to what is there, in the
-// form of a state level.
-inline wire::Transaction roster_txn(const state::StateCache& w,
-                                    const std::vector<wire::MachineRecord>& add, int form = 0) {
+// Returns the transaction with which a controller adds these machines to the inventory pages.
+// `form`: the state level that decides the records' form.
+inline wire::Transaction inventory_transaction(const state::StateCache& w,
+                                               const std::vector<wire::MachineRecord>& add,
+                                               int form = 0) {
   std::map<int, std::vector<wire::MachineRecord>> pages;
   for (const auto& m : add) {
     int page = state::inventory_page(m.name);
@@ -66,7 +67,7 @@
   return t;
 }
 
-// The state service: commits with preconditions, and the log that watches read.
+// A state service: transactions with preconditions, and the log of events for watches.
 struct Store {
   struct Entry {
     std::string value;
@@ -100,47 +101,48 @@
   }
 };
 
-// A worker: token, incarnation, lease and tasks as the protocol has them.
+// A worker with the protocol's token, incarnation, lease and tasks.
 struct Worker {
   struct Task {
     wire::TaskId id;
     std::uint64_t attempt;
     wire::TaskState state;
     wire::ExitReason why;
-    double ends;
+    double ends_at;
   };
   std::string name, zone = "a";
-  std::uint64_t session = 1, seq = 0, token = 0;
-  double last_ok = 0;  // when the last answered report was sent
+  std::uint64_t incarnation = 1, sequence = 0, token = 0;
+  double last_answered_sent_at = 0;  // when the last answered heartbeat was sent
   std::vector<Task> tasks;
-  int target = 0;
+  int node = 0;
 
-  wire::Heartbeat report() {
+  wire::Heartbeat heartbeat() {
     wire::Heartbeat r;
     r.machine = name;
     r.addr = "10.0.0.1:1";
     r.type = "t4";
     r.zone = zone;
     r.spot = true;
-    r.incarnation = session;
-    r.sequence = ++seq;
+    r.incarnation = incarnation;
+    r.sequence = ++sequence;
     r.token = token;
     for (const auto& t : tasks) r.tasks.push_back({t.id, t.attempt, t.state, t.why});
     return r;
   }
-  void lease(double now, double lease_s) {
-    if (now - last_ok > lease_s) {
+  void check_lease(double now, double lease_s) {
+    if (now - last_answered_sent_at > lease_s) {
       tasks.clear();
-      ++session;
-      last_ok = now;
+      ++incarnation;
+      last_answered_sent_at = now;
     }
   }
-  // An answer of 200 to the report sent at `sent` in `of_session`.
-  bool obey(std::uint64_t t, const std::vector<wire::Command>& commands, std::uint64_t of_session,
-            double sent, double now, std::mt19937& rng) {
-    if (t < token || of_session != session) return false;
+  // Executes the commands of a 200 response to the heartbeat that was sent at `sent` in
+  // `of_incarnation`. Returns false, without effect, if the token or the incarnation is outdated.
+  bool execute(std::uint64_t t, const std::vector<wire::Command>& commands,
+               std::uint64_t of_incarnation, double sent, double now, std::mt19937& rng) {
+    if (t < token || of_incarnation != incarnation) return false;
     token = t;
-    last_ok = std::max(last_ok, sent);
+    last_answered_sent_at = std::max(last_answered_sent_at, sent);
     for (const auto& c : commands) {
       auto it = std::find_if(tasks.begin(), tasks.end(), [&](const Task& k) {
         return k.id.job == c.task.job && k.id.index == c.task.index && k.attempt == c.attempt;
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -155,14 +155,14 @@
     return *schedulers[static_cast<std::size_t>(cache.machine(machine)->shard)];
   }
   void send_heartbeat(Worker& worker) {
-    auto heartbeat = worker.report();
+    auto heartbeat = worker.heartbeat();
     heartbeat.spot = false;
     scheduler::ShardScheduler& scheduler = leader_of(worker.name);
     ASSERT_EQ(scheduler.take_heartbeat(heartbeat, now),
               scheduler::ShardScheduler::HeartbeatResult::fresh)
         << worker.name;
-    worker.obey(scheduler.token(), scheduler.commands_for(worker.name, true, now),
-                heartbeat.incarnation, now, now, rng);
+    worker.execute(scheduler.token(), scheduler.commands_for(worker.name, true, now),
+                   heartbeat.incarnation, now, now, rng);
   }
   void send_all_heartbeats() {
     now += settings.heartbeat_s;
--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -79,7 +79,7 @@
   site.submit(make_sized_job(1, 1, wire::Priority::standard), 0);
   site.pass_second(1);
   ASSERT_EQ(site.live_tasks("m-1"), 1u);
-  site.workers.at("m-1").tasks[0].ends = 1e9;
+  site.workers.at("m-1").tasks[0].ends_at = 1e9;
   const auto large = site.submit(make_sized_job(2, 4, wire::Priority::standard), 2);
   double now = 2, longest_wait_s = 0;
   for (int n = 3; n < 40; ++n) {
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -46,14 +46,14 @@
   /// Adds a machine, whose worker sends its first heartbeat.
   void machine(const std::string& name, double now, const std::string& zone = "a") {
     wire::MachineRecord record{name, "t4", zone, false, 0, 0};
-    store.commit(roster_txn(cache, {record}));
+    store.commit(inventory_transaction(cache, {record}));
     read();
     scheduler->machine_known(record, now);
     scheduler->set_machine_address(name, "10.0.0.1:1");
     Worker worker;
     worker.name = name;
     worker.zone = zone;
-    worker.last_ok = now;
+    worker.last_answered_sent_at = now;
     workers[name] = worker;
     report(name, now);
   }
@@ -89,15 +89,15 @@
   scheduler::ShardScheduler::HeartbeatResult report(const std::string& name, double now,
                                                     bool response_lost = false) {
     Worker& worker = workers.at(name);
-    worker.lease(now, settings.lease_s);
-    auto heartbeat = worker.report();
+    worker.check_lease(now, settings.lease_s);
+    auto heartbeat = worker.heartbeat();
     heartbeat.spot = false;
     auto result = scheduler->take_heartbeat(heartbeat, now);
     if (result != scheduler::ShardScheduler::HeartbeatResult::fresh) return result;
     commit(now);
     auto commands = scheduler->commands_for(name, true, now);
     if (!response_lost)
-      worker.obey(scheduler->token(), commands, heartbeat.incarnation, now, now, rng);
+      worker.execute(scheduler->token(), commands, heartbeat.incarnation, now, now, rng);
     return result;
   }
   /// Sends two heartbeats of each machine except for the silent ones.
@@ -129,7 +129,7 @@
     for (auto& [name, worker] : workers)
       for (auto& task : worker.tasks) {
         const auto* job = cache.job(task.id.job);
-        if (task.state == TaskState::running && task.ends <= now &&
+        if (task.state == TaskState::running && task.ends_at <= now &&
             !(job && job->record.spec.service))
           task.state = TaskState::exited, task.why = wire::ExitReason::done;
       }
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -25,7 +25,7 @@
       machines.push_back({worker.name, "t4", worker.zone, true, 0, 0});
       workers_.push_back(worker);
     }
-    store_.commit(roster_txn(cache_, machines));
+    store_.commit(inventory_transaction(cache_, machines));
     auto large = make_job(1, 3000, 1);
     auto urgent = make_job(2, 40, 2);
     urgent.spec.priority = wire::Priority::high;
@@ -109,23 +109,23 @@
     }
     commit_some();
     for (auto& worker : workers_) {
-      worker.lease(now_, settings_.lease_s);
+      worker.check_lease(now_, settings_.lease_s);
       for (auto& task : worker.tasks)
-        if (task.state != wire::TaskState::exited && task.ends <= now_) {
+        if (task.state != wire::TaskState::exited && task.ends_at <= now_) {
           task.state = wire::TaskState::exited;
           task.why = wire::ExitReason::done;
           done_.insert(task.id.job + "/" + std::to_string(task.id.index));
         }
       // The worker sends no heartbeat yet, or it is lost.
       if (!scheduler_ || !chance(0.4) || chance(0.05)) continue;
-      auto heartbeat = worker.report();
+      auto heartbeat = worker.heartbeat();
       if (heartbeat.token > scheduler_->token() ||
           scheduler_->take_heartbeat(heartbeat, now_) !=
               scheduler::ShardScheduler::HeartbeatResult::fresh)
         continue;
       auto commands = scheduler_->commands_for(worker.name, true, now_);
       if (!chance(0.05))
-        worker.obey(scheduler_->token(), commands, heartbeat.incarnation, now_, now_, rng_);
+        worker.execute(scheduler_->token(), commands, heartbeat.incarnation, now_, now_, rng_);
     }
     check();
   }
--- a/tests/schema_test.cpp
+++ b/tests/schema_test.cpp
@@ -214,7 +214,7 @@
   for (int i = 0; i < 64; ++i)
     fleet.push_back({"m-" + std::to_string(320000 + i), "a-type-with-a-name", "zone-with-a-name",
                      true, 0, 123456, 1733000000.0 + i});
-  store.commit(roster_txn(cache, fleet));
+  store.commit(inventory_transaction(cache, fleet));
   auto level = [&](const VersionRecord& record) {
     store.commit({{}, {{schema::kActiveKey, schema::encode(record), 0}}});
     store.read(cache, changes);
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -39,9 +39,10 @@
     for (auto& direct : site.scheduler->direct_commands(
              true, [](const auto&) { return false; }, now)) {
       Worker& worker = site.workers.at(direct.machine);
-      worker.obey(site.scheduler->token(), direct.commands, worker.session, -1e9, now, site.rng);
+      worker.execute(site.scheduler->token(), direct.commands, worker.incarnation, -1e9, now,
+                     site.rng);
       site.scheduler->direct_commands_done(direct, 200);
-      site.scheduler->take_heartbeat(worker.report(), now, true);
+      site.scheduler->take_heartbeat(worker.heartbeat(), now, true);
     }
     site.all_report(now + 0.5);
   }
@@ -208,7 +209,7 @@
   site.job(1, 1, 4, false, 0);
   site.all_report(1);
   ASSERT_EQ(site.live_tasks("m-1"), 1u);
-  auto copy = site.workers.at("m-1").report();
+  auto copy = site.workers.at("m-1").heartbeat();
   site.scheduler->take_heartbeat(copy, 2);
   static_cast<void>(site.scheduler->commands_for("m-1", true, 2));
   site.machine("m-2", 2);
--- a/tests/shard_scheduler_test.cpp
+++ b/tests/shard_scheduler_test.cpp
@@ -41,7 +41,7 @@
   }
   void add_machine(const std::string& name) {
     wire::MachineRecord record{name, "t4", "a", false, 0, 0};
-    store.commit(roster_txn(cache, {record}));
+    store.commit(inventory_transaction(cache, {record}));
     read_store();
     scheduler->machine_known(record, 0);
   }
@@ -635,7 +635,7 @@
   for (int number = 1; number <= 4; ++number) {
     const std::string name = "m-" + std::to_string(number), type = number == 2 ? "t4" : "t16";
     wire::MachineRecord record{name, type, "a", false, 0, 0};
-    shard.store.commit(roster_txn(shard.cache, {record}));
+    shard.store.commit(inventory_transaction(shard.cache, {record}));
     shard.read_store();
     shard.scheduler->machine_known(record, 0);
     wire::Heartbeat heartbeat;
@@ -664,7 +664,7 @@
   for (int number = 0; number < 200; ++number)
     machines.push_back({"m-" + std::to_string(100000 + number), "t4", "a", false, 0, 0});
   shard.settings.teams[0].cpus_max = 1e6;
-  shard.store.commit(roster_txn(shard.cache, machines));
+  shard.store.commit(inventory_transaction(shard.cache, machines));
   shard.read_store();
   for (const auto& machine : machines) {
     shard.scheduler->machine_known(machine, 0);
@@ -715,7 +715,7 @@
   std::vector<wire::MachineRecord> machines;
   for (int number = 0; number < 100; ++number)
     machines.push_back({"m-" + std::to_string(100000 + number), "t4", "a", false, 0, 0});
-  shard.store.commit(roster_txn(shard.cache, machines));
+  shard.store.commit(inventory_transaction(shard.cache, machines));
   shard.read_store();
   for (const auto& machine : machines) shard.scheduler->machine_known(machine, 0);
   std::map<std::string, std::vector<wire::TaskStatus>> tasks_by_machine;
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -267,7 +267,7 @@
   std::vector<wire::MachineRecord> machines;
   for (int i = 0; i < 600; ++i)
     machines.push_back({"m-" + std::to_string(100000 + i), "t4", "a", true, 0, 0});
-  store.commit(roster_txn(cache, machines));
+  store.commit(inventory_transaction(cache, machines));
   std::vector<state::Change> changes;
   store.read(cache, changes);
   auto job = make_job(1, 2400, 1);
