--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -72,21 +72,22 @@
   const bool has_higher_token = *response.token > next.token;
   next.token = std::max(next.token, *response.token);
   const std::vector<Effect> effects = next.execute(response.commands, &refused);
-  for (const std::string& line : refused) log::info("command refused", {{"why", line}});
+  for (const std::string& line : refused)
+    log::info("command from controller refused", {{"why", line}});
   if (state_.commit(std::move(next), "orders")) {
     if (has_higher_token) announce_token();
     tasks_.apply(effects);
     return true;
   }
-  // A journal that cannot be written takes no start, no token and no acknowledgement. A stop needs
-  // no journal: a task that is gone is recorded as soon as there is room. All of it will be
-  // repeated by the controllers.
+  // The journal cannot be written, so starts, tokens and acknowledgements are not applied. Stops
+  // are applied all the same: the end of the task is recorded once the disk has free space again.
+  // The controllers repeat every command.
   if (has_higher_token) return false;
   apply_stops(effects);
   return true;
 }
 
-// A higher token is told at most once per half of the lease.
+// Sends a heartbeat with the higher token, at most once per half of the lease.
 void Agent::announce_token() {
   const double now = boot_now();
   if (now - token_announced_at_ <= settings_.lease_s / 2) return;
@@ -106,12 +107,12 @@
 
 void Agent::give_spot_notice(double remaining_s) {
   reclaimed_at_ = boot_now() + remaining_s;
-  log::info("machine is called back", {{"in_s", remaining_s}});
+  log::info("spot notice: the machine will be reclaimed", {{"in_s", remaining_s}});
   heartbeats_.send_soon();
 }
 
-// Whoever knows that the machine is reclaimed writes the seconds into the file; the agent removes
-// it.
+// Reads and removes the spot notice file. It is written from outside the agent, and holds the
+// seconds until the machine is reclaimed.
 void Agent::check_spot_notice() {
   if (!fs::exists(paths_.spot_notice())) return;
   double remaining_s = 0;
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -18,13 +18,14 @@
 
 class Agent : public actor::Actor {
  public:
-  /// Takes the directory for itself and recovers what the last process left. `step` is called at
-  /// each step of the journal. Throws JournalError or std::system_error, with nothing changed that
-  /// the next start would miss.
+  /// Locks the agent's directory and recovers the state that the previous process left there. The
+  /// journal calls `step` before and after each durable write. Throws JournalError or
+  /// std::system_error; a later start can then still recover everything.
   Agent(actor::Loop& loop, Settings settings, const std::filesystem::path& dir,
         AgentJournal::Step step);
 
-  /// The machine will be reclaimed after the time of the settings.
+  /// Announces that the machine will be reclaimed in Settings::recall_s seconds. Does nothing if a
+  /// spot notice has been given already.
   void give_spot_notice();
 
  private:
@@ -45,7 +46,7 @@
   HeartbeatClient heartbeats_;
   actor::Timer timer_;
   CommandServer commands_;
-  std::optional<double> reclaimed_at_;  // of CLOCK_BOOTTIME, after a spot notice
+  std::optional<double> reclaimed_at_;  // CLOCK_BOOTTIME, in seconds; set by a spot notice
   double token_announced_at_ = -1e9;
 };
 
--- a/src/agent/agent_journal.cpp
+++ b/src/agent/agent_journal.cpp
@@ -5,8 +5,9 @@
 namespace shunttrail::agent {
 namespace {
 
-[[noreturn]] void fail(sqlite3* db, const std::string& what) {
-  throw JournalError("record: " + what + ": " + (db ? sqlite3_errmsg(db) : "out of memory"));
+[[noreturn]] void fail(sqlite3* db, const std::string& operation) {
+  throw JournalError("agent journal: " + operation + ": " +
+                     (db ? sqlite3_errmsg(db) : "out of memory"));
 }
 
 // A prepared statement: parameters are bound in order, then rows are read one by one.
@@ -33,17 +34,17 @@
     return *this;
   }
 
-  // Runs the statement up to its next row. False: there is no further one.
+  // Runs the statement up to its next row. Returns false if there are no more rows.
   bool next_row() {
     const int result = sqlite3_step(statement_);
     if (result == SQLITE_ROW) return true;
     if (result != SQLITE_DONE) fail(db_, "write");
     return false;
   }
-  // Runs a statement that has no rows.
+  // Runs a statement that returns no rows.
   void run() { next_row(); }
 
-  // Columns of the row are read in order.
+  // The columns of a row are read in order, from begin_row().
   std::string read_text() {
     const int column = read_++;
     const auto* bytes = reinterpret_cast<const char*>(sqlite3_column_text(statement_, column));
@@ -64,7 +65,7 @@
   int read_ = 0;
 };
 
-// Rolls back unless it was committed.
+// Rolls the transaction back on destruction unless commit() has succeeded.
 class Transaction {
  public:
   explicit Transaction(sqlite3* db) : db_(db) { run("BEGIN IMMEDIATE"); }
@@ -99,7 +100,10 @@
   const std::uint64_t exit_reason = row.read_whole();
   if (phase > static_cast<std::uint64_t>(Phase::exited) ||
       exit_reason > static_cast<std::uint64_t>(wire::ExitReason::unknown))
-    throw JournalError("record: an attempt of " + key.job + " is damaged");
+    throw JournalError("agent journal: task " + key.job + "/" + std::to_string(key.index) +
+                       " attempt " + std::to_string(key.attempt) + " has phase " +
+                       std::to_string(phase) + " and exit reason " + std::to_string(exit_reason) +
+                       ", which are not both valid");
   attempt.phase = static_cast<Phase>(phase);
   attempt.exit_reason = static_cast<wire::ExitReason>(exit_reason);
   attempt.checkpointed = row.read_flag();
@@ -130,7 +134,7 @@
   db_.reset(db);
   if (result != SQLITE_OK) fail(db, file.string());
   exec("PRAGMA journal_mode=WAL");
-  // A commit means that it is on the disk.
+  // A committed transaction is on the disk.
   exec("PRAGMA synchronous=FULL");
   exec("PRAGMA locking_mode=EXCLUSIVE");
   exec("CREATE TABLE IF NOT EXISTS facts(name TEXT PRIMARY KEY, value TEXT NOT NULL)");
@@ -139,8 +143,8 @@
 void AgentJournal::check_format(const std::filesystem::path& file) const {
   const std::string format = get("format");
   if (!format.empty() && format != std::to_string(kFormat))
-    throw JournalError("record: " + file.string() + " has format " + format +
-                       ", this program knows " + std::to_string(kFormat));
+    throw JournalError("agent journal: " + file.string() + " has format " + format +
+                       ", this program reads only format " + std::to_string(kFormat));
 }
 
 void AgentJournal::create_tables() {
@@ -173,7 +177,7 @@
   const std::string owner = get("machine");
   if (owner.empty()) return std::nullopt;
   if (owner != machine)
-    throw JournalError("record: belongs to machine " + owner + ", not to " + machine);
+    throw JournalError("agent journal: belongs to machine " + owner + ", not to " + machine);
   AttemptTable table;
   table.incarnation = std::stoull(get("session"));
   table.token = std::stoull(get("token"));
@@ -247,7 +251,7 @@
   insert.run();
 }
 
-// In the order of `next`, which the table keeps.
+// Inserts new entries in the order of `next`; column `n` preserves that order.
 void AgentJournal::save_acknowledged(const AttemptTable& current, const AttemptTable& next) {
   std::map<std::string, std::uint64_t> obsolete(current.acknowledged.begin(),
                                                 current.acknowledged.end());
--- a/src/agent/agent_journal.h
+++ b/src/agent/agent_journal.h
@@ -1,6 +1,7 @@
-// The agent's journal on disk (SQLite): the attempt table, whole, as of the last durable step.
-// Every change of the table is one transaction, synced before it is acted on. The format has a
-// version; a newer one than this program knows is refused. Format 1 is described in docs/agent.md.
+// The agent's journal on disk (SQLite). It holds the complete attempt table as of the last durable
+// write. Every change of the table is one transaction, which is synced to disk before the agent
+// acts on the change. The format has a version; this program refuses any other than its own.
+// Format 1 is described in docs/agent.md.
 #pragma once
 #include <filesystem>
 #include <functional>
@@ -15,8 +16,8 @@
 
 namespace shunttrail::agent {
 
-/// The journal cannot be read or written; says in one line why. After a failed write it holds what
-/// it held before.
+/// The journal cannot be read or written. The message is one line with the cause. A failed write
+/// leaves the journal's content unchanged.
 struct JournalError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -25,23 +26,26 @@
 class AgentJournal {
  public:
   static constexpr int kFormat = 1;
-  /// Called before and after every durable step, with its name: where tests end the process.
+  /// Called before and after every durable write, with the name of the write. Tests end the process
+  /// there.
   using Step = std::function<void(const std::string&)>;
 
-  /// Opens the file, or makes it.
+  /// Opens the journal, and creates it if the file does not exist.
   AgentJournal(const std::filesystem::path& file, Step step);
   ~AgentJournal();
   AgentJournal(const AgentJournal&) = delete;
   AgentJournal& operator=(const AgentJournal&) = delete;
 
-  /// What the last process left; nothing if there was none. A journal of another machine is
-  /// refused.
+  /// Returns the attempt table that the previous process left, or nothing if the journal is new.
+  /// Throws if the journal belongs to another machine.
   [[nodiscard]] std::optional<AttemptTable> load(const std::string& machine);
-  /// The boot in which it was begun.
+  /// Returns the id of the boot in which begin() was last called.
   [[nodiscard]] std::string boot() const;
-  /// Replaces what the journal holds.
+  /// Replaces the journal's content: records the machine, the boot and the numbers of `table`, and
+  /// removes all attempts.
   void begin(const std::string& machine, const std::string& boot, const AttemptTable& table);
-  /// Makes `next` what the journal holds, written as the difference from `current`.
+  /// Replaces `current`, the table that the journal holds, with `next`; writes only the rows that
+  /// differ. `step` names the write.
   void save(const AttemptTable& current, const AttemptTable& next, const std::string& step);
 
  private:
--- a/src/agent/agent_paths.cpp
+++ b/src/agent/agent_paths.cpp
@@ -14,7 +14,7 @@
 
 bool end_all(const AgentPaths& paths) {
   if (!std::filesystem::exists(paths.tasks())) return true;
-  // Every supervisor that is still to start reads this first, and starts nothing.
+  // A supervisor that has not started its task yet reads the lease first, and does not start it.
   LeaseFile(paths.lease(), LeaseFile::Open::write).set(0, 0);
   return sweep(paths.tasks());
 }
--- a/src/agent/agent_paths.h
+++ b/src/agent/agent_paths.h
@@ -1,4 +1,4 @@
-// Where the agent keeps its files.
+// Paths of the agent's files.
 #pragma once
 #include <filesystem>
 
@@ -12,19 +12,21 @@
   std::filesystem::path dir;
 
   std::filesystem::path journal() const { return dir / "record.db"; }
-  /// The page of memory that holds the lease, see LeaseFile.
+  /// The memory-mapped lease, see LeaseFile.
   std::filesystem::path lease() const { return dir / "lease"; }
   /// Locked by the agent that runs in this directory.
   std::filesystem::path lock() const { return dir / "lock"; }
   std::filesystem::path tasks() const { return dir / "tasks"; }
   std::filesystem::path images() const { return dir / "images"; }
-  /// Written by whoever knows that the machine is reclaimed; holds the seconds that are left.
+  /// The spot notice: written from outside the agent when the machine is about to be reclaimed. It
+  /// holds the remaining seconds.
   std::filesystem::path spot_notice() const { return dir / "recall"; }
   TaskDirectory task(const Key& key) const;
 };
 
-/// Ends every task of the agent in this directory, supervisors first, and its incarnation with
-/// them: what a machine's end does. The agent itself must not run. False: some process did not go.
+/// Kills every task of the agent in this directory, with its supervisor, and ends the agent's
+/// incarnation, as the loss of the machine would. No agent process may act on the directory
+/// meanwhile. Returns false if some process could not be killed.
 bool end_all(const AgentPaths& paths);
 
 }  // namespace shunttrail::agent
--- a/src/agent/agent_state.cpp
+++ b/src/agent/agent_state.cpp
@@ -10,14 +10,15 @@
 namespace fs = std::filesystem;
 namespace {
 
-constexpr std::uint64_t kSequenceBlock = 10000;  // numbers reserved at a time
+constexpr std::uint64_t kSequenceBlock = 10000;  // sequence numbers reserved per journal write
 
 Fd lock_directory(const AgentPaths& paths) {
   fs::create_directories(paths.tasks());
   auto lock = try_lock(paths.lock());
   if (!lock)
-    throw std::system_error(EBUSY, std::generic_category(),
-                            paths.dir.string() + ": another agent has this directory");
+    throw std::system_error(
+        EBUSY, std::generic_category(),
+        paths.dir.string() + ": another agent process has locked this directory");
   return std::move(*lock);
 }
 
@@ -42,14 +43,14 @@
   } else {
     begin_first_incarnation(boot);
   }
-  // Numbers that the last process may have used are never used again.
+  // Sequence numbers that the previous process may have used are never used again.
   sequence_ = attempts_.reserved;
   remove_unknown_task_directories();
 }
 
 void AgentState::begin_first_incarnation(const std::string& boot) {
-  end_all(paths_);  // of a journal that somebody has removed
-  // The lease file first: a journal without it would be of an incarnation that is over.
+  end_all(paths_);  // tasks may be left if somebody has removed the journal
+  // The lease file is written first: without it, the journaled incarnation counts as ended.
   lease_file_.set(attempts_.incarnation, lease_.until());
   journal_.begin(settings_.machine, boot, attempts_);
 }
@@ -59,14 +60,19 @@
   if (same_boot && lease_file_.session() == attempts_.incarnation &&
       boot_now() <= lease_file_.until()) {
     lease_ = Lease::resumed(settings_.lease_s, lease_file_.until());
-    log::info("session goes on",
+    log::info("incarnation resumed: its lease is still valid",
               {{"session", attempts_.incarnation}, {"attempts", attempts_.attempts.size()}});
     return;
   }
-  log::info("session is over",
+  log::info("previous incarnation ended: ending its tasks",
             {{"session", attempts_.incarnation}, {"why", same_boot ? "lease" : "reboot"}});
-  if (!end_all(paths_)) throw std::system_error(EBUSY, std::generic_category(), "tasks stay");
-  if (!end_incarnation()) throw JournalError("record: cannot begin the next session");
+  if (!end_all(paths_))
+    throw std::system_error(
+        EBUSY, std::generic_category(),
+        "tasks of incarnation " + std::to_string(attempts_.incarnation) + " cannot be killed");
+  if (!end_incarnation())
+    throw JournalError("agent journal: the incarnation after " +
+                       std::to_string(attempts_.incarnation) + " cannot be recorded");
   if (!same_boot) journal_.begin(settings_.machine, boot, attempts_);
 }
 
@@ -77,7 +83,7 @@
     if (!known.contains(entry.path())) fs::remove_all(entry.path());
 }
 
-// Every task is gone: the attempt table may forget them.
+// The caller has killed every task, so the attempt table may drop them all.
 bool AgentState::end_incarnation() {
   AttemptTable next = attempts_;
   next.next_incarnation();
@@ -94,10 +100,11 @@
 
 bool AgentState::check_lease() {
   if (!lease_.over(boot_now())) return true;
-  log::info("lease ran out",
+  log::info("lease expired: ending all tasks",
             {{"session", attempts_.incarnation}, {"attempts", attempts_.attempts.size()}});
   if (!end_all(paths_)) {
-    log::error("tasks do not go", {{"session", attempts_.incarnation}});
+    log::error("lease expired, but some task processes cannot be killed",
+               {{"session", attempts_.incarnation}});
     return false;
   }
   return end_incarnation();
@@ -112,11 +119,11 @@
   try {
     journal_.save(attempts_, next, step);
   } catch (const JournalError& error) {
-    if (!journal_failed_) log::error("record cannot be written", {{"why", error.what()}});
+    if (!journal_failed_) log::error("agent journal cannot be written", {{"why", error.what()}});
     journal_failed_ = true;
     return false;
   }
-  if (journal_failed_) log::info("record can be written again");
+  if (journal_failed_) log::info("agent journal can be written again");
   journal_failed_ = false;
   const bool heartbeats_change =
       attempts_.attempts != next.attempts || attempts_.incarnation != next.incarnation;
@@ -126,7 +133,7 @@
 }
 
 std::uint64_t AgentState::next_sequence() {
-  // Never used before it is reserved.
+  // A number is used only after the journal has reserved its block.
   if (sequence_ >= attempts_.reserved) {
     AttemptTable next = attempts_;
     next.reserved = std::max(sequence_, attempts_.reserved) + kSequenceBlock;
--- a/src/agent/agent_state.h
+++ b/src/agent/agent_state.h
@@ -1,4 +1,4 @@
-// What the agent may not forget: the attempt table, its journal and the lease.
+// The agent's durable state: the attempt table, its journal and the lease.
 #pragma once
 #include <functional>
 #include <string>
@@ -12,37 +12,42 @@
 
 namespace shunttrail::agent {
 
-/// Keeps the attempt table, journal first, and the lease that its tasks run under. When the lease
-/// is over, every task is ended and the next incarnation begins (docs/agent.md).
+/// Holds the attempt table and the lease under which the tasks run. Each change of the table is
+/// written to the journal first. When the lease expires, the agent ends every task and begins its
+/// next incarnation (docs/agent.md).
 class AgentState {
  public:
   struct Listener {
-    /// Something that heartbeats tell has changed.
+    /// Called when the content of heartbeats has changed.
     std::function<void()> changed;
-    /// All attempts are forgotten; their processes are gone.
+    /// Called when all attempts have been dropped from the table; their processes have ended.
     std::function<void()> incarnation_ended;
   };
 
-  /// Takes the agent's directory for this process. Throws std::system_error or JournalError, with
+  /// Locks the agent's directory for this process. Throws std::system_error or JournalError, with
   /// nothing changed.
   AgentState(const Settings& settings, const AgentPaths& paths, AgentJournal::Step step,
              Listener listener);
 
-  /// Takes up what the last process left: its incarnation goes on if its lease still holds. Throws
-  /// JournalError or std::system_error, with nothing changed that the next start would miss.
+  /// Recovers the state that the previous process left. Its incarnation continues if its lease has
+  /// not expired. Throws JournalError or std::system_error; a later start can then still recover
+  /// everything.
   void recover();
 
   [[nodiscard]] const AttemptTable& attempts() const { return attempts_; }
-  /// Makes `next` the attempt table, in the journal first. `step` names it for tests. False: the
-  /// journal can't be written; nothing changed.
+  /// Writes `next` to the journal, then makes it the attempt table. `step` names the write for
+  /// tests. Returns false, with nothing changed, if the journal cannot be written.
   [[nodiscard]] bool commit(AttemptTable next, const std::string& step);
-  /// The number of the next message; 0: the journal can't be written, no message may be sent.
+  /// Returns the sequence number of the next message, or 0 if the journal cannot be written; then
+  /// no message may be sent.
   [[nodiscard]] std::uint64_t next_sequence();
 
-  /// Ends the incarnation if its lease is over. False: the lease is over and some of its tasks are
-  /// still there; nothing may be sent.
+  /// Ends the incarnation if its lease has expired. Returns false if the lease has expired but a
+  /// task could not be killed, or the next incarnation could not be journaled; then no message may
+  /// be sent.
   [[nodiscard]] bool check_lease();
-  /// An answer has extended the lease; `sent_at` is when its request was sent, CLOCK_BOOTTIME.
+  /// Extends the lease after a controller's answer. `sent_at` is when the request was sent, in
+  /// seconds of CLOCK_BOOTTIME.
   void renew_lease(double sent_at);
 
  private:
@@ -59,7 +64,7 @@
   LeaseFile lease_file_;
   AttemptTable attempts_;
   Lease lease_;
-  std::uint64_t sequence_ = 0;  // the last one that was used
+  std::uint64_t sequence_ = 0;  // the last number that was used
   bool journal_failed_ = false;
 };
 
--- a/src/agent/attempt_context.cpp
+++ b/src/agent/attempt_context.cpp
@@ -10,7 +10,7 @@
 
 void AttemptContext::fail(const Key& key, wire::ExitReason exit_reason,
                           const std::string& why) const {
-  log::info("attempt is refused or failed", log_fields(key, why));
+  log::info("attempt refused or failed before its task started", log_fields(key, why));
   AttemptTable next = state.attempts();
   next.exited(key, exit_reason);
   if (!state.commit(std::move(next), "exited")) retry_later(live.get(key));
--- a/src/agent/attempt_context.h
+++ b/src/agent/attempt_context.h
@@ -1,4 +1,4 @@
-// What the steps of an attempt's life share: the agent's state, and what to do when a step fails.
+// Context shared by the steps of an attempt: the agent's state, and the handling of failed steps.
 #pragma once
 #include <functional>
 #include <nlohmann/json.hpp>
@@ -13,31 +13,31 @@
 
 namespace shunttrail::agent {
 
-/// An attempt that failed for a reason that may pass is tried again after this time.
+/// Delay before a step that failed for a transient reason is retried.
 inline constexpr double kRetryDelayS = 1;
 
 struct AttemptContext {
   actor::Loop& loop;
-  actor::Actor& mailbox;  ///< of the agent: all answers are taken there, one at a time
+  actor::Actor& mailbox;  ///< the agent's; it handles all answers, one at a time
   const Settings& settings;
   const AgentPaths& paths;
   AgentState& state;
   LiveAttempts& live;
   artifacts::Client& artifacts;
-  /// Takes the attempt's next step.
+  /// Runs the attempt's next step.
   std::function<void(const Key&)> advance;
 
   void retry_later(LiveAttempt& attempt, double delay_s = kRetryDelayS) const;
-  /// The attempt has exited with this reason, without a checkpoint.
+  /// Records that the attempt has exited with this reason, without a checkpoint.
   void fail(const Key& key, wire::ExitReason exit_reason, const std::string& why) const;
-  /// Makes `next` the attempt table; where that fails the attempt's step is taken again later.
-  /// False: it failed.
+  /// Makes `next` the attempt table. Returns false if the journal cannot be written; the attempt's
+  /// step is then retried later.
   bool commit_or_retry(AttemptTable next, const std::string& step, LiveAttempt& attempt) const;
 };
 
-/// Fields of a log line about an attempt.
+/// Returns the fields that identify an attempt in a log line.
 nlohmann::json log_fields(const Key& key);
-/// The same with a reason.
+/// The same, with the field `why`.
 nlohmann::json log_fields(const Key& key, const std::string& why);
 
 }  // namespace shunttrail::agent
--- a/src/agent/attempt_table.cpp
+++ b/src/agent/attempt_table.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t kMaxAcknowledged = 2000;
-constexpr double kRoundingSlack = 1e-6;  // of sums of resources
+constexpr double kRoundingSlack = 1e-6;  // for rounding errors in sums of resources
 
 std::string task_name(const Key& key) { return key.job + "/" + std::to_string(key.index); }
 std::string label(const Key& key) {
@@ -29,7 +29,8 @@
       status.state = attempt.saving ? wire::TaskState::saving : wire::TaskState::running;
       break;
     case Phase::ended:
-      // It holds its place until its result is safe: `done` is never taken back.
+      // The attempt keeps its resources until its result is in the artifact store, because a
+      // reported `done` is never withdrawn.
       status.state = attempt.exit_reason == wire::ExitReason::stopped ? wire::TaskState::saving
                                                                       : wire::TaskState::running;
       break;
@@ -79,8 +80,8 @@
 void AttemptTable::start(const Key& key, std::vector<Effect>& effects,
                          std::vector<std::string>* refused) {
   if (find(key)) return;
-  // Attempts of a task only go up (docs/safety.md, "attempts unique"): a lower one is a command
-  // that was delayed on the way until after its own end.
+  // Attempt numbers of a task only increase (docs/safety.md, "attempts unique"): a start with a
+  // lower number was delayed on the network until after its own attempt had ended.
   std::optional<std::uint64_t> highest = highest_acknowledged(key);
   bool holds_another = false;
   for (auto it = attempts.lower_bound({key.job, key.index, 0});
@@ -89,7 +90,9 @@
     holds_another |= it->second.phase != Phase::exited;
   }
   if (highest && key.attempt <= *highest) {
-    if (refused) refused->push_back("start of " + label(key) + ": attempts have gone on");
+    if (refused)
+      refused->push_back("start of " + label(key) + ": attempt " + std::to_string(*highest) +
+                         " of the task is known");
     return;
   }
   Attempt attempt;
@@ -110,8 +113,8 @@
       return;
     case Phase::accepted:
     case Phase::ended:
-      // No process is there. What is on its way to the artifact store may still get there; the
-      // task's next attempt then finds it and is done at once.
+      // There is no process. An upload that is under way may still reach the artifact store; the
+      // task's next attempt then finds the result and is done at once.
       attempt->phase = Phase::exited;
       attempt->exit_reason = wire::ExitReason::stopped;
       effects.push_back({Effect::Kind::abandon, key});
@@ -142,7 +145,7 @@
   effects.push_back({Effect::Kind::drop, key});
 }
 
-// What the machine has to hold if this attempt needs so much.
+// Returns the resources in use on the machine if this attempt has these needs.
 Resources AttemptTable::total_with(const Key& key, const Resources& needs) const {
   Resources total = needs;
   for (const auto& [other, attempt] : attempts) {
--- a/src/agent/attempt_table.h
+++ b/src/agent/attempt_table.h
@@ -1,6 +1,6 @@
-// What a worker knows and decides: its incarnation, the highest token, the attempts it holds, and
-// what each command does to them. No I/O: the agent writes a changed table to its journal before it
-// acts on the effects, and reports only what the journal holds. Source of every rule: PROTOCOL,
+// A worker's state and decisions: its incarnation, the highest token, its attempts, and the effect
+// of each command on them. The table does no I/O. The agent writes a changed table to its journal
+// before it acts on the effects, and reports only journaled state. Source of every rule: PROTOCOL,
 // "Workers -> controller nodes".
 #pragma once
 #include <compare>
@@ -19,13 +19,13 @@
 /// One attempt of a task.
 struct Key {
   std::string job;
-  std::uint32_t index = 0;  ///< of the task in its job
+  std::uint32_t index = 0;  ///< the task's index in its job
   std::uint64_t attempt = 0;
   friend auto operator<=>(const Key&, const Key&) = default;
   [[nodiscard]] wire::TaskId task() const { return {job, index}; }
 };
 
-/// What a task needs, or a machine has.
+/// The resources of a machine, or those that a task needs.
 struct Resources {
   double cpus = 0;
   double gpus = 0;
@@ -33,75 +33,78 @@
   friend bool operator==(const Resources&, const Resources&) = default;
 };
 
-/// How far an attempt is. Each phase is in the journal before what it stands for begins, so that
-/// after a kill the journal names a phase that is over or has just begun, never an earlier one.
-/// Values are stored: they must not change.
+/// The progress of an attempt. The journal holds each phase before the work of that phase begins.
+/// After a crash it therefore names a phase whose work has just begun or is finished, never an
+/// earlier one. Values are stored: they must not change.
 enum class Phase : std::uint8_t {
-  accepted,  ///< there is no process and never was one
-  launched,  ///< there may be one
-  ended,   ///< there is none any more; its result or checkpoint is on its way to the artifact store
-  exited,  ///< as reported
+  accepted,  ///< no process has been started
+  launched,  ///< a process may exist
+  ended,   ///< no process is left; its result or checkpoint is being uploaded to the artifact store
+  exited,  ///< finished, with the exit reason that heartbeats report
 };
 
 struct Attempt {
   Phase phase = Phase::accepted;
-  bool stopping = false;  ///< told to stop
-  bool saving = false;    ///< and allowed to save a checkpoint first
+  bool stopping = false;  ///< a stop was requested
+  bool saving = false;    ///< a stop was requested, and the task may save a checkpoint first
   wire::ExitReason exit_reason = wire::ExitReason::none;
   bool checkpointed = false;
-  Resources needs;     ///< once its description is known
-  double save_s = 0;   ///< time it needs to save a checkpoint
-  bool saves = false;  ///< it has checkpoints
+  Resources needs;     ///< zero until the job description is known
+  double save_s = 0;   ///< time that the task needs to save a checkpoint
+  bool saves = false;  ///< the task writes checkpoints
   friend bool operator==(const Attempt&, const Attempt&) = default;
 };
 
-/// What has to be done once the changed table is in the journal.
+/// An action that the agent takes after the changed table is in the journal.
 struct Effect {
   enum class Kind {
     fetch,    ///< prepare the new attempt
-    abandon,  ///< stop storing what the attempt has left
+    abandon,  ///< stop uploading the attempt's output and checkpoint
     save,     ///< stop the task, which may save a checkpoint within the grace
     kill,     ///< stop the task at once
     drop,     ///< remove the attempt's files
   };
   Kind kind;
   Key key;
-  double grace_s = 0;  ///< of `save`
+  double grace_s = 0;  ///< time to save a checkpoint; only for `save`
 };
 
 class AttemptTable {
  public:
   std::uint64_t incarnation = 1;
-  std::uint64_t token = 0;  ///< the highest that was seen
-  /// Every message's sequence number is at most this; it is in the journal before the first of a
-  /// block is used.
+  std::uint64_t token = 0;  ///< the highest fencing token received so far
+  /// The upper bound of the sequence numbers that messages may use. The journal holds it before the
+  /// first number of a block is used.
   std::uint64_t reserved = 0;
   std::map<Key, Attempt> attempts;
-  /// The highest acknowledged attempt of each task in this incarnation, oldest first and bounded. A
-  /// start that comes after its own acknowledgement would run the task once more for nobody.
+  /// The highest acknowledged attempt of each task in this incarnation, oldest first and bounded.
+  /// Without it, a start that is delivered after the acknowledgement of its own attempt would run
+  /// the task once more for nothing.
   std::deque<std::pair<std::string, std::uint64_t>> acknowledged;
 
-  /// Whether an answer with this token may be acted on at all.
+  /// Returns whether a message with this token may be acted on.
   [[nodiscard]] bool accepts(std::optional<std::uint64_t> offered) const {
     return offered && *offered >= token;
   }
-  /// Executes the commands in order; `refused` gets a line for each that could not mean anything.
+  /// Executes the commands in order. Appends a line to `refused` for each command that is obsolete.
   std::vector<Effect> execute(const std::vector<wire::Command>& commands,
                               std::vector<std::string>* refused = nullptr);
 
-  /// The description has come. False: the machine has no room for it beside what it holds, and the
-  /// attempt has exited.
+  /// Records the needs from the job description. Returns false if the attempt is not in the table,
+  /// or if the machine's free capacity is too small; in the latter case the attempt has exited with
+  /// `no_room`.
   bool described(const Key& key, const Resources& needs, bool saves, double save_s,
                  const Resources& machine);
   void launched(const Key& key);
-  /// Its processes are gone.
+  /// Records that all processes of the attempt have ended.
   void ended(const Key& key, wire::ExitReason reason, bool checkpointed);
-  /// Nothing more has to be done for it: what is reported from now on.
+  /// Records the final outcome, which heartbeats report from now on.
   void exited(const Key& key, wire::ExitReason reason, bool checkpointed = false);
-  /// The lease has run out: every task is forgotten. The caller has ended all processes.
+  /// Begins the next incarnation after the lease has expired, and drops every attempt. The caller
+  /// has ended all processes before.
   void next_incarnation();
 
-  /// The attempts as heartbeats tell them.
+  /// Returns the attempts in the form that heartbeats report.
   [[nodiscard]] std::vector<wire::TaskStatus> tasks() const;
   friend bool operator==(const AttemptTable&, const AttemptTable&) = default;
 
--- a/src/agent/command_server.cpp
+++ b/src/agent/command_server.cpp
@@ -5,7 +5,7 @@
 namespace shunttrail::agent {
 namespace {
 
-constexpr std::size_t kMaxBodyBytes = 64 * 1024;  // PROTOCOL: a request body
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;  // PROTOCOL: the largest request body
 constexpr double kRetryAfterS = 1;
 
 net::Answer unavailable() { return {503, "{}", kRetryAfterS}; }
@@ -31,7 +31,7 @@
   try {
     commands = client_protocol::decode_heartbeat_response(body);
   } catch (const wire::Malformed& error) {
-    log::info("malformed direct command", {{"why", error.what()}});
+    log::info("direct command from controller is malformed", {{"why", error.what()}});
     return net::error_response(400, error.what());
   }
   if (!commands.token || !commands.session)
--- a/src/agent/command_server.h
+++ b/src/agent/command_server.h
@@ -1,4 +1,5 @@
-// The agent's HTTP server: direct commands of a controller, and the agent's status.
+// The agent's HTTP server: accepts direct commands from a controller and returns the agent's
+// status.
 #pragma once
 #include <functional>
 
@@ -13,7 +14,7 @@
 /// "Workers -> controller nodes".
 class CommandServer {
  public:
-  /// Throws std::exception where the address is taken.
+  /// Throws std::exception if the address is already in use.
   CommandServer(actor::Loop& loop, const Settings& settings, AgentState& state,
                 HeartbeatClient::Callbacks callbacks);
 
--- a/src/agent/heartbeat_client.cpp
+++ b/src/agent/heartbeat_client.cpp
@@ -7,11 +7,11 @@
 namespace shunttrail::agent {
 namespace {
 
-constexpr double kAnswerTimeoutS = 4;    // PROTOCOL: no response within 4 s
-constexpr double kLeastIntervalS = 0.5;  // never more often than every half second
-constexpr double kNextControllerS = 1;   // the next node after a second
+constexpr double kAnswerTimeoutS = 4;    // PROTOCOL: the controller counts as failed after 4 s
+constexpr double kLeastIntervalS = 0.5;  // at most one heartbeat per half second
+constexpr double kNextControllerS = 1;   // delay before the next controller is tried
 constexpr double kMaxRedirectDelayS = 0.5;
-constexpr double kLeastJitter = 0.75, kMostJitter = 1.25;  // factors of the interval
+constexpr double kLeastJitter = 0.75, kMostJitter = 1.25;  // factors of the heartbeat interval
 
 std::unique_ptr<net::Client> connect(actor::Loop& loop, const Settings::Controller& controller) {
   return std::make_unique<net::Client>(loop, controller.address, 1, 1);
@@ -69,7 +69,8 @@
                                   const net::Result& result) {
   in_flight_ = false;
   timer_.after(0);
-  // The lease comes first: an answer that is late by more than it has no incarnation left to renew.
+  // The lease is checked first: if the answer arrives after its expiry, there is no incarnation
+  // left to renew.
   if (!state_.check_lease()) return;
   if (result.status == 200) {
     const bool is_late = boot_now() - sent_at > kAnswerTimeoutS;
@@ -86,16 +87,18 @@
   try {
     const auto response = client_protocol::decode_heartbeat_response(body);
     if (!state_.attempts().accepts(response.token))
-      return log::debug("answer with a lower token dropped");
+      return log::debug(
+          "controller's answer dropped: its token is missing or lower than the known one");
     if (callbacks_.execute(response)) state_.renew_lease(sent_at);
   } catch (const wire::Malformed& error) {
-    log::error("malformed answer from a controller",
+    log::error("heartbeat answer from controller is malformed; trying the next controller",
                {{"node", settings_.controllers[controller].name}, {"why", error.what()}});
     next_controller();
   }
 }
 
-// The controller has named the leader. False: it is none of the settings', or itself.
+// Switches to the leader that the controller has named. Returns false if that is the controller
+// itself, or is not in the settings.
 bool HeartbeatClient::follow_redirect(std::size_t controller, const std::string& body) {
   const std::string leader = client_protocol::redirect_of(body);
   for (std::size_t i = 0; i < settings_.controllers.size(); ++i) {
--- a/src/agent/heartbeat_client.h
+++ b/src/agent/heartbeat_client.h
@@ -1,4 +1,4 @@
-// The agent's heartbeats to the controllers, and their answers.
+// Sends the agent's heartbeats to the controllers and handles the answers.
 #pragma once
 #include <functional>
 #include <memory>
@@ -13,24 +13,25 @@
 
 namespace shunttrail::agent {
 
-/// Sends one heartbeat at a time to one controller, another one if that does not answer or is not
-/// the leader. Source: PROTOCOL, "Workers -> controller nodes".
+/// Sends one heartbeat at a time to one controller. Switches to another controller if that one does
+/// not answer or is not the leader. Source: PROTOCOL, "Workers -> controller nodes".
 class HeartbeatClient {
  public:
   struct Callbacks {
-    /// The next heartbeat; sequence 0: none may be sent.
+    /// Returns the next heartbeat. Sequence 0 means that none may be sent.
     std::function<wire::Heartbeat()> make_heartbeat;
-    /// Executes the commands of an answer whose token counts. False: the answer does not count.
+    /// Executes the commands of an answer whose token is accepted. Returns false if they could not
+    /// be journaled; the answer then does not renew the lease.
     std::function<bool(const client_protocol::HeartbeatResponse&)> execute;
   };
 
-  /// Answers are taken in `mailbox`.
+  /// Answers are handled in `mailbox`.
   HeartbeatClient(actor::Loop& loop, actor::Actor& mailbox, const Settings& settings,
                   AgentState& state, Callbacks callbacks);
 
-  /// Begins to send; the lease is checked by every heartbeat.
+  /// Starts sending. Every heartbeat checks the lease first.
   void start();
-  /// There is something to tell: sends as soon as the least interval allows.
+  /// Requests a heartbeat as soon as the minimum interval allows, because the content has changed.
   void send_soon();
 
  private:
@@ -50,7 +51,7 @@
   Callbacks callbacks_;
   std::mt19937 random_;
   std::vector<std::unique_ptr<net::Client>> connections_;  // one for each controller
-  std::size_t controller_ = 0;                             // the one that heartbeats go to
+  std::size_t controller_ = 0;  // index of the controller that gets the heartbeats
   bool in_flight_ = false;
   bool has_news_ = true;
   // Times of CLOCK_BOOTTIME, in seconds.
--- a/src/agent/image_cache.cpp
+++ b/src/agent/image_cache.cpp
@@ -30,7 +30,7 @@
   fs::create_directories(dir_);
   for (const auto& entry : fs::directory_iterator(dir_)) {
     const std::string name = entry.path().filename();
-    // Only whole images have their hash for a name.
+    // Only a complete image has its bare hash as its name.
     if (artifacts::valid_hash(name) && entry.is_directory())
       sizes_[name] = size_of(entry.path());
     else
@@ -68,11 +68,11 @@
     case Outcome::ok:
       return unpack(hash);
     case Outcome::later:
-      // The artifact store does not answer: whoever still needs the image asks again.
+      // The artifact store does not answer. Tasks that still need the image request it again.
       fetches_.erase(fetch);
       return;
     case Outcome::absent:
-      return fail(hash, "the depot has no image " + hash);
+      return fail(hash, "the artifact store has no image " + hash);
     case Outcome::refused:
       return fail(hash, "the image's content does not match its hash " + hash);
   }
@@ -112,7 +112,7 @@
   fetch.unpacker.reset();
   fetch.has_failed = true;
   fetch.why = why;
-  log::error("image refused", {{"image", hash}, {"why", why}});
+  log::error("image cannot be fetched or unpacked", {{"image", hash}, {"why", why}});
   changed_();
 }
 
@@ -134,8 +134,8 @@
   }
 }
 
-// Of the images that no task uses; empty: there is none. An image that an earlier process has
-// fetched was used before all others.
+// Returns the least recently used image that is not in `used`, or an empty string if there is none.
+// Images that an earlier process has fetched count as older than all others.
 std::string ImageCache::least_recently_used(const std::set<std::string>& used) const {
   std::string oldest;
   std::uint64_t oldest_use = 0;
--- a/src/agent/image_cache.h
+++ b/src/agent/image_cache.h
@@ -1,5 +1,6 @@
-// Images on this machine: each is fetched once for all tasks that need it, unpacked aside and
-// renamed, and kept by recent use within a size.
+// Cache of the images on this machine. Each image is fetched once for all tasks that need it,
+// unpacked in a temporary directory and renamed into place. The cache has a maximum size and evicts
+// the least recently used images.
 #pragma once
 #include <cstdint>
 #include <filesystem>
@@ -19,20 +20,20 @@
  public:
   enum class State { ready, fetching, failed };
 
-  /// Takes up the images that are in the directory already; what an earlier process had begun is
-  /// removed. `changed` is called when an image is there or has failed. Throws
+  /// Adopts the complete images in the directory, and removes the incomplete ones that an earlier
+  /// process has left. Calls `changed` when an image becomes ready or has failed. Throws
   /// std::filesystem::filesystem_error.
   ImageCache(actor::Loop& loop, artifacts::Client& artifacts, std::filesystem::path dir,
              double cache_gb, std::function<void()> changed);
 
-  /// Each task that needs the image calls this until it is `ready`. `failed`: what the artifact
-  /// store has under this hash is damaged, absent or no image; `why` says it, and the next call
-  /// tries anew.
+  /// Returns the state of the image, and begins to fetch it if necessary. Each task that needs the
+  /// image calls this until the state is `ready`. `failed` means that the artifact store has no
+  /// valid image under this hash; `why` is then set to the cause, and the next call tries again.
   [[nodiscard]] State request(const std::string& hash, std::string& why);
-  /// The images that tasks wait for or use. Other fetches are given up, other images are removed by
-  /// least recent use where the cache is full.
+  /// Abandons the fetches of images that are not in `used`. If the cache is too large, evicts other
+  /// images that are not in `used`, least recently used first.
   void keep(const std::set<std::string>& used);
-  /// The image's directory.
+  /// Returns the directory of the unpacked image.
   [[nodiscard]] std::filesystem::path path(const std::string& hash) const { return dir_ / hash; }
 
  private:
@@ -58,7 +59,7 @@
   std::function<void()> changed_;
   std::map<std::string, Fetch> fetches_;
   std::map<std::string, std::uint64_t> sizes_;     // bytes of each image that is ready
-  std::map<std::string, std::uint64_t> last_use_;  // by the count of requests
+  std::map<std::string, std::uint64_t> last_use_;  // value of requests_ at the last request
   std::uint64_t requests_ = 0;
 };
 
--- a/src/agent/lease_file.cpp
+++ b/src/agent/lease_file.cpp
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-// Version 1. Each word is written alone. A renewal changes the time only: a supervisor that read
-// session 0 in between would kill its task. Between two incarnations the session is 0.
+// Version 1. Each word is written by itself. A renewal changes only the time, because a supervisor
+// that reads session 0 kills its task. While the incarnation changes, the session is 0.
 struct LeaseFile::Layout {
   std::atomic<std::uint64_t> version;
   std::atomic<std::uint64_t> session;
@@ -45,7 +45,7 @@
   if (writes && page_->version == 0) page_->version = kVersion;
   if (page_->version != kVersion) {
     ::munmap(page_, kPageBytes);
-    fail(EPROTO, file.string() + ": not a lease page");
+    fail(EPROTO, file.string() + ": not a lease file of version " + std::to_string(kVersion));
   }
 }
 
--- a/src/agent/lease_file.h
+++ b/src/agent/lease_file.h
@@ -1,6 +1,6 @@
-// The lease as the agent and all its supervisors see it: one page of memory on a file. The agent
-// writes it, the supervisors only read it; it outlives the agent, and a supervisor that reads it
-// needs no answer from anybody to know that its task has to go.
+// The lease as shared by the agent and all its supervisors: one memory-mapped page of a file. The
+// agent writes it, and the supervisors only read it. It outlives the agent, so a supervisor can
+// decide on its own that its task has to be killed.
 #pragma once
 #include <cstdint>
 #include <filesystem>
@@ -9,18 +9,19 @@
 
 namespace shunttrail::agent {
 
-/// Stored form, version 1: described in lease_file.cpp.
+/// The stored form, version 1, is described in lease_file.cpp.
 class LeaseFile {
  public:
   enum class Open { read, write };
-  /// Throws std::system_error. For writing, a file that is absent is made, with session 0.
+  /// Opens the file. In write mode, a missing file is created, with session 0. Throws
+  /// std::system_error.
   LeaseFile(const std::filesystem::path& file, Open mode);
   ~LeaseFile();
   LeaseFile(const LeaseFile&) = delete;
   LeaseFile& operator=(const LeaseFile&) = delete;
 
-  /// `session` is the agent's incarnation, `until` in seconds of CLOCK_BOOTTIME. Session 0: no task
-  /// may run.
+  /// Sets the agent's incarnation and the end of its lease, in seconds of CLOCK_BOOTTIME. In
+  /// session 0 no task may run.
   void set(std::uint64_t session, double until);
   [[nodiscard]] std::uint64_t session() const;
   [[nodiscard]] double until() const;
--- a/src/agent/processes.cpp
+++ b/src/agent/processes.cpp
@@ -65,7 +65,7 @@
 
 std::optional<ProcessStat> stat_of(pid_t pid) {
   const std::string text = artifacts::read_whole(proc_file(pid, "stat"));
-  const auto name_end = text.rfind(')');  // the name before it may hold anything
+  const auto name_end = text.rfind(')');  // the name before it may contain any character
   if (name_end == std::string::npos) return std::nullopt;
   std::istringstream fields(text.substr(name_end + 2));
   ProcessStat stat;
@@ -76,13 +76,13 @@
   return stat;
 }
 
-// 0: there is none, or it has ended and only waits to be read.
+// Returns the process's start time, or 0 if there is no such process or it is a zombie.
 std::uint64_t start_of(pid_t pid) {
   const auto stat = stat_of(pid);
   return stat && !stat->has_ended() ? stat->start : 0;
 }
 
-// Every process number there is.
+// Calls `visit` with the pid of every process.
 template <class Visit>
 void each_process(Visit visit) {
   std::error_code gone;
@@ -95,7 +95,8 @@
 
 Fd open_pidfd(pid_t pid) { return Fd(static_cast<int>(::syscall(SYS_pidfd_open, pid, 0))); }
 
-// Whether the process's environment has this entry, or the entry with a path below its value.
+// Returns whether the process's environment has this entry, or the same variable with a path below
+// the entry's value.
 bool has_variable(pid_t pid, const std::string& entry) {
   const std::string environment = artifacts::read_whole(proc_file(pid, "environ"));
   for (std::size_t at = 0; at < environment.size();) {
@@ -108,13 +109,14 @@
   return false;
 }
 
-// Kills all that have the variable. False: there was none.
+// Kills all processes whose environment has the entry. Returns false if there was none.
 bool kill_all_with(const std::string& entry) {
   const pid_t self = ::getpid();
   bool found = false;
   each_process([&](pid_t pid) {
     if (pid == self) return;
-    // The handle first: what is read afterwards is of the process that it stands for.
+    // The pidfd is opened first, so that the environment and start time read afterwards belong to
+    // the process that is signalled.
     const Fd handle = open_pidfd(pid);
     if (!handle || !has_variable(pid, entry) || start_of(pid) == 0) return;
     found = true;
@@ -130,7 +132,8 @@
 Fd open_process(const Identity& identity) {
   if (identity.pid <= 0 || identity.boot != boot_id()) return Fd();
   Fd handle = open_pidfd(identity.pid);
-  // The handle stands for whoever has the number now; only then is it checked who that is.
+  // The pidfd refers to the process that has the pid now. The start time is compared after it has
+  // been opened, so that the pid cannot be reused in between.
   if (!handle || start_of(identity.pid) != identity.start || identity.start == 0) return Fd();
   return handle;
 }
--- a/src/agent/settings.cpp
+++ b/src/agent/settings.cpp
@@ -41,9 +41,9 @@
 }
 
 void check(const Settings& settings) {
-  if (settings.controllers.empty()) bad_at("shunt-agent.controllers", "names none");
+  if (settings.controllers.empty()) bad_at("shunt-agent.controllers", "lists no controller");
   if (settings.lease_s < 2 * settings.report_s)
-    bad_at("shunt-agent.lease-s", "leaves no room above report-s");
+    bad_at("shunt-agent.lease-s", "is less than twice report-s");
 }
 
 }  // namespace
--- a/src/agent/settings.h
+++ b/src/agent/settings.h
@@ -1,4 +1,4 @@
-// The agent's settings: an XML file of the operator's (docs/agent.md).
+// The agent's settings, an XML file that the operator writes (docs/agent.md).
 #pragma once
 #include <string>
 #include <vector>
@@ -15,20 +15,22 @@
   };
 
   std::string machine, type, zone;
-  config::Endpoint address;  ///< where direct commands are taken, and what heartbeats name
+  config::Endpoint address;  ///< the agent listens here for direct commands; heartbeats report it
   bool spot = false;
-  Resources room;                     ///< what the machine has
-  double report_s = 3, lease_s = 20;  ///< as the controllers' settings have them
+  Resources room;  ///< the machine's capacity
+  double report_s = 3,
+         lease_s = 20;  ///< heartbeat interval and lease; must match the controllers' settings
   std::vector<Controller> controllers;
   config::Endpoint artifacts;    ///< the artifact store
-  double cache_gb = 10;          ///< images kept for later tasks
-  double disk_reserve_mb = 256;  ///< less free space than this: starts are refused as `no_room`
-  double file_mb = 1024;         ///< largest file that a task may write, its output included
-  double recall_s = 30;          ///< time that is left after a spot notice by SIGUSR2
-  bool memory_limit = true;      ///< a task's data may be no larger than its mem_gb
+  double cache_gb = 10;          ///< maximum size of the image cache
+  double disk_reserve_mb = 256;  ///< if less disk space is free, starts are refused as `no_room`
+  double file_mb = 1024;     ///< largest file that a task may write, including stdout and stderr
+  double recall_s = 30;      ///< time until the machine is reclaimed after a spot notice by SIGUSR2
+  bool memory_limit = true;  ///< limits a task's data segment to its mem_gb
 };
 
-/// Throws config::SettingsError, one line that names the element and the reason.
+/// Parses the file's text. Throws config::SettingsError with one line that names the element and
+/// the reason.
 Settings parse_settings(const std::string& xml);
 
 }  // namespace shunttrail::agent
--- a/src/agent/task_files.cpp
+++ b/src/agent/task_files.cpp
@@ -11,14 +11,15 @@
 namespace {
 
 constexpr std::string_view kCheckpointPrefix = "kept-";
-constexpr std::size_t kMaxCheckpointName = 20;  // its number fits 64 bits
+constexpr std::size_t kMaxCheckpointName =
+    20;  // longest name whose number is sure to fit into 64 bits
 
 void require_format(const json& fields, int known) {
   if (wire::whole(fields, "format") != static_cast<std::uint64_t>(known))
-    throw wire::Malformed("format is unknown");
+    throw wire::Malformed("format is not " + std::to_string(known));
 }
 
-// The number in a checkpoint's name; 0: it is no checkpoint.
+// Returns the number in a checkpoint's directory name, or 0 if the name is not a checkpoint's.
 std::uint64_t checkpoint_number(const std::string& name) {
   if (!name.starts_with(kCheckpointPrefix) || name.size() > kMaxCheckpointName) return 0;
   const std::string digits = name.substr(kCheckpointPrefix.size());
--- a/src/agent/task_files.h
+++ b/src/agent/task_files.h
@@ -1,17 +1,17 @@
-// The files of a task's directory, through which the agent and the task's supervisor speak with
-// each other: their names and their stored forms.
+// The files of a task's directory, through which the agent and the task's supervisor communicate:
+// their names and their stored forms.
 //
 //   lock           held by the supervisor as long as it lives
-//   order.json     what to run; removed by an agent that has given this attempt up, so that a
-//                  supervisor that comes late finds nothing to start
+//   order.json     the command to run; an agent that has given up this attempt removes the file,
+//                  so that a supervisor that starts late does not run the task
 //   shepherd.json  the supervisor's identity
-//   shepherd.log   what the supervisor writes to its standard error
-//   stop.json      how to stop; a SIGUSR1 asks the supervisor to read it
-//   end.json       how the task ended: there only when none of its processes is left
+//   shepherd.log   the supervisor's standard error
+//   stop.json      how to stop the task; SIGUSR1 makes the supervisor read it
+//   end.json       how the task ended; written only when none of its processes is left
 //   work/          the task's working directory
 //   stdout, stderr
-//   save/next      the checkpoint that the task is writing; moved to kept-N when the task says that
-//                  it is whole
+//   save/next      the checkpoint that the task is writing; moved to kept-N when the task reports
+//                  that it is complete
 //   save/last      the checkpoint of an earlier attempt
 #pragma once
 #include <cstdint>
@@ -45,35 +45,35 @@
   /// The checkpoint to restore while it is downloaded, and while it is unpacked.
   std::filesystem::path downloaded_checkpoint() const { return path / "save.tar"; }
   std::filesystem::path unpacked_checkpoint() const { return save() / "new"; }
-  /// A whole checkpoint of this attempt; they are numbered from 1.
+  /// The directory of a complete checkpoint of this attempt. Checkpoints are numbered from 1.
   std::filesystem::path checkpoint(std::uint64_t number) const;
   /// The archive in which a checkpoint is uploaded.
   std::filesystem::path packed_checkpoint() const { return path / "kept.tar"; }
-  /// The highest number of a whole checkpoint; 0: there is none.
+  /// Returns the highest number of a complete checkpoint, or 0 if there is none.
   std::uint64_t highest_checkpoint() const;
 };
 
-/// What a supervisor has to run (order.json).
+/// The task that a supervisor has to run (order.json).
 struct LaunchOrder {
   static constexpr int kFormat = 1;
   std::string task;  ///< JOB/INDEX
   std::uint64_t attempt = 0;
   std::uint64_t session = 0;  ///< the agent's incarnation, as in the lease file
   std::vector<std::string> command;
-  std::map<std::string, std::string> env;  ///< the task's own, whole
-  std::vector<int> retry_exits;            ///< exit statuses that ask for another attempt
-  double limit_s = 0;                      ///< a task that runs longer is killed; 0: no limit
-  std::uint64_t file_bytes = 0;    ///< the largest file that the task may write; 0: no limit
-  std::uint64_t memory_bytes = 0;  ///< of data; 0: no limit
+  std::map<std::string, std::string> env;  ///< the task's complete environment
+  std::vector<int> retry_exits;            ///< exit statuses that request another attempt
+  double limit_s = 0;                      ///< a task that runs longer is killed; 0 means no limit
+  std::uint64_t file_bytes = 0;    ///< the largest file that the task may write; 0 means no limit
+  std::uint64_t memory_bytes = 0;  ///< limit of the task's data segment; 0 means no limit
 };
 std::string encode(const LaunchOrder& order);
 /// Throws wire::Malformed.
 LaunchOrder decode_order(const std::string& text);
 
-/// How a task has to stop (stop.json).
+/// How to stop a task (stop.json).
 struct StopOrder {
-  bool save = false;   ///< it may save a checkpoint first
-  double grace_s = 0;  ///< time that it has for this
+  bool save = false;   ///< the task may save a checkpoint first
+  double grace_s = 0;  ///< time to save the checkpoint
 };
 std::string encode(const StopOrder& order);
 /// Throws wire::Malformed.
@@ -84,12 +84,12 @@
   static constexpr int kFormat = 1;
   wire::ExitReason exit_reason = wire::ExitReason::error;  ///< done, stopped or error
   int exit_status = 0;
-  std::string detail;                    ///< in words, where the exit status does not tell
-  std::uint64_t highest_checkpoint = 0;  ///< 0: none
+  std::string detail;                    ///< explanation, where the exit status is not enough
+  std::uint64_t highest_checkpoint = 0;  ///< 0 if none
   bool saved_after_stop = false;
   double ran_s = 0;
 };
-/// The word for an exit reason of a task that has run: "done", "stopped", and "error" for the rest.
+/// Returns the stored name of an exit reason: "done", "stopped", or "error" for all others.
 const char* exit_reason_name(wire::ExitReason reason);
 std::string encode(const TaskEnd& end);
 /// Throws wire::Malformed.
@@ -97,7 +97,8 @@
 
 /// The supervisor's identity (shepherd.json).
 std::string encode(const Identity& identity);
-/// An identity that no process has where the file is absent or damaged.
+/// Reads the supervisor's identity. Returns one that matches no process if the file is absent or
+/// damaged.
 Identity read_identity(const std::filesystem::path& file);
 
 }  // namespace shunttrail::agent
--- a/src/agent/task_launcher.cpp
+++ b/src/agent/task_launcher.cpp
@@ -22,11 +22,12 @@
 
 constexpr double kBytesPerMb = 1e6;
 constexpr double kBytesPerGib = 1024.0 * 1024 * 1024;
-constexpr const char* kCheckpointPipe = "3";  // the descriptor on which a task tells of checkpoints
-// What a task finds of the agent's own environment.
+constexpr const char* kCheckpointPipe =
+    "3";  // descriptor on which a task reports complete checkpoints
+// Variables of the agent's environment that a task inherits.
 constexpr const char* kInheritedVariables[] = {"PATH", "HOME", "LANG", "LC_ALL", "TZ", "TMPDIR"};
 
-// Pointers to these strings, with a null after the last, as exec takes them.
+// Returns a null-terminated array of pointers to the strings, in the form that exec expects.
 std::vector<char*> pointers(std::vector<std::string>& strings) {
   std::vector<char*> out;
   for (std::string& string : strings) out.push_back(string.data());
@@ -34,7 +35,7 @@
   return out;
 }
 
-// The supervisor and all that it starts are known by the task's directory.
+// The agent's environment, and the variable that identifies the supervisor and all its descendants.
 std::vector<std::string> supervisor_environment(const TaskDirectory& directory) {
   std::vector<std::string> out;
   for (char** entry = environ; *entry; ++entry) out.emplace_back(*entry);
@@ -42,7 +43,8 @@
   return out;
 }
 
-// A supervisor has to outlive the agent: a session of its own, none of the agent's files.
+// Starts the supervisor in a POSIX session of its own and without the agent's descriptors, so that
+// it outlives the agent.
 pid_t spawn_supervisor(const TaskDirectory& directory, const fs::path& lease_file) {
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
@@ -62,7 +64,9 @@
                                   pointers(arguments).data(), pointers(environment).data());
   posix_spawn_file_actions_destroy(&actions);
   posix_spawnattr_destroy(&attributes);
-  if (error != 0) throw std::system_error(error, std::generic_category(), "the shepherd");
+  if (error != 0)
+    throw std::system_error(error, std::generic_category(),
+                            "start of the task supervisor for " + directory.path.string());
   return pid;
 }
 
@@ -75,14 +79,16 @@
 void TaskLauncher::launch(const Key& key, LiveAttempt& attempt) {
   const TaskDirectory directory = context_.paths.task(key);
   if (disk_is_full())
-    return context_.fail(key, wire::ExitReason::no_room, "the disk is nearly full");
+    return context_.fail(key, wire::ExitReason::no_room,
+                         "less free disk space than disk-reserve-mb");
   fs::create_directories(directory.work());
   fs::create_directories(directory.save());
   artifacts::write_whole(directory.launch_order(),
                          encode(make_order(key, directory, attempt.description)));
   AttemptTable next = context_.state.attempts();
   next.launched(key);
-  // In the journal before the process exists: whoever comes back after a kill looks for it.
+  // The journal is written before the process exists: after a crash, the next agent process then
+  // looks for the supervisor.
   if (!context_.commit_or_retry(std::move(next), "launched", attempt)) return;
   pid_t pid = 0;
   try {
@@ -90,7 +96,7 @@
   } catch (const std::system_error& error) {
     return context_.fail(key, wire::ExitReason::error, error.what());
   }
-  // Its own child: not yet waited for, so the number is its.
+  // The supervisor is a child that has not been waited for, so its pid cannot have been reused.
   attempt.supervisor = open_process(identity_of(pid));
   log::info("task started", log_fields(key));
   if (attempt.supervisor) watcher_.attach(key, attempt);
--- a/src/agent/task_launcher.h
+++ b/src/agent/task_launcher.h
@@ -1,4 +1,4 @@
-// The launch of a task under a supervisor of its own.
+// Launches tasks, each under a supervisor process of its own.
 #pragma once
 #include "agent/attempt_context.h"
 
@@ -11,8 +11,8 @@
  public:
   TaskLauncher(const AttemptContext& context, const ImageCache& images, TaskWatcher& watcher);
 
-  /// Starts the supervisor of a prepared attempt; the attempt is launched in the journal first.
-  /// Throws std::exception, mostly for the disk.
+  /// Records in the journal that a prepared attempt is launched, then starts its supervisor. Throws
+  /// std::exception, usually for a disk error.
   void launch(const Key& key, LiveAttempt& attempt);
 
  private:
--- a/src/agent/task_preparation.cpp
+++ b/src/agent/task_preparation.cpp
@@ -58,21 +58,24 @@
                                        const std::string& text) {
   if (outcome == Outcome::later) return context_.retry_later(attempt);
   if (outcome != Outcome::ok)
-    return context_.fail(key, wire::ExitReason::unknown, "no such job in the depot");
+    return context_.fail(key, wire::ExitReason::unknown,
+                         "the artifact store has no description of the job");
   try {
     attempt.description = client_protocol::decode_description(text);
   } catch (const wire::Malformed& error) {
     return context_.fail(key, wire::ExitReason::error,
-                         std::string("bad description: ") + error.what());
+                         std::string("the job description is malformed: ") + error.what());
   }
   const wire::JobSpec& job = attempt.description.job;
   if (job.id != key.job || key.index >= job.tasks)
-    return context_.fail(key, wire::ExitReason::unknown, "the job has no such task");
+    return context_.fail(key, wire::ExitReason::unknown,
+                         "the job description is of another job, or has fewer tasks");
   AttemptTable next = context_.state.attempts();
   const bool fits = next.described(key, {job.cpus, job.gpus, job.mem_gb}, job.checkpoint_s > 0,
                                    job.save_s, context_.settings.room);
   if (!context_.commit_or_retry(std::move(next), "described", attempt)) return;
-  if (!fits) return log::info("no room", log_fields(key));
+  if (!fits)
+    return log::info("attempt refused: not enough free capacity on the machine", log_fields(key));
   next_step(key, attempt, Step::fetch_image);
 }
 
@@ -103,7 +106,7 @@
 
 void TaskPreparation::take_result(const Key& key, LiveAttempt& attempt, Outcome outcome) {
   if (outcome == Outcome::ok) {
-    log::info("task has its result already", log_fields(key));
+    log::info("task not run: an earlier attempt has stored its result", log_fields(key));
     AttemptTable next = context_.state.attempts();
     next.exited(key, wire::ExitReason::done);
     context_.commit_or_retry(std::move(next), "exited", attempt);
@@ -145,8 +148,9 @@
 void TaskPreparation::take_checkpoint(const Key& key, LiveAttempt& attempt, Outcome outcome) {
   if (outcome == Outcome::later) return context_.retry_later(attempt);
   if (outcome == Outcome::ok) return next_step(key, attempt, Step::unpack_checkpoint);
-  // Better from the beginning than from something else.
-  log::error("checkpoint is lost or damaged", log_fields(key));
+  // The task starts from the beginning rather than from an invalid checkpoint.
+  log::error("checkpoint to restore is missing or damaged; task starts from the beginning",
+             log_fields(key));
   next_step(key, attempt, Step::launch);
 }
 
@@ -160,7 +164,8 @@
       });
     }
   } catch (const artifacts::BadArchive& error) {
-    log::error("checkpoint is damaged", log_fields(key, error.what()));
+    log::error("checkpoint to restore cannot be unpacked; task starts from the beginning",
+               log_fields(key, error.what()));
     fs::remove_all(directory.unpacked_checkpoint());
   }
   attempt.unpacker.reset();
@@ -168,7 +173,8 @@
   next_step(key, attempt, Step::launch);
 }
 
-// True: the checkpoint is where the task looks for it.
+// Unpacks a part of the checkpoint. Returns true once it is complete and in the directory in which
+// the task looks for it.
 bool TaskPreparation::unpack_step(const TaskDirectory& directory, LiveAttempt& attempt) {
   if (!attempt.unpacker) {
     fs::remove_all(directory.unpacked_checkpoint());
--- a/src/agent/task_preparation.h
+++ b/src/agent/task_preparation.h
@@ -1,5 +1,5 @@
-// The life of an attempt before its task runs: its description, its image, a result or a checkpoint
-// of an earlier attempt.
+// The preparation of an attempt before its task runs: fetches the job description, the image, and
+// the result or checkpoint of an earlier attempt.
 #pragma once
 #include <string>
 
@@ -10,13 +10,13 @@
 
 class TaskLauncher;
 
-/// Takes an accepted attempt to the point where its task can be launched. Each step may be taken
-/// again, by this process or the next.
+/// Prepares an accepted attempt until its task can be launched. Each step may be repeated, by this
+/// process or the next.
 class TaskPreparation {
  public:
   TaskPreparation(const AttemptContext& context, ImageCache& images, TaskLauncher& launcher);
 
-  /// Takes the attempt's next step. Throws std::exception, mostly for the disk.
+  /// Runs the attempt's next step. Throws std::exception, usually for a disk error.
   void advance(const Key& key, LiveAttempt& attempt);
 
  private:
--- a/src/agent/task_runner.cpp
+++ b/src/agent/task_runner.cpp
@@ -47,15 +47,15 @@
   try {
     advance_phase(phase, key, attempt);
   } catch (const std::exception& error) {
-    // The disk, as a rule. What was begun is begun again, unless it never ran: then it may go
-    // elsewhere.
-    log::error("attempt is held up", log_fields(key, error.what()));
+    // Usually a disk error. The step is retried, unless the task has never run: then the attempt
+    // fails, and the task may run on another machine.
+    log::error("step of the attempt failed", log_fields(key, error.what()));
     if (is_accepted(key)) return context_.fail(key, wire::ExitReason::error, error.what());
-    if (LiveAttempt* held_up = live_.find(key)) context_.retry_later(*held_up);
+    if (LiveAttempt* failed = live_.find(key)) context_.retry_later(*failed);
   }
 }
 
-// Looked up anew: a step may have replaced the attempt table.
+// Looks the attempt up again, because a step may have replaced the attempt table.
 bool TaskRunner::is_accepted(const Key& key) const {
   const auto& attempts = context_.state.attempts().attempts;
   auto recorded = attempts.find(key);
--- a/src/agent/task_runner.h
+++ b/src/agent/task_runner.h
@@ -1,4 +1,4 @@
-// The life of each attempt, from its start command to what is reported about its end.
+// Drives each attempt from its start command to the report of its end.
 #pragma once
 #include <vector>
 
@@ -11,26 +11,26 @@
 
 namespace shunttrail::agent {
 
-/// Takes the steps of all attempts in the attempt table. Each step may be begun again from the
-/// journal, by this process or the next.
+/// Runs the steps of all attempts in the attempt table. Each step may be repeated from the journal,
+/// by this process or the next.
 class TaskRunner {
  public:
-  /// `images_changed` is called when an image is there or has failed.
+  /// Calls `images_changed` when an image becomes ready or has failed.
   TaskRunner(actor::Loop& loop, actor::Actor& mailbox, const Settings& settings,
              const AgentPaths& paths, AgentState& state, std::function<void()> images_changed);
   TaskRunner(const TaskRunner&) = delete;
   TaskRunner& operator=(const TaskRunner&) = delete;
 
-  /// Takes up the attempts that the agent's state has recovered.
+  /// Adds the attempts that the agent's state has recovered.
   void recover();
-  /// Every attempt's next step, where it is time for it.
+  /// Runs the next step of every attempt that is due.
   void tick();
-  /// Does what a command to the attempt table has asked for.
+  /// Carries out the effects of commands on the attempt table.
   void apply(const std::vector<Effect>& effects);
   void apply(const Effect& effect);
-  /// Attempts that wait for their image may ask for it at once.
+  /// Lets attempts that wait for their image request it again at once.
   void retry_images() { live_.retry_images(); }
-  /// The incarnation is over and every process is gone.
+  /// Drops all attempts after the incarnation and every process has ended.
   void forget_all() { live_.clear(); }
 
  private:
--- a/src/agent/task_storage.cpp
+++ b/src/agent/task_storage.cpp
@@ -15,7 +15,7 @@
 
 void CheckpointUploader::upload(const Key& key, LiveAttempt& attempt) {
   const TaskDirectory directory = context_.paths.task(key);
-  // One that is being packed is finished before a later one is taken.
+  // A checkpoint that is being packed is finished before a later one is begun.
   const std::uint64_t number =
       attempt.packer ? attempt.packing_checkpoint : directory.highest_checkpoint();
   if (number <= attempt.uploaded_checkpoint) return;
@@ -31,8 +31,8 @@
       });
     }
   } catch (const std::exception& error) {
-    // The disk. The checkpoint is tried again; the task's end does not wait for it.
-    log::error("checkpoint cannot be packed", log_fields(key, error.what()));
+    // A disk error. Packing is retried; the end of the task does not wait for it.
+    log::error("checkpoint cannot be packed for upload", log_fields(key, error.what()));
     attempt.packer.reset();
     return context_.retry_later(attempt);
   }
@@ -71,7 +71,8 @@
 
 void CheckpointUploader::published(const Key& key, LiveAttempt& attempt, std::uint64_t number) {
   const TaskDirectory directory = context_.paths.task(key);
-  // The latest is kept: an end that nobody has written down is told by it.
+  // The latest one stays on disk: if the supervisor does not record the end of the task, it shows
+  // how far the task had got.
   for (std::uint64_t older = std::max<std::uint64_t>(attempt.uploaded_checkpoint, 1);
        older < number; ++older) {
     std::error_code ignored;
@@ -80,7 +81,7 @@
   attempt.uploaded_checkpoint = number;
   nlohmann::json fields = log_fields(key);
   fields["n"] = number;
-  log::info("checkpoint is in the depot", fields);
+  log::info("checkpoint uploaded to the artifact store", fields);
   context_.advance(key);
 }
 
@@ -95,13 +96,14 @@
     store_checkpoint(key, attempt);
 }
 
-// The end that an earlier process of the agent has found.
+// Returns the end of the attempt, as determined by an earlier process of the agent.
 TaskEnd TaskStorage::find_end(const Key& key) const {
   const TaskDirectory directory = context_.paths.task(key);
   try {
     return decode_end(artifacts::read_whole(directory.end()));
   } catch (const wire::Malformed&) {
-    // Its supervisor was lost, and the agent after that: the journal has what it was found to be.
+    // The supervisor has not recorded the end, and the agent has restarted since: the journal holds
+    // the exit reason that was determined then.
     const wire::ExitReason recorded = context_.state.attempts().attempts.at(key).exit_reason;
     const bool has_no_result = recorded == wire::ExitReason::done;
     return {has_no_result ? wire::ExitReason::error : recorded, 0, kSupervisorLost,
@@ -159,7 +161,7 @@
             LiveAttempt* found = find();
             if (!found) return;
             if (outcome == Outcome::later) return context_.retry_later(*found);
-            // Refused: an earlier attempt's result got there after all, and is the one.
+            // `refused`: the result of an earlier attempt was stored first, and that one is valid.
             AttemptTable next = context_.state.attempts();
             next.exited(key, wire::ExitReason::done);
             context_.commit_or_retry(std::move(next), "exited", *found);
--- a/src/agent/task_storage.h
+++ b/src/agent/task_storage.h
@@ -1,19 +1,21 @@
-// What tasks leave is put into the artifact store: checkpoints while they run and when they have
-// stopped, output and result when they are done.
+// Uploads of tasks to the artifact store: checkpoints while a task runs and after it has stopped,
+// output and result when it is done.
 #pragma once
 #include "agent/attempt_context.h"
 
 namespace shunttrail::agent {
 
-/// The detail of a task's end that nobody has written down.
-inline constexpr const char* kSupervisorLost = "its shepherd was lost";
+/// The detail of a task's end if the supervisor has not recorded it.
+inline constexpr const char* kSupervisorLost =
+    "task supervisor ended without recording how the task ended";
 
-/// Uploads checkpoints: packed, then stored by their hash, then named as the task's latest.
+/// Uploads checkpoints: packs each one, stores it under its hash, and then publishes it as the
+/// task's latest.
 class CheckpointUploader {
  public:
   explicit CheckpointUploader(const AttemptContext& context);
 
-  /// Takes the next step towards the attempt's latest checkpoint being in the artifact store.
+  /// Runs the next step of the upload of the attempt's latest checkpoint.
   void upload(const Key& key, LiveAttempt& attempt);
 
  private:
@@ -24,12 +26,12 @@
   const AttemptContext& context_;
 };
 
-/// Stores what an ended attempt leaves, before its end is reported as such.
+/// Stores the checkpoint or the result of an ended attempt before the end is reported.
 class TaskStorage {
  public:
   TaskStorage(const AttemptContext& context, CheckpointUploader& checkpoints);
 
-  /// Takes the next step of an ended attempt. Throws std::exception, mostly for the disk.
+  /// Runs the next step of an ended attempt. Throws std::exception, usually for a disk error.
   void advance(const Key& key, LiveAttempt& attempt);
 
  private:
--- a/src/agent/task_supervisor.cpp
+++ b/src/agent/task_supervisor.cpp
@@ -24,13 +24,13 @@
 namespace fs = std::filesystem;
 namespace {
 
-constexpr int kCheckpointFd = 3;  // the task's, for one line for each checkpoint
+constexpr int kCheckpointFd = 3;  // the task writes one line here for each complete checkpoint
 constexpr int kFirstFreeFd = 10;  // above all descriptors that the task is given
-// A terminal's or an operator's signals to the group; a file that grows too long is an error of
-// write.
+// Signals that a terminal or an operator sends to the process group. With SIGXFSZ ignored, a write
+// beyond the file size limit returns an error.
 constexpr int kIgnoredSignals[] = {SIGINT, SIGHUP, SIGTERM, SIGPIPE, SIGXFSZ};
-constexpr int kExitTimeLimit = 124;  // as timeout(1) has it
-constexpr int kExitNotFound = 127;   // as a shell has them
+constexpr int kExitTimeLimit = 124;  // as in timeout(1)
+constexpr int kExitNotFound = 127;   // this and the next two as in a shell
 constexpr int kExitNotExecutable = 126;
 constexpr int kExitSignalBase = 128;
 constexpr useconds_t kEndRetryUs = 200000;
@@ -52,7 +52,8 @@
   return out;
 }
 
-/// All that the task's process needs; made before the fork, after which nothing is allocated.
+/// Everything that the task's process needs. Prepared before the fork, because the child must not
+/// allocate memory.
 struct TaskProcess {
   std::vector<std::string> command;
   std::vector<std::string> environment;
@@ -60,8 +61,8 @@
   std::vector<char*> argv;
   std::vector<char*> envp;
   Fd input, output, error;
-  Fd checkpoints;  // the end of the pipe that the task writes
-  Fd exec_error;   // gets errno if exec fails, and closes if it succeeds
+  Fd checkpoints;  // the write end of the checkpoint pipe
+  Fd exec_error;   // receives errno if exec fails; closed by a successful exec
   std::uint64_t file_bytes = 0;
   std::uint64_t memory_bytes = 0;
   pid_t supervisor = 0;
@@ -72,8 +73,8 @@
   ::setrlimit(resource, &limit);
 }
 
-// Puts the task's descriptors where it expects them. The numbers may be some of these: they are
-// moved above first.
+// Moves the task's descriptors to the numbers that the task expects. Since the source descriptors
+// may already have these numbers, they are first duplicated to higher ones.
 bool place_descriptors(const TaskProcess& task) {
   auto above = [](const Fd& fd) { return ::fcntl(fd.get(), F_DUPFD_CLOEXEC, kFirstFreeFd); };
   const int checkpoints = above(task.checkpoints);
@@ -84,10 +85,10 @@
          ::dup2(error, STDERR_FILENO) >= 0 && ::dup2(checkpoints, kCheckpointFd) >= 0;
 }
 
-// In the child: becomes the task.
+// Executes the task; called in the child.
 [[noreturn]] void exec_task(TaskProcess& task) {
   ::setsid();
-  // If the supervisor is killed, nobody watches the lease: the task goes with it.
+  // If the supervisor is killed, nothing watches the lease, so the task has to be killed too.
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (::getppid() != task.supervisor) ::_exit(kExitNotFound);
   set_limit(RLIMIT_CORE, 0);
@@ -105,7 +106,7 @@
   ::_exit(kExitNotFound);
 }
 
-// The errno of an exec that has failed; nothing: it has succeeded.
+// Returns the errno of a failed exec, or nothing if exec has succeeded.
 std::optional<int> read_exec_error(const Fd& pipe) {
   int error = 0;
   ssize_t count;
@@ -165,8 +166,9 @@
     end_ = TaskEnd{reason, exit_status, detail};
   }
 
-  // Until the end is on the disk the task counts as running; after it, as ended. A full disk may
-  // have room again before the lease is over: what was done is not given up before.
+  // Records the end of the task. The task counts as running until the record is on the disk. While
+  // the disk is full, the write is retried until the lease expires, so that finished work is not
+  // lost early.
   int finish(const TaskEnd& end) const {
     while (true) {
       try {
@@ -179,8 +181,9 @@
     }
   }
 
-  // Starts the task. What it returns is why that failed through the machine's fault; empty: it has
-  // started, or ended at once by its own.
+  // Starts the task. Returns the cause if the machine prevented the start. Returns an empty string
+  // if the task has started, or cannot be executed on any machine; in the latter case the end is
+  // set.
   std::string start() {
     int checkpoint_pipe[2], exec_pipe[2];
     if (::pipe2(checkpoint_pipe, O_CLOEXEC | O_NONBLOCK) != 0 || ::pipe2(exec_pipe, O_CLOEXEC) != 0)
@@ -226,12 +229,12 @@
     task_ = 0;
     std::string why = describe(order_.command[0].c_str(), error);
     if (error != ENOENT && error != EACCES && error != ENOEXEC) return why;
-    // The same on every machine, as a shell says it; not the machine's fault.
+    // The command would fail on every machine. It ends with the exit status that a shell uses.
     end(wire::ExitReason::done, error == ENOENT ? kExitNotFound : kExitNotExecutable, why);
     return "";
   }
 
-  // The next moment at which something has to be done without a signal.
+  // Sets the timer to the next deadline: the end of the lease, the grace period or the time limit.
   void set_timer() {
     double at = lease_file_.until();
     if (grace_until_) at = std::min(at, *grace_until_);
@@ -253,7 +256,7 @@
     return true;
   }
 
-  // Whether the agent has asked to read the stop order.
+  // Reads all pending signals. Returns whether the agent has requested that the stop order be read.
   bool drain_signals() {
     signalfd_siginfo info;
     bool asked_to_stop = false;
@@ -297,7 +300,7 @@
     }
   }
 
-  // One line on its descriptor says that save/next is whole.
+  // Each line that the task writes to its checkpoint descriptor reports that save/next is complete.
   void drain_checkpoints() {
     char buffer[256];
     ssize_t count;
@@ -324,7 +327,7 @@
     int status = 0;
     pid_t pid;
     while ((pid = ::waitpid(-1, &status, WNOHANG)) > 0) {
-      if (pid != task_) continue;  // something that it had left behind
+      if (pid != task_) continue;  // an orphan of the task
       task_ = 0;
       drain_checkpoints();
       if (end_) return;
@@ -337,14 +340,16 @@
       ended_by_signal(WTERMSIG(status));
     else
       ended_by_exit(WEXITSTATUS(status));
-    // Told to stop, it went with an error instead of saving: not its own answer.
+    // The task was asked to save and stop, and ended with an error. That does not count as its
+    // result, so the attempt is reported as stopped.
     const int exit_status = end_->exit_status;
     if (grace_until_ && end_->exit_reason == wire::ExitReason::done && exit_status != 0)
       end(wire::ExitReason::stopped, exit_status, "it ended instead of saving");
   }
 
   void ended_by_signal(int signal) {
-    // A SIGKILL that nobody here sent is the machine's doing, above all for lack of memory.
+    // A SIGKILL that the supervisor did not send comes from the machine, usually because memory ran
+    // out.
     const bool is_machines_fault = signal == SIGKILL;
     end(is_machines_fault ? wire::ExitReason::error : wire::ExitReason::done,
         kExitSignalBase + signal, std::string("ended by signal ") + strsignal(signal));
@@ -358,7 +363,8 @@
       end(wire::ExitReason::done, exit_status, "");
   }
 
-  // The task's process group, and whatever became the supervisor's child by losing its parent.
+  // Kills the task's process group and its orphans, which have become the supervisor's children,
+  // and waits until all have ended.
   void kill_all() {
     while (true) {
       if (task_ > 0) ::kill(-task_, SIGKILL);
@@ -376,11 +382,11 @@
   LaunchOrder order_;
   Fd signals_;
   Fd timer_;
-  Fd checkpoints_;  // the pipe on which the task tells of checkpoints
+  Fd checkpoints_;  // read end of the checkpoint pipe
   bool checkpoints_open_ = true;
-  pid_t task_ = 0;  // 0: has ended, or never ran
+  pid_t task_ = 0;  // 0 before the start and after the end
   double started_at_ = 0;
-  std::optional<double> grace_until_;  // told to stop, the task may save until then
+  std::optional<double> grace_until_;  // after a stop request: the end of the time to save
   std::uint64_t highest_checkpoint_ = 0;
   bool saved_after_stop_ = false;
   std::optional<TaskEnd> end_;
@@ -391,14 +397,14 @@
 int run_task_supervisor(const fs::path& dir, const fs::path& lease_file) {
   const TaskDirectory directory{dir};
   auto lock = try_lock(directory.lock());
-  // Another one has this attempt, or the agent is giving it up.
+  // Another supervisor runs this attempt, or the agent is giving the attempt up.
   if (!lock) return kStatusBusy;
   if (!fs::exists(directory.launch_order()) || fs::exists(directory.end()))
     return kStatusNothingToStart;
   try {
     return TaskSupervisor(dir, lease_file).run();
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "%s\n", error.what());
+    std::fprintf(stderr, "task supervisor for %s failed: %s\n", dir.c_str(), error.what());
     return kStatusError;
   }
 }
--- a/src/agent/task_watcher.cpp
+++ b/src/agent/task_watcher.cpp
@@ -30,26 +30,26 @@
 }
 
 void TaskWatcher::watch_supervisor(const Key& key, LiveAttempt& attempt) {
-  // A supervisor that is held up (stopped, above all) does not keep a task that has to go.
+  // A supervisor that hangs, for example after SIGSTOP, must not keep its task alive.
   if (attempt.supervisor_deadline && boot_now() > *attempt.supervisor_deadline)
     signal_process(attempt.supervisor, SIGKILL);
   if (context_.state.attempts().attempts.at(key).saves) checkpoints_.upload(key, attempt);
 }
 
-// A task that may have a process is told apart from one that has none any more.
+// Determines whether a launched task still has a supervisor, and attaches to it if so.
 void TaskWatcher::find_supervisor(const Key& key, LiveAttempt& attempt) {
   const TaskDirectory directory = context_.paths.task(key);
   if (fs::exists(directory.end())) return supervisor_ended(key);
-  // The lock tells whether its supervisor lives, whatever has become of process numbers.
+  // The lock shows whether the supervisor is alive, even if its pid has been reused.
   fs::create_directories(directory.path);
   if (auto lock = try_lock(directory.lock())) {
-    // There is none, and none that comes late will start the task: its order is removed under the
-    // lock.
+    // No supervisor is alive. Since the launch order is removed under the lock, one that starts
+    // late will not run the task.
     fs::remove(directory.launch_order());
     return supervisor_ended(key);
   }
   attempt.supervisor = open_process(read_identity(directory.supervisor_identity()));
-  // It has not written down who it is yet, or is just ending.
+  // The supervisor has not recorded its identity yet, or is just ending.
   if (!attempt.supervisor) return context_.retry_later(attempt, kFindRetryDelayS);
   attach(key, attempt);
   find_image(directory, attempt);
@@ -62,11 +62,12 @@
     if (auto image = order.env.find(kImageDirVariable); image != order.env.end())
       attempt.description.image = fs::path(image->second).filename();
   } catch (const wire::Malformed&) {
-    // Its order is gone or torn: it runs without this agent knowing which image it uses.
+    // The launch order is missing or damaged. The task runs on, but its image is unknown.
   }
 }
 
-// A stop that the last process was killed in the middle of is given again.
+// Repeats a recorded stop request, because the previous agent process may have been killed before
+// it reached the supervisor.
 void TaskWatcher::repeat_stop(const Key& key, LiveAttempt& attempt) {
   const Attempt& recorded = context_.state.attempts().attempts.at(key);
   if (!recorded.stopping) return;
@@ -104,23 +105,24 @@
   try {
     artifacts::write_whole(context_.paths.task(key).stop_order(), encode(order));
   } catch (const std::exception& error) {
-    // A full disk does not keep a task alive: without its file it is killed.
-    log::error("stop cannot be written down", log_fields(key, error.what()));
+    // A full disk must not keep a task alive: if the stop order cannot be written, the supervisor
+    // is killed, and the task with it.
+    log::error("stop order cannot be written; killing the task", log_fields(key, error.what()));
     signal_process(attempt.supervisor, SIGKILL);
     return;
   }
   signal_process(attempt.supervisor, SIGUSR1);
 }
 
-// How the task ended. False: something of it is still there.
+// Determines how the task ended. Returns false if some of its processes are still alive.
 bool TaskWatcher::read_end(const Key& key, TaskEnd& end) const {
   const TaskDirectory directory = context_.paths.task(key);
   try {
     end = decode_end(artifacts::read_whole(directory.end()));
     return true;
   } catch (const wire::Malformed&) {
-    // The supervisor was killed: the task went with it, but what it had started elsewhere may not
-    // have.
+    // The supervisor was killed, and the task's main process with it. Other processes of the task
+    // may still be alive.
     if (!sweep(directory.path)) return false;
     const bool was_stopping = context_.state.attempts().attempts.at(key).stopping;
     end = {was_stopping ? wire::ExitReason::stopped : wire::ExitReason::error, 0, kSupervisorLost};
@@ -129,7 +131,7 @@
   }
 }
 
-// Its supervisor is gone, and with it every process of the task.
+// Handles the end of the supervisor.
 void TaskWatcher::supervisor_ended(const Key& key) {
   const auto& attempts = context_.state.attempts().attempts;
   auto recorded = attempts.find(key);
--- a/src/agent/task_watcher.h
+++ b/src/agent/task_watcher.h
@@ -1,4 +1,4 @@
-// A launched task: whether it still runs, how it is stopped, and how it ended.
+// Watches launched tasks: detects their end, stops them, and determines how they ended.
 #pragma once
 #include "agent/attempt_context.h"
 
@@ -9,17 +9,17 @@
 /// The variable in which a task finds the directory of its image.
 inline constexpr const char* kImageDirVariable = "SHUNT_IMAGE_DIR";
 
-/// Watches supervisors by handles on their processes, never by process numbers alone.
+/// Watches supervisors by pidfds, because pids may be reused.
 class TaskWatcher {
  public:
   TaskWatcher(const AttemptContext& context, CheckpointUploader& checkpoints);
 
-  /// Looks after a launched attempt; finds its supervisor if an earlier process of the agent has
-  /// started it. Throws std::exception, mostly for the disk.
+  /// Runs the next step of a launched attempt. Finds its supervisor if an earlier process of the
+  /// agent has started it. Throws std::exception, usually for a disk error.
   void advance(const Key& key, LiveAttempt& attempt);
-  /// Waits for the end of the supervisor whose handle the attempt has.
+  /// Registers for the end of the supervisor whose pidfd the attempt holds.
   void attach(const Key& key, LiveAttempt& attempt);
-  /// Tells the task's supervisor to stop it.
+  /// Requests that the task's supervisor stop the task.
   void stop(const Key& key, const StopOrder& order);
 
  private:
