--- a/src/agent/task_storage.cpp
+++ b/src/agent/task_storage.cpp
@@ -71,8 +71,8 @@
 
 void CheckpointUploader::published(const Key& key, LiveAttempt& attempt, std::uint64_t number) {
   const TaskDirectory directory = context_.paths.task(key);
-  // The latest one stays on disk: if the supervisor does not record the end of the task, it shows
-  // how far the task had got.
+  // The latest checkpoint stays on disk: if the supervisor does not record the end of the task, the
+  // number of the last checkpoint is read from the directory.
   for (std::uint64_t older = std::max<std::uint64_t>(attempt.uploaded_checkpoint, 1);
        older < number; ++older) {
     std::error_code ignored;
--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -313,7 +313,7 @@
   ASSERT_TRUE(rig.until_done(first)) << artifacts::read_whole(rig.dir / "agent.log");
   ASSERT_TRUE(rig.until_done(second));
   EXPECT_EQ(rig.logged("begin"), 2);
-  EXPECT_NE(artifacts::read_whole(rig.dir / "agent.log").find("record can be written again"),
+  EXPECT_NE(artifacts::read_whole(rig.dir / "agent.log").find("agent journal can be written again"),
             std::string::npos);
 }
 
