--- a/src/agent/agent_paths.cpp
+++ b/src/agent/agent_paths.cpp
@@ -16,7 +16,7 @@
   if (!std::filesystem::exists(paths.tasks())) return true;
   // A supervisor that has not started its task yet reads the lease first, and does not start it.
   LeaseFile(paths.lease(), LeaseFile::Open::write).set(0, 0);
-  return sweep(paths.tasks());
+  return kill_task_processes(paths.tasks());
 }
 
 }  // namespace shunttrail::agent
--- a/src/agent/processes.cpp
+++ b/src/agent/processes.cpp
@@ -142,7 +142,7 @@
   return handle && ::syscall(SYS_pidfd_send_signal, handle.get(), signal, nullptr, 0) == 0;
 }
 
-bool sweep(const fs::path& below, int max_scans) {
+bool kill_task_processes(const fs::path& below, int max_scans) {
   const std::string entry = std::string(kTaskDirVariable) + "=" + below.string();
   for (int scan = 0; scan < max_scans; ++scan) {
     if (!kill_all_with(entry)) return true;
--- a/src/agent/processes.h
+++ b/src/agent/processes.h
@@ -59,7 +59,7 @@
 /// Kills each process whose environment names the task directory `below`, or a directory below it.
 /// Scans repeatedly until no such process is left. Returns false if some are left after
 /// `max_scans`.
-bool sweep(const std::filesystem::path& below, int max_scans = 200);
+bool kill_task_processes(const std::filesystem::path& below, int max_scans = 200);
 
 /// Takes an exclusive lock on a file, which is held until the object is destroyed or the process
 /// ends. Returns nothing if another process holds the lock. Throws std::system_error.
--- a/src/agent/task_watcher.cpp
+++ b/src/agent/task_watcher.cpp
@@ -123,7 +123,7 @@
   } catch (const wire::Malformed&) {
     // The supervisor was killed, and the task's main process with it. Other processes of the task
     // may still be alive.
-    if (!sweep(directory.path)) return false;
+    if (!kill_task_processes(directory.path)) return false;
     const bool was_stopping = context_.state.attempts().attempts.at(key).stopping;
     end = {was_stopping ? wire::ExitReason::stopped : wire::ExitReason::error, 0, kSupervisorLost};
     end.highest_checkpoint = directory.highest_checkpoint();
