--- a/app/shunttrail-agent.cpp
+++ b/app/shunttrail-agent.cpp
@@ -113,7 +113,7 @@
         std::fprintf(stderr, "%s: an agent still runs there\n", dir.c_str());
         return 1;
       }
-      return agent::end_all(agent::AgentPaths{std::filesystem::absolute(dir)}) ? 0 : 1;
+      return agent::kill_all_tasks(agent::AgentPaths{std::filesystem::absolute(dir)}) ? 0 : 1;
     } catch (const std::exception& e) {
       std::fprintf(stderr, "%s\n", e.what());
       return 1;
--- a/src/agent/agent_paths.cpp
+++ b/src/agent/agent_paths.cpp
@@ -12,7 +12,7 @@
           (key.job + "." + std::to_string(key.index) + "." + std::to_string(key.attempt))};
 }
 
-bool end_all(const AgentPaths& paths) {
+bool kill_all_tasks(const AgentPaths& paths) {
   if (!std::filesystem::exists(paths.tasks())) return true;
   // A supervisor that has not started its task yet reads the lease first, and does not start it.
   LeaseFile(paths.lease(), LeaseFile::Open::write).set(0, 0);
--- a/src/agent/agent_paths.h
+++ b/src/agent/agent_paths.h
@@ -27,6 +27,6 @@
 /// Kills every task of the agent in this directory, with its supervisor, and ends the agent's
 /// incarnation, as the loss of the machine would. No agent process may act on the directory
 /// meanwhile. Returns false if some process could not be killed.
-bool end_all(const AgentPaths& paths);
+bool kill_all_tasks(const AgentPaths& paths);
 
 }  // namespace shunttrail::agent
--- a/src/agent/agent_state.cpp
+++ b/src/agent/agent_state.cpp
@@ -49,7 +49,7 @@
 }
 
 void AgentState::begin_first_incarnation(const std::string& boot) {
-  end_all(paths_);  // tasks may be left if somebody has removed the journal
+  kill_all_tasks(paths_);  // tasks may be left if somebody has removed the journal
   // The lease file is written first: without it, the journaled incarnation counts as ended.
   lease_file_.set(attempts_.incarnation, lease_.until());
   journal_.begin(settings_.machine, boot, attempts_);
@@ -66,7 +66,7 @@
   }
   log::info("previous incarnation ended: ending its tasks",
             {{"session", attempts_.incarnation}, {"why", same_boot ? "lease" : "reboot"}});
-  if (!end_all(paths_))
+  if (!kill_all_tasks(paths_))
     throw std::system_error(
         EBUSY, std::generic_category(),
         "tasks of incarnation " + std::to_string(attempts_.incarnation) + " cannot be killed");
@@ -102,7 +102,7 @@
   if (!lease_.over(boot_now())) return true;
   log::info("lease expired: ending all tasks",
             {{"session", attempts_.incarnation}, {"attempts", attempts_.attempts.size()}});
-  if (!end_all(paths_)) {
+  if (!kill_all_tasks(paths_)) {
     log::error("lease expired, but some task processes cannot be killed",
                {{"session", attempts_.incarnation}});
     return false;
--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -204,7 +204,7 @@
     return n && n->part == 2;
   })) << artifacts::read_whole(rig.dir / "agent.log");
   rig.kill_agent();
-  ASSERT_TRUE(agent::end_all({rig.dir / "m"}));  // as when its power fails
+  ASSERT_TRUE(agent::kill_all_tasks({rig.dir / "m"}));  // as when its power fails
   fs::remove_all(rig.dir / "m");
   rig.tasks[id].attempt = 2;
   rig.tasks[id].sent = false;
@@ -406,7 +406,7 @@
   EXPECT_EQ(rig.tasks[id].attempt, 1u);
   EXPECT_EQ(rig.logged("begin"), 1);
   rig.kill_agent(SIGTERM);
-  EXPECT_TRUE(agent::end_all({rig.dir / "m"}));
+  EXPECT_TRUE(agent::kill_all_tasks({rig.dir / "m"}));
   EXPECT_TRUE(rig.nothing_left_of(id));
   rig.start();
   ASSERT_TRUE(rig.until([&] { return rig.last.incarnation == 2; }));
--- a/tests/agent_rig.h
+++ b/tests/agent_rig.h
@@ -62,7 +62,7 @@
   }
   ~Rig() {
     kill_agent();
-    agent::end_all({dir / "m"});
+    agent::kill_all_tasks({dir / "m"});
     controller_.reset();
     depot_.reset();
     fs::remove_all(dir);
