--- a/src/agent/agent_state.cpp
+++ b/src/agent/agent_state.cpp
@@ -99,7 +99,7 @@
 }
 
 bool AgentState::check_lease() {
-  if (!lease_.over(boot_now())) return true;
+  if (!lease_.has_expired(boot_now())) return true;
   log::info("lease expired: ending all tasks",
             {{"session", attempts_.incarnation}, {"attempts", attempts_.attempts.size()}});
   if (!kill_all_tasks(paths_)) {
@@ -111,7 +111,7 @@
 }
 
 void AgentState::renew_lease(double sent_at) {
-  lease_.answered(sent_at);
+  lease_.extend(sent_at);
   lease_file_.set(attempts_.incarnation, lease_.until());
 }
 
--- a/src/agent/lease.h
+++ b/src/agent/lease.h
@@ -18,8 +18,8 @@
 
   /// Extends the lease after an answer. The extension counts from when the request was sent
   /// (PROTOCOL, "Workers -> controller nodes").
-  void answered(double sent_at) { until_ = std::max(until_, sent_at + lease_s_); }
-  [[nodiscard]] bool over(double now) const { return now > until_; }
+  void extend(double sent_at) { until_ = std::max(until_, sent_at + lease_s_); }
+  [[nodiscard]] bool has_expired(double now) const { return now > until_; }
   [[nodiscard]] double until() const { return until_; }
 
  private:
--- a/src/agent/task_supervisor.cpp
+++ b/src/agent/task_supervisor.cpp
@@ -129,7 +129,7 @@
     artifacts::write_whole(directory_.supervisor_identity(), encode(identity_of(::getpid())));
     highest_checkpoint_ = directory_.highest_checkpoint();
     started_at_ = boot_now();
-    if (lease_is_over()) return finish(failed_start("the lease had run out"));
+    if (lease_has_expired()) return finish(failed_start("the lease had run out"));
     const std::string why = start();
     if (!why.empty()) return finish(failed_start(why));
     read_stop_order();
@@ -154,7 +154,7 @@
     timer_ = Fd(::timerfd_create(CLOCK_BOOTTIME, TFD_CLOEXEC | TFD_NONBLOCK));
   }
 
-  bool lease_is_over() const {
+  bool lease_has_expired() const {
     return lease_file_.session() != order_.session || boot_now() > lease_file_.until();
   }
 
@@ -175,7 +175,7 @@
         artifacts::write_whole(directory_.end(), encode(end));
         return 0;
       } catch (const std::system_error&) {
-        if (lease_is_over()) throw;
+        if (lease_has_expired()) throw;
         ::usleep(kEndRetryUs);
       }
     }
@@ -267,7 +267,7 @@
 
   void wait_and_handle() {
     if (!wait_for_events()) return;
-    if (lease_is_over()) return end(wire::ExitReason::error, 0, "the lease ran out");
+    if (lease_has_expired()) return end(wire::ExitReason::error, 0, "the lease ran out");
     drain_checkpoints();
     if (drain_signals()) read_stop_order();
     if (end_) return;
--- a/tests/agent_attempt_table_test.cpp
+++ b/tests/agent_attempt_table_test.cpp
@@ -231,12 +231,12 @@
 
 TEST(AgentLease, CountsFromWhenAHeartbeatWasSent) {
   agent::Lease l(20, 100);
-  EXPECT_FALSE(l.over(120));
-  EXPECT_TRUE(l.over(120.01));
-  l.answered(110);
-  l.answered(105);  // an answer that was overtaken takes nothing away
-  EXPECT_FALSE(l.over(130));
-  EXPECT_TRUE(l.over(130.01));
+  EXPECT_FALSE(l.has_expired(120));
+  EXPECT_TRUE(l.has_expired(120.01));
+  l.extend(110);
+  l.extend(105);  // an answer that was overtaken takes nothing away
+  EXPECT_FALSE(l.has_expired(130));
+  EXPECT_TRUE(l.has_expired(130.01));
   TempDir dir;
   agent::LeaseFile writer(dir.path / "lease", agent::LeaseFile::Open::write);
   agent::LeaseFile reader(dir.path / "lease", agent::LeaseFile::Open::read);
