--- a/src/agent/agent_state.cpp
+++ b/src/agent/agent_state.cpp
@@ -57,7 +57,7 @@
 
 void AgentState::resume(const std::string& boot) {
   const bool same_boot = journal_.boot() == boot;
-  if (same_boot && lease_file_.session() == attempts_.incarnation &&
+  if (same_boot && lease_file_.incarnation() == attempts_.incarnation &&
       boot_now() <= lease_file_.until()) {
     lease_ = Lease::resumed(settings_.lease_s, lease_file_.until());
     log::info("incarnation resumed: its lease is still valid",
--- a/src/agent/lease_file.cpp
+++ b/src/agent/lease_file.cpp
@@ -24,10 +24,10 @@
 }  // namespace
 
 // Version 1. Each word is written by itself. A renewal changes only the time, because a supervisor
-// that reads session 0 kills its task. While the incarnation changes, the session is 0.
+// that reads incarnation 0 kills its task. While the incarnation changes, the incarnation is 0.
 struct LeaseFile::Layout {
   std::atomic<std::uint64_t> version;
-  std::atomic<std::uint64_t> session;
+  std::atomic<std::uint64_t> incarnation;
   std::atomic<std::int64_t> until_ns;
 };
 static_assert(std::atomic<std::uint64_t>::is_always_lock_free);
@@ -51,14 +51,14 @@
 
 LeaseFile::~LeaseFile() { ::munmap(page_, kPageBytes); }
 
-void LeaseFile::set(std::uint64_t session, double until) {
-  const bool is_renewal = session != 0 && page_->session == session;
-  if (!is_renewal) page_->session = 0;
+void LeaseFile::set(std::uint64_t incarnation, double until) {
+  const bool is_renewal = incarnation != 0 && page_->incarnation == incarnation;
+  if (!is_renewal) page_->incarnation = 0;
   page_->until_ns = static_cast<std::int64_t>(std::floor(until * kNanosecondsPerSecond));
-  if (!is_renewal) page_->session = session;
+  if (!is_renewal) page_->incarnation = incarnation;
 }
 
-std::uint64_t LeaseFile::session() const { return page_->session; }
+std::uint64_t LeaseFile::incarnation() const { return page_->incarnation; }
 double LeaseFile::until() const {
   return static_cast<double>(page_->until_ns) / kNanosecondsPerSecond;
 }
--- a/src/agent/lease_file.h
+++ b/src/agent/lease_file.h
@@ -13,7 +13,7 @@
 class LeaseFile {
  public:
   enum class Open { read, write };
-  /// Opens the file. In write mode, a missing file is created, with session 0. Throws
+  /// Opens the file. In write mode, a missing file is created, with incarnation 0. Throws
   /// std::system_error.
   LeaseFile(const std::filesystem::path& file, Open mode);
   ~LeaseFile();
@@ -21,9 +21,9 @@
   LeaseFile& operator=(const LeaseFile&) = delete;
 
   /// Sets the agent's incarnation and the end of its lease, in seconds of CLOCK_BOOTTIME. In
-  /// session 0 no task may run.
-  void set(std::uint64_t session, double until);
-  [[nodiscard]] std::uint64_t session() const;
+  /// incarnation 0 no task may run.
+  void set(std::uint64_t incarnation, double until);
+  [[nodiscard]] std::uint64_t incarnation() const;
   [[nodiscard]] double until() const;
 
  private:
--- a/src/agent/task_files.cpp
+++ b/src/agent/task_files.cpp
@@ -49,7 +49,7 @@
 
 std::string encode(const LaunchOrder& order) {
   return json{{"format", LaunchOrder::kFormat},   {"task", order.task},
-              {"attempt", order.attempt},         {"session", order.session},
+              {"attempt", order.attempt},         {"session", order.incarnation},
               {"command", order.command},         {"env", order.env},
               {"retry_exits", order.retry_exits}, {"limit_s", order.limit_s},
               {"file_bytes", order.file_bytes},   {"memory_bytes", order.memory_bytes}}
@@ -62,7 +62,7 @@
     LaunchOrder order;
     order.task = wire::text(fields, "task");
     order.attempt = wire::whole(fields, "attempt");
-    order.session = wire::whole(fields, "session");
+    order.incarnation = wire::whole(fields, "session");
     order.command = wire::need(fields, "command").get<std::vector<std::string>>();
     order.env = wire::need(fields, "env").get<std::map<std::string, std::string>>();
     order.retry_exits = wire::need(fields, "retry_exits").get<std::vector<int>>();
--- a/src/agent/task_files.h
+++ b/src/agent/task_files.h
@@ -58,7 +58,7 @@
   static constexpr int kFormat = 1;
   std::string task;  ///< JOB/INDEX
   std::uint64_t attempt = 0;
-  std::uint64_t session = 0;  ///< the agent's incarnation, as in the lease file
+  std::uint64_t incarnation = 0;  ///< the agent's incarnation, as in the lease file
   std::vector<std::string> command;
   std::map<std::string, std::string> env;  ///< the task's complete environment
   std::vector<int> retry_exits;            ///< exit statuses that request another attempt
--- a/src/agent/task_launcher.cpp
+++ b/src/agent/task_launcher.cpp
@@ -113,7 +113,7 @@
   LaunchOrder order;
   order.task = key.job + "/" + std::to_string(key.index);
   order.attempt = key.attempt;
-  order.session = context_.state.attempts().incarnation;
+  order.incarnation = context_.state.attempts().incarnation;
   order.command = description.command;
   order.retry_exits = description.retry_exits;
   order.limit_s = description.limit_s;
--- a/src/agent/task_supervisor.cpp
+++ b/src/agent/task_supervisor.cpp
@@ -155,7 +155,7 @@
   }
 
   bool lease_has_expired() const {
-    return lease_file_.session() != order_.session || boot_now() > lease_file_.until();
+    return lease_file_.incarnation() != order_.incarnation || boot_now() > lease_file_.until();
   }
 
   TaskEnd failed_start(const std::string& why) const {
--- a/tests/agent_attempt_table_test.cpp
+++ b/tests/agent_attempt_table_test.cpp
@@ -240,9 +240,9 @@
   TempDir dir;
   agent::LeaseFile writer(dir.path / "lease", agent::LeaseFile::Open::write);
   agent::LeaseFile reader(dir.path / "lease", agent::LeaseFile::Open::read);
-  EXPECT_EQ(reader.session(), 0u);
+  EXPECT_EQ(reader.incarnation(), 0u);
   writer.set(3, 130);
-  EXPECT_EQ(reader.session(), 3u);
+  EXPECT_EQ(reader.incarnation(), 3u);
   EXPECT_NEAR(reader.until(), 130, 1e-6);
   EXPECT_LE(reader.until(), 130);
   std::ofstream(dir.path / "other") << std::string(4096, 'x');
@@ -260,7 +260,7 @@
   std::uint64_t none = 0;
   std::thread reader([&] {
     agent::LeaseFile page(dir.path / "lease", agent::LeaseFile::Open::read);
-    while (!over) none += page.session() != 3;
+    while (!over) none += page.incarnation() != 3;
   });
   for (int i = 0; i < 300000; ++i) writer.set(3, 1 + i);
   over = true;
--- a/tests/agent_golden_test.cpp
+++ b/tests/agent_golden_test.cpp
@@ -211,7 +211,7 @@
   EXPECT_EQ(read("lease"), page);
   put("other", page);
   LeaseFile reader(dir_ / "other", LeaseFile::Open::read);
-  EXPECT_EQ(reader.session(), 3u);
+  EXPECT_EQ(reader.incarnation(), 3u);
   EXPECT_EQ(reader.until(), 130.5);
 }
 
