--- a/src/agent/processes.cpp
+++ b/src/agent/processes.cpp
@@ -64,7 +64,7 @@
 }
 
 std::optional<ProcessStat> stat_of(pid_t pid) {
-  const std::string text = artifacts::read_whole(proc_file(pid, "stat"));
+  const std::string text = artifacts::read_file_or_empty(proc_file(pid, "stat"));
   const auto name_end = text.rfind(')');  // the name before it may contain any character
   if (name_end == std::string::npos) return std::nullopt;
   std::istringstream fields(text.substr(name_end + 2));
@@ -98,7 +98,7 @@
 // Returns whether the process's environment has this entry, or the same variable with a path below
 // the entry's value.
 bool has_variable(pid_t pid, const std::string& entry) {
-  const std::string environment = artifacts::read_whole(proc_file(pid, "environ"));
+  const std::string environment = artifacts::read_file_or_empty(proc_file(pid, "environ"));
   for (std::size_t at = 0; at < environment.size();) {
     const std::string_view variable(environment.c_str() + at);
     if (variable.starts_with(entry) &&
--- a/src/agent/task_files.cpp
+++ b/src/agent/task_files.cpp
@@ -120,7 +120,7 @@
 }
 
 Identity read_identity(const fs::path& file) {
-  const json fields = json::parse(artifacts::read_whole(file), nullptr, false);
+  const json fields = json::parse(artifacts::read_file_or_empty(file), nullptr, false);
   if (!fields.is_object()) return {};
   return {fields.value("pid", 0), fields.value("start", std::uint64_t{0}),
           fields.value("boot", "")};
--- a/src/agent/task_launcher.cpp
+++ b/src/agent/task_launcher.cpp
@@ -83,8 +83,8 @@
                          "less free disk space than disk-reserve-mb");
   fs::create_directories(directory.work());
   fs::create_directories(directory.save());
-  artifacts::write_whole(directory.launch_order(),
-                         encode(make_order(key, directory, attempt.description)));
+  artifacts::replace_file(directory.launch_order(),
+                          encode(make_order(key, directory, attempt.description)));
   AttemptTable next = context_.state.attempts();
   next.launched(key);
   // The journal is written before the process exists: after a crash, the next agent process then
--- a/src/agent/task_storage.cpp
+++ b/src/agent/task_storage.cpp
@@ -100,7 +100,7 @@
 TaskEnd TaskStorage::find_end(const Key& key) const {
   const TaskDirectory directory = context_.paths.task(key);
   try {
-    return decode_end(artifacts::read_whole(directory.end()));
+    return decode_end(artifacts::read_file_or_empty(directory.end()));
   } catch (const wire::Malformed&) {
     // The supervisor has not recorded the end, and the agent has restarted since: the journal holds
     // the exit reason that was determined then.
--- a/src/agent/task_supervisor.cpp
+++ b/src/agent/task_supervisor.cpp
@@ -122,11 +122,11 @@
       : directory_{dir}, lease_file_(lease_file, LeaseFile::Open::read) {}
 
   int run() {
-    order_ = decode_order(artifacts::read_whole(directory_.launch_order()));
+    order_ = decode_order(artifacts::read_file_or_empty(directory_.launch_order()));
     // Orphans of the task become children of this process.
     ::prctl(PR_SET_CHILD_SUBREAPER, 1);
     open_events();
-    artifacts::write_whole(directory_.supervisor_identity(), encode(identity_of(::getpid())));
+    artifacts::replace_file(directory_.supervisor_identity(), encode(identity_of(::getpid())));
     highest_checkpoint_ = directory_.highest_checkpoint();
     started_at_ = boot_now();
     if (lease_has_expired()) return finish(failed_start("the lease had run out"));
@@ -172,7 +172,7 @@
   int finish(const TaskEnd& end) const {
     while (true) {
       try {
-        artifacts::write_whole(directory_.end(), encode(end));
+        artifacts::replace_file(directory_.end(), encode(end));
         return 0;
       } catch (const std::system_error&) {
         if (lease_has_expired()) throw;
@@ -284,7 +284,7 @@
   }
 
   void read_stop_order() {
-    const std::string text = artifacts::read_whole(directory_.stop_order());
+    const std::string text = artifacts::read_file_or_empty(directory_.stop_order());
     if (text.empty() || end_) return;
     StopOrder order;
     try {
--- a/src/agent/task_watcher.cpp
+++ b/src/agent/task_watcher.cpp
@@ -58,7 +58,7 @@
 
 void TaskWatcher::find_image(const TaskDirectory& directory, LiveAttempt& attempt) const {
   try {
-    const LaunchOrder order = decode_order(artifacts::read_whole(directory.launch_order()));
+    const LaunchOrder order = decode_order(artifacts::read_file_or_empty(directory.launch_order()));
     if (auto image = order.env.find(kImageDirVariable); image != order.env.end())
       attempt.description.image = fs::path(image->second).filename();
   } catch (const wire::Malformed&) {
@@ -103,7 +103,7 @@
   LiveAttempt& attempt = context_.live.get(key);
   attempt.supervisor_deadline = boot_now() + order.grace_s + kSupervisorGraceS;
   try {
-    artifacts::write_whole(context_.paths.task(key).stop_order(), encode(order));
+    artifacts::replace_file(context_.paths.task(key).stop_order(), encode(order));
   } catch (const std::exception& error) {
     // A full disk must not keep a task alive: if the stop order cannot be written, the supervisor
     // is killed, and the task with it.
@@ -118,7 +118,7 @@
 bool TaskWatcher::read_end(const Key& key, TaskEnd& end) const {
   const TaskDirectory directory = context_.paths.task(key);
   try {
-    end = decode_end(artifacts::read_whole(directory.end()));
+    end = decode_end(artifacts::read_file_or_empty(directory.end()));
     return true;
   } catch (const wire::Malformed&) {
     // The supervisor was killed, and the task's main process with it. Other processes of the task
--- a/src/artifacts/store.cpp
+++ b/src/artifacts/store.cpp
@@ -140,7 +140,7 @@
   return false;
 }
 
-void write_whole(const fs::path& file, std::string_view bytes) {
+void replace_file(const fs::path& file, std::string_view bytes) {
   fs::path aside = file;
   aside += ".new";
   {
@@ -152,7 +152,7 @@
   sync_directory(file.parent_path());
 }
 
-std::string read_whole(const fs::path& file) {
+std::string read_file_or_empty(const fs::path& file) {
   std::ifstream input(file, std::ios::binary);
   std::ostringstream content;
   content << input.rdbuf();
@@ -263,14 +263,14 @@
     if (is_written_once || !is_newer) return Put::refused;
   }
   fs::create_directories(path.parent_path());
-  write_whole(path, encode_named(value));
+  replace_file(path, encode_named(value));
   return Put::created;
 }
 
 std::optional<Store::Named> Store::get_name(const std::string& name) const {
   const fs::path path = name_path(name);
   if (!fs::exists(path)) return std::nullopt;
-  auto value = decode_named(read_whole(path));
+  auto value = decode_named(read_file_or_empty(path));
   if (!value) throw std::runtime_error("the depot's name " + name + " is damaged");
   return value;
 }
--- a/src/artifacts/store.h
+++ b/src/artifacts/store.h
@@ -42,9 +42,9 @@
 [[nodiscard]] bool valid_name(std::string_view text);
 /// Replaces a file's bytes whole: written aside, synced, renamed, and the directory synced. Throws
 /// std::system_error.
-void write_whole(const std::filesystem::path& file, std::string_view bytes);
+void replace_file(const std::filesystem::path& file, std::string_view bytes);
 /// All of a file; empty if it cannot be read.
-[[nodiscard]] std::string read_whole(const std::filesystem::path& file);
+[[nodiscard]] std::string read_file_or_empty(const std::filesystem::path& file);
 
 class Store {
  public:
--- a/src/chaos/process_info.cpp
+++ b/src/chaos/process_info.cpp
@@ -18,7 +18,7 @@
 constexpr int kUserTimeField = 14;
 
 std::string read_proc(pid_t pid, const char* name) {
-  return artifacts::read_whole(fs::path("/proc") / std::to_string(pid) / name);
+  return artifacts::read_file_or_empty(fs::path("/proc") / std::to_string(pid) / name);
 }
 
 bool is_process_number(const std::string& name) {
--- a/src/emulators/cloud.cpp
+++ b/src/emulators/cloud.cpp
@@ -211,7 +211,7 @@
                              {"zone", m.zone},
                              {"spot", m.spot},
                              {"rented_at", m.rented_at}});
-  artifacts::write_whole(file_, j.dump());
+  artifacts::replace_file(file_, j.dump());
 }
 
 void CloudEmulator::load() {
--- a/src/local_cluster/local_cluster.cpp
+++ b/src/local_cluster/local_cluster.cpp
@@ -119,7 +119,7 @@
   const std::string program = place_.programs / "shunttrail-controller";
   for (std::size_t i = 0; i < controllers_.size(); ++i) {
     const fs::path file = place_.dir / "controllers" / (controllers_[i].name + ".json");
-    artifacts::write_whole(
+    artifacts::replace_file(
         file, controller_settings(settings_, controllers_, i, state_address_, cloud_address_));
     children_.keep(controllers_[i].name, {program, "--config", file.string()});
   }
@@ -153,8 +153,8 @@
   const fs::path dir = machine_dir(machine.name);
   fs::create_directories(dir);
   const fs::path file = dir / "agent.xml";
-  artifacts::write_whole(file,
-                         agent_settings(settings_, controllers_, machine, artifacts_address_));
+  artifacts::replace_file(file,
+                          agent_settings(settings_, controllers_, machine, artifacts_address_));
   children_.keep(machine.name,
                  {agent_program(), "--settings", file.string(), "--dir", dir.string()});
 }
--- a/tests/agent_golden_test.cpp
+++ b/tests/agent_golden_test.cpp
@@ -36,7 +36,7 @@
   void put(const std::string& name, const std::string& bytes) {
     std::ofstream(dir_ / name, std::ios::binary) << bytes;
   }
-  std::string read(const std::string& name) { return artifacts::read_whole(dir_ / name); }
+  std::string read(const std::string& name) { return artifacts::read_file_or_empty(dir_ / name); }
 
   fs::path dir_;
 };
--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -24,7 +24,7 @@
     }
     // Also what is reaped is on record: one more report after the end.
     return rig.tasks[id].done > 0 && killed && rig.last.tasks.empty();
-  })) << artifacts::read_whole(rig.dir / "agent.log");
+  })) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   EXPECT_EQ(rig.tasks[id].done, 1);
   EXPECT_EQ(rig.tasks[id].lost, 0);
   EXPECT_EQ(rig.last.incarnation, 1u);
@@ -97,7 +97,7 @@
   ASSERT_TRUE(rig.until_logged("begin"));
   ASSERT_TRUE(rig.until([&] { return rig.last.tasks.size() == 1; }));
   auto j = nlohmann::json::parse(
-      artifacts::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
+      artifacts::read_file_or_empty(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
   ::kill(j["pid"].get<pid_t>(), SIGSTOP);
   rig.kill_agent();
   double until = agent::LeaseFile(rig.dir / "m" / "lease", agent::LeaseFile::Open::read).until();
@@ -114,7 +114,7 @@
   std::ofstream(rig.dir / "m") << "a file";
   rig.start();
   ASSERT_TRUE(rig.until([&] { return rig.agent_ended(); }));
-  EXPECT_NE(artifacts::read_whole(rig.dir / "agent.log").find("agent cannot go on"),
+  EXPECT_NE(artifacts::read_file_or_empty(rig.dir / "agent.log").find("agent cannot go on"),
             std::string::npos);
 }
 
@@ -127,7 +127,7 @@
   rig.start();
   ASSERT_TRUE(rig.until_logged("forked"));
   auto j = nlohmann::json::parse(
-      artifacts::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
+      artifacts::read_file_or_empty(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
   ::kill(j["pid"].get<pid_t>(), SIGKILL);
   ASSERT_TRUE(rig.until_done(id));
   EXPECT_EQ(rig.tasks[id].failed, 1);
@@ -158,7 +158,7 @@
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
   auto j = nlohmann::json::parse(
-      artifacts::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
+      artifacts::read_file_or_empty(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
   ::kill(j["pid"].get<pid_t>(), SIGSTOP);
   rig.tasks[id].cancelled = true;
   ASSERT_TRUE(rig.until([&] { return rig.tasks[id].failed == 1; }));
@@ -181,7 +181,7 @@
   EXPECT_EQ(rig.tasks[id].why,
             std::to_string(static_cast<int>(wire::ExitReason::stopped)) + "kept");
   rig.tasks[id].cancelled = false;
-  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_whole(rig.dir / "agent.log");
+  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   EXPECT_EQ(rig.logged("from 0"), 1);
   EXPECT_EQ(rig.logged("from 7"), 1);
 }
@@ -202,14 +202,14 @@
     auto n =
         artifacts::Store(rig.dir / "depot").get_name(client_protocol::checkpoint_name({id, 0}));
     return n && n->part == 2;
-  })) << artifacts::read_whole(rig.dir / "agent.log");
+  })) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   rig.kill_agent();
   ASSERT_TRUE(agent::kill_all_tasks({rig.dir / "m"}));  // as when its power fails
   fs::remove_all(rig.dir / "m");
   rig.tasks[id].attempt = 2;
   rig.tasks[id].sent = false;
   rig.start();
-  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_whole(rig.dir / "agent.log");
+  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   EXPECT_EQ(rig.logged("from 2"), 1);
 }
 
@@ -229,15 +229,16 @@
   std::ofstream(rig.dir / "go");
   ASSERT_TRUE(rig.until_logged("saved"));
   auto j = nlohmann::json::parse(
-      artifacts::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
+      artifacts::read_file_or_empty(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
   ::kill(j["pid"].get<pid_t>(), SIGKILL);
   ASSERT_TRUE(rig.until([&] {
-    return artifacts::read_whole(rig.dir / "agent.log").find("task ended") != std::string::npos;
+    return artifacts::read_file_or_empty(rig.dir / "agent.log").find("task ended") !=
+           std::string::npos;
   }));
   rig.kill_agent();
   rig.start();
   rig.open_depot();
-  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_whole(rig.dir / "agent.log");
+  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   EXPECT_EQ(rig.tasks[id].failed, 1);
   EXPECT_EQ(rig.logged("from 1"), 1);
 }
@@ -253,7 +254,7 @@
   ASSERT_TRUE(rig.until_logged("begin"));
   fs::create_directories(rig.dir / "m" / "tasks" / (id + ".0.1") / "kept.tar");
   std::ofstream(rig.dir / "go");
-  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_whole(rig.dir / "agent.log");
+  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   EXPECT_EQ(rig.tasks[id].failed, 0);
 }
 
@@ -310,10 +311,11 @@
   EXPECT_EQ(rig.tasks[first].done, 0);
   EXPECT_EQ(rig.logged("begin"), 1);
   ASSERT_EQ(::prlimit(rig.pid, RLIMIT_FSIZE, &all, nullptr), 0);
-  ASSERT_TRUE(rig.until_done(first)) << artifacts::read_whole(rig.dir / "agent.log");
+  ASSERT_TRUE(rig.until_done(first)) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   ASSERT_TRUE(rig.until_done(second));
   EXPECT_EQ(rig.logged("begin"), 2);
-  EXPECT_NE(artifacts::read_whole(rig.dir / "agent.log").find("agent journal can be written again"),
+  EXPECT_NE(artifacts::read_file_or_empty(rig.dir / "agent.log")
+                .find("agent journal can be written again"),
             std::string::npos);
 }
 
@@ -342,7 +344,7 @@
     EXPECT_TRUE(store.finish(upload, hash));
     return hash;
   };
-  std::string hash = put(artifacts::read_whole(rig.dir / "image.tar"), "aaaaaaaa");
+  std::string hash = put(artifacts::read_file_or_empty(rig.dir / "image.tar"), "aaaaaaaa");
   std::string torn = put("these bytes are no archive, whatever their hash may be", "bbbbbbbb");
   std::string damaged = put("something", "cccccccc");
   std::ofstream(rig.dir / "depot" / "blobs" / damaged.substr(0, 2) / damaged) << "something else";
--- a/tests/agent_rig.h
+++ b/tests/agent_rig.h
@@ -138,7 +138,7 @@
   }
   fs::path log() const { return dir / "log"; }
   int logged(const std::string& word) const {
-    std::istringstream in(artifacts::read_whole(log()));
+    std::istringstream in(artifacts::read_file_or_empty(log()));
     int n = 0;
     for (std::string line; std::getline(in, line);) n += line.starts_with(word);
     return n;
