--- a/src/agent/agent_journal.cpp
+++ b/src/agent/agent_journal.cpp
@@ -25,7 +25,7 @@
                       SQLITE_TRANSIENT);
     return *this;
   }
-  Statement& whole(std::uint64_t value) {
+  Statement& integer(std::uint64_t value) {
     sqlite3_bind_int64(statement_, ++bound_, static_cast<sqlite3_int64>(value));
     return *this;
   }
@@ -51,10 +51,10 @@
     if (!bytes) return "";
     return {bytes, static_cast<std::size_t>(sqlite3_column_bytes(statement_, column))};
   }
-  std::uint64_t read_whole() {
+  std::uint64_t read_integer() {
     return static_cast<std::uint64_t>(sqlite3_column_int64(statement_, read_++));
   }
-  bool read_flag() { return read_whole() != 0; }
+  bool read_flag() { return read_integer() != 0; }
   double read_real() { return sqlite3_column_double(statement_, read_++); }
   void begin_row() { read_ = 0; }
 
@@ -92,12 +92,12 @@
   Attempt attempt;
   row.begin_row();
   key.job = row.read_text();
-  key.index = static_cast<std::uint32_t>(row.read_whole());
-  key.attempt = row.read_whole();
-  const std::uint64_t phase = row.read_whole();
+  key.index = static_cast<std::uint32_t>(row.read_integer());
+  key.attempt = row.read_integer();
+  const std::uint64_t phase = row.read_integer();
   attempt.stopping = row.read_flag();
   attempt.saving = row.read_flag();
-  const std::uint64_t exit_reason = row.read_whole();
+  const std::uint64_t exit_reason = row.read_integer();
   if (phase > static_cast<std::uint64_t>(Phase::exited) ||
       exit_reason > static_cast<std::uint64_t>(wire::ExitReason::unknown))
     throw JournalError("agent journal: task " + key.job + "/" + std::to_string(key.index) +
@@ -191,7 +191,7 @@
   while (acknowledged.next_row()) {
     acknowledged.begin_row();
     const std::string task = acknowledged.read_text();
-    table.acknowledged.emplace_back(task, acknowledged.read_whole());
+    table.acknowledged.emplace_back(task, acknowledged.read_integer());
   }
   return table;
 }
@@ -237,17 +237,17 @@
 
 void AgentJournal::remove_attempt(const Key& key) {
   Statement remove(db_.get(), "DELETE FROM attempts WHERE job=? AND task=? AND attempt=?");
-  remove.text(key.job).whole(key.index).whole(key.attempt).run();
+  remove.text(key.job).integer(key.index).integer(key.attempt).run();
 }
 
 void AgentJournal::put_attempt(const Key& key, const Attempt& attempt) {
   Statement insert(db_.get(), "INSERT OR REPLACE INTO attempts VALUES(?,?,?,?,?,?,?,?,?,?,?,?,?)");
-  insert.text(key.job).whole(key.index).whole(key.attempt);
-  insert.whole(static_cast<std::uint64_t>(attempt.phase));
-  insert.whole(attempt.stopping).whole(attempt.saving);
-  insert.whole(static_cast<std::uint64_t>(attempt.exit_reason)).whole(attempt.checkpointed);
+  insert.text(key.job).integer(key.index).integer(key.attempt);
+  insert.integer(static_cast<std::uint64_t>(attempt.phase));
+  insert.integer(attempt.stopping).integer(attempt.saving);
+  insert.integer(static_cast<std::uint64_t>(attempt.exit_reason)).integer(attempt.checkpointed);
   insert.real(attempt.needs.cpus).real(attempt.needs.gpus).real(attempt.needs.mem_gb);
-  insert.whole(attempt.saves).real(attempt.save_s);
+  insert.integer(attempt.saves).real(attempt.save_s);
   insert.run();
 }
 
@@ -261,7 +261,7 @@
     if (before != obsolete.end()) obsolete.erase(before);
     if (is_unchanged) continue;
     Statement insert(db_.get(), "INSERT OR REPLACE INTO forgotten(task,attempt) VALUES(?,?)");
-    insert.text(task).whole(attempt).run();
+    insert.text(task).integer(attempt).run();
   }
   for (const auto& [task, attempt] : obsolete) {
     Statement remove(db_.get(), "DELETE FROM forgotten WHERE task=?");
