--- a/src/agent/image_cache.cpp
+++ b/src/agent/image_cache.cpp
@@ -67,7 +67,7 @@
   switch (outcome) {
     case Outcome::ok:
       return unpack(hash);
-    case Outcome::later:
+    case Outcome::unavailable:
       // The artifact store does not answer. Tasks that still need the image request it again.
       fetches_.erase(fetch);
       return;
--- a/src/agent/task_preparation.cpp
+++ b/src/agent/task_preparation.cpp
@@ -56,7 +56,7 @@
 
 void TaskPreparation::take_description(const Key& key, LiveAttempt& attempt, Outcome outcome,
                                        const std::string& text) {
-  if (outcome == Outcome::later) return context_.retry_later(attempt);
+  if (outcome == Outcome::unavailable) return context_.retry_later(attempt);
   if (outcome != Outcome::ok)
     return context_.fail(key, wire::ExitReason::unknown,
                          "the artifact store has no description of the job");
@@ -146,7 +146,7 @@
 }
 
 void TaskPreparation::take_checkpoint(const Key& key, LiveAttempt& attempt, Outcome outcome) {
-  if (outcome == Outcome::later) return context_.retry_later(attempt);
+  if (outcome == Outcome::unavailable) return context_.retry_later(attempt);
   if (outcome == Outcome::ok) return next_step(key, attempt, Step::unpack_checkpoint);
   // The task starts from the beginning rather than from an invalid checkpoint.
   log::error("checkpoint to restore is missing or damaged; task starts from the beginning",
--- a/src/agent/task_storage.cpp
+++ b/src/agent/task_storage.cpp
@@ -64,7 +64,7 @@
           [this, key, number, find = context_.live.finder(key)](Outcome outcome, Named) {
             LiveAttempt* found = find();
             if (!found) return;
-            if (outcome == Outcome::later) return context_.retry_later(*found);
+            if (outcome == Outcome::unavailable) return context_.retry_later(*found);
             published(key, *found, number);
           }));
 }
@@ -141,7 +141,7 @@
           [this, key, hash, find = context_.live.finder(key)](Outcome outcome, std::string stored) {
             LiveAttempt* found = find();
             if (!found) return;
-            if (outcome == Outcome::later || outcome == Outcome::refused)
+            if (outcome == Outcome::unavailable || outcome == Outcome::refused)
               return context_.retry_later(*found);
             found->*hash = outcome == Outcome::ok ? stored : "";
             context_.advance(key);
@@ -160,7 +160,7 @@
           [this, key, find = context_.live.finder(key)](Outcome outcome, Named) {
             LiveAttempt* found = find();
             if (!found) return;
-            if (outcome == Outcome::later) return context_.retry_later(*found);
+            if (outcome == Outcome::unavailable) return context_.retry_later(*found);
             // `refused`: the result of an earlier attempt was stored first, and that one is valid.
             AttemptTable next = context_.state.attempts();
             next.exited(key, wire::ExitReason::done);
--- a/src/artifacts/client.cpp
+++ b/src/artifacts/client.cpp
@@ -30,19 +30,19 @@
 
 Outcome outcome_of_upload(int status) {
   if (status == 200) return Outcome::ok;
-  return status == 422 ? Outcome::refused : Outcome::later;
+  return status == 422 ? Outcome::refused : Outcome::unavailable;
 }
 
 Outcome outcome_of_put(int status) {
   if (status == 200 || status == 201) return Outcome::ok;
   const bool is_refused = status == 409 || status == 400 || status == 413;
-  return is_refused ? Outcome::refused : Outcome::later;
+  return is_refused ? Outcome::refused : Outcome::unavailable;
 }
 
 Outcome outcome_of_get(int status) {
   if (status == 200) return Outcome::ok;
   if (status == 404) return Outcome::absent;
-  return status == 400 ? Outcome::refused : Outcome::later;
+  return status == 400 ? Outcome::refused : Outcome::unavailable;
 }
 
 }  // namespace
@@ -84,7 +84,7 @@
     if (hasher.hex() != hash) return end(Outcome::refused);
     std::error_code failed;
     if (output) fs::rename(aside, file, failed);
-    end(output && !failed ? Outcome::ok : Outcome::later);
+    end(output && !failed ? Outcome::ok : Outcome::unavailable);
   }
 };
 
@@ -112,7 +112,7 @@
                   const auto body = nlohmann::json::parse(result.body, nullptr, false);
                   const bool is_stored = result.status == 200 && body.is_object() &&
                                          body.value("size", std::uint64_t{0}) == sent_bytes;
-                  if (!is_stored) return upload->done(Outcome::later, "");
+                  if (!is_stored) return upload->done(Outcome::unavailable, "");
                   upload->sent_bytes = sent_bytes;
                   send_part(upload);
                 });
@@ -134,7 +134,7 @@
   download->done = std::move(done);
   if (!valid_hash(download->hash)) return download->done(Outcome::refused);
   download->output.open(download->aside, std::ios::binary | std::ios::trunc);
-  if (!download->output) return download->done(Outcome::later);
+  if (!download->output) return download->done(Outcome::unavailable);
   fetch_part(download);
 }
 
@@ -143,9 +143,9 @@
       "/depot/blobs/" + download->hash + "?at=" + std::to_string(download->received_bytes);
   http_.request("GET", path, "", kTimeoutS, [this, download](net::Result result) {
     if (result.status == 404) return download->end(Outcome::absent);
-    if (result.status != 200) return download->end(Outcome::later);
+    if (result.status != 200) return download->end(Outcome::unavailable);
     if (result.body.empty()) return download->complete();
-    if (!download->write(result.body)) return download->end(Outcome::later);
+    if (!download->write(result.body)) return download->end(Outcome::unavailable);
     fetch_part(download);
   });
 }
--- a/src/artifacts/client.h
+++ b/src/artifacts/client.h
@@ -1,6 +1,6 @@
 // The artifact store as its users see it. Every call ends in exactly one answer, given from the
-// event loop; what failed for a reason that may pass says so (`later`), and may be asked again as
-// it was.
+// event loop; what failed for a reason that may pass says so (`unavailable`), and may be asked
+// again as it was.
 #pragma once
 #include <filesystem>
 #include <functional>
@@ -16,7 +16,7 @@
   ok,
   absent,   ///< no such blob or name
   refused,  ///< the artifact store has something else there, or the content does not match its hash
-  later,    ///< no answer, or the artifact store's disk is full
+  unavailable,  ///< no answer, or the artifact store's disk is full
 };
 
 /// Calls of one client may overlap.
--- a/src/cli/service_client.cpp
+++ b/src/cli/service_client.cpp
@@ -100,7 +100,7 @@
   const double give_up_at = actor::steady_now() + kRetryForS;
   while (true) {
     const Outcome outcome = ask_once();
-    if (outcome != Outcome::later) return outcome;
+    if (outcome != Outcome::unavailable) return outcome;
     if (actor::steady_now() > give_up_at) throw RequestFailed("gave up: the depot does not answer");
     sleep(kArtifactRetryDelayS);
   }
@@ -110,7 +110,7 @@
   const std::string name = client_protocol::description_name(description.job.id);
   const std::string text = client_protocol::encode_description(description);
   return ask([&] {
-    Outcome outcome = Outcome::later;
+    Outcome outcome = Outcome::unavailable;
     wait_for<Outcome, Named>([&](auto done) { artifacts_.put_name(name, {text}, done); },
                              [&](Outcome answer, Named) { outcome = answer; });
     return outcome;
@@ -155,7 +155,7 @@
 std::optional<Named> ServiceClient::find_name(const std::string& name) {
   Named found;
   const Outcome outcome = ask([&] {
-    Outcome last = Outcome::later;
+    Outcome last = Outcome::unavailable;
     wait_for<Outcome, Named>([&](auto done) { artifacts_.get_name(name, done); },
                              [&](Outcome answer, Named value) {
                                last = answer;
@@ -182,7 +182,7 @@
 
 bool ServiceClient::fetch(const std::string& hash, const std::string& file) {
   const Outcome outcome = ask([&] {
-    Outcome last = Outcome::later;
+    Outcome last = Outcome::unavailable;
     wait_for<Outcome>([&](auto done) { artifacts_.get_file(hash, file, done); },
                       [&](Outcome answer) { last = answer; });
     return last;
@@ -193,7 +193,7 @@
 std::string ServiceClient::upload(const std::string& file) {
   std::string hash;
   const Outcome outcome = ask([&] {
-    Outcome last = Outcome::later;
+    Outcome last = Outcome::unavailable;
     wait_for<Outcome, std::string>([&](auto done) { artifacts_.put_file(file, done); },
                                    [&](Outcome answer, std::string stored) {
                                      last = answer;
