--- a/src/agent/settings.h
+++ b/src/agent/settings.h
@@ -17,7 +17,7 @@
   std::string machine, type, zone;
   config::Endpoint address;  ///< the agent listens here for direct commands; heartbeats report it
   bool spot = false;
-  Resources room;  ///< the machine's capacity
+  Resources capacity;  ///< the machine's capacity
   double report_s = 3,
          lease_s = 20;  ///< heartbeat interval and lease; must match the controllers' settings
   std::vector<Controller> controllers;
--- a/src/agent/task_preparation.cpp
+++ b/src/agent/task_preparation.cpp
@@ -72,7 +72,7 @@
                          "the job description is of another job, or has fewer tasks");
   AttemptTable next = context_.state.attempts();
   const bool fits = next.described(key, {job.cpus, job.gpus, job.mem_gb}, job.checkpoint_s > 0,
-                                   job.save_s, context_.settings.room);
+                                   job.save_s, context_.settings.capacity);
   if (!context_.commit_or_retry(std::move(next), "described", attempt)) return;
   if (!fits)
     return log::info("attempt refused: not enough free capacity on the machine", log_fields(key));
--- a/tests/agent_golden_test.cpp
+++ b/tests/agent_golden_test.cpp
@@ -331,7 +331,7 @@
   <file-mb>1024</file-mb>
 </shunt-agent>
 )");
-  EXPECT_EQ(agent::parse_settings(agent).room, (agent::Resources{4, 0.5, 16}));
+  EXPECT_EQ(agent::parse_settings(agent).capacity, (agent::Resources{4, 0.5, 16}));
 }
 
 }  // namespace
