--- a/src/agent/task_supervisor.cpp
+++ b/src/agent/task_supervisor.cpp
@@ -34,7 +34,7 @@
 constexpr int kExitNotExecutable = 126;
 constexpr int kExitSignalBase = 128;
 constexpr useconds_t kEndRetryUs = 200000;
-constexpr useconds_t kReapIntervalUs = 1000;
+constexpr useconds_t kChildPollIntervalUs = 1000;
 constexpr double kTimerSlackS = 0.001;
 
 constexpr int kStatusBusy = 3;
@@ -76,11 +76,11 @@
 // Moves the task's descriptors to the numbers that the task expects. Since the source descriptors
 // may already have these numbers, they are first duplicated to higher ones.
 bool place_descriptors(const TaskProcess& task) {
-  auto above = [](const Fd& fd) { return ::fcntl(fd.get(), F_DUPFD_CLOEXEC, kFirstFreeFd); };
-  const int checkpoints = above(task.checkpoints);
-  const int output = above(task.output);
-  const int error = above(task.error);
-  const int input = above(task.input);
+  auto raise = [](const Fd& fd) { return ::fcntl(fd.get(), F_DUPFD_CLOEXEC, kFirstFreeFd); };
+  const int checkpoints = raise(task.checkpoints);
+  const int output = raise(task.output);
+  const int error = raise(task.error);
+  const int input = raise(task.input);
   return ::dup2(input, STDIN_FILENO) >= 0 && ::dup2(output, STDOUT_FILENO) >= 0 &&
          ::dup2(error, STDERR_FILENO) >= 0 && ::dup2(checkpoints, kCheckpointFd) >= 0;
 }
@@ -235,7 +235,7 @@
   }
 
   // Sets the timer to the next deadline: the end of the lease, the grace period or the time limit.
-  void set_timer() {
+  void set_deadline_timer() {
     double at = lease_file_.until();
     if (grace_until_) at = std::min(at, *grace_until_);
     if (order_.limit_s > 0) at = std::min(at, started_at_ + order_.limit_s);
@@ -247,7 +247,7 @@
   }
 
   bool wait_for_events() {
-    set_timer();
+    set_deadline_timer();
     pollfd events[] = {
         {signals_.get(), POLLIN, 0}, {timer_.get(), POLLIN, 0}, {checkpoints_.get(), POLLIN, 0}};
     if (::poll(events, checkpoints_open_ ? 3 : 2, -1) < 0 && errno != EINTR) return false;
@@ -271,11 +271,11 @@
     drain_checkpoints();
     if (drain_signals()) read_stop_order();
     if (end_) return;
-    reap();
-    if (!end_) check_times();
+    collect_exited_children();
+    if (!end_) check_deadlines();
   }
 
-  void check_times() {
+  void check_deadlines() {
     const double now = boot_now();
     if (grace_until_ && now >= *grace_until_)
       end(wire::ExitReason::stopped, 0, "it had not saved in time");
@@ -306,11 +306,11 @@
     ssize_t count;
     while ((count = ::read(checkpoints_.get(), buffer, sizeof buffer)) > 0)
       for (ssize_t i = 0; i < count; ++i)
-        if (buffer[i] == '\n') take_checkpoint();
+        if (buffer[i] == '\n') accept_checkpoint();
     if (count == 0) checkpoints_open_ = false;
   }
 
-  void take_checkpoint() {
+  void accept_checkpoint() {
     std::error_code failed;
     const fs::path next = directory_.next_checkpoint();
     if (!fs::is_directory(fs::symlink_status(next, failed))) return;
@@ -323,7 +323,7 @@
     }
   }
 
-  void reap() {
+  void collect_exited_children() {
     int status = 0;
     pid_t pid;
     while ((pid = ::waitpid(-1, &status, WNOHANG)) > 0) {
@@ -373,7 +373,7 @@
       while ((pid = ::waitpid(-1, nullptr, WNOHANG)) > 0)
         if (pid == task_) task_ = 0;
       if (pid < 0 && errno == ECHILD) return;
-      ::usleep(kReapIntervalUs);
+      ::usleep(kChildPollIntervalUs);
     }
   }
 
