--- a/app/shunttrail-agent.cpp
+++ b/app/shunttrail-agent.cpp
@@ -1,4 +1,4 @@
-// The worker agent, and the supervisors that it starts.
+// The program of the worker agent, and of the task supervisors that it starts.
 #include <signal.h>
 #include <sys/wait.h>
 
@@ -13,8 +13,8 @@
 
 using namespace shunttrail;
 
-// Tests end the process at a step of their choice: "launched.after:2" at its second time. Unset in
-// any other use.
+// Lets tests kill the process at a journal step that SHUNT_KILL_AT names, for example
+// "launched.after:2" for the second occurrence. Not set in production.
 agent::AgentJournal::Step kill_point() {
   const char* at = std::getenv("SHUNT_KILL_AT");
   if (!at) return [](const std::string&) {};
@@ -42,7 +42,7 @@
           static_cast<agent::Agent*>(a2)->give_spot_notice();
         },
         &agent);
-    // Shepherds of this process; those of an earlier one are not its children.
+    // Waits for ended supervisors of this process; those of an earlier one are not its children.
     add(
         SIGCHLD,
         [](evutil_socket_t, short, void*) {
@@ -65,18 +65,18 @@
   }
   if (check) return 0;
   ::signal(SIGPIPE, SIG_IGN);
-  ::signal(SIGXFSZ, SIG_IGN);  // as a full disk: an error of write
+  ::signal(SIGXFSZ, SIG_IGN);  // a write beyond the file size limit then fails, as on a full disk
   log::open("shunttrail-agent");
   try {
     actor::Loop loop;
     agent::Agent a(loop, settings, dir, kill_point());
     Signals signals(loop, a);
-    log::info("agent serves", {{"machine", settings.machine}});
+    log::info("agent started", {{"machine", settings.machine}});
     loop.run();
-    // Its tasks go on under their supervisors, as long as the lease holds.
-    log::info("agent ends");
+    // The tasks continue under their supervisors until the lease expires.
+    log::info("agent stopped");
   } catch (const std::exception& e) {
-    log::error("agent cannot go on", {{"why", e.what()}});
+    log::error("agent stopped by an error", {{"why", e.what()}});
     return 1;
   }
   return 0;
@@ -90,12 +90,13 @@
   std::string settings, dir, task_dir, page;
   bool check = false;
   app.add_option("--settings", settings, "the agent's settings (XML)");
-  app.add_option("--dir", dir, "where the agent keeps its record, tasks and images");
+  app.add_option("--dir", dir, "directory of the agent's journal, tasks and images");
   app.add_flag("--check", check, "check the settings, then exit");
-  auto* end = app.add_subcommand("end", "end every task of the agent in DIR, and its session");
+  auto* end =
+      app.add_subcommand("end", "kill every task of the agent in DIR, and end its incarnation");
   end->add_option("--dir", dir, "the agent's directory")->required();
   auto* supervisor =
-      app.add_subcommand("shepherd", "keep one task (started by the agent)")->group("");
+      app.add_subcommand("shepherd", "supervise one task (started by the agent)")->group("");
   supervisor->add_option("task-dir", task_dir)->required();
   supervisor->add_option("lease-page", page)->required();
   app.require_subcommand(0, 1);
@@ -110,7 +111,7 @@
     try {
       auto lock = agent::try_lock(agent::AgentPaths{dir}.lock());
       if (!lock) {
-        std::fprintf(stderr, "%s: an agent still runs there\n", dir.c_str());
+        std::fprintf(stderr, "%s: an agent is still running in this directory\n", dir.c_str());
         return 1;
       }
       return agent::kill_all_tasks(agent::AgentPaths{std::filesystem::absolute(dir)}) ? 0 : 1;
@@ -120,7 +121,7 @@
     }
   }
   if (settings.empty() || (dir.empty() && !check)) {
-    std::fprintf(stderr, "--settings and --dir are needed; see --help\n");
+    std::fprintf(stderr, "--settings and --dir are required; see --help\n");
     return 2;
   }
   return run(settings, dir, check);
--- a/src/agent/lease_file.cpp
+++ b/src/agent/lease_file.cpp
@@ -24,7 +24,8 @@
 }  // namespace
 
 // Version 1. Each word is written by itself. A renewal changes only the time, because a supervisor
-// that reads incarnation 0 kills its task. While the incarnation changes, the incarnation is 0.
+// that reads incarnation 0 kills its task. While it changes from one incarnation to the next, it is
+// 0.
 struct LeaseFile::Layout {
   std::atomic<std::uint64_t> version;
   std::atomic<std::uint64_t> incarnation;
--- a/src/artifacts/archive.cpp
+++ b/src/artifacts/archive.cpp
@@ -29,17 +29,19 @@
 };
 using EntryPtr = std::unique_ptr<archive_entry, EntryFree>;
 
-// The name below the directory, or BadArchive.
+// Returns the entry's name as a path relative to the target directory. Throws BadArchive if it may
+// lead out of the directory.
 fs::path checked_name(const char* name) {
   fs::path path = name ? fs::path(name) : fs::path();
-  if (path.empty() || path.is_absolute()) throw BadArchive("entry " + path.string() + ": bad name");
+  if (path.empty() || path.is_absolute())
+    throw BadArchive("entry " + path.string() + ": name is empty or absolute");
   for (const auto& part : path)
-    if (part == "..") throw BadArchive("entry " + path.string() + ": leaves the directory");
+    if (part == "..") throw BadArchive("entry " + path.string() + ": name contains \"..\"");
   return path;
 }
 
-// What is packed, in order of name. A link could point anywhere when it is read again; what it
-// leads to is not the task's own.
+// Returns the paths to pack, in order of name. Links are left out: after unpacking they could point
+// anywhere, and their targets do not belong to the task.
 std::vector<fs::path> files_and_directories(const fs::path& dir) {
   std::vector<fs::path> paths;
   for (const auto& entry : fs::recursive_directory_iterator(dir)) {
@@ -56,9 +58,9 @@
   fs::path dir, tar;
   std::unique_ptr<archive, WriteFree> output;
   std::vector<fs::path> paths;
-  std::size_t next = 0;               // of `paths`
-  std::ifstream file;                 // the one that is being written
-  std::uint64_t unwritten_bytes = 0;  // of it
+  std::size_t next = 0;               // index in `paths`
+  std::ifstream file;                 // the file that is being packed
+  std::uint64_t unwritten_bytes = 0;  // remaining bytes of `file`
 
   [[noreturn]] void fail() const {
     throw BadArchive(tar.string() + ": " + archive_error_string(output.get()));
@@ -94,7 +96,7 @@
 void Packer::State::write_content() {
   std::string buffer(std::min<std::uint64_t>(kStepBytes, unwritten_bytes), '\0');
   if (!file.read(buffer.data(), static_cast<std::streamsize>(buffer.size())))
-    throw BadArchive(paths[next].string() + ": changed while it was read");
+    throw BadArchive(paths[next].string() + ": became shorter or unreadable while it was packed");
   const la_ssize_t written = archive_write_data(output.get(), buffer.data(), buffer.size());
   if (written != static_cast<la_ssize_t>(buffer.size())) fail();
   unwritten_bytes -= buffer.size();
@@ -104,7 +106,8 @@
 void Packer::State::write_header() {
   const fs::path& path = paths[next];
   struct stat status;
-  if (::lstat(path.c_str(), &status) != 0) throw BadArchive(path.string() + ": is gone");
+  if (::lstat(path.c_str(), &status) != 0)
+    throw BadArchive(path.string() + ": was removed before it was packed");
   const bool is_directory = S_ISDIR(status.st_mode);
   const EntryPtr entry(archive_entry_new());
   archive_entry_set_pathname(entry.get(), fs::relative(path, dir).c_str());
@@ -122,9 +125,9 @@
 
 struct Unpacker::State {
   fs::path dir;
-  std::uint64_t bytes_left = 0;  // that may still be unpacked
+  std::uint64_t bytes_left = 0;  // number of bytes that may still be unpacked
   std::unique_ptr<archive, ReadFree> input;
-  std::ofstream file;  // the one that is being read
+  std::ofstream file;  // the file that is being unpacked
   bool in_file = false;
 
   [[nodiscard]] BadArchive damaged(const std::string& what) const {
@@ -168,7 +171,7 @@
   if (count < 0) throw damaged("an entry's content");
   if (count == 0) return end_file();
   if (static_cast<std::uint64_t>(count) > bytes_left)
-    throw BadArchive("holds more than is allowed");
+    throw BadArchive("unpacked files are larger than allowed");
   bytes_left -= static_cast<std::uint64_t>(count);
   if (!file.write(buffer.data(), count)) throw cannot_write();
 }
@@ -179,7 +182,7 @@
   in_file = false;
 }
 
-// False: there is no further entry.
+// Returns false if there are no more entries.
 bool Unpacker::State::read_header() {
   archive_entry* entry = nullptr;
   const int result = archive_read_next_header(input.get(), &entry);
@@ -204,7 +207,8 @@
 void Unpacker::State::begin_file(const fs::path& name, fs::perms permissions) {
   const fs::path path = dir / name;
   fs::create_directories(path.parent_path());
-  if (fs::exists(fs::symlink_status(path))) throw BadArchive("entry " + name.string() + ": twice");
+  if (fs::exists(fs::symlink_status(path)))
+    throw BadArchive("entry " + name.string() + ": occurs twice");
   file = std::ofstream(path, std::ios::binary);
   if (!file) throw BadArchive("cannot write " + path.string());
   fs::permissions(path, permissions | fs::perms::owner_read | fs::perms::owner_write);
--- a/src/artifacts/archive.h
+++ b/src/artifacts/archive.h
@@ -1,9 +1,10 @@
-// Directories as tar files (libarchive), written and read in small steps, so that an actor that
-// does it goes on answering. Images and checkpoints travel in this form.
+// Packs directories into tar files and unpacks them (libarchive). Both work in small steps, so that
+// the calling actor can handle other messages in between. Images and checkpoints are transferred as
+// such archives.
 //
-// What is unpacked stays below its directory: absolute names, "..", links of any kind, devices and
-// whatever else is neither a file nor a directory are refused, and so is more than `max_bytes`
-// bytes.
+// Unpacking never writes outside the target directory: absolute names, "..", links of any kind,
+// devices and anything else that is neither a file nor a directory are refused, and so are more
+// than `max_bytes` bytes.
 #pragma once
 #include <cstdint>
 #include <filesystem>
@@ -13,18 +14,19 @@
 
 namespace shunttrail::artifacts {
 
-/// Says in one line what is wrong, naming the entry.
+/// An archive that cannot be packed or unpacked. The message is one line with the file or entry and
+/// the cause.
 struct BadArchive : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Writes a directory's files and directories into a tar file; links are left out.
+/// Packs a directory's files and subdirectories into a tar file; links are left out.
 class Packer {
  public:
   /// Throws BadArchive or std::filesystem::filesystem_error.
   Packer(std::filesystem::path dir, const std::filesystem::path& tar);
   ~Packer();
-  /// Writes a little more. True: the archive is whole. Throws BadArchive.
+  /// Writes the next part. Returns true once the archive is complete. Throws BadArchive.
   [[nodiscard]] bool step();
 
  private:
@@ -32,13 +34,14 @@
   std::unique_ptr<State> state_;
 };
 
-/// Reads a tar file, gzipped or not, into a directory.
+/// Unpacks a tar file, gzipped or not, into a directory.
 class Unpacker {
  public:
-  /// `max_bytes`: of all files. Throws BadArchive or std::filesystem::filesystem_error.
+  /// `max_bytes` limits the total size of the unpacked files. Throws BadArchive or
+  /// std::filesystem::filesystem_error.
   Unpacker(const std::filesystem::path& tar, std::filesystem::path dir, std::uint64_t max_bytes);
   ~Unpacker();
-  /// Reads a little more. True: all is unpacked. Throws BadArchive or
+  /// Unpacks the next part. Returns true once everything is unpacked. Throws BadArchive or
   /// std::filesystem::filesystem_error.
   [[nodiscard]] bool step();
 
--- a/src/artifacts/client.cpp
+++ b/src/artifacts/client.cpp
@@ -58,7 +58,7 @@
 struct Client::Download {
   std::string hash;
   fs::path file;
-  fs::path aside;  // where it is written until its hash is checked
+  fs::path aside;  // temporary file until the hash has been checked
   std::ofstream output;
   std::uint64_t received_bytes = 0;
   Hasher hasher;
@@ -71,14 +71,15 @@
     done(outcome);
   }
 
-  // True: the file is written as far as the body goes.
+  // Appends the body to the file. Returns false if the write fails.
   bool write(const std::string& body) {
     hasher.add(body);
     received_bytes += body.size();
     return static_cast<bool>(output.write(body.data(), static_cast<std::streamsize>(body.size())));
   }
 
-  // All bytes are there. Damaged on the way or in the artifact store, they never get their name.
+  // Called when all bytes have arrived. A file that was damaged in transit or in the artifact store
+  // is not renamed to its final name.
   void complete() {
     output.close();
     if (hasher.hex() != hash) return end(Outcome::refused);
--- a/src/artifacts/client.h
+++ b/src/artifacts/client.h
@@ -1,6 +1,5 @@
-// The artifact store as its users see it. Every call ends in exactly one answer, given from the
-// event loop; what failed for a reason that may pass says so (`unavailable`), and may be asked
-// again as it was.
+// Asynchronous client of the artifact store. Each call invokes its callback exactly once, from the
+// event loop. The outcome `unavailable` stands for a transient failure; the call may be repeated.
 #pragma once
 #include <filesystem>
 #include <functional>
@@ -14,8 +13,8 @@
 
 enum class Outcome {
   ok,
-  absent,   ///< no such blob or name
-  refused,  ///< the artifact store has something else there, or the content does not match its hash
+  absent,       ///< no such blob or name
+  refused,      ///< a conflicting value is stored, or the content does not match its hash
   unavailable,  ///< no answer, or the artifact store's disk is full
 };
 
@@ -28,10 +27,10 @@
   /// Stores a file's bytes as a blob. The file must not change meanwhile.
   void put_file(std::filesystem::path file, HashDone done);
   using Done = std::function<void(Outcome)>;
-  /// Fetches a blob as a file: written aside, its hash checked, and renamed.
+  /// Downloads a blob to a temporary file, checks its hash, and renames the file to `to`.
   void get_file(std::string hash, std::filesystem::path to, Done done);
   using NameDone = std::function<void(Outcome, Store::Named)>;
-  /// Stores a value under a name. With `refused` comes what is there.
+  /// Stores a value under a name. If the outcome is `refused`, the callback gets the stored value.
   void put_name(std::string name, Store::Named value, NameDone done);
   void get_name(std::string name, NameDone done);
 
--- a/src/artifacts/server.cpp
+++ b/src/artifacts/server.cpp
@@ -11,7 +11,8 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMaxNameBody = 1024;  // beside a part's bytes
+constexpr std::size_t kMaxNameBody =
+    1024;  // bytes allowed in a request body beyond those of a part
 constexpr std::size_t kMaxOffsetDigits = 15;
 constexpr double kRetryAfterS = 1;
 constexpr const char* kEmptyObject = "{}";
@@ -20,11 +21,11 @@
   const std::string text = net::query_value(exchange.query, "at");
   if (text.empty()) return 0;
   if (text.size() > kMaxOffsetDigits || text.find_first_not_of("0123456789") != std::string::npos)
-    throw BadRequest("at is not a count");
+    throw BadRequest("query value at is not a byte offset");
   return std::stoull(text);
 }
 
-// What stands behind the prefix of a path that has it.
+// Returns the path without the prefix, or nothing if it does not have the prefix.
 std::optional<std::string> rest_of(const std::string& path, std::string_view prefix) {
   if (!path.starts_with(prefix)) return std::nullopt;
   return path.substr(prefix.size());
@@ -43,7 +44,8 @@
   } catch (const BadRequest& error) {
     return net::error_response(400, error.what());
   } catch (const std::exception& error) {
-    log::error("artifact store's disk failed", {{"path", exchange.path}, {"why", error.what()}});
+    log::error("artifact store: request failed on a disk error",
+               {{"path", exchange.path}, {"why", error.what()}});
     return net::error_response(507, error.what(), kRetryAfterS);
   }
 }
@@ -59,7 +61,7 @@
 }
 
 net::Answer Server::answer_part(const std::string& upload, const net::Exchange& exchange) {
-  if (!exchange.post) return net::error_response(405, "POST it");
+  if (!exchange.post) return net::error_response(405, "parts of an upload are sent by POST");
   const std::uint64_t size = store_.add_part(upload, read_offset(exchange), exchange.body);
   return {200, json{{"size", size}}.dump(), 0};
 }
@@ -68,21 +70,21 @@
   if (exchange.post) {
     const std::string upload = net::query_value(exchange.query, "from");
     if (store_.finish(upload, hash)) return {200, kEmptyObject, 0};
-    return net::error_response(422, "its bytes have another hash");
+    return net::error_response(422, "the upload's bytes do not have the hash " + hash);
   }
   if (auto bytes = store_.read(hash, read_offset(exchange), kMaxPartBytes))
     return {200, std::move(*bytes), 0};
-  return net::error_response(404, "no such blob");
+  return net::error_response(404, "no blob with the hash " + hash);
 }
 
 net::Answer Server::get_name(const std::string& name) const {
   if (auto value = store_.get_name(name)) return {200, encode_named(*value), 0};
-  return net::error_response(404, "no such name");
+  return net::error_response(404, "no value under the name " + name);
 }
 
 net::Answer Server::put_name(const std::string& name, const std::string& body) {
   const auto value = decode_named(body);
-  if (!value) throw BadRequest("not a value with a version");
+  if (!value) throw BadRequest("the body is not a value with a version");
   switch (store_.put_name(name, *value)) {
     case Store::Put::created:
       return {201, kEmptyObject, 0};
--- a/src/artifacts/server.h
+++ b/src/artifacts/server.h
@@ -1,15 +1,18 @@
-// The artifact store over HTTP: job descriptions, images, checkpoints, outputs and results, kept
-// outside the machines that use them.
+// HTTP server of the artifact store, which keeps job descriptions, images, checkpoints, outputs and
+// results outside the machines that use them.
 //
-//   POST /depot/parts/UPLOAD?at=N         some bytes; 200 {"size":N}, also where `at` did not match
-//   POST /depot/blobs/HASH?from=UPLOAD    the upload becomes the blob: 200, or 422 for another hash
-//   GET  /depot/blobs/HASH?at=N           up to 1 MiB from there, empty at the end; 404
-//   POST /depot/names/NAME                {"value":...,"version":V}; 201, 200 if the same is there,
-//                                         409 with what is there
+//   POST /depot/parts/UPLOAD?at=N         appends bytes to an upload; 200 {"size":N}, also if `at`
+//   does
+//                                         not match the size
+//   POST /depot/blobs/HASH?from=UPLOAD    makes the upload a blob: 200, or 422 if the hash does not
+//                                         match
+//   GET  /depot/blobs/HASH?at=N           up to 1 MiB from offset N, empty at the end; or 404
+//   POST /depot/names/NAME                {"value":...,"version":V}; 201, 200 if the same value is
+//                                         stored, 409 with the stored value if it conflicts
 //   GET  /depot/names/NAME                {"value":...,"version":V}, or 404
 //   GET  /depot/up                        200
 //
-// 400: malformed; 507: the disk is full or fails, nothing was changed.
+// 400: the request is malformed; 507: the disk is full or fails, and nothing was changed.
 #pragma once
 #include <string>
 
@@ -18,13 +21,13 @@
 
 namespace shunttrail::artifacts {
 
-/// The most bytes of a blob in one request or answer.
+/// The maximum number of bytes of a blob in one request or answer.
 inline constexpr std::size_t kMaxPartBytes = 1024 * 1024;
 
 class Server {
  public:
-  /// Serves the store in `dir`. Throws std::exception where the address is taken or the directory
-  /// cannot be made.
+  /// Serves the store in `dir`. Throws std::exception if the address is in use or the directory
+  /// cannot be created.
   Server(actor::Loop& loop, const config::Endpoint& address, const std::filesystem::path& dir);
 
  private:
--- a/src/artifacts/store.cpp
+++ b/src/artifacts/store.cpp
@@ -29,7 +29,7 @@
   throw std::system_error(errno, std::generic_category(), what);
 }
 
-// An open file.
+// Owns an open file descriptor.
 class File {
  public:
   File(const fs::path& path, int flags) : fd_(::open(path.c_str(), flags | O_CLOEXEC, 0644)) {
@@ -86,7 +86,7 @@
   });
 }
 
-// Reads an optional count. False: it is there and is none.
+// Reads an optional count. Returns false if the field exists but is not an unsigned integer.
 bool read_count(const nlohmann::json& fields, const char* name, std::uint64_t& count) {
   const auto found = fields.find(name);
   if (found == fields.end()) return true;
@@ -181,18 +181,19 @@
 }
 
 fs::path Store::upload_path(const std::string& upload) const {
-  if (!valid_upload(upload)) throw BadRequest("not an upload's name");
+  if (!valid_upload(upload)) throw BadRequest("upload name is not of 8 to 64 hex digits");
   return dir_ / "parts" / upload;
 }
 
 fs::path Store::blob_path(const std::string& hash) const {
-  if (!valid_hash(hash)) throw BadRequest("not a hash");
+  if (!valid_hash(hash)) throw BadRequest("hash is not of 64 hex digits");
   return dir_ / "blobs" / hash.substr(0, 2) / hash;
 }
 
-// Values end in ".json": "a" and "a/b" may both be names, a file and a directory.
+// The files of values end in ".json", because both "a" and "a/b" may be names: without the suffix
+// "a" would be a file and a directory.
 fs::path Store::name_path(const std::string& name) const {
-  if (!valid_name(name)) throw BadRequest("not a name");
+  if (!valid_name(name)) throw BadRequest("name is malformed");
   return dir_ / "names" / (name + ".json");
 }
 
@@ -207,7 +208,8 @@
   try {
     write_all(file, bytes, path);
   } catch (const std::system_error&) {
-    // A full disk leaves no half part behind: the sender goes on where it was.
+    // Removes a partly written part, for example after the disk has become full, so that the sender
+    // can continue where it was.
     if (::ftruncate(file.get(), status.st_size) != 0) fs::remove(path);
     throw;
   }
@@ -220,7 +222,7 @@
     fs::remove(from);
     return true;
   }
-  if (!fs::exists(from)) File(from, O_WRONLY | O_CREAT);  // of no bytes
+  if (!fs::exists(from)) File(from, O_WRONLY | O_CREAT);  // a blob of no bytes
   std::string found;
   {
     const File file(from, O_RDWR);
@@ -271,7 +273,9 @@
   const fs::path path = name_path(name);
   if (!fs::exists(path)) return std::nullopt;
   auto value = decode_named(read_file_or_empty(path));
-  if (!value) throw std::runtime_error("the depot's name " + name + " is damaged");
+  if (!value)
+    throw std::runtime_error("artifact store: the stored value of the name " + name +
+                             " is damaged");
   return value;
 }
 
--- a/src/artifacts/store.h
+++ b/src/artifacts/store.h
@@ -1,11 +1,12 @@
-// The artifact store's directory: content-addressed blobs, and names that point at small JSON
+// The directory of the artifact store: content-addressed blobs, and names that refer to small JSON
 // values.
 //
-// A blob is found by the BLAKE2b-256 hash of its bytes (libsodium); it becomes visible in one
-// rename, after its bytes and its hash have been checked and synced. A name is written whole or not
-// at all. Two kinds of names: those without a version are written once (a job's description, a
-// task's result: the first one stays), the others only move up (a task's latest checkpoint).
-// Errors: BadRequest for what no caller may ask, std::system_error for the disk's.
+// A blob is addressed by the BLAKE2b-256 hash of its bytes (libsodium). It becomes visible by a
+// rename, after its hash has been checked and its bytes have been synced. A name is written
+// atomically. There are two kinds of names. A name without a version is written once, and its first
+// value stays (a job's description, a task's result). The value of a versioned name is replaced
+// only by a higher version (a task's latest checkpoint). Errors: BadRequest for an invalid request,
+// std::system_error for disk errors.
 #pragma once
 #include <cstdint>
 #include <filesystem>
@@ -16,12 +17,12 @@
 
 namespace shunttrail::artifacts {
 
-/// What no caller may ask; says in one line why.
+/// An invalid request. The message is one line with the cause.
 struct BadRequest : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Hash of a stream of bytes, as 64 hex digits.
+/// Computes the hash of a stream of bytes, as 64 hex digits.
 class Hasher {
  public:
   Hasher();
@@ -29,7 +30,7 @@
   Hasher(const Hasher&) = delete;
   Hasher& operator=(const Hasher&) = delete;
   void add(std::string_view bytes);
-  /// Once, at the end.
+  /// Returns the hash. May be called once, after the last add().
   [[nodiscard]] std::string hex();
 
  private:
@@ -38,41 +39,45 @@
 };
 [[nodiscard]] std::string hash_of(std::string_view bytes);
 [[nodiscard]] bool valid_hash(std::string_view text);
-/// One to six parts of letters, digits, '.', '-' and '_', none of them "." or "..".
+/// Returns whether the text is a valid name: one to six parts of letters, digits, '.', '-' and '_',
+/// separated by '/', none of them "." or "..".
 [[nodiscard]] bool valid_name(std::string_view text);
-/// Replaces a file's bytes whole: written aside, synced, renamed, and the directory synced. Throws
-/// std::system_error.
+/// Replaces a file's content atomically and durably: writes and syncs a temporary file, renames it,
+/// and syncs the directory. Throws std::system_error.
 void replace_file(const std::filesystem::path& file, std::string_view bytes);
-/// All of a file; empty if it cannot be read.
+/// Returns the file's content; empty if it cannot be read.
 [[nodiscard]] std::string read_file_or_empty(const std::filesystem::path& file);
 
 class Store {
  public:
-  /// Uploads that nobody has gone on with for a day are removed.
+  /// Opens the store. Removes uploads that have not been continued for a day.
   explicit Store(std::filesystem::path dir);
 
-  /// Adds a part of an upload. `at` has to be what is there already, so that a repeated part does
-  /// no harm; the size afterwards is returned, also when it did not match.
+  /// Appends a part to an upload if `at` equals the upload's size, so that a repeated part is
+  /// ignored. Returns the upload's size afterwards, in both cases.
   std::uint64_t add_part(const std::string& upload, std::uint64_t at, std::string_view bytes);
-  /// The upload becomes the blob; false: its bytes have another hash, and it is removed. A blob
-  /// that is there already is left as it is.
+  /// Makes the upload a blob. Returns false, and removes the upload, if its bytes have another
+  /// hash. A blob that exists already is left unchanged.
   [[nodiscard]] bool finish(const std::string& upload, const std::string& hash);
   [[nodiscard]] bool has(const std::string& hash) const;
-  /// Bytes from `at` on, at most `most`; nothing if there is no such blob. Empty at its end.
+  /// Returns at most `most` bytes from offset `at`, or an empty string at the end of the blob.
+  /// Returns nothing if there is no such blob.
   [[nodiscard]] std::optional<std::string> read(const std::string& hash, std::uint64_t at,
                                                 std::size_t most) const;
 
   /// A value under a name.
   struct Named {
     std::string value;          ///< JSON text
-    std::uint64_t version = 0;  ///< 0: written once
-    std::uint64_t part = 0;     ///< orders what has the same version
+    std::uint64_t version = 0;  ///< 0 for a name that is written once
+    std::uint64_t part = 0;     ///< orders values of the same version
     friend bool operator==(const Named&, const Named&) = default;
   };
   enum class Put { created, same, refused };
-  /// `version` 0: written once. Otherwise taken only above the version and part that are there.
+  /// Stores a value. A value with version 0 is stored only if the name is new. Any other value
+  /// replaces the stored one only if its version and part are higher, and the stored version is not
+  /// 0.
   Put put_name(const std::string& name, const Named& value);
-  /// Nothing: there is no such name.
+  /// Returns the value, or nothing if there is no such name.
   [[nodiscard]] std::optional<Named> get_name(const std::string& name) const;
 
  private:
@@ -83,9 +88,9 @@
   std::filesystem::path dir_;
 };
 
-/// {"value":...,"version":V,"part":P}, as names are kept and as they travel.
+/// Returns {"value":...,"version":V,"part":P}, the form of a named value on disk and in messages.
 [[nodiscard]] std::string encode_named(const Store::Named& value);
-/// Nothing: the text is not of this form.
+/// Returns nothing if the text does not have this form.
 [[nodiscard]] std::optional<Store::Named> decode_named(std::string_view text);
 
 }  // namespace shunttrail::artifacts
--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -114,7 +114,7 @@
   std::ofstream(rig.dir / "m") << "a file";
   rig.start();
   ASSERT_TRUE(rig.until([&] { return rig.agent_ended(); }));
-  EXPECT_NE(artifacts::read_file_or_empty(rig.dir / "agent.log").find("agent cannot go on"),
+  EXPECT_NE(artifacts::read_file_or_empty(rig.dir / "agent.log").find("agent stopped by an error"),
             std::string::npos);
 }
 
