--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -23,11 +23,11 @@
       rig.start();
     }
     // Also what is reaped is on record: one more report after the end.
-    return rig.tasks[id].done > 0 && killed && rig.last.tasks.empty();
+    return rig.tasks[id].done > 0 && killed && rig.last_heartbeat.tasks.empty();
   })) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   EXPECT_EQ(rig.tasks[id].done, 1);
   EXPECT_EQ(rig.tasks[id].lost, 0);
-  EXPECT_EQ(rig.last.incarnation, 1u);
+  EXPECT_EQ(rig.last_heartbeat.incarnation, 1u);
   EXPECT_EQ(rig.logged("begin"), 1);
   EXPECT_EQ(rig.logged("end"), 1);
   EXPECT_EQ(rig.logged("overlap"), 0);
@@ -61,14 +61,14 @@
   std::string id = rig.add("sleep 1000");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  ASSERT_TRUE(rig.until([&] { return rig.last.tasks.size() == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.last_heartbeat.tasks.size() == 1; }));
   rig.kill_agent();
   const fs::path task = rig.dir / "m" / "tasks" / (id + ".0.1");
   ASSERT_TRUE(rig.until([&] { return fs::exists(task / "end.json"); }));
   EXPECT_TRUE(rig.nothing_left_of(id));
   rig.start();
   ASSERT_TRUE(rig.until([&] { return rig.tasks[id].lost == 1; }));
-  EXPECT_EQ(rig.last.incarnation, 2u);
+  EXPECT_EQ(rig.last_heartbeat.incarnation, 2u);
   EXPECT_EQ(rig.logged("overlap"), 0);
 }
 
@@ -77,13 +77,14 @@
   std::string id = rig.add("sleep 1000");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  ASSERT_TRUE(rig.until([&] { return rig.last.tasks.size() == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.last_heartbeat.tasks.size() == 1; }));
   ::kill(rig.pid, SIGSTOP);
   const fs::path task = rig.dir / "m" / "tasks" / (id + ".0.1");
   ASSERT_TRUE(rig.until([&] { return fs::exists(task / "end.json"); }));
-  int before = rig.reports;
+  int before = rig.heartbeats;
   ::kill(rig.pid, SIGCONT);
-  ASSERT_TRUE(rig.until([&] { return rig.reports > before && rig.last.incarnation == 2; }));
+  ASSERT_TRUE(
+      rig.until([&] { return rig.heartbeats > before && rig.last_heartbeat.incarnation == 2; }));
   ASSERT_TRUE(rig.until([&] { return rig.logged("begin") == 2; }));
   EXPECT_EQ(rig.logged("overlap"), 0);
 }
@@ -95,7 +96,7 @@
   std::string id = rig.add("sleep 1000");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  ASSERT_TRUE(rig.until([&] { return rig.last.tasks.size() == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.last_heartbeat.tasks.size() == 1; }));
   auto j = nlohmann::json::parse(
       artifacts::read_file_or_empty(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
   ::kill(j["pid"].get<pid_t>(), SIGSTOP);
@@ -105,7 +106,7 @@
   EXPECT_FALSE(rig.nothing_left_of(id));
   rig.tasks[id].wanted = false;
   rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.last.incarnation == 2; }));
+  ASSERT_TRUE(rig.until([&] { return rig.last_heartbeat.incarnation == 2; }));
   EXPECT_TRUE(rig.nothing_left_of(id));
 }
 
@@ -147,7 +148,7 @@
   ASSERT_TRUE(rig.until_logged("forked"));
   rig.tasks[id].cancelled = true;
   ASSERT_TRUE(rig.until([&] { return rig.tasks[id].failed == 1; }));
-  EXPECT_EQ(rig.tasks[id].why, std::to_string(static_cast<int>(wire::ExitReason::stopped)));
+  EXPECT_EQ(rig.tasks[id].exit_reason, std::to_string(static_cast<int>(wire::ExitReason::stopped)));
   EXPECT_TRUE(rig.nothing_left_of(id));
 }
 
@@ -178,7 +179,7 @@
   ASSERT_TRUE(rig.until_logged("ready"));
   rig.tasks[id].cancelled = true;
   ASSERT_TRUE(rig.until([&] { return rig.tasks[id].failed == 1; }));
-  EXPECT_EQ(rig.tasks[id].why,
+  EXPECT_EQ(rig.tasks[id].exit_reason,
             std::to_string(static_cast<int>(wire::ExitReason::stopped)) + "kept");
   rig.tasks[id].cancelled = false;
   ASSERT_TRUE(rig.until_done(id)) << artifacts::read_file_or_empty(rig.dir / "agent.log");
@@ -225,7 +226,7 @@
       30);
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  rig.close_depot();
+  rig.close_artifact_store();
   std::ofstream(rig.dir / "go");
   ASSERT_TRUE(rig.until_logged("saved"));
   auto j = nlohmann::json::parse(
@@ -237,7 +238,7 @@
   }));
   rig.kill_agent();
   rig.start();
-  rig.open_depot();
+  rig.open_artifact_store();
   ASSERT_TRUE(rig.until_done(id)) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   EXPECT_EQ(rig.tasks[id].failed, 1);
   EXPECT_EQ(rig.logged("from 1"), 1);
@@ -264,16 +265,16 @@
                            " ]; do sleep 0.05; done");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  rig.close_depot();
+  rig.close_artifact_store();
   rig.close_controller();
   std::ofstream(rig.dir / "go");
   ASSERT_TRUE(rig.until_logged("end"));
   rig.open_controller();
-  int before = rig.reports;
-  ASSERT_TRUE(rig.until([&] { return rig.reports > before + 2; }));
+  int before = rig.heartbeats;
+  ASSERT_TRUE(rig.until([&] { return rig.heartbeats > before + 2; }));
   EXPECT_EQ(rig.tasks[id].done, 0);  // its result is not safe
-  EXPECT_EQ(rig.last.tasks.at(0).state, wire::TaskState::running);
-  rig.open_depot();
+  EXPECT_EQ(rig.last_heartbeat.tasks.at(0).state, wire::TaskState::running);
+  rig.open_artifact_store();
   ASSERT_TRUE(rig.until_done(id));
   auto r = client_protocol::decode_result(
       artifacts::Store(rig.dir / "depot").get_name(client_protocol::result_name({id, 0}))->value);
@@ -300,14 +301,14 @@
       rig.add("until [ -e " + (rig.dir / "go").string() + " ]; do sleep 0.05; done");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  ASSERT_TRUE(rig.until([&] { return rig.last.tasks.size() == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.last_heartbeat.tasks.size() == 1; }));
   rlimit none{0, RLIM_INFINITY}, all{RLIM_INFINITY, RLIM_INFINITY};
   ASSERT_EQ(::prlimit(rig.pid, RLIMIT_FSIZE, &none, nullptr), 0);
   std::string second = rig.add("true");
   std::ofstream(rig.dir / "go");
   ASSERT_TRUE(rig.until_logged("end"));
-  int before = rig.reports;
-  ASSERT_TRUE(rig.until([&] { return rig.reports > before + 5; }));  // it still reports
+  int before = rig.heartbeats;
+  ASSERT_TRUE(rig.until([&] { return rig.heartbeats > before + 5; }));  // it still reports
   EXPECT_EQ(rig.tasks[first].done, 0);
   EXPECT_EQ(rig.logged("begin"), 1);
   ASSERT_EQ(::prlimit(rig.pid, RLIMIT_FSIZE, &all, nullptr), 0);
@@ -363,18 +364,18 @@
 TEST(AgentProcess, DirectCommandsAreCheckedByTokenAndIncarnationAndMalformedOnesRefused) {
   Rig rig;
   rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.reports > 1; }));
-  EXPECT_EQ(rig.order("not json").status, 400);
-  EXPECT_EQ(rig.order(R"({"orders":[]})").status, 400);
-  EXPECT_EQ(rig.order(R"({"staff":4,"shift":1,"orders":[]})").status, 409);
-  EXPECT_EQ(rig.order(R"({"staff":5,"shift":2,"orders":[]})").status, 409);
+  ASSERT_TRUE(rig.until([&] { return rig.heartbeats > 1; }));
+  EXPECT_EQ(rig.send_command("not json").status, 400);
+  EXPECT_EQ(rig.send_command(R"({"orders":[]})").status, 400);
+  EXPECT_EQ(rig.send_command(R"({"staff":4,"shift":1,"orders":[]})").status, 409);
+  EXPECT_EQ(rig.send_command(R"({"staff":5,"shift":2,"orders":[]})").status, 409);
   // The agent answers and closes before it has read all: the answer can be lost with what is still
   // being written, and is then asked for again.
   net::Result too_long;
   for (int i = 0; i < 20 && too_long.status == 0; ++i)
-    too_long = rig.order(std::string(70000, ' '));
+    too_long = rig.send_command(std::string(70000, ' '));
   EXPECT_EQ(too_long.status, 413);
-  auto r = rig.order(R"({"staff":6,"shift":1,"orders":[{"order":"dance"},
+  auto r = rig.send_command(R"({"staff":6,"shift":1,"orders":[{"order":"dance"},
                          {"order":"start","car":"run-999999/0","departure":3}]})");
   EXPECT_EQ(r.status, 200);
   auto report = wire::decode_heartbeat(r.body);
@@ -390,7 +391,8 @@
   EXPECT_GT(rig.status().sequence, seq);
   rig.token = 7;
   std::ofstream(rig.dir / "m" / "recall") << "12";
-  ASSERT_TRUE(rig.until([&] { return rig.last.notice_s && *rig.last.notice_s <= 12; }));
+  ASSERT_TRUE(
+      rig.until([&] { return rig.last_heartbeat.notice_s && *rig.last_heartbeat.notice_s <= 12; }));
 }
 
 // An agent that is replaced leaves its tasks alone; one that is ended takes them with it.
@@ -399,19 +401,19 @@
   std::string id = rig.add("sleep 1000");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  ASSERT_TRUE(rig.until([&] { return rig.last.tasks.size() == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.last_heartbeat.tasks.size() == 1; }));
   rig.kill_agent(SIGTERM);
   rig.start();
-  int before = rig.reports;
-  ASSERT_TRUE(rig.until([&] { return rig.reports > before + 1; }));
-  EXPECT_EQ(rig.last.incarnation, 1u);
+  int before = rig.heartbeats;
+  ASSERT_TRUE(rig.until([&] { return rig.heartbeats > before + 1; }));
+  EXPECT_EQ(rig.last_heartbeat.incarnation, 1u);
   EXPECT_EQ(rig.tasks[id].attempt, 1u);
   EXPECT_EQ(rig.logged("begin"), 1);
   rig.kill_agent(SIGTERM);
   EXPECT_TRUE(agent::kill_all_tasks({rig.dir / "m"}));
   EXPECT_TRUE(rig.nothing_left_of(id));
   rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.last.incarnation == 2; }));
+  ASSERT_TRUE(rig.until([&] { return rig.last_heartbeat.incarnation == 2; }));
 }
 
 }  // namespace
--- a/tests/agent_rig.h
+++ b/tests/agent_rig.h
@@ -46,25 +46,27 @@
 class Rig {
  public:
   struct Task {
-    std::uint64_t attempt = 0, session = 0;  // what was last asked for, and in which incarnation
+    std::uint64_t attempt = 0,
+                  incarnation = 0;  // the requested attempt, and the incarnation it was sent to
     bool sent = false, wanted = true, cancelled = false;
     int done = 0, failed = 0, lost = 0;  // final answers, other ends, ends with an incarnation
-    std::string why;
+    std::string exit_reason;
   };
 
-  explicit Rig(double lease_s = 60, const std::string& more = "") : lease_s_(lease_s), more_(more) {
+  explicit Rig(double lease_s = 60, const std::string& extra_settings = "")
+      : lease_s_(lease_s), extra_settings_(extra_settings) {
     // As every program does: a connection that the agent closes early is an error of one write.
     ::signal(SIGPIPE, SIG_IGN);
     std::string name = fs::temp_directory_path() / "shunt-rig-XXXXXX";
     dir = ::mkdtemp(name.data());
-    open_depot();
+    open_artifact_store();
     open_controller();
   }
   ~Rig() {
     kill_agent();
     agent::kill_all_tasks({dir / "m"});
     controller_.reset();
-    depot_.reset();
+    artifacts_.reset();
     fs::remove_all(dir);
   }
 
@@ -76,8 +78,8 @@
         << "<lease-s>" << lease_s_ << "</lease-s><disk-reserve-mb>0</disk-reserve-mb>"
         << "<memory-limit>false</memory-limit><controllers><controller name='n0' "
            "address='127.0.0.1:"
-        << controller_at_.port << "'/></controllers><depot>127.0.0.1:" << depot_at_.port
-        << "</depot>" << more_ << "</shunt-agent>";
+        << controller_at_.port << "'/></controllers><depot>127.0.0.1:" << artifacts_at_.port
+        << "</depot>" << extra_settings_ << "</shunt-agent>";
     const std::string settings = dir / "agent.xml", home = dir / "m", log = dir / "agent.log";
     pid = ::fork();
     if (pid == 0) {
@@ -100,10 +102,10 @@
     pid = 0;
   }
 
-  void open_depot() {
-    depot_ = std::make_unique<artifacts::Server>(loop, depot_at_, dir / "depot");
+  void open_artifact_store() {
+    artifacts_ = std::make_unique<artifacts::Server>(loop, artifacts_at_, dir / "depot");
   }
-  void close_depot() { depot_.reset(); }
+  void close_artifact_store() { artifacts_.reset(); }
   void open_controller() {
     controller_ = std::make_unique<net::Server>(loop, controller_at_, 64 * 1024,
                                                 [this](net::ExchangePtr ex) { heartbeat(ex); });
@@ -166,18 +168,18 @@
     return until([&] { return logged(word) >= n; });
   }
   // An order straight to the worker: its status and body.
-  net::Result order(const std::string& body, const char* path = "/orders") {
+  net::Result send_command(const std::string& body, const char* path = "/orders") {
     net::Client client(loop, address, 1, 1);
     net::Result out;
-    bool over = false;
+    bool answered = false;
     client.request(body.empty() ? "GET" : "POST", path, body, 10, [&](net::Result r) {
       out = std::move(r);
-      over = true;
+      answered = true;
     });
-    until([&] { return over; });
+    until([&] { return answered; });
     return out;
   }
-  wire::Heartbeat status() { return wire::decode_heartbeat(order("", "/status").body); }
+  wire::Heartbeat status() { return wire::decode_heartbeat(send_command("", "/status").body); }
 
   actor::Loop loop;
   fs::path dir;
@@ -185,58 +187,58 @@
   pid_t pid = 0;
   std::uint64_t token = 5;
   std::map<std::string, Task> tasks;
-  wire::Heartbeat last;
-  int reports = 0;
+  wire::Heartbeat last_heartbeat;
+  int heartbeats = 0;
   double grace_s = 20;
 
  private:
   // A controller in a few lines: what is wanted is started until it is seen, what has exited is
   // reaped, and what did not get done is tried once more.
   void heartbeat(net::ExchangePtr ex) {
-    last = wire::decode_heartbeat(ex->body);
-    ++reports;
+    last_heartbeat = wire::decode_heartbeat(ex->body);
+    ++heartbeats;
     std::vector<wire::Command> commands;
-    std::map<std::string, wire::TaskStatus> there;
-    for (const auto& t : last.tasks) {
-      if (t.state == wire::TaskState::exited)
-        commands.push_back({wire::Command::Op::acknowledge, t.task, t.attempt, 0});
-      Task& w = tasks[t.task.job];
-      if (t.attempt == w.attempt && w.sent) there[t.task.job] = t;
+    std::map<std::string, wire::TaskStatus> reported;
+    for (const auto& status : last_heartbeat.tasks) {
+      if (status.state == wire::TaskState::exited)
+        commands.push_back({wire::Command::Op::acknowledge, status.task, status.attempt, 0});
+      Task& task = tasks[status.task.job];
+      if (status.attempt == task.attempt && task.sent) reported[status.task.job] = status;
     }
-    for (auto& [id, w] : tasks) {
-      if (w.sent && last.incarnation > w.session) {
-        ++w.lost;
-        ++w.attempt;
-        w.sent = false;
+    for (auto& [id, task] : tasks) {
+      if (task.sent && last_heartbeat.incarnation > task.incarnation) {
+        ++task.lost;
+        ++task.attempt;
+        task.sent = false;
       }
-      auto it = there.find(id);
-      if (it != there.end() && it->second.state == wire::TaskState::exited) {
-        w.why = std::to_string(static_cast<int>(it->second.exit_reason)) +
-                (it->second.checkpointed ? "kept" : "");
+      auto it = reported.find(id);
+      if (it != reported.end() && it->second.state == wire::TaskState::exited) {
+        task.exit_reason = std::to_string(static_cast<int>(it->second.exit_reason)) +
+                           (it->second.checkpointed ? "kept" : "");
         if (it->second.exit_reason == wire::ExitReason::done) {
-          ++w.done;
-          w.wanted = false;
+          ++task.done;
+          task.wanted = false;
         } else {
-          ++w.failed;
-          ++w.attempt;
+          ++task.failed;
+          ++task.attempt;
         }
-        w.sent = false;
-      } else if (it != there.end() && w.cancelled) {
-        commands.push_back({wire::Command::Op::stop, {id, 0}, w.attempt, grace_s});
-      } else if (it == there.end() && w.wanted && !w.cancelled) {
-        commands.push_back({wire::Command::Op::start, {id, 0}, w.attempt, 0});
-        w.sent = true;
-        w.session = last.incarnation;
+        task.sent = false;
+      } else if (it != reported.end() && task.cancelled) {
+        commands.push_back({wire::Command::Op::stop, {id, 0}, task.attempt, grace_s});
+      } else if (it == reported.end() && task.wanted && !task.cancelled) {
+        commands.push_back({wire::Command::Op::start, {id, 0}, task.attempt, 0});
+        task.sent = true;
+        task.incarnation = last_heartbeat.incarnation;
       }
     }
     ex->send({200, wire::encode_heartbeat_response(token, commands), 0});
   }
 
   double lease_s_;
-  std::string more_;
+  std::string extra_settings_;
   int jobs_ = 0;
-  config::Endpoint depot_at_ = free_endpoint(), controller_at_ = free_endpoint();
-  std::unique_ptr<artifacts::Server> depot_;
+  config::Endpoint artifacts_at_ = free_endpoint(), controller_at_ = free_endpoint();
+  std::unique_ptr<artifacts::Server> artifacts_;
   std::unique_ptr<net::Server> controller_;
 };
 
