--- a/tests/agent_attempt_table_test.cpp
+++ b/tests/agent_attempt_table_test.cpp
@@ -50,93 +50,96 @@
 
 // PROTOCOL's worker in a few lines: which attempts of one task are on it, and how.
 struct Model {
-  struct Held {
+  struct State {
     bool exited = false, launched = false, ended = false;
     ExitReason exit_reason = ExitReason::none;
   };
-  std::map<std::uint64_t, Held> held;
-  std::uint64_t reaped = 0;
+  std::map<std::uint64_t, State> attempts;
+  std::uint64_t highest_acknowledged = 0;
 
-  void start(std::uint64_t n) {
-    if (held.contains(n) || n <= reaped) return;
-    if (!held.empty() && held.rbegin()->first > n) return;
-    bool busy = std::any_of(held.begin(), held.end(), [](auto& h) { return !h.second.exited; });
-    held[n] = busy ? Held{true, false, false, ExitReason::busy} : Held{};
+  void start(std::uint64_t number) {
+    if (attempts.contains(number) || number <= highest_acknowledged) return;
+    if (!attempts.empty() && attempts.rbegin()->first > number) return;
+    bool busy = std::any_of(attempts.begin(), attempts.end(),
+                            [](auto& entry) { return !entry.second.exited; });
+    attempts[number] = busy ? State{true, false, false, ExitReason::busy} : State{};
   }
-  void halt(std::uint64_t n) {
-    auto it = held.find(n);
-    if (it == held.end() || it->second.exited || (it->second.launched && !it->second.ended)) return;
+  void stop(std::uint64_t number) {
+    auto it = attempts.find(number);
+    if (it == attempts.end() || it->second.exited || (it->second.launched && !it->second.ended))
+      return;
     it->second.exited = true;
     it->second.exit_reason = ExitReason::stopped;
   }
-  void reap(std::uint64_t n) {
-    auto it = held.find(n);
-    if (it == held.end() || !it->second.exited) return;
-    held.erase(it);
-    reaped = std::max(reaped, n);
+  void acknowledge(std::uint64_t number) {
+    auto it = attempts.find(number);
+    if (it == attempts.end() || !it->second.exited) return;
+    attempts.erase(it);
+    highest_acknowledged = std::max(highest_acknowledged, number);
   }
 };
 
 RC_GTEST_PROP(AttemptTable, CommandsEndsAndKillsAsTheModelHasThem, ()) {
   TempDir dir;
-  auto record = std::make_unique<agent::AgentJournal>(dir.path / "r.db", [](const std::string&) {});
-  AttemptTable book;
-  record->begin("m", "boot", book);
+  auto journal =
+      std::make_unique<agent::AgentJournal>(dir.path / "r.db", [](const std::string&) {});
+  AttemptTable table;
+  journal->begin("m", "boot", table);
   Model model;
-  auto key = [](std::uint64_t n) { return Key{"run-100001", 0, n}; };
+  auto key = [](std::uint64_t number) { return Key{"run-100001", 0, number}; };
   for (int i = *rc::gen::inRange(1, 40); i > 0; --i) {
-    std::uint64_t n = *rc::gen::inRange<std::uint64_t>(1, 6);
-    AttemptTable next = book;
-    int what = *rc::gen::inRange(0, 7);
-    if (what == 0 || what == 1) {
-      next.execute({make(Command::Op::start, key(n))});
-      model.start(n);
-    } else if (what == 2) {
-      next.execute({make(Command::Op::stop, key(n))});
-      model.halt(n);
-    } else if (what == 3) {
-      next.execute({make(Command::Op::acknowledge, key(n))});
-      model.reap(n);
-    } else if (what == 4 && model.held.contains(n) && !model.held[n].exited) {
+    std::uint64_t number = *rc::gen::inRange<std::uint64_t>(1, 6);
+    AttemptTable next = table;
+    int action = *rc::gen::inRange(0, 7);
+    if (action == 0 || action == 1) {
+      next.execute({make(Command::Op::start, key(number))});
+      model.start(number);
+    } else if (action == 2) {
+      next.execute({make(Command::Op::stop, key(number))});
+      model.stop(number);
+    } else if (action == 3) {
+      next.execute({make(Command::Op::acknowledge, key(number))});
+      model.acknowledge(number);
+    } else if (action == 4 && model.attempts.contains(number) && !model.attempts[number].exited) {
       // The next step of its life.
-      auto& h = model.held[n];
-      if (!h.launched) {
-        next.launched(key(n));
-        h.launched = true;
-      } else if (!h.ended) {
-        next.ended(key(n), ExitReason::done, false);
-        h.ended = true;
+      auto& expected = model.attempts[number];
+      if (!expected.launched) {
+        next.launched(key(number));
+        expected.launched = true;
+      } else if (!expected.ended) {
+        next.ended(key(number), ExitReason::done, false);
+        expected.ended = true;
       } else {
-        next.exited(key(n), ExitReason::done);
-        h.exited = true;
-        h.exit_reason = ExitReason::done;
+        next.exited(key(number), ExitReason::done);
+        expected.exited = true;
+        expected.exit_reason = ExitReason::done;
       }
-    } else if (what == 5) {
-      next.token += n;
-      next.reserved += n;
-    } else if (what == 6 && n == 1) {
+    } else if (action == 5) {
+      next.token += number;
+      next.reserved += number;
+    } else if (action == 6 && number == 1) {
       next.next_incarnation();
       model = {};
     }
-    record->save(book, next, "step");
-    book = next;
+    journal->save(table, next, "step");
+    table = next;
     // A kill: whatever was saved is found again, exactly.
     if (*rc::gen::inRange(0, 4) == 0) {
-      record.reset();
-      record = std::make_unique<agent::AgentJournal>(dir.path / "r.db", [](const std::string&) {});
-      RC_ASSERT(record->load("m") == book);
+      journal.reset();
+      journal = std::make_unique<agent::AgentJournal>(dir.path / "r.db", [](const std::string&) {});
+      RC_ASSERT(journal->load("m") == table);
     }
-    std::set<std::uint64_t> there;
-    int on = 0;
-    for (const auto& t : book.tasks()) {
-      there.insert(t.attempt);
-      const auto& h = model.held.at(t.attempt);
-      RC_ASSERT((t.state == TaskState::exited) == h.exited);
-      if (h.exited) RC_ASSERT(t.exit_reason == h.exit_reason);
-      on += t.state != TaskState::exited;
+    std::set<std::uint64_t> reported;
+    int running = 0;
+    for (const auto& status : table.tasks()) {
+      reported.insert(status.attempt);
+      const auto& expected = model.attempts.at(status.attempt);
+      RC_ASSERT((status.state == TaskState::exited) == expected.exited);
+      if (expected.exited) RC_ASSERT(status.exit_reason == expected.exit_reason);
+      running += status.state != TaskState::exited;
     }
-    RC_ASSERT(there.size() == model.held.size());
-    RC_ASSERT(on <= 1);  // two attempts of a task are never on the machine together
+    RC_ASSERT(reported.size() == model.attempts.size());
+    RC_ASSERT(running <= 1);  // two attempts of a task are never on the machine together
   }
 }
 
@@ -146,18 +149,18 @@
   struct Killed {};
   for (bool after : {false, true}) {
     TempDir dir;
-    AttemptTable book, next;
+    AttemptTable table, next;
     next.token = 9;
     next.execute({make(Command::Op::start, kA)});
     {
-      agent::AgentJournal r(dir.path / "r.db", [&](const std::string& step) {
+      agent::AgentJournal journal(dir.path / "r.db", [&](const std::string& step) {
         if (step == (after ? "x.after" : "x.before")) throw Killed{};
       });
-      r.begin("m", "boot", book);
-      EXPECT_THROW(r.save(book, next, "x"), Killed);
+      journal.begin("m", "boot", table);
+      EXPECT_THROW(journal.save(table, next, "x"), Killed);
     }
-    agent::AgentJournal r(dir.path / "r.db", [](const std::string&) {});
-    EXPECT_EQ(*r.load("m"), after ? next : book);
+    agent::AgentJournal journal(dir.path / "r.db", [](const std::string&) {});
+    EXPECT_EQ(*journal.load("m"), after ? next : table);
   }
 }
 
@@ -178,65 +181,65 @@
 
 // Guard: a start that the network held back until after its own reap ran the task once more.
 TEST(AttemptTable, AStartAfterItsAcknowledgementDoesNothing) {
-  AttemptTable b;
-  auto first = b.execute({make(Command::Op::start, kA)});
+  AttemptTable table;
+  auto first = table.execute({make(Command::Op::start, kA)});
   ASSERT_EQ(first.size(), 1u);
   EXPECT_EQ(first[0].kind, Effect::Kind::fetch);
-  b.launched(kA);
-  b.ended(kA, ExitReason::done, false);
-  EXPECT_EQ(b.tasks()[0].state, TaskState::running);  // its result is not safe yet
-  b.exited(kA, ExitReason::done);
-  b.execute({make(Command::Op::acknowledge, kA)});
+  table.launched(kA);
+  table.ended(kA, ExitReason::done, false);
+  EXPECT_EQ(table.tasks()[0].state, TaskState::running);  // its result is not safe yet
+  table.exited(kA, ExitReason::done);
+  table.execute({make(Command::Op::acknowledge, kA)});
   std::vector<std::string> refused;
-  EXPECT_TRUE(b.execute({make(Command::Op::start, kA)}, &refused).empty());
+  EXPECT_TRUE(table.execute({make(Command::Op::start, kA)}, &refused).empty());
   EXPECT_EQ(refused.size(), 1u);
-  EXPECT_TRUE(b.tasks().empty());
-  EXPECT_EQ(b.execute({make(Command::Op::start, kB)}).size(), 1u);
+  EXPECT_TRUE(table.tasks().empty());
+  EXPECT_EQ(table.execute({make(Command::Op::start, kB)}).size(), 1u);
   // Attempts that go back while a higher one is here.
-  b.execute({make(Command::Op::start, kA)});
-  EXPECT_EQ(b.tasks().size(), 1u);
+  table.execute({make(Command::Op::start, kA)});
+  EXPECT_EQ(table.tasks().size(), 1u);
 }
 
 TEST(AttemptTable, SavesOnlyWithTimeEnoughAndASecondStopEndsIt) {
-  AttemptTable b;
-  b.execute({make(Command::Op::start, kA)});
-  ASSERT_TRUE(b.described(kA, {1, 0, 1}, true, 4, {4, 0, 8}));
-  b.launched(kA);
-  AttemptTable hasty = b;
+  AttemptTable table;
+  table.execute({make(Command::Op::start, kA)});
+  ASSERT_TRUE(table.described(kA, {1, 0, 1}, true, 4, {4, 0, 8}));
+  table.launched(kA);
+  AttemptTable hasty = table;
   EXPECT_EQ(hasty.execute({make(Command::Op::stop, kA, 3.9)})[0].kind, Effect::Kind::kill);
-  auto e = b.execute({make(Command::Op::stop, kA, 4)});
-  ASSERT_EQ(e.size(), 1u);
-  EXPECT_EQ(e[0].kind, Effect::Kind::save);
-  EXPECT_EQ(b.tasks()[0].state, TaskState::saving);
-  EXPECT_TRUE(b.execute({make(Command::Op::stop, kA, 10)}).empty());
-  EXPECT_EQ(b.execute({make(Command::Op::stop, kA, 0)})[0].kind, Effect::Kind::kill);
-  EXPECT_TRUE(b.execute({make(Command::Op::acknowledge, kA)}).empty());  // not exited: it stays
-  EXPECT_EQ(b.tasks().size(), 1u);
+  auto effects = table.execute({make(Command::Op::stop, kA, 4)});
+  ASSERT_EQ(effects.size(), 1u);
+  EXPECT_EQ(effects[0].kind, Effect::Kind::save);
+  EXPECT_EQ(table.tasks()[0].state, TaskState::saving);
+  EXPECT_TRUE(table.execute({make(Command::Op::stop, kA, 10)}).empty());
+  EXPECT_EQ(table.execute({make(Command::Op::stop, kA, 0)})[0].kind, Effect::Kind::kill);
+  EXPECT_TRUE(table.execute({make(Command::Op::acknowledge, kA)}).empty());  // not exited: it stays
+  EXPECT_EQ(table.tasks().size(), 1u);
 }
 
 TEST(AttemptTable, RoomCountsWhatIsFetchedAndTokensOnlyIncrease) {
-  AttemptTable b;
+  AttemptTable table;
   const agent::Resources machine{4, 0, 8};
   const Key other{"run-100002", 0, 1};
-  b.execute({make(Command::Op::start, kA), make(Command::Op::start, other)});
-  EXPECT_TRUE(b.described(kA, {3, 0, 1}, false, 0, machine));
-  EXPECT_FALSE(b.described(other, {2, 0, 1}, false, 0, machine));
-  EXPECT_EQ(b.attempts.at(other).exit_reason, ExitReason::no_room);
-  b.token = 5;
-  EXPECT_TRUE(b.accepts(5));
-  EXPECT_TRUE(b.accepts(6));
-  EXPECT_FALSE(b.accepts(4));
-  EXPECT_FALSE(b.accepts(std::nullopt));
+  table.execute({make(Command::Op::start, kA), make(Command::Op::start, other)});
+  EXPECT_TRUE(table.described(kA, {3, 0, 1}, false, 0, machine));
+  EXPECT_FALSE(table.described(other, {2, 0, 1}, false, 0, machine));
+  EXPECT_EQ(table.attempts.at(other).exit_reason, ExitReason::no_room);
+  table.token = 5;
+  EXPECT_TRUE(table.accepts(5));
+  EXPECT_TRUE(table.accepts(6));
+  EXPECT_FALSE(table.accepts(4));
+  EXPECT_FALSE(table.accepts(std::nullopt));
 }
 
 TEST(AgentLease, CountsFromWhenAHeartbeatWasSent) {
-  agent::Lease l(20, 100);
-  EXPECT_FALSE(l.has_expired(120));
-  EXPECT_TRUE(l.has_expired(120.01));
-  l.extend(110);
-  l.extend(105);  // an answer that was overtaken takes nothing away
-  EXPECT_FALSE(l.has_expired(130));
-  EXPECT_TRUE(l.has_expired(130.01));
+  agent::Lease lease(20, 100);
+  EXPECT_FALSE(lease.has_expired(120));
+  EXPECT_TRUE(lease.has_expired(120.01));
+  lease.extend(110);
+  lease.extend(105);  // an answer that was overtaken takes nothing away
+  EXPECT_FALSE(lease.has_expired(130));
+  EXPECT_TRUE(lease.has_expired(130.01));
   TempDir dir;
   agent::LeaseFile writer(dir.path / "lease", agent::LeaseFile::Open::write);
   agent::LeaseFile reader(dir.path / "lease", agent::LeaseFile::Open::read);
@@ -256,26 +259,26 @@
   TempDir dir;
   agent::LeaseFile writer(dir.path / "lease", agent::LeaseFile::Open::write);
   writer.set(3, 1);
-  std::atomic<bool> over = false;
-  std::uint64_t none = 0;
+  std::atomic<bool> finished = false;
+  std::uint64_t mismatches = 0;
   std::thread reader([&] {
     agent::LeaseFile page(dir.path / "lease", agent::LeaseFile::Open::read);
-    while (!over) none += page.incarnation() != 3;
+    while (!finished) mismatches += page.incarnation() != 3;
   });
   for (int i = 0; i < 300000; ++i) writer.set(3, 1 + i);
-  over = true;
+  finished = true;
   reader.join();
-  EXPECT_EQ(none, 0u);
+  EXPECT_EQ(mismatches, 0u);
 }
 
 // A process number that another process has by now is not the process that was written down.
 TEST(AgentProcesses, AreKnownByMoreThanTheirNumber) {
-  auto me = agent::identity_of(::getpid());
-  EXPECT_TRUE(agent::open_process(me));
-  auto other = me;
+  auto self = agent::identity_of(::getpid());
+  EXPECT_TRUE(agent::open_process(self));
+  auto other = self;
   ++other.start;
   EXPECT_FALSE(agent::open_process(other));
-  other = me;
+  other = self;
   other.boot = "another";
   EXPECT_FALSE(agent::open_process(other));
   TempDir dir;
@@ -287,18 +290,18 @@
 }
 
 TEST(ClientProtocol, CommandsAreRefusedOneByOneAndTheEnvelopeWhole) {
-  auto o = client_protocol::decode_heartbeat_response(
+  auto response = client_protocol::decode_heartbeat_response(
       R"({"staff":41,"shift":2,"later":1,"orders":[
         {"order":"start","car":"run-000412/4","departure":2},
         {"order":"dance","car":"run-000412/4","departure":2},
         {"order":"halt","car":"run-000377/1","departure":1,"brake_s":10},
         {"order":"reap","car":"run-000398/../1","departure":1},
         {"order":"reap","car":"run-000398/0","departure":-1}, 7]})");
-  EXPECT_EQ(o.token, 41u);
-  EXPECT_EQ(o.session, 2u);
-  ASSERT_EQ(o.commands.size(), 2u);
-  EXPECT_EQ(o.commands[1].grace_s, 10);
-  EXPECT_EQ(o.refused.size(), 4u);
+  EXPECT_EQ(response.token, 41u);
+  EXPECT_EQ(response.session, 2u);
+  ASSERT_EQ(response.commands.size(), 2u);
+  EXPECT_EQ(response.commands[1].grace_s, 10);
+  EXPECT_EQ(response.refused.size(), 4u);
   for (const char* bad :
        {"", "[]", "{\"staff\":-1}", "{\"staff\":1.5}", "{\"orders\":{}}", "{\"a\":"})
     EXPECT_THROW(client_protocol::decode_heartbeat_response(bad), wire::Malformed) << bad;
@@ -306,34 +309,34 @@
 }
 
 RC_GTEST_PROP(ClientProtocol, HeartbeatsRoundTrip, ()) {
-  wire::Heartbeat r;
-  r.machine = "m-000001";
-  r.addr = "127.0.0.1:1";
-  r.type = "t";
-  r.zone = "z";
-  r.spot = *rc::gen::arbitrary<bool>();
-  r.incarnation = *rc::gen::arbitrary<std::uint32_t>();
-  r.sequence = *rc::gen::arbitrary<std::uint64_t>();
-  r.token = *rc::gen::arbitrary<std::uint64_t>();
-  if (*rc::gen::arbitrary<bool>()) r.notice_s = *rc::gen::inRange(0, 1000);
+  wire::Heartbeat heartbeat;
+  heartbeat.machine = "m-000001";
+  heartbeat.addr = "127.0.0.1:1";
+  heartbeat.type = "t";
+  heartbeat.zone = "z";
+  heartbeat.spot = *rc::gen::arbitrary<bool>();
+  heartbeat.incarnation = *rc::gen::arbitrary<std::uint32_t>();
+  heartbeat.sequence = *rc::gen::arbitrary<std::uint64_t>();
+  heartbeat.token = *rc::gen::arbitrary<std::uint64_t>();
+  if (*rc::gen::arbitrary<bool>()) heartbeat.notice_s = *rc::gen::inRange(0, 1000);
   for (int n = *rc::gen::inRange(0, 8); n > 0; --n) {
     auto state = static_cast<TaskState>(*rc::gen::inRange(0, 4));
-    auto why = state == TaskState::exited ? static_cast<ExitReason>(*rc::gen::inRange(1, 7))
-                                          : ExitReason::none;
-    r.tasks.push_back({{"run-" + std::to_string(100000 + n), static_cast<std::uint32_t>(n)},
-                       *rc::gen::arbitrary<std::uint64_t>(),
-                       state,
-                       why});
+    auto exit_reason = state == TaskState::exited ? static_cast<ExitReason>(*rc::gen::inRange(1, 7))
+                                                  : ExitReason::none;
+    heartbeat.tasks.push_back({{"run-" + std::to_string(100000 + n), static_cast<std::uint32_t>(n)},
+                               *rc::gen::arbitrary<std::uint64_t>(),
+                               state,
+                               exit_reason});
   }
-  auto back = wire::decode_heartbeat(client_protocol::encode_heartbeat(r));
-  RC_ASSERT(back.sequence == r.sequence && back.token == r.token &&
-            back.incarnation == r.incarnation);
-  RC_ASSERT(back.notice_s == r.notice_s && back.spot == r.spot);
-  RC_ASSERT(back.tasks.size() == r.tasks.size());
-  for (std::size_t i = 0; i < r.tasks.size(); ++i) {
-    RC_ASSERT(back.tasks[i].attempt == r.tasks[i].attempt);
-    RC_ASSERT(back.tasks[i].state == r.tasks[i].state);
-    RC_ASSERT(back.tasks[i].exit_reason == r.tasks[i].exit_reason);
+  auto decoded = wire::decode_heartbeat(client_protocol::encode_heartbeat(heartbeat));
+  RC_ASSERT(decoded.sequence == heartbeat.sequence && decoded.token == heartbeat.token &&
+            decoded.incarnation == heartbeat.incarnation);
+  RC_ASSERT(decoded.notice_s == heartbeat.notice_s && decoded.spot == heartbeat.spot);
+  RC_ASSERT(decoded.tasks.size() == heartbeat.tasks.size());
+  for (std::size_t i = 0; i < heartbeat.tasks.size(); ++i) {
+    RC_ASSERT(decoded.tasks[i].attempt == heartbeat.tasks[i].attempt);
+    RC_ASSERT(decoded.tasks[i].state == heartbeat.tasks[i].state);
+    RC_ASSERT(decoded.tasks[i].exit_reason == heartbeat.tasks[i].exit_reason);
   }
 }
 
@@ -401,70 +404,71 @@
 }
 
 void unpack(const fs::path& tar, const fs::path& dir, std::uint64_t most = 1 << 20) {
-  artifacts::Unpacker u(tar, dir, most);
-  while (!u.step()) {
+  artifacts::Unpacker unpacker(tar, dir, most);
+  while (!unpacker.step()) {
   }
 }
 
 TEST(ArtifactArchive, KeepsWhatWasThereAndRefusesWhatLeavesItsDirectory) {
-  TempDir t;
-  fs::create_directories(t.path / "in" / "sub");
-  std::ofstream(t.path / "in" / "sub" / "file") << std::string(700000, 'x');
-  std::ofstream(t.path / "in" / "run.sh") << "#!/bin/sh\n";
-  fs::permissions(t.path / "in" / "run.sh", fs::perms(0755));
-  fs::create_symlink("/etc/passwd", t.path / "in" / "link");
-  artifacts::Packer p(t.path / "in", t.path / "a.tar");
+  TempDir dir;
+  fs::create_directories(dir.path / "in" / "sub");
+  std::ofstream(dir.path / "in" / "sub" / "file") << std::string(700000, 'x');
+  std::ofstream(dir.path / "in" / "run.sh") << "#!/bin/sh\n";
+  fs::permissions(dir.path / "in" / "run.sh", fs::perms(0755));
+  fs::create_symlink("/etc/passwd", dir.path / "in" / "link");
+  artifacts::Packer packer(dir.path / "in", dir.path / "a.tar");
   int steps = 0;
-  while (!p.step()) ++steps;
+  while (!packer.step()) ++steps;
   EXPECT_GT(steps, 3);  // never all at once
-  unpack(t.path / "a.tar", t.path / "out");
-  EXPECT_EQ(fs::file_size(t.path / "out" / "sub" / "file"), 700000u);
-  EXPECT_NE(fs::status(t.path / "out" / "run.sh").permissions() & fs::perms::owner_exec,
+  unpack(dir.path / "a.tar", dir.path / "out");
+  EXPECT_EQ(fs::file_size(dir.path / "out" / "sub" / "file"), 700000u);
+  EXPECT_NE(fs::status(dir.path / "out" / "run.sh").permissions() & fs::perms::owner_exec,
             fs::perms::none);
-  EXPECT_FALSE(fs::exists(fs::symlink_status(t.path / "out" / "link")));
-  EXPECT_THROW(unpack(t.path / "a.tar", t.path / "small", 1000), artifacts::BadArchive);
+  EXPECT_FALSE(fs::exists(fs::symlink_status(dir.path / "out" / "link")));
+  EXPECT_THROW(unpack(dir.path / "a.tar", dir.path / "small", 1000), artifacts::BadArchive);
   for (auto [name, type, link] : {std::tuple("../out", AE_IFREG, (const char*)nullptr),
                                   {"/tmp/abs", AE_IFREG, nullptr},
                                   {"a/../../b", AE_IFREG, nullptr},
                                   {"l", AE_IFLNK, "/etc"},
                                   {"f", AE_IFIFO, nullptr}})
-    EXPECT_THROW(unpack(write_tar(t.path / "bad.tar", name, type, link), t.path / "bad"),
+    EXPECT_THROW(unpack(write_tar(dir.path / "bad.tar", name, type, link), dir.path / "bad"),
                  artifacts::BadArchive)
         << name;
-  std::ofstream(t.path / "torn.tar") << "no archive at all, but some bytes that stand in its place";
-  EXPECT_THROW(unpack(t.path / "torn.tar", t.path / "torn"), artifacts::BadArchive);
+  std::ofstream(dir.path / "torn.tar")
+      << "no archive at all, but some bytes that stand in its place";
+  EXPECT_THROW(unpack(dir.path / "torn.tar", dir.path / "torn"), artifacts::BadArchive);
 }
 
 TEST(ArtifactStore, ShowsABlobOnlyWholeAndANameByItsRule) {
-  TempDir t;
+  TempDir dir;
   const std::string bytes(300000, 'q'), hash = artifacts::hash_of(bytes);
   {
-    artifacts::Store s(t.path);
-    EXPECT_EQ(s.add_part("aaaaaaaa", 0, std::string_view(bytes).substr(0, 1000)), 1000u);
-    EXPECT_EQ(s.add_part("aaaaaaaa", 0, bytes), 1000u);  // repeated: nothing is added
-    EXPECT_FALSE(s.has(hash));
+    artifacts::Store store(dir.path);
+    EXPECT_EQ(store.add_part("aaaaaaaa", 0, std::string_view(bytes).substr(0, 1000)), 1000u);
+    EXPECT_EQ(store.add_part("aaaaaaaa", 0, bytes), 1000u);  // repeated: nothing is added
+    EXPECT_FALSE(store.has(hash));
   }
-  artifacts::Store s(t.path);  // a restart in the middle of an upload
-  EXPECT_FALSE(s.has(hash));
-  EXPECT_EQ(s.add_part("aaaaaaaa", 1000, std::string_view(bytes).substr(1000)), 300000u);
-  EXPECT_TRUE(s.finish("aaaaaaaa", hash));
-  EXPECT_TRUE(s.finish("aaaaaaaa", hash));  // its answer was lost: said once more
-  EXPECT_EQ(*s.read(hash, 299999, 100), "q");
-  EXPECT_EQ(*s.read(hash, 300000, 100), "");
-  s.add_part("bbbbbbbb", 0, "other");
-  EXPECT_FALSE(s.finish("bbbbbbbb", artifacts::hash_of("another")));
-  EXPECT_FALSE(s.has(artifacts::hash_of("other")));
+  artifacts::Store store(dir.path);  // a restart in the middle of an upload
+  EXPECT_FALSE(store.has(hash));
+  EXPECT_EQ(store.add_part("aaaaaaaa", 1000, std::string_view(bytes).substr(1000)), 300000u);
+  EXPECT_TRUE(store.finish("aaaaaaaa", hash));
+  EXPECT_TRUE(store.finish("aaaaaaaa", hash));  // its answer was lost: said once more
+  EXPECT_EQ(*store.read(hash, 299999, 100), "q");
+  EXPECT_EQ(*store.read(hash, 300000, 100), "");
+  store.add_part("bbbbbbbb", 0, "other");
+  EXPECT_FALSE(store.finish("bbbbbbbb", artifacts::hash_of("another")));
+  EXPECT_FALSE(store.has(artifacts::hash_of("other")));
   using Put = artifacts::Store::Put;
-  EXPECT_EQ(s.put_name("jobs/run-1", {"{\"a\":1}"}), Put::created);
-  EXPECT_EQ(s.put_name("jobs/run-1", {"{\"a\":1}"}), Put::same);
-  EXPECT_EQ(s.put_name("jobs/run-1", {"{\"a\":2}"}), Put::refused);
-  EXPECT_EQ(s.put_name("saves/run-1/0", {"1", 5, 1}), Put::created);
-  EXPECT_EQ(s.put_name("saves/run-1/0", {"2", 5, 2}), Put::created);
-  EXPECT_EQ(s.put_name("saves/run-1/0", {"3", 5, 1}), Put::refused);
-  EXPECT_EQ(s.put_name("saves/run-1/0", {"4", 6, 0}), Put::created);
-  EXPECT_EQ(s.get_name("saves/run-1/0")->value, "4");
+  EXPECT_EQ(store.put_name("jobs/run-1", {"{\"a\":1}"}), Put::created);
+  EXPECT_EQ(store.put_name("jobs/run-1", {"{\"a\":1}"}), Put::same);
+  EXPECT_EQ(store.put_name("jobs/run-1", {"{\"a\":2}"}), Put::refused);
+  EXPECT_EQ(store.put_name("saves/run-1/0", {"1", 5, 1}), Put::created);
+  EXPECT_EQ(store.put_name("saves/run-1/0", {"2", 5, 2}), Put::created);
+  EXPECT_EQ(store.put_name("saves/run-1/0", {"3", 5, 1}), Put::refused);
+  EXPECT_EQ(store.put_name("saves/run-1/0", {"4", 6, 0}), Put::created);
+  EXPECT_EQ(store.get_name("saves/run-1/0")->value, "4");
   for (const char* bad : {"", "a//b", "../a", "a/../b", "/a", "a b", "a/."})
-    EXPECT_THROW(s.get_name(bad), artifacts::BadRequest) << bad;
+    EXPECT_THROW(store.get_name(bad), artifacts::BadRequest) << bad;
 }
 
 }  // namespace
--- a/tests/agent_golden_test.cpp
+++ b/tests/agent_golden_test.cpp
@@ -57,9 +57,9 @@
   std::string cars;
   for (const auto& [state, why, kept, text] : rows) {
     r.tasks.push_back({{"run-000412", 3}, 2, state, why, kept});
-    const std::string told =
+    const std::string kept_field =
         why == ExitReason::stopped ? kept ? R"("kept":true,)" : R"("kept":false,)" : "";
-    cars += (cars.empty() ? "" : ",") + (R"({"car":"run-000412/3","departure":2,)" + told) +
+    cars += (cars.empty() ? "" : ",") + (R"({"car":"run-000412/3","departure":2,)" + kept_field) +
             R"("signal":)" + text + "}";
   }
   auto body = [&](const std::string& recall) {
@@ -144,25 +144,25 @@
 
 // The agent's record, as any program that reads SQLite finds it.
 TEST_F(AgentGolden, RecordOnDisk) {
-  agent::AttemptTable book;
-  book.incarnation = 3;
-  book.token = 41;
-  book.reserved = 100;
+  agent::AttemptTable table;
+  table.incarnation = 3;
+  table.token = 41;
+  table.reserved = 100;
   using agent::Phase;
-  book.attempts = {
+  table.attempts = {
       {{"run-7", 0, 5}, {Phase::accepted, false, false, ExitReason::none, false, {}, 0, false}},
       {{"run-7", 1, 6},
        {Phase::launched, true, true, ExitReason::none, false, {2, 1, 4.5}, 3, true}},
       {{"run-7", 2, 7}, {Phase::ended, false, false, ExitReason::done, false, {1, 0, 1}, 0, false}},
       {{"run-8", 0, 8},
        {Phase::exited, true, false, ExitReason::unknown, true, {1, 0, 1}, 0, false}}};
-  book.acknowledged = {{"run-6/0", 4}, {"run-5/1", 9}};
+  table.acknowledged = {{"run-6/0", 4}, {"run-5/1", 9}};
   auto nothing = [](const std::string&) {};
   {
-    agent::AgentJournal r(dir_ / "record.db", nothing);
-    r.begin("m-1", "boot-1", {});
-    r.save({}, book, "step");
-    EXPECT_EQ(r.load("m-1"), book);
+    agent::AgentJournal journal(dir_ / "record.db", nothing);
+    journal.begin("m-1", "boot-1", {});
+    journal.save({}, table, "step");
+    EXPECT_EQ(journal.load("m-1"), table);
   }
   sqlite3* db = nullptr;
   ASSERT_EQ(sqlite3_open((dir_ / "record.db").c_str(), &db), SQLITE_OK);
