--- a/tests/agent_attempt_table_test.cpp
+++ b/tests/agent_attempt_table_test.cpp
@@ -79,7 +79,7 @@
   }
 };
 
-RC_GTEST_PROP(AttemptTable, CommandsEndsAndKillsAsTheModelHasThem, ()) {
+RC_GTEST_PROP(AttemptTable, RandomCommandsAndRestartsGiveTheStateOfTheModel, ()) {
   TempDir dir;
   auto journal =
       std::make_unique<agent::AgentJournal>(dir.path / "r.db", [](const std::string&) {});
@@ -145,7 +145,7 @@
 
 // A process killed before a step is committed leaves the old book, after it the new one: never
 // anything in between.
-TEST(AgentJournal, AKillAroundAStepLeavesOneSideOfIt) {
+TEST(AgentJournal, CrashAroundACommitLeavesTheTableBeforeOrAfterIt) {
   struct Killed {};
   for (bool after : {false, true}) {
     TempDir dir;
@@ -164,7 +164,7 @@
   }
 }
 
-TEST(AgentJournal, RefusesWhatIsNotItsOwn) {
+TEST(AgentJournal, RefusesJournalOfAnotherMachineOrFormatAndDamagedFile) {
   TempDir dir;
   auto nothing = [](const std::string&) {};
   EXPECT_EQ(agent::AgentJournal(dir.path / "r.db", nothing).load("m"), std::nullopt);
@@ -180,7 +180,7 @@
 }
 
 // Guard: a start that the network held back until after its own reap ran the task once more.
-TEST(AttemptTable, AStartAfterItsAcknowledgementDoesNothing) {
+TEST(AttemptTable, StartDeliveredAfterItsAcknowledgementIsRefused) {
   AttemptTable table;
   auto first = table.execute({make(Command::Op::start, kA)});
   ASSERT_EQ(first.size(), 1u);
@@ -200,7 +200,7 @@
   EXPECT_EQ(table.tasks().size(), 1u);
 }
 
-TEST(AttemptTable, SavesOnlyWithTimeEnoughAndASecondStopEndsIt) {
+TEST(AttemptTable, StopSavesOnlyWithEnoughGraceAndStopWithoutGraceKills) {
   AttemptTable table;
   table.execute({make(Command::Op::start, kA)});
   ASSERT_TRUE(table.described(kA, {1, 0, 1}, true, 4, {4, 0, 8}));
@@ -217,7 +217,7 @@
   EXPECT_EQ(table.tasks().size(), 1u);
 }
 
-TEST(AttemptTable, RoomCountsWhatIsFetchedAndTokensOnlyIncrease) {
+TEST(AttemptTable, FreeCapacityCountsAcceptedAttemptsAndLowerTokensAreRefused) {
   AttemptTable table;
   const agent::Resources machine{4, 0, 8};
   const Key other{"run-100002", 0, 1};
@@ -232,7 +232,7 @@
   EXPECT_FALSE(table.accepts(std::nullopt));
 }
 
-TEST(AgentLease, CountsFromWhenAHeartbeatWasSent) {
+TEST(AgentLease, ExtensionCountsFromWhenTheHeartbeatWasSent) {
   agent::Lease lease(20, 100);
   EXPECT_FALSE(lease.has_expired(120));
   EXPECT_TRUE(lease.has_expired(120.01));
@@ -255,7 +255,7 @@
 
 // Guard: each renewal showed no incarnation for a moment, and a supervisor that looked then killed
 // its task.
-TEST(AgentLease, ARenewalIsNeverSeenAsTheEndOfTheIncarnation) {
+TEST(AgentLease, ReaderNeverSeesARenewalAsTheEndOfTheIncarnation) {
   TempDir dir;
   agent::LeaseFile writer(dir.path / "lease", agent::LeaseFile::Open::write);
   writer.set(3, 1);
@@ -272,7 +272,7 @@
 }
 
 // A process number that another process has by now is not the process that was written down.
-TEST(AgentProcesses, AreKnownByMoreThanTheirNumber) {
+TEST(AgentProcesses, ProcessWithOtherStartTimeOrBootIsNotOpenedAndLockIsExclusive) {
   auto self = agent::identity_of(::getpid());
   EXPECT_TRUE(agent::open_process(self));
   auto other = self;
@@ -289,7 +289,7 @@
   EXPECT_TRUE(agent::try_lock(dir.path / "lock"));
 }
 
-TEST(ClientProtocol, CommandsAreRefusedOneByOneAndTheEnvelopeWhole) {
+TEST(ClientProtocol, MalformedCommandsAreRefusedOneByOneAndMalformedBodyEntirely) {
   auto response = client_protocol::decode_heartbeat_response(
       R"({"staff":41,"shift":2,"later":1,"orders":[
         {"order":"start","car":"run-000412/4","departure":2},
@@ -362,7 +362,7 @@
   EXPECT_EQ(agent::encode(agent::decode_order(order)), order);
 }
 
-TEST(AgentSettings, ABadOneIsOneLineThatNamesThePlace) {
+TEST(AgentSettings, InvalidSettingGivesOneLineThatNamesTheElement) {
   const std::string good =
       "<shunt-agent><machine>m</machine><type>t</type><zone>z</zone><address>127.0.0.1:1</address>"
       "<cpus>4</cpus><mem-gb>8</mem-gb><controllers><controller name='n' address='127.0.0.1:2'/>"
@@ -409,7 +409,7 @@
   }
 }
 
-TEST(ArtifactArchive, KeepsWhatWasThereAndRefusesWhatLeavesItsDirectory) {
+TEST(ArtifactArchive, UnpackingRestoresFilesAndRefusesEntriesOutsideTheDirectory) {
   TempDir dir;
   fs::create_directories(dir.path / "in" / "sub");
   std::ofstream(dir.path / "in" / "sub" / "file") << std::string(700000, 'x');
@@ -439,7 +439,7 @@
   EXPECT_THROW(unpack(dir.path / "torn.tar", dir.path / "torn"), artifacts::BadArchive);
 }
 
-TEST(ArtifactStore, ShowsABlobOnlyWholeAndANameByItsRule) {
+TEST(ArtifactStore, BlobAppearsOnlyWhenCompleteAndNamesFollowTheirVersions) {
   TempDir dir;
   const std::string bytes(300000, 'q'), hash = artifacts::hash_of(bytes);
   {
--- a/tests/agent_golden_test.cpp
+++ b/tests/agent_golden_test.cpp
@@ -72,7 +72,7 @@
   EXPECT_EQ(client_protocol::encode_heartbeat(r), body("25.5"));
 }
 
-TEST_F(AgentGolden, WhatWorkersAndUsersAreAnswered) {
+TEST_F(AgentGolden, AnswersToWorkersAndUsers) {
   const std::string list =
       R"("orders":[{"car":"run-000412/4","departure":2,"order":"start"},{"brake_s":10.0,"car":"run-000377/1","departure":1,"order":"halt"},{"car":"run-000398/0","departure":1,"order":"reap"}])";
   auto o = client_protocol::decode_heartbeat_response("{" + list + R"(,"shift":2,"staff":41})");
@@ -143,7 +143,7 @@
 }
 
 // The agent's record, as any program that reads SQLite finds it.
-TEST_F(AgentGolden, RecordOnDisk) {
+TEST_F(AgentGolden, JournalOnDisk) {
   agent::AttemptTable table;
   table.incarnation = 3;
   table.token = 41;
@@ -286,7 +286,7 @@
 }
 
 // What the programs of a set are started with; each has to be what its reader takes.
-TEST_F(AgentGolden, SettingsOfASet) {
+TEST_F(AgentGolden, SettingsWrittenByTheLocalCluster) {
   local_cluster::Settings s;
   s.zones = {"a"};
   s.teams = {{"red", 4, 8, 0, 1}};
--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -12,7 +12,7 @@
 
 // Killed between any two of its durable steps and started again, an agent loses no task, runs none
 // twice and reports one end.
-TEST_P(KillPoint, OneTaskOneBeginOneEnd) {
+TEST_P(KillPoint, RestartedAgentRunsTheTaskOnceAndReportsOneEnd) {
   Rig rig;
   std::string id = rig.add("echo out; sleep 0.3");
   rig.start(GetParam());
@@ -41,7 +41,7 @@
                                          "ended.before", "ended.after", "exited.before",
                                          "exited.after", "orders.before:2", "orders.after:2"));
 
-TEST(AgentProcess, KilledMidTaskItComesBackAndTheTaskHasGoneOn) {
+TEST(AgentProcess, TaskContinuesWhileTheAgentIsDead) {
   Rig rig;
   std::string id = rig.add("until [ -e " + (rig.dir / "go").string() + " ]; do sleep 0.05; done");
   rig.start();
@@ -56,7 +56,7 @@
 }
 
 // Guard: with the agent dead, only the supervisor knows that the lease is over.
-TEST(AgentProcess, TheLeaseIsKeptWhileTheAgentIsDeadAndTheNextIncarnationBegins) {
+TEST(AgentProcess, LeaseExpiryEndsTasksOfADeadAgentAndBeginsTheNextIncarnation) {
   Rig rig(3);
   std::string id = rig.add("sleep 1000");
   rig.start();
@@ -72,7 +72,7 @@
   EXPECT_EQ(rig.logged("overlap"), 0);
 }
 
-TEST(AgentProcess, HungBeyondItsLeaseItGoesOnWithTheNextIncarnation) {
+TEST(AgentProcess, AgentHungBeyondItsLeaseBeginsTheNextIncarnation) {
   Rig rig(3);
   std::string id = rig.add("sleep 1000");
   rig.start();
@@ -91,7 +91,7 @@
 
 // Guard: the next incarnation was begun while a task of the last one was still there, because the
 // lease was over on paper and its supervisor stood still.
-TEST(AgentProcess, AnIncarnationBeginsOnlyWhenTheLastOnesTasksAreGone) {
+TEST(AgentProcess, IncarnationBeginsOnlyAfterTasksOfThePreviousOneHaveEnded) {
   Rig rig(3);
   std::string id = rig.add("sleep 1000");
   rig.start();
@@ -110,7 +110,7 @@
   EXPECT_TRUE(rig.nothing_left_of(id));
 }
 
-TEST(AgentProcess, ADirectoryThatCannotBeHadIsSaidAtOnce) {
+TEST(AgentProcess, UnusableDirectoryIsLoggedAndEndsTheAgent) {
   Rig rig;
   std::ofstream(rig.dir / "m") << "a file";
   rig.start();
@@ -121,7 +121,7 @@
 
 // A supervisor that is killed takes the task with it, and the agent ends what the task had put into
 // incarnations of its own.
-TEST(AgentProcess, AKilledSupervisorLeavesNothingOfItsTask) {
+TEST(AgentProcess, KilledSupervisorLeavesNoProcessOfItsTask) {
   Rig rig;
   std::string id = rig.add("[ $SHUNT_ATTEMPT = 2 ] && exit 0; setsid sleep 1000 & echo forked >> " +
                            rig.log().string() + "; sleep 1000");
@@ -136,7 +136,7 @@
 }
 
 // The task ignores what it is told, and what it has started is not its child any more.
-TEST(AgentProcess, AStopEndsATaskThatIgnoresItAndAllThatItForked) {
+TEST(AgentProcess, StopKillsATaskThatIgnoresSignalsAndItsDetachedProcesses) {
   Rig rig;
   std::string id = rig.add(
       "trap '' TERM INT HUP USR1; (setsid bash -c 'trap \"\" TERM; sleep 1000' &); echo forked "
@@ -153,7 +153,7 @@
 }
 
 // A supervisor that stands still is not waited for: a cancelled task has to be gone in time.
-TEST(AgentProcess, AStopDoesNotWaitForAFrozenSupervisor) {
+TEST(AgentProcess, StopKillsASuspendedSupervisorAndItsTask) {
   Rig rig;
   std::string id = rig.add("sleep 1000");
   rig.start();
@@ -166,7 +166,7 @@
   EXPECT_TRUE(rig.nothing_left_of(id));
 }
 
-TEST(AgentProcess, SavesWhenItIsStoppedAndGoesOnFromThere) {
+TEST(AgentProcess, StoppedTaskSavesACheckpointAndTheNextAttemptRestoresIt) {
   Rig rig;
   std::string id =
       rig.add("n=$(cat $SHUNT_SAVE_DIR/last/n 2>/dev/null || echo 0); echo from $n >> " +
@@ -188,7 +188,7 @@
 }
 
 // What a task has saved by itself is outside the machine before the machine is lost.
-TEST(AgentProcess, ALostMachineCostsNoMoreThanTheLastCheckpoint) {
+TEST(AgentProcess, TaskOfALostMachineContinuesFromItsLastCheckpoint) {
   Rig rig;
   std::string id =
       rig.add("n=$(cat $SHUNT_SAVE_DIR/last/n 2>/dev/null || echo 0); echo from $n >> " +
@@ -215,7 +215,7 @@
 }
 
 // Guard: such an attempt had no end.json, and the next agent looked for it for ever.
-TEST(AgentProcess, ACheckpointOutlivesItsSupervisorAndTheAgent) {
+TEST(AgentProcess, CheckpointIsUploadedAfterSupervisorAndAgentWereKilled) {
   Rig rig;
   std::string id = rig.add(
       "[ $SHUNT_ATTEMPT = 2 ] && { echo from $(cat $SHUNT_SAVE_DIR/last/n) >> " +
@@ -245,7 +245,7 @@
 }
 
 // Guard: a checkpoint that could not be packed left its attempt busy, and its end was never told.
-TEST(AgentProcess, ACheckpointThatCannotBePackedDoesNotHoldTheEnd) {
+TEST(AgentProcess, CheckpointThatCannotBePackedDoesNotDelayTheEnd) {
   Rig rig;
   std::string id = rig.add("until [ -e " + (rig.dir / "go").string() +
                                " ]; do sleep 0.05; done; mkdir $SHUNT_SAVE_DIR/next; echo >&3; "
@@ -259,7 +259,7 @@
   EXPECT_EQ(rig.tasks[id].failed, 0);
 }
 
-TEST(AgentProcess, AResultWaitsForTheArtifactStoreAndTheControllers) {
+TEST(AgentProcess, ResultIsReportedOnceTheArtifactStoreAndControllerAreBack) {
   Rig rig;
   std::string id = rig.add("echo the result; until [ -e " + (rig.dir / "go").string() +
                            " ]; do sleep 0.05; done");
@@ -283,7 +283,7 @@
 }
 
 // A task that has its result is done without running, on any machine and in any attempt.
-TEST(AgentProcess, ATaskThatHasItsResultIsNotRunAgain) {
+TEST(AgentProcess, TaskWithAStoredResultIsNotRunAgain) {
   Rig rig;
   std::string id = rig.add("true");
   rig.start();
@@ -295,7 +295,7 @@
 }
 
 // As a full disk does, a limit makes every write of the record fail for a while.
-TEST(AgentProcess, AFullDiskTakesNoTaskAndLosesNone) {
+TEST(AgentProcess, FullDiskRefusesNewTasksAndLosesNone) {
   Rig rig;
   std::string first =
       rig.add("until [ -e " + (rig.dir / "go").string() + " ]; do sleep 0.05; done");
@@ -320,7 +320,7 @@
             std::string::npos);
 }
 
-TEST(AgentProcess, ATaskThatFillsItsOutputEndsAndTheNextOneRuns) {
+TEST(AgentProcess, TaskBeyondTheFileSizeLimitEndsAndTheNextOneRuns) {
   Rig rig(60, "<file-mb>1</file-mb>");
   std::string loud = rig.add("yes"), quiet = rig.add("true");
   rig.start();
@@ -331,7 +331,7 @@
   EXPECT_NE(r.exit, 0);
 }
 
-TEST(AgentProcess, ImagesAreFetchedOnceAndBadOnesRefused) {
+TEST(AgentProcess, ImagesAreFetchedOnceAndInvalidOnesRefused) {
   Rig rig;
   fs::create_directories(rig.dir / "image");
   std::ofstream(rig.dir / "image" / "words") << "from the image\n";
@@ -396,7 +396,7 @@
 }
 
 // An agent that is replaced leaves its tasks alone; one that is ended takes them with it.
-TEST(AgentProcess, ReplacedItLeavesItsTasksAndEndedItDoesNot) {
+TEST(AgentProcess, ReplacedAgentLeavesItsTasksRunningAndEndCommandKillsThem) {
   Rig rig;
   std::string id = rig.add("sleep 1000");
   rig.start();
