--- a/tests/agent_attempt_table_test.cpp
+++ b/tests/agent_attempt_table_test.cpp
@@ -1,5 +1,5 @@
-// The agent's decisions and its record, without processes: generated commands, kills and recoveries
-// against a plain model; formats; archives; the artifact store's store.
+// Tests of the agent's attempt table and journal without processes: generated commands and restarts
+// compared with a simple model; stored formats; archives; the artifact store's directory.
 #include <archive.h>
 #include <archive_entry.h>
 #include <gtest/gtest.h>
@@ -48,7 +48,7 @@
 }
 const Key kA{"run-100001", 0, 7}, kB{"run-100001", 0, 8};
 
-// PROTOCOL's worker in a few lines: which attempts of one task are on it, and how.
+// A model of the worker in PROTOCOL: the attempts of one task on the worker, with their states.
 struct Model {
   struct State {
     bool exited = false, launched = false, ended = false;
@@ -101,7 +101,7 @@
       next.execute({make(Command::Op::acknowledge, key(number))});
       model.acknowledge(number);
     } else if (action == 4 && model.attempts.contains(number) && !model.attempts[number].exited) {
-      // The next step of its life.
+      // The attempt's next phase.
       auto& expected = model.attempts[number];
       if (!expected.launched) {
         next.launched(key(number));
@@ -123,7 +123,7 @@
     }
     journal->save(table, next, "step");
     table = next;
-    // A kill: whatever was saved is found again, exactly.
+    // After a restart the journal holds exactly the saved table.
     if (*rc::gen::inRange(0, 4) == 0) {
       journal.reset();
       journal = std::make_unique<agent::AgentJournal>(dir.path / "r.db", [](const std::string&) {});
@@ -139,12 +139,12 @@
       running += status.state != TaskState::exited;
     }
     RC_ASSERT(reported.size() == model.attempts.size());
-    RC_ASSERT(running <= 1);  // two attempts of a task are never on the machine together
+    RC_ASSERT(running <= 1);  // the machine never runs two attempts of a task at once
   }
 }
 
-// A process killed before a step is committed leaves the old book, after it the new one: never
-// anything in between.
+// A crash before a commit leaves the old table, and a crash after it the new one; never anything in
+// between.
 TEST(AgentJournal, CrashAroundACommitLeavesTheTableBeforeOrAfterIt) {
   struct Killed {};
   for (bool after : {false, true}) {
@@ -179,7 +179,8 @@
   EXPECT_THROW(agent::AgentJournal(dir.path / "r.db", nothing), agent::JournalError);
 }
 
-// Guard: a start that the network held back until after its own reap ran the task once more.
+// Regression test: a start that the network delayed until after its own acknowledgement ran the
+// task once more.
 TEST(AttemptTable, StartDeliveredAfterItsAcknowledgementIsRefused) {
   AttemptTable table;
   auto first = table.execute({make(Command::Op::start, kA)});
@@ -187,7 +188,8 @@
   EXPECT_EQ(first[0].kind, Effect::Kind::fetch);
   table.launched(kA);
   table.ended(kA, ExitReason::done, false);
-  EXPECT_EQ(table.tasks()[0].state, TaskState::running);  // its result is not safe yet
+  EXPECT_EQ(table.tasks()[0].state,
+            TaskState::running);  // its result is not in the artifact store yet
   table.exited(kA, ExitReason::done);
   table.execute({make(Command::Op::acknowledge, kA)});
   std::vector<std::string> refused;
@@ -195,7 +197,7 @@
   EXPECT_EQ(refused.size(), 1u);
   EXPECT_TRUE(table.tasks().empty());
   EXPECT_EQ(table.execute({make(Command::Op::start, kB)}).size(), 1u);
-  // Attempts that go back while a higher one is here.
+  // A start with a lower attempt number is refused while a higher one is on the machine.
   table.execute({make(Command::Op::start, kA)});
   EXPECT_EQ(table.tasks().size(), 1u);
 }
@@ -213,7 +215,8 @@
   EXPECT_EQ(table.tasks()[0].state, TaskState::saving);
   EXPECT_TRUE(table.execute({make(Command::Op::stop, kA, 10)}).empty());
   EXPECT_EQ(table.execute({make(Command::Op::stop, kA, 0)})[0].kind, Effect::Kind::kill);
-  EXPECT_TRUE(table.execute({make(Command::Op::acknowledge, kA)}).empty());  // not exited: it stays
+  EXPECT_TRUE(table.execute({make(Command::Op::acknowledge, kA)})
+                  .empty());  // not exited, so it is not removed
   EXPECT_EQ(table.tasks().size(), 1u);
 }
 
@@ -237,7 +240,7 @@
   EXPECT_FALSE(lease.has_expired(120));
   EXPECT_TRUE(lease.has_expired(120.01));
   lease.extend(110);
-  lease.extend(105);  // an answer that was overtaken takes nothing away
+  lease.extend(105);  // an answer that was overtaken does not shorten the lease
   EXPECT_FALSE(lease.has_expired(130));
   EXPECT_TRUE(lease.has_expired(130.01));
   TempDir dir;
@@ -253,8 +256,8 @@
                std::system_error);
 }
 
-// Guard: each renewal showed no incarnation for a moment, and a supervisor that looked then killed
-// its task.
+// Regression test: each renewal set the incarnation to 0 for a moment, and a supervisor that read
+// it then killed its task.
 TEST(AgentLease, ReaderNeverSeesARenewalAsTheEndOfTheIncarnation) {
   TempDir dir;
   agent::LeaseFile writer(dir.path / "lease", agent::LeaseFile::Open::write);
@@ -271,7 +274,7 @@
   EXPECT_EQ(mismatches, 0u);
 }
 
-// A process number that another process has by now is not the process that was written down.
+// A pid that has been reused by another process is not the recorded process.
 TEST(AgentProcesses, ProcessWithOtherStartTimeOrBootIsNotOpenedAndLockIsExclusive) {
   auto self = agent::identity_of(::getpid());
   EXPECT_TRUE(agent::open_process(self));
@@ -419,7 +422,7 @@
   artifacts::Packer packer(dir.path / "in", dir.path / "a.tar");
   int steps = 0;
   while (!packer.step()) ++steps;
-  EXPECT_GT(steps, 3);  // never all at once
+  EXPECT_GT(steps, 3);  // packed in several steps
   unpack(dir.path / "a.tar", dir.path / "out");
   EXPECT_EQ(fs::file_size(dir.path / "out" / "sub" / "file"), 700000u);
   EXPECT_NE(fs::status(dir.path / "out" / "run.sh").permissions() & fs::perms::owner_exec,
@@ -448,11 +451,11 @@
     EXPECT_EQ(store.add_part("aaaaaaaa", 0, bytes), 1000u);  // repeated: nothing is added
     EXPECT_FALSE(store.has(hash));
   }
-  artifacts::Store store(dir.path);  // a restart in the middle of an upload
+  artifacts::Store store(dir.path);  // the store is reopened in the middle of an upload
   EXPECT_FALSE(store.has(hash));
   EXPECT_EQ(store.add_part("aaaaaaaa", 1000, std::string_view(bytes).substr(1000)), 300000u);
   EXPECT_TRUE(store.finish("aaaaaaaa", hash));
-  EXPECT_TRUE(store.finish("aaaaaaaa", hash));  // its answer was lost: said once more
+  EXPECT_TRUE(store.finish("aaaaaaaa", hash));  // repeated after a lost answer: same outcome
   EXPECT_EQ(*store.read(hash, 299999, 100), "q");
   EXPECT_EQ(*store.read(hash, 300000, 100), "");
   store.add_part("bbbbbbbb", 0, "other");
--- a/tests/agent_golden_test.cpp
+++ b/tests/agent_golden_test.cpp
@@ -1,6 +1,6 @@
-// Golden values of what is beside the controllers: what workers, users, the cloud and the state
-// service say, and what the agent, the artifact store and the one-machine set keep on disk.
-// Descriptions, orders and ends of tasks are in agent_attempt_table_test.cpp.
+// Golden values of formats outside the controllers: messages of workers, users, the cloud and the
+// state service, and files of the agent, the artifact store and the local cluster. Job
+// descriptions, launch orders and ends of tasks are in agent_attempt_table_test.cpp.
 #include <gtest/gtest.h>
 #include <sqlite3.h>
 
@@ -142,7 +142,7 @@
   EXPECT_EQ(client_protocol::image_name("d0"), "images/d0");
 }
 
-// The agent's record, as any program that reads SQLite finds it.
+// The agent's journal, as read by any SQLite program.
 TEST_F(AgentGolden, JournalOnDisk) {
   agent::AttemptTable table;
   table.incarnation = 3;
@@ -197,8 +197,8 @@
   sqlite3_close(db);
 }
 
-// Version 1, little-endian: version, incarnation, and until in nanoseconds; the rest of the page is
-// 0.
+// Version 1, little-endian: version, incarnation, and end of the lease in nanoseconds; the rest of
+// the page is 0.
 TEST_F(AgentGolden, LeaseFile) {
   using agent::LeaseFile;
   const std::string words(
@@ -215,9 +215,9 @@
   EXPECT_EQ(reader.until(), 130.5);
 }
 
-// ---- the set that runs on one machine
+// ---- the local cluster
 
-// A log with each kind of line: what is made of it at a start, and what a commit adds.
+// A log with each kind of line: its form after a start, and the lines that each request appends.
 TEST_F(AgentGolden, LogOfTheStateServiceEmulator) {
   put("state.log",
       R"({"ledger":5,"next_hold":3}
@@ -285,7 +285,7 @@
   EXPECT_EQ(read("cloud.json"), file(first));
 }
 
-// What the programs of a set are started with; each has to be what its reader takes.
+// The settings that the local cluster writes for its programs have to be accepted by their parsers.
 TEST_F(AgentGolden, SettingsWrittenByTheLocalCluster) {
   local_cluster::Settings s;
   s.zones = {"a"};
--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -1,5 +1,5 @@
-// The agent as a process, with supervisors and tasks as processes: killed, stopped, cut off and
-// brought back. Nothing here depends on how long anything takes, beyond leases that are to run out.
+// Tests of the agent with real agent, supervisor and task processes, which are killed, suspended,
+// disconnected and restarted. No test depends on durations, except for leases that have to expire.
 #include <sys/resource.h>
 
 #include "agent_rig.h"
@@ -10,8 +10,8 @@
 
 class KillPoint : public testing::TestWithParam<const char*> {};
 
-// Killed between any two of its durable steps and started again, an agent loses no task, runs none
-// twice and reports one end.
+// An agent that is killed at any durable step and restarted loses no task, runs none twice and
+// reports one end.
 TEST_P(KillPoint, RestartedAgentRunsTheTaskOnceAndReportsOneEnd) {
   Rig rig;
   std::string id = rig.add("echo out; sleep 0.3");
@@ -22,7 +22,7 @@
       killed = true;
       rig.start();
     }
-    // Also what is reaped is on record: one more report after the end.
+    // The acknowledgement is journaled too, so the test waits for a heartbeat without the task.
     return rig.tasks[id].done > 0 && killed && rig.last_heartbeat.tasks.empty();
   })) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   EXPECT_EQ(rig.tasks[id].done, 1);
@@ -31,7 +31,8 @@
   EXPECT_EQ(rig.logged("begin"), 1);
   EXPECT_EQ(rig.logged("end"), 1);
   EXPECT_EQ(rig.logged("overlap"), 0);
-  // On record as started, but killed before it could start it: that attempt ends with an error.
+  // The journal says launched, but the agent was killed before it started the supervisor: that
+  // attempt ends with an error.
   EXPECT_EQ(rig.tasks[id].failed, std::string(GetParam()) == "launched.after" ? 1 : 0);
 }
 INSTANTIATE_TEST_SUITE_P(EveryStep, KillPoint,
@@ -47,7 +48,7 @@
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
   rig.kill_agent();
-  std::ofstream(rig.dir / "go");  // it ends while nobody looks
+  std::ofstream(rig.dir / "go");  // the task ends while no agent is running
   ASSERT_TRUE(rig.until_logged("end"));
   rig.start();
   ASSERT_TRUE(rig.until_done(id));
@@ -55,7 +56,7 @@
   EXPECT_EQ(rig.logged("begin"), 1);
 }
 
-// Guard: with the agent dead, only the supervisor knows that the lease is over.
+// Regression test: while the agent is dead, only the supervisor can enforce the end of the lease.
 TEST(AgentProcess, LeaseExpiryEndsTasksOfADeadAgentAndBeginsTheNextIncarnation) {
   Rig rig(3);
   std::string id = rig.add("sleep 1000");
@@ -89,8 +90,8 @@
   EXPECT_EQ(rig.logged("overlap"), 0);
 }
 
-// Guard: the next incarnation was begun while a task of the last one was still there, because the
-// lease was over on paper and its supervisor stood still.
+// Regression test: the next incarnation began while a task of the previous one was still running.
+// The lease had expired, but the task's supervisor was suspended and did not enforce it.
 TEST(AgentProcess, IncarnationBeginsOnlyAfterTasksOfThePreviousOneHaveEnded) {
   Rig rig(3);
   std::string id = rig.add("sleep 1000");
@@ -119,8 +120,8 @@
             std::string::npos);
 }
 
-// A supervisor that is killed takes the task with it, and the agent ends what the task had put into
-// incarnations of its own.
+// If the supervisor is killed, the task's main process dies with it, and the agent kills the
+// processes that the task had moved to POSIX sessions of their own.
 TEST(AgentProcess, KilledSupervisorLeavesNoProcessOfItsTask) {
   Rig rig;
   std::string id = rig.add("[ $SHUNT_ATTEMPT = 2 ] && exit 0; setsid sleep 1000 & echo forked >> " +
@@ -132,10 +133,10 @@
   ::kill(j["pid"].get<pid_t>(), SIGKILL);
   ASSERT_TRUE(rig.until_done(id));
   EXPECT_EQ(rig.tasks[id].failed, 1);
-  EXPECT_EQ(rig.logged("overlap"), 0);  // the forked one held the lock, too
+  EXPECT_EQ(rig.logged("overlap"), 0);  // the detached process held the lock, too
 }
 
-// The task ignores what it is told, and what it has started is not its child any more.
+// The task ignores signals, and the process that it has started is no longer its child.
 TEST(AgentProcess, StopKillsATaskThatIgnoresSignalsAndItsDetachedProcesses) {
   Rig rig;
   std::string id = rig.add(
@@ -152,7 +153,7 @@
   EXPECT_TRUE(rig.nothing_left_of(id));
 }
 
-// A supervisor that stands still is not waited for: a cancelled task has to be gone in time.
+// The agent does not wait for a suspended supervisor: a cancelled task has to end in time.
 TEST(AgentProcess, StopKillsASuspendedSupervisorAndItsTask) {
   Rig rig;
   std::string id = rig.add("sleep 1000");
@@ -187,7 +188,7 @@
   EXPECT_EQ(rig.logged("from 7"), 1);
 }
 
-// What a task has saved by itself is outside the machine before the machine is lost.
+// Checkpoints are uploaded while the task runs, so the loss of the machine does not lose them.
 TEST(AgentProcess, TaskOfALostMachineContinuesFromItsLastCheckpoint) {
   Rig rig;
   std::string id =
@@ -205,7 +206,7 @@
     return n && n->part == 2;
   })) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   rig.kill_agent();
-  ASSERT_TRUE(agent::kill_all_tasks({rig.dir / "m"}));  // as when its power fails
+  ASSERT_TRUE(agent::kill_all_tasks({rig.dir / "m"}));  // as after a power failure
   fs::remove_all(rig.dir / "m");
   rig.tasks[id].attempt = 2;
   rig.tasks[id].sent = false;
@@ -214,7 +215,7 @@
   EXPECT_EQ(rig.logged("from 2"), 1);
 }
 
-// Guard: such an attempt had no end.json, and the next agent looked for it for ever.
+// Regression test: the attempt had no end.json, and the restarted agent looked for it forever.
 TEST(AgentProcess, CheckpointIsUploadedAfterSupervisorAndAgentWereKilled) {
   Rig rig;
   std::string id = rig.add(
@@ -244,7 +245,8 @@
   EXPECT_EQ(rig.logged("from 1"), 1);
 }
 
-// Guard: a checkpoint that could not be packed left its attempt busy, and its end was never told.
+// Regression test: after a checkpoint could not be packed, the attempt kept waiting for an answer,
+// and its end was never reported.
 TEST(AgentProcess, CheckpointThatCannotBePackedDoesNotDelayTheEnd) {
   Rig rig;
   std::string id = rig.add("until [ -e " + (rig.dir / "go").string() +
@@ -272,7 +274,7 @@
   rig.open_controller();
   int before = rig.heartbeats;
   ASSERT_TRUE(rig.until([&] { return rig.heartbeats > before + 2; }));
-  EXPECT_EQ(rig.tasks[id].done, 0);  // its result is not safe
+  EXPECT_EQ(rig.tasks[id].done, 0);  // its result is not in the artifact store yet
   EXPECT_EQ(rig.last_heartbeat.tasks.at(0).state, wire::TaskState::running);
   rig.open_artifact_store();
   ASSERT_TRUE(rig.until_done(id));
@@ -282,7 +284,7 @@
   EXPECT_EQ(rig.logged("begin"), 1);
 }
 
-// A task that has its result is done without running, on any machine and in any attempt.
+// A task whose result is stored is done without running, on any machine and in any attempt.
 TEST(AgentProcess, TaskWithAStoredResultIsNotRunAgain) {
   Rig rig;
   std::string id = rig.add("true");
@@ -294,7 +296,7 @@
   EXPECT_EQ(rig.logged("begin"), 1);
 }
 
-// As a full disk does, a limit makes every write of the record fail for a while.
+// A file size limit makes every journal write fail for a while, like a full disk.
 TEST(AgentProcess, FullDiskRefusesNewTasksAndLosesNone) {
   Rig rig;
   std::string first =
@@ -308,7 +310,7 @@
   std::ofstream(rig.dir / "go");
   ASSERT_TRUE(rig.until_logged("end"));
   int before = rig.heartbeats;
-  ASSERT_TRUE(rig.until([&] { return rig.heartbeats > before + 5; }));  // it still reports
+  ASSERT_TRUE(rig.until([&] { return rig.heartbeats > before + 5; }));  // it still sends heartbeats
   EXPECT_EQ(rig.tasks[first].done, 0);
   EXPECT_EQ(rig.logged("begin"), 1);
   ASSERT_EQ(::prlimit(rig.pid, RLIMIT_FSIZE, &all, nullptr), 0);
@@ -369,8 +371,8 @@
   EXPECT_EQ(rig.send_command(R"({"orders":[]})").status, 400);
   EXPECT_EQ(rig.send_command(R"({"staff":4,"shift":1,"orders":[]})").status, 409);
   EXPECT_EQ(rig.send_command(R"({"staff":5,"shift":2,"orders":[]})").status, 409);
-  // The agent answers and closes before it has read all: the answer can be lost with what is still
-  // being written, and is then asked for again.
+  // The agent answers and closes the connection before it has read the whole body. The answer can
+  // then be lost because the client is still writing, so the request is repeated.
   net::Result too_long;
   for (int i = 0; i < 20 && too_long.status == 0; ++i)
     too_long = rig.send_command(std::string(70000, ' '));
@@ -382,7 +384,8 @@
   EXPECT_EQ(report.token, 6u);
   ASSERT_EQ(report.tasks.size(), 1u);
   rig.tasks.clear();
-  // Nobody has described that job: refused as unknown, and the token of the answers is too low now.
+  // The job has no description, so the start is refused as unknown. The emulated controller's token
+  // is now too low for its answers to be accepted.
   ASSERT_TRUE(rig.until([&] {
     auto s = rig.status();
     return s.tasks.size() == 1 && s.tasks[0].exit_reason == wire::ExitReason::unknown;
@@ -395,7 +398,7 @@
       rig.until([&] { return rig.last_heartbeat.notice_s && *rig.last_heartbeat.notice_s <= 12; }));
 }
 
-// An agent that is replaced leaves its tasks alone; one that is ended takes them with it.
+// A replaced agent leaves its tasks running; the end of the machine kills them.
 TEST(AgentProcess, ReplacedAgentLeavesItsTasksRunningAndEndCommandKillsThem) {
   Rig rig;
   std::string id = rig.add("sleep 1000");
--- a/tests/agent_rig.h
+++ b/tests/agent_rig.h
@@ -1,5 +1,5 @@
-// Real agents on loopback, with an artifact store and a controller's emulator in the test's own
-// loop.
+// Test rig: a real agent process on loopback, with an artifact store and an emulated controller in
+// the test's own event loop.
 #pragma once
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -26,8 +26,8 @@
 namespace shunttrail::test {
 namespace fs = std::filesystem;
 
-// Below the range that the system takes for its own connections, and elsewhere for each process: a
-// port is not taken by another one between here and its use.
+// Returns a free endpoint. Ports are below the range that the system uses for outgoing connections,
+// and start at another value in each process, so that the port is not taken before it is used.
 inline config::Endpoint free_endpoint() {
   static int next = ::getpid() * 131 % 10000;
   while (true) {
@@ -49,13 +49,14 @@
     std::uint64_t attempt = 0,
                   incarnation = 0;  // the requested attempt, and the incarnation it was sent to
     bool sent = false, wanted = true, cancelled = false;
-    int done = 0, failed = 0, lost = 0;  // final answers, other ends, ends with an incarnation
+    int done = 0, failed = 0,
+        lost = 0;  // ends as done, other ends, ends by loss of the incarnation
     std::string exit_reason;
   };
 
   explicit Rig(double lease_s = 60, const std::string& extra_settings = "")
       : lease_s_(lease_s), extra_settings_(extra_settings) {
-    // As every program does: a connection that the agent closes early is an error of one write.
+    // A connection that the agent closes early must be a write error, not a signal.
     ::signal(SIGPIPE, SIG_IGN);
     std::string name = fs::temp_directory_path() / "shunt-rig-XXXXXX";
     dir = ::mkdtemp(name.data());
@@ -70,7 +71,7 @@
     fs::remove_all(dir);
   }
 
-  // The agent, ending itself at a step if one is named.
+  // Starts the agent. With `kill_at`, it kills itself at that journal step.
   void start(const std::string& kill_at = "") {
     std::ofstream(dir / "agent.xml")
         << "<shunt-agent><machine>m-1</machine><type>t</type><zone>z</zone><address>127.0.0.1:"
@@ -112,8 +113,8 @@
   }
   void close_controller() { controller_.reset(); }
 
-  // A job of one task that runs this script. Its begins and ends, and any time that it met another
-  // attempt of its own, stand in the log.
+  // Adds a job of one task that runs this script. The task logs its begin and its end, and
+  // "overlap" if another attempt of it is running.
   std::string add(const std::string& script, double save_every_s = 0,
                   const std::string& image = "") {
     client_protocol::JobDescription d;
@@ -146,12 +147,14 @@
     return n;
   }
 
-  // Every process of a task holds its lock, whatever it has forked and however far it has gone.
+  // Returns whether no process of the task is left. Every process of a task, also a detached one,
+  // holds the task's lock.
   bool nothing_left_of(const std::string& id) const {
     return agent::try_lock(dir / ("lock." + id)).has_value();
   }
 
-  // Turns the loop until it is so. The limit is generous: nothing is said about time.
+  // Runs the event loop until the condition holds. The time limit is generous, because the tests
+  // check no durations.
   bool until(const std::function<bool()>& over, double seconds = 60) {
     double end = actor::steady_now() + seconds;
     while (!over()) {
@@ -167,7 +170,7 @@
   bool until_logged(const std::string& word, int n = 1) {
     return until([&] { return logged(word) >= n; });
   }
-  // An order straight to the worker: its status and body.
+  // Sends a direct command to the agent, or a GET if the body is empty; returns the answer.
   net::Result send_command(const std::string& body, const char* path = "/orders") {
     net::Client client(loop, address, 1, 1);
     net::Result out;
@@ -192,8 +195,8 @@
   double grace_s = 20;
 
  private:
-  // A controller in a few lines: what is wanted is started until it is seen, what has exited is
-  // reaped, and what did not get done is tried once more.
+  // Emulates a controller: starts wanted tasks until the agent reports them, acknowledges exited
+  // attempts, and starts another attempt of each task that is not done.
   void heartbeat(net::ExchangePtr ex) {
     last_heartbeat = wire::decode_heartbeat(ex->body);
     ++heartbeats;
