--- a/app/shunttrail-agent.cpp
+++ b/app/shunttrail-agent.cpp
@@ -16,9 +16,9 @@
 // Lets tests kill the process at a journal step that SHUNT_KILL_AT names, for example
 // "launched.after:2" for the second occurrence. Not set in production.
 agent::AgentJournal::Step kill_point() {
-  const char* at = std::getenv("SHUNT_KILL_AT");
-  if (!at) return [](const std::string&) {};
-  std::string text = at;
+  const char* kill_at = std::getenv("SHUNT_KILL_AT");
+  if (!kill_at) return [](const std::string&) {};
+  std::string text = kill_at;
   auto colon = text.rfind(':');
   auto left =
       std::make_shared<int>(colon == std::string::npos ? 1 : std::stoi(text.substr(colon + 1)));
@@ -28,18 +28,20 @@
 }
 
 struct Signals {
-  Signals(actor::Loop& loop, agent::Agent& a) : agent(a) {
-    auto add = [&](int n, event_callback_fn fn, void* arg) {
-      events.emplace_back(evsignal_new(loop.base(), n, fn, arg));
+  Signals(actor::Loop& loop, agent::Agent& served) : agent(served) {
+    auto add = [&](int signal, event_callback_fn callback, void* context) {
+      events.emplace_back(evsignal_new(loop.base(), signal, callback, context));
       event_add(events.back().get(), nullptr);
     };
-    for (int n : {SIGTERM, SIGINT})
+    for (int signal : {SIGTERM, SIGINT})
       add(
-          n, [](evutil_socket_t, short, void* l) { static_cast<actor::Loop*>(l)->stop(); }, &loop);
+          signal,
+          [](evutil_socket_t, short, void* context) { static_cast<actor::Loop*>(context)->stop(); },
+          &loop);
     add(
         SIGUSR2,
-        [](evutil_socket_t, short, void* a2) {
-          static_cast<agent::Agent*>(a2)->give_spot_notice();
+        [](evutil_socket_t, short, void* context) {
+          static_cast<agent::Agent*>(context)->give_spot_notice();
         },
         &agent);
     // Waits for ended supervisors of this process; those of an earlier one are not its children.
@@ -59,8 +61,8 @@
   agent::Settings settings;
   try {
     settings = agent::parse_settings(config::read_file(settings_path, "settings"));
-  } catch (const config::SettingsError& e) {
-    std::fprintf(stderr, "%s\n", e.what());
+  } catch (const config::SettingsError& error) {
+    std::fprintf(stderr, "%s\n", error.what());
     return 2;
   }
   if (check) return 0;
@@ -69,14 +71,14 @@
   log::open("shunttrail-agent");
   try {
     actor::Loop loop;
-    agent::Agent a(loop, settings, dir, kill_point());
-    Signals signals(loop, a);
+    agent::Agent worker(loop, settings, dir, kill_point());
+    Signals signals(loop, worker);
     log::info("agent started", {{"machine", settings.machine}});
     loop.run();
     // The tasks continue under their supervisors until the lease expires.
     log::info("agent stopped");
-  } catch (const std::exception& e) {
-    log::error("agent stopped by an error", {{"why", e.what()}});
+  } catch (const std::exception& error) {
+    log::error("agent stopped by an error", {{"why", error.what()}});
     return 1;
   }
   return 0;
@@ -87,7 +89,7 @@
 int main(int argc, char** argv) {
   CLI::App app{"shunttrail-agent: runs a machine's tasks for shunttrail"};
   app.set_version_flag("--version", std::string("shunttrail-agent 0.1.0"));
-  std::string settings, dir, task_dir, page;
+  std::string settings, dir, task_dir, lease_file;
   bool check = false;
   app.add_option("--settings", settings, "the agent's settings (XML)");
   app.add_option("--dir", dir, "directory of the agent's journal, tasks and images");
@@ -98,15 +100,15 @@
   auto* supervisor =
       app.add_subcommand("shepherd", "supervise one task (started by the agent)")->group("");
   supervisor->add_option("task-dir", task_dir)->required();
-  supervisor->add_option("lease-page", page)->required();
+  supervisor->add_option("lease-page", lease_file)->required();
   app.require_subcommand(0, 1);
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
-    int r = app.exit(e);
-    return r == 0 ? 0 : 2;
+    int status = app.exit(e);
+    return status == 0 ? 0 : 2;
   }
-  if (supervisor->parsed()) return agent::run_task_supervisor(task_dir, page);
+  if (supervisor->parsed()) return agent::run_task_supervisor(task_dir, lease_file);
   if (end->parsed()) {
     try {
       auto lock = agent::try_lock(agent::AgentPaths{dir}.lock());
@@ -115,8 +117,8 @@
         return 1;
       }
       return agent::kill_all_tasks(agent::AgentPaths{std::filesystem::absolute(dir)}) ? 0 : 1;
-    } catch (const std::exception& e) {
-      std::fprintf(stderr, "%s\n", e.what());
+    } catch (const std::exception& error) {
+      std::fprintf(stderr, "%s\n", error.what());
       return 1;
     }
   }
--- a/src/agent/processes.cpp
+++ b/src/agent/processes.cpp
@@ -85,8 +85,8 @@
 // Calls `visit` with the pid of every process.
 template <class Visit>
 void each_process(Visit visit) {
-  std::error_code gone;
-  for (fs::directory_iterator it("/proc", gone), end; !gone && it != end; it.increment(gone)) {
+  std::error_code error;
+  for (fs::directory_iterator it("/proc", error), end; !error && it != end; it.increment(error)) {
     const std::string name = it->path().filename();
     if (name.find_first_not_of("0123456789") == std::string::npos)
       visit(static_cast<pid_t>(std::stol(name)));
--- a/src/agent/task_supervisor.cpp
+++ b/src/agent/task_supervisor.cpp
@@ -41,8 +41,8 @@
 constexpr int kStatusNothingToStart = 4;
 constexpr int kStatusError = 5;
 
-std::string describe(const char* what, int error) {
-  return std::string(what) + ": " + std::strerror(error);
+std::string describe(const char* operation, int error) {
+  return std::string(operation) + ": " + std::strerror(error);
 }
 
 std::vector<char*> pointers(std::vector<std::string>& strings) {
--- a/src/artifacts/archive.cpp
+++ b/src/artifacts/archive.cpp
@@ -19,13 +19,13 @@
 constexpr int kPermissionBits = 0777;
 
 struct WriteFree {
-  void operator()(archive* a) const { archive_write_free(a); }
+  void operator()(archive* handle) const { archive_write_free(handle); }
 };
 struct ReadFree {
-  void operator()(archive* a) const { archive_read_free(a); }
+  void operator()(archive* handle) const { archive_read_free(handle); }
 };
 struct EntryFree {
-  void operator()(archive_entry* e) const { archive_entry_free(e); }
+  void operator()(archive_entry* entry) const { archive_entry_free(entry); }
 };
 using EntryPtr = std::unique_ptr<archive_entry, EntryFree>;
 
@@ -130,9 +130,9 @@
   std::ofstream file;  // the file that is being unpacked
   bool in_file = false;
 
-  [[nodiscard]] BadArchive damaged(const std::string& what) const {
+  [[nodiscard]] BadArchive damaged(const std::string& item) const {
     const char* why = archive_error_string(input.get());
-    return BadArchive(what + ": " + (why ? why : "damaged"));
+    return BadArchive(item + ": " + (why ? why : "damaged"));
   }
   [[nodiscard]] BadArchive cannot_write() const {
     return BadArchive("cannot write below " + dir.string());
