--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -391,8 +391,7 @@
   // is now too low for its answers to be accepted.
   ASSERT_TRUE(rig.until([&] {
     auto status = rig.status();
-    return heartbeat.tasks.size() == 1 &&
-           heartbeat.tasks[0].exit_reason == wire::ExitReason::unknown;
+    return status.tasks.size() == 1 && status.tasks[0].exit_reason == wire::ExitReason::unknown;
   }));
   std::uint64_t sequence = rig.status().sequence;
   EXPECT_GT(rig.status().sequence, sequence);
