--- a/src/artifacts/server.h
+++ b/src/artifacts/server.h
@@ -1,9 +1,8 @@
 // HTTP server of the artifact store, which keeps job descriptions, images, checkpoints, outputs and
 // results outside the machines that use them.
 //
-//   POST /depot/parts/UPLOAD?at=N         appends bytes to an upload; 200 {"size":N}, also if `at`
-//   does
-//                                         not match the size
+//   POST /depot/parts/UPLOAD?at=N         appends bytes if N is the upload's size; 200 {"size":S}
+//                                         with its size afterwards, in both cases
 //   POST /depot/blobs/HASH?from=UPLOAD    makes the upload a blob: 200, or 422 if the hash does not
 //                                         match
 //   GET  /depot/blobs/HASH?at=N           up to 1 MiB from offset N, empty at the end; or 404
