--- a/src/agent/heartbeat_client.h
+++ b/src/agent/heartbeat_client.h
@@ -37,12 +37,12 @@
  private:
   void send();
   [[nodiscard]] double next_send_at() const;
-  void take_answer(std::uint64_t incarnation, double sent_at, std::size_t controller,
-                   const net::Result& result);
-  void take_response(double sent_at, std::size_t controller, const std::string& body);
+  void handle_result(std::uint64_t incarnation, double sent_at, std::size_t controller,
+                     const net::Result& result);
+  void handle_response(double sent_at, std::size_t controller, const std::string& body);
   [[nodiscard]] bool follow_redirect(std::size_t controller, const std::string& body);
   void next_controller();
-  void leave_controller(std::size_t next, double delay_s);
+  void switch_controller(std::size_t next, double delay_s);
 
   actor::Loop& loop_;
   actor::Actor& mailbox_;
@@ -53,11 +53,11 @@
   std::vector<std::unique_ptr<net::Client>> connections_;  // one for each controller
   std::size_t controller_ = 0;  // index of the controller that gets the heartbeats
   bool in_flight_ = false;
-  bool has_news_ = true;
+  bool content_changed_ = true;
   // Times of CLOCK_BOOTTIME, in seconds.
   double last_sent_at_ = -1e9;
   double due_at_ = 0;
-  double not_before_ = 0;
+  double earliest_send_at_ = 0;
   actor::Timer timer_;
 };
 
--- a/src/agent/task_preparation.cpp
+++ b/src/agent/task_preparation.cpp
@@ -50,12 +50,12 @@
       context_.mailbox.reply<Outcome, Named>(
           [this, key, find = context_.live.finder(key)](Outcome outcome, Named description) {
             if (LiveAttempt* found = find())
-              take_description(key, *found, outcome, description.value);
+              handle_description(key, *found, outcome, description.value);
           }));
 }
 
-void TaskPreparation::take_description(const Key& key, LiveAttempt& attempt, Outcome outcome,
-                                       const std::string& text) {
+void TaskPreparation::handle_description(const Key& key, LiveAttempt& attempt, Outcome outcome,
+                                         const std::string& text) {
   if (outcome == Outcome::unavailable) return context_.retry_later(attempt);
   if (outcome != Outcome::ok)
     return context_.fail(key, wire::ExitReason::unknown,
@@ -100,11 +100,11 @@
       client_protocol::result_name(key.task()),
       context_.mailbox.reply<Outcome, Named>(
           [this, key, find = context_.live.finder(key)](Outcome outcome, Named) {
-            if (LiveAttempt* found = find()) take_result(key, *found, outcome);
+            if (LiveAttempt* found = find()) handle_result(key, *found, outcome);
           }));
 }
 
-void TaskPreparation::take_result(const Key& key, LiveAttempt& attempt, Outcome outcome) {
+void TaskPreparation::handle_result(const Key& key, LiveAttempt& attempt, Outcome outcome) {
   if (outcome == Outcome::ok) {
     log::info("task not run: an earlier attempt has stored its result", log_fields(key));
     AttemptTable next = context_.state.attempts();
@@ -141,11 +141,12 @@
       checkpoint.value("hash", ""), context_.paths.task(key).downloaded_checkpoint(),
       context_.mailbox.reply<Outcome>(
           [this, key, find = context_.live.finder(key)](Outcome downloaded) {
-            if (LiveAttempt* found = find()) take_checkpoint(key, *found, downloaded);
+            if (LiveAttempt* found = find()) handle_downloaded_checkpoint(key, *found, downloaded);
           }));
 }
 
-void TaskPreparation::take_checkpoint(const Key& key, LiveAttempt& attempt, Outcome outcome) {
+void TaskPreparation::handle_downloaded_checkpoint(const Key& key, LiveAttempt& attempt,
+                                                   Outcome outcome) {
   if (outcome == Outcome::unavailable) return context_.retry_later(attempt);
   if (outcome == Outcome::ok) return next_step(key, attempt, Step::unpack_checkpoint);
   // The task starts from the beginning rather than from an invalid checkpoint.
--- a/src/agent/task_preparation.h
+++ b/src/agent/task_preparation.h
@@ -21,15 +21,16 @@
 
  private:
   void fetch_description(const Key& key, LiveAttempt& attempt);
-  void take_description(const Key& key, LiveAttempt& attempt, artifacts::Outcome outcome,
-                        const std::string& text);
+  void handle_description(const Key& key, LiveAttempt& attempt, artifacts::Outcome outcome,
+                          const std::string& text);
   void fetch_image(const Key& key, LiveAttempt& attempt);
   void find_result(const Key& key, LiveAttempt& attempt);
-  void take_result(const Key& key, LiveAttempt& attempt, artifacts::Outcome outcome);
+  void handle_result(const Key& key, LiveAttempt& attempt, artifacts::Outcome outcome);
   void find_checkpoint(const Key& key, LiveAttempt& attempt);
   void download_checkpoint(const Key& key, LiveAttempt& attempt, artifacts::Outcome outcome,
                            const std::string& text);
-  void take_checkpoint(const Key& key, LiveAttempt& attempt, artifacts::Outcome outcome);
+  void handle_downloaded_checkpoint(const Key& key, LiveAttempt& attempt,
+                                    artifacts::Outcome outcome);
   void unpack_checkpoint(const Key& key, LiveAttempt& attempt);
   [[nodiscard]] bool unpack_step(const TaskDirectory& directory, LiveAttempt& attempt);
   void next_step(const Key& key, LiveAttempt& attempt, LiveAttempt::Step step);
--- a/src/agent/task_supervisor.cpp
+++ b/src/agent/task_supervisor.cpp
@@ -68,8 +68,8 @@
   pid_t supervisor = 0;
 };
 
-void set_limit(__rlimit_resource_t resource, std::uint64_t most) {
-  const rlimit limit{most, most};
+void set_limit(__rlimit_resource_t resource, std::uint64_t value) {
+  const rlimit limit{value, value};
   ::setrlimit(resource, &limit);
 }
 
--- a/src/artifacts/client.cpp
+++ b/src/artifacts/client.cpp
@@ -58,7 +58,7 @@
 struct Client::Download {
   std::string hash;
   fs::path file;
-  fs::path aside;  // temporary file until the hash has been checked
+  fs::path temporary_file;  // temporary file until the hash has been checked
   std::ofstream output;
   std::uint64_t received_bytes = 0;
   Hasher hasher;
@@ -67,7 +67,7 @@
   void end(Outcome outcome) {
     output.close();
     std::error_code ignored;
-    if (outcome != Outcome::ok) fs::remove(aside, ignored);
+    if (outcome != Outcome::ok) fs::remove(temporary_file, ignored);
     done(outcome);
   }
 
@@ -84,7 +84,7 @@
     output.close();
     if (hasher.hex() != hash) return end(Outcome::refused);
     std::error_code failed;
-    if (output) fs::rename(aside, file, failed);
+    if (output) fs::rename(temporary_file, file, failed);
     end(output && !failed ? Outcome::ok : Outcome::unavailable);
   }
 };
@@ -129,12 +129,12 @@
 void Client::get_file(std::string hash, fs::path to, Done done) {
   auto download = std::make_shared<Download>();
   download->hash = std::move(hash);
-  download->aside = to;
-  download->aside += ".part";
+  download->temporary_file = to;
+  download->temporary_file += ".part";
   download->file = std::move(to);
   download->done = std::move(done);
   if (!valid_hash(download->hash)) return download->done(Outcome::refused);
-  download->output.open(download->aside, std::ios::binary | std::ios::trunc);
+  download->output.open(download->temporary_file, std::ios::binary | std::ios::trunc);
   if (!download->output) return download->done(Outcome::unavailable);
   fetch_part(download);
 }
--- a/src/artifacts/server.cpp
+++ b/src/artifacts/server.cpp
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMaxNameBody =
+constexpr std::size_t kMaxNameBodyBytes =
     1024;  // bytes allowed in a request body beyond those of a part
 constexpr std::size_t kMaxOffsetDigits = 15;
 constexpr double kRetryAfterS = 1;
@@ -26,7 +26,7 @@
 }
 
 // Returns the path without the prefix, or nothing if it does not have the prefix.
-std::optional<std::string> rest_of(const std::string& path, std::string_view prefix) {
+std::optional<std::string> without_prefix(const std::string& path, std::string_view prefix) {
   if (!path.starts_with(prefix)) return std::nullopt;
   return path.substr(prefix.size());
 }
@@ -35,7 +35,7 @@
 
 Server::Server(actor::Loop& loop, const config::Endpoint& address, const std::filesystem::path& dir)
     : store_(dir),
-      http_(loop, address, kMaxPartBytes + kMaxNameBody,
+      http_(loop, address, kMaxPartBytes + kMaxNameBodyBytes,
             [this](net::ExchangePtr exchange) { exchange->send(answer(*exchange)); }) {}
 
 net::Answer Server::answer(const net::Exchange& exchange) {
@@ -53,9 +53,9 @@
 net::Answer Server::dispatch(const net::Exchange& exchange) {
   const std::string& path = exchange.path;
   if (path == "/depot/up") return {200, kEmptyObject, 0};
-  if (auto upload = rest_of(path, "/depot/parts/")) return answer_part(*upload, exchange);
-  if (auto hash = rest_of(path, "/depot/blobs/")) return answer_blob(*hash, exchange);
-  if (auto name = rest_of(path, "/depot/names/"))
+  if (auto upload = without_prefix(path, "/depot/parts/")) return answer_part(*upload, exchange);
+  if (auto hash = without_prefix(path, "/depot/blobs/")) return answer_blob(*hash, exchange);
+  if (auto name = without_prefix(path, "/depot/names/"))
     return exchange.post ? put_name(*name, exchange.body) : get_name(*name);
   return net::error_response(404, "no such path");
 }
--- a/src/artifacts/store.cpp
+++ b/src/artifacts/store.cpp
@@ -19,8 +19,8 @@
 
 constexpr std::size_t kHashBytes = 32;
 constexpr std::string_view kHexDigits = "0123456789abcdef";
-constexpr std::size_t kLeastUploadName = 8, kMostUploadName = 64;
-constexpr std::size_t kMaxName = 200;  // bytes
+constexpr std::size_t kMinUploadNameLength = 8, kMaxUploadNameLength = 64;
+constexpr std::size_t kMaxNameBytes = 200;  // bytes
 constexpr int kMaxNameParts = 6;
 constexpr std::size_t kReadBytes = 256 * 1024;
 constexpr std::chrono::hours kUploadLifetime(24);
@@ -76,7 +76,7 @@
 }
 
 bool valid_upload(std::string_view name) {
-  return name.size() >= kLeastUploadName && name.size() <= kMostUploadName && is_hex(name);
+  return name.size() >= kMinUploadNameLength && name.size() <= kMaxUploadNameLength && is_hex(name);
 }
 
 bool valid_name_part(std::string_view part) {
@@ -130,7 +130,7 @@
 bool valid_hash(std::string_view text) { return text.size() == 2 * kHashBytes && is_hex(text); }
 
 bool valid_name(std::string_view text) {
-  if (text.empty() || text.size() > kMaxName) return false;
+  if (text.empty() || text.size() > kMaxNameBytes) return false;
   for (int parts = 1; parts <= kMaxNameParts; ++parts) {
     const auto slash = text.find('/');
     if (!valid_name_part(text.substr(0, slash))) return false;
@@ -141,14 +141,14 @@
 }
 
 void replace_file(const fs::path& file, std::string_view bytes) {
-  fs::path aside = file;
-  aside += ".new";
+  fs::path temporary_file = file;
+  temporary_file += ".new";
   {
-    const File output(aside, O_WRONLY | O_CREAT | O_TRUNC);
-    write_all(output, bytes, aside);
-    sync(output, aside);
+    const File output(temporary_file, O_WRONLY | O_CREAT | O_TRUNC);
+    write_all(output, bytes, temporary_file);
+    sync(output, temporary_file);
   }
-  fs::rename(aside, file);
+  fs::rename(temporary_file, file);
   sync_directory(file.parent_path());
 }
 
@@ -243,13 +243,13 @@
 bool Store::has(const std::string& hash) const { return fs::exists(blob_path(hash)); }
 
 std::optional<std::string> Store::read(const std::string& hash, std::uint64_t at,
-                                       std::size_t most) const {
+                                       std::size_t max_bytes) const {
   const fs::path path = blob_path(hash);
   std::ifstream input(path, std::ios::binary);
   if (!input) return std::nullopt;
   const auto size = static_cast<std::uint64_t>(fs::file_size(path));
   if (at >= size) return std::string();
-  std::string bytes(std::min<std::uint64_t>(most, size - at), '\0');
+  std::string bytes(std::min<std::uint64_t>(max_bytes, size - at), '\0');
   input.seekg(static_cast<std::streamoff>(at));
   if (!input.read(bytes.data(), static_cast<std::streamsize>(bytes.size()))) fail(path.string());
   return bytes;
--- a/src/artifacts/store.h
+++ b/src/artifacts/store.h
@@ -60,10 +60,10 @@
   /// hash. A blob that exists already is left unchanged.
   [[nodiscard]] bool finish(const std::string& upload, const std::string& hash);
   [[nodiscard]] bool has(const std::string& hash) const;
-  /// Returns at most `most` bytes from offset `at`, or an empty string at the end of the blob.
+  /// Returns at most `max_bytes` bytes from offset `at`, or an empty string at the end of the blob.
   /// Returns nothing if there is no such blob.
   [[nodiscard]] std::optional<std::string> read(const std::string& hash, std::uint64_t at,
-                                                std::size_t most) const;
+                                                std::size_t max_bytes) const;
 
   /// A value under a name.
   struct Named {
