--- a/src/agent/attempt_table.h
+++ b/src/agent/attempt_table.h
@@ -59,7 +59,7 @@
 struct Effect {
   enum class Kind {
     fetch,    ///< prepare the new attempt
-    abandon,  ///< stop uploading the attempt's output and checkpoint
+    abandon,  ///< stop preparing the attempt, or uploading what it has left
     save,     ///< stop the task, which may save a checkpoint within the grace
     kill,     ///< stop the task at once
     drop,     ///< remove the attempt's files
--- a/src/artifacts/client.cpp
+++ b/src/artifacts/client.cpp
@@ -58,7 +58,7 @@
 struct Client::Download {
   std::string hash;
   fs::path file;
-  fs::path temporary_file;  // temporary file until the hash has been checked
+  fs::path temporary_file;  // renamed to `file` once the hash has been checked
   std::ofstream output;
   std::uint64_t received_bytes = 0;
   Hasher hasher;
--- a/src/artifacts/store.cpp
+++ b/src/artifacts/store.cpp
@@ -20,7 +20,7 @@
 constexpr std::size_t kHashBytes = 32;
 constexpr std::string_view kHexDigits = "0123456789abcdef";
 constexpr std::size_t kMinUploadNameLength = 8, kMaxUploadNameLength = 64;
-constexpr std::size_t kMaxNameBytes = 200;  // bytes
+constexpr std::size_t kMaxNameBytes = 200;
 constexpr int kMaxNameParts = 6;
 constexpr std::size_t kReadBytes = 256 * 1024;
 constexpr std::chrono::hours kUploadLifetime(24);
