--- a/src/agent/agent_journal.cpp
+++ b/src/agent/agent_journal.cpp
@@ -5,8 +5,9 @@
 namespace shunttrail::agent {
 namespace {
 
-[[noreturn]] void fail(sqlite3* db, const std::string& what) {
-  throw JournalError("record: " + what + ": " + (db ? sqlite3_errmsg(db) : "out of memory"));
+[[noreturn]] void fail(sqlite3* db, const std::string& operation) {
+  throw JournalError("agent journal: " + operation + ": " +
+                     (db ? sqlite3_errmsg(db) : "out of memory"));
 }
 
 // A prepared statement: parameters are bound in order, then rows are read one by one.
@@ -24,7 +25,7 @@
                       SQLITE_TRANSIENT);
     return *this;
   }
-  Statement& whole(std::uint64_t value) {
+  Statement& integer(std::uint64_t value) {
     sqlite3_bind_int64(statement_, ++bound_, static_cast<sqlite3_int64>(value));
     return *this;
   }
@@ -33,27 +34,27 @@
     return *this;
   }
 
-  // Runs the statement up to its next row. False: there is no further one.
+  // Runs the statement up to its next row. Returns false if there are no more rows.
   bool next_row() {
     const int result = sqlite3_step(statement_);
     if (result == SQLITE_ROW) return true;
     if (result != SQLITE_DONE) fail(db_, "write");
     return false;
   }
-  // Runs a statement that has no rows.
+  // Runs a statement that returns no rows.
   void run() { next_row(); }
 
-  // Columns of the row are read in order.
+  // The columns of a row are read in order, from begin_row().
   std::string read_text() {
     const int column = read_++;
     const auto* bytes = reinterpret_cast<const char*>(sqlite3_column_text(statement_, column));
     if (!bytes) return "";
     return {bytes, static_cast<std::size_t>(sqlite3_column_bytes(statement_, column))};
   }
-  std::uint64_t read_whole() {
+  std::uint64_t read_integer() {
     return static_cast<std::uint64_t>(sqlite3_column_int64(statement_, read_++));
   }
-  bool read_flag() { return read_whole() != 0; }
+  bool read_flag() { return read_integer() != 0; }
   double read_real() { return sqlite3_column_double(statement_, read_++); }
   void begin_row() { read_ = 0; }
 
@@ -64,7 +65,7 @@
   int read_ = 0;
 };
 
-// Rolls back unless it was committed.
+// Rolls the transaction back on destruction unless commit() has succeeded.
 class Transaction {
  public:
   explicit Transaction(sqlite3* db) : db_(db) { run("BEGIN IMMEDIATE"); }
@@ -91,15 +92,18 @@
   Attempt attempt;
   row.begin_row();
   key.job = row.read_text();
-  key.index = static_cast<std::uint32_t>(row.read_whole());
-  key.attempt = row.read_whole();
-  const std::uint64_t phase = row.read_whole();
+  key.index = static_cast<std::uint32_t>(row.read_integer());
+  key.attempt = row.read_integer();
+  const std::uint64_t phase = row.read_integer();
   attempt.stopping = row.read_flag();
   attempt.saving = row.read_flag();
-  const std::uint64_t exit_reason = row.read_whole();
+  const std::uint64_t exit_reason = row.read_integer();
   if (phase > static_cast<std::uint64_t>(Phase::exited) ||
       exit_reason > static_cast<std::uint64_t>(wire::ExitReason::unknown))
-    throw JournalError("record: an attempt of " + key.job + " is damaged");
+    throw JournalError("agent journal: task " + key.job + "/" + std::to_string(key.index) +
+                       " attempt " + std::to_string(key.attempt) + " has phase " +
+                       std::to_string(phase) + " and exit reason " + std::to_string(exit_reason) +
+                       ", which are not both valid");
   attempt.phase = static_cast<Phase>(phase);
   attempt.exit_reason = static_cast<wire::ExitReason>(exit_reason);
   attempt.checkpointed = row.read_flag();
@@ -130,7 +134,7 @@
   db_.reset(db);
   if (result != SQLITE_OK) fail(db, file.string());
   exec("PRAGMA journal_mode=WAL");
-  // A commit means that it is on the disk.
+  // A committed transaction is on the disk.
   exec("PRAGMA synchronous=FULL");
   exec("PRAGMA locking_mode=EXCLUSIVE");
   exec("CREATE TABLE IF NOT EXISTS facts(name TEXT PRIMARY KEY, value TEXT NOT NULL)");
@@ -139,8 +143,8 @@
 void AgentJournal::check_format(const std::filesystem::path& file) const {
   const std::string format = get("format");
   if (!format.empty() && format != std::to_string(kFormat))
-    throw JournalError("record: " + file.string() + " has format " + format +
-                       ", this program knows " + std::to_string(kFormat));
+    throw JournalError("agent journal: " + file.string() + " has format " + format +
+                       ", this program reads only format " + std::to_string(kFormat));
 }
 
 void AgentJournal::create_tables() {
@@ -173,7 +177,7 @@
   const std::string owner = get("machine");
   if (owner.empty()) return std::nullopt;
   if (owner != machine)
-    throw JournalError("record: belongs to machine " + owner + ", not to " + machine);
+    throw JournalError("agent journal: belongs to machine " + owner + ", not to " + machine);
   AttemptTable table;
   table.incarnation = std::stoull(get("session"));
   table.token = std::stoull(get("token"));
@@ -187,7 +191,7 @@
   while (acknowledged.next_row()) {
     acknowledged.begin_row();
     const std::string task = acknowledged.read_text();
-    table.acknowledged.emplace_back(task, acknowledged.read_whole());
+    table.acknowledged.emplace_back(task, acknowledged.read_integer());
   }
   return table;
 }
@@ -233,21 +237,21 @@
 
 void AgentJournal::remove_attempt(const Key& key) {
   Statement remove(db_.get(), "DELETE FROM attempts WHERE job=? AND task=? AND attempt=?");
-  remove.text(key.job).whole(key.index).whole(key.attempt).run();
+  remove.text(key.job).integer(key.index).integer(key.attempt).run();
 }
 
 void AgentJournal::put_attempt(const Key& key, const Attempt& attempt) {
   Statement insert(db_.get(), "INSERT OR REPLACE INTO attempts VALUES(?,?,?,?,?,?,?,?,?,?,?,?,?)");
-  insert.text(key.job).whole(key.index).whole(key.attempt);
-  insert.whole(static_cast<std::uint64_t>(attempt.phase));
-  insert.whole(attempt.stopping).whole(attempt.saving);
-  insert.whole(static_cast<std::uint64_t>(attempt.exit_reason)).whole(attempt.checkpointed);
+  insert.text(key.job).integer(key.index).integer(key.attempt);
+  insert.integer(static_cast<std::uint64_t>(attempt.phase));
+  insert.integer(attempt.stopping).integer(attempt.saving);
+  insert.integer(static_cast<std::uint64_t>(attempt.exit_reason)).integer(attempt.checkpointed);
   insert.real(attempt.needs.cpus).real(attempt.needs.gpus).real(attempt.needs.mem_gb);
-  insert.whole(attempt.saves).real(attempt.save_s);
+  insert.integer(attempt.saves).real(attempt.save_s);
   insert.run();
 }
 
-// In the order of `next`, which the table keeps.
+// Inserts new entries in the order of `next`; column `n` preserves that order.
 void AgentJournal::save_acknowledged(const AttemptTable& current, const AttemptTable& next) {
   std::map<std::string, std::uint64_t> obsolete(current.acknowledged.begin(),
                                                 current.acknowledged.end());
@@ -257,7 +261,7 @@
     if (before != obsolete.end()) obsolete.erase(before);
     if (is_unchanged) continue;
     Statement insert(db_.get(), "INSERT OR REPLACE INTO forgotten(task,attempt) VALUES(?,?)");
-    insert.text(task).whole(attempt).run();
+    insert.text(task).integer(attempt).run();
   }
   for (const auto& [task, attempt] : obsolete) {
     Statement remove(db_.get(), "DELETE FROM forgotten WHERE task=?");
--- a/src/agent/heartbeat_client.h
+++ b/src/agent/heartbeat_client.h
@@ -1,4 +1,4 @@
-// The agent's heartbeats to the controllers, and their answers.
+// Sends the agent's heartbeats to the controllers and handles the answers.
 #pragma once
 #include <functional>
 #include <memory>
@@ -13,35 +13,36 @@
 
 namespace shunttrail::agent {
 
-/// Sends one heartbeat at a time to one controller, another one if that does not answer or is not
-/// the leader. Source: PROTOCOL, "Workers -> controller nodes".
+/// Sends one heartbeat at a time to one controller. Switches to another controller if that one does
+/// not answer or is not the leader. Source: PROTOCOL, "Workers -> controller nodes".
 class HeartbeatClient {
  public:
   struct Callbacks {
-    /// The next heartbeat; sequence 0: none may be sent.
+    /// Returns the next heartbeat. Sequence 0 means that none may be sent.
     std::function<wire::Heartbeat()> make_heartbeat;
-    /// Executes the commands of an answer whose token counts. False: the answer does not count.
+    /// Executes the commands of an answer whose token is accepted. Returns false if they could not
+    /// be journaled; the answer then does not renew the lease.
     std::function<bool(const client_protocol::HeartbeatResponse&)> execute;
   };
 
-  /// Answers are taken in `mailbox`.
+  /// Answers are handled in `mailbox`.
   HeartbeatClient(actor::Loop& loop, actor::Actor& mailbox, const Settings& settings,
                   AgentState& state, Callbacks callbacks);
 
-  /// Begins to send; the lease is checked by every heartbeat.
+  /// Starts sending. Every heartbeat checks the lease first.
   void start();
-  /// There is something to tell: sends as soon as the least interval allows.
+  /// Requests a heartbeat as soon as the minimum interval allows, because the content has changed.
   void send_soon();
 
  private:
   void send();
   [[nodiscard]] double next_send_at() const;
-  void take_answer(std::uint64_t incarnation, double sent_at, std::size_t controller,
-                   const net::Result& result);
-  void take_response(double sent_at, std::size_t controller, const std::string& body);
+  void handle_result(std::uint64_t incarnation, double sent_at, std::size_t controller,
+                     const net::Result& result);
+  void handle_response(double sent_at, std::size_t controller, const std::string& body);
   [[nodiscard]] bool follow_redirect(std::size_t controller, const std::string& body);
   void next_controller();
-  void leave_controller(std::size_t next, double delay_s);
+  void switch_controller(std::size_t next, double delay_s);
 
   actor::Loop& loop_;
   actor::Actor& mailbox_;
@@ -50,13 +51,13 @@
   Callbacks callbacks_;
   std::mt19937 random_;
   std::vector<std::unique_ptr<net::Client>> connections_;  // one for each controller
-  std::size_t controller_ = 0;                             // the one that heartbeats go to
+  std::size_t controller_ = 0;  // index of the controller that gets the heartbeats
   bool in_flight_ = false;
-  bool has_news_ = true;
+  bool content_changed_ = true;
   // Times of CLOCK_BOOTTIME, in seconds.
   double last_sent_at_ = -1e9;
   double due_at_ = 0;
-  double not_before_ = 0;
+  double earliest_send_at_ = 0;
   actor::Timer timer_;
 };
 
--- a/src/agent/lease_file.cpp
+++ b/src/agent/lease_file.cpp
@@ -17,17 +17,18 @@
 constexpr std::uint64_t kVersion = 1;
 constexpr double kNanosecondsPerSecond = 1e9;
 
-[[noreturn]] void fail(int error, const std::string& what) {
-  throw std::system_error(error, std::generic_category(), what);
+[[noreturn]] void fail(int error, const std::string& file) {
+  throw std::system_error(error, std::generic_category(), file);
 }
 
 }  // namespace
 
-// Version 1. Each word is written alone. A renewal changes the time only: a supervisor that read
-// session 0 in between would kill its task. Between two incarnations the session is 0.
+// Version 1. Each word is written by itself. A renewal changes only the time, because a supervisor
+// that reads incarnation 0 kills its task. While it changes from one incarnation to the next, it is
+// 0.
 struct LeaseFile::Layout {
   std::atomic<std::uint64_t> version;
-  std::atomic<std::uint64_t> session;
+  std::atomic<std::uint64_t> incarnation;
   std::atomic<std::int64_t> until_ns;
 };
 static_assert(std::atomic<std::uint64_t>::is_always_lock_free);
@@ -45,20 +46,20 @@
   if (writes && page_->version == 0) page_->version = kVersion;
   if (page_->version != kVersion) {
     ::munmap(page_, kPageBytes);
-    fail(EPROTO, file.string() + ": not a lease page");
+    fail(EPROTO, file.string() + ": not a lease file of version " + std::to_string(kVersion));
   }
 }
 
 LeaseFile::~LeaseFile() { ::munmap(page_, kPageBytes); }
 
-void LeaseFile::set(std::uint64_t session, double until) {
-  const bool is_renewal = session != 0 && page_->session == session;
-  if (!is_renewal) page_->session = 0;
+void LeaseFile::set(std::uint64_t incarnation, double until) {
+  const bool is_renewal = incarnation != 0 && page_->incarnation == incarnation;
+  if (!is_renewal) page_->incarnation = 0;
   page_->until_ns = static_cast<std::int64_t>(std::floor(until * kNanosecondsPerSecond));
-  if (!is_renewal) page_->session = session;
+  if (!is_renewal) page_->incarnation = incarnation;
 }
 
-std::uint64_t LeaseFile::session() const { return page_->session; }
+std::uint64_t LeaseFile::incarnation() const { return page_->incarnation; }
 double LeaseFile::until() const {
   return static_cast<double>(page_->until_ns) / kNanosecondsPerSecond;
 }
--- a/src/agent/processes.cpp
+++ b/src/agent/processes.cpp
@@ -64,8 +64,8 @@
 }
 
 std::optional<ProcessStat> stat_of(pid_t pid) {
-  const std::string text = artifacts::read_whole(proc_file(pid, "stat"));
-  const auto name_end = text.rfind(')');  // the name before it may hold anything
+  const std::string text = artifacts::read_file_or_empty(proc_file(pid, "stat"));
+  const auto name_end = text.rfind(')');  // the name before it may contain any character
   if (name_end == std::string::npos) return std::nullopt;
   std::istringstream fields(text.substr(name_end + 2));
   ProcessStat stat;
@@ -76,17 +76,17 @@
   return stat;
 }
 
-// 0: there is none, or it has ended and only waits to be read.
+// Returns the process's start time, or 0 if there is no such process or it is a zombie.
 std::uint64_t start_of(pid_t pid) {
   const auto stat = stat_of(pid);
   return stat && !stat->has_ended() ? stat->start : 0;
 }
 
-// Every process number there is.
+// Calls `visit` with the pid of every process.
 template <class Visit>
 void each_process(Visit visit) {
-  std::error_code gone;
-  for (fs::directory_iterator it("/proc", gone), end; !gone && it != end; it.increment(gone)) {
+  std::error_code error;
+  for (fs::directory_iterator it("/proc", error), end; !error && it != end; it.increment(error)) {
     const std::string name = it->path().filename();
     if (name.find_first_not_of("0123456789") == std::string::npos)
       visit(static_cast<pid_t>(std::stol(name)));
@@ -95,9 +95,10 @@
 
 Fd open_pidfd(pid_t pid) { return Fd(static_cast<int>(::syscall(SYS_pidfd_open, pid, 0))); }
 
-// Whether the process's environment has this entry, or the entry with a path below its value.
+// Returns whether the process's environment has this entry, or the same variable with a path below
+// the entry's value.
 bool has_variable(pid_t pid, const std::string& entry) {
-  const std::string environment = artifacts::read_whole(proc_file(pid, "environ"));
+  const std::string environment = artifacts::read_file_or_empty(proc_file(pid, "environ"));
   for (std::size_t at = 0; at < environment.size();) {
     const std::string_view variable(environment.c_str() + at);
     if (variable.starts_with(entry) &&
@@ -108,13 +109,14 @@
   return false;
 }
 
-// Kills all that have the variable. False: there was none.
+// Kills all processes whose environment has the entry. Returns false if there was none.
 bool kill_all_with(const std::string& entry) {
   const pid_t self = ::getpid();
   bool found = false;
   each_process([&](pid_t pid) {
     if (pid == self) return;
-    // The handle first: what is read afterwards is of the process that it stands for.
+    // The pidfd is opened first, so that the environment and start time read afterwards belong to
+    // the process that is signalled.
     const Fd handle = open_pidfd(pid);
     if (!handle || !has_variable(pid, entry) || start_of(pid) == 0) return;
     found = true;
@@ -130,7 +132,8 @@
 Fd open_process(const Identity& identity) {
   if (identity.pid <= 0 || identity.boot != boot_id()) return Fd();
   Fd handle = open_pidfd(identity.pid);
-  // The handle stands for whoever has the number now; only then is it checked who that is.
+  // The pidfd refers to the process that has the pid now. The start time is compared after it has
+  // been opened, so that the pid cannot be reused in between.
   if (!handle || start_of(identity.pid) != identity.start || identity.start == 0) return Fd();
   return handle;
 }
@@ -139,7 +142,7 @@
   return handle && ::syscall(SYS_pidfd_send_signal, handle.get(), signal, nullptr, 0) == 0;
 }
 
-bool sweep(const fs::path& below, int max_scans) {
+bool kill_task_processes(const fs::path& below, int max_scans) {
   const std::string entry = std::string(kTaskDirVariable) + "=" + below.string();
   for (int scan = 0; scan < max_scans; ++scan) {
     if (!kill_all_with(entry)) return true;
--- a/src/agent/settings.cpp
+++ b/src/agent/settings.cpp
@@ -41,9 +41,9 @@
 }
 
 void check(const Settings& settings) {
-  if (settings.controllers.empty()) bad_at("shunt-agent.controllers", "names none");
+  if (settings.controllers.empty()) bad_at("shunt-agent.controllers", "lists no controller");
   if (settings.lease_s < 2 * settings.report_s)
-    bad_at("shunt-agent.lease-s", "leaves no room above report-s");
+    bad_at("shunt-agent.lease-s", "is less than twice report-s");
 }
 
 }  // namespace
@@ -58,9 +58,9 @@
                  {"zone", text_into(settings.zone)},
                  {"address", endpoint_into(settings.address)},
                  {"spot", flag_into(settings.spot)},
-                 {"cpus", xml_into(settings.room.cpus, 0, 1e6)},
-                 {"gpus", xml_into(settings.room.gpus, 0, 1e6)},
-                 {"mem-gb", xml_into(settings.room.mem_gb, 0, 1e6)},
+                 {"cpus", xml_into(settings.capacity.cpus, 0, 1e6)},
+                 {"gpus", xml_into(settings.capacity.gpus, 0, 1e6)},
+                 {"mem-gb", xml_into(settings.capacity.mem_gb, 0, 1e6)},
                  {"report-s", xml_into(settings.report_s, 0.1, 3600)},
                  {"lease-s", xml_into(settings.lease_s, 1, 86400)},
                  {"controllers", controllers_into(settings.controllers)},
--- a/src/agent/task_files.cpp
+++ b/src/agent/task_files.cpp
@@ -11,14 +11,15 @@
 namespace {
 
 constexpr std::string_view kCheckpointPrefix = "kept-";
-constexpr std::size_t kMaxCheckpointName = 20;  // its number fits 64 bits
+constexpr std::size_t kMaxCheckpointName =
+    20;  // longest name whose number is sure to fit into 64 bits
 
 void require_format(const json& fields, int known) {
   if (wire::whole(fields, "format") != static_cast<std::uint64_t>(known))
-    throw wire::Malformed("format is unknown");
+    throw wire::Malformed("format is not " + std::to_string(known));
 }
 
-// The number in a checkpoint's name; 0: it is no checkpoint.
+// Returns the number in a checkpoint's directory name, or 0 if the name is not a checkpoint's.
 std::uint64_t checkpoint_number(const std::string& name) {
   if (!name.starts_with(kCheckpointPrefix) || name.size() > kMaxCheckpointName) return 0;
   const std::string digits = name.substr(kCheckpointPrefix.size());
@@ -48,7 +49,7 @@
 
 std::string encode(const LaunchOrder& order) {
   return json{{"format", LaunchOrder::kFormat},   {"task", order.task},
-              {"attempt", order.attempt},         {"session", order.session},
+              {"attempt", order.attempt},         {"session", order.incarnation},
               {"command", order.command},         {"env", order.env},
               {"retry_exits", order.retry_exits}, {"limit_s", order.limit_s},
               {"file_bytes", order.file_bytes},   {"memory_bytes", order.memory_bytes}}
@@ -61,7 +62,7 @@
     LaunchOrder order;
     order.task = wire::text(fields, "task");
     order.attempt = wire::whole(fields, "attempt");
-    order.session = wire::whole(fields, "session");
+    order.incarnation = wire::whole(fields, "session");
     order.command = wire::need(fields, "command").get<std::vector<std::string>>();
     order.env = wire::need(fields, "env").get<std::map<std::string, std::string>>();
     order.retry_exits = wire::need(fields, "retry_exits").get<std::vector<int>>();
@@ -119,7 +120,7 @@
 }
 
 Identity read_identity(const fs::path& file) {
-  const json fields = json::parse(artifacts::read_whole(file), nullptr, false);
+  const json fields = json::parse(artifacts::read_file_or_empty(file), nullptr, false);
   if (!fields.is_object()) return {};
   return {fields.value("pid", 0), fields.value("start", std::uint64_t{0}),
           fields.value("boot", "")};
--- a/src/agent/task_preparation.h
+++ b/src/agent/task_preparation.h
@@ -1,5 +1,5 @@
-// The life of an attempt before its task runs: its description, its image, a result or a checkpoint
-// of an earlier attempt.
+// The preparation of an attempt before its task runs: fetches the job description, the image, and
+// the result or checkpoint of an earlier attempt.
 #pragma once
 #include <string>
 
@@ -10,26 +10,27 @@
 
 class TaskLauncher;
 
-/// Takes an accepted attempt to the point where its task can be launched. Each step may be taken
-/// again, by this process or the next.
+/// Prepares an accepted attempt until its task can be launched. Each step may be repeated, by this
+/// process or the next.
 class TaskPreparation {
  public:
   TaskPreparation(const AttemptContext& context, ImageCache& images, TaskLauncher& launcher);
 
-  /// Takes the attempt's next step. Throws std::exception, mostly for the disk.
+  /// Runs the attempt's next step. Throws std::exception, usually for a disk error.
   void advance(const Key& key, LiveAttempt& attempt);
 
  private:
   void fetch_description(const Key& key, LiveAttempt& attempt);
-  void take_description(const Key& key, LiveAttempt& attempt, artifacts::Outcome outcome,
-                        const std::string& text);
+  void handle_description(const Key& key, LiveAttempt& attempt, artifacts::Outcome outcome,
+                          const std::string& text);
   void fetch_image(const Key& key, LiveAttempt& attempt);
   void find_result(const Key& key, LiveAttempt& attempt);
-  void take_result(const Key& key, LiveAttempt& attempt, artifacts::Outcome outcome);
+  void handle_result(const Key& key, LiveAttempt& attempt, artifacts::Outcome outcome);
   void find_checkpoint(const Key& key, LiveAttempt& attempt);
   void download_checkpoint(const Key& key, LiveAttempt& attempt, artifacts::Outcome outcome,
                            const std::string& text);
-  void take_checkpoint(const Key& key, LiveAttempt& attempt, artifacts::Outcome outcome);
+  void handle_downloaded_checkpoint(const Key& key, LiveAttempt& attempt,
+                                    artifacts::Outcome outcome);
   void unpack_checkpoint(const Key& key, LiveAttempt& attempt);
   [[nodiscard]] bool unpack_step(const TaskDirectory& directory, LiveAttempt& attempt);
   void next_step(const Key& key, LiveAttempt& attempt, LiveAttempt::Step step);
--- a/src/artifacts/store.cpp
+++ b/src/artifacts/store.cpp
@@ -19,17 +19,17 @@
 
 constexpr std::size_t kHashBytes = 32;
 constexpr std::string_view kHexDigits = "0123456789abcdef";
-constexpr std::size_t kLeastUploadName = 8, kMostUploadName = 64;
-constexpr std::size_t kMaxName = 200;  // bytes
+constexpr std::size_t kMinUploadNameLength = 8, kMaxUploadNameLength = 64;
+constexpr std::size_t kMaxNameBytes = 200;
 constexpr int kMaxNameParts = 6;
 constexpr std::size_t kReadBytes = 256 * 1024;
 constexpr std::chrono::hours kUploadLifetime(24);
 
-[[noreturn]] void fail(const std::string& what) {
-  throw std::system_error(errno, std::generic_category(), what);
+[[noreturn]] void fail(const std::string& file) {
+  throw std::system_error(errno, std::generic_category(), file);
 }
 
-// An open file.
+// Owns an open file descriptor.
 class File {
  public:
   File(const fs::path& path, int flags) : fd_(::open(path.c_str(), flags | O_CLOEXEC, 0644)) {
@@ -76,7 +76,7 @@
 }
 
 bool valid_upload(std::string_view name) {
-  return name.size() >= kLeastUploadName && name.size() <= kMostUploadName && is_hex(name);
+  return name.size() >= kMinUploadNameLength && name.size() <= kMaxUploadNameLength && is_hex(name);
 }
 
 bool valid_name_part(std::string_view part) {
@@ -86,7 +86,7 @@
   });
 }
 
-// Reads an optional count. False: it is there and is none.
+// Reads an optional count. Returns false if the field exists but is not an unsigned integer.
 bool read_count(const nlohmann::json& fields, const char* name, std::uint64_t& count) {
   const auto found = fields.find(name);
   if (found == fields.end()) return true;
@@ -130,7 +130,7 @@
 bool valid_hash(std::string_view text) { return text.size() == 2 * kHashBytes && is_hex(text); }
 
 bool valid_name(std::string_view text) {
-  if (text.empty() || text.size() > kMaxName) return false;
+  if (text.empty() || text.size() > kMaxNameBytes) return false;
   for (int parts = 1; parts <= kMaxNameParts; ++parts) {
     const auto slash = text.find('/');
     if (!valid_name_part(text.substr(0, slash))) return false;
@@ -140,19 +140,19 @@
   return false;
 }
 
-void write_whole(const fs::path& file, std::string_view bytes) {
-  fs::path aside = file;
-  aside += ".new";
+void replace_file(const fs::path& file, std::string_view bytes) {
+  fs::path temporary_file = file;
+  temporary_file += ".new";
   {
-    const File output(aside, O_WRONLY | O_CREAT | O_TRUNC);
-    write_all(output, bytes, aside);
-    sync(output, aside);
+    const File output(temporary_file, O_WRONLY | O_CREAT | O_TRUNC);
+    write_all(output, bytes, temporary_file);
+    sync(output, temporary_file);
   }
-  fs::rename(aside, file);
+  fs::rename(temporary_file, file);
   sync_directory(file.parent_path());
 }
 
-std::string read_whole(const fs::path& file) {
+std::string read_file_or_empty(const fs::path& file) {
   std::ifstream input(file, std::ios::binary);
   std::ostringstream content;
   content << input.rdbuf();
@@ -181,18 +181,19 @@
 }
 
 fs::path Store::upload_path(const std::string& upload) const {
-  if (!valid_upload(upload)) throw BadRequest("not an upload's name");
+  if (!valid_upload(upload)) throw BadRequest("upload name is not of 8 to 64 hex digits");
   return dir_ / "parts" / upload;
 }
 
 fs::path Store::blob_path(const std::string& hash) const {
-  if (!valid_hash(hash)) throw BadRequest("not a hash");
+  if (!valid_hash(hash)) throw BadRequest("hash is not of 64 hex digits");
   return dir_ / "blobs" / hash.substr(0, 2) / hash;
 }
 
-// Values end in ".json": "a" and "a/b" may both be names, a file and a directory.
+// The files of values end in ".json", because both "a" and "a/b" may be names: without the suffix
+// "a" would be a file and a directory.
 fs::path Store::name_path(const std::string& name) const {
-  if (!valid_name(name)) throw BadRequest("not a name");
+  if (!valid_name(name)) throw BadRequest("name is malformed");
   return dir_ / "names" / (name + ".json");
 }
 
@@ -207,7 +208,8 @@
   try {
     write_all(file, bytes, path);
   } catch (const std::system_error&) {
-    // A full disk leaves no half part behind: the sender goes on where it was.
+    // Removes a partly written part, for example after the disk has become full, so that the sender
+    // can continue where it was.
     if (::ftruncate(file.get(), status.st_size) != 0) fs::remove(path);
     throw;
   }
@@ -220,7 +222,7 @@
     fs::remove(from);
     return true;
   }
-  if (!fs::exists(from)) File(from, O_WRONLY | O_CREAT);  // of no bytes
+  if (!fs::exists(from)) File(from, O_WRONLY | O_CREAT);  // a blob of no bytes
   std::string found;
   {
     const File file(from, O_RDWR);
@@ -241,13 +243,13 @@
 bool Store::has(const std::string& hash) const { return fs::exists(blob_path(hash)); }
 
 std::optional<std::string> Store::read(const std::string& hash, std::uint64_t at,
-                                       std::size_t most) const {
+                                       std::size_t max_bytes) const {
   const fs::path path = blob_path(hash);
   std::ifstream input(path, std::ios::binary);
   if (!input) return std::nullopt;
   const auto size = static_cast<std::uint64_t>(fs::file_size(path));
   if (at >= size) return std::string();
-  std::string bytes(std::min<std::uint64_t>(most, size - at), '\0');
+  std::string bytes(std::min<std::uint64_t>(max_bytes, size - at), '\0');
   input.seekg(static_cast<std::streamoff>(at));
   if (!input.read(bytes.data(), static_cast<std::streamsize>(bytes.size()))) fail(path.string());
   return bytes;
@@ -263,15 +265,17 @@
     if (is_written_once || !is_newer) return Put::refused;
   }
   fs::create_directories(path.parent_path());
-  write_whole(path, encode_named(value));
+  replace_file(path, encode_named(value));
   return Put::created;
 }
 
 std::optional<Store::Named> Store::get_name(const std::string& name) const {
   const fs::path path = name_path(name);
   if (!fs::exists(path)) return std::nullopt;
-  auto value = decode_named(read_whole(path));
-  if (!value) throw std::runtime_error("the depot's name " + name + " is damaged");
+  auto value = decode_named(read_file_or_empty(path));
+  if (!value)
+    throw std::runtime_error("artifact store: the stored value of the name " + name +
+                             " is damaged");
   return value;
 }
 
--- a/tests/agent_process_test.cpp
+++ b/tests/agent_process_test.cpp
@@ -1,5 +1,5 @@
-// The agent as a process, with supervisors and tasks as processes: killed, stopped, cut off and
-// brought back. Nothing here depends on how long anything takes, beyond leases that are to run out.
+// Tests of the agent with real agent, supervisor and task processes, which are killed, suspended,
+// disconnected and restarted. No test depends on durations, except for leases that have to expire.
 #include <sys/resource.h>
 
 #include "agent_rig.h"
@@ -10,9 +10,9 @@
 
 class KillPoint : public testing::TestWithParam<const char*> {};
 
-// Killed between any two of its durable steps and started again, an agent loses no task, runs none
-// twice and reports one end.
-TEST_P(KillPoint, OneTaskOneBeginOneEnd) {
+// An agent that is killed at any durable step and restarted loses no task, runs none twice and
+// reports one end.
+TEST_P(KillPoint, RestartedAgentRunsTheTaskOnceAndReportsOneEnd) {
   Rig rig;
   std::string id = rig.add("echo out; sleep 0.3");
   rig.start(GetParam());
@@ -22,16 +22,17 @@
       killed = true;
       rig.start();
     }
-    // Also what is reaped is on record: one more report after the end.
-    return rig.tasks[id].done > 0 && killed && rig.last.tasks.empty();
-  })) << artifacts::read_whole(rig.dir / "agent.log");
+    // The acknowledgement is journaled too, so the test waits for a heartbeat without the task.
+    return rig.tasks[id].done > 0 && killed && rig.last_heartbeat.tasks.empty();
+  })) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   EXPECT_EQ(rig.tasks[id].done, 1);
   EXPECT_EQ(rig.tasks[id].lost, 0);
-  EXPECT_EQ(rig.last.incarnation, 1u);
+  EXPECT_EQ(rig.last_heartbeat.incarnation, 1u);
   EXPECT_EQ(rig.logged("begin"), 1);
   EXPECT_EQ(rig.logged("end"), 1);
   EXPECT_EQ(rig.logged("overlap"), 0);
-  // On record as started, but killed before it could start it: that attempt ends with an error.
+  // The journal says launched, but the agent was killed before it started the supervisor: that
+  // attempt ends with an error.
   EXPECT_EQ(rig.tasks[id].failed, std::string(GetParam()) == "launched.after" ? 1 : 0);
 }
 INSTANTIATE_TEST_SUITE_P(EveryStep, KillPoint,
@@ -41,13 +42,13 @@
                                          "ended.before", "ended.after", "exited.before",
                                          "exited.after", "orders.before:2", "orders.after:2"));
 
-TEST(AgentProcess, KilledMidTaskItComesBackAndTheTaskHasGoneOn) {
+TEST(AgentProcess, TaskContinuesWhileTheAgentIsDead) {
   Rig rig;
   std::string id = rig.add("until [ -e " + (rig.dir / "go").string() + " ]; do sleep 0.05; done");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
   rig.kill_agent();
-  std::ofstream(rig.dir / "go");  // it ends while nobody looks
+  std::ofstream(rig.dir / "go");  // the task ends while no agent is running
   ASSERT_TRUE(rig.until_logged("end"));
   rig.start();
   ASSERT_TRUE(rig.until_done(id));
@@ -55,87 +56,88 @@
   EXPECT_EQ(rig.logged("begin"), 1);
 }
 
-// Guard: with the agent dead, only the supervisor knows that the lease is over.
-TEST(AgentProcess, TheLeaseIsKeptWhileTheAgentIsDeadAndTheNextIncarnationBegins) {
+// Regression test: while the agent is dead, only the supervisor can enforce the end of the lease.
+TEST(AgentProcess, LeaseExpiryEndsTasksOfADeadAgentAndBeginsTheNextIncarnation) {
   Rig rig(3);
   std::string id = rig.add("sleep 1000");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  ASSERT_TRUE(rig.until([&] { return rig.last.tasks.size() == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.last_heartbeat.tasks.size() == 1; }));
   rig.kill_agent();
   const fs::path task = rig.dir / "m" / "tasks" / (id + ".0.1");
   ASSERT_TRUE(rig.until([&] { return fs::exists(task / "end.json"); }));
   EXPECT_TRUE(rig.nothing_left_of(id));
   rig.start();
   ASSERT_TRUE(rig.until([&] { return rig.tasks[id].lost == 1; }));
-  EXPECT_EQ(rig.last.incarnation, 2u);
+  EXPECT_EQ(rig.last_heartbeat.incarnation, 2u);
   EXPECT_EQ(rig.logged("overlap"), 0);
 }
 
-TEST(AgentProcess, HungBeyondItsLeaseItGoesOnWithTheNextIncarnation) {
+TEST(AgentProcess, AgentHungBeyondItsLeaseBeginsTheNextIncarnation) {
   Rig rig(3);
   std::string id = rig.add("sleep 1000");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  ASSERT_TRUE(rig.until([&] { return rig.last.tasks.size() == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.last_heartbeat.tasks.size() == 1; }));
   ::kill(rig.pid, SIGSTOP);
   const fs::path task = rig.dir / "m" / "tasks" / (id + ".0.1");
   ASSERT_TRUE(rig.until([&] { return fs::exists(task / "end.json"); }));
-  int before = rig.reports;
+  int heartbeats_before = rig.heartbeats;
   ::kill(rig.pid, SIGCONT);
-  ASSERT_TRUE(rig.until([&] { return rig.reports > before && rig.last.incarnation == 2; }));
+  ASSERT_TRUE(rig.until(
+      [&] { return rig.heartbeats > heartbeats_before && rig.last_heartbeat.incarnation == 2; }));
   ASSERT_TRUE(rig.until([&] { return rig.logged("begin") == 2; }));
   EXPECT_EQ(rig.logged("overlap"), 0);
 }
 
-// Guard: the next incarnation was begun while a task of the last one was still there, because the
-// lease was over on paper and its supervisor stood still.
-TEST(AgentProcess, AnIncarnationBeginsOnlyWhenTheLastOnesTasksAreGone) {
+// Regression test: the next incarnation began while a task of the previous one was still running.
+// The lease had expired, but the task's supervisor was suspended and did not enforce it.
+TEST(AgentProcess, IncarnationBeginsOnlyAfterTasksOfThePreviousOneHaveEnded) {
   Rig rig(3);
   std::string id = rig.add("sleep 1000");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  ASSERT_TRUE(rig.until([&] { return rig.last.tasks.size() == 1; }));
-  auto j = nlohmann::json::parse(
-      artifacts::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
-  ::kill(j["pid"].get<pid_t>(), SIGSTOP);
+  ASSERT_TRUE(rig.until([&] { return rig.last_heartbeat.tasks.size() == 1; }));
+  auto supervisor = nlohmann::json::parse(
+      artifacts::read_file_or_empty(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
+  ::kill(supervisor["pid"].get<pid_t>(), SIGSTOP);
   rig.kill_agent();
   double until = agent::LeaseFile(rig.dir / "m" / "lease", agent::LeaseFile::Open::read).until();
   ASSERT_TRUE(rig.until([&] { return agent::boot_now() > until; }));
   EXPECT_FALSE(rig.nothing_left_of(id));
   rig.tasks[id].wanted = false;
   rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.last.incarnation == 2; }));
+  ASSERT_TRUE(rig.until([&] { return rig.last_heartbeat.incarnation == 2; }));
   EXPECT_TRUE(rig.nothing_left_of(id));
 }
 
-TEST(AgentProcess, ADirectoryThatCannotBeHadIsSaidAtOnce) {
+TEST(AgentProcess, UnusableDirectoryIsLoggedAndEndsTheAgent) {
   Rig rig;
   std::ofstream(rig.dir / "m") << "a file";
   rig.start();
   ASSERT_TRUE(rig.until([&] { return rig.agent_ended(); }));
-  EXPECT_NE(artifacts::read_whole(rig.dir / "agent.log").find("agent cannot go on"),
+  EXPECT_NE(artifacts::read_file_or_empty(rig.dir / "agent.log").find("agent stopped by an error"),
             std::string::npos);
 }
 
-// A supervisor that is killed takes the task with it, and the agent ends what the task had put into
-// incarnations of its own.
-TEST(AgentProcess, AKilledSupervisorLeavesNothingOfItsTask) {
+// If the supervisor is killed, the task's main process dies with it, and the agent kills the
+// processes that the task had moved to POSIX sessions of their own.
+TEST(AgentProcess, KilledSupervisorLeavesNoProcessOfItsTask) {
   Rig rig;
   std::string id = rig.add("[ $SHUNT_ATTEMPT = 2 ] && exit 0; setsid sleep 1000 & echo forked >> " +
                            rig.log().string() + "; sleep 1000");
   rig.start();
   ASSERT_TRUE(rig.until_logged("forked"));
-  auto j = nlohmann::json::parse(
-      artifacts::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
-  ::kill(j["pid"].get<pid_t>(), SIGKILL);
+  auto supervisor = nlohmann::json::parse(
+      artifacts::read_file_or_empty(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
+  ::kill(supervisor["pid"].get<pid_t>(), SIGKILL);
   ASSERT_TRUE(rig.until_done(id));
   EXPECT_EQ(rig.tasks[id].failed, 1);
-  EXPECT_EQ(rig.logged("overlap"), 0);  // the forked one held the lock, too
+  EXPECT_EQ(rig.logged("overlap"), 0);  // the detached process held the lock, too
 }
 
-// The task ignores what it is told, and what it has started is not its child any more.
-TEST(AgentProcess, AStopEndsATaskThatIgnoresItAndAllThatItForked) {
+// The task ignores signals, and the process that it has started is no longer its child.
+TEST(AgentProcess, StopKillsATaskThatIgnoresSignalsAndItsDetachedProcesses) {
   Rig rig;
   std::string id = rig.add(
       "trap '' TERM INT HUP USR1; (setsid bash -c 'trap \"\" TERM; sleep 1000' &); echo forked "
@@ -147,25 +149,25 @@
   ASSERT_TRUE(rig.until_logged("forked"));
   rig.tasks[id].cancelled = true;
   ASSERT_TRUE(rig.until([&] { return rig.tasks[id].failed == 1; }));
-  EXPECT_EQ(rig.tasks[id].why, std::to_string(static_cast<int>(wire::ExitReason::stopped)));
+  EXPECT_EQ(rig.tasks[id].exit_reason, std::to_string(static_cast<int>(wire::ExitReason::stopped)));
   EXPECT_TRUE(rig.nothing_left_of(id));
 }
 
-// A supervisor that stands still is not waited for: a cancelled task has to be gone in time.
-TEST(AgentProcess, AStopDoesNotWaitForAFrozenSupervisor) {
+// The agent does not wait for a suspended supervisor: a cancelled task has to end in time.
+TEST(AgentProcess, StopKillsASuspendedSupervisorAndItsTask) {
   Rig rig;
   std::string id = rig.add("sleep 1000");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  auto j = nlohmann::json::parse(
-      artifacts::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
-  ::kill(j["pid"].get<pid_t>(), SIGSTOP);
+  auto supervisor = nlohmann::json::parse(
+      artifacts::read_file_or_empty(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
+  ::kill(supervisor["pid"].get<pid_t>(), SIGSTOP);
   rig.tasks[id].cancelled = true;
   ASSERT_TRUE(rig.until([&] { return rig.tasks[id].failed == 1; }));
   EXPECT_TRUE(rig.nothing_left_of(id));
 }
 
-TEST(AgentProcess, SavesWhenItIsStoppedAndGoesOnFromThere) {
+TEST(AgentProcess, StoppedTaskSavesACheckpointAndTheNextAttemptRestoresIt) {
   Rig rig;
   std::string id =
       rig.add("n=$(cat $SHUNT_SAVE_DIR/last/n 2>/dev/null || echo 0); echo from $n >> " +
@@ -178,16 +180,16 @@
   ASSERT_TRUE(rig.until_logged("ready"));
   rig.tasks[id].cancelled = true;
   ASSERT_TRUE(rig.until([&] { return rig.tasks[id].failed == 1; }));
-  EXPECT_EQ(rig.tasks[id].why,
+  EXPECT_EQ(rig.tasks[id].exit_reason,
             std::to_string(static_cast<int>(wire::ExitReason::stopped)) + "kept");
   rig.tasks[id].cancelled = false;
-  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_whole(rig.dir / "agent.log");
+  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   EXPECT_EQ(rig.logged("from 0"), 1);
   EXPECT_EQ(rig.logged("from 7"), 1);
 }
 
-// What a task has saved by itself is outside the machine before the machine is lost.
-TEST(AgentProcess, ALostMachineCostsNoMoreThanTheLastCheckpoint) {
+// Checkpoints are uploaded while the task runs, so the loss of the machine does not lose them.
+TEST(AgentProcess, TaskOfALostMachineContinuesFromItsLastCheckpoint) {
   Rig rig;
   std::string id =
       rig.add("n=$(cat $SHUNT_SAVE_DIR/last/n 2>/dev/null || echo 0); echo from $n >> " +
@@ -199,22 +201,22 @@
               1);
   rig.start();
   ASSERT_TRUE(rig.until([&] {
-    auto n =
+    auto checkpoint =
         artifacts::Store(rig.dir / "depot").get_name(client_protocol::checkpoint_name({id, 0}));
-    return n && n->part == 2;
-  })) << artifacts::read_whole(rig.dir / "agent.log");
+    return checkpoint && checkpoint->part == 2;
+  })) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   rig.kill_agent();
-  ASSERT_TRUE(agent::end_all({rig.dir / "m"}));  // as when its power fails
+  ASSERT_TRUE(agent::kill_all_tasks({rig.dir / "m"}));  // as after a power failure
   fs::remove_all(rig.dir / "m");
   rig.tasks[id].attempt = 2;
   rig.tasks[id].sent = false;
   rig.start();
-  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_whole(rig.dir / "agent.log");
+  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   EXPECT_EQ(rig.logged("from 2"), 1);
 }
 
-// Guard: such an attempt had no end.json, and the next agent looked for it for ever.
-TEST(AgentProcess, ACheckpointOutlivesItsSupervisorAndTheAgent) {
+// Regression test: the attempt had no end.json, and the restarted agent looked for it forever.
+TEST(AgentProcess, CheckpointIsUploadedAfterSupervisorAndAgentWereKilled) {
   Rig rig;
   std::string id = rig.add(
       "[ $SHUNT_ATTEMPT = 2 ] && { echo from $(cat $SHUNT_SAVE_DIR/last/n) >> " +
@@ -225,25 +227,27 @@
       30);
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  rig.close_depot();
+  rig.close_artifact_store();
   std::ofstream(rig.dir / "go");
   ASSERT_TRUE(rig.until_logged("saved"));
-  auto j = nlohmann::json::parse(
-      artifacts::read_whole(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
-  ::kill(j["pid"].get<pid_t>(), SIGKILL);
+  auto supervisor = nlohmann::json::parse(
+      artifacts::read_file_or_empty(rig.dir / "m" / "tasks" / (id + ".0.1") / "shepherd.json"));
+  ::kill(supervisor["pid"].get<pid_t>(), SIGKILL);
   ASSERT_TRUE(rig.until([&] {
-    return artifacts::read_whole(rig.dir / "agent.log").find("task ended") != std::string::npos;
+    return artifacts::read_file_or_empty(rig.dir / "agent.log").find("task ended") !=
+           std::string::npos;
   }));
   rig.kill_agent();
   rig.start();
-  rig.open_depot();
-  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_whole(rig.dir / "agent.log");
+  rig.open_artifact_store();
+  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   EXPECT_EQ(rig.tasks[id].failed, 1);
   EXPECT_EQ(rig.logged("from 1"), 1);
 }
 
-// Guard: a checkpoint that could not be packed left its attempt busy, and its end was never told.
-TEST(AgentProcess, ACheckpointThatCannotBePackedDoesNotHoldTheEnd) {
+// Regression test: after a checkpoint could not be packed, the attempt kept waiting for an answer,
+// and its end was never reported.
+TEST(AgentProcess, CheckpointThatCannotBePackedDoesNotDelayTheEnd) {
   Rig rig;
   std::string id = rig.add("until [ -e " + (rig.dir / "go").string() +
                                " ]; do sleep 0.05; done; mkdir $SHUNT_SAVE_DIR/next; echo >&3; "
@@ -253,35 +257,35 @@
   ASSERT_TRUE(rig.until_logged("begin"));
   fs::create_directories(rig.dir / "m" / "tasks" / (id + ".0.1") / "kept.tar");
   std::ofstream(rig.dir / "go");
-  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_whole(rig.dir / "agent.log");
+  ASSERT_TRUE(rig.until_done(id)) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   EXPECT_EQ(rig.tasks[id].failed, 0);
 }
 
-TEST(AgentProcess, AResultWaitsForTheArtifactStoreAndTheControllers) {
+TEST(AgentProcess, ResultIsReportedOnceTheArtifactStoreAndControllerAreBack) {
   Rig rig;
   std::string id = rig.add("echo the result; until [ -e " + (rig.dir / "go").string() +
                            " ]; do sleep 0.05; done");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  rig.close_depot();
+  rig.close_artifact_store();
   rig.close_controller();
   std::ofstream(rig.dir / "go");
   ASSERT_TRUE(rig.until_logged("end"));
   rig.open_controller();
-  int before = rig.reports;
-  ASSERT_TRUE(rig.until([&] { return rig.reports > before + 2; }));
-  EXPECT_EQ(rig.tasks[id].done, 0);  // its result is not safe
-  EXPECT_EQ(rig.last.tasks.at(0).state, wire::TaskState::running);
-  rig.open_depot();
+  int heartbeats_before = rig.heartbeats;
+  ASSERT_TRUE(rig.until([&] { return rig.heartbeats > heartbeats_before + 2; }));
+  EXPECT_EQ(rig.tasks[id].done, 0);  // its result is not in the artifact store yet
+  EXPECT_EQ(rig.last_heartbeat.tasks.at(0).state, wire::TaskState::running);
+  rig.open_artifact_store();
   ASSERT_TRUE(rig.until_done(id));
-  auto r = client_protocol::decode_result(
+  auto result = client_protocol::decode_result(
       artifacts::Store(rig.dir / "depot").get_name(client_protocol::result_name({id, 0}))->value);
-  EXPECT_EQ(*artifacts::Store(rig.dir / "depot").read(r.out, 0, 100), "the result\n");
+  EXPECT_EQ(*artifacts::Store(rig.dir / "depot").read(result.out, 0, 100), "the result\n");
   EXPECT_EQ(rig.logged("begin"), 1);
 }
 
-// A task that has its result is done without running, on any machine and in any attempt.
-TEST(AgentProcess, ATaskThatHasItsResultIsNotRunAgain) {
+// A task whose result is stored is done without running, on any machine and in any attempt.
+TEST(AgentProcess, TaskWithAStoredResultIsNotRunAgain) {
   Rig rig;
   std::string id = rig.add("true");
   rig.start();
@@ -292,48 +296,52 @@
   EXPECT_EQ(rig.logged("begin"), 1);
 }
 
-// As a full disk does, a limit makes every write of the record fail for a while.
-TEST(AgentProcess, AFullDiskTakesNoTaskAndLosesNone) {
+// A file size limit makes every journal write fail for a while, like a full disk.
+TEST(AgentProcess, FullDiskRefusesNewTasksAndLosesNone) {
   Rig rig;
   std::string first =
       rig.add("until [ -e " + (rig.dir / "go").string() + " ]; do sleep 0.05; done");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  ASSERT_TRUE(rig.until([&] { return rig.last.tasks.size() == 1; }));
-  rlimit none{0, RLIM_INFINITY}, all{RLIM_INFINITY, RLIM_INFINITY};
-  ASSERT_EQ(::prlimit(rig.pid, RLIMIT_FSIZE, &none, nullptr), 0);
+  ASSERT_TRUE(rig.until([&] { return rig.last_heartbeat.tasks.size() == 1; }));
+  rlimit no_writes{0, RLIM_INFINITY}, unlimited{RLIM_INFINITY, RLIM_INFINITY};
+  ASSERT_EQ(::prlimit(rig.pid, RLIMIT_FSIZE, &no_writes, nullptr), 0);
   std::string second = rig.add("true");
   std::ofstream(rig.dir / "go");
   ASSERT_TRUE(rig.until_logged("end"));
-  int before = rig.reports;
-  ASSERT_TRUE(rig.until([&] { return rig.reports > before + 5; }));  // it still reports
+  int heartbeats_before = rig.heartbeats;
+  ASSERT_TRUE(rig.until(
+      [&] { return rig.heartbeats > heartbeats_before + 5; }));  // it still sends heartbeats
   EXPECT_EQ(rig.tasks[first].done, 0);
   EXPECT_EQ(rig.logged("begin"), 1);
-  ASSERT_EQ(::prlimit(rig.pid, RLIMIT_FSIZE, &all, nullptr), 0);
-  ASSERT_TRUE(rig.until_done(first)) << artifacts::read_whole(rig.dir / "agent.log");
+  ASSERT_EQ(::prlimit(rig.pid, RLIMIT_FSIZE, &unlimited, nullptr), 0);
+  ASSERT_TRUE(rig.until_done(first)) << artifacts::read_file_or_empty(rig.dir / "agent.log");
   ASSERT_TRUE(rig.until_done(second));
   EXPECT_EQ(rig.logged("begin"), 2);
-  EXPECT_NE(artifacts::read_whole(rig.dir / "agent.log").find("record can be written again"),
+  EXPECT_NE(artifacts::read_file_or_empty(rig.dir / "agent.log")
+                .find("agent journal can be written again"),
             std::string::npos);
 }
 
-TEST(AgentProcess, ATaskThatFillsItsOutputEndsAndTheNextOneRuns) {
+TEST(AgentProcess, TaskBeyondTheFileSizeLimitEndsAndTheNextOneRuns) {
   Rig rig(60, "<file-mb>1</file-mb>");
-  std::string loud = rig.add("yes"), quiet = rig.add("true");
+  std::string writer = rig.add("yes"), successor = rig.add("true");
   rig.start();
-  ASSERT_TRUE(rig.until_done(loud));
-  ASSERT_TRUE(rig.until_done(quiet));
-  auto r = client_protocol::decode_result(
-      artifacts::Store(rig.dir / "depot").get_name(client_protocol::result_name({loud, 0}))->value);
-  EXPECT_NE(r.exit, 0);
+  ASSERT_TRUE(rig.until_done(writer));
+  ASSERT_TRUE(rig.until_done(successor));
+  auto result =
+      client_protocol::decode_result(artifacts::Store(rig.dir / "depot")
+                                         .get_name(client_protocol::result_name({writer, 0}))
+                                         ->value);
+  EXPECT_NE(result.exit, 0);
 }
 
-TEST(AgentProcess, ImagesAreFetchedOnceAndBadOnesRefused) {
+TEST(AgentProcess, ImagesAreFetchedOnceAndInvalidOnesRefused) {
   Rig rig;
   fs::create_directories(rig.dir / "image");
   std::ofstream(rig.dir / "image" / "words") << "from the image\n";
-  artifacts::Packer p(rig.dir / "image", rig.dir / "image.tar");
-  while (!p.step()) {
+  artifacts::Packer packer(rig.dir / "image", rig.dir / "image.tar");
+  while (!packer.step()) {
   }
   artifacts::Store store(rig.dir / "depot");
   auto put = [&](const std::string& bytes, const char* upload) {
@@ -342,7 +350,7 @@
     EXPECT_TRUE(store.finish(upload, hash));
     return hash;
   };
-  std::string hash = put(artifacts::read_whole(rig.dir / "image.tar"), "aaaaaaaa");
+  std::string hash = put(artifacts::read_file_or_empty(rig.dir / "image.tar"), "aaaaaaaa");
   std::string torn = put("these bytes are no archive, whatever their hash may be", "bbbbbbbb");
   std::string damaged = put("something", "cccccccc");
   std::ofstream(rig.dir / "depot" / "blobs" / damaged.substr(0, 2) / damaged) << "something else";
@@ -361,55 +369,57 @@
 TEST(AgentProcess, DirectCommandsAreCheckedByTokenAndIncarnationAndMalformedOnesRefused) {
   Rig rig;
   rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.reports > 1; }));
-  EXPECT_EQ(rig.order("not json").status, 400);
-  EXPECT_EQ(rig.order(R"({"orders":[]})").status, 400);
-  EXPECT_EQ(rig.order(R"({"staff":4,"shift":1,"orders":[]})").status, 409);
-  EXPECT_EQ(rig.order(R"({"staff":5,"shift":2,"orders":[]})").status, 409);
-  // The agent answers and closes before it has read all: the answer can be lost with what is still
-  // being written, and is then asked for again.
+  ASSERT_TRUE(rig.until([&] { return rig.heartbeats > 1; }));
+  EXPECT_EQ(rig.send_command("not json").status, 400);
+  EXPECT_EQ(rig.send_command(R"({"orders":[]})").status, 400);
+  EXPECT_EQ(rig.send_command(R"({"staff":4,"shift":1,"orders":[]})").status, 409);
+  EXPECT_EQ(rig.send_command(R"({"staff":5,"shift":2,"orders":[]})").status, 409);
+  // The agent answers and closes the connection before it has read the whole body. The answer can
+  // then be lost because the client is still writing, so the request is repeated.
   net::Result too_long;
   for (int i = 0; i < 20 && too_long.status == 0; ++i)
-    too_long = rig.order(std::string(70000, ' '));
+    too_long = rig.send_command(std::string(70000, ' '));
   EXPECT_EQ(too_long.status, 413);
-  auto r = rig.order(R"({"staff":6,"shift":1,"orders":[{"order":"dance"},
+  auto answer = rig.send_command(R"({"staff":6,"shift":1,"orders":[{"order":"dance"},
                          {"order":"start","car":"run-999999/0","departure":3}]})");
-  EXPECT_EQ(r.status, 200);
-  auto report = wire::decode_heartbeat(r.body);
-  EXPECT_EQ(report.token, 6u);
-  ASSERT_EQ(report.tasks.size(), 1u);
+  EXPECT_EQ(answer.status, 200);
+  auto heartbeat = wire::decode_heartbeat(answer.body);
+  EXPECT_EQ(heartbeat.token, 6u);
+  ASSERT_EQ(heartbeat.tasks.size(), 1u);
   rig.tasks.clear();
-  // Nobody has described that job: refused as unknown, and the token of the answers is too low now.
+  // The job has no description, so the start is refused as unknown. The emulated controller's token
+  // is now too low for its answers to be accepted.
   ASSERT_TRUE(rig.until([&] {
-    auto s = rig.status();
-    return s.tasks.size() == 1 && s.tasks[0].exit_reason == wire::ExitReason::unknown;
+    auto status = rig.status();
+    return status.tasks.size() == 1 && status.tasks[0].exit_reason == wire::ExitReason::unknown;
   }));
-  std::uint64_t seq = rig.status().sequence;
-  EXPECT_GT(rig.status().sequence, seq);
+  std::uint64_t sequence = rig.status().sequence;
+  EXPECT_GT(rig.status().sequence, sequence);
   rig.token = 7;
   std::ofstream(rig.dir / "m" / "recall") << "12";
-  ASSERT_TRUE(rig.until([&] { return rig.last.notice_s && *rig.last.notice_s <= 12; }));
+  ASSERT_TRUE(
+      rig.until([&] { return rig.last_heartbeat.notice_s && *rig.last_heartbeat.notice_s <= 12; }));
 }
 
-// An agent that is replaced leaves its tasks alone; one that is ended takes them with it.
-TEST(AgentProcess, ReplacedItLeavesItsTasksAndEndedItDoesNot) {
+// A replaced agent leaves its tasks running; the end of the machine kills them.
+TEST(AgentProcess, ReplacedAgentLeavesItsTasksRunningAndEndCommandKillsThem) {
   Rig rig;
   std::string id = rig.add("sleep 1000");
   rig.start();
   ASSERT_TRUE(rig.until_logged("begin"));
-  ASSERT_TRUE(rig.until([&] { return rig.last.tasks.size() == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.last_heartbeat.tasks.size() == 1; }));
   rig.kill_agent(SIGTERM);
   rig.start();
-  int before = rig.reports;
-  ASSERT_TRUE(rig.until([&] { return rig.reports > before + 1; }));
-  EXPECT_EQ(rig.last.incarnation, 1u);
+  int heartbeats_before = rig.heartbeats;
+  ASSERT_TRUE(rig.until([&] { return rig.heartbeats > heartbeats_before + 1; }));
+  EXPECT_EQ(rig.last_heartbeat.incarnation, 1u);
   EXPECT_EQ(rig.tasks[id].attempt, 1u);
   EXPECT_EQ(rig.logged("begin"), 1);
   rig.kill_agent(SIGTERM);
-  EXPECT_TRUE(agent::end_all({rig.dir / "m"}));
+  EXPECT_TRUE(agent::kill_all_tasks({rig.dir / "m"}));
   EXPECT_TRUE(rig.nothing_left_of(id));
   rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.last.incarnation == 2; }));
+  ASSERT_TRUE(rig.until([&] { return rig.last_heartbeat.incarnation == 2; }));
 }
 
 }  // namespace
--- a/tests/agent_rig.h
+++ b/tests/agent_rig.h
@@ -1,5 +1,5 @@
-// Real agents on loopback, with an artifact store and a controller's emulator in the test's own
-// loop.
+// Test rig: a real agent process on loopback, with an artifact store and an emulated controller in
+// the test's own event loop.
 #pragma once
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -26,8 +26,8 @@
 namespace shunttrail::test {
 namespace fs = std::filesystem;
 
-// Below the range that the system takes for its own connections, and elsewhere for each process: a
-// port is not taken by another one between here and its use.
+// Returns a free endpoint. Ports are below the range that the system uses for outgoing connections,
+// and start at another value in each process, so that the port is not taken before it is used.
 inline config::Endpoint free_endpoint() {
   static int next = ::getpid() * 131 % 10000;
   while (true) {
@@ -46,29 +46,32 @@
 class Rig {
  public:
   struct Task {
-    std::uint64_t attempt = 0, session = 0;  // what was last asked for, and in which incarnation
+    std::uint64_t attempt = 0,
+                  incarnation = 0;  // the requested attempt, and the incarnation it was sent to
     bool sent = false, wanted = true, cancelled = false;
-    int done = 0, failed = 0, lost = 0;  // final answers, other ends, ends with an incarnation
-    std::string why;
+    int done = 0, failed = 0,
+        lost = 0;  // ends as done, other ends, ends by loss of the incarnation
+    std::string exit_reason;
   };
 
-  explicit Rig(double lease_s = 60, const std::string& more = "") : lease_s_(lease_s), more_(more) {
-    // As every program does: a connection that the agent closes early is an error of one write.
+  explicit Rig(double lease_s = 60, const std::string& extra_settings = "")
+      : lease_s_(lease_s), extra_settings_(extra_settings) {
+    // A connection that the agent closes early must be a write error, not a signal.
     ::signal(SIGPIPE, SIG_IGN);
     std::string name = fs::temp_directory_path() / "shunt-rig-XXXXXX";
     dir = ::mkdtemp(name.data());
-    open_depot();
+    open_artifact_store();
     open_controller();
   }
   ~Rig() {
     kill_agent();
-    agent::end_all({dir / "m"});
+    agent::kill_all_tasks({dir / "m"});
     controller_.reset();
-    depot_.reset();
+    artifacts_.reset();
     fs::remove_all(dir);
   }
 
-  // The agent, ending itself at a step if one is named.
+  // Starts the agent. With `kill_at`, it kills itself at that journal step.
   void start(const std::string& kill_at = "") {
     std::ofstream(dir / "agent.xml")
         << "<shunt-agent><machine>m-1</machine><type>t</type><zone>z</zone><address>127.0.0.1:"
@@ -76,8 +79,8 @@
         << "<lease-s>" << lease_s_ << "</lease-s><disk-reserve-mb>0</disk-reserve-mb>"
         << "<memory-limit>false</memory-limit><controllers><controller name='n0' "
            "address='127.0.0.1:"
-        << controller_at_.port << "'/></controllers><depot>127.0.0.1:" << depot_at_.port
-        << "</depot>" << more_ << "</shunt-agent>";
+        << controller_at_.port << "'/></controllers><depot>127.0.0.1:" << artifacts_at_.port
+        << "</depot>" << extra_settings_ << "</shunt-agent>";
     const std::string settings = dir / "agent.xml", home = dir / "m", log = dir / "agent.log";
     pid = ::fork();
     if (pid == 0) {
@@ -100,18 +103,18 @@
     pid = 0;
   }
 
-  void open_depot() {
-    depot_ = std::make_unique<artifacts::Server>(loop, depot_at_, dir / "depot");
+  void open_artifact_store() {
+    artifacts_ = std::make_unique<artifacts::Server>(loop, artifacts_at_, dir / "depot");
   }
-  void close_depot() { depot_.reset(); }
+  void close_artifact_store() { artifacts_.reset(); }
   void open_controller() {
     controller_ = std::make_unique<net::Server>(loop, controller_at_, 64 * 1024,
                                                 [this](net::ExchangePtr ex) { heartbeat(ex); });
   }
   void close_controller() { controller_.reset(); }
 
-  // A job of one task that runs this script. Its begins and ends, and any time that it met another
-  // attempt of its own, stand in the log.
+  // Adds a job of one task that runs this script. The task logs its begin and its end, and
+  // "overlap" if another attempt of it is running.
   std::string add(const std::string& script, double save_every_s = 0,
                   const std::string& image = "") {
     client_protocol::JobDescription d;
@@ -138,18 +141,20 @@
   }
   fs::path log() const { return dir / "log"; }
   int logged(const std::string& word) const {
-    std::istringstream in(artifacts::read_whole(log()));
+    std::istringstream in(artifacts::read_file_or_empty(log()));
     int n = 0;
     for (std::string line; std::getline(in, line);) n += line.starts_with(word);
     return n;
   }
 
-  // Every process of a task holds its lock, whatever it has forked and however far it has gone.
+  // Returns whether no process of the task is left. Every process of a task, also a detached one,
+  // holds the task's lock.
   bool nothing_left_of(const std::string& id) const {
     return agent::try_lock(dir / ("lock." + id)).has_value();
   }
 
-  // Turns the loop until it is so. The limit is generous: nothing is said about time.
+  // Runs the event loop until the condition holds. The time limit is generous, because the tests
+  // check no durations.
   bool until(const std::function<bool()>& over, double seconds = 60) {
     double end = actor::steady_now() + seconds;
     while (!over()) {
@@ -165,19 +170,19 @@
   bool until_logged(const std::string& word, int n = 1) {
     return until([&] { return logged(word) >= n; });
   }
-  // An order straight to the worker: its status and body.
-  net::Result order(const std::string& body, const char* path = "/orders") {
+  // Sends a direct command to the agent, or a GET if the body is empty; returns the answer.
+  net::Result send_command(const std::string& body, const char* path = "/orders") {
     net::Client client(loop, address, 1, 1);
     net::Result out;
-    bool over = false;
+    bool answered = false;
     client.request(body.empty() ? "GET" : "POST", path, body, 10, [&](net::Result r) {
       out = std::move(r);
-      over = true;
+      answered = true;
     });
-    until([&] { return over; });
+    until([&] { return answered; });
     return out;
   }
-  wire::Heartbeat status() { return wire::decode_heartbeat(order("", "/status").body); }
+  wire::Heartbeat status() { return wire::decode_heartbeat(send_command("", "/status").body); }
 
   actor::Loop loop;
   fs::path dir;
@@ -185,58 +190,58 @@
   pid_t pid = 0;
   std::uint64_t token = 5;
   std::map<std::string, Task> tasks;
-  wire::Heartbeat last;
-  int reports = 0;
+  wire::Heartbeat last_heartbeat;
+  int heartbeats = 0;
   double grace_s = 20;
 
  private:
-  // A controller in a few lines: what is wanted is started until it is seen, what has exited is
-  // reaped, and what did not get done is tried once more.
+  // Emulates a controller: starts wanted tasks until the agent reports them, acknowledges exited
+  // attempts, and starts another attempt of each task that is not done.
   void heartbeat(net::ExchangePtr ex) {
-    last = wire::decode_heartbeat(ex->body);
-    ++reports;
+    last_heartbeat = wire::decode_heartbeat(ex->body);
+    ++heartbeats;
     std::vector<wire::Command> commands;
-    std::map<std::string, wire::TaskStatus> there;
-    for (const auto& t : last.tasks) {
-      if (t.state == wire::TaskState::exited)
-        commands.push_back({wire::Command::Op::acknowledge, t.task, t.attempt, 0});
-      Task& w = tasks[t.task.job];
-      if (t.attempt == w.attempt && w.sent) there[t.task.job] = t;
+    std::map<std::string, wire::TaskStatus> reported;
+    for (const auto& status : last_heartbeat.tasks) {
+      if (status.state == wire::TaskState::exited)
+        commands.push_back({wire::Command::Op::acknowledge, status.task, status.attempt, 0});
+      Task& task = tasks[status.task.job];
+      if (status.attempt == task.attempt && task.sent) reported[status.task.job] = status;
     }
-    for (auto& [id, w] : tasks) {
-      if (w.sent && last.incarnation > w.session) {
-        ++w.lost;
-        ++w.attempt;
-        w.sent = false;
+    for (auto& [id, task] : tasks) {
+      if (task.sent && last_heartbeat.incarnation > task.incarnation) {
+        ++task.lost;
+        ++task.attempt;
+        task.sent = false;
       }
-      auto it = there.find(id);
-      if (it != there.end() && it->second.state == wire::TaskState::exited) {
-        w.why = std::to_string(static_cast<int>(it->second.exit_reason)) +
-                (it->second.checkpointed ? "kept" : "");
+      auto it = reported.find(id);
+      if (it != reported.end() && it->second.state == wire::TaskState::exited) {
+        task.exit_reason = std::to_string(static_cast<int>(it->second.exit_reason)) +
+                           (it->second.checkpointed ? "kept" : "");
         if (it->second.exit_reason == wire::ExitReason::done) {
-          ++w.done;
-          w.wanted = false;
+          ++task.done;
+          task.wanted = false;
         } else {
-          ++w.failed;
-          ++w.attempt;
+          ++task.failed;
+          ++task.attempt;
         }
-        w.sent = false;
-      } else if (it != there.end() && w.cancelled) {
-        commands.push_back({wire::Command::Op::stop, {id, 0}, w.attempt, grace_s});
-      } else if (it == there.end() && w.wanted && !w.cancelled) {
-        commands.push_back({wire::Command::Op::start, {id, 0}, w.attempt, 0});
-        w.sent = true;
-        w.session = last.incarnation;
+        task.sent = false;
+      } else if (it != reported.end() && task.cancelled) {
+        commands.push_back({wire::Command::Op::stop, {id, 0}, task.attempt, grace_s});
+      } else if (it == reported.end() && task.wanted && !task.cancelled) {
+        commands.push_back({wire::Command::Op::start, {id, 0}, task.attempt, 0});
+        task.sent = true;
+        task.incarnation = last_heartbeat.incarnation;
       }
     }
     ex->send({200, wire::encode_heartbeat_response(token, commands), 0});
   }
 
   double lease_s_;
-  std::string more_;
+  std::string extra_settings_;
   int jobs_ = 0;
-  config::Endpoint depot_at_ = free_endpoint(), controller_at_ = free_endpoint();
-  std::unique_ptr<artifacts::Server> depot_;
+  config::Endpoint artifacts_at_ = free_endpoint(), controller_at_ = free_endpoint();
+  std::unique_ptr<artifacts::Server> artifacts_;
   std::unique_ptr<net::Server> controller_;
 };
 
