--- a/src/agent/task_files.cpp
+++ b/src/agent/task_files.cpp
@@ -56,7 +56,7 @@
 }
 
 LaunchOrder decode_order(const std::string& text) {
-  return wire::guarded(text, [](const json& fields) {
+  return wire::decode_body(text, [](const json& fields) {
     require_format(fields, LaunchOrder::kFormat);
     LaunchOrder order;
     order.task = wire::text(fields, "task");
@@ -78,7 +78,7 @@
 }
 
 StopOrder decode_stop(const std::string& text) {
-  return wire::guarded(text, [](const json& fields) {
+  return wire::decode_body(text, [](const json& fields) {
     return StopOrder{wire::flag(fields, "save"), wire::number(fields, "grace_s", 0)};
   });
 }
@@ -101,7 +101,7 @@
 }
 
 TaskEnd decode_end(const std::string& text) {
-  return wire::guarded(text, [](const json& fields) {
+  return wire::decode_body(text, [](const json& fields) {
     require_format(fields, TaskEnd::kFormat);
     TaskEnd end;
     end.exit_reason = parse_exit_reason(wire::text(fields, "why"));
--- a/src/client_protocol/client_protocol.cpp
+++ b/src/client_protocol/client_protocol.cpp
@@ -139,7 +139,7 @@
 }
 
 HeartbeatResponse decode_heartbeat_response(std::string_view body) {
-  return guarded(body, [](const json& fields) {
+  return decode_body(body, [](const json& fields) {
     HeartbeatResponse response;
     if (const json* token = find(fields, "staff")) response.token = as_whole(*token, "staff");
     if (const json* session = find(fields, "shift")) response.session = as_whole(*session, "shift");
@@ -150,14 +150,14 @@
 
 std::string redirect_of(std::string_view body) {
   try {
-    return guarded(body, [](const json& fields) { return text_or(fields, "dispatcher", ""); });
+    return decode_body(body, [](const json& fields) { return text_or(fields, "dispatcher", ""); });
   } catch (const Malformed&) {
     return {};
   }
 }
 
 JobAnswer decode_job_state(std::string_view body) {
-  return guarded(body, [](const json& fields) {
+  return decode_body(body, [](const json& fields) {
     JobAnswer answer;
     answer.id = text(fields, "uid");
     answer.state = parse_job_state(text(fields, "signal"));
@@ -184,7 +184,7 @@
 }
 
 RentRequest decode_rent(std::string_view body) {
-  return guarded(body, [](const json& fields) {
+  return decode_body(body, [](const json& fields) {
     RentRequest request{text(fields, "charter"), text(fields, "stock"), text(fields, "yard"),
                         flag(fields, "borrowed_stock"), 0};
     const std::uint64_t count = whole(fields, "count");
@@ -218,7 +218,7 @@
 }
 
 Transaction decode_transaction(std::string_view body) {
-  return guarded(body, [](const json& fields) {
+  return decode_body(body, [](const json& fields) {
     Transaction transaction;
     if (const json* guards = find_list(fields, "guards"))
       for (const json& guard : *guards)
@@ -231,7 +231,7 @@
 }
 
 std::uint64_t decode_life_ms(std::string_view body) {
-  return guarded(body, [](const json& fields) {
+  return decode_body(body, [](const json& fields) {
     const std::uint64_t life_ms = whole(fields, "life_ms");
     if (life_ms < kLeastLeaseMs || life_ms > kMostLeaseMs)
       throw Malformed("life_ms is out of range");
--- a/src/client_protocol/job_description.cpp
+++ b/src/client_protocol/job_description.cpp
@@ -70,7 +70,7 @@
 }
 
 JobDescription decode_description(std::string_view body) {
-  return guarded(body, [](const json& fields) {
+  return decode_body(body, [](const json& fields) {
     JobDescription description;
     description.job = decode_job(need(fields, "job").dump());
     description.command = decode_command(list(fields, "command"));
@@ -97,7 +97,7 @@
 }
 
 TaskResult decode_result(std::string_view body) {
-  return guarded(body, [](const json& fields) {
+  return decode_body(body, [](const json& fields) {
     TaskResult result;
     result.attempt = whole(fields, "attempt");
     result.machine = text_or(fields, "machine", "");
--- a/src/wire/cloud_codec.cpp
+++ b/src/wire/cloud_codec.cpp
@@ -58,7 +58,7 @@
 }  // namespace
 
 std::vector<MachineType> decode_types(std::string_view body) {
-  return guarded(body, [](const json& j) {
+  return decode_body(body, [](const json& j) {
     std::vector<MachineType> out;
     for (const json& type : list(j, "stock_types")) out.push_back(machine_type_from_json(type));
     return out;
@@ -76,7 +76,7 @@
 }
 
 std::vector<std::string> decode_rented(std::string_view body) {
-  return guarded(body, [](const json& j) { return texts(list(j, "engines"), "engines"); });
+  return decode_body(body, [](const json& j) { return texts(list(j, "engines"), "engines"); });
 }
 
 std::string encode_delete(const std::vector<std::string>& machines) {
@@ -88,7 +88,7 @@
 }
 
 MachineList decode_machines(std::string_view body) {
-  return guarded(body, [](const json& j) {
+  return decode_body(body, [](const json& j) {
     MachineList out;
     for (const json& machine : list(j, "engines"))
       out.machines.push_back(listed_machine_from_json(machine));
--- a/src/wire/fields.h
+++ b/src/wire/fields.h
@@ -169,7 +169,7 @@
 
 /// Applies `f` to the parsed body, and turns whatever the JSON library throws into Malformed.
 template <class F>
-auto guarded(std::string_view body, F f) {
+auto decode_body(std::string_view body, F f) {
   try {
     return f(parse(body));
   } catch (const json::exception& e) {
@@ -179,9 +179,9 @@
 
 /// Applies `f` to an event's value, which is not parsed again where that has been done already.
 template <class F>
-auto of_value(const Event& event, F f) {
+auto decode_event_value(const Event& event, F f) {
   if (!event.parsed)
-    return guarded(event.value ? std::string_view{*event.value} : std::string_view{}, f);
+    return decode_body(event.value ? std::string_view{*event.value} : std::string_view{}, f);
   try {
     const json& value = *static_cast<const json*>(event.parsed.get());
     check_object(value);
--- a/src/wire/record_codec.cpp
+++ b/src/wire/record_codec.cpp
@@ -122,7 +122,7 @@
 }
 
 JobRecord decode_job_record(const Event& event) {
-  return of_value(event, [](const json& j) {
+  return decode_event_value(event, [](const json& j) {
     JobRecord record;
     record.spec = job_spec_from_json(j);
     record.submitted_at = as_number(need(j, "at"), "at", 0, kMaxTimeOfDayS);
@@ -206,7 +206,7 @@
 }
 
 InventoryPageRecord decode_inventory_page(const Event& event) {
-  return of_value(event, [](const json& j) {
+  return decode_event_value(event, [](const json& j) {
     InventoryPageRecord record;
     record.tag = text_or(j, "w", "");
     const json& machines = need(j, "m");
@@ -320,7 +320,7 @@
 }
 
 PlacementPageRecord decode_placement_page(const Event& event, const TeamIndex& team_index) {
-  return of_value(event, [&](const json& j) {
+  return decode_event_value(event, [&](const json& j) {
     PlacementPageRecord record;
     record.tag = text_or(j, "w", "");
     const std::uint64_t base = whole(j, "b");
@@ -348,7 +348,7 @@
 }
 
 JobResultRecord decode_job_result(std::string_view body) {
-  return guarded(body, [](const json& j) {
+  return decode_body(body, [](const json& j) {
     JobResultRecord record;
     record.cancelled = text(j, "s") == "cancelled";
     record.tasks = static_cast<std::uint32_t>(whole(j, "n"));
@@ -364,7 +364,7 @@
 }
 
 LeaderRecord decode_leader_record(const Event& event) {
-  return of_value(event, [](const json& j) {
+  return decode_event_value(event, [](const json& j) {
     return LeaderRecord{text(j, "node"), text_or(j, "w", "")};
   });
 }
--- a/src/wire/state_codec.cpp
+++ b/src/wire/state_codec.cpp
@@ -34,7 +34,7 @@
 /// Applies `f` to the parsed body and to a function that makes a pointer to a part of it; the body
 /// lives as long as any such pointer.
 template <class F>
-auto guarded_shared(std::string_view body, F f) {
+auto decode_shared_body(std::string_view body, F f) {
   try {
     auto document = std::make_shared<const json>(parse(body));
     return f(*document, [&document](const json& part) {
@@ -81,11 +81,11 @@
 }
 
 std::uint64_t decode_revision(std::string_view body) {
-  return guarded(body, [](const json& j) { return whole(j, "ledger"); });
+  return decode_body(body, [](const json& j) { return whole(j, "ledger"); });
 }
 
 std::vector<std::string> decode_failed(std::string_view body) {
-  return guarded(body, [](const json& j) {
+  return decode_body(body, [](const json& j) {
     const json* keys = find(j, "failed");
     return keys ? texts(*keys, "failed") : std::vector<std::string>();
   });
@@ -100,7 +100,7 @@
 }
 
 std::uint64_t decode_lease(std::string_view body) {
-  return guarded(body, [](const json& j) { return whole(j, "block"); });
+  return decode_body(body, [](const json& j) { return whole(j, "block"); });
 }
 
 std::string watch_path(const std::string& prefix, std::uint64_t after, int block_ms) {
@@ -109,7 +109,7 @@
 }
 
 WatchAnswer decode_watch(std::string_view body) {
-  return guarded_shared(body, [](const json& j, auto share) {
+  return decode_shared_body(body, [](const json& j, auto share) {
     WatchAnswer out;
     out.revision = whole(j, "ledger");
     for (const json& event : list(j, "events")) out.events.push_back(event_from_json(event, share));
@@ -123,7 +123,7 @@
 }
 
 KeyPage decode_keys(std::string_view body) {
-  return guarded_shared(body, [](const json& j, auto share) {
+  return decode_shared_body(body, [](const json& j, auto share) {
     KeyPage out;
     out.revision = whole(j, "ledger");
     out.more = flag_or_false(j, "has_next");
@@ -135,7 +135,7 @@
 }
 
 Event decode_key(std::string_view body) {
-  return guarded(body, [](const json& j) {
+  return decode_body(body, [](const json& j) {
     return Event{text(j, "k"), need(j, "value").dump(), whole(j, "stamp")};
   });
 }
--- a/src/wire/user_codec.cpp
+++ b/src/wire/user_codec.cpp
@@ -7,11 +7,11 @@
 
 namespace shunttrail::wire {
 
-JobSpec decode_job(std::string_view body) { return guarded(body, job_spec_from_json); }
+JobSpec decode_job(std::string_view body) { return decode_body(body, job_spec_from_json); }
 
 std::string job_id_of(std::string_view body) {
   try {
-    std::string id = guarded(body, [](const json& j) { return text(j, "uid"); });
+    std::string id = decode_body(body, [](const json& j) { return text(j, "uid"); });
     return valid_job_id(id) ? id : "";
   } catch (const Malformed&) {
     return "";
--- a/src/wire/worker_codec.cpp
+++ b/src/wire/worker_codec.cpp
@@ -82,7 +82,7 @@
 
 }  // namespace
 
-Heartbeat decode_heartbeat(std::string_view body) { return guarded(body, heartbeat_from_json); }
+Heartbeat decode_heartbeat(std::string_view body) { return decode_body(body, heartbeat_from_json); }
 
 std::string encode_heartbeat_response(std::uint64_t token, const std::vector<Command>& commands) {
   return json{{"staff", token}, {"orders", commands_to_json(commands)}}.dump();
