--- a/src/agent/task_files.cpp
+++ b/src/agent/task_files.cpp
@@ -62,9 +62,9 @@
     order.task = wire::text(fields, "task");
     order.attempt = wire::whole(fields, "attempt");
     order.session = wire::whole(fields, "session");
-    order.command = wire::need(fields, "command").get<std::vector<std::string>>();
-    order.env = wire::need(fields, "env").get<std::map<std::string, std::string>>();
-    order.retry_exits = wire::need(fields, "retry_exits").get<std::vector<int>>();
+    order.command = wire::required(fields, "command").get<std::vector<std::string>>();
+    order.env = wire::required(fields, "env").get<std::map<std::string, std::string>>();
+    order.retry_exits = wire::required(fields, "retry_exits").get<std::vector<int>>();
     order.limit_s = wire::number(fields, "limit_s", 0);
     order.file_bytes = wire::whole(fields, "file_bytes");
     order.memory_bytes = wire::whole(fields, "memory_bytes");
--- a/src/client_protocol/client_protocol.cpp
+++ b/src/client_protocol/client_protocol.cpp
@@ -88,7 +88,7 @@
   Transaction::Op operation;
   const json* key = find(write, "set");
   if (!key) {
-    operation.key = decode_state_key(need(write, "drop"), "drop");
+    operation.key = decode_state_key(required(write, "drop"), "drop");
     return operation;
   }
   operation.key = decode_state_key(*key, "set");
@@ -222,7 +222,7 @@
     Transaction transaction;
     if (const json* guards = find_list(fields, "guards"))
       for (const json& guard : *guards)
-        transaction.preconditions.emplace_back(decode_state_key(need(guard, "k"), "k"),
+        transaction.preconditions.emplace_back(decode_state_key(required(guard, "k"), "k"),
                                                whole(guard, "stamp"));
     if (const json* writes = find_list(fields, "writes"))
       for (const json& write : *writes) transaction.ops.push_back(decode_write(write));
--- a/src/client_protocol/job_description.cpp
+++ b/src/client_protocol/job_description.cpp
@@ -72,7 +72,7 @@
 JobDescription decode_description(std::string_view body) {
   return decode_body(body, [](const json& fields) {
     JobDescription description;
-    description.job = decode_job(need(fields, "job").dump());
+    description.job = decode_job(required(fields, "job").dump());
     description.command = decode_command(list(fields, "command"));
     if (const json* environment = find(fields, "env"))
       description.env = decode_environment(*environment);
--- a/src/wire/fields.h
+++ b/src/wire/fields.h
@@ -71,7 +71,7 @@
   return it == j.end() || it->is_null() ? nullptr : &*it;
 }
 /// A required field.
-inline const json& need(const json& j, const char* name) {
+inline const json& required(const json& j, const char* name) {
   const json* v = find(j, name);
   if (!v) throw Malformed::missing(name);
   return *v;
@@ -90,7 +90,9 @@
   return s;
 }
 /// A required string; see as_text.
-inline std::string text(const json& j, const char* name) { return as_text(need(j, name), name); }
+inline std::string text(const json& j, const char* name) {
+  return as_text(required(j, name), name);
+}
 /// Any string, or `def` where the field is absent or no string.
 inline std::string text_or(const json& j, const char* name, std::string def) {
   const json* v = find(j, name);
@@ -107,7 +109,7 @@
 }
 /// A required number of at least `least`.
 inline double number(const json& j, const char* name, double least) {
-  return as_number(need(j, name), name, least);
+  return as_number(required(j, name), name, least);
 }
 
 /// A whole number that is not negative.
@@ -117,12 +119,12 @@
 }
 /// A required whole number that is not negative.
 inline std::uint64_t whole(const json& j, const char* name) {
-  return as_whole(need(j, name), name);
+  return as_whole(required(j, name), name);
 }
 
 /// A required boolean.
 inline bool flag(const json& j, const char* name) {
-  const json& v = need(j, name);
+  const json& v = required(j, name);
   if (!v.is_boolean()) throw Malformed::wrong_type(name, "true or false");
   return v.get<bool>();
 }
@@ -134,7 +136,7 @@
 
 /// A required array.
 inline const json& list(const json& j, const char* name) {
-  const json& v = need(j, name);
+  const json& v = required(j, name);
   if (!v.is_array()) throw Malformed::wrong_type(name, "a list");
   return v;
 }
--- a/src/wire/record_codec.cpp
+++ b/src/wire/record_codec.cpp
@@ -125,7 +125,7 @@
   return decode_event_value(event, [](const json& j) {
     JobRecord record;
     record.spec = job_spec_from_json(j);
-    record.submitted_at = as_number(need(j, "at"), "at", 0, kMaxTimeOfDayS);
+    record.submitted_at = as_number(required(j, "at"), "at", 0, kMaxTimeOfDayS);
     if (const json* ready = find(j, "ready"))
       record.ready_at = as_number(*ready, "ready", 0, kMaxTimeOfDayS);
     if (const json* needs = find(j, "needs")) {
@@ -209,7 +209,7 @@
   return decode_event_value(event, [](const json& j) {
     InventoryPageRecord record;
     record.tag = text_or(j, "w", "");
-    const json& machines = need(j, "m");
+    const json& machines = required(j, "m");
     if (!machines.is_object()) throw Malformed::wrong_type("m", "an object");
     for (auto it = machines.begin(); it != machines.end(); ++it)
       record.machines.push_back(machine_from_json(it.key(), it.value()));
@@ -325,7 +325,7 @@
     record.tag = text_or(j, "w", "");
     const std::uint64_t base = whole(j, "b");
     const json& machines = list(j, "m");
-    const json& jobs = need(j, "j");
+    const json& jobs = required(j, "j");
     if (!jobs.is_object()) throw Malformed::wrong_type("j", "an object");
     for (auto it = jobs.begin(); it != jobs.end(); ++it)
       record.jobs.push_back(
--- a/src/wire/state_codec.cpp
+++ b/src/wire/state_codec.cpp
@@ -50,7 +50,7 @@
   Event event;
   if (const json* key = find(j, "set")) {
     event.key = as_text(*key, "set");
-    event.parsed = share(need(j, "value"));
+    event.parsed = share(required(j, "value"));
   } else {
     event.key = text(j, "drop");
   }
@@ -129,14 +129,14 @@
     out.more = flag_or_false(j, "has_next");
     for (const json& entry : list(j, "entries"))
       out.items.push_back(
-          {text(entry, "k"), std::nullopt, whole(entry, "stamp"), share(need(entry, "value"))});
+          {text(entry, "k"), std::nullopt, whole(entry, "stamp"), share(required(entry, "value"))});
     return out;
   });
 }
 
 Event decode_key(std::string_view body) {
   return decode_body(body, [](const json& j) {
-    return Event{text(j, "k"), need(j, "value").dump(), whole(j, "stamp")};
+    return Event{text(j, "k"), required(j, "value").dump(), whole(j, "stamp")};
   });
 }
 
