--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -45,7 +45,7 @@
 }
 
 void read_peers(const Section& root, Settings& settings) {
-  const json& peers = root.need("siblings");
+  const json& peers = root.required("siblings");
   if (!peers.is_array()) bad_at("siblings", "is not a list");
   for (std::size_t i = 0; i < peers.size(); ++i) {
     const Section peer(peers[i], "siblings[" + std::to_string(i) + "]");
@@ -65,7 +65,7 @@
 }
 
 void read_zones(const Section& cluster, Settings& settings) {
-  const json& zones = cluster.need("zones");
+  const json& zones = cluster.required("zones");
   if (!zones.is_array() || zones.empty()) bad_at("cluster.zones", "is not a non-empty list");
   for (const json& zone : zones) {
     if (!zone.is_string()) bad_at("cluster.zones", "holds something that is not a string");
@@ -86,7 +86,7 @@
 }
 
 void read_teams(const Section& cluster, Settings& settings) {
-  const json& teams = cluster.need("teams");
+  const json& teams = cluster.required("teams");
   if (!teams.is_array()) bad_at("cluster.teams", "is not a list");
   for (std::size_t i = 0; i < teams.size(); ++i) {
     const Section section(teams[i], "cluster.teams[" + std::to_string(i) + "]");
@@ -106,8 +106,8 @@
 
 /// What is announced for later: the present limits, but for what is named.
 Settings::StateLimits read_next_limits(const Section& state, const Settings::StateLimits& present) {
-  if (!state.contains("next") || state.need("next").is_null()) return present;
-  if (!state.need("next").is_object()) bad_at(state.path("next"), "is not an object");
+  if (!state.contains("next") || state.required("next").is_null()) return present;
+  if (!state.required("next").is_object()) bad_at(state.path("next"), "is not an object");
   const Section next = state.section("next");
   Settings::StateLimits limits;
   limits.rps = next.number_or("rps", present.rps, 1);
--- a/src/config/settings_json.h
+++ b/src/config/settings_json.h
@@ -23,26 +23,26 @@
     return path_.empty() ? name : path_ + "." + name;
   }
   /// A required field.
-  [[nodiscard]] const nlohmann::json& need(const char* name) const {
+  [[nodiscard]] const nlohmann::json& required(const char* name) const {
     if (!value_.is_object()) bad_at(path_, "is not an object");
     const auto field = value_.find(name);
     if (field == value_.end()) bad_at(path(name), "is missing");
     return *field;
   }
   /// A required section.
-  [[nodiscard]] Section section(const char* name) const { return {need(name), path(name)}; }
+  [[nodiscard]] Section section(const char* name) const { return {required(name), path(name)}; }
   /// Whether a field is there.
   [[nodiscard]] bool contains(const char* name) const { return value_.contains(name); }
   /// A required string that is not empty.
   [[nodiscard]] std::string text(const char* name) const {
-    const nlohmann::json& field = need(name);
+    const nlohmann::json& field = required(name);
     if (!field.is_string() || field.get_ref<const std::string&>().empty())
       bad_at(path(name), "is not a non-empty string");
     return field.get<std::string>();
   }
   /// A required number from `least` to `most`, ends included.
   [[nodiscard]] double number(const char* name, double least, double most = kMaxSetting) const {
-    const nlohmann::json& field = need(name);
+    const nlohmann::json& field = required(name);
     if (!field.is_number()) bad_at(path(name), "is not a number");
     const double number = field.get<double>();
     if (!std::isfinite(number) || number < least || number > most)
