--- a/src/config/settings_json.h
+++ b/src/config/settings_json.h
@@ -40,23 +40,23 @@
       bad_at(path(name), "is not a non-empty string");
     return field.get<std::string>();
   }
-  /// A required number from `least` to `most`, ends included.
-  [[nodiscard]] double number(const char* name, double least, double most = kMaxSetting) const {
+  /// A required number from `min` to `max`, ends included.
+  [[nodiscard]] double number(const char* name, double min, double max = kMaxSetting) const {
     const nlohmann::json& field = required(name);
     if (!field.is_number()) bad_at(path(name), "is not a number");
     const double number = field.get<double>();
-    if (!std::isfinite(number) || number < least || number > most)
+    if (!std::isfinite(number) || number < min || number > max)
       bad_at(path(name), "is out of range");
     return number;
   }
   /// A required number, rounded towards zero.
-  [[nodiscard]] int whole(const char* name, double least, double most = kMaxSetting) const {
-    return static_cast<int>(number(name, least, most));
+  [[nodiscard]] int whole(const char* name, double min, double max = kMaxSetting) const {
+    return static_cast<int>(number(name, min, max));
   }
   /// A number as above, or `otherwise` where it is absent.
-  [[nodiscard]] double number_or(const char* name, double otherwise, double least,
-                                 double most = kMaxSetting) const {
-    return contains(name) ? number(name, least, most) : otherwise;
+  [[nodiscard]] double number_or(const char* name, double otherwise, double min,
+                                 double max = kMaxSetting) const {
+    return contains(name) ? number(name, min, max) : otherwise;
   }
   /// A required host and port.
   [[nodiscard]] Endpoint endpoint(const char* name) const {
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -10,9 +10,9 @@
 using Reader = Readers::mapped_type;
 
 /// A reader that puts a whole number in this range into `to`.
-Reader whole_into(int& to, int least, int most) {
-  return [&to, least, most](pugi::xml_node node, const std::string& place) {
-    const double number = xml_number(node.child_value(), place, least, most);
+Reader whole_into(int& to, int min, int max) {
+  return [&to, min, max](pugi::xml_node node, const std::string& place) {
+    const double number = xml_number(node.child_value(), place, min, max);
     if (number != std::floor(number)) bad_at(place, "is not a whole number");
     to = static_cast<int>(number);
   };
--- a/src/config/xml.cpp
+++ b/src/config/xml.cpp
@@ -53,20 +53,20 @@
   return text;
 }
 
-double xml_number(const std::string& text, const std::string& place, double least, double most) {
+double xml_number(const std::string& text, const std::string& place, double min, double max) {
   std::istringstream in(text);
   in.imbue(std::locale::classic());
   double number = 0;
   std::string rest;
   const bool is_number = (in >> number) && !(in >> rest) && std::isfinite(number);
-  if (!is_number || number < least || number > most) bad_at(place, "is not a number in range");
+  if (!is_number || number < min || number > max) bad_at(place, "is not a number in range");
   return number;
 }
 
-std::function<void(pugi::xml_node, const std::string&)> xml_into(double& to, double least,
-                                                                 double most) {
-  return [&to, least, most](pugi::xml_node node, const std::string& place) {
-    to = xml_number(node.child_value(), place, least, most);
+std::function<void(pugi::xml_node, const std::string&)> xml_into(double& to, double min,
+                                                                 double max) {
+  return [&to, min, max](pugi::xml_node node, const std::string& place) {
+    to = xml_number(node.child_value(), place, min, max);
   };
 }
 
--- a/src/config/xml.h
+++ b/src/config/xml.h
@@ -31,11 +31,11 @@
 
 /// An element's text, which must not be empty.
 std::string xml_text(pugi::xml_node node, const std::string& place);
-/// Reads a number from `least` to `most`, ends included.
-double xml_number(const std::string& text, const std::string& place, double least, double most);
+/// Reads a number from `min` to `max`, ends included.
+double xml_number(const std::string& text, const std::string& place, double min, double max);
 /// A reader that puts a number in this range into `to`.
-std::function<void(pugi::xml_node, const std::string&)> xml_into(double& to, double least,
-                                                                 double most);
+std::function<void(pugi::xml_node, const std::string&)> xml_into(double& to, double min,
+                                                                 double max);
 /// Reads "true" or "false".
 bool xml_flag(const std::string& text, const std::string& place);
 /// An attribute's value, which must not be empty.
--- a/src/wire/fields.h
+++ b/src/wire/fields.h
@@ -99,17 +99,17 @@
   return v && v->is_string() ? v->get<std::string>() : def;
 }
 
-/// A finite number from `least` to `most`, ends included.
-inline double as_number(const json& v, const char* name, double least, double most = kMaxNumber) {
+/// A finite number from `min` to `max`, ends included.
+inline double as_number(const json& v, const char* name, double min, double max = kMaxNumber) {
   if (!v.is_number()) throw Malformed::wrong_type(name, "a number");
   const double d = v.get<double>();
-  if (!std::isfinite(d) || d < least || d > most)
-    throw Malformed::out_of_range(name, std::to_string(least) + " to " + std::to_string(most));
+  if (!std::isfinite(d) || d < min || d > max)
+    throw Malformed::out_of_range(name, std::to_string(min) + " to " + std::to_string(max));
   return d;
 }
-/// A required number of at least `least`.
-inline double number(const json& j, const char* name, double least) {
-  return as_number(required(j, name), name, least);
+/// A required number of at least `min`.
+inline double number(const json& j, const char* name, double min) {
+  return as_number(required(j, name), name, min);
 }
 
 /// A whole number that is not negative.
