--- a/src/client_protocol/client_protocol.cpp
+++ b/src/client_protocol/client_protocol.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint64_t kMaxRented = 50;  // machines in one request
 constexpr std::size_t kMaxDeleted = 100;  // machines in one request
 constexpr std::size_t kMaxKeyBytes = 200;
-constexpr std::uint64_t kLeastLeaseMs = 100, kMostLeaseMs = 600000;
+constexpr std::uint64_t kMinLeaseMs = 100, kMaxLeaseMs = 600000;
 
 const char* exit_reason_name(ExitReason reason) {
   switch (reason) {
@@ -233,8 +233,7 @@
 std::uint64_t decode_life_ms(std::string_view body) {
   return decode_body(body, [](const json& fields) {
     const std::uint64_t life_ms = whole(fields, "life_ms");
-    if (life_ms < kLeastLeaseMs || life_ms > kMostLeaseMs)
-      throw Malformed("life_ms is out of range");
+    if (life_ms < kMinLeaseMs || life_ms > kMaxLeaseMs) throw Malformed("life_ms is out of range");
     return life_ms;
   });
 }
--- a/src/client_protocol/job_description.cpp
+++ b/src/client_protocol/job_description.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kMaxArgumentBytes = 32768;
 constexpr std::size_t kHashDigits = 64;
-constexpr std::uint64_t kLeastExit = 1, kMostExit = 255;
+constexpr std::uint64_t kMinExitStatus = 1, kMaxExitStatus = 255;
 
 // Longer than other texts, and of any bytes but NUL, which no argument can hold.
 std::string decode_argument(const json& value, const char* name) {
@@ -51,7 +51,8 @@
   std::vector<int> exits;
   for (const json& value : list) {
     const std::uint64_t exit = as_whole(value, "retry_exits");
-    if (exit < kLeastExit || exit > kMostExit) throw Malformed("retry_exits is out of range");
+    if (exit < kMinExitStatus || exit > kMaxExitStatus)
+      throw Malformed("retry_exits is out of range");
     exits.push_back(static_cast<int>(exit));
   }
   return exits;
--- a/src/wire/cloud_codec.cpp
+++ b/src/wire/cloud_codec.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// The cloud's clock may be behind ours.
-constexpr double kLeastAgeS = -1e9;
+constexpr double kMinAgeS = -1e9;
 /// As many as the protocol allows; 4,000 machines are 8 pages.
 constexpr const char* kListPath = "/rentals?limit=500";
 
@@ -51,7 +51,7 @@
   machine.zone = text(j, "yard");
   machine.spot = flag(j, "borrowed_stock");
   machine.state = text(j, "signal");
-  machine.age_s = number(j, "held_s", kLeastAgeS);
+  machine.age_s = number(j, "held_s", kMinAgeS);
   return machine;
 }
 
--- a/src/wire/worker_codec.cpp
+++ b/src/wire/worker_codec.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Notices and ages may lie in the past.
-constexpr double kLeastNoticeS = -1e9;
+constexpr double kMinNoticeS = -1e9;
 
 TaskState task_state_named(const std::string& name) {
   for (std::size_t i = 0; i < std::size(kTaskStateNames); ++i)
@@ -51,7 +51,7 @@
   heartbeat.sequence = whole(j, "waybill");
   heartbeat.token = whole(j, "staff");
   if (const json* notice = find(j, "recall_s"))
-    heartbeat.notice_s = as_number(*notice, "recall_s", kLeastNoticeS);
+    heartbeat.notice_s = as_number(*notice, "recall_s", kMinNoticeS);
   if (find(j, "cars"))
     for (const json& task : list(j, "cars")) heartbeat.tasks.push_back(task_status_from_json(task));
   return heartbeat;
