--- a/src/wire/job_spec_json.cpp
+++ b/src/wire/job_spec_json.cpp
@@ -18,7 +18,7 @@
   return spec.gang ? "group" : "batch";
 }
 
-Priority priority_named(const std::string& name) {
+Priority parse_priority(const std::string& name) {
   for (int p = 0; p < kPriorities; ++p)
     if (name == kPriorityNames[p]) return static_cast<Priority>(p);
   throw Malformed::bad_value("precedence", "is unknown", "critical, high, standard or idle");
@@ -38,7 +38,7 @@
     throw Malformed::bad_value("haul", "is unknown", "batch, group or service");
   spec.service = kind == "service";
   spec.gang = kind == "group";
-  spec.priority = priority_named(text(j, "precedence"));
+  spec.priority = parse_priority(text(j, "precedence"));
   const std::uint64_t tasks = whole(j, "cars");
   if (tasks < 1 || tasks > kMaxTasks)
     throw Malformed::out_of_range("cars", "1 to " + std::to_string(kMaxTasks));
--- a/src/wire/worker_codec.cpp
+++ b/src/wire/worker_codec.cpp
@@ -11,14 +11,14 @@
 /// Notices and ages may lie in the past.
 constexpr double kMinNoticeS = -1e9;
 
-TaskState task_state_named(const std::string& name) {
+TaskState parse_task_state(const std::string& name) {
   for (std::size_t i = 0; i < std::size(kTaskStateNames); ++i)
     if (name == kTaskStateNames[i]) return static_cast<TaskState>(i);
   // A state that this version does not know: the task is there, in whatever way.
   return TaskState::running;
 }
 
-ExitReason exit_reason_named(const std::string& name) {
+ExitReason parse_exit_reason(const std::string& name) {
   static const std::map<std::string, ExitReason> kReasons = {
       {"done", ExitReason::done},          {"stopped", ExitReason::stopped},
       {"error", ExitReason::error},        {"full", ExitReason::no_room},
@@ -32,9 +32,9 @@
   TaskStatus status;
   status.task = task_id(text(j, "car"));
   status.attempt = whole(j, "departure");
-  status.state = task_state_named(text(j, "signal"));
+  status.state = parse_task_state(text(j, "signal"));
   if (status.state == TaskState::exited) {
-    status.exit_reason = exit_reason_named(text_or(j, "stop_cause", "error"));
+    status.exit_reason = parse_exit_reason(text_or(j, "stop_cause", "error"));
     status.checkpointed = flag_or_false(j, "kept");
   }
   return status;
