--- a/src/wire/record_codec.cpp
+++ b/src/wire/record_codec.cpp
@@ -144,7 +144,7 @@
 
 /// When machines were rented: the earliest time of day in whole seconds, and for each machine the
 /// seconds after it, in the order of the names in `machines`; null where it is not known.
-json ages_to_json(const InventoryPageRecord& record, const json& machines) {
+json rent_times_to_json(const InventoryPageRecord& record, const json& machines) {
   std::map<std::string, double> rented_at;
   double earliest = 0;
   for (const MachineRecord& machine : record.machines) {
@@ -164,13 +164,13 @@
   return {base, std::move(after_base)};
 }
 
-void read_ages(const json& ages, std::vector<MachineRecord>& machines) {
-  if (!ages.is_array() || ages.size() != 2 || !ages[1].is_array() ||
-      ages[1].size() != machines.size())
+void read_rent_times(const json& rent_times, std::vector<MachineRecord>& machines) {
+  if (!rent_times.is_array() || rent_times.size() != 2 || !rent_times[1].is_array() ||
+      rent_times[1].size() != machines.size())
     throw Malformed::bad_value("t", "is bad", "a time and a list as long as m");
-  const std::uint64_t base = as_whole(ages[0], "t");
+  const std::uint64_t base = as_whole(rent_times[0], "t");
   for (std::size_t i = 0; i < machines.size(); ++i) {
-    const json& after_base = ages[1][i];
+    const json& after_base = rent_times[1][i];
     if (!after_base.is_null())
       machines[i].rented_at = static_cast<double>(base + as_whole(after_base, "t"));
   }
@@ -200,7 +200,7 @@
     machines[machine.name] = json::array(
         {machine.type, machine.zone, machine.spot ? 1 : 0, machine.shard, machine.token});
   json out = {{"w", record.tag}};
-  if (record.form >= 1) out["t"] = ages_to_json(record, machines);
+  if (record.form >= 1) out["t"] = rent_times_to_json(record, machines);
   out["m"] = std::move(machines);
   return out.dump();
 }
@@ -213,9 +213,9 @@
     if (!machines.is_object()) throw Malformed::wrong_type("m", "an object");
     for (auto it = machines.begin(); it != machines.end(); ++it)
       record.machines.push_back(machine_from_json(it.key(), it.value()));
-    if (const json* ages = find(j, "t")) {
+    if (const json* rent_times = find(j, "t")) {
       record.form = 1;
-      read_ages(*ages, record.machines);
+      read_rent_times(*rent_times, record.machines);
     }
     return record;
   });
