--- a/src/client_protocol/client_protocol.cpp
+++ b/src/client_protocol/client_protocol.cpp
@@ -142,7 +142,8 @@
   return decode_body(body, [](const json& fields) {
     HeartbeatResponse response;
     if (const json* token = find(fields, "staff")) response.token = as_whole(*token, "staff");
-    if (const json* session = find(fields, "shift")) response.session = as_whole(*session, "shift");
+    if (const json* incarnation = find(fields, "shift"))
+      response.incarnation = as_whole(*incarnation, "shift");
     if (const json* commands = find(fields, "orders")) decode_commands(*commands, response);
     return response;
   });
--- a/src/client_protocol/client_protocol.h
+++ b/src/client_protocol/client_protocol.h
@@ -20,9 +20,9 @@
 /// The answer to a heartbeat, or direct commands.
 struct HeartbeatResponse {
   std::optional<std::uint64_t> token;
-  std::optional<std::uint64_t> session;  ///< of direct commands alone
-  std::vector<wire::Command> commands;   ///< in order
-  std::vector<std::string> refused;      ///< one line for each entry that is no command
+  std::optional<std::uint64_t> incarnation;  ///< of direct commands alone
+  std::vector<wire::Command> commands;       ///< in order
+  std::vector<std::string> refused;          ///< one line for each entry that is no command
 };
 /// The envelope must be whole; an entry that makes no sense is refused by itself and the others are
 /// taken, since none of them may depend on what this version does not know.
--- a/src/wire/worker_codec.cpp
+++ b/src/wire/worker_codec.cpp
@@ -88,9 +88,10 @@
   return json{{"staff", token}, {"orders", commands_to_json(commands)}}.dump();
 }
 
-std::string encode_direct_commands(std::uint64_t token, std::uint64_t session,
+std::string encode_direct_commands(std::uint64_t token, std::uint64_t incarnation,
                                    const std::vector<Command>& commands) {
-  return json{{"staff", token}, {"shift", session}, {"orders", commands_to_json(commands)}}.dump();
+  return json{{"staff", token}, {"shift", incarnation}, {"orders", commands_to_json(commands)}}
+      .dump();
 }
 
 std::string encode_redirect(const std::string& node) {
--- a/src/wire/worker_codec.h
+++ b/src/wire/worker_codec.h
@@ -17,8 +17,8 @@
 /// The answer to a heartbeat: the shard's token and what the worker is to do.
 [[nodiscard]] std::string encode_heartbeat_response(std::uint64_t token,
                                                     const std::vector<Command>& commands);
-/// Commands sent without a heartbeat. The worker obeys them only as the incarnation `session`.
-[[nodiscard]] std::string encode_direct_commands(std::uint64_t token, std::uint64_t session,
+/// Commands sent without a heartbeat. The worker obeys them only as the incarnation `incarnation`.
+[[nodiscard]] std::string encode_direct_commands(std::uint64_t token, std::uint64_t incarnation,
                                                  const std::vector<Command>& commands);
 /// The answer that names the node to ask instead; empty: none is known.
 [[nodiscard]] std::string encode_redirect(const std::string& node);
