--- a/src/agent/settings.cpp
+++ b/src/agent/settings.cpp
@@ -41,9 +41,9 @@
 }
 
 void check(const Settings& settings) {
-  if (settings.controllers.empty()) bad_at("shunt-agent.controllers", "names none");
+  if (settings.controllers.empty()) throw_settings_error("shunt-agent.controllers", "names none");
   if (settings.lease_s < 2 * settings.report_s)
-    bad_at("shunt-agent.lease-s", "leaves no room above report-s");
+    throw_settings_error("shunt-agent.lease-s", "leaves no room above report-s");
 }
 
 }  // namespace
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -46,7 +46,7 @@
 
 void read_peers(const Section& root, Settings& settings) {
   const json& peers = root.required("siblings");
-  if (!peers.is_array()) bad_at("siblings", "is not a list");
+  if (!peers.is_array()) throw_settings_error("siblings", "is not a list");
   for (std::size_t i = 0; i < peers.size(); ++i) {
     const Section peer(peers[i], "siblings[" + std::to_string(i) + "]");
     settings.peers.push_back({peer.text("host_name"), peer.text("zone"), peer.endpoint("addr")});
@@ -55,7 +55,7 @@
   settings.nodes.push_back(settings.node);
   std::sort(settings.nodes.begin(), settings.nodes.end());
   if (std::adjacent_find(settings.nodes.begin(), settings.nodes.end()) != settings.nodes.end())
-    bad_at("siblings", "name a node twice");
+    throw_settings_error("siblings", "name a node twice");
   settings.self = settings.node_index(settings.node);
 }
 
@@ -66,9 +66,11 @@
 
 void read_zones(const Section& cluster, Settings& settings) {
   const json& zones = cluster.required("zones");
-  if (!zones.is_array() || zones.empty()) bad_at("cluster.zones", "is not a non-empty list");
+  if (!zones.is_array() || zones.empty())
+    throw_settings_error("cluster.zones", "is not a non-empty list");
   for (const json& zone : zones) {
-    if (!zone.is_string()) bad_at("cluster.zones", "holds something that is not a string");
+    if (!zone.is_string())
+      throw_settings_error("cluster.zones", "holds something that is not a string");
     settings.zones.push_back(zone.get<std::string>());
   }
 }
@@ -80,18 +82,21 @@
   team.cpus_max = team_limit(section.number("cpus_max", 0));
   team.gpus = section.number("gpus", 0);
   team.gpus_max = team_limit(section.number("gpus_max", 0));
-  if (team.cpus_max < team.cpus) bad_at(section.path("cpus_max"), "is below the guarantee");
-  if (team.gpus_max < team.gpus) bad_at(section.path("gpus_max"), "is below the guarantee");
+  if (team.cpus_max < team.cpus)
+    throw_settings_error(section.path("cpus_max"), "is below the guarantee");
+  if (team.gpus_max < team.gpus)
+    throw_settings_error(section.path("gpus_max"), "is below the guarantee");
   return team;
 }
 
 void read_teams(const Section& cluster, Settings& settings) {
   const json& teams = cluster.required("teams");
-  if (!teams.is_array()) bad_at("cluster.teams", "is not a list");
+  if (!teams.is_array()) throw_settings_error("cluster.teams", "is not a list");
   for (std::size_t i = 0; i < teams.size(); ++i) {
     const Section section(teams[i], "cluster.teams[" + std::to_string(i) + "]");
     Team team = read_team(section);
-    if (settings.team_index(team.name) >= 0) bad_at(section.path("name"), "is used twice");
+    if (settings.team_index(team.name) >= 0)
+      throw_settings_error(section.path("name"), "is used twice");
     settings.teams.push_back(std::move(team));
   }
 }
@@ -101,13 +106,14 @@
   settings.lease_s = workers.number("lease_s", 1, kMaxDurationS);
   settings.cancel_s = workers.number("cancel_s", 1, kMaxDurationS);
   if (settings.cancel_s < settings.lease_s + kMinCancelAboveLeaseS)
-    bad_at(workers.path("cancel_s"), "leaves no room above lease_s");
+    throw_settings_error(workers.path("cancel_s"), "leaves no room above lease_s");
 }
 
 /// What is announced for later: the present limits, but for what is named.
 Settings::StateLimits read_next_limits(const Section& state, const Settings::StateLimits& present) {
   if (!state.contains("next") || state.required("next").is_null()) return present;
-  if (!state.required("next").is_object()) bad_at(state.path("next"), "is not an object");
+  if (!state.required("next").is_object())
+    throw_settings_error(state.path("next"), "is not an object");
   const Section next = state.section("next");
   Settings::StateLimits limits;
   limits.rps = next.number_or("rps", present.rps, 1);
@@ -138,7 +144,7 @@
 
 void read_cluster(const Section& cluster, Settings& settings) {
   if (cluster.whole("size", 1, kMaxNodes) != settings.shards())
-    bad_at("cluster.size", "does not match the siblings");
+    throw_settings_error("cluster.size", "does not match the siblings");
   read_zones(cluster, settings);
   read_teams(cluster, settings);
   read_workers(cluster.section("workers"), settings);
@@ -196,8 +202,8 @@
 
 Settings parse_settings(const std::string& text) {
   const json document = json::parse(text, nullptr, false);
-  if (document.is_discarded()) bad_at("settings", "are not JSON");
-  if (!document.is_object()) bad_at("settings", "are not an object");
+  if (document.is_discarded()) throw_settings_error("settings", "are not JSON");
+  if (!document.is_object()) throw_settings_error("settings", "are not an object");
   const Section root(document, "");
   Settings settings;
   // In this order: of several errors the first one is told.
@@ -212,7 +218,7 @@
 std::string read_file(const std::string& path, const char* what) {
   std::ifstream in(path, std::ios::binary);
   std::ostringstream out;
-  if (!in || !(out << in.rdbuf())) bad_at(what, "cannot be read: " + path);
+  if (!in || !(out << in.rdbuf())) throw_settings_error(what, "cannot be read: " + path);
   return out.str();
 }
 
--- a/src/config/settings_json.h
+++ b/src/config/settings_json.h
@@ -24,9 +24,9 @@
   }
   /// A required field.
   [[nodiscard]] const nlohmann::json& required(const char* name) const {
-    if (!value_.is_object()) bad_at(path_, "is not an object");
+    if (!value_.is_object()) throw_settings_error(path_, "is not an object");
     const auto field = value_.find(name);
-    if (field == value_.end()) bad_at(path(name), "is missing");
+    if (field == value_.end()) throw_settings_error(path(name), "is missing");
     return *field;
   }
   /// A required section.
@@ -37,16 +37,16 @@
   [[nodiscard]] std::string text(const char* name) const {
     const nlohmann::json& field = required(name);
     if (!field.is_string() || field.get_ref<const std::string&>().empty())
-      bad_at(path(name), "is not a non-empty string");
+      throw_settings_error(path(name), "is not a non-empty string");
     return field.get<std::string>();
   }
   /// A required number from `min` to `max`, ends included.
   [[nodiscard]] double number(const char* name, double min, double max = kMaxSetting) const {
     const nlohmann::json& field = required(name);
-    if (!field.is_number()) bad_at(path(name), "is not a number");
+    if (!field.is_number()) throw_settings_error(path(name), "is not a number");
     const double number = field.get<double>();
     if (!std::isfinite(number) || number < min || number > max)
-      bad_at(path(name), "is out of range");
+      throw_settings_error(path(name), "is out of range");
     return number;
   }
   /// A required number, rounded towards zero.
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -13,7 +13,7 @@
 Reader whole_into(int& to, int min, int max) {
   return [&to, min, max](pugi::xml_node node, const std::string& place) {
     const double number = xml_number(node.child_value(), place, min, max);
-    if (number != std::floor(number)) bad_at(place, "is not a whole number");
+    if (number != std::floor(number)) throw_settings_error(place, "is not a whole number");
     to = static_cast<int>(number);
   };
 }
--- a/src/config/xml.cpp
+++ b/src/config/xml.cpp
@@ -13,9 +13,9 @@
 std::uint16_t parse_port(const std::string& text, const std::string& place) {
   if (text.empty() || text.size() > kMaxPortDigits ||
       text.find_first_not_of("0123456789") != std::string::npos)
-    bad_at(place, "has a bad port");
+    throw_settings_error(place, "has a bad port");
   const int port = std::stoi(text);
-  if (port < 1 || port > kMaxPort) bad_at(place, "has a bad port");
+  if (port < 1 || port > kMaxPort) throw_settings_error(place, "has a bad port");
   return static_cast<std::uint16_t>(port);
 }
 
@@ -26,10 +26,10 @@
   if (!result) {
     const auto error_at = text.begin() + std::min<std::ptrdiff_t>(result.offset, std::ssize(text));
     const auto line = 1 + std::count(text.begin(), error_at, '\n');
-    bad_at("line " + std::to_string(line), result.description());
+    throw_settings_error("line " + std::to_string(line), result.description());
   }
   const pugi::xml_node node = document.child(root);
-  if (!node) bad_at(root, "is not the root element");
+  if (!node) throw_settings_error(root, "is not the root element");
   return node;
 }
 
@@ -40,16 +40,16 @@
     if (child.type() != pugi::node_element) continue;
     const std::string child_place = prefix + child.name();
     const auto reader = readers.find(child.name());
-    if (reader == readers.end()) bad_at(child_place, "is not a known setting");
+    if (reader == readers.end()) throw_settings_error(child_place, "is not a known setting");
     reader->second(child, child_place);
   }
   for (const std::string& name : required)
-    if (!parent.child(name.c_str())) bad_at(prefix + name, "is missing");
+    if (!parent.child(name.c_str())) throw_settings_error(prefix + name, "is missing");
 }
 
 std::string xml_text(pugi::xml_node node, const std::string& place) {
   std::string text = node.child_value();
-  if (text.empty()) bad_at(place, "is empty");
+  if (text.empty()) throw_settings_error(place, "is empty");
   return text;
 }
 
@@ -59,7 +59,8 @@
   double number = 0;
   std::string rest;
   const bool is_number = (in >> number) && !(in >> rest) && std::isfinite(number);
-  if (!is_number || number < min || number > max) bad_at(place, "is not a number in range");
+  if (!is_number || number < min || number > max)
+    throw_settings_error(place, "is not a number in range");
   return number;
 }
 
@@ -71,19 +72,19 @@
 }
 
 bool xml_flag(const std::string& text, const std::string& place) {
-  if (text != "true" && text != "false") bad_at(place, "is neither true nor false");
+  if (text != "true" && text != "false") throw_settings_error(place, "is neither true nor false");
   return text == "true";
 }
 
 std::string xml_attribute(pugi::xml_node node, const std::string& place, const char* name) {
   std::string value = node.attribute(name).value();
-  if (value.empty()) bad_at(place, std::string("has no ") + name);
+  if (value.empty()) throw_settings_error(place, std::string("has no ") + name);
   return value;
 }
 
 Endpoint parse_endpoint(const std::string& text, const std::string& place) {
   const auto colon = text.rfind(':');
-  if (colon == std::string::npos || colon == 0) bad_at(place, "is not host:port");
+  if (colon == std::string::npos || colon == 0) throw_settings_error(place, "is not host:port");
   return {text.substr(0, colon), parse_port(text.substr(colon + 1), place)};
 }
 
--- a/src/config/xml.h
+++ b/src/config/xml.h
@@ -13,7 +13,7 @@
 namespace shunttrail::config {
 
 /// Throws the error of a place in a file.
-[[noreturn]] inline void bad_at(const std::string& place, const std::string& why) {
+[[noreturn]] inline void throw_settings_error(const std::string& place, const std::string& why) {
   throw SettingsError(place + ": " + why);
 }
 
--- a/src/local_cluster/settings.cpp
+++ b/src/local_cluster/settings.cpp
@@ -60,11 +60,11 @@
 }
 
 void check(const Settings& settings) {
-  if (settings.zones.empty()) bad_at("shunt-local.zones", "names none");
-  if (settings.teams.empty()) bad_at("shunt-local.teams", "names none");
-  if (settings.types.empty()) bad_at("shunt-local.types", "names none");
+  if (settings.zones.empty()) throw_settings_error("shunt-local.zones", "names none");
+  if (settings.teams.empty()) throw_settings_error("shunt-local.teams", "names none");
+  if (settings.types.empty()) throw_settings_error("shunt-local.types", "names none");
   if (settings.cancel_s < settings.lease_s + kCancelMarginS)
-    bad_at("shunt-local.cancel-s", "leaves no room above lease-s");
+    throw_settings_error("shunt-local.cancel-s", "leaves no room above lease-s");
 }
 
 json siblings_of(const std::vector<ControllerPlace>& controllers, std::size_t self) {
--- a/src/pbs/tables.cpp
+++ b/src/pbs/tables.cpp
@@ -22,7 +22,8 @@
       {"standard", wire::Priority::standard},
       {"idle", wire::Priority::idle}};
   auto found = names.find(name);
-  if (found == names.end()) bad_at(place, "is none of critical, high, standard, idle");
+  if (found == names.end())
+    throw_settings_error(place, "is none of critical, high, standard, idle");
   return found->second;
 }
 
@@ -43,7 +44,7 @@
                       std::initializer_list<std::string_view> known) {
   for (pugi::xml_attribute attribute : node.attributes())
     if (std::find(known.begin(), known.end(), attribute.name()) == known.end())
-      bad_at(place + "@" + attribute.name(), "is not a known setting");
+      throw_settings_error(place + "@" + attribute.name(), "is not a known setting");
 }
 
 void read_defaults(pugi::xml_node node, const std::string& place, Tables& tables) {
@@ -109,13 +110,15 @@
 void check_references(const Tables& tables) {
   for (const Queue& queue : tables.queues)
     if (!tables.team(queue.team))
-      bad_at("shunt-pbs.queues.queue " + queue.name + "@team", "is no team of the table");
+      throw_settings_error("shunt-pbs.queues.queue " + queue.name + "@team",
+                           "is no team of the table");
   for (const Team& team : tables.teams)
     for (const std::string& queue : team.queues)
       if (!tables.queue(queue))
-        bad_at("shunt-pbs.teams.team " + team.name + "@queues", queue + " is no queue");
+        throw_settings_error("shunt-pbs.teams.team " + team.name + "@queues",
+                             queue + " is no queue");
   if (!tables.queue(tables.default_queue))
-    bad_at("shunt-pbs.queues@default", "is no queue of the table");
+    throw_settings_error("shunt-pbs.queues@default", "is no queue of the table");
 }
 
 template <class T>
