--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -11,17 +11,17 @@
 
 /// A reader that puts a whole number in this range into `to`.
 Reader whole_into(int& to, int min, int max) {
-  return [&to, min, max](pugi::xml_node node, const std::string& place) {
-    const double number = xml_number(node.child_value(), place, min, max);
-    if (number != std::floor(number)) throw_settings_error(place, "is not a whole number");
+  return [&to, min, max](pugi::xml_node node, const std::string& path) {
+    const double number = xml_number(node.child_value(), path, min, max);
+    if (number != std::floor(number)) throw_settings_error(path, "is not a whole number");
     to = static_cast<int>(number);
   };
 }
 
 /// A reader that puts true or false into `to`.
 Reader flag_into(bool& to) {
-  return [&to](pugi::xml_node node, const std::string& place) {
-    to = xml_flag(node.child_value(), place);
+  return [&to](pugi::xml_node node, const std::string& path) {
+    to = xml_flag(node.child_value(), path);
   };
 }
 
--- a/src/config/xml.cpp
+++ b/src/config/xml.cpp
@@ -10,12 +10,12 @@
 constexpr int kMaxPort = 65535;
 constexpr std::size_t kMaxPortDigits = 5;
 
-std::uint16_t parse_port(const std::string& text, const std::string& place) {
+std::uint16_t parse_port(const std::string& text, const std::string& path) {
   if (text.empty() || text.size() > kMaxPortDigits ||
       text.find_first_not_of("0123456789") != std::string::npos)
-    throw_settings_error(place, "has a bad port");
+    throw_settings_error(path, "has a bad port");
   const int port = std::stoi(text);
-  if (port < 1 || port > kMaxPort) throw_settings_error(place, "has a bad port");
+  if (port < 1 || port > kMaxPort) throw_settings_error(path, "has a bad port");
   return static_cast<std::uint16_t>(port);
 }
 
@@ -33,59 +33,59 @@
   return node;
 }
 
-void read_children(pugi::xml_node parent, const std::string& place, const Readers& readers,
+void read_children(pugi::xml_node parent, const std::string& path, const Readers& readers,
                    const std::vector<std::string>& required) {
-  const std::string prefix = place + ".";
+  const std::string prefix = path + ".";
   for (pugi::xml_node child : parent.children()) {
     if (child.type() != pugi::node_element) continue;
-    const std::string child_place = prefix + child.name();
+    const std::string child_path = prefix + child.name();
     const auto reader = readers.find(child.name());
-    if (reader == readers.end()) throw_settings_error(child_place, "is not a known setting");
-    reader->second(child, child_place);
+    if (reader == readers.end()) throw_settings_error(child_path, "is not a known setting");
+    reader->second(child, child_path);
   }
   for (const std::string& name : required)
     if (!parent.child(name.c_str())) throw_settings_error(prefix + name, "is missing");
 }
 
-std::string xml_text(pugi::xml_node node, const std::string& place) {
+std::string xml_text(pugi::xml_node node, const std::string& path) {
   std::string text = node.child_value();
-  if (text.empty()) throw_settings_error(place, "is empty");
+  if (text.empty()) throw_settings_error(path, "is empty");
   return text;
 }
 
-double xml_number(const std::string& text, const std::string& place, double min, double max) {
+double xml_number(const std::string& text, const std::string& path, double min, double max) {
   std::istringstream in(text);
   in.imbue(std::locale::classic());
   double number = 0;
   std::string rest;
   const bool is_number = (in >> number) && !(in >> rest) && std::isfinite(number);
   if (!is_number || number < min || number > max)
-    throw_settings_error(place, "is not a number in range");
+    throw_settings_error(path, "is not a number in range");
   return number;
 }
 
 std::function<void(pugi::xml_node, const std::string&)> xml_into(double& to, double min,
                                                                  double max) {
-  return [&to, min, max](pugi::xml_node node, const std::string& place) {
-    to = xml_number(node.child_value(), place, min, max);
+  return [&to, min, max](pugi::xml_node node, const std::string& path) {
+    to = xml_number(node.child_value(), path, min, max);
   };
 }
 
-bool xml_flag(const std::string& text, const std::string& place) {
-  if (text != "true" && text != "false") throw_settings_error(place, "is neither true nor false");
+bool xml_flag(const std::string& text, const std::string& path) {
+  if (text != "true" && text != "false") throw_settings_error(path, "is neither true nor false");
   return text == "true";
 }
 
-std::string xml_attribute(pugi::xml_node node, const std::string& place, const char* name) {
+std::string xml_attribute(pugi::xml_node node, const std::string& path, const char* name) {
   std::string value = node.attribute(name).value();
-  if (value.empty()) throw_settings_error(place, std::string("has no ") + name);
+  if (value.empty()) throw_settings_error(path, std::string("has no ") + name);
   return value;
 }
 
-Endpoint parse_endpoint(const std::string& text, const std::string& place) {
+Endpoint parse_endpoint(const std::string& text, const std::string& path) {
   const auto colon = text.rfind(':');
-  if (colon == std::string::npos || colon == 0) throw_settings_error(place, "is not host:port");
-  return {text.substr(0, colon), parse_port(text.substr(colon + 1), place)};
+  if (colon == std::string::npos || colon == 0) throw_settings_error(path, "is not host:port");
+  return {text.substr(0, colon), parse_port(text.substr(colon + 1), path)};
 }
 
 }  // namespace shunttrail::config
