--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -22,7 +22,7 @@
 constexpr double kMaxValueKb = 64;
 constexpr double kMaxTransactionOps = 100000;
 /// A cancellation has to be read, answered and carried out in the time above the lease.
-constexpr double kMinCancelAboveLeaseS = 5;
+constexpr double kMinCancelMarginS = 5;
 /// What a GPU weighs beside a CPU when teams are divided among shards.
 constexpr double kCpusPerGpu = 16;
 /// Makes a team without guarantees count a little, so that such teams are divided as well.
@@ -35,7 +35,7 @@
   return -1;
 }
 
-const std::string& itself(const std::string& name) { return name; }
+const std::string& identity(const std::string& name) { return name; }
 
 void read_node(const Section& root, Settings& settings) {
   settings.node = root.text("host_name");
@@ -105,7 +105,7 @@
   settings.heartbeat_s = workers.number("report_s", 0.1, 3600);
   settings.lease_s = workers.number("lease_s", 1, kMaxDurationS);
   settings.cancel_s = workers.number("cancel_s", 1, kMaxDurationS);
-  if (settings.cancel_s < settings.lease_s + kMinCancelAboveLeaseS)
+  if (settings.cancel_s < settings.lease_s + kMinCancelMarginS)
     throw_settings_error(workers.path("cancel_s"), "leaves no room above lease_s");
 }
 
@@ -172,22 +172,22 @@
   std::vector<int> shard_of(teams.size(), 0);
   for (int index : order) {
     const Team& team = teams[static_cast<std::size_t>(index)];
-    const auto least = std::min_element(load.begin(), load.end());
-    shard_of[static_cast<std::size_t>(index)] = static_cast<int>(least - load.begin());
-    *least += guarantee_weight(team) + kMinTeamWeight;
+    const auto lightest = std::min_element(load.begin(), load.end());
+    shard_of[static_cast<std::size_t>(index)] = static_cast<int>(lightest - load.begin());
+    *lightest += guarantee_weight(team) + kMinTeamWeight;
   }
   return shard_of;
 }
 
 }  // namespace
 
-int Settings::node_index(const std::string& name) const { return find_name(nodes, name, itself); }
+int Settings::node_index(const std::string& name) const { return find_name(nodes, name, identity); }
 
 int Settings::team_index(const std::string& name) const {
   return find_name(teams, name, [](const Team& team) { return team.name; });
 }
 
-int Settings::zone_index(const std::string& name) const { return find_name(zones, name, itself); }
+int Settings::zone_index(const std::string& name) const { return find_name(zones, name, identity); }
 
 double team_limit(double stated) {
   return stated > 0 ? stated : std::numeric_limits<double>::infinity();
