--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -167,7 +167,7 @@
 }
 
 struct Client::Call {
-  Client* owner = nullptr;
+  Client* client = nullptr;
   evhttp_cmd_type method = EVHTTP_REQ_GET;
   std::string path, body;
   double timeout_s = 0;
@@ -182,23 +182,23 @@
       to_(to),
       max_connections_(max_connections),
       max_queue_(max_queue),
-      free_timer_(loop, [this] { dead_.clear(); }) {}
+      free_failed_timer_(loop, [this] { failed_connections_.clear(); }) {}
 
 Client::~Client() = default;
 
 void Client::request(const char* method, std::string path, std::string body, double timeout_s,
                      Done done) {
   auto call = std::make_unique<Call>();
-  call->owner = this;
+  call->client = this;
   call->method = command_of(method);
   call->path = std::move(path);
   call->body = std::move(body);
   call->timeout_s = timeout_s;
   call->done = std::move(done);
-  if (busy_.size() < max_connections_)
+  if (active_.size() < max_connections_)
     start(std::move(call));
-  else if (queue_.size() < max_queue_)
-    queue_.push_back(std::move(call));
+  else if (queued_.size() < max_queue_)
+    queued_.push_back(std::move(call));
   else
     call->done(Result{});
 }
@@ -215,27 +215,27 @@
   evhttp_connection_set_timeout_tv(call->connection.get(), &timeout);
   evhttp_request* request = make_request(*call);
   Call* started = call.get();
-  busy_.push_back(std::move(call));
+  active_.push_back(std::move(call));
   const int error = evhttp_make_request(started->connection.get(), request, started->method,
                                         started->path.c_str());
-  if (error != 0) finished(started, nullptr);
+  if (error != 0) on_response(started, nullptr);
 }
 
 void Client::start_simulated(Network& network, std::unique_ptr<Call> call) {
   Call* started = call.get();
-  busy_.push_back(std::move(call));
+  active_.push_back(std::move(call));
   started->in_flight = network.request(
       to_, method_of(started->method), started->path, started->body, started->timeout_s,
-      [this, started](Result result) { over(started, std::move(result)); });
+      [this, started](Result result) { complete(started, std::move(result)); });
 }
 
 // An idle connection, or a new one; null: there is none to be had.
 Client::ConnectionPtr Client::take_connection() {
-  if (idle_.empty())
+  if (idle_connections_.empty())
     return ConnectionPtr(
         evhttp_connection_base_new(loop_.base(), nullptr, to_.host.c_str(), to_.port));
-  ConnectionPtr connection = std::move(idle_.back());
-  idle_.pop_back();
+  ConnectionPtr connection = std::move(idle_connections_.back());
+  idle_connections_.pop_back();
   return connection;
 }
 
@@ -243,7 +243,7 @@
   evhttp_request* request = evhttp_request_new(
       [](evhttp_request* finished_request, void* argument) {
         Call* finished_call = static_cast<Call*>(argument);
-        finished_call->owner->finished(finished_call, finished_request);
+        finished_call->client->on_response(finished_call, finished_request);
       },
       &call);
   evkeyvalq* headers = evhttp_request_get_output_headers(request);
@@ -255,14 +255,16 @@
   return request;
 }
 
-void Client::finished(Call* call, evhttp_request* request) { over(call, to_result(request)); }
+void Client::on_response(Call* call, evhttp_request* request) {
+  complete(call, to_result(request));
+}
 
-void Client::over(Call* call, Result result) {
-  auto found = std::find_if(busy_.begin(), busy_.end(),
-                            [&](const auto& busy) { return busy.get() == call; });
-  if (found == busy_.end()) return;
+void Client::complete(Call* call, Result result) {
+  auto found = std::find_if(active_.begin(), active_.end(),
+                            [&](const auto& active) { return active.get() == call; });
+  if (found == active_.end()) return;
   const std::unique_ptr<Call> owned = std::move(*found);
-  busy_.erase(found);
+  active_.erase(found);
   release_connection(std::move(owned->connection), result.status != 0);
   start_next();
   owned->done(std::move(result));
@@ -272,18 +274,18 @@
 void Client::release_connection(ConnectionPtr connection, bool is_usable) {
   if (!connection) return;
   if (is_usable) {
-    idle_.push_back(std::move(connection));
+    idle_connections_.push_back(std::move(connection));
     return;
   }
   // libevent still uses the connection when this callback returns.
-  dead_.push_back(std::move(connection));
-  free_timer_.after(0);
+  failed_connections_.push_back(std::move(connection));
+  free_failed_timer_.after(0);
 }
 
 void Client::start_next() {
-  if (queue_.empty()) return;
-  auto next = std::move(queue_.front());
-  queue_.pop_front();
+  if (queued_.empty()) return;
+  auto next = std::move(queued_.front());
+  queued_.pop_front();
   start(std::move(next));
 }
 
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -99,7 +99,7 @@
          std::size_t max_queue);
   ~Client();
   /// No request is in flight or waits.
-  [[nodiscard]] bool idle() const { return busy_.empty() && queue_.empty(); }
+  [[nodiscard]] bool idle() const { return active_.empty() && queued_.empty(); }
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
   /// The body is empty on a GET. `method` is "GET", "POST" or "DELETE". Where the queue is full,
@@ -116,20 +116,20 @@
   void start_simulated(Network& network, std::unique_ptr<Call> call);
   [[nodiscard]] ConnectionPtr take_connection();
   [[nodiscard]] evhttp_request* make_request(Call& call) const;
-  void finished(Call* call, evhttp_request* request);
-  void over(Call* call, Result result);
+  void on_response(Call* call, evhttp_request* request);
+  void complete(Call* call, Result result);
   void release_connection(ConnectionPtr connection, bool is_usable);
   void start_next();
 
   actor::Loop& loop_;
   config::Endpoint to_;
   std::size_t max_connections_, max_queue_;
-  std::vector<ConnectionPtr> idle_;
-  std::vector<std::unique_ptr<Call>> busy_;
-  std::deque<std::unique_ptr<Call>> queue_;
+  std::vector<ConnectionPtr> idle_connections_;
+  std::vector<std::unique_ptr<Call>> active_;
+  std::deque<std::unique_ptr<Call>> queued_;
   // Connections to be freed outside of libevent's callback.
-  std::vector<ConnectionPtr> dead_;
-  actor::Timer free_timer_;
+  std::vector<ConnectionPtr> failed_connections_;
+  actor::Timer free_failed_timer_;
 };
 
 }  // namespace shunttrail::net
