--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -17,7 +17,7 @@
 constexpr int kServerTimeoutS = 60;
 
 // All that is in the buffer.
-std::string take(evbuffer* buffer) {
+std::string drain_buffer(evbuffer* buffer) {
   std::string bytes(evbuffer_get_length(buffer), '\0');
   if (!bytes.empty()) evbuffer_remove(buffer, bytes.data(), bytes.size());
   return bytes;
@@ -27,7 +27,7 @@
   void operator()(evbuffer* buffer) const { evbuffer_free(buffer); }
 };
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -73,7 +73,7 @@
   Result result;
   if (request) result.status = evhttp_request_get_response_code(request);
   if (!result.status) return result;
-  result.body = take(evhttp_request_get_input_buffer(request));
+  result.body = drain_buffer(evhttp_request_get_input_buffer(request));
   const evkeyvalq* headers = evhttp_request_get_input_headers(request);
   if (const char* retry_after = evhttp_find_header(headers, "Retry-After"))
     result.retry_after_s = std::atof(retry_after);
@@ -96,7 +96,7 @@
     if (const char* text = evhttp_uri_get_path(uri)) path = text;
     if (const char* text = evhttp_uri_get_query(uri)) query = text;
   }
-  body = take(evhttp_request_get_input_buffer(request));
+  body = drain_buffer(evhttp_request_get_input_buffer(request));
 }
 
 Exchange::Exchange(const std::string& method, const std::string& path_and_query,
@@ -126,7 +126,7 @@
   }
   const std::unique_ptr<evbuffer, BufferFree> body_buffer(evbuffer_new());
   evbuffer_add(body_buffer.get(), answer.body.data(), answer.body.size());
-  evhttp_send_reply(request, answer.status, reason(answer.status), body_buffer.get());
+  evhttp_send_reply(request, answer.status, reason_phrase(answer.status), body_buffer.get());
 }
 
 std::string query_value(const std::string& query, const std::string& name) {
@@ -139,22 +139,22 @@
 }
 
 Server::Server(actor::Loop& loop, const config::Endpoint& at, std::size_t max_body, Handler handler,
-               bool deletes)
+               bool allow_delete)
     : handler_(std::move(handler)) {
   if (auto* network = dynamic_cast<Network*>(loop.simulated()))
     listening_ = network->listen(at, handler_);
   else
-    listen(loop, at, max_body, deletes);
+    listen(loop, at, max_body, allow_delete);
 }
 
 void Server::listen(actor::Loop& loop, const config::Endpoint& at, std::size_t max_body,
-                    bool deletes) {
+                    bool allow_delete) {
   http_.reset(evhttp_new(loop.base()));
   evhttp* http = http_.get();
   evhttp_set_max_body_size(http, static_cast<ssize_t>(max_body));
   evhttp_set_max_headers_size(http, kMaxHeaderBytes);
   evhttp_set_timeout(http, kServerTimeoutS);
-  const int deletion = deletes ? EVHTTP_REQ_DELETE : 0;
+  const int deletion = allow_delete ? EVHTTP_REQ_DELETE : 0;
   evhttp_set_allowed_methods(http, EVHTTP_REQ_GET | EVHTTP_REQ_POST | deletion);
   evhttp_set_gencb(
       http,
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -75,16 +75,17 @@
 class Server {
  public:
   using Handler = std::function<void(ExchangePtr)>;
-  /// `max_body` in bytes. `deletes`: DELETE is taken as well, otherwise only GET and POST are.
+  /// `max_body` in bytes. `allow_delete`: DELETE is taken as well, otherwise only GET and POST are.
   /// Throws std::runtime_error where the address cannot be had.
   Server(actor::Loop& loop, const config::Endpoint& at, std::size_t max_body, Handler handler,
-         bool deletes = false);
+         bool allow_delete = false);
 
  private:
   struct HttpFree {
     void operator()(evhttp* http) const { evhttp_free(http); }
   };
-  void listen(actor::Loop& loop, const config::Endpoint& at, std::size_t max_body, bool deletes);
+  void listen(actor::Loop& loop, const config::Endpoint& at, std::size_t max_body,
+              bool allow_delete);
 
   Handler handler_;
   std::unique_ptr<evhttp, HttpFree> http_;
