--- a/src/actor/loop.cpp
+++ b/src/actor/loop.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 struct ConfigFree {
-  void operator()(event_config* freed) const { event_config_free(freed); }
+  void operator()(event_config* resource) const { event_config_free(resource); }
 };
 
 // Negative times are now.
@@ -58,31 +58,32 @@
 
 Actor::Actor(Loop& loop) : loop_(loop) {
   if (loop.simulated()) return;
-  wake_.reset(event_new(
+  processing_event_.reset(event_new(
       loop.base(), -1, 0,
-      [](evutil_socket_t, short, void* self) { static_cast<Actor*>(self)->drain(); }, this));
+      [](evutil_socket_t, short, void* self) { static_cast<Actor*>(self)->process_mailbox(); },
+      this));
 }
 
 void Actor::post(Message message) {
   mailbox_.push_back(std::move(message));
-  if (mailbox_.size() == 1) wake();
+  if (mailbox_.size() == 1) schedule_processing();
 }
 
-void Actor::wake() {
+void Actor::schedule_processing() {
   if (EventSource* simulated = loop_.simulated())
-    wake_pending_ = simulated->schedule(0, [this] { drain(); });
+    scheduled_processing_ = simulated->schedule(0, [this] { process_mailbox(); });
   else
-    event_active(wake_.get(), EV_TIMEOUT, 0);
+    event_active(processing_event_.get(), EV_TIMEOUT, 0);
 }
 
-void Actor::drain() {
+void Actor::process_mailbox() {
   // Only what is here now: what these messages post is handled in the next event.
   for (std::size_t left = mailbox_.size(); left > 0; --left) {
     Message message = std::move(mailbox_.front());
     message();
     mailbox_.pop_front();
   }
-  if (!mailbox_.empty()) wake();
+  if (!mailbox_.empty()) schedule_processing();
 }
 
 }  // namespace shunttrail::actor
--- a/src/actor/loop.h
+++ b/src/actor/loop.h
@@ -9,8 +9,8 @@
 namespace shunttrail::actor {
 
 struct EventFree {
-  void operator()(event* freed) const { event_free(freed); }
-  void operator()(event_base* freed) const { event_base_free(freed); }
+  void operator()(event* resource) const { event_free(resource); }
+  void operator()(event_base* resource) const { event_base_free(resource); }
 };
 using EventPtr = std::unique_ptr<event, EventFree>;
 
@@ -94,11 +94,11 @@
   Loop& loop_;
 
  private:
-  void wake();
-  void drain();
+  void schedule_processing();
+  void process_mailbox();
   std::deque<Message> mailbox_;
-  EventPtr wake_;
-  EventSource::Handle wake_pending_;
+  EventPtr processing_event_;
+  EventSource::Handle scheduled_processing_;
 };
 
 }  // namespace shunttrail::actor
