--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -15,7 +15,7 @@
   return name;
 }
 
-spdlog::level::level_enum level_of_environment() {
+spdlog::level::level_enum level_from_environment() {
   const char* value = std::getenv("LOG_LEVEL");
   const std::string name = value ? value : "info";
   if (name == "debug") return spdlog::level::debug;
@@ -28,15 +28,15 @@
   program_name() = program;
   spdlog::set_default_logger(spdlog::stderr_logger_st(program));
   spdlog::set_pattern("%v");
-  spdlog::set_level(level_of_environment());
+  spdlog::set_level(level_from_environment());
 }
 
-void write(spdlog::level::level_enum level, const char* what, nlohmann::json fields) {
+void write(spdlog::level::level_enum level, const char* message, nlohmann::json fields) {
   if (!spdlog::should_log(level)) return;
   fields["at"] = actor::wall_now();
   fields["level"] = spdlog::level::to_string_view(level).data();
   fields["program"] = program_name();
-  fields["what"] = what;
+  fields["what"] = message;
   spdlog::log(level, "{}", fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -11,16 +11,16 @@
 void open(const char* program);
 /// Writes a line: the fields, and `at` (wall clock, for people; nothing is decided by it), `level`,
 /// `program` and `what`.
-void write(spdlog::level::level_enum level, const char* what, nlohmann::json fields);
+void write(spdlog::level::level_enum level, const char* message, nlohmann::json fields);
 
-inline void error(const char* what, nlohmann::json fields = nlohmann::json::object()) {
-  write(spdlog::level::err, what, std::move(fields));
+inline void error(const char* message, nlohmann::json fields = nlohmann::json::object()) {
+  write(spdlog::level::err, message, std::move(fields));
 }
-inline void info(const char* what, nlohmann::json fields = nlohmann::json::object()) {
-  write(spdlog::level::info, what, std::move(fields));
+inline void info(const char* message, nlohmann::json fields = nlohmann::json::object()) {
+  write(spdlog::level::info, message, std::move(fields));
 }
-inline void debug(const char* what, nlohmann::json fields = nlohmann::json::object()) {
-  write(spdlog::level::debug, what, std::move(fields));
+inline void debug(const char* message, nlohmann::json fields = nlohmann::json::object()) {
+  write(spdlog::level::debug, message, std::move(fields));
 }
 
 }  // namespace shunttrail::log
