--- a/tests/agent_golden_test.cpp
+++ b/tests/agent_golden_test.cpp
@@ -240,7 +240,7 @@
   auto ask = [&](const char* method, const std::string& path, const std::string& body) {
     std::optional<net::Result> got;
     client.request(method, path, body, 10, [&](net::Result r) { got = std::move(r); });
-    turn_until(
+    run_loop_until(
         loop, [&] { return got.has_value(); }, 200000);
     return got ? std::to_string(got->status) + " " + got->body : "no answer";
   };
@@ -278,7 +278,7 @@
   std::optional<net::Result> got;
   client.request("POST", "/rentals/delete", R"({"engines":["m-000002"]})", 10,
                  [&](net::Result r) { got = std::move(r); });
-  turn_until(
+  run_loop_until(
       loop, [&] { return got.has_value(); }, 200000);
   ASSERT_TRUE(got);
   EXPECT_EQ(got->status, 200);
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -28,7 +28,8 @@
 }
 
 // Turns the loop until it is over, or has turned so often that it never will be.
-inline bool turn_until(actor::Loop& loop, const std::function<bool()>& over, int turns = 20000) {
+inline bool run_loop_until(actor::Loop& loop, const std::function<bool()>& over,
+                           int turns = 20000) {
   for (int i = 0; i < turns && !over(); ++i) {
     event_base_loop(loop.base(), EVLOOP_NONBLOCK);
     if (i > 200) usleep(100);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -31,7 +31,7 @@
         ex->send({ex->path == "/later" ? 503 : 200, ex->body, ex->path == "/later" ? 2.0 : 0.0});
       }};
   bool until(const std::function<bool()>& over, int turns = 20000) {
-    return turn_until(loop, over, turns);
+    return run_loop_until(loop, over, turns);
   }
   // What a peer that writes these bytes and reads to the end gets.
   std::string raw(const std::string& bytes) {
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -269,7 +269,7 @@
   net::Result report(const std::string& body) {
     std::optional<net::Result> got;
     worker->request("POST", "/agent/beat", body, 4, [&](net::Result r) { got = std::move(r); });
-    EXPECT_TRUE(turn_until(
+    EXPECT_TRUE(run_loop_until(
         loop, [&] { return got.has_value(); }, 200000));
     return got.value_or(net::Result{});
   }
@@ -321,11 +321,11 @@
       ++answered;
       taken += r.status == 200;
     });
-  turn_until(
+  run_loop_until(
       p.loop, [&] { return p.held.size() + answered == kReports; }, 200000);
   EXPECT_EQ(p.held.size(), kReports);
   for (auto& ex : p.held) ex->send({200, R"({"staff":5,"orders":[]})", 0});
-  turn_until(
+  run_loop_until(
       p.loop, [&] { return answered == kReports; }, 200000);
   EXPECT_EQ(taken, kReports);
 }
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -263,7 +263,7 @@
                   const std::string& body) {
     std::optional<net::Result> got;
     to.request(method, path, body, 10, [&](net::Result r) { got = std::move(r); });
-    turn_until(
+    run_loop_until(
         loop_, [&] { return got.has_value(); }, 200000);
     if (!got) return "no answer";
     return std::to_string(got->status) + " " + got->body;
@@ -329,7 +329,7 @@
   for (const auto& [got, wanted] : rows) EXPECT_EQ(got, wanted);
   // The lease is asked for at a tick, some time after all has been read.
   const std::string lease_request = R"(/holds {"life_ms":8000})";
-  turn_until(
+  run_loop_until(
       loop_, [&] { return requests_.contains(lease_request); }, 200000);
   for (
       const char* path :
