--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -27,14 +27,14 @@
   return ntohs(a.sin_port);
 }
 
-// Turns the loop until it is over, or has turned so often that it never will be.
-inline bool run_loop_until(actor::Loop& loop, const std::function<bool()>& over,
-                           int turns = 20000) {
-  for (int i = 0; i < turns && !over(); ++i) {
+// Turns the loop until it is is_done, or has turned so often that it never will be.
+inline bool run_loop_until(actor::Loop& loop, const std::function<bool()>& is_done,
+                           int max_iterations = 20000) {
+  for (int i = 0; i < max_iterations && !is_done(); ++i) {
     event_base_loop(loop.base(), EVLOOP_NONBLOCK);
     if (i > 200) usleep(100);
   }
-  return over();
+  return is_done();
 }
 
 }  // namespace shunttrail::test
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -15,26 +15,26 @@
 namespace shunttrail::test {
 namespace {
 
-struct Echo {
+struct EchoServer {
   actor::Loop loop;
   config::Endpoint at{"127.0.0.1", free_port()};
-  std::vector<std::string> seen;
-  std::vector<net::ExchangePtr> held;
-  bool hold = false;
+  std::vector<std::string> received_bodies;
+  std::vector<net::ExchangePtr> held_requests;
+  bool hold_requests = false;
   net::Server server{
       loop, at, 64 * 1024, [this](net::ExchangePtr ex) {
-        seen.push_back(ex->body);
-        if (hold) {
-          held.push_back(ex);
+        received_bodies.push_back(ex->body);
+        if (hold_requests) {
+          held_requests.push_back(ex);
           return;
         }
         ex->send({ex->path == "/later" ? 503 : 200, ex->body, ex->path == "/later" ? 2.0 : 0.0});
       }};
-  bool until(const std::function<bool()>& over, int turns = 20000) {
-    return run_loop_until(loop, over, turns);
+  bool run_until(const std::function<bool()>& is_done, int max_iterations = 20000) {
+    return run_loop_until(loop, is_done, max_iterations);
   }
   // What a peer that writes these bytes and reads to the end gets.
-  std::string raw(const std::string& bytes) {
+  std::string send_raw(const std::string& bytes) {
     int s = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
     sockaddr_in a{};
     a.sin_family = AF_INET;
@@ -44,7 +44,7 @@
       std::abort();
     std::size_t sent = 0;
     std::string got;
-    until(
+    run_until(
         [&] {
           if (sent < bytes.size()) {
             ssize_t n = send(s, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
@@ -65,8 +65,8 @@
 };
 
 RC_GTEST_PROP(Net, BodiesArriveAsTheyWereSent, ()) {
-  Echo e;
-  net::Client client(e.loop, e.at, 3, 64);
+  EchoServer echo;
+  net::Client client(echo.loop, echo.at, 3, 64);
   auto bodies = *rc::gen::container<std::vector<std::string>>(
       8, rc::gen::nonEmpty(rc::gen::arbitrary<std::string>()));
   std::size_t answered = 0, wrong = 0;
@@ -75,73 +75,74 @@
       ++answered;
       wrong += r.status != 200 || r.body != b;
     });
-  RC_ASSERT(e.until([&] { return answered == bodies.size(); }));
+  RC_ASSERT(echo.run_until([&] { return answered == bodies.size(); }));
   RC_ASSERT(wrong == 0u);
 }
 
 // Bytes that are no request end their own connection at most; the next request is served.
 RC_GTEST_PROP(Net, MalformedRequestsHarmNobodyElse, (std::string bytes)) {
-  Echo e;
-  e.raw(bytes);
-  e.raw("POST /x HTTP/1.1\r\nContent-Length: 99\r\n\r\n" + bytes.substr(0, 50));
-  std::string good = e.raw("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi");
-  RC_ASSERT(good.find("200 OK") != std::string::npos);
-  RC_ASSERT(good.find("hi") != std::string::npos);
+  EchoServer echo;
+  echo.send_raw(bytes);
+  echo.send_raw("POST /x HTTP/1.1\r\nContent-Length: 99\r\n\r\n" + bytes.substr(0, 50));
+  std::string response =
+      echo.send_raw("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi");
+  RC_ASSERT(response.find("200 OK") != std::string::npos);
+  RC_ASSERT(response.find("hi") != std::string::npos);
 }
 
 TEST(Net, ABodyThatIsTooLongIsRefusedAndTheServerGoesOn) {
-  Echo e;
+  EchoServer echo;
   std::string big(70 * 1024, 'x');
   std::string got =
-      e.raw("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: " + std::to_string(big.size()) +
-            "\r\n\r\n" + big);
-  EXPECT_TRUE(e.seen.empty());
+      echo.send_raw("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: " + std::to_string(big.size()) +
+                    "\r\n\r\n" + big);
+  EXPECT_TRUE(echo.received_bodies.empty());
   EXPECT_NE(got.find("413"), std::string::npos) << got.substr(0, 200);
-  EXPECT_NE(e.raw("GET /x HTTP/1.1\r\nHost: a\r\n\r\n").find("200 OK"), std::string::npos);
+  EXPECT_NE(echo.send_raw("GET /x HTTP/1.1\r\nHost: a\r\n\r\n").find("200 OK"), std::string::npos);
 }
 
 TEST(Net, ARefusalSaysWhenToComeBack) {
-  Echo e;
-  EXPECT_NE(e.raw("GET /later HTTP/1.1\r\nHost: a\r\n\r\n").find("Retry-After: 2"),
+  EchoServer echo;
+  EXPECT_NE(echo.send_raw("GET /later HTTP/1.1\r\nHost: a\r\n\r\n").find("Retry-After: 2"),
             std::string::npos);
 }
 
 // A user that hangs up before its answer must not be written to, nor end the process.
 TEST(Net, AnAnswerToAClosedConnectionIsDropped) {
-  Echo e;
-  e.hold = true;
-  e.raw("GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-  ASSERT_TRUE(e.until([&] { return e.held.size() == 1; }));
-  e.held[0]->send({200, "too late", 0});
-  e.held.clear();
-  e.hold = false;
-  EXPECT_NE(e.raw("GET /x HTTP/1.1\r\nHost: a\r\n\r\n").find("200 OK"), std::string::npos);
+  EchoServer echo;
+  echo.hold_requests = true;
+  echo.send_raw("GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+  ASSERT_TRUE(echo.run_until([&] { return echo.held_requests.size() == 1; }));
+  echo.held_requests[0]->send({200, "too late", 0});
+  echo.held_requests.clear();
+  echo.hold_requests = false;
+  EXPECT_NE(echo.send_raw("GET /x HTTP/1.1\r\nHost: a\r\n\r\n").find("200 OK"), std::string::npos);
 }
 
-// One controller that held every shard of 1,812 machines reached its 3,129 sockets: a connection to
-// each worker for direct orders was kept beside the one that the worker reports by.
+// One controller that held_requests every shard of 1,812 machines reached its 3,129 sockets: a
+// connection to each worker for direct orders was kept beside the one that the worker reports by.
 TEST(Net, APoolKeepsSoManyConnectionsAndAnswersAllTheSame) {
-  Echo e;
-  net::Pool pool(e.loop);
+  EchoServer echo;
+  net::Pool pool(echo.loop);
   int answered = 0;
   for (int i = 0; i < 40; ++i) {
-    pool.at("m-" + std::to_string(i), e.at, 5)
+    pool.at("m-" + std::to_string(i), echo.at, 5)
         .request("POST", "/x", "hello", 5, [&](net::Result r) { answered += r.status == 200; });
-    ASSERT_TRUE(e.until([&] { return answered == i + 1; }));
+    ASSERT_TRUE(echo.run_until([&] { return answered == i + 1; }));
     EXPECT_LE(pool.size(), 5u);
   }
   // What is busy is not closed for another one.
-  e.hold = true;
+  echo.hold_requests = true;
   for (int i = 0; i < 8; ++i)
-    pool.at("h-" + std::to_string(i), e.at, 5)
+    pool.at("h-" + std::to_string(i), echo.at, 5)
         .request("POST", "/x", "hello", 5, [&](net::Result r) { answered += r.status == 200; });
   EXPECT_EQ(pool.size(), 8u);
-  ASSERT_TRUE(e.until([&] { return e.held.size() == 8; }));
-  for (auto& ex : e.held) ex->send({200, "{}", 0});
-  e.held.clear();
-  ASSERT_TRUE(e.until([&] { return answered == 48; }));
-  e.hold = false;
-  pool.at("last", e.at, 5);
+  ASSERT_TRUE(echo.run_until([&] { return echo.held_requests.size() == 8; }));
+  for (auto& ex : echo.held_requests) ex->send({200, "{}", 0});
+  echo.held_requests.clear();
+  ASSERT_TRUE(echo.run_until([&] { return answered == 48; }));
+  echo.hold_requests = false;
+  pool.at("last", echo.at, 5);
   EXPECT_LE(pool.size(), 5u);
 }
 
