--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -13,14 +13,14 @@
 namespace shunttrail::wire {
 namespace {
 
-const std::string kGood =
+const std::string kValidJob =
     R"({"uid":"run-000412","consist":"train","crew":"vision","haul":"batch","precedence":"high",
 "cars":16,"vcpus":8.0,"cards":1.0,"mem_gb":64.0,"manifest":"img-07","size_gb":6.2,
 "stock_types":["g8"],"yard":null,"same_place":true,"scatter":false,"borrowed_stock":true,
 "run_s":240.0,"milepost_s":30.0,"couple_s":4.0,"due_s":900.0,"extra":[1]})";
 
 TEST(Codec, ReadsTheProtocolsJob) {
-  JobSpec s = decode_job(kGood);
+  JobSpec s = decode_job(kValidJob);
   EXPECT_EQ(s.id, "run-000412");
   EXPECT_EQ(s.tasks, 16u);
   EXPECT_EQ(s.priority, Priority::high);
@@ -31,7 +31,7 @@
 
 TEST(Codec, RefusesBadFields) {
   auto with = [](std::string from, std::string to) {
-    std::string t = kGood;
+    std::string t = kValidJob;
     t.replace(t.find(from), from.size(), to);
     return t;
   };
@@ -60,7 +60,7 @@
 
 RC_GTEST_PROP(Codec, ArbitraryBytesAreMalformedAndNothingElse, ()) {
   static const std::vector<std::string> bases = {
-      kGood,
+      kValidJob,
       R"({"engine":"m-1","address":"a:1","stock":"g","yard":"a","borrowed_stock":true,"shift":1,
 "waybill":8,"staff":4,"cars":[{"car":"run-000001/3","departure":2,"signal":"running"}]})",
       R"({"ledger":3,"events":[{"set":"c/9","value":{},"stamp":3},{"drop":"c/d","stamp":2}]})",
@@ -144,7 +144,7 @@
 }
 
 TEST(Codec, JobRecordsRoundTrip) {
-  JobRecord r{decode_job(kGood), 12.5};
+  JobRecord r{decode_job(kValidJob), 12.5};
   JobRecord b = decode_job_record({"", encode_record(r), 0});
   EXPECT_EQ(b.submitted_at, 12.5);
   EXPECT_EQ(encode_record(b), encode_record(r));
