--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -25,7 +25,7 @@
   }
   return text;
 }
-std::string replaced(std::string text, const std::string& from, const std::string& to) {
+std::string replace_first(std::string text, const std::string& from, const std::string& to) {
   return text.replace(text.find(from), from.size(), to);
 }
 
@@ -39,7 +39,8 @@
     EXPECT_EQ(wire::encode_job(wire::decode_job(text)), text);
   for (const char* haul : {"batch", "group", "service"})
     for (const char* precedence : {"critical", "high", "standard", "idle"}) {
-      const std::string text = replaced(replaced(kJob, "group", haul), "high", precedence);
+      const std::string text =
+          replace_first(replace_first(kJob, "group", haul), "high", precedence);
       EXPECT_EQ(wire::encode_job(wire::decode_job(text)), text);
     }
   const wire::JobSpec s = wire::decode_job(kJob);
@@ -87,12 +88,13 @@
 
 // Each state and each cause that a worker may report, and what this version has no word for.
 TEST(WireGolden, HeartbeatsOfWorkers) {
-  auto car = [](const std::string& rest) {
+  auto task_json = [](const std::string& rest) {
     return R"({"car":"run-000412/3","departure":2,"signal":)" + rest + "}";
   };
   const wire::Heartbeat r = wire::decode_heartbeat(
-      R"({"address":"10.1.0.232:9000","borrowed_stock":true,"cars":[)" + car(R"("pulling")") + "," +
-      car(R"("flushing")") + "," + car(R"("exited","stop_cause":"stopped","kept":true)") +
+      R"({"address":"10.1.0.232:9000","borrowed_stock":true,"cars":[)" + task_json(R"("pulling")") +
+      "," + task_json(R"("flushing")") + "," +
+      task_json(R"("exited","stop_cause":"stopped","kept":true)") +
       R"(],"engine":"m-000231","recall_s":25.5,"shift":1,"staff":41,"stock":"g8","waybill":88,"yard":"a"})");
   EXPECT_EQ(std::tie(r.machine, r.addr, r.type, r.zone),
             std::make_tuple("m-000231", "10.1.0.232:9000", "g8", "a"));
@@ -123,7 +125,7 @@
       {R"("exited","stop_cause":"later")", TaskState::exited, ExitReason::error}};
   for (const auto& [text, state, why] : rows) {
     const auto one = wire::decode_heartbeat(
-        R"({"address":"a:1","borrowed_stock":false,"cars":[)" + car(text) +
+        R"({"address":"a:1","borrowed_stock":false,"cars":[)" + task_json(text) +
         R"(],"engine":"m","shift":1,"staff":0,"stock":"g","waybill":1,"yard":"a"})");
     EXPECT_EQ(one.tasks.at(0).state, state) << text;
     EXPECT_EQ(one.tasks.at(0).exit_reason, why) << text;
@@ -210,9 +212,9 @@
 
 // A controller over sockets on loopback, beside a state service that stands still at what is given
 // here and takes no writes: nothing in the answers depends on when they are asked for.
-class Answers : public ::testing::Test {
+class ControllerOverLoopback : public ::testing::Test {
  protected:
-  static constexpr const char* kPage =
+  static constexpr const char* kStoredKeys =
       R"({"entries":[{"k":"st/a/1/0","stamp":40,"value":{"b":7,"j":{"run-100001":{"c":1.0,"d":{"0":[0,0]},"g":0.0,"l":[0,1,0],"m":1.0,"t":"red"}},"m":["m-000001"],"w":"x"}},)"
       R"({"k":"st/j/run-100001","stamp":41,"value":{"at":1733000000.0,"borrowed_stock":true,"cards":0.0,"cars":3,"consist":"c","couple_s":0.0,"crew":"red","haul":"batch","manifest":"img","mem_gb":1.0,"milepost_s":0.0,"precedence":"standard","run_s":0.0,"same_place":false,"scatter":false,"size_gb":0.0,"uid":"run-100001","vcpus":1.0}},)"
       R"({"k":"st/l/active","stamp":42,"value":{"highest":1,"level":1,"lowest":1,"w":"x"}},)"
@@ -222,19 +224,20 @@
       R"({"k":"st/o/1","stamp":46,"value":{"node":"node-1","w":"x"}},)"
       R"({"k":"st/w/run-100002","stamp":47,"value":{"at":1733000000.0,"borrowed_stock":true,"cards":0.0,"cars":2,"consist":"c","couple_s":0.0,"crew":"red","haul":"batch","manifest":"img","mem_gb":1.0,"milepost_s":0.0,"needs":"100001","precedence":"standard","run_s":0.0,"same_place":false,"scatter":false,"size_gb":0.0,"uid":"run-100002","vcpus":1.0}}],"has_next":false,"ledger":50})";
 
-  Answers() {
-    s_.front = {"127.0.0.1", free_port()};
-    s_.internal = {"127.0.0.1", free_port()};
-    s_.state = {"127.0.0.1", free_port()};
-    s_.cloud = {"127.0.0.1", free_port()};
-    state_ = std::make_unique<net::Server>(loop_, s_.state, 64 * 1024, [this](net::ExchangePtr ex) {
+  ControllerOverLoopback() {
+    settings_.front = {"127.0.0.1", free_port()};
+    settings_.internal = {"127.0.0.1", free_port()};
+    settings_.state = {"127.0.0.1", free_port()};
+    settings_.cloud = {"127.0.0.1", free_port()};
+    state_ = std::make_unique<
+        net::Server>(loop_, settings_.state, 64 * 1024, [this](net::ExchangePtr ex) {
       // The time of day as N.
       requests_.insert(ex->post ? ex->path + " " + with_masked_numbers(ex->body, "\"at\":")
                                 : ex->path + "?" + ex->query);
-      if (ex->path == "/kv") return ex->send({200, kPage, 0});
+      if (ex->path == "/kv") return ex->send({200, kStoredKeys, 0});
       if (ex->path == "/watch" && ex->query.ends_with("block_ms=0"))
         return ex->send({200, R"({"events":[],"ledger":50})", 0});
-      if (ex->path == "/watch") return held_.push_back(ex);
+      if (ex->path == "/watch") return held_watches_.push_back(ex);
       if (ex->path == "/kv/fin/run-100003")
         return ex->send(
             {200,
@@ -242,22 +245,23 @@
              0});
       ex->send({ex->post ? 503 : 404, R"({"ledger":50})", 0});
     });
-    cloud_ = std::make_unique<net::Server>(loop_, s_.cloud, 64 * 1024, [](net::ExchangePtr ex) {
+    cloud_ = std::make_unique<
+        net::Server>(loop_, settings_.cloud, 64 * 1024, [](net::ExchangePtr ex) {
       if (ex->path != "/machine_types") return ex->send({503, "{}", 0});
       ex->send(
           {200,
            R"({"stock_types":[{"name":"t4","vcpus":4,"cards":0,"mem_gb":16,"hourly":0.4,"market_price":0.1,"startup_s":10,"yards":["a","b"]}]})",
            0});
     });
-    controller_ =
-        std::make_unique<controller::Controller>(loop_, s_, tuning_, schema::current_build());
-    front_ = std::make_unique<net::Client>(loop_, s_.front, 1, 4);
-    internal_ = std::make_unique<net::Client>(loop_, s_.internal, 1, 4);
+    controller_ = std::make_unique<controller::Controller>(loop_, settings_, tuning_,
+                                                           schema::current_build());
+    front_ = std::make_unique<net::Client>(loop_, settings_.front, 1, 4);
+    internal_ = std::make_unique<net::Client>(loop_, settings_.internal, 1, 4);
     // It has read the state service and the machine types when it can tell what never runs.
     for (int i = 0; i < 100; ++i)
       if (get("/v2/runs/run-100001").starts_with("200") && submit("blue").starts_with("422")) break;
   }
-  ~Answers() override { held_.clear(); }  // while their server is there
+  ~ControllerOverLoopback() override { held_watches_.clear(); }  // while their server is there
 
   std::string ask(net::Client& to, const char* method, const std::string& path,
                   const std::string& body) {
@@ -273,7 +277,7 @@
     return ask(*front_, "POST", path, body);
   }
   std::string submit(const std::string& team) {
-    return post("/v2/runs", replaced(kPlainJob, "\"red\"", "\"" + team + "\""));
+    return post("/v2/runs", replace_first(kPlainJob, "\"red\"", "\"" + team + "\""));
   }
   // Of the operators' address; what depends on time as N.
   std::string internal(const std::string& path) {
@@ -284,15 +288,15 @@
   }
 
   actor::Loop loop_;
-  config::Settings s_ = make_settings(2);
+  config::Settings settings_ = make_settings(2);
   config::Tuning tuning_;
   std::set<std::string> requests_;
-  std::vector<net::ExchangePtr> held_;
+  std::vector<net::ExchangePtr> held_watches_;
   std::unique_ptr<net::Server> state_, cloud_;
   std::unique_ptr<controller::Controller> controller_;
   std::unique_ptr<net::Client> front_, internal_;
 };
-using WireGoldenAnswers = Answers;
+using WireGoldenAnswers = ControllerOverLoopback;
 
 TEST_F(WireGoldenAnswers, ToUsersAndWorkers) {
   const std::pair<std::string, std::string> rows[] = {
@@ -312,7 +316,7 @@
       {post("/v2/runs", "x"), R"(400 {"error":"not JSON"})"},
       {submit("blue"), R"(422 {"error":"this job can never run here"})"},
       {submit("red"), R"(503 {"error":"not now"})"},
-      {post("/v2/runs", replaced(kPlainJob, "run-1\"", "run-100001\"")),
+      {post("/v2/runs", replace_first(kPlainJob, "run-1\"", "run-100001\"")),
        R"(200 {"signal":"running","uid":"run-100001"})"},
       {get("/v2/teams/red"),
        R"(200 {"crew":"red","has_next":false,"runs":[{"cars":3,"consist":"c","done":1,"running":1,"signal":"running","uid":"run-100001"},{"awaits":["run-100001"],"cars":2,"consist":"c","done":0,"running":0,"signal":"queued","uid":"run-100002"}]})"},
