--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -19,7 +19,7 @@
 "stock_types":["g8"],"yard":null,"same_place":true,"scatter":false,"borrowed_stock":true,
 "run_s":240.0,"milepost_s":30.0,"couple_s":4.0,"due_s":900.0,"extra":[1]})";
 
-TEST(Codec, ReadsTheProtocolsJob) {
+TEST(Codec, DecodesTheExampleSubmissionOfTheProtocol) {
   JobSpec s = decode_job(kValidJob);
   EXPECT_EQ(s.id, "run-000412");
   EXPECT_EQ(s.tasks, 16u);
@@ -29,7 +29,7 @@
   EXPECT_EQ(s.deadline_s, 900.0);
 }
 
-TEST(Codec, RefusesBadFields) {
+TEST(Codec, SubmissionsWithInvalidFieldsAreRejected) {
   auto with = [](std::string from, std::string to) {
     std::string t = kValidJob;
     t.replace(t.find(from), from.size(), to);
@@ -58,7 +58,7 @@
   EXPECT_THROW(decode_job(std::string(60000, '[')), Malformed);
 }
 
-RC_GTEST_PROP(Codec, ArbitraryBytesAreMalformedAndNothingElse, ()) {
+RC_GTEST_PROP(Codec, CorruptedBodiesThrowNothingButMalformed, ()) {
   static const std::vector<std::string> bases = {
       kValidJob,
       R"({"engine":"m-1","address":"a:1","stock":"g","yard":"a","borrowed_stock":true,"shift":1,
@@ -90,7 +90,7 @@
   attempt([](const std::string& s) { static_cast<void>(decode_job_record({"", s, 0})); });
 }
 
-RC_GTEST_PROP(Codec, FinishedTasksRoundTrip, (const std::vector<bool>& bits)) {
+RC_GTEST_PROP(Codec, IntervalsCoverExactlyTheSetBits, (const std::vector<bool>& bits)) {
   std::vector<bool> back(bits.size(), false);
   for (auto [a, b] : intervals(bits))
     for (auto i = a; i <= b; ++i) back.at(i) = true;
@@ -150,7 +150,7 @@
   EXPECT_EQ(encode_record(b), encode_record(r));
 }
 
-RC_GTEST_PROP(Peer, MalformedHeartbeatsAreRefused, (const std::string& bytes)) {
+RC_GTEST_PROP(Peer, ArbitraryBytesAreRejectedOrAValidHeartbeat, (const std::string& bytes)) {
   auto b = peer::decode(bytes, 3);
   if (b) RC_ASSERT(b->node >= 0 && b->node < 3 && b->tokens.size() == 3u);
 }
@@ -168,7 +168,7 @@
   EXPECT_FALSE(peer::decode(peer::encode(b), 4));
 }
 
-TEST(Settings, NameTheFieldAndTheReason) {
+TEST(Settings, ErrorsNameTheFieldAndTheReason) {
   auto message = [](const std::string& s) {
     try {
       static_cast<void>(config::parse_settings(s));
@@ -184,7 +184,7 @@
 }
 // A controller that lost the state service and the other controllers, but not its workers, told the
 // load balancer that it was well, and answered every user 503.
-TEST(Peer, ANodeThatHearsNobodyLeavesItsUsersToOthersAndAnOutageMovesNobody) {
+TEST(Peer, ANodeCutOffFromTheOthersYieldsItsUsersButNotInAnOutage) {
   using peer::PeerStatus;
   const PeerStatus self, serves{99, true}, waits{99, false}, old{90, true};
   EXPECT_TRUE(peer::another_serves({self, serves, waits}, 0, 100));
@@ -197,7 +197,7 @@
 
 // A deployment whose teams have neither guarantees nor limits says so by 0, and every submission
 // was answered 422.
-TEST(Settings, NoLimitIsNotALimitOfNothing) {
+TEST(Settings, ALimitOfZeroMeansUnlimited) {
   auto with = [](const std::string& team) {
     return config::parse_settings(
         R"({"host_name":"a","zone":"z","front":"1.2.3.4:1","internal_addr":"1.2.3.4:2","siblings":[],
@@ -234,7 +234,7 @@
   EXPECT_EQ(message(R"("cpus":0,"cpus_max":"x","gpus":0,"gpus_max":0)"),
             "cluster.teams[0].cpus_max: is not a number");
 }
-TEST(Tuning, KnowsItsFieldsAndRanges) {
+TEST(Tuning, ReadsKnownFieldsAndRejectsUnknownOrInvalidOnes) {
   auto t = config::parse_tuning("<shunttrail><lambda>3</lambda><ring>8</ring></shunttrail>");
   EXPECT_DOUBLE_EQ(t.lambda, 3);
   EXPECT_EQ(t.ring, 8);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -64,7 +64,7 @@
   }
 };
 
-RC_GTEST_PROP(Net, BodiesArriveAsTheyWereSent, ()) {
+RC_GTEST_PROP(Net, RequestBodiesAreEchoedUnchanged, ()) {
   EchoServer echo;
   net::Client client(echo.loop, echo.at, 3, 64);
   auto bodies = *rc::gen::container<std::vector<std::string>>(
@@ -80,7 +80,7 @@
 }
 
 // Bytes that are no request end their own connection at most; the next request is served.
-RC_GTEST_PROP(Net, MalformedRequestsHarmNobodyElse, (std::string bytes)) {
+RC_GTEST_PROP(Net, TheRequestAfterAMalformedOneIsServed, (std::string bytes)) {
   EchoServer echo;
   echo.send_raw(bytes);
   echo.send_raw("POST /x HTTP/1.1\r\nContent-Length: 99\r\n\r\n" + bytes.substr(0, 50));
@@ -90,7 +90,7 @@
   RC_ASSERT(response.find("hi") != std::string::npos);
 }
 
-TEST(Net, ABodyThatIsTooLongIsRefusedAndTheServerGoesOn) {
+TEST(Net, ABodyAboveTheLimitIsAnswered413AndLaterRequestsAreServed) {
   EchoServer echo;
   std::string big(70 * 1024, 'x');
   std::string got =
@@ -101,7 +101,7 @@
   EXPECT_NE(echo.send_raw("GET /x HTTP/1.1\r\nHost: a\r\n\r\n").find("200 OK"), std::string::npos);
 }
 
-TEST(Net, ARefusalSaysWhenToComeBack) {
+TEST(Net, ARefusalCarriesARetryAfterHeader) {
   EchoServer echo;
   EXPECT_NE(echo.send_raw("GET /later HTTP/1.1\r\nHost: a\r\n\r\n").find("Retry-After: 2"),
             std::string::npos);
@@ -121,7 +121,7 @@
 
 // One controller that held_requests every shard of 1,812 machines reached its 3,129 sockets: a
 // connection to each worker for direct orders was kept beside the one that the worker reports by.
-TEST(Net, APoolKeepsSoManyConnectionsAndAnswersAllTheSame) {
+TEST(Net, APoolAtItsLimitClosesIdleClientsAndKeepsBusyOnes) {
   EchoServer echo;
   net::Pool pool(echo.loop);
   int answered = 0;
@@ -146,7 +146,7 @@
   EXPECT_LE(pool.size(), 5u);
 }
 
-TEST(Net, AClientGivesUpOnAServerThatIsNotThere) {
+TEST(Net, RequestsToAnUnreachableServerEndWithoutAResponse) {
   actor::Loop loop;
   net::Client client(loop, {"127.0.0.1", free_port()}, 1, 1);
   int answers = 0, status = -1;
