--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -34,7 +34,7 @@
 const std::string kPlainJob =
     R"({"borrowed_stock":false,"cards":0.0,"cars":1,"consist":"web","couple_s":0.0,"crew":"red","haul":"service","manifest":"img","mem_gb":1.0,"milepost_s":0.0,"precedence":"idle","run_s":0.0,"same_place":false,"scatter":true,"size_gb":0.0,"uid":"run-1","vcpus":0.5})";
 
-TEST(WireGolden, Submissions) {
+TEST(WireGolden, SubmissionsKeepTheirBytes) {
   for (const auto& text : {kJob, kPlainJob})
     EXPECT_EQ(wire::encode_job(wire::decode_job(text)), text);
   for (const char* haul : {"batch", "group", "service"})
@@ -55,7 +55,7 @@
   EXPECT_EQ(plain.priority, wire::Priority::idle);
 }
 
-TEST(WireGolden, JobStates) {
+TEST(WireGolden, JobStatesKeepTheirBytes) {
   using wire::JobState;
   const std::pair<JobState, const char*> names[] = {{JobState::queued, "queued"},
                                                     {JobState::running, "running"},
@@ -68,7 +68,7 @@
             R"({"done":3,"running":13,"signal":"running","uid":"run-000412"})");
 }
 
-TEST(WireGolden, RecordsOfJobs) {
+TEST(WireGolden, JobRecordsKeepTheirBytes) {
   const std::string waits =
       R"({"at":1733000000.25,"borrowed_stock":false,"cards":0.0,"cars":1,"consist":"web","couple_s":0.0,"crew":"red","haul":"group","manifest":"img","mem_gb":1.0,"milepost_s":0.0,"needs":"000398 7","precedence":"idle","ready":1733000100.5,"run_s":0.0,"same_place":false,"scatter":true,"size_gb":0.0,"uid":"run-1","vcpus":0.5})";
   const wire::JobRecord r = wire::decode_job_record(event(waits));
@@ -87,7 +87,7 @@
 }
 
 // Each state and each cause that a worker may report, and what this version has no word for.
-TEST(WireGolden, HeartbeatsOfWorkers) {
+TEST(WireGolden, WorkerHeartbeatsAreDecoded) {
   auto task_json = [](const std::string& rest) {
     return R"({"car":"run-000412/3","departure":2,"signal":)" + rest + "}";
   };
@@ -132,7 +132,7 @@
   }
 }
 
-TEST(WireGolden, CommandsToWorkers) {
+TEST(WireGolden, CommandsToWorkersKeepTheirBytes) {
   using Op = wire::Command::Op;
   const std::vector<wire::Command> commands = {{Op::start, {"run-000412", 4}, 2},
                                                {Op::stop, {"run-000377", 1}, 1, 10},
@@ -146,7 +146,7 @@
   EXPECT_EQ(wire::encode_redirect(""), "{}");
 }
 
-TEST(WireGolden, Cloud) {
+TEST(WireGolden, CloudBodiesKeepTheirBytes) {
   const auto types = wire::decode_types(
       R"({"stock_types":[{"cards":8.0,"fetch_gb_per_s":1.0,"hourly":12.0,"local_gb":200.0,"market_price":4.5,"mem_gb":768.0,"name":"g8","startup_s":45.0,"vcpus":96.0,"yards":["a","b"]},{"cards":0,"hourly":0.5,"mem_gb":16,"name":"t4","startup_s":9,"vcpus":4,"yards":[]}]})");
   ASSERT_EQ(types.size(), 2u);
@@ -169,7 +169,7 @@
             std::make_tuple("m-000231", "10.1.0.232:9000", "g8", "a", "running", true, 61.5));
 }
 
-TEST(WireGolden, StateService) {
+TEST(WireGolden, StateServiceBodiesKeepTheirBytes) {
   const wire::Transaction t{
       {{"a/b", 0}, {"st/\"", 18446744073709551615u}},
       {{"a/b", R"({"x":[1]})", 7}, {"c/9", "{}", 0}, {"c/d", std::nullopt, 0}}};
@@ -298,7 +298,7 @@
 };
 using WireGoldenAnswers = ControllerOverLoopback;
 
-TEST_F(WireGoldenAnswers, ToUsersAndWorkers) {
+TEST_F(WireGoldenAnswers, ToUsersAndWorkersKeepTheirBytes) {
   const std::pair<std::string, std::string> rows[] = {
       {get("/up"), R"(200 {})"},
       {get("/elsewhere"), R"(404 {"error":"no such path"})"},
@@ -344,7 +344,7 @@
     EXPECT_TRUE(requests_.contains(path)) << path << ::testing::PrintToString(requests_);
 }
 
-TEST_F(WireGoldenAnswers, ToOperators) {
+TEST_F(WireGoldenAnswers, ToOperatorsKeepTheirBytes) {
   const std::string levels =
       R"({"active":1,"converted":1.0,"held_by":[{"by":"build","since_s":N,"why":"does not write level 2 yet"}],"hold":1,"node":"node-0","nodes":[{"alive":false,"gone":true,"name":"node-0"},{"alive":true,"name":"node-1","reads":[0,1],"writes":1}],"reads":[0,2],"stands":[1,1]})";
   const std::string links = R"({"links":[],"node":"node-0","relay":false,"reports":[]})";
@@ -358,7 +358,7 @@
           R"(,"machines":1,"made_ready":0,"node":"node-0","refused":0,"revision":50,"state_429":0,"state_too_large":0,"state_waited_s":N,"state_write_rate":12.5,"submissions":N,"waiting":1})");
 }
 
-TEST(WireGolden, CountersOfAScheduler) {
+TEST(WireGolden, SchedulerCountersKeepTheirNames) {
   SchedulerSite d;
   d.machine("m-1", 0);
   d.job(1, 6, 1, false, 0);
