--- a/src/agent/command_server.cpp
+++ b/src/agent/command_server.cpp
@@ -34,10 +34,10 @@
     log::info("malformed direct command", {{"why", error.what()}});
     return net::error_response(400, error.what());
   }
-  if (!commands.token || !commands.session)
+  if (!commands.token || !commands.incarnation)
     return net::error_response(400, "token or session is missing");
   const bool counts = state_.attempts().accepts(commands.token) &&
-                      *commands.session == state_.attempts().incarnation;
+                      *commands.incarnation == state_.attempts().incarnation;
   if (counts && !callbacks_.execute(commands)) return unavailable();
   return heartbeat_answer(counts ? 200 : 409);
 }
--- a/src/emulators/worker.cpp
+++ b/src/emulators/worker.cpp
@@ -144,8 +144,8 @@
     return exchange->send({400, "{}", 0});
   }
   if (exchange->path != "/orders") return exchange->send({404, "{}", 0});
-  if (!order.token || !order.session) return exchange->send({400, "{}", 0});
-  if (*order.token < token_ || *order.session != incarnation_) return answer_state(409);
+  if (!order.token || !order.incarnation) return exchange->send({400, "{}", 0});
+  if (*order.token < token_ || *order.incarnation != incarnation_) return answer_state(409);
   execute(*order.token, order.commands);
   answer_state(200);
 }
