--- a/src/wire/cloud_codec.cpp
+++ b/src/wire/cloud_codec.cpp
@@ -7,12 +7,13 @@
 namespace shunttrail::wire {
 namespace {
 
-/// The cloud's clock may be behind ours.
+/// Minimum age of a machine. Ages may be negative, since the cloud's clock may be behind this one.
 constexpr double kMinAgeS = -1e9;
-/// As many as the protocol allows; 4,000 machines are 8 pages.
+/// Path of the list of rented machines, with the largest page that the protocol allows: 4,000
+/// machines take 8 pages.
 constexpr const char* kListPath = "/rentals?limit=500";
 
-/// Percent-encodes what may not stand in a query.
+/// Percent-encodes every byte except letters, digits and the characters - _ . /
 std::string escape(const std::string& value) {
   constexpr std::string_view kHexDigits = "0123456789ABCDEF";
   std::string out;
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,6 +1,6 @@
 /// @file
-/// All codecs of the controllers' interfaces in one include. Code that needs one interface only
-/// should include that one's header. Decoders throw Malformed and nothing else.
+/// Includes the codecs of all interfaces of a controller. Code that needs only one interface should
+/// include that codec's header instead. Decoders throw Malformed and nothing else.
 #pragma once
 #include "wire/cloud_codec.h"   // IWYU pragma: export
 #include "wire/record_codec.h"  // IWYU pragma: export
--- a/src/wire/fields.h
+++ b/src/wire/fields.h
@@ -1,6 +1,6 @@
 /// @file
-/// Strict reading of JSON fields, shared by all codecs and included by codecs only. Every function
-/// throws Malformed, which names the field, and nothing else.
+/// Strict readers of JSON fields, shared by all codecs and included by codecs only. A reader
+/// reports an invalid field by throwing Malformed, which names the field, and throws nothing else.
 #pragma once
 #include <array>
 #include <cmath>
@@ -16,18 +16,19 @@
 
 using nlohmann::json;
 
-/// A body of brackets alone must not exhaust the parser's stack.
+/// Maximum nesting depth of a body. Without a limit, a body of opening brackets alone would exhaust
+/// the parser's stack.
 inline constexpr int kMaxNesting = 64;
-/// Of a string field, in bytes.
+/// Maximum length of a string field, in bytes.
 inline constexpr std::size_t kMaxTextBytes = 256;
-/// The largest number that most fields accept.
+/// Default maximum of a number field.
 inline constexpr double kMaxNumber = 1e9;
-/// The largest time of day that a record may hold, in seconds.
+/// Maximum time of day in a record, in seconds since 1970.
 inline constexpr double kMaxTimeOfDayS = 1e12;
-/// The largest number of tasks in a job, and the largest task index in a record.
+/// Maximum number of tasks in a job, and maximum task index in a record.
 inline constexpr std::uint32_t kMaxTasks = 100000;
 
-/// Throws if brackets outside strings are nested deeper than kMaxNesting.
+/// Throws Malformed if brackets outside strings are nested deeper than kMaxNesting.
 inline void check_nesting(std::string_view text) {
   int depth = 0;
   bool in_string = false;
@@ -50,12 +51,12 @@
   }
 }
 
-/// Throws unless `j` is an object.
+/// Throws Malformed unless `j` is an object.
 inline void check_object(const json& j) {
   if (!j.is_object()) throw Malformed::not_json("not an object");
 }
 
-/// Parses a body, which has to be a JSON object.
+/// Parses a body. Throws Malformed unless it is a JSON object.
 inline json parse(std::string_view text) {
   check_nesting(text);
   json j = json::parse(text, nullptr, false);
@@ -64,20 +65,20 @@
   return j;
 }
 
-/// The field, or nullptr where it is absent or null.
+/// Returns the field, or nullptr if it is absent or null.
 inline const json* find(const json& j, const char* name) {
   check_object(j);
   auto it = j.find(name);
   return it == j.end() || it->is_null() ? nullptr : &*it;
 }
-/// A required field.
+/// Returns the field. Throws Malformed if it is absent or null.
 inline const json& required(const json& j, const char* name) {
   const json* v = find(j, name);
   if (!v) throw Malformed::missing(name);
   return *v;
 }
 
-/// A string of 1 to kMaxTextBytes bytes without control characters.
+/// Reads a string of 1 to kMaxTextBytes bytes without control characters.
 inline std::string as_text(const json& v, const char* name) {
   if (!v.is_string()) throw Malformed::wrong_type(name, "a string");
   const auto& s = v.get_ref<const std::string&>();
@@ -89,17 +90,17 @@
       throw Malformed::bad_value(name, "holds a control character", "printable characters");
   return s;
 }
-/// A required string; see as_text.
+/// Reads a required string field, as as_text does.
 inline std::string text(const json& j, const char* name) {
   return as_text(required(j, name), name);
 }
-/// Any string, or `def` where the field is absent or no string.
+/// Returns the field if it is a string, whatever its length and characters; otherwise `def`.
 inline std::string text_or(const json& j, const char* name, std::string def) {
   const json* v = find(j, name);
   return v && v->is_string() ? v->get<std::string>() : def;
 }
 
-/// A finite number from `min` to `max`, ends included.
+/// Reads a finite number from `min` to `max`, ends included.
 inline double as_number(const json& v, const char* name, double min, double max = kMaxNumber) {
   if (!v.is_number()) throw Malformed::wrong_type(name, "a number");
   const double d = v.get<double>();
@@ -107,49 +108,49 @@
     throw Malformed::out_of_range(name, std::to_string(min) + " to " + std::to_string(max));
   return d;
 }
-/// A required number of at least `min`.
+/// Reads a required number field from `min` to kMaxNumber.
 inline double number(const json& j, const char* name, double min) {
   return as_number(required(j, name), name, min);
 }
 
-/// A whole number that is not negative.
+/// Reads a whole number from 0 to the largest 64-bit value.
 inline std::uint64_t as_whole(const json& v, const char* name) {
   if (v.is_number_unsigned()) return v.get<std::uint64_t>();
   throw Malformed::wrong_type(name, "a count");
 }
-/// A required whole number that is not negative.
+/// Reads a required field as as_whole does.
 inline std::uint64_t whole(const json& j, const char* name) {
   return as_whole(required(j, name), name);
 }
 
-/// A required boolean.
+/// Reads a required boolean field.
 inline bool flag(const json& j, const char* name) {
   const json& v = required(j, name);
   if (!v.is_boolean()) throw Malformed::wrong_type(name, "true or false");
   return v.get<bool>();
 }
-/// Whether the field is there and true.
+/// Returns true if the field is present and is the boolean true.
 inline bool flag_or_false(const json& j, const char* name) {
   const json* v = find(j, name);
   return v && v->is_boolean() && v->get<bool>();
 }
 
-/// A required array.
+/// Returns a required array field.
 inline const json& list(const json& j, const char* name) {
   const json& v = required(j, name);
   if (!v.is_array()) throw Malformed::wrong_type(name, "a list");
   return v;
 }
-/// An array of strings, each as as_text reads it.
+/// Reads an array of strings, each as as_text does.
 inline std::vector<std::string> texts(const json& array, const char* name) {
   std::vector<std::string> out;
   for (const json& v : array) out.push_back(as_text(v, name));
   return out;
 }
 
-/// A task's name on the wire: the job's id, a slash, and the index in the job.
+/// Returns a task's name on the wire: the job's id, a slash, and the task's index in the job.
 inline std::string task_name(const TaskId& t) { return t.job + "/" + std::to_string(t.index); }
-/// Reads a task's name.
+/// Reads a task's name as task_name writes it.
 inline TaskId task_id(const std::string& name) {
   constexpr std::size_t kMaxIndexDigits = 6;
   constexpr const char* kExpected = "a job id, a slash and a task index";
@@ -165,11 +166,11 @@
   return {job, static_cast<std::uint32_t>(std::stoul(index))};
 }
 
-/// The wire names of task states, by TaskState.
+/// Wire names of task states, indexed by TaskState.
 inline constexpr std::array<const char*, 4> kTaskStateNames = {"pulling", "running", "flushing",
                                                                "exited"};
 
-/// Applies `f` to the parsed body, and turns whatever the JSON library throws into Malformed.
+/// Parses the body and applies `f` to it. Converts exceptions of the JSON library to Malformed.
 template <class F>
 auto decode_body(std::string_view body, F f) {
   try {
@@ -179,7 +180,7 @@
   }
 }
 
-/// Applies `f` to an event's value, which is not parsed again where that has been done already.
+/// Applies `f` to an event's value, which is parsed only if the event does not hold it parsed.
 template <class F>
 auto decode_event_value(const Event& event, F f) {
   if (!event.parsed)
--- a/src/wire/job_id.cpp
+++ b/src/wire/job_id.cpp
@@ -2,6 +2,7 @@
 
 namespace shunttrail::wire {
 namespace {
+/// Maximum number of digits after the prefix.
 constexpr std::size_t kMaxDigits = 20;
 }  // namespace
 
--- a/src/wire/job_id.h
+++ b/src/wire/job_id.h
@@ -5,10 +5,10 @@
 
 namespace shunttrail::wire {
 
-/// What every job id begins with.
+/// Prefix of every job id.
 inline constexpr std::string_view kJobIdPrefix = "run-";
 
-/// Whether `id` is the prefix followed by 1 to 20 decimal digits.
+/// Returns true if `id` is kJobIdPrefix followed by 1 to 20 decimal digits.
 [[nodiscard]] bool valid_job_id(std::string_view id);
 
 }  // namespace shunttrail::wire
--- a/src/wire/job_spec_json.cpp
+++ b/src/wire/job_spec_json.cpp
@@ -8,9 +8,10 @@
 namespace shunttrail::wire {
 namespace {
 
-/// By Priority.
+/// Wire names of priorities, indexed by Priority.
 constexpr std::array<const char*, kPriorities> kPriorityNames = {"critical", "high", "standard",
                                                                  "idle"};
+/// Maximum number of machine types that one specification may list.
 constexpr std::size_t kMaxMachineTypes = 1000;
 
 const char* kind_name(const JobSpec& spec) {
@@ -72,7 +73,7 @@
   if (const json* deadline = find(j, "due_s")) spec.deadline_s = as_number(*deadline, "due_s", 0);
 }
 
-/// The ids in order, each once.
+/// Returns the ids in ascending order without duplicates.
 std::vector<std::string> read_dependencies(const json& ids) {
   if (!ids.is_array()) throw Malformed::wrong_type("awaits", "a list");
   std::set<std::string> unique;
@@ -91,7 +92,7 @@
 }  // namespace
 
 JobSpec job_spec_from_json(const json& j) {
-  // In this order: of several errors the first one is told.
+  // The order decides which error is reported if several fields are invalid.
   JobSpec spec;
   read_identity(j, spec);
   read_kind(j, spec);
--- a/src/wire/record_codec.cpp
+++ b/src/wire/record_codec.cpp
@@ -14,13 +14,16 @@
 namespace shunttrail::wire {
 namespace {
 
+/// Maximum index of a shard in a record.
 constexpr std::uint64_t kMaxShard = 1000;
-/// Fields of one machine in an inventory page: type, zone, spot, shard, token.
+/// Number of fields of one machine in an inventory page: type, zone, spot, shard, token.
 constexpr std::size_t kMachineFields = 5;
-/// Numbers of one placement: position of the machine's name, task, attempt above the base.
+/// Count of numbers that store one placement: position of the machine's name in the page, task
+/// index, and attempt minus the page's lowest attempt.
 constexpr std::size_t kPlacementFields = 3;
 
-/// The ids without their common prefix, joined by spaces: a value has little room.
+/// Returns the ids without their common prefix, joined by spaces. This keeps the record small: the
+/// state service limits the size of a value.
 std::string dependencies_text(const std::vector<std::string>& ids) {
   std::string out;
   for (const std::string& id : ids) {
@@ -66,8 +69,8 @@
   return out;
 }
 
-/// The machine type of a delegated job, in place of its own ones. No cloud lists it, so builds that
-/// know no delegations start none of the job's tasks.
+/// Machine type that the record of a delegated job lists instead of the job's own types. No cloud
+/// offers it, so builds that do not support delegations start none of the job's tasks.
 constexpr const char* kDelegatedType = "-delegated-";
 
 json delegation_to_json(const JobSpec& spec, const Delegation& delegation) {
@@ -78,7 +81,7 @@
   return out;
 }
 
-/// Reads the delegation, and gives the job its own machine types back.
+/// Reads the delegation and restores the job's own machine types in `spec`.
 Delegation delegation_from_json(const json& j, JobSpec& spec) {
   Delegation delegation;
   const std::uint64_t shard = whole(j, "to");
@@ -94,7 +97,8 @@
   return delegation;
 }
 
-/// A delegation that cannot be read may name any task: the job goes on being known, and waits.
+/// Reads the job's delegation, if any. One that cannot be decoded could name any task, so it is
+/// marked as unreadable: the job stays known, and its tasks wait.
 void read_delegation(const json& j, JobRecord& record) {
   const json* delegation = find(j, "delegation");
   if (!delegation) return;
@@ -142,8 +146,9 @@
 
 namespace {
 
-/// When machines were rented: the earliest time of day in whole seconds, and for each machine the
-/// seconds after it, in the order of the names in `machines`; null where it is not known.
+/// Returns the times at which machines were rented: the earliest time of day in whole seconds, and
+/// a list with each machine's offset from it in seconds, in the order of the names in `machines`.
+/// The offset is null if the time is not known.
 json rent_times_to_json(const InventoryPageRecord& record, const json& machines) {
   std::map<std::string, double> rented_at;
   double earliest = 0;
@@ -223,8 +228,8 @@
 
 namespace {
 
-/// Machines of a placement page in order of their first use, each named once; placements refer to
-/// them by position.
+/// The machine names of a placement page, each once, in order of their first use. Placements refer
+/// to a machine by its position here.
 class MachineNames {
  public:
   std::size_t position(const std::string& machine) {
@@ -239,7 +244,8 @@
   std::unordered_map<std::string, std::size_t> positions_;
 };
 
-/// The lowest attempt of a page, from which its attempts are counted; 0 without placements.
+/// Returns the lowest attempt of a page; 0 if the page has no placements. The page stores attempts
+/// as offsets from it.
 std::uint64_t lowest_attempt(const PlacementPageRecord& record) {
   std::optional<std::uint64_t> lowest;
   for (const JobPlacements& job : record.jobs)
--- a/src/wire/state_codec.cpp
+++ b/src/wire/state_codec.cpp
@@ -31,8 +31,8 @@
   out += '}';
 }
 
-/// Applies `f` to the parsed body and to a function that makes a pointer to a part of it; the body
-/// lives as long as any such pointer.
+/// Parses the body and applies `f` to it and to a function that makes a shared pointer to a part of
+/// the body. The parsed body lives as long as any such pointer.
 template <class F>
 auto decode_shared_body(std::string_view body, F f) {
   try {
@@ -61,7 +61,7 @@
 }  // namespace
 
 std::string encode_transaction(const Transaction& transaction) {
-  // Joined as text: to parse the values once more would be slow.
+  // The values are JSON text already. Joining text avoids parsing them again, which would be slow.
   std::string out = R"({"guards":[)";
   const char* separator = "";
   for (const auto& precondition : transaction.preconditions) {
@@ -118,7 +118,8 @@
 }
 
 std::string keys_path(const std::string& prefix, const std::string& after) {
-  // As many as the protocol allows (and 512 KiB): page follows page until there are no more.
+  // 1,000 keys (and 512 KiB) are the largest page that the protocol allows. The caller reads pages
+  // until none follows.
   return "/kv?starts=" + prefix + "&limit=1000" + (after.empty() ? "" : "&after=" + after);
 }
 
--- a/src/wire/state_codec.h
+++ b/src/wire/state_codec.h
@@ -1,6 +1,6 @@
 /// @file
-/// Bodies and paths of the state service's interface: transactions, leases, watches and reads of
-/// keys (PROTOCOL, State service). What the values hold is in record_codec.h.
+/// Bodies and paths of requests to the state service: transactions, leases, watches and reads of
+/// keys (PROTOCOL, State service). The stored values have codecs of their own in record_codec.h.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -12,29 +12,31 @@
 
 namespace shunttrail::wire {
 
-/// The body of a commit.
+/// Writes the body of a commit.
 [[nodiscard]] std::string encode_transaction(const Transaction& transaction);
 /// Reads the revision at which a commit was applied. Throws Malformed.
 [[nodiscard]] std::uint64_t decode_revision(std::string_view body);
-/// Reads which keys' preconditions failed. Throws Malformed.
+/// Reads the keys whose preconditions failed. Throws Malformed.
 [[nodiscard]] std::vector<std::string> decode_failed(std::string_view body);
-/// Whether a refusal says that the transaction's lease has ended.
+/// Returns true if the body of a rejected transaction says that its lease has ended.
 [[nodiscard]] bool lease_missing(std::string_view body);
 
-/// A request for a lease that lives for `life_s` seconds after each renewal.
+/// Writes a request for a lease that ends `life_s` seconds after its last renewal.
 [[nodiscard]] std::string encode_lease(double life_s);
 /// Reads a lease's number. Throws Malformed.
 [[nodiscard]] std::uint64_t decode_lease(std::string_view body);
 
-/// The path of a watch: changes of keys that start with `prefix` after the revision `after`. The
-/// answer comes after `block_ms` milliseconds if nothing changes.
+/// Returns the path of a watch of the keys that start with `prefix`, for changes after the revision
+/// `after`. If nothing changes, the state service answers after `block_ms` milliseconds.
 [[nodiscard]] std::string watch_path(const std::string& prefix, std::uint64_t after, int block_ms);
-/// Reads a watch's answer; the events keep the parsed body alive. Throws Malformed.
+/// Reads the response to a watch. The events share the parsed body and keep it alive. Throws
+/// Malformed.
 [[nodiscard]] WatchAnswer decode_watch(std::string_view body);
 
-/// The path of a page of keys that start with `prefix`, from the one that follows `after`.
+/// Returns the path of a page of the keys that start with `prefix`, from the first key after
+/// `after`.
 [[nodiscard]] std::string keys_path(const std::string& prefix, const std::string& after);
-/// Reads a page of keys; the events keep the parsed body alive. Throws Malformed.
+/// Reads a page of keys. Its events share the parsed body and keep it alive. Throws Malformed.
 [[nodiscard]] KeyPage decode_keys(std::string_view body);
 /// Reads one key with its value. Throws Malformed.
 [[nodiscard]] Event decode_key(std::string_view body);
--- a/src/wire/types.h
+++ b/src/wire/types.h
@@ -1,6 +1,6 @@
 /// @file
-/// What the interfaces and the stored records say, in the program's own terms. The names on the
-/// wire are in the codecs alone.
+/// The contents of messages and stored records as C++ types. Only the codecs know the names on the
+/// wire.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -11,9 +11,9 @@
 
 namespace shunttrail::wire {
 
-/// How urgent a job is, the most urgent first.
+/// Priority of a job, the most urgent first.
 enum class Priority : std::uint8_t { critical, high, standard, idle };
-/// The number of priorities.
+/// Number of priorities.
 inline constexpr int kPriorities = 4;
 
 /// A job as its user described it.
@@ -22,98 +22,98 @@
   std::string job_class;
   std::string team;
   std::string image;
-  /// Its tasks run until the job is cancelled.
+  /// True if the job's tasks run until the job is cancelled.
   bool service = false;
-  /// Its tasks run together or not at all; otherwise a gang is like any batch job.
+  /// True if the job's tasks run all at once or not at all. In all else a gang is a batch job.
   bool gang = false;
   Priority priority = Priority::standard;
-  std::uint32_t tasks = 1;  ///< their number
+  std::uint32_t tasks = 1;  ///< number of tasks
   double cpus = 0;          ///< virtual CPUs of each task
   double gpus = 0;          ///< GPUs of each task
   double mem_gb = 0;        ///< memory of each task
-  double image_gb = 0;      ///< the image's size
-  /// Names of the machine types that its tasks may run on; absent: any.
+  double image_gb = 0;      ///< size of the image
+  /// Names of the machine types that the tasks may run on; absent: any type.
   std::optional<std::vector<std::string>> types;
-  /// The zone that its tasks have to run in; absent: any.
+  /// Zone in which the tasks have to run; absent: any zone.
   std::optional<std::string> zone;
-  bool same_zone = false;      ///< all its tasks run in one zone
-  bool anti_affinity = false;  ///< at most half of its tasks run in one zone
-  bool spot = false;           ///< its tasks may run on spot machines
-  double estimate_s = 0;       ///< a task's expected run time
+  bool same_zone = false;      ///< all tasks have to run in one zone
+  bool anti_affinity = false;  ///< at most half of the tasks may run in one zone
+  bool spot = false;           ///< the tasks may run on spot machines
+  double estimate_s = 0;       ///< expected run time of a task
   double checkpoint_s = 0;     ///< time between a task's checkpoints
-  double save_s = 0;           ///< time that a task takes to save its progress
-  /// Time from submission until it should be done; absent: none.
+  double save_s = 0;           ///< time that a task needs to save a checkpoint when it is stopped
+  /// Time from submission until the job should be done; absent: no deadline.
   std::optional<double> deadline_s;
-  /// Ids of the jobs that have to be done before any task of this one starts.
+  /// Ids of the jobs that have to be done before any task of this job starts.
   std::vector<std::string> dependencies;
 };
 
-/// A job's state as users are told.
+/// State of a job as it is reported to users.
 enum class JobState { queued, running, done, cancelled };
 
-/// Names one task of a job.
+/// Identifies one task of a job.
 struct TaskId {
   std::string job;
-  std::uint32_t index = 0;  ///< from 0
+  std::uint32_t index = 0;  ///< index of the task in its job, from 0
 };
 
-/// What a worker does with a task.
+/// State of a task on a worker.
 enum class TaskState : std::uint8_t { fetching, running, saving, exited };
-/// Why a task has exited; `none` for one that has not.
+/// Reason for which a task has exited; `none` for a task that has not exited.
 enum class ExitReason : std::uint8_t {
   none,
   done,
   stopped,
   error,
   no_room,  ///< the machine's disk is nearly full
-  busy,     ///< the task's place is still in use by an earlier attempt
+  busy,     ///< an earlier attempt of the task is still on the machine
   unknown,  ///< the worker does not know the task
 };
 
-/// One task of a heartbeat.
+/// Status of one task in a heartbeat.
 struct TaskStatus {
   TaskId task;
   std::uint64_t attempt = 0;
   TaskState state = TaskState::fetching;
   ExitReason exit_reason = ExitReason::none;
-  bool checkpointed = false;  ///< stopped, and its progress was saved
+  bool checkpointed = false;  ///< true if the task was stopped and its progress was saved
 };
 
-/// What a worker reports of its machine and tasks.
+/// A worker's periodic report on its machine and tasks.
 struct Heartbeat {
-  std::string machine;  ///< its name
+  std::string machine;  ///< name of the machine
   std::string addr;     ///< host:port of the worker
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t incarnation = 0;   ///< of the worker's process: a restart has a higher one
-  std::uint64_t sequence = 0;      ///< of the heartbeat in its incarnation
-  std::uint64_t token = 0;         ///< the highest that the worker has seen (PROTOCOL, Tokens)
+  std::uint64_t incarnation = 0;  ///< number of the worker's process; a restart has a higher one
+  std::uint64_t sequence = 0;     ///< number of the heartbeat in its incarnation
+  std::uint64_t token = 0;  ///< highest fencing token that the worker has seen (PROTOCOL, Tokens)
   std::optional<double> notice_s;  ///< seconds until the cloud takes the machine back
   std::vector<TaskStatus> tasks;
 };
 
-/// What a worker is told to do with one task.
+/// An instruction to a worker about one task.
 struct Command {
-  /// `acknowledge`: the exit was heard, and the worker may forget the task.
+  /// `acknowledge`: the exit has been received, and the worker may forget the task.
   enum class Op : std::uint8_t { start, stop, acknowledge };
   Op op = Op::start;
   TaskId task;
   std::uint64_t attempt = 0;
-  double grace_s = 0;  ///< stop: time to save its progress
+  double grace_s = 0;  ///< for `stop`: time that the task has to save its progress
 };
 
-/// A type of machine that the cloud rents out.
+/// A machine type that can be rented from the cloud.
 struct MachineType {
   std::string name;
   double cpus = 0;
   double gpus = 0;
   double mem_gb = 0;
-  double price = 0;       ///< for an hour
-  double spot_price = 0;  ///< for an hour of a spot machine
-  double boot_s = 0;      ///< from renting to the first heartbeat
+  double price = 0;       ///< price of an hour
+  double spot_price = 0;  ///< price of an hour as a spot machine
+  double boot_s = 0;      ///< time from renting to the first heartbeat
   std::vector<std::string> zones;
-  double cache_gb = 0;  ///< room for images; 0: unknown
+  double cache_gb = 0;  ///< capacity of the image cache; 0: unknown
 };
 
 /// A rented machine in the cloud's list.
@@ -124,9 +124,9 @@
   std::string zone;
   std::string state;
   bool spot = false;
-  double age_s = 0;  ///< since it was rented
+  double age_s = 0;  ///< time since the machine was rented
 };
-/// A page of the cloud's list.
+/// A page of the cloud's list of rented machines.
 struct MachineList {
   std::vector<ListedMachine> machines;
   bool more = false;  ///< another page follows
@@ -135,88 +135,92 @@
 /// A key's value at a revision, or its deletion.
 struct Event {
   std::string key;
-  /// The value as JSON text; absent for a deletion, and where `parsed` is there instead.
+  /// The value as JSON text; absent for a deletion, and if `parsed` holds the value instead.
   std::optional<std::string> value;
-  std::uint64_t mod_revision = 0;  ///< of the transaction that made the change
-  /// The value as the codec has parsed it within a larger answer, which it keeps alive.
+  std::uint64_t mod_revision = 0;  ///< revision of the transaction that made the change
+  /// The value as a parsed part of a larger response body; the pointer keeps that body alive.
   std::shared_ptr<const void> parsed = nullptr;
-  /// Whether there is a value: the key was set, not deleted.
+  /// Returns true if the key was set, false if it was deleted.
   [[nodiscard]] bool set() const { return value.has_value() || parsed; }
 };
-/// The answer to a watch.
+/// Response to a watch.
 struct WatchAnswer {
-  std::uint64_t revision = 0;  ///< all changes up to it have been told
-  std::vector<Event> events;   ///< in order of their revisions
+  std::uint64_t revision = 0;  ///< all changes up to this revision have been reported
+  std::vector<Event> events;   ///< in ascending order of their revisions
 };
 /// A page of keys.
 struct KeyPage {
-  std::uint64_t revision = 0;  ///< at which it was read
-  std::vector<Event> items;    ///< in order of their keys
+  std::uint64_t revision = 0;  ///< revision at which the page was read
+  std::vector<Event> items;    ///< in ascending order of their keys
   bool more = false;           ///< another page follows
 };
 
-/// Changes that the state service applies all together or not at all.
+/// Changes that the state service applies atomically.
 struct Transaction {
   /// A key's new value, or its deletion.
   struct Op {
     std::string key;
     std::optional<std::string> value;  ///< JSON text; absent: the key is deleted
-    std::uint64_t lease = 0;           ///< the key ends with this lease; 0: with none
+    std::uint64_t lease = 0;           ///< the key is deleted when this lease ends; 0: no lease
   };
-  /// Keys with the revision that each must have for the transaction to be applied; 0: the key must
-  /// not exist.
+  /// The revision that each key must have for the transaction to be applied; 0: the key must not
+  /// exist.
   std::vector<std::pair<std::string, std::uint64_t>> preconditions;
   std::vector<Op> ops;
 };
 
-/// Task indices as [first, last], ends included.
+/// Ranges of task indices as [first, last], ends included.
 using Intervals = std::vector<std::pair<std::uint32_t, std::uint32_t>>;
-/// Tasks of a job that another shard than its team's may run (docs/delegation.md). Only the leader
-/// of the team's shard writes it.
+/// Tasks of a job that a shard other than the team's may run (docs/delegation.md). Only the leader
+/// of the team's shard writes a delegation.
 struct Delegation {
   int shard = -1;          ///< the shard that may run the tasks
-  bool is_closed = false;  ///< none of the tasks starts there any more
+  bool is_closed = false;  ///< true if that shard may start no more of the tasks
   Intervals tasks;
-  /// The only zone in which the tasks may run, so that both shards keep to what the job allows;
-  /// absent: the job itself says.
+  /// The only zone in which the delegated tasks may run, so that both shards together meet the
+  /// job's zone constraints; absent: the job's own constraints apply.
   std::optional<std::string> zone{};
-  /// False: what is stored could not be read. None of the job's tasks may start anywhere.
+  /// False if the stored delegation could not be decoded. None of the job's tasks may start
+  /// anywhere then.
   bool is_readable = true;
   friend bool operator==(const Delegation&, const Delegation&) = default;
 };
 
-/// The record of a job that is not over.
+/// Stored record of a job that has not ended.
 struct JobRecord {
   JobSpec spec;
-  double submitted_at = 0;  ///< time of day, seconds
-  /// Time of day, seconds, when its last dependency was known to be done; 0: it had none.
+  double submitted_at = 0;  ///< time of day of the submission, in seconds since 1970
+  /// Time of day, in seconds since 1970, at which the last dependency was known to be done; 0: the
+  /// job has no dependencies.
   double ready_at = 0;
   std::optional<Delegation> delegation{};
-  /// Names the transaction that wrote it; empty in the record of the submission.
+  /// Name of the transaction that wrote the record; empty in the record that the submission wrote.
   std::string tag{};
 };
 
-/// The record of a rented machine and of the shard that it belongs to.
+/// Stored record of a rented machine and of the shard that it belongs to.
 struct MachineRecord {
   std::string name;
   std::string type;
   std::string zone;
   bool spot = false;
   int shard = 0;
-  std::uint64_t token = 0;  ///< of the leader that wrote it: the worker may have seen it
-  double rented_at = 0;     ///< time of day, seconds; 0: not known
+  std::uint64_t token =
+      0;                 ///< fencing token of the leader that wrote it; the worker may have seen it
+  double rented_at = 0;  ///< time of day in seconds since 1970; 0: not known
   friend bool operator==(const MachineRecord&, const MachineRecord&) = default;
 };
-/// Many machines share a key, so that starting a fleet does not take a change for each machine.
+/// Record of many machines under one key, so that starting a fleet does not take one change for
+/// each machine.
 struct InventoryPageRecord {
-  std::string tag;  ///< names the transaction that wrote it
+  std::string tag;  ///< name of the transaction that wrote it
   std::vector<MachineRecord> machines;
-  int form = 0;  ///< 0, or 1, which also tells when machines were rented (schema::Feature)
+  int form = 0;  ///< 0, or 1 with the times at which machines were rented (schema::Feature)
 };
 
-/// Where a job's tasks may run, and which of them are done, as one placement page has it.
+/// Placements and finished tasks of one job, as far as one placement page holds them.
 struct JobPlacements {
-  /// One attempt of a task that may run on a machine.
+  /// One attempt of a task that may be running on a machine.
   struct PersistedPlacement {
     std::string machine;
     std::uint32_t task = 0;
@@ -228,27 +232,27 @@
   double gpus = 0;
   double mem_gb = 0;
   std::vector<PersistedPlacement> placements;
-  /// Tasks that are done: by chunk, as indices from the chunk's first task.
+  /// Tasks that are done, by chunk; indices count from the chunk's first task.
   std::vector<std::pair<std::uint32_t, Intervals>> done;
 };
-/// Holds placements on many machines, so that many starts share one change.
+/// Record of placements on many machines, so that many starts share one change.
 struct PlacementPageRecord {
-  std::string tag;  ///< names the transaction that wrote it
+  std::string tag;  ///< name of the transaction that wrote it
   std::vector<JobPlacements> jobs;
 };
 
-/// How a job has ended. It is final.
+/// Stored result of a job. It never changes.
 struct JobResultRecord {
-  bool cancelled = false;  ///< otherwise it is done
+  bool cancelled = false;  ///< true: cancelled; false: done
   std::uint32_t tasks = 0;
   std::string team;
-  std::string tag;       ///< names the transaction that wrote it
-  bool service = false;  ///< not written by versions that knew no dependencies
+  std::string tag;       ///< name of the transaction that wrote it
+  bool service = false;  ///< always false in records of versions that did not support dependencies
 };
-/// Which node leads a shard.
+/// Stored record of the node that leads a shard.
 struct LeaderRecord {
   std::string node;
-  std::string tag;  ///< names the transaction that wrote it
+  std::string tag;  ///< name of the transaction that wrote it
 };
 
 }  // namespace shunttrail::wire
--- a/src/wire/user_codec.h
+++ b/src/wire/user_codec.h
@@ -12,21 +12,22 @@
 
 namespace shunttrail::wire {
 
-/// A submission names no more jobs than this to wait for: its record has to fit one value of the
-/// state service.
+/// Maximum number of jobs that a submission may depend on. Its record has to fit into one value of
+/// the state service.
 inline constexpr std::size_t kMaxDependencies = 128;
 
 /// Reads a submission. Throws Malformed.
 [[nodiscard]] JobSpec decode_job(std::string_view body);
-/// The job id of a submission, whatever else is wrong with it; empty where there is no valid one.
+/// Returns the job id of a submission, even if other fields are invalid; an empty string if it has
+/// no valid id.
 [[nodiscard]] std::string job_id_of(std::string_view body);
 /// Writes a submission as a user sends it.
 [[nodiscard]] std::string encode_job(const JobSpec& spec);
 
-/// The name of a job's state on the wire.
+/// Returns the name of a job's state on the wire.
 [[nodiscard]] const char* state_name(JobState state);
-/// The answer to a question about a job. `done` and `running` count its tasks; they are written
-/// only if `counts`.
+/// Writes the response to a query for a job's state. `done` and `running` are numbers of tasks;
+/// they are written only if `counts` is true.
 [[nodiscard]] std::string encode_job_state(const std::string& id, JobState state,
                                            std::uint64_t done, std::uint64_t running, bool counts);
 
--- a/src/wire/worker_codec.cpp
+++ b/src/wire/worker_codec.cpp
@@ -8,13 +8,14 @@
 namespace shunttrail::wire {
 namespace {
 
-/// Notices and ages may lie in the past.
+/// Minimum of the seconds until the cloud takes the machine back; negative if that time has passed.
 constexpr double kMinNoticeS = -1e9;
 
 TaskState parse_task_state(const std::string& name) {
   for (std::size_t i = 0; i < std::size(kTaskStateNames); ++i)
     if (name == kTaskStateNames[i]) return static_cast<TaskState>(i);
-  // A state that this version does not know: the task is there, in whatever way.
+  // A worker of a later version may report a state that is unknown here. The task is still on the
+  // machine, so it counts as running.
   return TaskState::running;
 }
 
--- a/src/wire/worker_codec.h
+++ b/src/wire/worker_codec.h
@@ -1,6 +1,6 @@
 /// @file
-/// Bodies that workers and controllers exchange: heartbeats, their answers, and commands that a
-/// controller sends to a worker by itself (PROTOCOL, Workers).
+/// Bodies that workers and controllers exchange: heartbeats, the responses to them, and direct
+/// commands, which a controller sends to a worker in a request of its own (PROTOCOL, Workers).
 #pragma once
 #include <cstdint>
 #include <string>
@@ -14,13 +14,13 @@
 
 /// Reads a worker's heartbeat. Throws Malformed.
 [[nodiscard]] Heartbeat decode_heartbeat(std::string_view body);
-/// The answer to a heartbeat: the shard's token and what the worker is to do.
+/// Writes the response to a heartbeat: the shard's fencing token and commands to the worker.
 [[nodiscard]] std::string encode_heartbeat_response(std::uint64_t token,
                                                     const std::vector<Command>& commands);
-/// Commands sent without a heartbeat. The worker obeys them only as the incarnation `incarnation`.
+/// Writes direct commands. The worker obeys them only if `incarnation` is its current one.
 [[nodiscard]] std::string encode_direct_commands(std::uint64_t token, std::uint64_t incarnation,
                                                  const std::vector<Command>& commands);
-/// The answer that names the node to ask instead; empty: none is known.
+/// Writes the response that redirects a worker to `node`. If `node` is empty, it names no node.
 [[nodiscard]] std::string encode_redirect(const std::string& node);
 
 }  // namespace shunttrail::wire
