--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -15,17 +15,20 @@
 
 using nlohmann::json;
 
-/// Most nodes of a cluster.
+/// Maximum number of nodes of a cluster.
 constexpr double kMaxNodes = 1000;
+/// Maximum of a lease or of the time to cancel a job.
 constexpr double kMaxDurationS = 86400;
-/// The state service's own limits of a value and a transaction.
+/// Maxima that the settings may state for the size of a value and the number of changes in a
+/// transaction: the state service accepts no more.
 constexpr double kMaxValueKb = 64;
 constexpr double kMaxTransactionOps = 100000;
-/// A cancellation has to be read, answered and carried out in the time above the lease.
+/// Minimum of cancel_s minus lease_s. In this time a cancellation is read, sent to the workers and
+/// carried out.
 constexpr double kMinCancelMarginS = 5;
-/// What a GPU weighs beside a CPU when teams are divided among shards.
+/// Number of CPUs that one GPU counts as when teams are distributed among shards.
 constexpr double kCpusPerGpu = 16;
-/// Makes a team without guarantees count a little, so that such teams are divided as well.
+/// Weight that is added for each team, so that teams without guarantees are distributed as well.
 constexpr double kMinTeamWeight = 1e-6;
 
 template <class List, class GetName>
@@ -54,8 +57,9 @@
   }
   settings.nodes.push_back(settings.node);
   std::sort(settings.nodes.begin(), settings.nodes.end());
-  if (std::adjacent_find(settings.nodes.begin(), settings.nodes.end()) != settings.nodes.end())
-    throw_settings_error("siblings", "name a node twice");
+  const auto twice = std::adjacent_find(settings.nodes.begin(), settings.nodes.end());
+  if (twice != settings.nodes.end())
+    throw_settings_error("siblings", "and host_name name node " + *twice + " twice");
   settings.self = settings.node_index(settings.node);
 }
 
@@ -70,11 +74,15 @@
     throw_settings_error("cluster.zones", "is not a non-empty list");
   for (const json& zone : zones) {
     if (!zone.is_string())
-      throw_settings_error("cluster.zones", "holds something that is not a string");
+      throw_settings_error("cluster.zones", "holds " + zone.dump() + ", expected strings");
     settings.zones.push_back(zone.get<std::string>());
   }
 }
 
+std::string below_guarantee(double limit, double guarantee) {
+  return "is " + number_text(limit) + ", below the guarantee of " + number_text(guarantee);
+}
+
 Team read_team(const Section& section) {
   Team team;
   team.name = section.text("name");
@@ -83,9 +91,9 @@
   team.gpus = section.number("gpus", 0);
   team.gpus_max = team_limit(section.number("gpus_max", 0));
   if (team.cpus_max < team.cpus)
-    throw_settings_error(section.path("cpus_max"), "is below the guarantee");
+    throw_settings_error(section.path("cpus_max"), below_guarantee(team.cpus_max, team.cpus));
   if (team.gpus_max < team.gpus)
-    throw_settings_error(section.path("gpus_max"), "is below the guarantee");
+    throw_settings_error(section.path("gpus_max"), below_guarantee(team.gpus_max, team.gpus));
   return team;
 }
 
@@ -96,7 +104,8 @@
     const Section section(teams[i], "cluster.teams[" + std::to_string(i) + "]");
     Team team = read_team(section);
     if (settings.team_index(team.name) >= 0)
-      throw_settings_error(section.path("name"), "is used twice");
+      throw_settings_error(section.path("name"),
+                           "is " + team.name + ", the name of an earlier team");
     settings.teams.push_back(std::move(team));
   }
 }
@@ -106,10 +115,14 @@
   settings.lease_s = workers.number("lease_s", 1, kMaxDurationS);
   settings.cancel_s = workers.number("cancel_s", 1, kMaxDurationS);
   if (settings.cancel_s < settings.lease_s + kMinCancelMarginS)
-    throw_settings_error(workers.path("cancel_s"), "leaves no room above lease_s");
+    throw_settings_error(workers.path("cancel_s"),
+                         "is " + number_text(settings.cancel_s) + ", expected at least " +
+                             number_text(settings.lease_s + kMinCancelMarginS) +
+                             ", which is lease_s plus " + number_text(kMinCancelMarginS));
 }
 
-/// What is announced for later: the present limits, but for what is named.
+/// Reads the limits that are announced for later. A limit that is not announced keeps its present
+/// value.
 Settings::StateLimits read_next_limits(const Section& state, const Settings::StateLimits& present) {
   if (!state.contains("next") || state.required("next").is_null()) return present;
   if (!state.required("next").is_object())
@@ -144,7 +157,8 @@
 
 void read_cluster(const Section& cluster, Settings& settings) {
   if (cluster.whole("size", 1, kMaxNodes) != settings.shards())
-    throw_settings_error("cluster.size", "does not match the siblings");
+    throw_settings_error("cluster.size", "expected " + std::to_string(settings.shards()) +
+                                             ", the number of siblings plus this node");
   read_zones(cluster, settings);
   read_teams(cluster, settings);
   read_workers(cluster.section("workers"), settings);
@@ -156,8 +170,8 @@
 
 double guarantee_weight(const Team& team) { return team.cpus + kCpusPerGpu * team.gpus; }
 
-/// Gives each team, the one with the largest guarantee first, to the shard with the least so far.
-/// All controllers come to the same result.
+/// Assigns the teams in descending order of their guarantees, each to the shard with the smallest
+/// sum so far. Returns the shard of each team. All controllers compute the same result.
 std::vector<int> divide_teams(const std::vector<Team>& teams, int shards) {
   std::vector<int> order(teams.size());
   std::iota(order.begin(), order.end(), 0);
@@ -195,7 +209,7 @@
 
 double Settings::staleness_bound_s() const {
   constexpr double kMinS = 2.0;
-  /// Left for the last answer and for the tasks to stop.
+  /// Time for the leader's last answer to arrive and for the tasks to stop.
   constexpr double kMarginS = 3.0;
   return std::max(kMinS, cancel_s - lease_s - kMarginS);
 }
@@ -206,7 +220,7 @@
   if (!document.is_object()) throw_settings_error("settings", "are not an object");
   const Section root(document, "");
   Settings settings;
-  // In this order: of several errors the first one is told.
+  // The order decides which error is reported if several fields are invalid.
   read_node(root, settings);
   read_peers(root, settings);
   read_services(root.section("services"), settings);
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -9,16 +9,18 @@
 
 using Reader = Readers::mapped_type;
 
-/// A reader that puts a whole number in this range into `to`.
+/// Returns a reader that stores a whole number from `min` to `max` in `to`.
 Reader whole_into(int& to, int min, int max) {
   return [&to, min, max](pugi::xml_node node, const std::string& path) {
     const double number = xml_number(node.child_value(), path, min, max);
-    if (number != std::floor(number)) throw_settings_error(path, "is not a whole number");
+    if (number != std::floor(number))
+      throw_settings_error(path,
+                           std::string("is ") + node.child_value() + ", expected a whole number");
     to = static_cast<int>(number);
   };
 }
 
-/// A reader that puts true or false into `to`.
+/// Returns a reader that stores true or false in `to`.
 Reader flag_into(bool& to) {
   return [&to](pugi::xml_node node, const std::string& path) {
     to = xml_flag(node.child_value(), path);
--- a/src/config/xml.cpp
+++ b/src/config/xml.cpp
@@ -11,16 +11,29 @@
 constexpr std::size_t kMaxPortDigits = 5;
 
 std::uint16_t parse_port(const std::string& text, const std::string& path) {
+  const std::string problem =
+      "has port \"" + text + "\", expected 1 to " + std::to_string(kMaxPort);
   if (text.empty() || text.size() > kMaxPortDigits ||
       text.find_first_not_of("0123456789") != std::string::npos)
-    throw_settings_error(path, "has a bad port");
+    throw_settings_error(path, problem);
   const int port = std::stoi(text);
-  if (port < 1 || port > kMaxPort) throw_settings_error(path, "has a bad port");
+  if (port < 1 || port > kMaxPort) throw_settings_error(path, problem);
   return static_cast<std::uint16_t>(port);
 }
 
 }  // namespace
 
+std::string number_text(double number) {
+  std::ostringstream out;
+  out.imbue(std::locale::classic());
+  out << number;
+  return out.str();
+}
+
+std::string range_text(double min, double max) {
+  return number_text(min) + " to " + number_text(max);
+}
+
 pugi::xml_node load_xml(pugi::xml_document& document, const std::string& text, const char* root) {
   const pugi::xml_parse_result result = document.load_buffer(text.data(), text.size());
   if (!result) {
@@ -60,7 +73,8 @@
   std::string rest;
   const bool is_number = (in >> number) && !(in >> rest) && std::isfinite(number);
   if (!is_number || number < min || number > max)
-    throw_settings_error(path, "is not a number in range");
+    throw_settings_error(path,
+                         "is \"" + text + "\", expected a number from " + range_text(min, max));
   return number;
 }
 
@@ -72,19 +86,21 @@
 }
 
 bool xml_flag(const std::string& text, const std::string& path) {
-  if (text != "true" && text != "false") throw_settings_error(path, "is neither true nor false");
+  if (text != "true" && text != "false")
+    throw_settings_error(path, "is \"" + text + "\", expected true or false");
   return text == "true";
 }
 
 std::string xml_attribute(pugi::xml_node node, const std::string& path, const char* name) {
   std::string value = node.attribute(name).value();
-  if (value.empty()) throw_settings_error(path, std::string("has no ") + name);
+  if (value.empty()) throw_settings_error(path, std::string("has no attribute ") + name);
   return value;
 }
 
 Endpoint parse_endpoint(const std::string& text, const std::string& path) {
   const auto colon = text.rfind(':');
-  if (colon == std::string::npos || colon == 0) throw_settings_error(path, "is not host:port");
+  if (colon == std::string::npos || colon == 0)
+    throw_settings_error(path, "is \"" + text + "\", expected host:port");
   return {text.substr(0, colon), parse_port(text.substr(colon + 1), path)};
 }
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -180,7 +180,7 @@
   EXPECT_EQ(message("{"), "settings: are not JSON");
   EXPECT_EQ(message("{}"), "host_name: is missing");
   EXPECT_EQ(message(R"({"host_name":"a","zone":"z","front":"1.2.3.4:99999"})"),
-            "front: has a bad port");
+            "front: has port \"99999\", expected 1 to 65535");
 }
 // A controller that lost the state service and the other controllers, but not its workers, told the
 // load balancer that it was well, and answered every user 503.
@@ -226,11 +226,11 @@
   const auto most = jobs::Resources::of(t.gpus_max, t.gpus_max, 0);
   EXPECT_GT(most.cpus, (jobs::Resources::of(1e9, 0, 0) + jobs::Resources::of(1e9, 0, 0)).cpus);
   EXPECT_EQ(message(R"("cpus":4,"cpus_max":3,"gpus":0,"gpus_max":0)"),
-            "cluster.teams[0].cpus_max: is below the guarantee");
+            "cluster.teams[0].cpus_max: is 3, below the guarantee of 4");
   EXPECT_EQ(message(R"("cpus":4,"cpus_max":4,"gpus":2,"gpus_max":1)"),
-            "cluster.teams[0].gpus_max: is below the guarantee");
+            "cluster.teams[0].gpus_max: is 1, below the guarantee of 2");
   EXPECT_EQ(message(R"("cpus":-1,"cpus_max":0,"gpus":0,"gpus_max":0)"),
-            "cluster.teams[0].cpus: is out of range");
+            "cluster.teams[0].cpus: is -1, expected 0 to 1e+12");
   EXPECT_EQ(message(R"("cpus":0,"cpus_max":"x","gpus":0,"gpus_max":0)"),
             "cluster.teams[0].cpus_max: is not a number");
 }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -131,7 +131,8 @@
     return std::string();
   };
   EXPECT_EQ(message(R"(,"next":7)"), "cluster.state.next: is not an object");
-  EXPECT_EQ(message(R"(,"next":{"txn_ops":1})"), "cluster.state.next.txn_ops: is out of range");
+  EXPECT_EQ(message(R"(,"next":{"txn_ops":1})"),
+            "cluster.state.next.txn_ops: is 1, expected 2 to 100000");
   EXPECT_EQ(message(R"(,"next":{"value_kb":"2"})"), "cluster.state.next.value_kb: is not a number");
 }
 
