--- a/src/actor/loop.cpp
+++ b/src/actor/loop.cpp
@@ -11,7 +11,7 @@
   void operator()(event_config* resource) const { event_config_free(resource); }
 };
 
-// Negative times are now.
+// Converts a delay; negative delays count as 0.
 timeval to_timeval(double seconds) {
   if (seconds < 0) seconds = 0;
   timeval time;
@@ -28,7 +28,8 @@
   std::unique_ptr<event_config, ConfigFree> config(event_config_new());
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_NOLOCK);
   base_.reset(event_base_new_with_config(config.get()));
-  if (!base_) throw std::runtime_error("cannot make an event loop");
+  if (!base_)
+    throw std::runtime_error("cannot create an event loop: libevent has no usable back end");
 }
 
 double steady_now() { return to_seconds(std::chrono::steady_clock::now().time_since_epoch()); }
@@ -77,7 +78,8 @@
 }
 
 void Actor::process_mailbox() {
-  // Only what is here now: what these messages post is handled in the next event.
+  // Handles only the messages that are present now. Messages that these post are handled in the
+  // next event.
   for (std::size_t left = mailbox_.size(); left > 0; --left) {
     Message message = std::move(mailbox_.front());
     message();
--- a/src/actor/loop.h
+++ b/src/actor/loop.h
@@ -1,4 +1,4 @@
-// The event loop of the process, timers on it, and the mailboxes of its actors.
+// The event loop of a process, its timers, and the mailboxes of its actors.
 #pragma once
 #include <event2/event.h>
 
@@ -14,37 +14,37 @@
 };
 using EventPtr = std::unique_ptr<event, EventFree>;
 
-/// This machine's steady clock, in seconds.
+/// Returns the time of this machine's steady clock, in seconds.
 [[nodiscard]] double steady_now();
-/// This machine's time of day, in seconds since 1970.
+/// Returns this machine's time of day, in seconds since 1970.
 [[nodiscard]] double wall_now();
 
-/// What drives a loop instead of this machine's clocks and events: a simulated host
-// (src/simulation).
+/// The source of time and events of a simulated host (src/simulation). It drives a loop in place of
+/// this machine's clocks and events.
 class EventSource {
  public:
-  using Handle = std::shared_ptr<void>;  ///< released: the event does not run any more
+  using Handle = std::shared_ptr<void>;  ///< releasing it cancels the event
   virtual ~EventSource() = default;
   virtual double now() const = 0;
   virtual double wall_now() const = 0;
-  /// Runs `fn` once, as an event of its own, so many seconds from now.
+  /// Runs `fn` once, as an event of its own, `seconds` from now.
   [[nodiscard]] virtual Handle schedule(double seconds, std::function<void()> fn) = 0;
 };
 
 /// The event loop of a process, or of a simulated host.
 class Loop {
  public:
-  /// Throws std::runtime_error.
+  /// Makes a loop on this machine's clocks. Throws std::runtime_error on failure.
   Loop();
   explicit Loop(EventSource& simulated) : simulated_(&simulated) {}
   [[nodiscard]] event_base* base() const { return base_.get(); }
-  /// Null: the loop runs on this machine's clocks.
+  /// Returns the simulated host, or null if the loop runs on this machine's clocks.
   [[nodiscard]] EventSource* simulated() const { return simulated_; }
   [[nodiscard]] double now() const { return simulated_ ? simulated_->now() : steady_now(); }
   [[nodiscard]] double wall_now() const {
     return simulated_ ? simulated_->wall_now() : actor::wall_now();
   }
-  /// Runs this machine's events, until stop(). Not for a simulated host.
+  /// Runs events until stop() is called. Must not be called for a simulated host.
   void run() { event_base_dispatch(base_.get()); }
   void stop() { event_base_loopbreak(base_.get()); }
 
@@ -53,7 +53,7 @@
   std::unique_ptr<event_base, EventFree> base_;
 };
 
-/// Calls a function once, some time after it was set; setting it again replaces the time.
+/// Calls a function once, after a delay. Setting the timer again replaces the delay.
 class Timer {
  public:
   Timer(Loop& loop, std::function<void()> fn);
@@ -69,8 +69,8 @@
   EventPtr event_;
 };
 
-/// An actor owns its state. Others leave messages in its mailbox; they are handled one at a time,
-/// in order, so no handler ever runs inside another one.
+/// Base of objects that share no state. Others post messages to the mailbox of an actor. Messages
+/// are handled one at a time, in order, so no handler ever runs inside another one.
 class Actor {
  public:
   using Message = std::function<void()>;
@@ -79,10 +79,11 @@
   Actor(const Actor&) = delete;
   Actor& operator=(const Actor&) = delete;
   void post(Message message);
-  /// How many messages wait.
+  /// Returns the number of messages in the mailbox.
   [[nodiscard]] std::size_t waiting() const { return mailbox_.size(); }
 
-  /// A reply address: calling it leaves a message here that runs `handler` with the values.
+  /// Returns a function that posts a message to this actor. The message runs `handler` with the
+  /// function's arguments.
   template <class... Values, class Handler>
   std::function<void(Values...)> reply(Handler handler) {
     return [this, handler = std::move(handler)](Values... values) {
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -9,7 +9,7 @@
 namespace shunttrail::log {
 namespace {
 
-// Of the whole process.
+// Returns the name of the program, which is one for the whole process.
 std::string& program_name() {
   static std::string name;
   return name;
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,4 +1,4 @@
-// Structured logs of the product's own programs: one JSON object a line on standard error.
+// Structured logs of this project's programs: one JSON object per line on standard error.
 #pragma once
 #include <spdlog/spdlog.h>
 
@@ -6,11 +6,11 @@
 
 namespace shunttrail::log {
 
-/// Names the program in each line, and sets the level from LOG_LEVEL (error, info or debug; `info`
-/// if it is not set). Called once, before the first line.
+/// Sets the program's name, which each line holds, and the level from LOG_LEVEL (error, info or
+/// debug; `info` if it is not set). Must be called once, before the first line is written.
 void open(const char* program);
-/// Writes a line: the fields, and `at` (wall clock, for people; nothing is decided by it), `level`,
-/// `program` and `what`.
+/// Writes a line with the fields and with `at` (wall clock time, for readers only; no decision
+/// depends on it), `level`, `program` and `what`, which is `message`.
 void write(spdlog::level::level_enum level, const char* message, nlohmann::json fields);
 
 inline void error(const char* message, nlohmann::json fields = nlohmann::json::object()) {
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -16,7 +16,7 @@
 constexpr ssize_t kMaxHeaderBytes = 16 * 1024;
 constexpr int kServerTimeoutS = 60;
 
-// All that is in the buffer.
+// Removes all bytes from the buffer and returns them.
 std::string drain_buffer(evbuffer* buffer) {
   std::string bytes(evbuffer_get_length(buffer), '\0');
   if (!bytes.empty()) evbuffer_remove(buffer, bytes.data(), bytes.size());
@@ -68,7 +68,8 @@
   return {static_cast<time_t>(seconds), static_cast<suseconds_t>((seconds - whole) * 1e6)};
 }
 
-// The answer of a request that libevent has finished.
+// Returns the outcome of a request that libevent has finished; `request` is null if the connection
+// failed.
 Result to_result(evhttp_request* request) {
   Result result;
   if (request) result.status = evhttp_request_get_response_code(request);
@@ -173,7 +174,7 @@
   double timeout_s = 0;
   Done done;
   ConnectionPtr connection;
-  Network::Handle in_flight;  // on a simulated network
+  Network::Handle in_flight;  // the request, on a simulated network
 };
 
 Client::Client(actor::Loop& loop, const config::Endpoint& to, std::size_t max_connections,
@@ -229,7 +230,7 @@
       [this, started](Result result) { complete(started, std::move(result)); });
 }
 
-// An idle connection, or a new one; null: there is none to be had.
+// Returns an idle connection, or else a new one; null if none can be made.
 Client::ConnectionPtr Client::take_connection() {
   if (idle_connections_.empty())
     return ConnectionPtr(
@@ -270,14 +271,16 @@
   owned->done(std::move(result));
 }
 
-// A simulated network has no connections.
+// Keeps a usable connection for later requests and frees a failed one. `connection` is null on a
+// simulated network.
 void Client::release_connection(ConnectionPtr connection, bool is_usable) {
   if (!connection) return;
   if (is_usable) {
     idle_connections_.push_back(std::move(connection));
     return;
   }
-  // libevent still uses the connection when this callback returns.
+  // libevent still uses the connection after this callback returns, so it is freed in a later
+  // event.
   failed_connections_.push_back(std::move(connection));
   free_failed_timer_.after(0);
 }
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -2,7 +2,8 @@
 
 namespace shunttrail::net {
 namespace {
-constexpr std::size_t kMaxQueue = 4;  // requests that wait for one server's connection
+constexpr std::size_t kMaxQueue =
+    4;  // maximum number of requests that wait for the connection of one client
 }  // namespace
 
 Client& Pool::at(const std::string& name, const config::Endpoint& to, std::size_t max_clients) {
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -1,5 +1,6 @@
-// Clients to many servers, by name, each with one connection that stays open, and a limit on their
-// number: a process may hold so many sockets, and its own servers need some of them.
+// A pool of HTTP clients to many servers. Each client keeps one connection open. The number of
+// clients is limited, since the process has a quota of sockets and its own servers need some of
+// them.
 #pragma once
 #include <cstddef>
 #include <memory>
@@ -10,11 +11,12 @@
 
 namespace shunttrail::net {
 
+/// Clients by name.
 class Pool {
  public:
   explicit Pool(actor::Loop& loop) : loop_(loop) {}
-  /// The client of this name, made if there is none. Beyond `max_clients` (from 1), idle ones are
-  /// closed for it; where all are busy there is one more.
+  /// Returns the client of this name; makes it if there is none. If there are `max_clients` (at
+  /// least 1) already, idle clients are closed first; if all are busy, the limit is exceeded.
   Client& at(const std::string& name, const config::Endpoint& to, std::size_t max_clients);
   void erase(const std::string& name) { clients_.erase(name); }
   void clear() { clients_.clear(); }
