--- a/src/actor/loop.cpp
+++ b/src/actor/loop.cpp
@@ -29,7 +29,7 @@
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_NOLOCK);
   base_.reset(event_base_new_with_config(config.get()));
   if (!base_)
-    throw std::runtime_error("cannot create an event loop: libevent has no usable back end");
+    throw std::runtime_error("cannot create an event loop: event_base_new_with_config failed");
 }
 
 double steady_now() { return to_seconds(std::chrono::steady_clock::now().time_since_epoch()); }
--- a/src/client_protocol/client_protocol.cpp
+++ b/src/client_protocol/client_protocol.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// Limits of the cloud and the state service (PROTOCOL).
-constexpr std::uint64_t kMaxRented = 50;  // machines in one request
-constexpr std::size_t kMaxDeleted = 100;  // machines in one request
+// Limits that the cloud and the state service enforce (PROTOCOL).
+constexpr std::uint64_t kMaxRented = 50;  // machines rented by one request
+constexpr std::size_t kMaxDeleted = 100;  // machines deleted by one request
 constexpr std::size_t kMaxKeyBytes = 200;
 constexpr std::uint64_t kMinLeaseMs = 100, kMaxLeaseMs = 600000;
 
@@ -59,7 +59,7 @@
   return fields;
 }
 
-// Each entry by itself: one that makes no sense is refused, the others are taken.
+// Decodes each entry separately. An invalid entry is added to `refused`; the others are kept.
 void decode_commands(const json& list, HeartbeatResponse& response) {
   if (!list.is_array()) throw Malformed("orders is not a list");
   for (std::size_t i = 0; i < list.size(); ++i) {
@@ -99,7 +99,8 @@
   return operation;
 }
 
-// The list of this name; null: there is none.
+// Returns the array field of this name, or null if it is absent. Throws Malformed if it has another
+// type.
 const json* find_list(const json& fields, const char* name) {
   const json* list = find(fields, name);
   if (list && !list->is_array()) throw Malformed(std::string(name) + " is not a list");
--- a/src/client_protocol/client_protocol.h
+++ b/src/client_protocol/client_protocol.h
@@ -1,6 +1,6 @@
-// The other sides of the controllers' interfaces: what workers, users, the cloud and the state
-// service send and understand. The controllers' side is wire/codec.h; the wire names are shared
-// with it. Decoders throw wire::Malformed and nothing else. Source: PROTOCOL, section by section.
+// Codecs of the programs that talk to controllers: workers, users, the cloud and the state service.
+// The codecs of the controllers are in wire/codec.h; both use the same wire names. Decoders throw
+// wire::Malformed and nothing else. The sections below follow PROTOCOL.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -17,22 +17,23 @@
 
 std::string encode_heartbeat(const wire::Heartbeat& heartbeat);
 
-/// The answer to a heartbeat, or direct commands.
+/// The response to a heartbeat, or direct commands.
 struct HeartbeatResponse {
   std::optional<std::uint64_t> token;
-  std::optional<std::uint64_t> incarnation;  ///< of direct commands alone
-  std::vector<wire::Command> commands;       ///< in order
-  std::vector<std::string> refused;          ///< one line for each entry that is no command
+  std::optional<std::uint64_t> incarnation;  ///< only in direct commands
+  std::vector<wire::Command> commands;       ///< in the order of the body
+  std::vector<std::string> refused;  ///< one error line for each entry that is not a command
 };
-/// The envelope must be whole; an entry that makes no sense is refused by itself and the others are
-/// taken, since none of them may depend on what this version does not know.
+/// Throws Malformed if the body is invalid outside its list of commands. An invalid command is only
+/// listed in `refused`, and the other commands are kept: a later version may send commands that
+/// this version does not know.
 HeartbeatResponse decode_heartbeat_response(std::string_view body);
-/// The node named by a 421; empty: none.
+/// Returns the node that the body of a 421 response names; an empty string if it names none.
 std::string redirect_of(std::string_view body);
 
 // --- Users
 
-/// A job's state, and how many of its tasks are done and running.
+/// State of a job, and the numbers of its tasks that are done and running.
 struct JobAnswer {
   std::string id;
   wire::JobState state = wire::JobState::queued;
@@ -43,6 +44,7 @@
 // --- Cloud
 
 std::string encode_types(const std::vector<wire::MachineType>& types);
+/// A request to rent `count` machines. `name` is its idempotency key.
 struct RentRequest {
   std::string name, type, zone;
   bool spot = false;
@@ -57,7 +59,7 @@
 
 wire::Transaction decode_transaction(std::string_view body);
 std::uint64_t decode_life_ms(std::string_view body);
-/// `value` is JSON text already; `lease` 0: none.
+/// Writes a key with its value, which is JSON text already. A `lease` of 0 means no lease.
 std::string encode_entry(const std::string& key, const std::string& value,
                          std::uint64_t mod_revision, std::uint64_t lease);
 std::string encode_watch(std::uint64_t revision, const std::vector<wire::Event>& events);
--- a/src/client_protocol/job_description.cpp
+++ b/src/client_protocol/job_description.cpp
@@ -9,22 +9,28 @@
 namespace {
 
 constexpr std::size_t kMaxArgumentBytes = 32768;
+/// Length of an image's hash, in hexadecimal digits.
 constexpr std::size_t kHashDigits = 64;
 constexpr std::uint64_t kMinExitStatus = 1, kMaxExitStatus = 255;
 
-// Longer than other texts, and of any bytes but NUL, which no argument can hold.
+// Reads an argument or a variable's value. It may be longer than other texts and hold any bytes but
+// NUL, which ends an argument of a process.
 std::string decode_argument(const json& value, const char* name) {
-  if (!value.is_string()) throw Malformed(std::string(name) + " holds what is not a string");
+  if (!value.is_string())
+    throw Malformed(std::string(name) + " holds an element that is not a string");
   const auto& argument = value.get_ref<const std::string&>();
-  if (argument.size() > kMaxArgumentBytes) throw Malformed(std::string(name) + " is too long");
-  if (argument.find('\0') != std::string::npos) throw Malformed(std::string(name) + " holds a NUL");
+  if (argument.size() > kMaxArgumentBytes)
+    throw Malformed(std::string(name) + " holds an element of " + std::to_string(argument.size()) +
+                    " bytes, expected at most " + std::to_string(kMaxArgumentBytes));
+  if (argument.find('\0') != std::string::npos)
+    throw Malformed(std::string(name) + " holds an element with a NUL byte");
   return argument;
 }
 
 std::vector<std::string> decode_command(const json& arguments) {
   std::vector<std::string> command;
   for (const json& argument : arguments) command.push_back(decode_argument(argument, "command"));
-  if (command.empty() || command[0].empty()) throw Malformed("command is empty");
+  if (command.empty() || command[0].empty()) throw Malformed("command names no program");
   return command;
 }
 
@@ -33,7 +39,8 @@
   std::map<std::string, std::string> environment;
   for (auto it = fields.begin(); it != fields.end(); ++it) {
     if (it.key().empty() || it.key().find('=') != std::string::npos)
-      throw Malformed("env holds a bad name");
+      throw Malformed("env holds the variable name " + json(it.key()).dump() +
+                      ", expected a non-empty name without =");
     environment[it.key()] = decode_argument(it.value(), "env");
   }
   return environment;
@@ -42,7 +49,8 @@
 std::string decode_image(const json& value) {
   std::string hash = as_text(value, "image");
   if (hash.size() != kHashDigits || hash.find_first_not_of("0123456789abcdef") != std::string::npos)
-    throw Malformed("image is not a hash");
+    throw Malformed("image is not a hash of " + std::to_string(kHashDigits) +
+                    " lowercase hexadecimal digits");
   return hash;
 }
 
@@ -52,7 +60,8 @@
   for (const json& value : list) {
     const std::uint64_t exit = as_whole(value, "retry_exits");
     if (exit < kMinExitStatus || exit > kMaxExitStatus)
-      throw Malformed("retry_exits is out of range");
+      throw Malformed("retry_exits holds " + std::to_string(exit) + ", expected " +
+                      std::to_string(kMinExitStatus) + " to " + std::to_string(kMaxExitStatus));
     exits.push_back(static_cast<int>(exit));
   }
   return exits;
--- a/src/client_protocol/job_description.h
+++ b/src/client_protocol/job_description.h
@@ -1,5 +1,6 @@
-// A job's description in the artifact store, under "jobs/ID": what its tasks run. Users write it
-// once, before they submit the job; workers read it when they are told to start one of its tasks.
+// A job's description in the artifact store, under "jobs/ID": the command and environment of its
+// tasks. Users write it once, before they submit the job. Workers read it when they receive a
+// command to start one of its tasks.
 #pragma once
 #include <map>
 #include <string>
@@ -10,13 +11,15 @@
 
 namespace shunttrail::client_protocol {
 
+/// Description of a job, with the specification that is submitted.
 struct JobDescription {
   wire::JobSpec job;
   std::vector<std::string> command;  ///< program and arguments; the program is looked up in PATH
-  std::map<std::string, std::string> env;  ///< added to the agent's own
-  std::string image;                       ///< the hash of a tar file; empty: none
-  double limit_s = 0;                      ///< a task that runs longer is killed; 0: none
-  /// A task that exits with one of these asks to be run elsewhere; every other exit ends it.
+  std::map<std::string, std::string> env;  ///< variables that are added to the agent's environment
+  std::string image;                       ///< hash of a tar file; empty: no image
+  double limit_s = 0;                      ///< a task that runs longer is killed; 0: no limit
+  /// A task that exits with one of these statuses is run again on another machine. Every other exit
+  /// status ends the task.
   std::vector<int> retry_exits = {75};
 };
 
@@ -35,13 +38,14 @@
 }
 inline std::string image_name(const std::string& image) { return "images/" + image; }
 
-/// What a finished task leaves, under its result's name, written once: the first one counts.
+/// Result of a finished task, stored under its result name. It is written once: the first result
+/// counts.
 struct TaskResult {
   std::uint64_t attempt = 0;
   std::string machine;
   int exit = 0;
-  std::string reason;    ///< in words, where the exit status alone does not tell
-  std::string out, err;  ///< hashes of its standard output and error; empty: there is none
+  std::string reason;    ///< reason in words, if the exit status alone does not tell it
+  std::string out, err;  ///< hashes of standard output and error; empty: no output
   double ran_s = 0;
 };
 std::string encode_result(const TaskResult& result);
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -14,8 +14,7 @@
   return [&to, min, max](pugi::xml_node node, const std::string& path) {
     const double number = xml_number(node.child_value(), path, min, max);
     if (number != std::floor(number))
-      throw_settings_error(path,
-                           std::string("is ") + node.child_value() + ", expected a whole number");
+      throw_settings_error(path, "is " + number_text(number) + ", expected a whole number");
     to = static_cast<int>(number);
   };
 }
--- a/src/config/xml.h
+++ b/src/config/xml.h
@@ -17,6 +17,8 @@
   throw SettingsError(path + ": " + why);
 }
 
+/// Returns a text for an error: in quotation marks, and on one line.
+std::string quoted(const std::string& text);
 /// Returns a number for an error text, such as "1e+12".
 std::string number_text(double number);
 /// Returns a range for an error text, such as "0 to 1e+12".
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,5 @@
-// Formats, by generated inputs: what is written is read back, and garbage is Malformed, no more.
+// Codecs with generated inputs: encoded values are decoded unchanged, and a decoder throws nothing
+// but Malformed for arbitrary bytes. Also peer heartbeats, settings and tuning.
 #include "wire/codec.h"
 
 #include <gtest/gtest.h>
@@ -182,21 +183,21 @@
   EXPECT_EQ(message(R"({"host_name":"a","zone":"z","front":"1.2.3.4:99999"})"),
             "front: has port \"99999\", expected 1 to 65535");
 }
-// A controller that lost the state service and the other controllers, but not its workers, told the
-// load balancer that it was well, and answered every user 503.
+// Guards against a controller that has lost the state service and the other controllers, but not
+// its workers: it reported itself healthy to the load balancer and answered every user 503.
 TEST(Peer, ANodeCutOffFromTheOthersYieldsItsUsersButNotInAnOutage) {
   using peer::PeerStatus;
   const PeerStatus self, serves{99, true}, waits{99, false}, old{90, true};
   EXPECT_TRUE(peer::another_serves({self, serves, waits}, 0, 100));
-  EXPECT_FALSE(peer::another_serves({self, waits, waits}, 0, 100));  // an outage
+  EXPECT_FALSE(peer::another_serves({self, waits, waits}, 0, 100));  // an outage: no node serves
   EXPECT_FALSE(peer::another_serves({self, waits, old}, 0, 100));
-  EXPECT_TRUE(peer::another_serves({self, old, old}, 0, 100));  // cut off from all
-  EXPECT_TRUE(peer::another_serves({self, old}, 99, 100));      // just started
-  EXPECT_FALSE(peer::another_serves({self}, 0, 100));           // there is nobody else
+  EXPECT_TRUE(peer::another_serves({self, old, old}, 0, 100));  // cut off from all other nodes
+  EXPECT_TRUE(peer::another_serves({self, old}, 99, 100));      // started a moment ago
+  EXPECT_FALSE(peer::another_serves({self}, 0, 100));           // there is no other node
 }
 
-// A deployment whose teams have neither guarantees nor limits says so by 0, and every submission
-// was answered 422.
+// A deployment states 0 for teams without guarantees and limits. When 0 was read as a limit of
+// zero, every submission was answered 422.
 TEST(Settings, ALimitOfZeroMeansUnlimited) {
   auto with = [](const std::string& team) {
     return config::parse_settings(
@@ -218,11 +219,11 @@
   auto t = with(R"("cpus":0,"cpus_max":0,"gpus":0.0,"gpus_max":3)").teams[0];
   EXPECT_TRUE(std::isinf(t.cpus_max));
   EXPECT_EQ(t.gpus_max, 3);
-  // Cards each by themselves, and a guarantee without a limit.
+  // CPUs and GPUs are limited independently, and a guarantee needs no limit.
   t = with(R"("cpus":4,"cpus_max":8,"gpus":2,"gpus_max":0)").teams[0];
   EXPECT_EQ(t.cpus_max, 8);
   EXPECT_TRUE(std::isinf(t.gpus_max));
-  // No limit is more than any sum, and sums with it stay whole.
+  // An infinite limit is larger than any sum of amounts, and converting it does not overflow.
   const auto most = jobs::Resources::of(t.gpus_max, t.gpus_max, 0);
   EXPECT_GT(most.cpus, (jobs::Resources::of(1e9, 0, 0) + jobs::Resources::of(1e9, 0, 0)).cpus);
   EXPECT_EQ(message(R"("cpus":4,"cpus_max":3,"gpus":0,"gpus_max":0)"),
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -1,4 +1,4 @@
-// For tests over real sockets on loopback.
+// Helpers of tests over real sockets on loopback.
 #pragma once
 #include <arpa/inet.h>
 #include <event2/event.h>
@@ -14,7 +14,7 @@
 
 namespace shunttrail::test {
 
-// A port that was free a moment ago.
+// Returns a port that was free at the time of the call.
 inline std::uint16_t free_port() {
   int s = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in a{};
@@ -27,7 +27,8 @@
   return ntohs(a.sin_port);
 }
 
-// Turns the loop until it is is_done, or has turned so often that it never will be.
+// Runs the loop until is_done returns true, at most max_iterations times. Returns what is_done
+// returns at the end.
 inline bool run_loop_until(actor::Loop& loop, const std::function<bool()>& is_done,
                            int max_iterations = 20000) {
   for (int i = 0; i < max_iterations && !is_done(); ++i) {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -15,6 +15,8 @@
 namespace shunttrail::test {
 namespace {
 
+// A server that answers each request with its body, and the path /later with 503 and Retry-After.
+// It keeps requests unanswered while hold_requests is set.
 struct EchoServer {
   actor::Loop loop;
   config::Endpoint at{"127.0.0.1", free_port()};
@@ -33,7 +35,7 @@
   bool run_until(const std::function<bool()>& is_done, int max_iterations = 20000) {
     return run_loop_until(loop, is_done, max_iterations);
   }
-  // What a peer that writes these bytes and reads to the end gets.
+  // Writes the bytes to a new connection, and returns all bytes that the server sends back.
   std::string send_raw(const std::string& bytes) {
     int s = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
     sockaddr_in a{};
@@ -79,7 +81,7 @@
   RC_ASSERT(wrong == 0u);
 }
 
-// Bytes that are no request end their own connection at most; the next request is served.
+// Bytes that are not an HTTP request may end their own connection; the next request is served.
 RC_GTEST_PROP(Net, TheRequestAfterAMalformedOneIsServed, (std::string bytes)) {
   EchoServer echo;
   echo.send_raw(bytes);
@@ -107,7 +109,7 @@
             std::string::npos);
 }
 
-// A user that hangs up before its answer must not be written to, nor end the process.
+// The server must neither write to a connection that the user has closed, nor end the process.
 TEST(Net, AnAnswerToAClosedConnectionIsDropped) {
   EchoServer echo;
   echo.hold_requests = true;
@@ -119,8 +121,9 @@
   EXPECT_NE(echo.send_raw("GET /x HTTP/1.1\r\nHost: a\r\n\r\n").find("200 OK"), std::string::npos);
 }
 
-// One controller that held_requests every shard of 1,812 machines reached its 3,129 sockets: a
-// connection to each worker for direct orders was kept beside the one that the worker reports by.
+// Guards against a controller that runs out of sockets. One controller that led every shard of
+// 1,812 machines reached its quota of 3,129: for each worker it kept a connection for direct
+// commands beside the one for the worker's heartbeats.
 TEST(Net, APoolAtItsLimitClosesIdleClientsAndKeepsBusyOnes) {
   EchoServer echo;
   net::Pool pool(echo.loop);
@@ -131,7 +134,7 @@
     ASSERT_TRUE(echo.run_until([&] { return answered == i + 1; }));
     EXPECT_LE(pool.size(), 5u);
   }
-  // What is busy is not closed for another one.
+  // Busy clients are not closed, so the limit is exceeded.
   echo.hold_requests = true;
   for (int i = 0; i < 8; ++i)
     pool.at("h-" + std::to_string(i), echo.at, 5)
@@ -159,7 +162,8 @@
     event_base_loop(loop.base(), EVLOOP_NONBLOCK);
     usleep(100);
   }
-  EXPECT_EQ(answers, 3);  // one over the queue's bound at once, the others when refused
+  EXPECT_EQ(answers, 3);  // the third exceeds the queue and ends at once, the others when the
+                          // connection is refused
   EXPECT_EQ(status, 0);
 }
 
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -1,7 +1,7 @@
-// Golden values: the exact bytes of what leaves a controller and of what it stores, and how they
-// are read back. Recorded from the code before its codecs were restructured. Records, keys and
-// heartbeats that an earlier release wrote are in upgrade_test.cpp, those of the schema versions in
-// schema_test.cpp, relayed heartbeats in relay_test.cpp, what workers and the agent write in
+// Golden values: the exact bytes that a controller sends and stores, and the values that it reads
+// from them. They were recorded before the codecs were restructured. Other golden values: records,
+// keys and heartbeats of an earlier release in upgrade_test.cpp, those of the schema versions in
+// schema_test.cpp, relayed heartbeats in relay_test.cpp, bytes that workers and the agent write in
 // agent_golden_test.cpp.
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
 namespace {
 
 wire::Event event(const std::string& value) { return {"", value, 0}; }
-// `text` with "N" for each number that follows `key` (a JSON key with its colon).
+// Returns `text` with "N" in place of each number that follows `key`, a JSON key with its colon.
 std::string with_masked_numbers(std::string text, const std::string& key) {
   for (std::size_t at = text.find(key); at != std::string::npos; at = text.find(key, at)) {
     at += key.size();
@@ -86,7 +86,8 @@
   EXPECT_EQ(wire::encode_record(page, [](int) { return std::string(); }), empty);
 }
 
-// Each state and each cause that a worker may report, and what this version has no word for.
+// Each state and each exit reason that a worker may report, and names that this version does not
+// know.
 TEST(WireGolden, WorkerHeartbeatsAreDecoded) {
   auto task_json = [](const std::string& rest) {
     return R"({"car":"run-000412/3","departure":2,"signal":)" + rest + "}";
@@ -208,10 +209,11 @@
   EXPECT_EQ(e.value, R"({"a":2.0,"z":1})");
 }
 
-// ---- the bodies of a controller's own answers
+// ---- Bodies of a controller's responses
 
-// A controller over sockets on loopback, beside a state service that stands still at what is given
-// here and takes no writes: nothing in the answers depends on when they are asked for.
+// A controller on loopback sockets, with a state service that always holds the keys below and
+// rejects every write. The controller's responses therefore do not depend on the time of the
+// request.
 class ControllerOverLoopback : public ::testing::Test {
  protected:
   static constexpr const char* kStoredKeys =
@@ -231,7 +233,7 @@
     settings_.cloud = {"127.0.0.1", free_port()};
     state_ = std::make_unique<
         net::Server>(loop_, settings_.state, 64 * 1024, [this](net::ExchangePtr ex) {
-      // The time of day as N.
+      // Masks the time of day.
       requests_.insert(ex->post ? ex->path + " " + with_masked_numbers(ex->body, "\"at\":")
                                 : ex->path + "?" + ex->query);
       if (ex->path == "/kv") return ex->send({200, kStoredKeys, 0});
@@ -257,11 +259,12 @@
                                                            schema::current_build());
     front_ = std::make_unique<net::Client>(loop_, settings_.front, 1, 4);
     internal_ = std::make_unique<net::Client>(loop_, settings_.internal, 1, 4);
-    // It has read the state service and the machine types when it can tell what never runs.
+    // Waits until the controller has read the state service and the machine types. From then on it
+    // answers 422 to a job that can never run.
     for (int i = 0; i < 100; ++i)
       if (get("/v2/runs/run-100001").starts_with("200") && submit("blue").starts_with("422")) break;
   }
-  ~ControllerOverLoopback() override { held_watches_.clear(); }  // while their server is there
+  ~ControllerOverLoopback() override { held_watches_.clear(); }  // before their server is destroyed
 
   std::string ask(net::Client& to, const char* method, const std::string& path,
                   const std::string& body) {
@@ -279,7 +282,7 @@
   std::string submit(const std::string& team) {
     return post("/v2/runs", replace_first(kPlainJob, "\"red\"", "\"" + team + "\""));
   }
-  // Of the operators' address; what depends on time as N.
+  // Returns the response of the operators' address, with masked numbers where they depend on time.
   std::string internal(const std::string& path) {
     std::string answer = ask(*internal_, "GET", path, "");
     for (const char* key : {"\"since_s\":", "\"state_waited_s\":", "\"submissions\":"})
@@ -331,7 +334,7 @@
        R"(421 {"dispatcher":"node-1"})"},
       {post("/agent/beat", "{}"), "400 {}"}};
   for (const auto& [got, wanted] : rows) EXPECT_EQ(got, wanted);
-  // The lease is asked for at a tick, some time after all has been read.
+  // The controller requests its lease at a timer event some time after it has read all keys.
   const std::string lease_request = R"(/holds {"life_ms":8000})";
   run_loop_until(
       loop_, [&] { return requests_.contains(lease_request); }, 200000);
