--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -21,20 +21,20 @@
 "run_s":240.0,"milepost_s":30.0,"couple_s":4.0,"due_s":900.0,"extra":[1]})";
 
 TEST(Codec, DecodesTheExampleSubmissionOfTheProtocol) {
-  JobSpec s = decode_job(kValidJob);
-  EXPECT_EQ(s.id, "run-000412");
-  EXPECT_EQ(s.tasks, 16u);
-  EXPECT_EQ(s.priority, Priority::high);
-  EXPECT_TRUE(s.same_zone);
-  EXPECT_FALSE(s.zone);
-  EXPECT_EQ(s.deadline_s, 900.0);
+  JobSpec spec = decode_job(kValidJob);
+  EXPECT_EQ(spec.id, "run-000412");
+  EXPECT_EQ(spec.tasks, 16u);
+  EXPECT_EQ(spec.priority, Priority::high);
+  EXPECT_TRUE(spec.same_zone);
+  EXPECT_FALSE(spec.zone);
+  EXPECT_EQ(spec.deadline_s, 900.0);
 }
 
 TEST(Codec, SubmissionsWithInvalidFieldsAreRejected) {
-  auto with = [](std::string from, std::string to) {
-    std::string t = kValidJob;
-    t.replace(t.find(from), from.size(), to);
-    return t;
+  auto with_replacement = [](std::string from, std::string to) {
+    std::string text = kValidJob;
+    text.replace(text.find(from), from.size(), to);
+    return text;
   };
   for (auto [from, to] :
        std::vector<std::pair<std::string, std::string>>{{"\"cars\":16", "\"cars\":0"},
@@ -53,128 +53,139 @@
                                                         {"true,\"scatter\"", "1,\"scatter\""},
                                                         {"[\"g8\"]", "\"g8\""},
                                                         {"\"crew\":\"vision\"", "\"crew\":null"}})
-    EXPECT_THROW(decode_job(with(from, to)), Malformed) << to;
+    EXPECT_THROW(decode_job(with_replacement(from, to)), Malformed) << to;
   EXPECT_THROW(decode_job("[]"), Malformed);
   EXPECT_THROW(decode_job(""), Malformed);
   EXPECT_THROW(decode_job(std::string(60000, '[')), Malformed);
 }
 
 RC_GTEST_PROP(Codec, CorruptedBodiesThrowNothingButMalformed, ()) {
-  static const std::vector<std::string> bases = {
+  static const std::vector<std::string> valid_bodies = {
       kValidJob,
       R"({"engine":"m-1","address":"a:1","stock":"g","yard":"a","borrowed_stock":true,"shift":1,
 "waybill":8,"staff":4,"cars":[{"car":"run-000001/3","departure":2,"signal":"running"}]})",
       R"({"ledger":3,"events":[{"set":"c/9","value":{},"stamp":3},{"drop":"c/d","stamp":2}]})",
       R"({"d":[0,3,5,9]})", R"({"s":"done","n":3})"};
-  std::string base = *rc::gen::elementOf(bases);
-  auto cuts = *rc::gen::container<std::vector<std::pair<unsigned, char>>>(
+  std::string body = *rc::gen::elementOf(valid_bodies);
+  auto changes = *rc::gen::container<std::vector<std::pair<unsigned, char>>>(
       rc::gen::pair(rc::gen::inRange(0u, 300u), rc::gen::arbitrary<char>()));
-  for (auto [at, c] : cuts)
-    if (at < base.size()) base[at] = c;
-  auto attempt = [&](auto f) {
+  for (auto [position, byte] : changes)
+    if (position < body.size()) body[position] = byte;
+  auto expect_malformed_at_most = [&](auto decode) {
     try {
-      f(base);
+      decode(body);
     } catch (const Malformed&) {
     }
   };
-  attempt([](const std::string& s) { static_cast<void>(decode_job(s)); });
-  attempt([](const std::string& s) { static_cast<void>(decode_heartbeat(s)); });
-  attempt([](const std::string& s) { static_cast<void>(decode_watch(s)); });
-  attempt([](const std::string& s) { static_cast<void>(decode_keys(s)); });
-  attempt([](const std::string& s) { static_cast<void>(decode_types(s)); });
-  attempt([](const std::string& s) { static_cast<void>(decode_machines(s)); });
-  attempt([](const std::string& s) {
-    static_cast<void>(decode_placement_page({"", s, 0}, [](const std::string&) { return 0; }));
+  expect_malformed_at_most([](const std::string& text) { static_cast<void>(decode_job(text)); });
+  expect_malformed_at_most(
+      [](const std::string& text) { static_cast<void>(decode_heartbeat(text)); });
+  expect_malformed_at_most([](const std::string& text) { static_cast<void>(decode_watch(text)); });
+  expect_malformed_at_most([](const std::string& text) { static_cast<void>(decode_keys(text)); });
+  expect_malformed_at_most([](const std::string& text) { static_cast<void>(decode_types(text)); });
+  expect_malformed_at_most(
+      [](const std::string& text) { static_cast<void>(decode_machines(text)); });
+  expect_malformed_at_most([](const std::string& text) {
+    static_cast<void>(decode_placement_page({"", text, 0}, [](const std::string&) { return 0; }));
+  });
+  expect_malformed_at_most([](const std::string& text) {
+    static_cast<void>(decode_inventory_page({"", text, 0}));
+  });
+  expect_malformed_at_most(
+      [](const std::string& text) { static_cast<void>(decode_job_result(text)); });
+  expect_malformed_at_most([](const std::string& text) {
+    static_cast<void>(decode_job_record({"", text, 0}));
   });
-  attempt([](const std::string& s) { static_cast<void>(decode_inventory_page({"", s, 0})); });
-  attempt([](const std::string& s) { static_cast<void>(decode_job_result(s)); });
-  attempt([](const std::string& s) { static_cast<void>(decode_job_record({"", s, 0})); });
 }
 
 RC_GTEST_PROP(Codec, IntervalsCoverExactlyTheSetBits, (const std::vector<bool>& bits)) {
-  std::vector<bool> back(bits.size(), false);
-  for (auto [a, b] : intervals(bits))
-    for (auto i = a; i <= b; ++i) back.at(i) = true;
-  RC_ASSERT(back == bits);
+  std::vector<bool> decoded(bits.size(), false);
+  for (auto [first, last] : intervals(bits))
+    for (auto i = first; i <= last; ++i) decoded.at(i) = true;
+  RC_ASSERT(decoded == bits);
 }
 
 RC_GTEST_PROP(Codec, PlacementPagesRoundTrip, ()) {
-  PlacementPageRecord r;
-  r.tag = "x.1.2";
-  int n = *rc::gen::inRange(0, 20);
+  PlacementPageRecord record;
+  record.tag = "x.1.2";
+  int placements = *rc::gen::inRange(0, 20);
   for (int i = 0; i < 3; ++i)
-    r.jobs.push_back({"run-" + std::to_string(100000 + i),
-                      i,
-                      1.5,
-                      0,
-                      2.25,
-                      {},
-                      {{static_cast<std::uint32_t>(i), {{1, 4}, {7, 7}}}}});
-  for (int i = 0; i < n; ++i)
-    r.jobs[i % 3].placements.push_back(
+    record.jobs.push_back({"run-" + std::to_string(100000 + i),
+                           i,
+                           1.5,
+                           0,
+                           2.25,
+                           {},
+                           {{static_cast<std::uint32_t>(i), {{1, 4}, {7, 7}}}}});
+  for (int i = 0; i < placements; ++i)
+    record.jobs[i % 3].placements.push_back(
         {"m-" + std::to_string(i % 5), static_cast<std::uint32_t>(i),
          *rc::gen::inRange<std::uint64_t>(0, std::uint64_t{1} << 60)});
-  PlacementPageRecord b =
-      decode_placement_page({"", encode_record(r, [](int t) { return std::to_string(t); }), 0},
-                            [](const std::string& t) { return std::stoi(t); });
-  RC_ASSERT(b.jobs.size() == r.jobs.size());
-  RC_ASSERT(b.tag == r.tag);
-  for (std::size_t g = 0; g < r.jobs.size(); ++g) {
-    RC_ASSERT(b.jobs[g].job == r.jobs[g].job);
-    RC_ASSERT(b.jobs[g].team == r.jobs[g].team);
-    RC_ASSERT(b.jobs[g].mem_gb == r.jobs[g].mem_gb);
-    RC_ASSERT(b.jobs[g].done == r.jobs[g].done);
-    RC_ASSERT(b.jobs[g].placements.size() == r.jobs[g].placements.size());
-    for (std::size_t i = 0; i < r.jobs[g].placements.size(); ++i) {
-      const auto &p = r.jobs[g].placements[i], &q = b.jobs[g].placements[i];
-      RC_ASSERT(std::tie(p.machine, p.task, p.attempt) == std::tie(q.machine, q.task, q.attempt));
+  PlacementPageRecord decoded = decode_placement_page(
+      {"", encode_record(record, [](int team) { return std::to_string(team); }), 0},
+      [](const std::string& team) { return std::stoi(team); });
+  RC_ASSERT(decoded.jobs.size() == record.jobs.size());
+  RC_ASSERT(decoded.tag == record.tag);
+  for (std::size_t job = 0; job < record.jobs.size(); ++job) {
+    RC_ASSERT(decoded.jobs[job].job == record.jobs[job].job);
+    RC_ASSERT(decoded.jobs[job].team == record.jobs[job].team);
+    RC_ASSERT(decoded.jobs[job].mem_gb == record.jobs[job].mem_gb);
+    RC_ASSERT(decoded.jobs[job].done == record.jobs[job].done);
+    RC_ASSERT(decoded.jobs[job].placements.size() == record.jobs[job].placements.size());
+    for (std::size_t i = 0; i < record.jobs[job].placements.size(); ++i) {
+      const auto &expected = record.jobs[job].placements[i],
+                 &actual = decoded.jobs[job].placements[i];
+      RC_ASSERT(std::tie(expected.machine, expected.task, expected.attempt) ==
+                std::tie(actual.machine, actual.task, actual.attempt));
     }
   }
 }
 
 RC_GTEST_PROP(Codec, InventoryPagesRoundTrip, ()) {
-  InventoryPageRecord r;
-  r.tag = "x";
-  int n = *rc::gen::inRange(0, 32);
-  for (int i = 0; i < n; ++i)
-    r.machines.push_back({"m-" + std::to_string(100000 + i), "t", "a", i % 2 == 0,
-                          *rc::gen::inRange(0, 5), *rc::gen::inRange<std::uint64_t>(0, 1u << 30)});
-  InventoryPageRecord b = decode_inventory_page({"", encode_record(r), 0});
-  RC_ASSERT(b.machines == r.machines);
-  RC_ASSERT(b.tag == r.tag);
+  InventoryPageRecord record;
+  record.tag = "x";
+  int machines = *rc::gen::inRange(0, 32);
+  for (int i = 0; i < machines; ++i)
+    record.machines.push_back({"m-" + std::to_string(100000 + i), "t", "a", i % 2 == 0,
+                               *rc::gen::inRange(0, 5),
+                               *rc::gen::inRange<std::uint64_t>(0, 1u << 30)});
+  InventoryPageRecord decoded = decode_inventory_page({"", encode_record(record), 0});
+  RC_ASSERT(decoded.machines == record.machines);
+  RC_ASSERT(decoded.tag == record.tag);
 }
 
 TEST(Codec, JobRecordsRoundTrip) {
-  JobRecord r{decode_job(kValidJob), 12.5};
-  JobRecord b = decode_job_record({"", encode_record(r), 0});
-  EXPECT_EQ(b.submitted_at, 12.5);
-  EXPECT_EQ(encode_record(b), encode_record(r));
+  JobRecord record{decode_job(kValidJob), 12.5};
+  JobRecord decoded = decode_job_record({"", encode_record(record), 0});
+  EXPECT_EQ(decoded.submitted_at, 12.5);
+  EXPECT_EQ(encode_record(decoded), encode_record(record));
 }
 
 RC_GTEST_PROP(Peer, ArbitraryBytesAreRejectedOrAValidHeartbeat, (const std::string& bytes)) {
-  auto b = peer::decode(bytes, 3);
-  if (b) RC_ASSERT(b->node >= 0 && b->node < 3 && b->tokens.size() == 3u);
+  auto heartbeat = peer::decode(bytes, 3);
+  if (heartbeat)
+    RC_ASSERT(heartbeat->node >= 0 && heartbeat->node < 3 && heartbeat->tokens.size() == 3u);
 }
 TEST(Peer, HeartbeatsRoundTrip) {
-  peer::PeerHeartbeat b;
-  b.node = 2;
-  b.serving = true;
-  b.tokens = {1, std::uint64_t{1} << 50, 0};
-  b.loads = {{1, 2, 3, true}, {}, {400, 0, 7, false}};
-  auto c = peer::decode(peer::encode(b), 3);
-  ASSERT_TRUE(c);
-  EXPECT_EQ(c->tokens, b.tokens);
-  EXPECT_EQ(c->loads, b.loads);
-  EXPECT_TRUE(c->serving);
-  EXPECT_FALSE(peer::decode(peer::encode(b), 4));
+  peer::PeerHeartbeat sent;
+  sent.node = 2;
+  sent.serving = true;
+  sent.tokens = {1, std::uint64_t{1} << 50, 0};
+  sent.loads = {{1, 2, 3, true}, {}, {400, 0, 7, false}};
+  auto received = peer::decode(peer::encode(sent), 3);
+  ASSERT_TRUE(received);
+  EXPECT_EQ(received->tokens, sent.tokens);
+  EXPECT_EQ(received->loads, sent.loads);
+  EXPECT_TRUE(received->serving);
+  EXPECT_FALSE(peer::decode(peer::encode(sent), 4));
 }
 
 TEST(Settings, ErrorsNameTheFieldAndTheReason) {
-  auto message = [](const std::string& s) {
+  auto message = [](const std::string& text) {
     try {
-      static_cast<void>(config::parse_settings(s));
-    } catch (const config::SettingsError& e) {
-      return std::string(e.what());
+      static_cast<void>(config::parse_settings(text));
+    } catch (const config::SettingsError& error) {
+      return std::string(error.what());
     }
     return std::string();
   };
@@ -199,7 +210,7 @@
 // A deployment states 0 for teams without guarantees and limits. When 0 was read as a limit of
 // zero, every submission was answered 422.
 TEST(Settings, ALimitOfZeroMeansUnlimited) {
-  auto with = [](const std::string& team) {
+  auto settings_with = [](const std::string& team) {
     return config::parse_settings(
         R"({"host_name":"a","zone":"z","front":"1.2.3.4:1","internal_addr":"1.2.3.4:2","siblings":[],
 "services":{"cloud":"1.2.3.4:3","state":"1.2.3.4:4"},"cluster":{"size":1,"zones":["z"],
@@ -210,22 +221,22 @@
   };
   auto message = [&](const std::string& team) {
     try {
-      with(team);
-    } catch (const config::SettingsError& e) {
-      return std::string(e.what());
+      settings_with(team);
+    } catch (const config::SettingsError& error) {
+      return std::string(error.what());
     }
     return std::string();
   };
-  auto t = with(R"("cpus":0,"cpus_max":0,"gpus":0.0,"gpus_max":3)").teams[0];
-  EXPECT_TRUE(std::isinf(t.cpus_max));
-  EXPECT_EQ(t.gpus_max, 3);
+  auto team = settings_with(R"("cpus":0,"cpus_max":0,"gpus":0.0,"gpus_max":3)").teams[0];
+  EXPECT_TRUE(std::isinf(team.cpus_max));
+  EXPECT_EQ(team.gpus_max, 3);
   // CPUs and GPUs are limited independently, and a guarantee needs no limit.
-  t = with(R"("cpus":4,"cpus_max":8,"gpus":2,"gpus_max":0)").teams[0];
-  EXPECT_EQ(t.cpus_max, 8);
-  EXPECT_TRUE(std::isinf(t.gpus_max));
+  team = settings_with(R"("cpus":4,"cpus_max":8,"gpus":2,"gpus_max":0)").teams[0];
+  EXPECT_EQ(team.cpus_max, 8);
+  EXPECT_TRUE(std::isinf(team.gpus_max));
   // An infinite limit is larger than any sum of amounts, and converting it does not overflow.
-  const auto most = jobs::Resources::of(t.gpus_max, t.gpus_max, 0);
-  EXPECT_GT(most.cpus, (jobs::Resources::of(1e9, 0, 0) + jobs::Resources::of(1e9, 0, 0)).cpus);
+  const auto unlimited = jobs::Resources::of(team.gpus_max, team.gpus_max, 0);
+  EXPECT_GT(unlimited.cpus, (jobs::Resources::of(1e9, 0, 0) + jobs::Resources::of(1e9, 0, 0)).cpus);
   EXPECT_EQ(message(R"("cpus":4,"cpus_max":3,"gpus":0,"gpus_max":0)"),
             "cluster.teams[0].cpus_max: is 3, below the guarantee of 4");
   EXPECT_EQ(message(R"("cpus":4,"cpus_max":4,"gpus":2,"gpus_max":1)"),
@@ -236,10 +247,10 @@
             "cluster.teams[0].cpus_max: is not a number");
 }
 TEST(Tuning, ReadsKnownFieldsAndRejectsUnknownOrInvalidOnes) {
-  auto t = config::parse_tuning("<shunttrail><lambda>3</lambda><ring>8</ring></shunttrail>");
-  EXPECT_DOUBLE_EQ(t.lambda, 3);
-  EXPECT_EQ(t.ring, 8);
-  EXPECT_FALSE(t.relay);
+  auto tuning = config::parse_tuning("<shunttrail><lambda>3</lambda><ring>8</ring></shunttrail>");
+  EXPECT_DOUBLE_EQ(tuning.lambda, 3);
+  EXPECT_EQ(tuning.ring, 8);
+  EXPECT_FALSE(tuning.relay);
   EXPECT_TRUE(config::parse_tuning("<shunttrail><relay>true</relay></shunttrail>").relay);
   EXPECT_THROW(static_cast<void>(config::parse_tuning("<shunttrail><relay>1</relay></shunttrail>")),
                config::SettingsError);
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -16,15 +16,15 @@
 
 // Returns a port that was free at the time of the call.
 inline std::uint16_t free_port() {
-  int s = socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  socklen_t n = sizeof a;
-  if (bind(s, reinterpret_cast<sockaddr*>(&a), n) != 0) std::abort();
-  getsockname(s, reinterpret_cast<sockaddr*>(&a), &n);
-  close(s);
-  return ntohs(a.sin_port);
+  int socket_fd = socket(AF_INET, SOCK_STREAM, 0);
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  socklen_t length = sizeof address;
+  if (bind(socket_fd, reinterpret_cast<sockaddr*>(&address), length) != 0) std::abort();
+  getsockname(socket_fd, reinterpret_cast<sockaddr*>(&address), &length);
+  close(socket_fd);
+  return ntohs(address.sin_port);
 }
 
 // Runs the loop until is_done returns true, at most max_iterations times. Returns what is_done
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -37,32 +37,33 @@
   }
   // Writes the bytes to a new connection, and returns all bytes that the server sends back.
   std::string send_raw(const std::string& bytes) {
-    int s = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-    sockaddr_in a{};
-    a.sin_family = AF_INET;
-    a.sin_port = htons(at.port);
-    a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    if (connect(s, reinterpret_cast<sockaddr*>(&a), sizeof a) != 0 && errno != EINPROGRESS)
+    int socket_fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(at.port);
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    if (connect(socket_fd, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0 &&
+        errno != EINPROGRESS)
       std::abort();
     std::size_t sent = 0;
-    std::string got;
+    std::string response;
     run_until(
         [&] {
           if (sent < bytes.size()) {
-            ssize_t n = send(s, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
+            ssize_t n = send(socket_fd, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
             if (n > 0) sent += static_cast<std::size_t>(n);
             if (n < 0 && errno != EAGAIN && errno != ENOTCONN && errno != EINPROGRESS)
               sent = bytes.size();
-            if (sent == bytes.size()) shutdown(s, SHUT_WR);
+            if (sent == bytes.size()) shutdown(socket_fd, SHUT_WR);
           }
-          char buf[4096];
-          ssize_t n = recv(s, buf, sizeof buf, 0);
-          if (n > 0) got.append(buf, static_cast<std::size_t>(n));
+          char buffer[4096];
+          ssize_t n = recv(socket_fd, buffer, sizeof buffer, 0);
+          if (n > 0) response.append(buffer, static_cast<std::size_t>(n));
           return n == 0 || (n < 0 && errno != EAGAIN && errno != ENOTCONN);
         },
         1500);
-    close(s);
-    return got;
+    close(socket_fd);
+    return response;
   }
 };
 
@@ -72,10 +73,10 @@
   auto bodies = *rc::gen::container<std::vector<std::string>>(
       8, rc::gen::nonEmpty(rc::gen::arbitrary<std::string>()));
   std::size_t answered = 0, wrong = 0;
-  for (const auto& b : bodies)
-    client.request("POST", "/x", b, 5, [&, b](net::Result r) {
+  for (const auto& body : bodies)
+    client.request("POST", "/x", body, 5, [&, body](net::Result r) {
       ++answered;
-      wrong += r.status != 200 || r.body != b;
+      wrong += r.status != 200 || r.body != body;
     });
   RC_ASSERT(echo.run_until([&] { return answered == bodies.size(); }));
   RC_ASSERT(wrong == 0u);
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -43,11 +43,12 @@
           replace_first(replace_first(kJob, "group", haul), "high", precedence);
       EXPECT_EQ(wire::encode_job(wire::decode_job(text)), text);
     }
-  const wire::JobSpec s = wire::decode_job(kJob);
-  EXPECT_TRUE(s.gang && !s.service && s.same_zone && !s.anti_affinity && s.spot);
-  EXPECT_EQ(s.dependencies, (std::vector<std::string>{"run-000398", "run-000411"}));
-  EXPECT_EQ(s.types, (std::vector<std::string>{"g8", "t4"}));
-  EXPECT_EQ(std::tie(s.image, s.image_gb, s.mem_gb, s.gpus, s.estimate_s, s.checkpoint_s, s.save_s),
+  const wire::JobSpec spec = wire::decode_job(kJob);
+  EXPECT_TRUE(spec.gang && !spec.service && spec.same_zone && !spec.anti_affinity && spec.spot);
+  EXPECT_EQ(spec.dependencies, (std::vector<std::string>{"run-000398", "run-000411"}));
+  EXPECT_EQ(spec.types, (std::vector<std::string>{"g8", "t4"}));
+  EXPECT_EQ(std::tie(spec.image, spec.image_gb, spec.mem_gb, spec.gpus, spec.estimate_s,
+                     spec.checkpoint_s, spec.save_s),
             std::make_tuple("img-07", 6.2, 64.5, 1.0, 240.0, 30.0, 4.0));
   const wire::JobSpec plain = wire::decode_job(kPlainJob);
   EXPECT_TRUE(plain.service && plain.anti_affinity && !plain.types && !plain.zone &&
@@ -71,15 +72,15 @@
 TEST(WireGolden, JobRecordsKeepTheirBytes) {
   const std::string waits =
       R"({"at":1733000000.25,"borrowed_stock":false,"cards":0.0,"cars":1,"consist":"web","couple_s":0.0,"crew":"red","haul":"group","manifest":"img","mem_gb":1.0,"milepost_s":0.0,"needs":"000398 7","precedence":"idle","ready":1733000100.5,"run_s":0.0,"same_place":false,"scatter":true,"size_gb":0.0,"uid":"run-1","vcpus":0.5})";
-  const wire::JobRecord r = wire::decode_job_record(event(waits));
-  EXPECT_EQ(r.spec.dependencies, (std::vector<std::string>{"run-000398", "run-7"}));
-  EXPECT_EQ(r.ready_at, 1733000100.5);
-  EXPECT_TRUE(r.spec.gang);
-  EXPECT_EQ(wire::encode_record(r), waits);
+  const wire::JobRecord record = wire::decode_job_record(event(waits));
+  EXPECT_EQ(record.spec.dependencies, (std::vector<std::string>{"run-000398", "run-7"}));
+  EXPECT_EQ(record.ready_at, 1733000100.5);
+  EXPECT_TRUE(record.spec.gang);
+  EXPECT_EQ(wire::encode_record(record), waits);
   const std::string final = R"({"n":3,"s":"done","svc":1,"team":"red","w":"n.7.12"})";
   EXPECT_TRUE(wire::decode_job_result(final).service);
   EXPECT_EQ(wire::encode_record(wire::decode_job_result(final)), final);
-  EXPECT_EQ(wire::encode_record(wire::cancelled_record(r.spec, "n.7.u3")),
+  EXPECT_EQ(wire::encode_record(wire::cancelled_record(record.spec, "n.7.u3")),
             R"({"n":1,"s":"cancelled","team":"red","w":"n.7.u3"})");
   const std::string empty = R"({"b":0,"j":{},"m":[],"w":"n.7.1"})";
   const auto page = wire::decode_placement_page(event(empty), [](const std::string&) { return 0; });
@@ -92,21 +93,21 @@
   auto task_json = [](const std::string& rest) {
     return R"({"car":"run-000412/3","departure":2,"signal":)" + rest + "}";
   };
-  const wire::Heartbeat r = wire::decode_heartbeat(
+  const wire::Heartbeat heartbeat = wire::decode_heartbeat(
       R"({"address":"10.1.0.232:9000","borrowed_stock":true,"cars":[)" + task_json(R"("pulling")") +
       "," + task_json(R"("flushing")") + "," +
       task_json(R"("exited","stop_cause":"stopped","kept":true)") +
       R"(],"engine":"m-000231","recall_s":25.5,"shift":1,"staff":41,"stock":"g8","waybill":88,"yard":"a"})");
-  EXPECT_EQ(std::tie(r.machine, r.addr, r.type, r.zone),
+  EXPECT_EQ(std::tie(heartbeat.machine, heartbeat.addr, heartbeat.type, heartbeat.zone),
             std::make_tuple("m-000231", "10.1.0.232:9000", "g8", "a"));
-  EXPECT_EQ(std::tie(r.spot, r.incarnation, r.sequence, r.token),
+  EXPECT_EQ(std::tie(heartbeat.spot, heartbeat.incarnation, heartbeat.sequence, heartbeat.token),
             std::make_tuple(true, 1u, 88u, 41u));
-  EXPECT_EQ(r.notice_s, 25.5);
-  ASSERT_EQ(r.tasks.size(), 3u);
-  EXPECT_EQ(r.tasks[0].task.job, "run-000412");
-  EXPECT_EQ(r.tasks[0].task.index, 3u);
-  EXPECT_EQ(r.tasks[0].attempt, 2u);
-  EXPECT_TRUE(r.tasks[2].checkpointed);
+  EXPECT_EQ(heartbeat.notice_s, 25.5);
+  ASSERT_EQ(heartbeat.tasks.size(), 3u);
+  EXPECT_EQ(heartbeat.tasks[0].task.job, "run-000412");
+  EXPECT_EQ(heartbeat.tasks[0].task.index, 3u);
+  EXPECT_EQ(heartbeat.tasks[0].attempt, 2u);
+  EXPECT_TRUE(heartbeat.tasks[2].checkpointed);
   using wire::ExitReason;
   using wire::TaskState;
   const std::tuple<const char*, TaskState, ExitReason> rows[] = {
