--- a/src/schema/codec.cpp
+++ b/src/schema/codec.cpp
@@ -53,12 +53,12 @@
 }
 
 VersionRecord decode_record(const wire::Event& event) {
-  return wire::of_value(event, [](const json& j) {
+  return wire::decode_event_value(event, [](const json& j) {
     wire::check_object(j);
     only(j, {"level", "lowest", "highest", "w"});
-    VersionRecord r{level(wire::need(j, "level"), "level"),
-                    level(wire::need(j, "lowest"), "lowest"),
-                    level(wire::need(j, "highest"), "highest"), wire::text(j, "w")};
+    VersionRecord r{level(wire::required(j, "level"), "level"),
+                    level(wire::required(j, "lowest"), "lowest"),
+                    level(wire::required(j, "highest"), "highest"), wire::text(j, "w")};
     if (r.active < r.lowest || r.active > r.highest)
       throw Malformed::bad_value("level", "is out of its range", "lowest to highest");
     return r;
@@ -72,7 +72,7 @@
 }
 
 Orders decode_orders(const wire::Event& event) {
-  return wire::of_value(event, [](const json& j) {
+  return wire::decode_event_value(event, [](const json& j) {
     wire::check_object(j);
     only(j, {"gone", "most", "w"});
     Orders o;
@@ -89,7 +89,7 @@
 
 Build decode_member(const wire::Event& event) {
   try {
-    return wire::of_value(event, [](const json& j) {
+    return wire::decode_event_value(event, [](const json& j) {
       const json* levels = wire::find(j, "levels");
       return levels ? build_from_json(*levels) : Build{};
     });
@@ -113,7 +113,7 @@
 }
 
 Order decode_order(std::string_view body) {
-  return wire::guarded(body, [](const json& j) {
+  return wire::decode_body(body, [](const json& j) {
     only(j, {"hold", "gone", "here"});
     if (j.size() != 1) throw Malformed("give one of hold, gone, here");
     Order o;
