--- a/src/wire/record_codec.h
+++ b/src/wire/record_codec.h
@@ -1,6 +1,6 @@
 /// @file
 /// Values that are stored in the state service: job records, inventory and placement pages, results
-/// and shard leaders. Stored forms are listed in docs/design.md. Later builds have to read them.
+/// and shard leaders. Stored forms are listed in docs/design.md; later builds have to read them.
 #pragma once
 #include <functional>
 #include <string>
