--- a/src/actor/loop.cpp
+++ b/src/actor/loop.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 struct ConfigFree {
-  void operator()(event_config* freed) const { event_config_free(freed); }
+  void operator()(event_config* resource) const { event_config_free(resource); }
 };
 
-// Negative times are now.
+// Converts a delay; negative delays count as 0.
 timeval to_timeval(double seconds) {
   if (seconds < 0) seconds = 0;
   timeval time;
@@ -28,7 +28,8 @@
   std::unique_ptr<event_config, ConfigFree> config(event_config_new());
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_NOLOCK);
   base_.reset(event_base_new_with_config(config.get()));
-  if (!base_) throw std::runtime_error("cannot make an event loop");
+  if (!base_)
+    throw std::runtime_error("cannot create an event loop: event_base_new_with_config failed");
 }
 
 double steady_now() { return to_seconds(std::chrono::steady_clock::now().time_since_epoch()); }
@@ -58,31 +59,33 @@
 
 Actor::Actor(Loop& loop) : loop_(loop) {
   if (loop.simulated()) return;
-  wake_.reset(event_new(
+  processing_event_.reset(event_new(
       loop.base(), -1, 0,
-      [](evutil_socket_t, short, void* self) { static_cast<Actor*>(self)->drain(); }, this));
+      [](evutil_socket_t, short, void* self) { static_cast<Actor*>(self)->process_mailbox(); },
+      this));
 }
 
 void Actor::post(Message message) {
   mailbox_.push_back(std::move(message));
-  if (mailbox_.size() == 1) wake();
+  if (mailbox_.size() == 1) schedule_processing();
 }
 
-void Actor::wake() {
+void Actor::schedule_processing() {
   if (EventSource* simulated = loop_.simulated())
-    wake_pending_ = simulated->schedule(0, [this] { drain(); });
+    scheduled_processing_ = simulated->schedule(0, [this] { process_mailbox(); });
   else
-    event_active(wake_.get(), EV_TIMEOUT, 0);
+    event_active(processing_event_.get(), EV_TIMEOUT, 0);
 }
 
-void Actor::drain() {
-  // Only what is here now: what these messages post is handled in the next event.
+void Actor::process_mailbox() {
+  // Handles only the messages that are present now. Messages that these post are handled in the
+  // next event.
   for (std::size_t left = mailbox_.size(); left > 0; --left) {
     Message message = std::move(mailbox_.front());
     message();
     mailbox_.pop_front();
   }
-  if (!mailbox_.empty()) wake();
+  if (!mailbox_.empty()) schedule_processing();
 }
 
 }  // namespace shunttrail::actor
--- a/src/agent/settings.cpp
+++ b/src/agent/settings.cpp
@@ -41,9 +41,10 @@
 }
 
 void check(const Settings& settings) {
-  if (settings.controllers.empty()) bad_at("shunt-agent.controllers", "lists no controller");
+  if (settings.controllers.empty())
+    throw_settings_error("shunt-agent.controllers", "lists no controller");
   if (settings.lease_s < 2 * settings.report_s)
-    bad_at("shunt-agent.lease-s", "is less than twice report-s");
+    throw_settings_error("shunt-agent.lease-s", "is less than twice report-s");
 }
 
 }  // namespace
--- a/src/agent/task_files.cpp
+++ b/src/agent/task_files.cpp
@@ -57,15 +57,15 @@
 }
 
 LaunchOrder decode_order(const std::string& text) {
-  return wire::guarded(text, [](const json& fields) {
+  return wire::decode_body(text, [](const json& fields) {
     require_format(fields, LaunchOrder::kFormat);
     LaunchOrder order;
     order.task = wire::text(fields, "task");
     order.attempt = wire::whole(fields, "attempt");
     order.incarnation = wire::whole(fields, "session");
-    order.command = wire::need(fields, "command").get<std::vector<std::string>>();
-    order.env = wire::need(fields, "env").get<std::map<std::string, std::string>>();
-    order.retry_exits = wire::need(fields, "retry_exits").get<std::vector<int>>();
+    order.command = wire::required(fields, "command").get<std::vector<std::string>>();
+    order.env = wire::required(fields, "env").get<std::map<std::string, std::string>>();
+    order.retry_exits = wire::required(fields, "retry_exits").get<std::vector<int>>();
     order.limit_s = wire::number(fields, "limit_s", 0);
     order.file_bytes = wire::whole(fields, "file_bytes");
     order.memory_bytes = wire::whole(fields, "memory_bytes");
@@ -79,7 +79,7 @@
 }
 
 StopOrder decode_stop(const std::string& text) {
-  return wire::guarded(text, [](const json& fields) {
+  return wire::decode_body(text, [](const json& fields) {
     return StopOrder{wire::flag(fields, "save"), wire::number(fields, "grace_s", 0)};
   });
 }
@@ -102,7 +102,7 @@
 }
 
 TaskEnd decode_end(const std::string& text) {
-  return wire::guarded(text, [](const json& fields) {
+  return wire::decode_body(text, [](const json& fields) {
     require_format(fields, TaskEnd::kFormat);
     TaskEnd end;
     end.exit_reason = parse_exit_reason(wire::text(fields, "why"));
--- a/src/client_protocol/client_protocol.cpp
+++ b/src/client_protocol/client_protocol.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// Limits of the cloud and the state service (PROTOCOL).
-constexpr std::uint64_t kMaxRented = 50;  // machines in one request
-constexpr std::size_t kMaxDeleted = 100;  // machines in one request
+// Limits that the cloud and the state service enforce (PROTOCOL).
+constexpr std::uint64_t kMaxRented = 50;  // machines rented by one request
+constexpr std::size_t kMaxDeleted = 100;  // machines deleted by one request
 constexpr std::size_t kMaxKeyBytes = 200;
-constexpr std::uint64_t kLeastLeaseMs = 100, kMostLeaseMs = 600000;
+constexpr std::uint64_t kMinLeaseMs = 100, kMaxLeaseMs = 600000;
 
 const char* exit_reason_name(ExitReason reason) {
   switch (reason) {
@@ -59,7 +59,7 @@
   return fields;
 }
 
-// Each entry by itself: one that makes no sense is refused, the others are taken.
+// Decodes each entry separately. An invalid entry is added to `refused`; the others are kept.
 void decode_commands(const json& list, HeartbeatResponse& response) {
   if (!list.is_array()) throw Malformed("orders is not a list");
   for (std::size_t i = 0; i < list.size(); ++i) {
@@ -88,7 +88,7 @@
   Transaction::Op operation;
   const json* key = find(write, "set");
   if (!key) {
-    operation.key = decode_state_key(need(write, "drop"), "drop");
+    operation.key = decode_state_key(required(write, "drop"), "drop");
     return operation;
   }
   operation.key = decode_state_key(*key, "set");
@@ -99,7 +99,8 @@
   return operation;
 }
 
-// The list of this name; null: there is none.
+// Returns the array field of this name, or null if it is absent. Throws Malformed if it has another
+// type.
 const json* find_list(const json& fields, const char* name) {
   const json* list = find(fields, name);
   if (list && !list->is_array()) throw Malformed(std::string(name) + " is not a list");
@@ -139,10 +140,11 @@
 }
 
 HeartbeatResponse decode_heartbeat_response(std::string_view body) {
-  return guarded(body, [](const json& fields) {
+  return decode_body(body, [](const json& fields) {
     HeartbeatResponse response;
     if (const json* token = find(fields, "staff")) response.token = as_whole(*token, "staff");
-    if (const json* session = find(fields, "shift")) response.session = as_whole(*session, "shift");
+    if (const json* incarnation = find(fields, "shift"))
+      response.incarnation = as_whole(*incarnation, "shift");
     if (const json* commands = find(fields, "orders")) decode_commands(*commands, response);
     return response;
   });
@@ -150,14 +152,14 @@
 
 std::string redirect_of(std::string_view body) {
   try {
-    return guarded(body, [](const json& fields) { return text_or(fields, "dispatcher", ""); });
+    return decode_body(body, [](const json& fields) { return text_or(fields, "dispatcher", ""); });
   } catch (const Malformed&) {
     return {};
   }
 }
 
 JobAnswer decode_job_state(std::string_view body) {
-  return guarded(body, [](const json& fields) {
+  return decode_body(body, [](const json& fields) {
     JobAnswer answer;
     answer.id = text(fields, "uid");
     answer.state = parse_job_state(text(fields, "signal"));
@@ -184,7 +186,7 @@
 }
 
 RentRequest decode_rent(std::string_view body) {
-  return guarded(body, [](const json& fields) {
+  return decode_body(body, [](const json& fields) {
     RentRequest request{text(fields, "charter"), text(fields, "stock"), text(fields, "yard"),
                         flag(fields, "borrowed_stock"), 0};
     const std::uint64_t count = whole(fields, "count");
@@ -218,11 +220,11 @@
 }
 
 Transaction decode_transaction(std::string_view body) {
-  return guarded(body, [](const json& fields) {
+  return decode_body(body, [](const json& fields) {
     Transaction transaction;
     if (const json* guards = find_list(fields, "guards"))
       for (const json& guard : *guards)
-        transaction.preconditions.emplace_back(decode_state_key(need(guard, "k"), "k"),
+        transaction.preconditions.emplace_back(decode_state_key(required(guard, "k"), "k"),
                                                whole(guard, "stamp"));
     if (const json* writes = find_list(fields, "writes"))
       for (const json& write : *writes) transaction.ops.push_back(decode_write(write));
@@ -231,10 +233,9 @@
 }
 
 std::uint64_t decode_life_ms(std::string_view body) {
-  return guarded(body, [](const json& fields) {
+  return decode_body(body, [](const json& fields) {
     const std::uint64_t life_ms = whole(fields, "life_ms");
-    if (life_ms < kLeastLeaseMs || life_ms > kMostLeaseMs)
-      throw Malformed("life_ms is out of range");
+    if (life_ms < kMinLeaseMs || life_ms > kMaxLeaseMs) throw Malformed("life_ms is out of range");
     return life_ms;
   });
 }
--- a/src/emulators/worker.cpp
+++ b/src/emulators/worker.cpp
@@ -147,8 +147,8 @@
     return exchange->send({400, "{}", 0});
   }
   if (exchange->path != "/orders") return exchange->send({404, "{}", 0});
-  if (!message.token || !message.session) return exchange->send({400, "{}", 0});
-  if (*message.token < token_ || *message.session != incarnation_) return answer_state(409);
+  if (!message.token || !message.incarnation) return exchange->send({400, "{}", 0});
+  if (*message.token < token_ || *message.incarnation != incarnation_) return answer_state(409);
   execute(*message.token, message.commands);
   answer_state(200);
 }
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -16,8 +16,8 @@
 constexpr ssize_t kMaxHeaderBytes = 16 * 1024;
 constexpr int kServerTimeoutS = 60;
 
-// All that is in the buffer.
-std::string take(evbuffer* buffer) {
+// Removes all bytes from the buffer and returns them.
+std::string drain_buffer(evbuffer* buffer) {
   std::string bytes(evbuffer_get_length(buffer), '\0');
   if (!bytes.empty()) evbuffer_remove(buffer, bytes.data(), bytes.size());
   return bytes;
@@ -27,7 +27,7 @@
   void operator()(evbuffer* buffer) const { evbuffer_free(buffer); }
 };
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -68,12 +68,13 @@
   return {static_cast<time_t>(seconds), static_cast<suseconds_t>((seconds - whole) * 1e6)};
 }
 
-// The answer of a request that libevent has finished.
+// Returns the outcome of a request that libevent has finished; `request` is null if the connection
+// failed.
 Result to_result(evhttp_request* request) {
   Result result;
   if (request) result.status = evhttp_request_get_response_code(request);
   if (!result.status) return result;
-  result.body = take(evhttp_request_get_input_buffer(request));
+  result.body = drain_buffer(evhttp_request_get_input_buffer(request));
   const evkeyvalq* headers = evhttp_request_get_input_headers(request);
   if (const char* retry_after = evhttp_find_header(headers, "Retry-After"))
     result.retry_after_s = std::atof(retry_after);
@@ -96,7 +97,7 @@
     if (const char* text = evhttp_uri_get_path(uri)) path = text;
     if (const char* text = evhttp_uri_get_query(uri)) query = text;
   }
-  body = take(evhttp_request_get_input_buffer(request));
+  body = drain_buffer(evhttp_request_get_input_buffer(request));
 }
 
 Exchange::Exchange(const std::string& method, const std::string& path_and_query,
@@ -126,7 +127,7 @@
   }
   const std::unique_ptr<evbuffer, BufferFree> body_buffer(evbuffer_new());
   evbuffer_add(body_buffer.get(), answer.body.data(), answer.body.size());
-  evhttp_send_reply(request, answer.status, reason(answer.status), body_buffer.get());
+  evhttp_send_reply(request, answer.status, reason_phrase(answer.status), body_buffer.get());
 }
 
 std::string query_value(const std::string& query, const std::string& name) {
@@ -139,22 +140,22 @@
 }
 
 Server::Server(actor::Loop& loop, const config::Endpoint& at, std::size_t max_body, Handler handler,
-               bool deletes)
+               bool allow_delete)
     : handler_(std::move(handler)) {
   if (auto* network = dynamic_cast<Network*>(loop.simulated()))
     listening_ = network->listen(at, handler_);
   else
-    listen(loop, at, max_body, deletes);
+    listen(loop, at, max_body, allow_delete);
 }
 
 void Server::listen(actor::Loop& loop, const config::Endpoint& at, std::size_t max_body,
-                    bool deletes) {
+                    bool allow_delete) {
   http_.reset(evhttp_new(loop.base()));
   evhttp* http = http_.get();
   evhttp_set_max_body_size(http, static_cast<ssize_t>(max_body));
   evhttp_set_max_headers_size(http, kMaxHeaderBytes);
   evhttp_set_timeout(http, kServerTimeoutS);
-  const int deletion = deletes ? EVHTTP_REQ_DELETE : 0;
+  const int deletion = allow_delete ? EVHTTP_REQ_DELETE : 0;
   evhttp_set_allowed_methods(http, EVHTTP_REQ_GET | EVHTTP_REQ_POST | deletion);
   evhttp_set_gencb(
       http,
@@ -167,13 +168,13 @@
 }
 
 struct Client::Call {
-  Client* owner = nullptr;
+  Client* client = nullptr;
   evhttp_cmd_type method = EVHTTP_REQ_GET;
   std::string path, body;
   double timeout_s = 0;
   Done done;
   ConnectionPtr connection;
-  Network::Handle in_flight;  // on a simulated network
+  Network::Handle in_flight;  // the request, on a simulated network
 };
 
 Client::Client(actor::Loop& loop, const config::Endpoint& to, std::size_t max_connections,
@@ -182,23 +183,23 @@
       to_(to),
       max_connections_(max_connections),
       max_queue_(max_queue),
-      free_timer_(loop, [this] { dead_.clear(); }) {}
+      free_failed_timer_(loop, [this] { failed_connections_.clear(); }) {}
 
 Client::~Client() = default;
 
 void Client::request(const char* method, std::string path, std::string body, double timeout_s,
                      Done done) {
   auto call = std::make_unique<Call>();
-  call->owner = this;
+  call->client = this;
   call->method = command_of(method);
   call->path = std::move(path);
   call->body = std::move(body);
   call->timeout_s = timeout_s;
   call->done = std::move(done);
-  if (busy_.size() < max_connections_)
+  if (active_.size() < max_connections_)
     start(std::move(call));
-  else if (queue_.size() < max_queue_)
-    queue_.push_back(std::move(call));
+  else if (queued_.size() < max_queue_)
+    queued_.push_back(std::move(call));
   else
     call->done(Result{});
 }
@@ -215,27 +216,27 @@
   evhttp_connection_set_timeout_tv(call->connection.get(), &timeout);
   evhttp_request* request = make_request(*call);
   Call* started = call.get();
-  busy_.push_back(std::move(call));
+  active_.push_back(std::move(call));
   const int error = evhttp_make_request(started->connection.get(), request, started->method,
                                         started->path.c_str());
-  if (error != 0) finished(started, nullptr);
+  if (error != 0) on_response(started, nullptr);
 }
 
 void Client::start_simulated(Network& network, std::unique_ptr<Call> call) {
   Call* started = call.get();
-  busy_.push_back(std::move(call));
+  active_.push_back(std::move(call));
   started->in_flight = network.request(
       to_, method_of(started->method), started->path, started->body, started->timeout_s,
-      [this, started](Result result) { over(started, std::move(result)); });
+      [this, started](Result result) { complete(started, std::move(result)); });
 }
 
-// An idle connection, or a new one; null: there is none to be had.
+// Returns an idle connection, or else a new one; null if none can be made.
 Client::ConnectionPtr Client::take_connection() {
-  if (idle_.empty())
+  if (idle_connections_.empty())
     return ConnectionPtr(
         evhttp_connection_base_new(loop_.base(), nullptr, to_.host.c_str(), to_.port));
-  ConnectionPtr connection = std::move(idle_.back());
-  idle_.pop_back();
+  ConnectionPtr connection = std::move(idle_connections_.back());
+  idle_connections_.pop_back();
   return connection;
 }
 
@@ -243,7 +244,7 @@
   evhttp_request* request = evhttp_request_new(
       [](evhttp_request* finished_request, void* argument) {
         Call* finished_call = static_cast<Call*>(argument);
-        finished_call->owner->finished(finished_call, finished_request);
+        finished_call->client->on_response(finished_call, finished_request);
       },
       &call);
   evkeyvalq* headers = evhttp_request_get_output_headers(request);
@@ -255,35 +256,39 @@
   return request;
 }
 
-void Client::finished(Call* call, evhttp_request* request) { over(call, to_result(request)); }
+void Client::on_response(Call* call, evhttp_request* request) {
+  complete(call, to_result(request));
+}
 
-void Client::over(Call* call, Result result) {
-  auto found = std::find_if(busy_.begin(), busy_.end(),
-                            [&](const auto& busy) { return busy.get() == call; });
-  if (found == busy_.end()) return;
+void Client::complete(Call* call, Result result) {
+  auto found = std::find_if(active_.begin(), active_.end(),
+                            [&](const auto& active) { return active.get() == call; });
+  if (found == active_.end()) return;
   const std::unique_ptr<Call> owned = std::move(*found);
-  busy_.erase(found);
+  active_.erase(found);
   release_connection(std::move(owned->connection), result.status != 0);
   start_next();
   owned->done(std::move(result));
 }
 
-// A simulated network has no connections.
+// Keeps a usable connection for later requests and frees a failed one. `connection` is null on a
+// simulated network.
 void Client::release_connection(ConnectionPtr connection, bool is_usable) {
   if (!connection) return;
   if (is_usable) {
-    idle_.push_back(std::move(connection));
+    idle_connections_.push_back(std::move(connection));
     return;
   }
-  // libevent still uses the connection when this callback returns.
-  dead_.push_back(std::move(connection));
-  free_timer_.after(0);
+  // libevent still uses the connection after this callback returns, so it is freed in a later
+  // event.
+  failed_connections_.push_back(std::move(connection));
+  free_failed_timer_.after(0);
 }
 
 void Client::start_next() {
-  if (queue_.empty()) return;
-  auto next = std::move(queue_.front());
-  queue_.pop_front();
+  if (queued_.empty()) return;
+  auto next = std::move(queued_.front());
+  queued_.pop_front();
   start(std::move(next));
 }
 
--- a/src/schema/codec.cpp
+++ b/src/schema/codec.cpp
@@ -55,12 +55,12 @@
 }
 
 VersionRecord decode_record(const wire::Event& event) {
-  return wire::of_value(event, [](const json& j) {
+  return wire::decode_event_value(event, [](const json& j) {
     wire::check_object(j);
     check_known_fields(j, {"level", "lowest", "highest", "w"});
-    VersionRecord r{read_version(wire::need(j, "level"), "level"),
-                    read_version(wire::need(j, "lowest"), "lowest"),
-                    read_version(wire::need(j, "highest"), "highest"), wire::text(j, "w")};
+    VersionRecord r{read_version(wire::required(j, "level"), "level"),
+                    read_version(wire::required(j, "lowest"), "lowest"),
+                    read_version(wire::required(j, "highest"), "highest"), wire::text(j, "w")};
     if (r.active < r.lowest || r.active > r.highest)
       throw Malformed::bad_value("level",
                                  "is " + std::to_string(r.active) + ", outside " +
@@ -77,7 +77,7 @@
 }
 
 Orders decode_orders(const wire::Event& event) {
-  return wire::of_value(event, [](const json& j) {
+  return wire::decode_event_value(event, [](const json& j) {
     wire::check_object(j);
     check_known_fields(j, {"gone", "most", "w"});
     Orders o;
@@ -94,7 +94,7 @@
 
 Build decode_member(const wire::Event& event) {
   try {
-    return wire::of_value(event, [](const json& j) {
+    return wire::decode_event_value(event, [](const json& j) {
       const json* levels = wire::find(j, "levels");
       return levels ? build_from_json(*levels) : Build{};
     });
@@ -118,7 +118,7 @@
 }
 
 Order decode_order(std::string_view body) {
-  return wire::guarded(body, [](const json& j) {
+  return wire::decode_body(body, [](const json& j) {
     check_known_fields(j, {"hold", "gone", "here"});
     if (j.size() != 1) throw Malformed("give one of hold, gone, here");
     Order o;
--- a/src/wire/cloud_codec.cpp
+++ b/src/wire/cloud_codec.cpp
@@ -7,12 +7,13 @@
 namespace shunttrail::wire {
 namespace {
 
-/// The cloud's clock may be behind ours.
-constexpr double kLeastAgeS = -1e9;
-/// As many as the protocol allows; 4,000 machines are 8 pages.
+/// Minimum age of a machine. Ages may be negative, since the cloud's clock may be behind this one.
+constexpr double kMinAgeS = -1e9;
+/// Path of the list of rented machines, with the largest page that the protocol allows: 4,000
+/// machines take 8 pages.
 constexpr const char* kListPath = "/rentals?limit=500";
 
-/// Percent-encodes what may not stand in a query.
+/// Percent-encodes every byte except letters, digits and the characters - _ . /
 std::string escape(const std::string& value) {
   constexpr std::string_view kHexDigits = "0123456789ABCDEF";
   std::string out;
@@ -51,14 +52,14 @@
   machine.zone = text(j, "yard");
   machine.spot = flag(j, "borrowed_stock");
   machine.state = text(j, "signal");
-  machine.age_s = number(j, "held_s", kLeastAgeS);
+  machine.age_s = number(j, "held_s", kMinAgeS);
   return machine;
 }
 
 }  // namespace
 
 std::vector<MachineType> decode_types(std::string_view body) {
-  return guarded(body, [](const json& j) {
+  return decode_body(body, [](const json& j) {
     std::vector<MachineType> out;
     for (const json& type : list(j, "stock_types")) out.push_back(machine_type_from_json(type));
     return out;
@@ -76,7 +77,7 @@
 }
 
 std::vector<std::string> decode_rented(std::string_view body) {
-  return guarded(body, [](const json& j) { return texts(list(j, "engines"), "engines"); });
+  return decode_body(body, [](const json& j) { return texts(list(j, "engines"), "engines"); });
 }
 
 std::string encode_delete(const std::vector<std::string>& machines) {
@@ -88,7 +89,7 @@
 }
 
 MachineList decode_machines(std::string_view body) {
-  return guarded(body, [](const json& j) {
+  return decode_body(body, [](const json& j) {
     MachineList out;
     for (const json& machine : list(j, "engines"))
       out.machines.push_back(listed_machine_from_json(machine));
--- a/src/wire/job_spec_json.cpp
+++ b/src/wire/job_spec_json.cpp
@@ -8,9 +8,10 @@
 namespace shunttrail::wire {
 namespace {
 
-/// By Priority.
+/// Wire names of priorities, indexed by Priority.
 constexpr std::array<const char*, kPriorities> kPriorityNames = {"critical", "high", "standard",
                                                                  "idle"};
+/// Maximum number of machine types that one specification may list.
 constexpr std::size_t kMaxMachineTypes = 1000;
 
 const char* kind_name(const JobSpec& spec) {
@@ -18,7 +19,7 @@
   return spec.gang ? "group" : "batch";
 }
 
-Priority priority_named(const std::string& name) {
+Priority parse_priority(const std::string& name) {
   for (int p = 0; p < kPriorities; ++p)
     if (name == kPriorityNames[p]) return static_cast<Priority>(p);
   throw Malformed::bad_value("precedence", "is unknown", "critical, high, standard or idle");
@@ -38,7 +39,7 @@
     throw Malformed::bad_value("haul", "is unknown", "batch, group or service");
   spec.service = kind == "service";
   spec.gang = kind == "group";
-  spec.priority = priority_named(text(j, "precedence"));
+  spec.priority = parse_priority(text(j, "precedence"));
   const std::uint64_t tasks = whole(j, "cars");
   if (tasks < 1 || tasks > kMaxTasks)
     throw Malformed::out_of_range("cars", "1 to " + std::to_string(kMaxTasks));
@@ -72,7 +73,7 @@
   if (const json* deadline = find(j, "due_s")) spec.deadline_s = as_number(*deadline, "due_s", 0);
 }
 
-/// The ids in order, each once.
+/// Returns the ids in ascending order without duplicates.
 std::vector<std::string> read_dependencies(const json& ids) {
   if (!ids.is_array()) throw Malformed::wrong_type("awaits", "a list");
   std::set<std::string> unique;
@@ -91,7 +92,7 @@
 }  // namespace
 
 JobSpec job_spec_from_json(const json& j) {
-  // In this order: of several errors the first one is told.
+  // The order decides which error is reported if several fields are invalid.
   JobSpec spec;
   read_identity(j, spec);
   read_kind(j, spec);
--- a/src/wire/record_codec.cpp
+++ b/src/wire/record_codec.cpp
@@ -14,13 +14,16 @@
 namespace shunttrail::wire {
 namespace {
 
+/// Maximum index of a shard in a record.
 constexpr std::uint64_t kMaxShard = 1000;
-/// Fields of one machine in an inventory page: type, zone, spot, shard, token.
+/// Number of fields of one machine in an inventory page: type, zone, spot, shard, token.
 constexpr std::size_t kMachineFields = 5;
-/// Numbers of one placement: position of the machine's name, task, attempt above the base.
+/// Count of numbers that store one placement: position of the machine's name in the page, task
+/// index, and attempt minus the page's lowest attempt.
 constexpr std::size_t kPlacementFields = 3;
 
-/// The ids without their common prefix, joined by spaces: a value has little room.
+/// Returns the ids without their common prefix, joined by spaces. This keeps the record small: the
+/// state service limits the size of a value.
 std::string dependencies_text(const std::vector<std::string>& ids) {
   std::string out;
   for (const std::string& id : ids) {
@@ -66,8 +69,8 @@
   return out;
 }
 
-/// The machine type of a delegated job, in place of its own ones. No cloud lists it, so builds that
-/// know no delegations start none of the job's tasks.
+/// Machine type that the record of a delegated job lists instead of the job's own types. No cloud
+/// offers it, so builds that do not support delegations start none of the job's tasks.
 constexpr const char* kDelegatedType = "-delegated-";
 
 json delegation_to_json(const JobSpec& spec, const Delegation& delegation) {
@@ -78,7 +81,7 @@
   return out;
 }
 
-/// Reads the delegation, and gives the job its own machine types back.
+/// Reads the delegation and restores the job's own machine types in `spec`.
 Delegation delegation_from_json(const json& j, JobSpec& spec) {
   Delegation delegation;
   const std::uint64_t shard = whole(j, "to");
@@ -94,7 +97,8 @@
   return delegation;
 }
 
-/// A delegation that cannot be read may name any task: the job goes on being known, and waits.
+/// Reads the job's delegation, if any. One that cannot be decoded could name any task, so it is
+/// marked as unreadable: the job stays known, and its tasks wait.
 void read_delegation(const json& j, JobRecord& record) {
   const json* delegation = find(j, "delegation");
   if (!delegation) return;
@@ -122,10 +126,10 @@
 }
 
 JobRecord decode_job_record(const Event& event) {
-  return of_value(event, [](const json& j) {
+  return decode_event_value(event, [](const json& j) {
     JobRecord record;
     record.spec = job_spec_from_json(j);
-    record.submitted_at = as_number(need(j, "at"), "at", 0, kMaxTimeOfDayS);
+    record.submitted_at = as_number(required(j, "at"), "at", 0, kMaxTimeOfDayS);
     if (const json* ready = find(j, "ready"))
       record.ready_at = as_number(*ready, "ready", 0, kMaxTimeOfDayS);
     if (const json* needs = find(j, "needs")) {
@@ -142,9 +146,10 @@
 
 namespace {
 
-/// When machines were rented: the earliest time of day in whole seconds, and for each machine the
-/// seconds after it, in the order of the names in `machines`; null where it is not known.
-json ages_to_json(const InventoryPageRecord& record, const json& machines) {
+/// Returns the times at which machines were rented: the earliest time of day in whole seconds, and
+/// a list with each machine's offset from it in seconds, in the order of the names in `machines`.
+/// The offset is null if the time is not known.
+json rent_times_to_json(const InventoryPageRecord& record, const json& machines) {
   std::map<std::string, double> rented_at;
   double earliest = 0;
   for (const MachineRecord& machine : record.machines) {
@@ -164,13 +169,13 @@
   return {base, std::move(after_base)};
 }
 
-void read_ages(const json& ages, std::vector<MachineRecord>& machines) {
-  if (!ages.is_array() || ages.size() != 2 || !ages[1].is_array() ||
-      ages[1].size() != machines.size())
+void read_rent_times(const json& rent_times, std::vector<MachineRecord>& machines) {
+  if (!rent_times.is_array() || rent_times.size() != 2 || !rent_times[1].is_array() ||
+      rent_times[1].size() != machines.size())
     throw Malformed::bad_value("t", "is bad", "a time and a list as long as m");
-  const std::uint64_t base = as_whole(ages[0], "t");
+  const std::uint64_t base = as_whole(rent_times[0], "t");
   for (std::size_t i = 0; i < machines.size(); ++i) {
-    const json& after_base = ages[1][i];
+    const json& after_base = rent_times[1][i];
     if (!after_base.is_null())
       machines[i].rented_at = static_cast<double>(base + as_whole(after_base, "t"));
   }
@@ -200,22 +205,22 @@
     machines[machine.name] = json::array(
         {machine.type, machine.zone, machine.spot ? 1 : 0, machine.shard, machine.token});
   json out = {{"w", record.tag}};
-  if (record.form >= 1) out["t"] = ages_to_json(record, machines);
+  if (record.form >= 1) out["t"] = rent_times_to_json(record, machines);
   out["m"] = std::move(machines);
   return out.dump();
 }
 
 InventoryPageRecord decode_inventory_page(const Event& event) {
-  return of_value(event, [](const json& j) {
+  return decode_event_value(event, [](const json& j) {
     InventoryPageRecord record;
     record.tag = text_or(j, "w", "");
-    const json& machines = need(j, "m");
+    const json& machines = required(j, "m");
     if (!machines.is_object()) throw Malformed::wrong_type("m", "an object");
     for (auto it = machines.begin(); it != machines.end(); ++it)
       record.machines.push_back(machine_from_json(it.key(), it.value()));
-    if (const json* ages = find(j, "t")) {
+    if (const json* rent_times = find(j, "t")) {
       record.form = 1;
-      read_ages(*ages, record.machines);
+      read_rent_times(*rent_times, record.machines);
     }
     return record;
   });
@@ -223,8 +228,8 @@
 
 namespace {
 
-/// Machines of a placement page in order of their first use, each named once; placements refer to
-/// them by position.
+/// The machine names of a placement page, each once, in order of their first use. Placements refer
+/// to a machine by its position here.
 class MachineNames {
  public:
   std::size_t position(const std::string& machine) {
@@ -239,7 +244,8 @@
   std::unordered_map<std::string, std::size_t> positions_;
 };
 
-/// The lowest attempt of a page, from which its attempts are counted; 0 without placements.
+/// Returns the lowest attempt of a page; 0 if the page has no placements. The page stores attempts
+/// as offsets from it.
 std::uint64_t lowest_attempt(const PlacementPageRecord& record) {
   std::optional<std::uint64_t> lowest;
   for (const JobPlacements& job : record.jobs)
@@ -320,12 +326,12 @@
 }
 
 PlacementPageRecord decode_placement_page(const Event& event, const TeamIndex& team_index) {
-  return of_value(event, [&](const json& j) {
+  return decode_event_value(event, [&](const json& j) {
     PlacementPageRecord record;
     record.tag = text_or(j, "w", "");
     const std::uint64_t base = whole(j, "b");
     const json& machines = list(j, "m");
-    const json& jobs = need(j, "j");
+    const json& jobs = required(j, "j");
     if (!jobs.is_object()) throw Malformed::wrong_type("j", "an object");
     for (auto it = jobs.begin(); it != jobs.end(); ++it)
       record.jobs.push_back(
@@ -348,7 +354,7 @@
 }
 
 JobResultRecord decode_job_result(std::string_view body) {
-  return guarded(body, [](const json& j) {
+  return decode_body(body, [](const json& j) {
     JobResultRecord record;
     record.cancelled = text(j, "s") == "cancelled";
     record.tasks = static_cast<std::uint32_t>(whole(j, "n"));
@@ -364,7 +370,7 @@
 }
 
 LeaderRecord decode_leader_record(const Event& event) {
-  return of_value(event, [](const json& j) {
+  return decode_event_value(event, [](const json& j) {
     return LeaderRecord{text(j, "node"), text_or(j, "w", "")};
   });
 }
--- a/src/wire/state_codec.cpp
+++ b/src/wire/state_codec.cpp
@@ -31,10 +31,10 @@
   out += '}';
 }
 
-/// Applies `f` to the parsed body and to a function that makes a pointer to a part of it; the body
-/// lives as long as any such pointer.
+/// Parses the body and applies `f` to it and to a function that makes a shared pointer to a part of
+/// the body. The parsed body lives as long as any such pointer.
 template <class F>
-auto guarded_shared(std::string_view body, F f) {
+auto decode_shared_body(std::string_view body, F f) {
   try {
     auto document = std::make_shared<const json>(parse(body));
     return f(*document, [&document](const json& part) {
@@ -50,7 +50,7 @@
   Event event;
   if (const json* key = find(j, "set")) {
     event.key = as_text(*key, "set");
-    event.parsed = share(need(j, "value"));
+    event.parsed = share(required(j, "value"));
   } else {
     event.key = text(j, "drop");
   }
@@ -61,7 +61,7 @@
 }  // namespace
 
 std::string encode_transaction(const Transaction& transaction) {
-  // Joined as text: to parse the values once more would be slow.
+  // The values are JSON text already. Joining text avoids parsing them again, which would be slow.
   std::string out = R"({"guards":[)";
   const char* separator = "";
   for (const auto& precondition : transaction.preconditions) {
@@ -81,11 +81,11 @@
 }
 
 std::uint64_t decode_revision(std::string_view body) {
-  return guarded(body, [](const json& j) { return whole(j, "ledger"); });
+  return decode_body(body, [](const json& j) { return whole(j, "ledger"); });
 }
 
 std::vector<std::string> decode_failed(std::string_view body) {
-  return guarded(body, [](const json& j) {
+  return decode_body(body, [](const json& j) {
     const json* keys = find(j, "failed");
     return keys ? texts(*keys, "failed") : std::vector<std::string>();
   });
@@ -100,7 +100,7 @@
 }
 
 std::uint64_t decode_lease(std::string_view body) {
-  return guarded(body, [](const json& j) { return whole(j, "block"); });
+  return decode_body(body, [](const json& j) { return whole(j, "block"); });
 }
 
 std::string watch_path(const std::string& prefix, std::uint64_t after, int block_ms) {
@@ -109,7 +109,7 @@
 }
 
 WatchAnswer decode_watch(std::string_view body) {
-  return guarded_shared(body, [](const json& j, auto share) {
+  return decode_shared_body(body, [](const json& j, auto share) {
     WatchAnswer out;
     out.revision = whole(j, "ledger");
     for (const json& event : list(j, "events")) out.events.push_back(event_from_json(event, share));
@@ -118,25 +118,26 @@
 }
 
 std::string keys_path(const std::string& prefix, const std::string& after) {
-  // As many as the protocol allows (and 512 KiB): page follows page until there are no more.
+  // 1,000 keys (and 512 KiB) are the largest page that the protocol allows. The caller reads pages
+  // until none follows.
   return "/kv?starts=" + prefix + "&limit=1000" + (after.empty() ? "" : "&after=" + after);
 }
 
 KeyPage decode_keys(std::string_view body) {
-  return guarded_shared(body, [](const json& j, auto share) {
+  return decode_shared_body(body, [](const json& j, auto share) {
     KeyPage out;
     out.revision = whole(j, "ledger");
     out.more = flag_or_false(j, "has_next");
     for (const json& entry : list(j, "entries"))
       out.items.push_back(
-          {text(entry, "k"), std::nullopt, whole(entry, "stamp"), share(need(entry, "value"))});
+          {text(entry, "k"), std::nullopt, whole(entry, "stamp"), share(required(entry, "value"))});
     return out;
   });
 }
 
 Event decode_key(std::string_view body) {
-  return guarded(body, [](const json& j) {
-    return Event{text(j, "k"), need(j, "value").dump(), whole(j, "stamp")};
+  return decode_body(body, [](const json& j) {
+    return Event{text(j, "k"), required(j, "value").dump(), whole(j, "stamp")};
   });
 }
 
--- a/src/wire/worker_codec.cpp
+++ b/src/wire/worker_codec.cpp
@@ -8,17 +8,18 @@
 namespace shunttrail::wire {
 namespace {
 
-/// Notices and ages may lie in the past.
-constexpr double kLeastNoticeS = -1e9;
+/// Minimum of the seconds until the cloud takes the machine back; negative if that time has passed.
+constexpr double kMinNoticeS = -1e9;
 
-TaskState task_state_named(const std::string& name) {
+TaskState parse_task_state(const std::string& name) {
   for (std::size_t i = 0; i < std::size(kTaskStateNames); ++i)
     if (name == kTaskStateNames[i]) return static_cast<TaskState>(i);
-  // A state that this version does not know: the task is there, in whatever way.
+  // A worker of a later version may report a state that is unknown here. The task is still on the
+  // machine, so it counts as running.
   return TaskState::running;
 }
 
-ExitReason exit_reason_named(const std::string& name) {
+ExitReason parse_exit_reason(const std::string& name) {
   static const std::map<std::string, ExitReason> kReasons = {
       {"done", ExitReason::done},          {"stopped", ExitReason::stopped},
       {"error", ExitReason::error},        {"full", ExitReason::no_room},
@@ -32,9 +33,9 @@
   TaskStatus status;
   status.task = task_id(text(j, "car"));
   status.attempt = whole(j, "departure");
-  status.state = task_state_named(text(j, "signal"));
+  status.state = parse_task_state(text(j, "signal"));
   if (status.state == TaskState::exited) {
-    status.exit_reason = exit_reason_named(text_or(j, "stop_cause", "error"));
+    status.exit_reason = parse_exit_reason(text_or(j, "stop_cause", "error"));
     status.checkpointed = flag_or_false(j, "kept");
   }
   return status;
@@ -51,7 +52,7 @@
   heartbeat.sequence = whole(j, "waybill");
   heartbeat.token = whole(j, "staff");
   if (const json* notice = find(j, "recall_s"))
-    heartbeat.notice_s = as_number(*notice, "recall_s", kLeastNoticeS);
+    heartbeat.notice_s = as_number(*notice, "recall_s", kMinNoticeS);
   if (find(j, "cars"))
     for (const json& task : list(j, "cars")) heartbeat.tasks.push_back(task_status_from_json(task));
   return heartbeat;
@@ -82,15 +83,16 @@
 
 }  // namespace
 
-Heartbeat decode_heartbeat(std::string_view body) { return guarded(body, heartbeat_from_json); }
+Heartbeat decode_heartbeat(std::string_view body) { return decode_body(body, heartbeat_from_json); }
 
 std::string encode_heartbeat_response(std::uint64_t token, const std::vector<Command>& commands) {
   return json{{"staff", token}, {"orders", commands_to_json(commands)}}.dump();
 }
 
-std::string encode_direct_commands(std::uint64_t token, std::uint64_t session,
+std::string encode_direct_commands(std::uint64_t token, std::uint64_t incarnation,
                                    const std::vector<Command>& commands) {
-  return json{{"staff", token}, {"shift", session}, {"orders", commands_to_json(commands)}}.dump();
+  return json{{"staff", token}, {"shift", incarnation}, {"orders", commands_to_json(commands)}}
+      .dump();
 }
 
 std::string encode_redirect(const std::string& node) {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -15,137 +15,142 @@
 namespace shunttrail::test {
 namespace {
 
-struct Echo {
+// A server that answers each request with its body, and the path /later with 503 and Retry-After.
+// It keeps requests unanswered while hold_requests is set.
+struct EchoServer {
   actor::Loop loop;
   config::Endpoint at{"127.0.0.1", free_port()};
-  std::vector<std::string> seen;
-  std::vector<net::ExchangePtr> held;
-  bool hold = false;
+  std::vector<std::string> received_bodies;
+  std::vector<net::ExchangePtr> held_requests;
+  bool hold_requests = false;
   net::Server server{
       loop, at, 64 * 1024, [this](net::ExchangePtr ex) {
-        seen.push_back(ex->body);
-        if (hold) {
-          held.push_back(ex);
+        received_bodies.push_back(ex->body);
+        if (hold_requests) {
+          held_requests.push_back(ex);
           return;
         }
         ex->send({ex->path == "/later" ? 503 : 200, ex->body, ex->path == "/later" ? 2.0 : 0.0});
       }};
-  bool until(const std::function<bool()>& over, int turns = 20000) {
-    return turn_until(loop, over, turns);
+  bool run_until(const std::function<bool()>& is_done, int max_iterations = 20000) {
+    return run_loop_until(loop, is_done, max_iterations);
   }
-  // What a peer that writes these bytes and reads to the end gets.
-  std::string raw(const std::string& bytes) {
-    int s = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-    sockaddr_in a{};
-    a.sin_family = AF_INET;
-    a.sin_port = htons(at.port);
-    a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    if (connect(s, reinterpret_cast<sockaddr*>(&a), sizeof a) != 0 && errno != EINPROGRESS)
+  // Writes the bytes to a new connection, and returns all bytes that the server sends back.
+  std::string send_raw(const std::string& bytes) {
+    int socket_fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(at.port);
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    if (connect(socket_fd, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0 &&
+        errno != EINPROGRESS)
       std::abort();
     std::size_t sent = 0;
-    std::string got;
-    until(
+    std::string response;
+    run_until(
         [&] {
           if (sent < bytes.size()) {
-            ssize_t n = send(s, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
+            ssize_t n = send(socket_fd, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
             if (n > 0) sent += static_cast<std::size_t>(n);
             if (n < 0 && errno != EAGAIN && errno != ENOTCONN && errno != EINPROGRESS)
               sent = bytes.size();
-            if (sent == bytes.size()) shutdown(s, SHUT_WR);
+            if (sent == bytes.size()) shutdown(socket_fd, SHUT_WR);
           }
-          char buf[4096];
-          ssize_t n = recv(s, buf, sizeof buf, 0);
-          if (n > 0) got.append(buf, static_cast<std::size_t>(n));
+          char buffer[4096];
+          ssize_t n = recv(socket_fd, buffer, sizeof buffer, 0);
+          if (n > 0) response.append(buffer, static_cast<std::size_t>(n));
           return n == 0 || (n < 0 && errno != EAGAIN && errno != ENOTCONN);
         },
         1500);
-    close(s);
-    return got;
+    close(socket_fd);
+    return response;
   }
 };
 
-RC_GTEST_PROP(Net, BodiesArriveAsTheyWereSent, ()) {
-  Echo e;
-  net::Client client(e.loop, e.at, 3, 64);
+RC_GTEST_PROP(Net, RequestBodiesAreEchoedUnchanged, ()) {
+  EchoServer echo;
+  net::Client client(echo.loop, echo.at, 3, 64);
   auto bodies = *rc::gen::container<std::vector<std::string>>(
       8, rc::gen::nonEmpty(rc::gen::arbitrary<std::string>()));
   std::size_t answered = 0, wrong = 0;
-  for (const auto& b : bodies)
-    client.request("POST", "/x", b, 5, [&, b](net::Result r) {
+  for (const auto& body : bodies)
+    client.request("POST", "/x", body, 5, [&, body](net::Result r) {
       ++answered;
-      wrong += r.status != 200 || r.body != b;
+      wrong += r.status != 200 || r.body != body;
     });
-  RC_ASSERT(e.until([&] { return answered == bodies.size(); }));
+  RC_ASSERT(echo.run_until([&] { return answered == bodies.size(); }));
   RC_ASSERT(wrong == 0u);
 }
 
-// Bytes that are no request end their own connection at most; the next request is served.
-RC_GTEST_PROP(Net, MalformedRequestsHarmNobodyElse, (std::string bytes)) {
-  Echo e;
-  e.raw(bytes);
-  e.raw("POST /x HTTP/1.1\r\nContent-Length: 99\r\n\r\n" + bytes.substr(0, 50));
-  std::string good = e.raw("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi");
-  RC_ASSERT(good.find("200 OK") != std::string::npos);
-  RC_ASSERT(good.find("hi") != std::string::npos);
+// Bytes that are not an HTTP request may end their own connection; the next request is served.
+RC_GTEST_PROP(Net, TheRequestAfterAMalformedOneIsServed, (std::string bytes)) {
+  EchoServer echo;
+  echo.send_raw(bytes);
+  echo.send_raw("POST /x HTTP/1.1\r\nContent-Length: 99\r\n\r\n" + bytes.substr(0, 50));
+  std::string response =
+      echo.send_raw("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi");
+  RC_ASSERT(response.find("200 OK") != std::string::npos);
+  RC_ASSERT(response.find("hi") != std::string::npos);
 }
 
-TEST(Net, ABodyThatIsTooLongIsRefusedAndTheServerGoesOn) {
-  Echo e;
+TEST(Net, ABodyAboveTheLimitIsAnswered413AndLaterRequestsAreServed) {
+  EchoServer echo;
   std::string big(70 * 1024, 'x');
   std::string got =
-      e.raw("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: " + std::to_string(big.size()) +
-            "\r\n\r\n" + big);
-  EXPECT_TRUE(e.seen.empty());
+      echo.send_raw("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: " + std::to_string(big.size()) +
+                    "\r\n\r\n" + big);
+  EXPECT_TRUE(echo.received_bodies.empty());
   EXPECT_NE(got.find("413"), std::string::npos) << got.substr(0, 200);
-  EXPECT_NE(e.raw("GET /x HTTP/1.1\r\nHost: a\r\n\r\n").find("200 OK"), std::string::npos);
+  EXPECT_NE(echo.send_raw("GET /x HTTP/1.1\r\nHost: a\r\n\r\n").find("200 OK"), std::string::npos);
 }
 
-TEST(Net, ARefusalSaysWhenToComeBack) {
-  Echo e;
-  EXPECT_NE(e.raw("GET /later HTTP/1.1\r\nHost: a\r\n\r\n").find("Retry-After: 2"),
+TEST(Net, ARefusalCarriesARetryAfterHeader) {
+  EchoServer echo;
+  EXPECT_NE(echo.send_raw("GET /later HTTP/1.1\r\nHost: a\r\n\r\n").find("Retry-After: 2"),
             std::string::npos);
 }
 
-// A user that hangs up before its answer must not be written to, nor end the process.
+// The server must neither write to a connection that the user has closed, nor end the process.
 TEST(Net, AnAnswerToAClosedConnectionIsDropped) {
-  Echo e;
-  e.hold = true;
-  e.raw("GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-  ASSERT_TRUE(e.until([&] { return e.held.size() == 1; }));
-  e.held[0]->send({200, "too late", 0});
-  e.held.clear();
-  e.hold = false;
-  EXPECT_NE(e.raw("GET /x HTTP/1.1\r\nHost: a\r\n\r\n").find("200 OK"), std::string::npos);
+  EchoServer echo;
+  echo.hold_requests = true;
+  echo.send_raw("GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+  ASSERT_TRUE(echo.run_until([&] { return echo.held_requests.size() == 1; }));
+  echo.held_requests[0]->send({200, "too late", 0});
+  echo.held_requests.clear();
+  echo.hold_requests = false;
+  EXPECT_NE(echo.send_raw("GET /x HTTP/1.1\r\nHost: a\r\n\r\n").find("200 OK"), std::string::npos);
 }
 
-// One controller that held every shard of 1,812 machines reached its 3,129 sockets: a connection to
-// each worker for direct orders was kept beside the one that the worker reports by.
-TEST(Net, APoolKeepsSoManyConnectionsAndAnswersAllTheSame) {
-  Echo e;
-  net::Pool pool(e.loop);
+// Guards against a controller that runs out of sockets. One controller that led every shard of
+// 1,812 machines reached its quota of 3,129: for each worker it kept a connection for direct
+// commands beside the one for the worker's heartbeats.
+TEST(Net, APoolAtItsLimitClosesIdleClientsAndKeepsBusyOnes) {
+  EchoServer echo;
+  net::Pool pool(echo.loop);
   int answered = 0;
   for (int i = 0; i < 40; ++i) {
-    pool.at("m-" + std::to_string(i), e.at, 5)
+    pool.at("m-" + std::to_string(i), echo.at, 5)
         .request("POST", "/x", "hello", 5, [&](net::Result r) { answered += r.status == 200; });
-    ASSERT_TRUE(e.until([&] { return answered == i + 1; }));
+    ASSERT_TRUE(echo.run_until([&] { return answered == i + 1; }));
     EXPECT_LE(pool.size(), 5u);
   }
-  // What is busy is not closed for another one.
-  e.hold = true;
+  // Busy clients are not closed, so the limit is exceeded.
+  echo.hold_requests = true;
   for (int i = 0; i < 8; ++i)
-    pool.at("h-" + std::to_string(i), e.at, 5)
+    pool.at("h-" + std::to_string(i), echo.at, 5)
         .request("POST", "/x", "hello", 5, [&](net::Result r) { answered += r.status == 200; });
   EXPECT_EQ(pool.size(), 8u);
-  ASSERT_TRUE(e.until([&] { return e.held.size() == 8; }));
-  for (auto& ex : e.held) ex->send({200, "{}", 0});
-  e.held.clear();
-  ASSERT_TRUE(e.until([&] { return answered == 48; }));
-  e.hold = false;
-  pool.at("last", e.at, 5);
+  ASSERT_TRUE(echo.run_until([&] { return echo.held_requests.size() == 8; }));
+  for (auto& ex : echo.held_requests) ex->send({200, "{}", 0});
+  echo.held_requests.clear();
+  ASSERT_TRUE(echo.run_until([&] { return answered == 48; }));
+  echo.hold_requests = false;
+  pool.at("last", echo.at, 5);
   EXPECT_LE(pool.size(), 5u);
 }
 
-TEST(Net, AClientGivesUpOnAServerThatIsNotThere) {
+TEST(Net, RequestsToAnUnreachableServerEndWithoutAResponse) {
   actor::Loop loop;
   net::Client client(loop, {"127.0.0.1", free_port()}, 1, 1);
   int answers = 0, status = -1;
@@ -158,7 +163,8 @@
     event_base_loop(loop.base(), EVLOOP_NONBLOCK);
     usleep(100);
   }
-  EXPECT_EQ(answers, 3);  // one over the queue's bound at once, the others when refused
+  EXPECT_EQ(answers, 3);  // the third exceeds the queue and ends at once, the others when the
+                          // connection is refused
   EXPECT_EQ(status, 0);
 }
 
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -280,7 +280,7 @@
     std::optional<net::Result> response;
     worker->request("POST", "/agent/beat", body, 4,
                     [&](net::Result r) { response = std::move(r); });
-    EXPECT_TRUE(turn_until(
+    EXPECT_TRUE(run_loop_until(
         loop, [&] { return response.has_value(); }, 200000));
     return response.value_or(net::Result{});
   }
@@ -333,12 +333,12 @@
       ++answered;
       accepted += r.status == 200;
     });
-  turn_until(
+  run_loop_until(
       fixture.loop, [&] { return fixture.held_exchanges.size() + answered == kReports; }, 200000);
   EXPECT_EQ(fixture.held_exchanges.size(), kReports);
   for (auto& exchange : fixture.held_exchanges)
     exchange->send({200, R"({"staff":5,"orders":[]})", 0});
-  turn_until(
+  run_loop_until(
       fixture.loop, [&] { return answered == kReports; }, 200000);
   EXPECT_EQ(accepted, kReports);
 }
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -1,7 +1,7 @@
-// Golden values: the exact bytes of what leaves a controller and of what it stores, and how they
-// are read back. Recorded from the code before its codecs were restructured. Records, keys and
-// heartbeats that an earlier release wrote are in upgrade_test.cpp, those of the schema versions in
-// schema_test.cpp, relayed heartbeats in relay_test.cpp, what workers and the agent write in
+// Golden values: the exact bytes that a controller sends and stores, and the values that it reads
+// from them. They were recorded before the codecs were restructured. Other golden values: records,
+// keys and heartbeats of an earlier release in upgrade_test.cpp, those of the schema versions in
+// schema_test.cpp, relayed heartbeats in relay_test.cpp, bytes that workers and the agent write in
 // agent_golden_test.cpp.
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
 namespace {
 
 wire::Event event(const std::string& value) { return {"", value, 0}; }
-// `text` with "N" for each number that follows `key` (a JSON key with its colon).
+// Returns `text` with "N" in place of each number that follows `key`, a JSON key with its colon.
 std::string with_masked_numbers(std::string text, const std::string& key) {
   for (std::size_t at = text.find(key); at != std::string::npos; at = text.find(key, at)) {
     at += key.size();
@@ -25,7 +25,7 @@
   }
   return text;
 }
-std::string replaced(std::string text, const std::string& from, const std::string& to) {
+std::string replace_first(std::string text, const std::string& from, const std::string& to) {
   return text.replace(text.find(from), from.size(), to);
 }
 
@@ -34,19 +34,21 @@
 const std::string kPlainJob =
     R"({"borrowed_stock":false,"cards":0.0,"cars":1,"consist":"web","couple_s":0.0,"crew":"red","haul":"service","manifest":"img","mem_gb":1.0,"milepost_s":0.0,"precedence":"idle","run_s":0.0,"same_place":false,"scatter":true,"size_gb":0.0,"uid":"run-1","vcpus":0.5})";
 
-TEST(WireGolden, Submissions) {
+TEST(WireGolden, SubmissionsKeepTheirBytes) {
   for (const auto& text : {kJob, kPlainJob})
     EXPECT_EQ(wire::encode_job(wire::decode_job(text)), text);
   for (const char* haul : {"batch", "group", "service"})
     for (const char* precedence : {"critical", "high", "standard", "idle"}) {
-      const std::string text = replaced(replaced(kJob, "group", haul), "high", precedence);
+      const std::string text =
+          replace_first(replace_first(kJob, "group", haul), "high", precedence);
       EXPECT_EQ(wire::encode_job(wire::decode_job(text)), text);
     }
-  const wire::JobSpec s = wire::decode_job(kJob);
-  EXPECT_TRUE(s.gang && !s.service && s.same_zone && !s.anti_affinity && s.spot);
-  EXPECT_EQ(s.dependencies, (std::vector<std::string>{"run-000398", "run-000411"}));
-  EXPECT_EQ(s.types, (std::vector<std::string>{"g8", "t4"}));
-  EXPECT_EQ(std::tie(s.image, s.image_gb, s.mem_gb, s.gpus, s.estimate_s, s.checkpoint_s, s.save_s),
+  const wire::JobSpec spec = wire::decode_job(kJob);
+  EXPECT_TRUE(spec.gang && !spec.service && spec.same_zone && !spec.anti_affinity && spec.spot);
+  EXPECT_EQ(spec.dependencies, (std::vector<std::string>{"run-000398", "run-000411"}));
+  EXPECT_EQ(spec.types, (std::vector<std::string>{"g8", "t4"}));
+  EXPECT_EQ(std::tie(spec.image, spec.image_gb, spec.mem_gb, spec.gpus, spec.estimate_s,
+                     spec.checkpoint_s, spec.save_s),
             std::make_tuple("img-07", 6.2, 64.5, 1.0, 240.0, 30.0, 4.0));
   const wire::JobSpec plain = wire::decode_job(kPlainJob);
   EXPECT_TRUE(plain.service && plain.anti_affinity && !plain.types && !plain.zone &&
@@ -54,7 +56,7 @@
   EXPECT_EQ(plain.priority, wire::Priority::idle);
 }
 
-TEST(WireGolden, JobStates) {
+TEST(WireGolden, JobStatesKeepTheirBytes) {
   using wire::JobState;
   const std::pair<JobState, const char*> names[] = {{JobState::queued, "queued"},
                                                     {JobState::running, "running"},
@@ -67,43 +69,45 @@
             R"({"done":3,"running":13,"signal":"running","uid":"run-000412"})");
 }
 
-TEST(WireGolden, RecordsOfJobs) {
+TEST(WireGolden, JobRecordsKeepTheirBytes) {
   const std::string waits =
       R"({"at":1733000000.25,"borrowed_stock":false,"cards":0.0,"cars":1,"consist":"web","couple_s":0.0,"crew":"red","haul":"group","manifest":"img","mem_gb":1.0,"milepost_s":0.0,"needs":"000398 7","precedence":"idle","ready":1733000100.5,"run_s":0.0,"same_place":false,"scatter":true,"size_gb":0.0,"uid":"run-1","vcpus":0.5})";
-  const wire::JobRecord r = wire::decode_job_record(event(waits));
-  EXPECT_EQ(r.spec.dependencies, (std::vector<std::string>{"run-000398", "run-7"}));
-  EXPECT_EQ(r.ready_at, 1733000100.5);
-  EXPECT_TRUE(r.spec.gang);
-  EXPECT_EQ(wire::encode_record(r), waits);
+  const wire::JobRecord record = wire::decode_job_record(event(waits));
+  EXPECT_EQ(record.spec.dependencies, (std::vector<std::string>{"run-000398", "run-7"}));
+  EXPECT_EQ(record.ready_at, 1733000100.5);
+  EXPECT_TRUE(record.spec.gang);
+  EXPECT_EQ(wire::encode_record(record), waits);
   const std::string final = R"({"n":3,"s":"done","svc":1,"team":"red","w":"n.7.12"})";
   EXPECT_TRUE(wire::decode_job_result(final).service);
   EXPECT_EQ(wire::encode_record(wire::decode_job_result(final)), final);
-  EXPECT_EQ(wire::encode_record(wire::cancelled_record(r.spec, "n.7.u3")),
+  EXPECT_EQ(wire::encode_record(wire::cancelled_record(record.spec, "n.7.u3")),
             R"({"n":1,"s":"cancelled","team":"red","w":"n.7.u3"})");
   const std::string empty = R"({"b":0,"j":{},"m":[],"w":"n.7.1"})";
   const auto page = wire::decode_placement_page(event(empty), [](const std::string&) { return 0; });
   EXPECT_EQ(wire::encode_record(page, [](int) { return std::string(); }), empty);
 }
 
-// Each state and each cause that a worker may report, and what this version has no word for.
-TEST(WireGolden, HeartbeatsOfWorkers) {
-  auto car = [](const std::string& rest) {
+// Each state and each exit reason that a worker may report, and names that this version does not
+// know.
+TEST(WireGolden, WorkerHeartbeatsAreDecoded) {
+  auto task_json = [](const std::string& rest) {
     return R"({"car":"run-000412/3","departure":2,"signal":)" + rest + "}";
   };
-  const wire::Heartbeat r = wire::decode_heartbeat(
-      R"({"address":"10.1.0.232:9000","borrowed_stock":true,"cars":[)" + car(R"("pulling")") + "," +
-      car(R"("flushing")") + "," + car(R"("exited","stop_cause":"stopped","kept":true)") +
+  const wire::Heartbeat heartbeat = wire::decode_heartbeat(
+      R"({"address":"10.1.0.232:9000","borrowed_stock":true,"cars":[)" + task_json(R"("pulling")") +
+      "," + task_json(R"("flushing")") + "," +
+      task_json(R"("exited","stop_cause":"stopped","kept":true)") +
       R"(],"engine":"m-000231","recall_s":25.5,"shift":1,"staff":41,"stock":"g8","waybill":88,"yard":"a"})");
-  EXPECT_EQ(std::tie(r.machine, r.addr, r.type, r.zone),
+  EXPECT_EQ(std::tie(heartbeat.machine, heartbeat.addr, heartbeat.type, heartbeat.zone),
             std::make_tuple("m-000231", "10.1.0.232:9000", "g8", "a"));
-  EXPECT_EQ(std::tie(r.spot, r.incarnation, r.sequence, r.token),
+  EXPECT_EQ(std::tie(heartbeat.spot, heartbeat.incarnation, heartbeat.sequence, heartbeat.token),
             std::make_tuple(true, 1u, 88u, 41u));
-  EXPECT_EQ(r.notice_s, 25.5);
-  ASSERT_EQ(r.tasks.size(), 3u);
-  EXPECT_EQ(r.tasks[0].task.job, "run-000412");
-  EXPECT_EQ(r.tasks[0].task.index, 3u);
-  EXPECT_EQ(r.tasks[0].attempt, 2u);
-  EXPECT_TRUE(r.tasks[2].checkpointed);
+  EXPECT_EQ(heartbeat.notice_s, 25.5);
+  ASSERT_EQ(heartbeat.tasks.size(), 3u);
+  EXPECT_EQ(heartbeat.tasks[0].task.job, "run-000412");
+  EXPECT_EQ(heartbeat.tasks[0].task.index, 3u);
+  EXPECT_EQ(heartbeat.tasks[0].attempt, 2u);
+  EXPECT_TRUE(heartbeat.tasks[2].checkpointed);
   using wire::ExitReason;
   using wire::TaskState;
   const std::tuple<const char*, TaskState, ExitReason> rows[] = {
@@ -123,14 +127,14 @@
       {R"("exited","stop_cause":"later")", TaskState::exited, ExitReason::error}};
   for (const auto& [text, state, why] : rows) {
     const auto one = wire::decode_heartbeat(
-        R"({"address":"a:1","borrowed_stock":false,"cars":[)" + car(text) +
+        R"({"address":"a:1","borrowed_stock":false,"cars":[)" + task_json(text) +
         R"(],"engine":"m","shift":1,"staff":0,"stock":"g","waybill":1,"yard":"a"})");
     EXPECT_EQ(one.tasks.at(0).state, state) << text;
     EXPECT_EQ(one.tasks.at(0).exit_reason, why) << text;
   }
 }
 
-TEST(WireGolden, CommandsToWorkers) {
+TEST(WireGolden, CommandsToWorkersKeepTheirBytes) {
   using Op = wire::Command::Op;
   const std::vector<wire::Command> commands = {{Op::start, {"run-000412", 4}, 2},
                                                {Op::stop, {"run-000377", 1}, 1, 10},
@@ -144,7 +148,7 @@
   EXPECT_EQ(wire::encode_redirect(""), "{}");
 }
 
-TEST(WireGolden, Cloud) {
+TEST(WireGolden, CloudBodiesKeepTheirBytes) {
   const auto types = wire::decode_types(
       R"({"stock_types":[{"cards":8.0,"fetch_gb_per_s":1.0,"hourly":12.0,"local_gb":200.0,"market_price":4.5,"mem_gb":768.0,"name":"g8","startup_s":45.0,"vcpus":96.0,"yards":["a","b"]},{"cards":0,"hourly":0.5,"mem_gb":16,"name":"t4","startup_s":9,"vcpus":4,"yards":[]}]})");
   ASSERT_EQ(types.size(), 2u);
@@ -167,7 +171,7 @@
             std::make_tuple("m-000231", "10.1.0.232:9000", "g8", "a", "running", true, 61.5));
 }
 
-TEST(WireGolden, StateService) {
+TEST(WireGolden, StateServiceBodiesKeepTheirBytes) {
   const wire::Transaction t{
       {{"a/b", 0}, {"st/\"", 18446744073709551615u}},
       {{"a/b", R"({"x":[1]})", 7}, {"c/9", "{}", 0}, {"c/d", std::nullopt, 0}}};
@@ -206,13 +210,14 @@
   EXPECT_EQ(e.value, R"({"a":2.0,"z":1})");
 }
 
-// ---- the bodies of a controller's own answers
+// ---- Bodies of a controller's responses
 
-// A controller over sockets on loopback, beside a state service that stands still at what is given
-// here and takes no writes: nothing in the answers depends on when they are asked for.
-class Answers : public ::testing::Test {
+// A controller on loopback sockets, with a state service that always holds the keys below and
+// rejects every write. The controller's responses therefore do not depend on the time of the
+// request.
+class ControllerOverLoopback : public ::testing::Test {
  protected:
-  static constexpr const char* kPage =
+  static constexpr const char* kStoredKeys =
       R"({"entries":[{"k":"st/a/1/0","stamp":40,"value":{"b":7,"j":{"run-100001":{"c":1.0,"d":{"0":[0,0]},"g":0.0,"l":[0,1,0],"m":1.0,"t":"red"}},"m":["m-000001"],"w":"x"}},)"
       R"({"k":"st/j/run-100001","stamp":41,"value":{"at":1733000000.0,"borrowed_stock":true,"cards":0.0,"cars":3,"consist":"c","couple_s":0.0,"crew":"red","haul":"batch","manifest":"img","mem_gb":1.0,"milepost_s":0.0,"precedence":"standard","run_s":0.0,"same_place":false,"scatter":false,"size_gb":0.0,"uid":"run-100001","vcpus":1.0}},)"
       R"({"k":"st/l/active","stamp":42,"value":{"highest":1,"level":1,"lowest":1,"w":"x"}},)"
@@ -222,19 +227,20 @@
       R"({"k":"st/o/1","stamp":46,"value":{"node":"node-1","w":"x"}},)"
       R"({"k":"st/w/run-100002","stamp":47,"value":{"at":1733000000.0,"borrowed_stock":true,"cards":0.0,"cars":2,"consist":"c","couple_s":0.0,"crew":"red","haul":"batch","manifest":"img","mem_gb":1.0,"milepost_s":0.0,"needs":"100001","precedence":"standard","run_s":0.0,"same_place":false,"scatter":false,"size_gb":0.0,"uid":"run-100002","vcpus":1.0}}],"has_next":false,"ledger":50})";
 
-  Answers() {
-    s_.front = {"127.0.0.1", free_port()};
-    s_.internal = {"127.0.0.1", free_port()};
-    s_.state = {"127.0.0.1", free_port()};
-    s_.cloud = {"127.0.0.1", free_port()};
-    state_ = std::make_unique<net::Server>(loop_, s_.state, 64 * 1024, [this](net::ExchangePtr ex) {
-      // The time of day as N.
+  ControllerOverLoopback() {
+    settings_.front = {"127.0.0.1", free_port()};
+    settings_.internal = {"127.0.0.1", free_port()};
+    settings_.state = {"127.0.0.1", free_port()};
+    settings_.cloud = {"127.0.0.1", free_port()};
+    state_ = std::make_unique<
+        net::Server>(loop_, settings_.state, 64 * 1024, [this](net::ExchangePtr ex) {
+      // Masks the time of day.
       requests_.insert(ex->post ? ex->path + " " + with_masked_numbers(ex->body, "\"at\":")
                                 : ex->path + "?" + ex->query);
-      if (ex->path == "/kv") return ex->send({200, kPage, 0});
+      if (ex->path == "/kv") return ex->send({200, kStoredKeys, 0});
       if (ex->path == "/watch" && ex->query.ends_with("block_ms=0"))
         return ex->send({200, R"({"events":[],"ledger":50})", 0});
-      if (ex->path == "/watch") return held_.push_back(ex);
+      if (ex->path == "/watch") return held_watches_.push_back(ex);
       if (ex->path == "/kv/fin/run-100003")
         return ex->send(
             {200,
@@ -242,28 +248,30 @@
              0});
       ex->send({ex->post ? 503 : 404, R"({"ledger":50})", 0});
     });
-    cloud_ = std::make_unique<net::Server>(loop_, s_.cloud, 64 * 1024, [](net::ExchangePtr ex) {
+    cloud_ = std::make_unique<
+        net::Server>(loop_, settings_.cloud, 64 * 1024, [](net::ExchangePtr ex) {
       if (ex->path != "/machine_types") return ex->send({503, "{}", 0});
       ex->send(
           {200,
            R"({"stock_types":[{"name":"t4","vcpus":4,"cards":0,"mem_gb":16,"hourly":0.4,"market_price":0.1,"startup_s":10,"yards":["a","b"]}]})",
            0});
     });
-    controller_ =
-        std::make_unique<controller::Controller>(loop_, s_, tuning_, schema::current_build());
-    front_ = std::make_unique<net::Client>(loop_, s_.front, 1, 4);
-    internal_ = std::make_unique<net::Client>(loop_, s_.internal, 1, 4);
-    // It has read the state service and the machine types when it can tell what never runs.
+    controller_ = std::make_unique<controller::Controller>(loop_, settings_, tuning_,
+                                                           schema::current_build());
+    front_ = std::make_unique<net::Client>(loop_, settings_.front, 1, 4);
+    internal_ = std::make_unique<net::Client>(loop_, settings_.internal, 1, 4);
+    // Waits until the controller has read the state service and the machine types. From then on it
+    // answers 422 to a job that can never run.
     for (int i = 0; i < 100; ++i)
       if (get("/v2/runs/run-100001").starts_with("200") && submit("blue").starts_with("422")) break;
   }
-  ~Answers() override { held_.clear(); }  // while their server is there
+  ~ControllerOverLoopback() override { held_watches_.clear(); }  // before their server is destroyed
 
   std::string ask(net::Client& to, const char* method, const std::string& path,
                   const std::string& body) {
     std::optional<net::Result> got;
     to.request(method, path, body, 10, [&](net::Result r) { got = std::move(r); });
-    turn_until(
+    run_loop_until(
         loop_, [&] { return got.has_value(); }, 200000);
     if (!got) return "no answer";
     return std::to_string(got->status) + " " + got->body;
@@ -273,9 +281,9 @@
     return ask(*front_, "POST", path, body);
   }
   std::string submit(const std::string& team) {
-    return post("/v2/runs", replaced(kPlainJob, "\"red\"", "\"" + team + "\""));
+    return post("/v2/runs", replace_first(kPlainJob, "\"red\"", "\"" + team + "\""));
   }
-  // Of the operators' address; what depends on time as N.
+  // Returns the response of the operators' address, with masked numbers where they depend on time.
   std::string internal(const std::string& path) {
     std::string answer = ask(*internal_, "GET", path, "");
     for (const char* key : {"\"since_s\":", "\"state_waited_s\":", "\"submissions\":"})
@@ -284,17 +292,17 @@
   }
 
   actor::Loop loop_;
-  config::Settings s_ = make_settings(2);
+  config::Settings settings_ = make_settings(2);
   config::Tuning tuning_;
   std::set<std::string> requests_;
-  std::vector<net::ExchangePtr> held_;
+  std::vector<net::ExchangePtr> held_watches_;
   std::unique_ptr<net::Server> state_, cloud_;
   std::unique_ptr<controller::Controller> controller_;
   std::unique_ptr<net::Client> front_, internal_;
 };
-using WireGoldenAnswers = Answers;
+using WireGoldenAnswers = ControllerOverLoopback;
 
-TEST_F(WireGoldenAnswers, ToUsersAndWorkers) {
+TEST_F(WireGoldenAnswers, ToUsersAndWorkersKeepTheirBytes) {
   const std::pair<std::string, std::string> rows[] = {
       {get("/up"), R"(200 {})"},
       {get("/elsewhere"), R"(404 {"error":"no such path"})"},
@@ -312,7 +320,7 @@
       {post("/v2/runs", "x"), R"(400 {"error":"not JSON"})"},
       {submit("blue"), R"(422 {"error":"this job can never run here"})"},
       {submit("red"), R"(503 {"error":"not now"})"},
-      {post("/v2/runs", replaced(kPlainJob, "run-1\"", "run-100001\"")),
+      {post("/v2/runs", replace_first(kPlainJob, "run-1\"", "run-100001\"")),
        R"(200 {"signal":"running","uid":"run-100001"})"},
       {get("/v2/teams/red"),
        R"(200 {"crew":"red","has_next":false,"runs":[{"cars":3,"consist":"c","done":1,"running":1,"signal":"running","uid":"run-100001"},{"awaits":["run-100001"],"cars":2,"consist":"c","done":0,"running":0,"signal":"queued","uid":"run-100002"}]})"},
@@ -327,9 +335,9 @@
        R"(421 {"dispatcher":"node-1"})"},
       {post("/agent/beat", "{}"), "400 {}"}};
   for (const auto& [got, wanted] : rows) EXPECT_EQ(got, wanted);
-  // The lease is asked for at a tick, some time after all has been read.
+  // The controller requests its lease at a timer event some time after it has read all keys.
   const std::string lease_request = R"(/holds {"life_ms":8000})";
-  turn_until(
+  run_loop_until(
       loop_, [&] { return requests_.contains(lease_request); }, 200000);
   for (
       const char* path :
@@ -340,7 +348,7 @@
     EXPECT_TRUE(requests_.contains(path)) << path << ::testing::PrintToString(requests_);
 }
 
-TEST_F(WireGoldenAnswers, ToOperators) {
+TEST_F(WireGoldenAnswers, ToOperatorsKeepTheirBytes) {
   const std::string levels =
       R"({"active":1,"converted":1.0,"held_by":[{"by":"build","since_s":N,"why":"does not write level 2 yet"}],"hold":1,"node":"node-0","nodes":[{"alive":false,"gone":true,"name":"node-0"},{"alive":true,"name":"node-1","reads":[0,1],"writes":1}],"reads":[0,2],"stands":[1,1]})";
   const std::string links = R"({"links":[],"node":"node-0","relay":false,"reports":[]})";
@@ -354,7 +362,7 @@
           R"(,"machines":1,"made_ready":0,"node":"node-0","refused":0,"revision":50,"state_429":0,"state_too_large":0,"state_waited_s":N,"state_write_rate":12.5,"submissions":N,"waiting":1})");
 }
 
-TEST(WireGolden, CountersOfAScheduler) {
+TEST(WireGolden, SchedulerCountersKeepTheirNames) {
   SchedulerSite d;
   d.machine("m-1", 0);
   d.job(1, 6, 1, false, 0);
