--- a/src/local_cluster/local_cluster.cpp
+++ b/src/local_cluster/local_cluster.cpp
@@ -48,7 +48,7 @@
   return std::move(*lock);
 }
 
-ClusterPlace absolute(ClusterPlace place) {
+ClusterOptions absolute(ClusterOptions place) {
   place.dir = fs::absolute(place.dir);
   return place;
 }
@@ -62,14 +62,14 @@
 
 }  // namespace
 
-LocalCluster::LocalCluster(actor::Loop& loop, Settings settings, ClusterPlace place,
+LocalCluster::LocalCluster(actor::Loop& loop, Settings settings, ClusterOptions place,
                            std::function<void(std::string)> ready)
     : Actor(loop),
       settings_(std::move(settings)),
-      place_(absolute(std::move(place))),
-      lock_(lock_directory(place_.dir)),
+      options_(absolute(std::move(place))),
+      lock_(lock_directory(options_.dir)),
       next_port_(first_port()),
-      children_(loop, place_.dir / "logs"),
+      children_(loop, options_.dir / "logs"),
       ready_(std::move(ready)),
       timer_(loop, [this] { check_ready(); }) {
   take_addresses();
@@ -82,7 +82,7 @@
 }
 
 void LocalCluster::take_addresses() {
-  front_address_ = place_.port ? config::Endpoint{kLoopback, place_.port} : take_address();
+  front_address_ = options_.port ? config::Endpoint{kLoopback, options_.port} : take_address();
   state_address_ = take_address();
   artifacts_address_ = take_address();
   cloud_address_ = take_address();
@@ -106,19 +106,19 @@
 }
 
 void LocalCluster::start_services() {
-  fs::create_directories(place_.dir / "machines");
-  fs::create_directories(place_.dir / "controllers");
-  const std::string program = place_.services_program.string();
+  fs::create_directories(options_.dir / "machines");
+  fs::create_directories(options_.dir / "controllers");
+  const std::string program = options_.services_program.string();
   children_.keep(kStateService, {program, "state", "--listen", to_text(state_address_), "--file",
-                                 (place_.dir / "state" / "log").string()});
+                                 (options_.dir / "state" / "log").string()});
   children_.keep(kArtifactStore, {program, "depot", "--listen", to_text(artifacts_address_),
-                                  "--dir", (place_.dir / "depot").string()});
+                                  "--dir", (options_.dir / "depot").string()});
 }
 
 void LocalCluster::start_controllers() {
-  const std::string program = place_.programs / "shunttrail-controller";
+  const std::string program = options_.programs / "shunttrail-controller";
   for (std::size_t i = 0; i < controllers_.size(); ++i) {
-    const fs::path file = place_.dir / "controllers" / (controllers_[i].name + ".json");
+    const fs::path file = options_.dir / "controllers" / (controllers_[i].name + ".json");
     artifacts::write_whole(
         file, controller_settings(settings_, controllers_, i, state_address_, cloud_address_));
     children_.keep(controllers_[i].name, {program, "--config", file.string()});
@@ -127,7 +127,7 @@
 
 void LocalCluster::start_cloud() {
   cloud_ = std::make_unique<emulators::CloudEmulator>(
-      loop_, cloud_address_, settings_.types, settings_.cloud_rps, place_.dir / "cloud.json",
+      loop_, cloud_address_, settings_.types, settings_.cloud_rps, options_.dir / "cloud.json",
       emulators::CloudEmulator::Power{
           [this] { return to_text(take_address()); },
           [this](const auto& machine) { power_on(machine); },
@@ -143,10 +143,10 @@
 }
 
 fs::path LocalCluster::machine_dir(const std::string& name) const {
-  return place_.dir / "machines" / name;
+  return options_.dir / "machines" / name;
 }
 
-std::string LocalCluster::agent_program() const { return place_.programs / "shunttrail-agent"; }
+std::string LocalCluster::agent_program() const { return options_.programs / "shunttrail-agent"; }
 
 void LocalCluster::power_on(const emulators::CloudEmulator::Machine& machine) {
   if (is_ending_) return;
--- a/src/local_cluster/local_cluster.h
+++ b/src/local_cluster/local_cluster.h
@@ -19,7 +19,7 @@
 namespace shunttrail::local_cluster {
 
 /// Where a local cluster and its programs are.
-struct ClusterPlace {
+struct ClusterOptions {
   std::filesystem::path dir;       ///< where it keeps everything
   std::filesystem::path programs;  ///< where shunttrail-controller and shunttrail-agent are
   /// The program that serves as the state service and the artifact store (shunttrail-local).
@@ -31,7 +31,7 @@
  public:
   /// `ready` gets the users' URL once they can be served. Throws std::runtime_error: another
   /// cluster has the directory, or an address cannot be had.
-  LocalCluster(actor::Loop& loop, Settings settings, ClusterPlace place,
+  LocalCluster(actor::Loop& loop, Settings settings, ClusterOptions place,
                std::function<void(std::string url)> ready);
 
   /// Ends every process and every task, in an order that loses nothing; `gone` runs then.
@@ -55,11 +55,11 @@
   void end_services(const std::function<void()>& gone);
 
   const Settings settings_;
-  const ClusterPlace place_;
+  const ClusterOptions options_;
   agent::Fd lock_;
   std::set<std::uint16_t> taken_ports_;
   std::uint16_t next_port_;
-  std::vector<ControllerPlace> controllers_;
+  std::vector<ControllerAddresses> controllers_;
   config::Endpoint front_address_, state_address_, artifacts_address_, cloud_address_;
   Children children_;
   std::unique_ptr<emulators::CloudEmulator> cloud_;
--- a/src/local_cluster/settings.cpp
+++ b/src/local_cluster/settings.cpp
@@ -67,7 +67,7 @@
     bad_at("shunt-local.cancel-s", "leaves no room above lease-s");
 }
 
-json siblings_of(const std::vector<ControllerPlace>& controllers, std::size_t self) {
+json siblings_of(const std::vector<ControllerAddresses>& controllers, std::size_t self) {
   json siblings = json::array();
   for (std::size_t i = 0; i < controllers.size(); ++i)
     if (i != self)
@@ -180,9 +180,9 @@
 }
 
 std::string controller_settings(const Settings& settings,
-                                const std::vector<ControllerPlace>& controllers, std::size_t self,
-                                const Endpoint& state, const Endpoint& cloud) {
-  const ControllerPlace& own = controllers[self];
+                                const std::vector<ControllerAddresses>& controllers,
+                                std::size_t self, const Endpoint& state, const Endpoint& cloud) {
+  const ControllerAddresses& own = controllers[self];
   return json{{"host_name", own.name},
               {"zone", own.zone},
               {"front", to_text(own.front)},
@@ -194,7 +194,7 @@
 }
 
 std::string agent_settings(const Settings& settings,
-                           const std::vector<ControllerPlace>& controllers,
+                           const std::vector<ControllerAddresses>& controllers,
                            const emulators::CloudEmulator::Machine& machine,
                            const Endpoint& artifacts) {
   SettingsWriter writer("shunt-agent");
@@ -212,7 +212,7 @@
   writer.put("report-s", settings.report_s);
   writer.put("lease-s", settings.lease_s);
   pugi::xml_node list = writer.add("controllers");
-  for (const ControllerPlace& controller : controllers) {
+  for (const ControllerAddresses& controller : controllers) {
     pugi::xml_node element = list.append_child("controller");
     element.append_attribute("name").set_value(controller.name.c_str());
     element.append_attribute("address").set_value(to_text(controller.front).c_str());
--- a/src/local_cluster/settings.h
+++ b/src/local_cluster/settings.h
@@ -24,7 +24,7 @@
 Settings parse_settings(const std::string& xml);
 
 /// Where a controller is.
-struct ControllerPlace {
+struct ControllerAddresses {
   std::string name, zone;
   config::Endpoint front;     ///< for users and agents
   config::Endpoint internal;  ///< for other controllers and operators
@@ -32,12 +32,12 @@
 
 /// What controller `self` of `controllers` is started with: the platform's JSON file.
 [[nodiscard]] std::string controller_settings(const Settings& settings,
-                                              const std::vector<ControllerPlace>& controllers,
+                                              const std::vector<ControllerAddresses>& controllers,
                                               std::size_t self, const config::Endpoint& state,
                                               const config::Endpoint& cloud);
 /// What a machine's agent is started with: its XML file.
 [[nodiscard]] std::string agent_settings(const Settings& settings,
-                                         const std::vector<ControllerPlace>& controllers,
+                                         const std::vector<ControllerAddresses>& controllers,
                                          const emulators::CloudEmulator::Machine& machine,
                                          const config::Endpoint& artifacts);
 
