--- a/src/local_cluster/local_cluster.cpp
+++ b/src/local_cluster/local_cluster.cpp
@@ -48,9 +48,9 @@
   return std::move(*lock);
 }
 
-ClusterOptions absolute(ClusterOptions place) {
-  place.dir = fs::absolute(place.dir);
-  return place;
+ClusterOptions absolute(ClusterOptions options) {
+  options.dir = fs::absolute(options.dir);
+  return options;
 }
 
 // Calls `done` at its `count`-th call.
@@ -62,11 +62,11 @@
 
 }  // namespace
 
-LocalCluster::LocalCluster(actor::Loop& loop, Settings settings, ClusterOptions place,
+LocalCluster::LocalCluster(actor::Loop& loop, Settings settings, ClusterOptions options,
                            std::function<void(std::string)> ready)
     : Actor(loop),
       settings_(std::move(settings)),
-      options_(absolute(std::move(place))),
+      options_(absolute(std::move(options))),
       lock_(lock_directory(options_.dir)),
       next_port_(first_port()),
       children_(loop, options_.dir / "logs"),
--- a/src/local_cluster/local_cluster.h
+++ b/src/local_cluster/local_cluster.h
@@ -31,7 +31,7 @@
  public:
   /// `ready` gets the users' URL once they can be served. Throws std::runtime_error: another
   /// cluster has the directory, or an address cannot be had.
-  LocalCluster(actor::Loop& loop, Settings settings, ClusterOptions place,
+  LocalCluster(actor::Loop& loop, Settings settings, ClusterOptions options,
                std::function<void(std::string url)> ready);
 
   /// Ends every process and every task, in an order that loses nothing; `gone` runs then.
