--- a/src/local_cluster/children.cpp
+++ b/src/local_cluster/children.cpp
@@ -66,10 +66,10 @@
   }
 }
 
-void Children::keep(const std::string& name, std::vector<std::string> argv) {
+void Children::keep_running(const std::string& name, std::vector<std::string> argv) {
   Child& child = children_[name];
   child.argv = std::move(argv);
-  child.is_kept = true;
+  child.restarts_on_exit = true;
   if (!child.pid) start(name, child);
 }
 
@@ -102,13 +102,13 @@
   while ((pid = ::waitpid(-1, &status, WNOHANG)) > 0) {
     auto found = std::find_if(children_.begin(), children_.end(),
                               [&](const auto& entry) { return entry.second.pid == pid; });
-    if (found != children_.end()) ended(found->first, found->second, exit_status_of(status));
+    if (found != children_.end()) handle_exit(found->first, found->second, exit_status_of(status));
   }
 }
 
-void Children::ended(const std::string& name, Child& child, int exit_status) {
+void Children::handle_exit(const std::string& name, Child& child, int exit_status) {
   child.pid = 0;
-  if (child.is_kept) return restart_later(name, child, exit_status);
+  if (child.restarts_on_exit) return restart_later(name, child, exit_status);
   auto done = std::move(child.done);
   auto gone = std::move(child.gone);
   children_.erase(std::string(name));
@@ -124,7 +124,7 @@
                   : std::clamp(2 * child.restart_delay_s, kLeastRestartDelayS, kMostRestartDelayS);
   child.restart_at = now + child.restart_delay_s;
   ++restarts_;
-  log::info("process ended and is restarted",
+  log::info("process handle_exit and is restarted",
             {{"name", name}, {"status", exit_status}, {"in_s", child.restart_delay_s}});
 }
 
@@ -132,7 +132,7 @@
   auto found = children_.find(name);
   if (found == children_.end()) return post(std::move(gone));
   Child& child = found->second;
-  child.is_kept = false;
+  child.restarts_on_exit = false;
   if (!child.pid) {
     children_.erase(found);
     return post(std::move(gone));
@@ -146,7 +146,7 @@
 void Children::tick() {
   const double now = actor::steady_now();
   for (auto& [name, child] : children_) {
-    if (child.is_kept && !child.pid && now >= child.restart_at) start(name, child);
+    if (child.restarts_on_exit && !child.pid && now >= child.restart_at) start(name, child);
     if (child.pid && child.kill_at > 0 && now > child.kill_at) ::kill(child.pid, SIGKILL);
   }
 }
--- a/src/local_cluster/children.h
+++ b/src/local_cluster/children.h
@@ -1,5 +1,5 @@
-// The child processes of a local cluster: started, restarted when they die, and ended. A child goes
-// with its parent, however that ends.
+// The child processes of a local cluster: started, restarted when they die, and handle_exit. A
+// child goes with its parent, however that ends.
 #pragma once
 #include <sys/types.h>
 
@@ -21,11 +21,12 @@
   ~Children() override;
 
   /// Keeps a process running under this name until it is stopped. Throws std::system_error.
-  void keep(const std::string& name, std::vector<std::string> argv);
+  void keep_running(const std::string& name, std::vector<std::string> argv);
   /// Runs a process that is to end by itself; `done` gets its exit status, or 128 and the signal.
   void run_once(const std::string& name, std::vector<std::string> argv,
                 std::function<void(int)> done);
-  /// Ends a process by this signal, and by SIGKILL after a while; `gone` runs when it has ended.
+  /// Ends a process by this signal, and by SIGKILL after a while; `gone` runs when it has
+  /// handle_exit.
   void stop(const std::string& name, int signal, std::function<void()> gone);
   [[nodiscard]] bool running(const std::string& name) const;
   /// 0: it does not run now.
@@ -38,7 +39,7 @@
   struct Child {
     std::vector<std::string> argv;
     pid_t pid = 0;  // 0: does not run
-    bool is_kept = false;
+    bool restarts_on_exit = false;
     double restart_at = 0;
     double started_at = 0;
     double restart_delay_s = 0;
@@ -48,7 +49,7 @@
   };
   void start(const std::string& name, Child& child);
   void reap();
-  void ended(const std::string& name, Child& child, int exit_status);
+  void handle_exit(const std::string& name, Child& child, int exit_status);
   void restart_later(const std::string& name, Child& child, int exit_status);
   void tick();
 
--- a/src/local_cluster/local_cluster.cpp
+++ b/src/local_cluster/local_cluster.cpp
@@ -109,10 +109,10 @@
   fs::create_directories(options_.dir / "machines");
   fs::create_directories(options_.dir / "controllers");
   const std::string program = options_.services_program.string();
-  children_.keep(kStateService, {program, "state", "--listen", to_text(state_address_), "--file",
-                                 (options_.dir / "state" / "log").string()});
-  children_.keep(kArtifactStore, {program, "depot", "--listen", to_text(artifacts_address_),
-                                  "--dir", (options_.dir / "depot").string()});
+  children_.keep_running(kStateService, {program, "state", "--listen", to_text(state_address_),
+                                         "--file", (options_.dir / "state" / "log").string()});
+  children_.keep_running(kArtifactStore, {program, "depot", "--listen", to_text(artifacts_address_),
+                                          "--dir", (options_.dir / "depot").string()});
 }
 
 void LocalCluster::start_controllers() {
@@ -121,7 +121,7 @@
     const fs::path file = options_.dir / "controllers" / (controllers_[i].name + ".json");
     artifacts::write_whole(
         file, controller_settings(settings_, controllers_, i, state_address_, cloud_address_));
-    children_.keep(controllers_[i].name, {program, "--config", file.string()});
+    children_.keep_running(controllers_[i].name, {program, "--config", file.string()});
   }
 }
 
@@ -155,8 +155,8 @@
   const fs::path file = dir / "agent.xml";
   artifacts::write_whole(file,
                          agent_settings(settings_, controllers_, machine, artifacts_address_));
-  children_.keep(machine.name,
-                 {agent_program(), "--settings", file.string(), "--dir", dir.string()});
+  children_.keep_running(machine.name,
+                         {agent_program(), "--settings", file.string(), "--dir", dir.string()});
 }
 
 // As when machines lose their power: nothing is saved, and nothing is left.
