--- a/src/local_cluster/children.cpp
+++ b/src/local_cluster/children.cpp
@@ -74,10 +74,10 @@
 }
 
 void Children::run_once(const std::string& name, std::vector<std::string> argv,
-                        std::function<void(int)> done) {
+                        std::function<void(int)> on_exit) {
   Child& child = children_[name];
   child.argv = std::move(argv);
-  child.done = std::move(done);
+  child.on_exit = std::move(on_exit);
   start(name, child);
 }
 
@@ -109,11 +109,11 @@
 void Children::handle_exit(const std::string& name, Child& child, int exit_status) {
   child.pid = 0;
   if (child.restarts_on_exit) return restart_later(name, child, exit_status);
-  auto done = std::move(child.done);
-  auto gone = std::move(child.gone);
+  auto on_exit = std::move(child.on_exit);
+  auto on_stopped = std::move(child.on_stopped);
   children_.erase(std::string(name));
-  if (done) post([done, exit_status] { done(exit_status); });
-  for (auto& callback : gone) post(callback);
+  if (on_exit) post([on_exit, exit_status] { on_exit(exit_status); });
+  for (auto& callback : on_stopped) post(callback);
 }
 
 void Children::restart_later(const std::string& name, Child& child, int exit_status) {
@@ -128,16 +128,16 @@
             {{"name", name}, {"status", exit_status}, {"in_s", child.restart_delay_s}});
 }
 
-void Children::stop(const std::string& name, int signal, std::function<void()> gone) {
+void Children::stop(const std::string& name, int signal, std::function<void()> on_stopped) {
   auto found = children_.find(name);
-  if (found == children_.end()) return post(std::move(gone));
+  if (found == children_.end()) return post(std::move(on_stopped));
   Child& child = found->second;
   child.restarts_on_exit = false;
   if (!child.pid) {
     children_.erase(found);
-    return post(std::move(gone));
+    return post(std::move(on_stopped));
   }
-  child.gone.push_back(std::move(gone));
+  child.on_stopped.push_back(std::move(on_stopped));
   child.kill_at = actor::steady_now() + kKillAfterS;
   ::kill(child.pid, signal);
   ::kill(child.pid, SIGCONT);  // one that is stopped has to take it, too
--- a/src/local_cluster/children.h
+++ b/src/local_cluster/children.h
@@ -22,12 +22,13 @@
 
   /// Keeps a process running under this name until it is stopped. Throws std::system_error.
   void keep_running(const std::string& name, std::vector<std::string> argv);
-  /// Runs a process that is to end by itself; `done` gets its exit status, or 128 and the signal.
+  /// Runs a process that is to end by itself; `on_exit` gets its exit status, or 128 and the
+  /// signal.
   void run_once(const std::string& name, std::vector<std::string> argv,
-                std::function<void(int)> done);
-  /// Ends a process by this signal, and by SIGKILL after a while; `gone` runs when it has
+                std::function<void(int)> on_exit);
+  /// Ends a process by this signal, and by SIGKILL after a while; `on_stopped` runs when it has
   /// handle_exit.
-  void stop(const std::string& name, int signal, std::function<void()> gone);
+  void stop(const std::string& name, int signal, std::function<void()> on_stopped);
   [[nodiscard]] bool running(const std::string& name) const;
   /// 0: it does not run now.
   [[nodiscard]] pid_t pid(const std::string& name) const;
@@ -43,9 +44,9 @@
     double restart_at = 0;
     double started_at = 0;
     double restart_delay_s = 0;
-    double kill_at = 0;                       // 0: was not told to stop
-    std::function<void(int)> done;            // of run_once()
-    std::vector<std::function<void()>> gone;  // of stop()
+    double kill_at = 0;                             // 0: was not told to stop
+    std::function<void(int)> on_exit;               // of run_once()
+    std::vector<std::function<void()>> on_stopped;  // of stop()
   };
   void start(const std::string& name, Child& child);
   void reap();
