--- a/src/local_cluster/local_cluster.cpp
+++ b/src/local_cluster/local_cluster.cpp
@@ -169,7 +169,7 @@
 
 void LocalCluster::power_off_one(const std::string& machine, const std::function<void()>& done) {
   auto tasks_ended = [this, machine, done](int exit_status) {
-    if (exit_status != 0) log::error("machine's tasks may not be gone", {{"machine", machine}});
+    if (exit_status != 0) log::error("machine's tasks may not be done", {{"machine", machine}});
     std::error_code ignored;
     if (!is_ending_) fs::remove_all(machine_dir(machine), ignored);
     done();
@@ -196,27 +196,27 @@
                             }));
 }
 
-void LocalCluster::end(std::function<void()> gone) {
+void LocalCluster::end(std::function<void()> done) {
   if (is_ending_) return;
   is_ending_ = true;
   log::info("local cluster ends");
   // Users first, then who could start anything, then the machines, then what keeps their state.
   load_balancer_.reset();
   const auto controller_ended =
-      after_calls(controllers_.size(), [this, gone] { end_machines(gone); });
+      after_calls(controllers_.size(), [this, done] { end_machines(done); });
   for (const auto& controller : controllers_)
     children_.stop(controller.name, SIGTERM, controller_ended);
 }
 
-void LocalCluster::end_machines(const std::function<void()>& gone) {
+void LocalCluster::end_machines(const std::function<void()>& done) {
   std::vector<std::string> machines;
   for (const auto& [name, machine] : cloud_->machines()) machines.push_back(name);
-  power_off(machines, [this, gone] { end_services(gone); });
+  power_off(machines, [this, done] { end_services(done); });
 }
 
-void LocalCluster::end_services(const std::function<void()>& gone) {
+void LocalCluster::end_services(const std::function<void()>& done) {
   children_.stop(kArtifactStore, SIGTERM,
-                 [this, gone] { children_.stop(kStateService, SIGTERM, gone); });
+                 [this, done] { children_.stop(kStateService, SIGTERM, done); });
 }
 
 }  // namespace shunttrail::local_cluster
--- a/src/local_cluster/local_cluster.h
+++ b/src/local_cluster/local_cluster.h
@@ -34,8 +34,8 @@
   LocalCluster(actor::Loop& loop, Settings settings, ClusterOptions options,
                std::function<void(std::string url)> ready);
 
-  /// Ends every process and every task, in an order that loses nothing; `gone` runs then.
-  void end(std::function<void()> gone);
+  /// Ends every process and every task, in an order that loses nothing; `done` runs then.
+  void end(std::function<void()> done);
 
  private:
   [[nodiscard]] config::Endpoint take_address();
@@ -51,8 +51,8 @@
   void power_off_one(const std::string& machine, const std::function<void()>& done);
   void end_tasks(const std::string& machine, const std::function<void(int)>& done);
   void check_ready();
-  void end_machines(const std::function<void()>& gone);
-  void end_services(const std::function<void()>& gone);
+  void end_machines(const std::function<void()>& done);
+  void end_services(const std::function<void()>& done);
 
   const Settings settings_;
   const ClusterOptions options_;
