--- a/src/local_cluster/load_balancer.cpp
+++ b/src/local_cluster/load_balancer.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kMaxFirstLine = 4096;  // bytes
 constexpr double kProbeIntervalS = 0.5, kProbeTimeoutS = 1;
-constexpr int kGoodProbesUp = 1, kBadProbesDown = 2;
+constexpr int kProbesToMarkUp = 1, kProbesToMarkDown = 2;
 constexpr double kSkipS = 3;  // a controller that takes no connections
 constexpr int kMaxTries = 3;  // of connections to controllers
 constexpr int kFailuresToSkip = 3;
@@ -82,15 +82,15 @@
   for (std::size_t i = 0; i < health_.size(); ++i)
     health_[i].probe->request("GET", "/up", "", kProbeTimeoutS,
                               reply<net::Result>([this, i](net::Result result) {
-                                probed(health_[i], result.status == 200);
+                                record_probe(health_[i], result.status == 200);
                               }));
 }
 
-void LoadBalancer::probed(Health& health, bool is_ok) {
-  health.good_probes = is_ok ? health.good_probes + 1 : 0;
-  health.bad_probes = is_ok ? 0 : health.bad_probes + 1;
-  if (health.good_probes >= kGoodProbesUp) health.is_up = true;
-  if (health.bad_probes >= kBadProbesDown) health.is_up = false;
+void LoadBalancer::record_probe(Health& health, bool is_ok) {
+  health.successful_probes = is_ok ? health.successful_probes + 1 : 0;
+  health.failed_probes = is_ok ? 0 : health.failed_probes + 1;
+  if (health.successful_probes >= kProbesToMarkUp) health.is_up = true;
+  if (health.failed_probes >= kProbesToMarkDown) health.is_up = false;
 }
 
 // The healthy one with the fewest users; nothing: none is.
@@ -113,37 +113,37 @@
   connection->id = next_id_++;
   evutil_make_socket_nonblocking(fd);
   connection->user.reset(bufferevent_socket_new(loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE));
-  watch(*connection, Side::user);
+  set_callbacks(*connection, Side::user);
   bufferevent_enable(connection->user.get(), EV_READ | EV_WRITE);
   connections_[connection->id] = std::move(connection);
 }
 
 // Libevent's callbacks take one pointer, so that each side has its own.
-void LoadBalancer::watch(Connection& connection, Side side) {
+void LoadBalancer::set_callbacks(Connection& connection, Side side) {
   if (side == Side::user)
     bufferevent_setcb(
         connection.user.get(),
         [](bufferevent*, void* argument) {
-          auto* passing = static_cast<Connection*>(argument);
-          passing->balancer->has_data(*passing, Side::user);
+          auto* connection = static_cast<Connection*>(argument);
+          connection->balancer->forward_data(*connection, Side::user);
         },
         nullptr,
         [](bufferevent*, short events, void* argument) {
-          auto* passing = static_cast<Connection*>(argument);
-          passing->balancer->event(*passing, Side::user, events);
+          auto* connection = static_cast<Connection*>(argument);
+          connection->balancer->handle_event(*connection, Side::user, events);
         },
         &connection);
   else
     bufferevent_setcb(
         connection.backend.get(),
         [](bufferevent*, void* argument) {
-          auto* passing = static_cast<Connection*>(argument);
-          passing->balancer->has_data(*passing, Side::backend);
+          auto* connection = static_cast<Connection*>(argument);
+          connection->balancer->forward_data(*connection, Side::backend);
         },
         nullptr,
         [](bufferevent*, short events, void* argument) {
-          auto* passing = static_cast<Connection*>(argument);
-          passing->balancer->event(*passing, Side::backend, events);
+          auto* connection = static_cast<Connection*>(argument);
+          connection->balancer->handle_event(*connection, Side::backend, events);
         },
         &connection);
 }
@@ -184,17 +184,17 @@
 void LoadBalancer::connect(Connection& connection, const config::Endpoint& to) {
   ++connection.tries;
   connection.backend.reset(bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE));
-  watch(connection, Side::backend);
+  set_callbacks(connection, Side::backend);
   const timeval timeout{0, kConnectTimeoutMs * 1000};
   bufferevent_set_timeouts(connection.backend.get(), nullptr, &timeout);
   sockaddr_in address = to_sockaddr(to);
   const int error = bufferevent_socket_connect(
       connection.backend.get(), reinterpret_cast<sockaddr*>(&address), sizeof address);
-  if (error != 0) return;  // the event callback has been called
+  if (error != 0) return;  // the handle_event callback has been called
   bufferevent_enable(connection.backend.get(), EV_READ | EV_WRITE);
 }
 
-void LoadBalancer::has_data(Connection& connection, Side from) {
+void LoadBalancer::forward_data(Connection& connection, Side from) {
   if (!connection.backend) return route(connection);
   if (!connection.is_connected) return;  // what the user has sent waits
   const Side to = from == Side::user ? Side::backend : Side::user;
@@ -202,19 +202,19 @@
                            bufferevent_get_input(connection.buffer(from).get()));
 }
 
-void LoadBalancer::event(Connection& connection, Side side, short events) {
+void LoadBalancer::handle_event(Connection& connection, Side side, short events) {
   const bool is_backend = side == Side::backend;
-  if (is_backend && (events & BEV_EVENT_CONNECTED)) return connected(connection);
+  if (is_backend && (events & BEV_EVENT_CONNECTED)) return handle_connected(connection);
   const bool has_failed = is_backend && !connection.is_connected && connection.controller;
   if (has_failed && retry(connection)) return;
   forward_rest_and_close(connection, side);
 }
 
-void LoadBalancer::connected(Connection& connection) {
+void LoadBalancer::handle_connected(Connection& connection) {
   connection.is_connected = true;
   if (connection.controller) health_[*connection.controller].failed_connections = 0;
   bufferevent_set_timeouts(connection.backend.get(), nullptr, nullptr);
-  has_data(connection, Side::user);
+  forward_data(connection, Side::user);
 }
 
 // Takes another controller, as long as nothing of the request has been sent. False: it was the last
@@ -239,7 +239,7 @@
 // What is still to be written to the user goes first.
 void LoadBalancer::forward_rest_and_close(Connection& connection, Side closed) {
   if (closed == Side::backend) {
-    if (connection.is_connected) has_data(connection, Side::backend);
+    if (connection.is_connected) forward_data(connection, Side::backend);
     evbuffer* unwritten = bufferevent_get_output(connection.user.get());
     if (evbuffer_get_length(unwritten) > 0)
       return close_when_written(connection, connection.user.get());
@@ -251,12 +251,12 @@
   bufferevent_setcb(
       buffer, nullptr,
       [](bufferevent*, void* argument) {
-        auto* passing = static_cast<Connection*>(argument);
-        passing->balancer->close(passing->id);
+        auto* connection = static_cast<Connection*>(argument);
+        connection->balancer->close(connection->id);
       },
       [](bufferevent*, short, void* argument) {
-        auto* passing = static_cast<Connection*>(argument);
-        passing->balancer->close(passing->id);
+        auto* connection = static_cast<Connection*>(argument);
+        connection->balancer->close(connection->id);
       },
       &connection);
 }
--- a/src/local_cluster/load_balancer.h
+++ b/src/local_cluster/load_balancer.h
@@ -55,27 +55,27 @@
   struct Health {
     std::unique_ptr<net::Client> probe;
     bool is_up = false;
-    int good_probes = 0, bad_probes = 0;  // in a row
-    double skip_until = 0;                // steady clock
-    int failed_connections = 0;           // in a row
+    int successful_probes = 0, failed_probes = 0;  // in a row
+    double skip_until = 0;                         // steady clock
+    int failed_connections = 0;                    // in a row
   };
 
   void listen(const config::Endpoint& address);
   void accept(evutil_socket_t fd);
-  void watch(Connection& connection, Side side);
+  void set_callbacks(Connection& connection, Side side);
   void route(Connection& connection);
   void connect_to_controller(Connection& connection, const std::string& path);
   void connect(Connection& connection, const config::Endpoint& to);
   void refuse(Connection& connection);
-  void has_data(Connection& connection, Side from);
-  void event(Connection& connection, Side side, short events);
-  void connected(Connection& connection);
+  void forward_data(Connection& connection, Side from);
+  void handle_event(Connection& connection, Side side, short events);
+  void handle_connected(Connection& connection);
   [[nodiscard]] bool retry(Connection& connection);
   void forward_rest_and_close(Connection& connection, Side closed);
   void close_when_written(Connection& connection, bufferevent* buffer);
   void close(std::uint64_t id);
   void probe();
-  void probed(Health& health, bool is_ok);
+  void record_probe(Health& health, bool is_ok);
   [[nodiscard]] std::optional<std::size_t> choose_controller() const;
 
   std::vector<Backend> controllers_;
