--- a/src/local_cluster/settings.cpp
+++ b/src/local_cluster/settings.cpp
@@ -23,39 +23,39 @@
 constexpr int kMemoryMb = 512, kMaxSockets = 4000;
 constexpr int kClockErrorMs = 100;
 
-double read_amount(pugi::xml_node node, const std::string& place, const char* name,
+double read_amount(pugi::xml_node node, const std::string& xml_path, const char* name,
                    double fallback) {
   const pugi::xml_attribute attribute = node.attribute(name);
-  return attribute ? xml_number(attribute.value(), place + "@" + name, 0, kMaxAmount) : fallback;
+  return attribute ? xml_number(attribute.value(), xml_path + "@" + name, 0, kMaxAmount) : fallback;
 }
 
-Team read_team(pugi::xml_node node, const std::string& place) {
-  return {xml_attribute(node, place, "name"), read_amount(node, place, "cpus", 0),
-          read_amount(node, place, "cpus-max", 0), read_amount(node, place, "gpus", 0),
-          read_amount(node, place, "gpus-max", 0)};
+Team read_team(pugi::xml_node node, const std::string& xml_path) {
+  return {xml_attribute(node, xml_path, "name"), read_amount(node, xml_path, "cpus", 0),
+          read_amount(node, xml_path, "cpus-max", 0), read_amount(node, xml_path, "gpus", 0),
+          read_amount(node, xml_path, "gpus-max", 0)};
 }
 
-emulators::EmulatedMachineType read_machine_type(pugi::xml_node node, const std::string& place,
+emulators::EmulatedMachineType read_machine_type(pugi::xml_node node, const std::string& xml_path,
                                                  double cache_gb) {
   emulators::EmulatedMachineType type;
-  type.spec.name = xml_attribute(node, place, "name");
-  type.spec.cpus = read_amount(node, place, "cpus", 1);
-  type.spec.gpus = read_amount(node, place, "gpus", 0);
-  type.spec.mem_gb = read_amount(node, place, "mem-gb", 1);
-  type.spec.price = read_amount(node, place, "hourly", 0.1);
-  type.spec.spot_price = read_amount(node, place, "spot", type.spec.price);
-  type.spec.boot_s = read_amount(node, place, "boot-s", 1);
+  type.spec.name = xml_attribute(node, xml_path, "name");
+  type.spec.cpus = read_amount(node, xml_path, "cpus", 1);
+  type.spec.gpus = read_amount(node, xml_path, "gpus", 0);
+  type.spec.mem_gb = read_amount(node, xml_path, "mem-gb", 1);
+  type.spec.price = read_amount(node, xml_path, "hourly", 0.1);
+  type.spec.spot_price = read_amount(node, xml_path, "spot", type.spec.price);
+  type.spec.boot_s = read_amount(node, xml_path, "boot-s", 1);
   type.spec.cache_gb = cache_gb;
-  type.most = static_cast<int>(read_amount(node, place, "most", 4));
+  type.most = static_cast<int>(read_amount(node, xml_path, "most", 4));
   return type;
 }
 
-using Reader = std::function<void(pugi::xml_node, const std::string& place)>;
+using Reader = std::function<void(pugi::xml_node, const std::string& xml_path)>;
 
 // A reader of an element whose children all have this name.
 Reader list_of(const char* name, Reader read_child) {
-  return [name, read_child](pugi::xml_node node, const std::string& place) {
-    read_children(node, place, {{name, read_child}});
+  return [name, read_child](pugi::xml_node node, const std::string& xml_path) {
+    read_children(node, xml_path, {{name, read_child}});
   };
 }
 
@@ -144,22 +144,22 @@
   Settings settings;
   read_children(root, "shunt-local",
                 {{"controllers",
-                  [&](pugi::xml_node node, const std::string& place) {
+                  [&](pugi::xml_node node, const std::string& xml_path) {
                     settings.controllers =
-                        static_cast<int>(xml_number(node.child_value(), place, 1, 9));
+                        static_cast<int>(xml_number(node.child_value(), xml_path, 1, 9));
                   }},
                  {"zones", list_of("zone",
-                                   [&](pugi::xml_node node, const std::string& place) {
-                                     settings.zones.push_back(xml_text(node, place));
+                                   [&](pugi::xml_node node, const std::string& xml_path) {
+                                     settings.zones.push_back(xml_text(node, xml_path));
                                    })},
                  {"teams", list_of("team",
-                                   [&](pugi::xml_node node, const std::string& place) {
-                                     settings.teams.push_back(read_team(node, place));
+                                   [&](pugi::xml_node node, const std::string& xml_path) {
+                                     settings.teams.push_back(read_team(node, xml_path));
                                    })},
                  {"types", list_of("type",
-                                   [&](pugi::xml_node node, const std::string& place) {
+                                   [&](pugi::xml_node node, const std::string& xml_path) {
                                      settings.types.push_back(
-                                         read_machine_type(node, place, settings.cache_gb));
+                                         read_machine_type(node, xml_path, settings.cache_gb));
                                    })},
                  {"report-s", xml_into(settings.report_s, 0.5, 3600)},
                  {"lease-s", xml_into(settings.lease_s, 2, 86400)},
