--- a/app/shunttrail-pbs.cpp
+++ b/app/shunttrail-pbs.cpp
@@ -1,5 +1,5 @@
 // shunttrail-pbs: PBS's commands. So far `qsub --check` alone: the job that a script would become,
-// or why it is refused.
+// or why it is throw_refused.
 #include <sys/utsname.h>
 #include <unistd.h>
 
@@ -31,7 +31,7 @@
   return value ? value : "";
 }
 
-// Bounded: what is longer than a script may be is refused by its reader all the same.
+// Bounded: what is longer than a script may be is throw_refused by its reader all the same.
 std::string read_bounded(const std::string& file) {
   std::string text(pbs::kScriptMost + 1, '\0');
   std::ifstream opened;
@@ -123,7 +123,7 @@
 
 json check_report(pbs::Job& job) {
   if (!job.faults.empty()) return {{"accepted", false}, {"faults", to_json(job.faults)}};
-  job.description.job.id = cli::fresh_id();
+  job.description.job.id = cli::new_job_id();
   return {{"accepted", true},
           {"job", json::parse(wire::encode_job(job.description.job))},
           {"ignored", to_json(job.ignored)}};
--- a/app/shunttrailctl.cpp
+++ b/app/shunttrailctl.cpp
@@ -167,7 +167,7 @@
 
 // --- Waiting for a job
 
-bool is_over(const client_protocol::JobAnswer& answer) {
+bool is_finished(const client_protocol::JobAnswer& answer) {
   return answer.state == wire::JobState::done || answer.state == wire::JobState::cancelled;
 }
 
@@ -181,8 +181,8 @@
 }
 
 // The job is over: prints what became of it, and gives the program's exit status.
-int conclude(ServiceClient& service, const client_protocol::JobAnswer& answer,
-             const std::string& id, bool as_json) {
+int report_outcome(ServiceClient& service, const client_protocol::JobAnswer& answer,
+                   const std::string& id, bool as_json) {
   const bool cancelled = answer.state == wire::JobState::cancelled;
   const int exit = cancelled ? kExitFailed : exit_status_of(service, id);
   if (as_json) {
@@ -205,9 +205,9 @@
     if (shows_progress && line != shown)
       std::fprintf(stderr, "\r\033[K%s: %s", id.c_str(), line.c_str());
     shown = line;
-    if (is_over(answer)) {
+    if (is_finished(answer)) {
       if (shows_progress) std::fprintf(stderr, "\n");
-      return conclude(service, answer, id, as_json);
+      return report_outcome(service, answer, id, as_json);
     }
     if (actor::steady_now() > deadline) throw RequestFailed(id + ": still " + shown);
     service.sleep(kPollIntervalS);
@@ -248,7 +248,7 @@
   return wait_for(service, options.job_id, options.timeout_s, options.as_json);
 }
 
-int run_withdraw(ServiceClient& service, const Options& options) {
+int run_cancel(ServiceClient& service, const Options& options) {
   require_job_id(options.job_id);
   print_answer(service.withdraw(options.job_id), options.as_json);
   return 0;
@@ -389,7 +389,7 @@
     {"submit", "submit a job and print its id", add_submit_options, run_submit},
     {"status", "show a job's state", add_job_id, run_status},
     {"wait", "wait until a job is done or cancelled", add_wait_options, run_wait},
-    {"withdraw", "cancel a job", add_job_id, run_withdraw},
+    {"withdraw", "cancel a job", add_job_id, run_cancel},
     {"team", "show a team's live jobs", add_team_options, run_team},
     {"output", "print what a task wrote to its standard output", add_output_options, run_output},
     {"up", "whether the service can take requests", add_nothing, run_up},
--- a/src/chaos/chaos_run.cpp
+++ b/src/chaos/chaos_run.cpp
@@ -63,7 +63,7 @@
   void submit_job() {
     client_protocol::JobDescription description;
     wire::JobSpec& job = description.job;
-    job.id = cli::fresh_id();
+    job.id = cli::new_job_id();
     job.job_class = "trial";
     job.team = "t";
     job.image = "none";
--- a/src/cli/service_client.cpp
+++ b/src/cli/service_client.cpp
@@ -40,8 +40,8 @@
   return std::to_string(result.status) + (why.empty() ? "" : " (" + why + ")");
 }
 
-[[noreturn]] void refused(const net::Result& result) {
-  throw RequestFailed("refused: " + reason(result));
+[[noreturn]] void throw_refused(const net::Result& result) {
+  throw RequestFailed("throw_refused: " + reason(result));
 }
 
 }  // namespace
@@ -53,23 +53,23 @@
 
 template <class... Arguments, class Call, class Then>
 void ServiceClient::wait_for(Call call, Then then) {
-  bool is_over = false;
+  bool is_finished = false;
   call([&](Arguments... arguments) {
     then(std::move(arguments)...);
-    is_over = true;
+    is_finished = true;
     loop_.stop();
   });
-  while (!is_over) loop_.run();
+  while (!is_finished) loop_.run();
 }
 
 void ServiceClient::sleep(double seconds) {
-  bool is_over = false;
+  bool is_finished = false;
   actor::Timer timer(loop_, [&] {
-    is_over = true;
+    is_finished = true;
     loop_.stop();
   });
   timer.after(seconds);
-  while (!is_over) loop_.run();
+  while (!is_finished) loop_.run();
 }
 
 net::Result ServiceClient::request_once(const char* method, const std::string& path,
@@ -122,7 +122,7 @@
   if (put_description(description) != Outcome::ok)
     throw RequestFailed(description.job.id + ": the depot has another job of this id");
   const net::Result result = request("POST", "/v2/runs", wire::encode_job(description.job));
-  if (result.status != 200 && result.status != 201) refused(result);
+  if (result.status != 200 && result.status != 201) throw_refused(result);
   return client_protocol::decode_job_state(result.body);
 }
 
@@ -134,19 +134,19 @@
 
 net::Result ServiceClient::get(const std::string& path) {
   net::Result result = request("GET", path, "");
-  if (result.status != 200 && result.status != 404) refused(result);
+  if (result.status != 200 && result.status != 404) throw_refused(result);
   return result;
 }
 
 net::Result ServiceClient::order(const std::string& path, const std::string& body) {
   net::Result result = request("POST", path, body);
-  if (result.status != 200) refused(result);
+  if (result.status != 200) throw_refused(result);
   return result;
 }
 
 client_protocol::JobAnswer ServiceClient::withdraw(const std::string& id) {
   const net::Result result = request("POST", "/v2/runs/" + id + "/withdraw", "{}");
-  if (result.status != 200) refused(result);
+  if (result.status != 200) throw_refused(result);
   return client_protocol::decode_job_state(result.body);
 }
 
@@ -163,7 +163,7 @@
                              });
     return last;
   });
-  if (outcome == Outcome::refused) throw RequestFailed(name + ": refused by the depot");
+  if (outcome == Outcome::throw_refused) throw RequestFailed(name + ": throw_refused by the depot");
   if (outcome == Outcome::absent) return std::nullopt;
   return found;
 }
@@ -205,7 +205,7 @@
   return hash;
 }
 
-std::string fresh_id() {
+std::string new_job_id() {
   constexpr unsigned kRandomRange = 1000000;
   std::random_device random;
   char id[32];
--- a/src/cli/service_client.h
+++ b/src/cli/service_client.h
@@ -14,7 +14,7 @@
 
 namespace shunttrail::cli {
 
-/// The service refused, or did not answer within its time. One line.
+/// The service throw_refused, or did not answer within its time. One line.
 struct RequestFailed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -68,6 +68,6 @@
 };
 
 /// A job id that nobody else makes: the time and a random number.
-[[nodiscard]] std::string fresh_id();
+[[nodiscard]] std::string new_job_id();
 
 }  // namespace shunttrail::cli
--- a/src/cli/submission.cpp
+++ b/src/cli/submission.cpp
@@ -38,7 +38,7 @@
 }
 
 void ensure_id(json& job) {
-  if (!job.contains("uid")) job["uid"] = fresh_id();
+  if (!job.contains("uid")) job["uid"] = new_job_id();
 }
 
 // The file holds a whole description, or a submission as the protocol has it, without a command.
@@ -63,7 +63,7 @@
 JobDescription describe(const SubmitOptions& options) {
   JobDescription description;
   auto& job = description.job;
-  job.id = options.id.empty() ? fresh_id() : options.id;
+  job.id = options.id.empty() ? new_job_id() : options.id;
   job.job_class = options.job_class;
   job.team = options.team;
   job.priority = parse_priority(options.priority);
