--- a/app/shunttrail-pbs.cpp
+++ b/app/shunttrail-pbs.cpp
@@ -1,5 +1,5 @@
 // shunttrail-pbs: PBS's commands. So far `qsub --check` alone: the job that a script would become,
-// or why it is throw_refused.
+// or why it is refused.
 #include <sys/utsname.h>
 #include <unistd.h>
 
@@ -31,7 +31,7 @@
   return value ? value : "";
 }
 
-// Bounded: what is longer than a script may be is throw_refused by its reader all the same.
+// Bounded: what is longer than a script may be is refused by its reader all the same.
 std::string read_bounded(const std::string& file) {
   std::string text(pbs::kScriptMost + 1, '\0');
   std::ifstream opened;
--- a/app/shunttrailctl.cpp
+++ b/app/shunttrailctl.cpp
@@ -250,7 +250,7 @@
 
 int run_cancel(ServiceClient& service, const Options& options) {
   require_job_id(options.job_id);
-  print_answer(service.withdraw(options.job_id), options.as_json);
+  print_answer(service.cancel(options.job_id), options.as_json);
   return 0;
 }
 
@@ -358,7 +358,7 @@
 int run_schema(ServiceClient& service, const Options& options) {
   const std::optional<schema::Order> order = schema_order(options);
   const net::Result result =
-      order ? service.order("/levels", schema::encode(*order)) : service.get("/levels");
+      order ? service.post("/levels", schema::encode(*order)) : service.get("/levels");
   const json status = require_status(result, "active", "this controller knows no state levels");
   if (options.as_json)
     print_line(status.dump());
--- a/src/cli/service_client.cpp
+++ b/src/cli/service_client.cpp
@@ -41,7 +41,7 @@
 }
 
 [[noreturn]] void throw_refused(const net::Result& result) {
-  throw RequestFailed("throw_refused: " + reason(result));
+  throw RequestFailed("refused: " + reason(result));
 }
 
 }  // namespace
@@ -96,10 +96,10 @@
   }
 }
 
-Outcome ServiceClient::ask(const std::function<Outcome()>& ask_once) {
+Outcome ServiceClient::retry_while_unavailable(const std::function<Outcome()>& call) {
   const double give_up_at = actor::steady_now() + kRetryForS;
   while (true) {
-    const Outcome outcome = ask_once();
+    const Outcome outcome = call();
     if (outcome != Outcome::later) return outcome;
     if (actor::steady_now() > give_up_at) throw RequestFailed("gave up: the depot does not answer");
     sleep(kArtifactRetryDelayS);
@@ -109,7 +109,7 @@
 Outcome ServiceClient::put_description(const client_protocol::JobDescription& description) {
   const std::string name = client_protocol::description_name(description.job.id);
   const std::string text = client_protocol::encode_description(description);
-  return ask([&] {
+  return retry_while_unavailable([&] {
     Outcome outcome = Outcome::later;
     wait_for<Outcome, Named>([&](auto done) { artifacts_.put_name(name, {text}, done); },
                              [&](Outcome answer, Named) { outcome = answer; });
@@ -138,13 +138,13 @@
   return result;
 }
 
-net::Result ServiceClient::order(const std::string& path, const std::string& body) {
+net::Result ServiceClient::post(const std::string& path, const std::string& body) {
   net::Result result = request("POST", path, body);
   if (result.status != 200) throw_refused(result);
   return result;
 }
 
-client_protocol::JobAnswer ServiceClient::withdraw(const std::string& id) {
+client_protocol::JobAnswer ServiceClient::cancel(const std::string& id) {
   const net::Result result = request("POST", "/v2/runs/" + id + "/withdraw", "{}");
   if (result.status != 200) throw_refused(result);
   return client_protocol::decode_job_state(result.body);
@@ -154,7 +154,7 @@
 
 std::optional<Named> ServiceClient::find_name(const std::string& name) {
   Named found;
-  const Outcome outcome = ask([&] {
+  const Outcome outcome = retry_while_unavailable([&] {
     Outcome last = Outcome::later;
     wait_for<Outcome, Named>([&](auto done) { artifacts_.get_name(name, done); },
                              [&](Outcome answer, Named value) {
@@ -163,7 +163,7 @@
                              });
     return last;
   });
-  if (outcome == Outcome::throw_refused) throw RequestFailed(name + ": throw_refused by the depot");
+  if (outcome == Outcome::refused) throw RequestFailed(name + ": refused by the depot");
   if (outcome == Outcome::absent) return std::nullopt;
   return found;
 }
@@ -181,7 +181,7 @@
 }
 
 bool ServiceClient::fetch(const std::string& hash, const std::string& file) {
-  const Outcome outcome = ask([&] {
+  const Outcome outcome = retry_while_unavailable([&] {
     Outcome last = Outcome::later;
     wait_for<Outcome>([&](auto done) { artifacts_.get_file(hash, file, done); },
                       [&](Outcome answer) { last = answer; });
@@ -192,7 +192,7 @@
 
 std::string ServiceClient::upload(const std::string& file) {
   std::string hash;
-  const Outcome outcome = ask([&] {
+  const Outcome outcome = retry_while_unavailable([&] {
     Outcome last = Outcome::later;
     wait_for<Outcome, std::string>([&](auto done) { artifacts_.put_file(file, done); },
                                    [&](Outcome answer, std::string stored) {
--- a/src/cli/service_client.h
+++ b/src/cli/service_client.h
@@ -14,7 +14,7 @@
 
 namespace shunttrail::cli {
 
-/// The service throw_refused, or did not answer within its time. One line.
+/// The service refused, or did not answer within its time. One line.
 struct RequestFailed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -30,11 +30,11 @@
   client_protocol::JobAnswer submit(const client_protocol::JobDescription& description);
   /// Nothing: there is no such job.
   [[nodiscard]] std::optional<client_protocol::JobAnswer> status(const std::string& id);
-  client_protocol::JobAnswer withdraw(const std::string& id);
+  client_protocol::JobAnswer cancel(const std::string& id);
   /// Any path of the service, retried until the answer is final.
   [[nodiscard]] net::Result get(const std::string& path);
   /// An operator's order, repeated until its answer is final.
-  net::Result order(const std::string& path, const std::string& body);
+  net::Result post(const std::string& path, const std::string& body);
   /// Whether the service can take requests.
   [[nodiscard]] bool up();
 
@@ -57,7 +57,7 @@
   template <class... Arguments, class Call, class Then>
   void wait_for(Call call, Then then);
   // Asks the artifact store again for up to a minute, as long as it answers `later`.
-  artifacts::Outcome ask(const std::function<artifacts::Outcome()>& ask_once);
+  artifacts::Outcome retry_while_unavailable(const std::function<artifacts::Outcome()>& call);
   artifacts::Outcome put_description(const client_protocol::JobDescription& description);
   std::optional<artifacts::Store::Named> find_name(const std::string& name);
 
--- a/src/local_cluster/children.cpp
+++ b/src/local_cluster/children.cpp
@@ -124,7 +124,7 @@
                   : std::clamp(2 * child.restart_delay_s, kLeastRestartDelayS, kMostRestartDelayS);
   child.restart_at = now + child.restart_delay_s;
   ++restarts_;
-  log::info("process handle_exit and is restarted",
+  log::info("process ended and is restarted",
             {{"name", name}, {"status", exit_status}, {"in_s", child.restart_delay_s}});
 }
 
--- a/src/local_cluster/local_cluster.cpp
+++ b/src/local_cluster/local_cluster.cpp
@@ -169,7 +169,7 @@
 
 void LocalCluster::power_off_one(const std::string& machine, const std::function<void()>& done) {
   auto tasks_ended = [this, machine, done](int exit_status) {
-    if (exit_status != 0) log::error("machine's tasks may not be done", {{"machine", machine}});
+    if (exit_status != 0) log::error("machine's tasks may not be gone", {{"machine", machine}});
     std::error_code ignored;
     if (!is_ending_) fs::remove_all(machine_dir(machine), ignored);
     done();
--- a/tests/local_cluster_test.cpp
+++ b/tests/local_cluster_test.cpp
@@ -174,7 +174,7 @@
   cli::ServiceClient state(nlohmann::json::parse(in)["services"]["state"].get<std::string>());
   auto level = [&](int n) {
     const std::string text = std::to_string(n);
-    state.order("/commit", R"({"guards":[],"writes":[{"set":"st/l/active","value":{"level":)" +
+    state.post("/commit", R"({"guards":[],"writes":[{"set":"st/l/active","value":{"level":)" +
                                text + R"(,"lowest":)" + text + R"(,"highest":)" + text +
                                R"(,"w":"x"}}]})");
   };
