--- a/src/chaos/chaos_run.cpp
+++ b/src/chaos/chaos_run.cpp
@@ -19,10 +19,10 @@
 namespace {
 
 constexpr std::uint32_t kMaxTasksPerJob = 60;
-constexpr double kLeastTaskS = 0.05, kMostTaskS = 1.5;
+constexpr double kMinTaskS = 0.05, kMaxTaskS = 1.5;
 constexpr double kFirstKillS = 1;
-constexpr double kLeastKillFactor = 0.5, kMostKillFactor = 1.5;  // of the plan's interval
-constexpr double kAgentShare = 0.5, kSupervisorShare = 0.3;      // of kills; controllers: the rest
+constexpr double kMinKillFactor = 0.5, kMaxKillFactor = 1.5;  // of the plan's interval
+constexpr double kAgentShare = 0.5, kSupervisorShare = 0.3;   // of kills; controllers: the rest
 constexpr double kMeasureIntervalS = 0.5;
 constexpr double kPollIntervalS = 0.05;
 
@@ -72,7 +72,7 @@
         std::min<std::uint32_t>(plan_.tasks - result_.tasks, 1 + random_() % kMaxTasksPerJob);
     job.cpus = 1;
     job.mem_gb = 0.5;
-    job.estimate_s = draw(kLeastTaskS, kMostTaskS);
+    job.estimate_s = draw(kMinTaskS, kMaxTaskS);
     description.command = {"bash", "-c", script(job.estimate_s)};
     service_.submit(description);
     tasks_of_[job.id] = job.tasks;
@@ -91,7 +91,7 @@
   }
 
   void kill_one(double now) {
-    next_kill_at_ = now + plan_.kill_every_s * draw(kLeastKillFactor, kMostKillFactor);
+    next_kill_at_ = now + plan_.kill_every_s * draw(kMinKillFactor, kMaxKillFactor);
     const double kind = draw(0, 1);
     if (kind < kAgentShare)
       kill_one_of(cluster_.agents(), result_.agents_killed);
--- a/src/cli/service_client.cpp
+++ b/src/cli/service_client.cpp
@@ -14,7 +14,7 @@
 
 constexpr double kAnswerTimeoutS = 5;  // PROTOCOL: no response within 5 s
 constexpr double kRetryForS = 60;      // for up to 60 s in total
-constexpr double kLeastRetryDelayS = 1, kMostRetryDelayS = 30;
+constexpr double kMinRetryDelayS = 1, kMaxRetryDelayS = 30;
 constexpr double kArtifactRetryDelayS = 1;
 constexpr std::size_t kMaxConnections = 1, kMaxQueue = 4;
 
@@ -89,7 +89,7 @@
   while (true) {
     net::Result result = request_once(method, path, body);
     if (is_final(result.status)) return result;
-    const double delay_s = std::clamp(result.retry_after_s, kLeastRetryDelayS, kMostRetryDelayS);
+    const double delay_s = std::clamp(result.retry_after_s, kMinRetryDelayS, kMaxRetryDelayS);
     if (actor::steady_now() + delay_s > give_up_at)
       throw RequestFailed("gave up: " + reason(result));
     sleep(delay_s);
--- a/src/local_cluster/children.cpp
+++ b/src/local_cluster/children.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr double kTickIntervalS = 0.1;
-constexpr double kLeastRestartDelayS = 0.2, kMostRestartDelayS = 5;
+constexpr double kMinRestartDelayS = 0.2, kMaxRestartDelayS = 5;
 constexpr double kSettledAfterS = 10;  // running for so long, the next delay is short again
 constexpr double kKillAfterS = 5;      // a signal to stop that was not heeded
 constexpr int kExitNotStarted = 127;
@@ -120,8 +120,8 @@
   const double now = actor::steady_now();
   const bool had_settled = now - child.started_at > kSettledAfterS;
   child.restart_delay_s =
-      had_settled ? kLeastRestartDelayS
-                  : std::clamp(2 * child.restart_delay_s, kLeastRestartDelayS, kMostRestartDelayS);
+      had_settled ? kMinRestartDelayS
+                  : std::clamp(2 * child.restart_delay_s, kMinRestartDelayS, kMaxRestartDelayS);
   child.restart_at = now + child.restart_delay_s;
   ++restarts_;
   log::info("process ended and is restarted",
--- a/src/pbs/tables.cpp
+++ b/src/pbs/tables.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr double kMaxLimit = 1e9;
-constexpr double kLeastPriority = -1024, kMostPriority = 1023;  // of -p, qsub(1B)
+constexpr double kMinPriority = -1024, kMaxPriority = 1023;  // of -p, qsub(1B)
 
 wire::Priority parse_priority(const std::string& name, const std::string& place) {
   static const std::map<std::string, wire::Priority> names = {
@@ -94,7 +94,7 @@
 void read_priority(pugi::xml_node node, const std::string& place, Tables& tables) {
   allow_attributes(node, place, {"p", "is"});
   const double from =
-      xml_number(xml_attribute(node, place, "p"), place + "@p", kLeastPriority, kMostPriority);
+      xml_number(xml_attribute(node, place, "p"), place + "@p", kMinPriority, kMaxPriority);
   tables.priorities[static_cast<int>(std::floor(from))] =
       parse_priority(xml_attribute(node, place, "is"), place + "@is");
 }
