--- a/app/shunttrail-pbs.cpp
+++ b/app/shunttrail-pbs.cpp
@@ -32,8 +32,8 @@
 }
 
 // Bounded: what is longer than a script may be is refused by its reader all the same.
-std::string read_bounded(const std::string& file) {
-  std::string text(pbs::kScriptMost + 1, '\0');
+std::string read_at_most_max_script(const std::string& file) {
+  std::string text(pbs::kMaxScriptBytes + 1, '\0');
   std::ifstream opened;
   if (file != "-") {
     opened.open(file, std::ios::binary);
@@ -146,7 +146,7 @@
   }
   const std::string file =
       options < arguments.pbs_words.size() ? arguments.pbs_words[options] : "-";
-  const std::string text = read_bounded(file);
+  const std::string text = read_at_most_max_script(file);
   pbs::Job job =
       pbs::make_job(pbs::read_script(text, prefix), command_line, text, tables, make_context(file));
   const json report = check_report(job);
--- a/src/pbs/job.cpp
+++ b/src/pbs/job.cpp
@@ -69,7 +69,7 @@
       job_.faults.push_back(
           {{directive->at.line, directive->value_column}, label(*directive), reason});
     else
-      job_.faults.push_back({Place{}, "", reason});
+      job_.faults.push_back({Position{}, "", reason});
   }
 
   // Chunks become tasks of one shape.
@@ -123,7 +123,7 @@
   void read_chunk_resource(const Directive& directive, const Resource& resource, TaskShape& shape) {
     try {
       set_chunk_resource(resource, shape);
-    } catch (const BadValue& error) {
+    } catch (const InvalidValue& error) {
       const std::size_t column = directive.value_column + request_.chunks_offset + resource.at;
       job_.faults.push_back(
           {{directive.at.line, column}, label(directive), resource.name + " " + error.what()});
@@ -142,7 +142,7 @@
       job_.description.env["OMP_NUM_THREADS"] =
           std::to_string(read_count(resource.value, kMaxCount));
     else
-      throw BadValue(0, "is not a resource of this service's chunks");
+      throw InvalidValue(0, "is not a resource of this service's chunks");
   }
 
   void set_run_time() {
--- a/src/pbs/job_request.cpp
+++ b/src/pbs/job_request.cpp
@@ -12,9 +12,10 @@
 namespace {
 namespace fs = std::filesystem;
 
-constexpr std::size_t kMaxNameBytes = 230;    // qsub(1B)
-constexpr std::size_t kMaxScriptName = 15;    // of a name that is taken from the script's
-constexpr std::size_t kMaxLabelValue = 80;    // bytes of a directive's value that users are shown
+constexpr std::size_t kMaxNameBytes = 230;       // qsub(1B)
+constexpr std::size_t kMaxScriptNameBytes = 15;  // of a name that is taken from the script's
+constexpr std::size_t kMaxLabelValueBytes =
+    80;                                       // bytes of a directive's value that users are shown
 constexpr std::uint64_t kMaxPriority = 1023;  // and -1024 at the least
 constexpr std::uint64_t kMaxCount = 100000;   // of CPUs or GPUs
 constexpr std::uint64_t kMaxCheckpointMinutes = 1000000;
@@ -34,13 +35,13 @@
 // name=value, separated by commas; a part without '=' belongs to the value before it.
 std::vector<Attribute> read_attribute_list(const std::string& text) {
   std::vector<Attribute> attributes;
-  for (auto [offset, part] : parts(text, ',')) {
+  for (auto [offset, part] : split_at(text, ',')) {
     const auto equals = part.find('=');
     if (equals != std::string_view::npos)
       attributes.push_back({std::string(part.substr(0, equals)),
                             std::string(part.substr(equals + 1)), offset, offset + equals + 1});
     else if (attributes.empty())
-      throw BadValue(offset, "is not name=value");
+      throw InvalidValue(offset, "is not name=value");
     else
       attributes.back().value += "," + std::string(part);
   }
@@ -52,8 +53,8 @@
 auto read_value(const Resource& resource, Read read) {
   try {
     return read(std::string_view(resource.value));
-  } catch (const BadValue& error) {
-    throw BadValue(resource.value_at + error.offset, resource.name + " " + error.what());
+  } catch (const InvalidValue& error) {
+    throw InvalidValue(resource.value_at + error.offset, resource.name + " " + error.what());
   }
 }
 
@@ -63,9 +64,9 @@
 }
 
 void check_letters(const std::string& value, std::string_view known) {
-  if (value.empty()) throw BadValue(0, "is empty");
+  if (value.empty()) throw InvalidValue(0, "is empty");
   if (auto bad = value.find_first_not_of(known); bad != std::string::npos)
-    throw BadValue(bad, "holds a letter that qsub does not know");
+    throw InvalidValue(bad, "holds a letter that qsub does not know");
 }
 
 // Whether `path` is `parent` or below it; both are normal.
@@ -77,20 +78,20 @@
 }  // namespace
 
 std::string label(const Directive& directive) {
-  const std::string value = directive.value.substr(0, kMaxLabelValue);
+  const std::string value = directive.value.substr(0, kMaxLabelValueBytes);
   return std::string("-") + directive.option + (value.empty() ? "" : " " + value);
 }
 
 DirectiveReader::DirectiveReader(const Tables& tables, const Context& context, Job& job)
     : tables_(tables), context_(context), job_(job) {
-  request_.name = context.script_name.substr(0, kMaxScriptName);
+  request_.name = context.script_name.substr(0, kMaxScriptNameBytes);
 }
 
 void DirectiveReader::read(const Directive& directive) {
   directive_ = &directive;
   try {
     read_option(directive);
-  } catch (const BadValue& error) {
+  } catch (const InvalidValue& error) {
     fault(error.offset, error.what());
   }
 }
@@ -196,14 +197,14 @@
 
 void DirectiveReader::read_name(const std::string& value) {
   if (value.empty() || value.size() > kMaxNameBytes)
-    throw BadValue(0, "a name has 1 to 230 characters");
+    throw InvalidValue(0, "a name has 1 to 230 characters");
   for (std::size_t i = 0; i < value.size(); ++i) {
     const unsigned char c = static_cast<unsigned char>(value[i]);
     if (!std::isgraph(c) || c == '/')
-      throw BadValue(i, "a name holds no blank, slash or control character");
+      throw InvalidValue(i, "a name holds no blank, slash or control character");
   }
   if (!std::isalpha(static_cast<unsigned char>(value[0])))
-    throw BadValue(0, "a name begins with a letter");
+    throw InvalidValue(0, "a name begins with a letter");
   request_.name = value;
 }
 
@@ -211,21 +212,21 @@
   std::string queue = value;
   if (auto at = queue.find('@'); at != std::string::npos) {
     if (queue.substr(at + 1) != tables_.server)
-      throw BadValue(at + 1, "there is no other server than " + tables_.server);
+      throw InvalidValue(at + 1, "there is no other server than " + tables_.server);
     queue.resize(at);
   }
   request_.queue = queue;
-  if (!tables_.queue(queue)) throw BadValue(0, "there is no queue " + queue);
+  if (!tables_.queue(queue)) throw InvalidValue(0, "there is no queue " + queue);
 }
 
 void DirectiveReader::read_array(const Directive& directive) {
   const Range range = read_range(directive.value);
   request_.array = {range, directive};
   if (range.limit)
-    throw BadValue(directive.value.find('%'), "how many run at a time cannot be limited here");
+    throw InvalidValue(directive.value.find('%'), "how many run at a time cannot be limited here");
   if (range.size() > kMaxTasks)
-    throw BadValue(0, "asks for " + std::to_string(range.size()) + " tasks; a job has at most " +
-                          std::to_string(kMaxTasks));
+    throw InvalidValue(0, "asks for " + std::to_string(range.size()) +
+                              " tasks; a job has at most " + std::to_string(kMaxTasks));
 }
 
 void DirectiveReader::read_priority(const Directive& directive) {
@@ -233,31 +234,31 @@
   const bool is_negative = value.starts_with("-");
   const bool has_sign = is_negative || value.starts_with("+");
   const std::uint64_t number = read_count(has_sign ? value.substr(1) : value, kMaxPriority + 1);
-  if (!is_negative && number > kMaxPriority) throw BadValue(0, "is not between -1024 and 1023");
+  if (!is_negative && number > kMaxPriority) throw InvalidValue(0, "is not between -1024 and 1023");
   const int magnitude = static_cast<int>(number);
   request_.priority = {is_negative ? -magnitude : magnitude, directive};
 }
 
 void DirectiveReader::read_rerunnable(const std::string& value) const {
-  if (value != "y" && value != "n") throw BadValue(0, "is neither y nor n");
+  if (value != "y" && value != "n") throw InvalidValue(0, "is neither y nor n");
   if (value == "n")
-    throw BadValue(0, "a task whose machine is lost is run again; that cannot be ruled out");
+    throw InvalidValue(0, "a task whose machine is lost is run again; that cannot be ruled out");
 }
 
 void DirectiveReader::read_join(const std::string& value) {
-  if (value != "oe" && value != "eo" && value != "n") throw BadValue(0, "is none of oe, eo, n");
+  if (value != "oe" && value != "eo" && value != "n") throw InvalidValue(0, "is none of oe, eo, n");
   job_.joined = value != "n";
 }
 
 void DirectiveReader::read_shell(const std::string& value) {
   if (auto host = value.find_first_of("@,"); host != std::string::npos)
-    throw BadValue(host, "a shell for each host cannot be chosen");
-  if (!value.starts_with("/")) throw BadValue(0, "is not an absolute path");
+    throw InvalidValue(host, "a shell for each host cannot be chosen");
+  if (!value.starts_with("/")) throw InvalidValue(0, "is not an absolute path");
   request_.shell = value;
 }
 
 void DirectiveReader::read_user(const std::string& value) const {
-  if (value != context_.user) throw BadValue(0, "jobs run under the name of who submits them");
+  if (value != context_.user) throw InvalidValue(0, "jobs run under the name of who submits them");
 }
 
 void DirectiveReader::read_checkpoint(const std::string& value) {
@@ -265,22 +266,22 @@
   if (value.starts_with("c=") || value.starts_with("w="))
     read_count(value.substr(2), kMaxCheckpointMinutes);
   else if (std::find(std::begin(kWords), std::end(kWords), value) == std::end(kWords))
-    throw BadValue(0, "is none of n, s, c, c=minutes, w, w=minutes, u");
+    throw InvalidValue(0, "is none of n, s, c, c=minutes, w, w=minutes, u");
   ignored("a program saves by itself, or not at all (docs/agent.md)");
 }
 
 void DirectiveReader::read_variables(const std::string& value) {
-  for (auto [offset, part] : parts(value, ',')) {
+  for (auto [offset, part] : split_at(value, ',')) {
     const auto equals = part.find('=');
     const std::string name(part.substr(0, equals));
-    if (!is_variable_name(name)) throw BadValue(offset, "is not a variable's name");
+    if (!is_variable_name(name)) throw InvalidValue(offset, "is not a variable's name");
     if (equals != std::string_view::npos) {
       job_.description.env[name] = part.substr(equals + 1);
       continue;
     }
     auto own = std::find_if(context_.environment.begin(), context_.environment.end(),
                             [&](const auto& variable) { return variable.first == name; });
-    if (own == context_.environment.end()) throw BadValue(offset, name + " is not set");
+    if (own == context_.environment.end()) throw InvalidValue(offset, name + " is not set");
     job_.description.env[name] = own->second;
   }
 }
@@ -289,14 +290,14 @@
   std::string path = value;
   if (auto colon = value.find(':'); colon != std::string::npos) {
     if (value.substr(0, colon) != context_.host)
-      throw BadValue(0, "output is brought to the submitting host only");
+      throw InvalidValue(0, "output is brought to the submitting host only");
     path = value.substr(colon + 1);
   }
-  if (path.empty()) throw BadValue(0, "is empty");
+  if (path.empty()) throw InvalidValue(0, "is empty");
   const fs::path home = fs::path(context_.home).lexically_normal();
   const fs::path full = (fs::path(context_.dir) / path).lexically_normal();
   if (context_.home.empty() || !is_inside(full, home))
-    throw BadValue(0, "leaves the directory of its owner, " + context_.home);
+    throw InvalidValue(0, "leaves the directory of its owner, " + context_.home);
   return path;
 }
 
@@ -313,7 +314,7 @@
   } else if (name == "walltime") {
     request_.walltime_s = {read_value(resource, read_seconds), directive};
     if (request_.walltime_s->value < 1)
-      throw BadValue(resource.value_at, "walltime is less than a second");
+      throw InvalidValue(resource.value_at, "walltime is less than a second");
   } else if (name == "ncpus") {
     request_.ncpus = read_resource_count(resource);
     request_.whole_job_directive = directive;
@@ -324,7 +325,7 @@
     request_.mem_gb = read_value(resource, read_size_gb);
     request_.whole_job_directive = directive;
   } else {
-    throw BadValue(resource.at, name + " is not a resource of this service");
+    throw InvalidValue(resource.at, name + " is not a resource of this service");
   }
 }
 
@@ -337,8 +338,8 @@
     else if (word == "scatter")
       request_.anti_affinity = true;
     else if (word != "free" && word != "shared")
-      throw BadValue(resource.value_at,
-                     "place=" + word + " cannot be promised here (free, pack, scatter)");
+      throw InvalidValue(resource.value_at,
+                         "place=" + word + " cannot be promised here (free, pack, scatter)");
   }
 }
 
@@ -357,8 +358,8 @@
   std::vector<Dependency> dependencies;
   try {
     dependencies = read_dependencies(value);
-  } catch (const BadValue& error) {
-    throw BadValue(value_offset + error.offset, error.what());
+  } catch (const InvalidValue& error) {
+    throw InvalidValue(value_offset + error.offset, error.what());
   }
   for (const Dependency& dependency : dependencies)
     add_dependency(value_offset + dependency.at, dependency);
--- a/src/pbs/script.cpp
+++ b/src/pbs/script.cpp
@@ -72,8 +72,8 @@
 };
 // NOLINTEND(readability-identifier-naming)
 
-constexpr std::size_t kMaxShownWord = 40;  // bytes of a word that users are shown
-constexpr std::size_t kMaxShownLine = 80;  // bytes of a line that users are shown
+constexpr std::size_t kMaxShownWordBytes = 40;  // bytes of a word that users are shown
+constexpr std::size_t kMaxShownLineBytes = 80;  // bytes of a line that users are shown
 constexpr unsigned char kFirstPrintable = 0x20;
 
 std::string label(char option) { return std::string("-") + option; }
@@ -105,7 +105,7 @@
       } else {
         if (non_option == NonOption::ends) return next_;
         ++next_;
-        fault(word, word.text.substr(0, kMaxShownWord), "is not an option");
+        fault(word, word.text.substr(0, kMaxShownWordBytes), "is not an option");
       }
     }
     return next_;
@@ -116,10 +116,10 @@
     return word.text.size() >= 2 && word.text[0] == '-' && word.text != "--";
   }
 
-  Place place_of(const Word& word) const { return {line_number_, word.column}; }
+  Position position_of(const Word& word) const { return {line_number_, word.column}; }
 
   void fault(const Word& word, const std::string& directive, const std::string& reason) {
-    script_.faults.push_back({place_of(word), directive, reason});
+    script_.faults.push_back({position_of(word), directive, reason});
   }
 
   // Flags may be joined, and the last of the word may be an option that takes a value.
@@ -127,7 +127,7 @@
     for (std::size_t i = 1; i < word.text.size(); ++i) {
       const char option = word.text[i];
       if (!is_flag(option)) return read_valued(word, i);
-      script_.directives.push_back({option, "", place_of(word), word.column});
+      script_.directives.push_back({option, "", position_of(word), word.column});
     }
   }
 
@@ -136,12 +136,12 @@
     const char option = word.text[at];
     const std::string rest = word.text.substr(at + 1);
     if (!takes_value(option))
-      return fault(word, word.text.substr(0, kMaxShownWord), "is not an option of qsub");
+      return fault(word, word.text.substr(0, kMaxShownWordBytes), "is not an option of qsub");
     if (!rest.empty()) {
-      script_.directives.push_back({option, rest, place_of(word), word.column + at + 1});
+      script_.directives.push_back({option, rest, position_of(word), word.column + at + 1});
     } else if (next_ < words_.size()) {
       const Word& value = words_[next_++];
-      script_.directives.push_back({option, value.text, place_of(word), value.column});
+      script_.directives.push_back({option, value.text, position_of(word), value.column});
     } else {
       fault(word, label(option), "needs a value");
     }
@@ -162,11 +162,11 @@
 
 // Why a text is no script at all; nothing: it may be one.
 std::optional<Fault> find_unreadable(std::string_view text) {
-  auto refusal = [](Place at, const char* reason) { return Fault{at, "", reason}; };
-  if (text.size() > kScriptMost) return refusal({1, 1}, "the script is longer than 1 MiB");
+  auto refusal = [](Position at, const char* reason) { return Fault{at, "", reason}; };
+  if (text.size() > kMaxScriptBytes) return refusal({1, 1}, "the script is longer than 1 MiB");
   if (text.starts_with("\xff\xfe") || text.starts_with("\xfe\xff"))
     return refusal({1, 1}, "the script is UTF-16; it has to be ASCII or UTF-8");
-  Place at{1, 1};
+  Position at{1, 1};
   for (std::size_t i = 0; i < text.size(); ++i, ++at.column) {
     const char c = text[i];
     if (c == '\n') {
@@ -201,7 +201,7 @@
   } catch (const p::parse_error& error) {
     const std::size_t column = first_column + error.positions().front().column - 1;
     script.faults.push_back({{line_number, column},
-                             std::string(text.substr(0, kMaxShownWord)),
+                             std::string(text.substr(0, kMaxShownWordBytes)),
                              "a quotation is not closed"});
     return;
   }
@@ -238,7 +238,7 @@
     else
       // qsub reads no further than the first command; who wrote this meant it to count.
       script_.ignored.push_back({{line_number_, 1},
-                                 std::string(text.substr(0, kMaxShownLine)),
+                                 std::string(text.substr(0, kMaxShownLineBytes)),
                                  "stands behind the first command, where qsub does not look"});
   }
 
@@ -262,11 +262,11 @@
   }
 
   void read_continued_directive(std::string_view text) {
-    if (script_.directives.size() + script_.faults.size() >= kDirectivesMost) {
+    if (script_.directives.size() + script_.faults.size() >= kMaxDirectives) {
       script_.faults.push_back(
           {{line_number_, 1},
            std::string(prefix_),
-           "there are more than " + std::to_string(kDirectivesMost) + " directives"});
+           "there are more than " + std::to_string(kMaxDirectives) + " directives"});
       stopped_ = true;
       return;
     }
--- a/src/pbs/script.h
+++ b/src/pbs/script.h
@@ -11,15 +11,15 @@
 
 /// Where something stands: lines and columns from 1; line 0 is the command line, whose columns
 /// count its words.
-struct Place {
+struct Position {
   std::size_t line = 0;
   std::size_t column = 0;
-  friend bool operator==(const Place&, const Place&) = default;
+  friend bool operator==(const Position&, const Position&) = default;
 };
 
 /// Why a script is refused.
 struct Fault {
-  Place at;
+  Position at;
   std::string directive;
   std::string reason;
 };
@@ -28,13 +28,13 @@
 struct Directive {
   char option = 0;    ///< its letter
   std::string value;  ///< empty for a flag
-  Place at;
+  Position at;
   std::size_t value_column = 0;  ///< where its value begins
 };
 
 /// Accepted, and without effect here.
 struct Ignored {
-  Place at;
+  Position at;
   std::string directive;
   std::string reason;
 };
@@ -46,8 +46,8 @@
   std::string shell;  ///< what "#!" names; empty: none
 };
 
-inline constexpr std::size_t kScriptMost = 1 << 20;  ///< bytes of a script
-inline constexpr std::size_t kDirectivesMost = 1000;
+inline constexpr std::size_t kMaxScriptBytes = 1 << 20;  ///< bytes of a script
+inline constexpr std::size_t kMaxDirectives = 1000;
 
 /// `prefix`: "#PBS", or what -C or PBS_DPREFIX says; empty: no line is a directive.
 Script read_script(std::string_view text, std::string_view prefix);
--- a/src/pbs/values.cpp
+++ b/src/pbs/values.cpp
@@ -55,8 +55,8 @@
   static void apply(const In& in, std::vector<Chunk>& out) {
     try {
       out.back().count = read_count(in.string_view(), kMaxChunkCount);
-    } catch (const BadValue& e) {
-      throw BadValue(in.position().byte, e.what());
+    } catch (const InvalidValue& e) {
+      throw InvalidValue(in.position().byte, e.what());
     }
   }
 };
@@ -86,7 +86,7 @@
   // What does not fit the form is wrong behind the last chunk that did.
   if (!p::parse<Rule, act>(in, out)) {
     std::size_t at = out.empty() ? 0 : out.back().at;
-    throw BadValue(at, std::string("is not of the form ") + form);
+    throw InvalidValue(at, std::string("is not of the form ") + form);
   }
   return out;
 }
@@ -125,14 +125,14 @@
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), n);
   if (text.empty() || end != text.data() + text.size() ||
       (error != std::errc() && error != std::errc::result_out_of_range))
-    throw BadValue(0, "is not a whole number");
+    throw InvalidValue(0, "is not a whole number");
   if (error == std::errc::result_out_of_range || n > most)
-    throw BadValue(0, "is more than " + std::to_string(most));
+    throw InvalidValue(0, "is more than " + std::to_string(most));
   return n;
 }
 
 double read_seconds(std::string_view text) {
-  if (!fits<time_form>(text)) throw BadValue(0, "is not a time ([[hours:]minutes:]seconds)");
+  if (!fits<time_form>(text)) throw InvalidValue(0, "is not a time ([[hours:]minutes:]seconds)");
   double fraction = 0;
   if (auto dot = text.find('.'); dot != std::string_view::npos) {
     std::string tail = "0." + std::string(text.substr(dot + 1, kFractionDigits));
@@ -140,7 +140,7 @@
     text = text.substr(0, dot);
   }
   if (std::count(text.begin(), text.end(), ':') > 2)
-    throw BadValue(0, "has too many parts for a time");
+    throw InvalidValue(0, "has too many split_at for a time");
   double total = 0;
   while (true) {
     auto colon = text.find(':');
@@ -152,16 +152,17 @@
 }
 
 double read_size_gb(std::string_view text) {
-  if (!fits<size_form>(text)) throw BadValue(0, "is not a size (a number with kb, mb, gb ...)");
+  if (!fits<size_form>(text)) throw InvalidValue(0, "is not a size (a number with kb, mb, gb ...)");
   auto digits = text.find_first_not_of("0123456789");
   std::string_view unit = digits == std::string_view::npos ? "" : text.substr(digits);
   double n = static_cast<double>(read_count(text.substr(0, digits), kMaxSizeNumber));
   const double gb = n * bytes_of(unit) / kBytesPerGib;
-  if (gb > kMaxSizeGb) throw BadValue(0, "is more than any machine has");
+  if (gb > kMaxSizeGb) throw InvalidValue(0, "is more than any machine has");
   return gb;
 }
 
-std::vector<std::pair<std::size_t, std::string_view>> parts(std::string_view text, char separator) {
+std::vector<std::pair<std::size_t, std::string_view>> split_at(std::string_view text,
+                                                               char separator) {
   std::vector<std::pair<std::size_t, std::string_view>> out;
   for (std::size_t at = 0;;) {
     auto end = text.find(separator, at);
@@ -173,10 +174,10 @@
 
 std::vector<Resource> read_resources(std::string_view text) {
   std::vector<Resource> out;
-  for (auto [at, one] : parts(text, ',')) {
+  for (auto [at, one] : split_at(text, ',')) {
     const auto equals = one.find('=');
     std::string_view key = one.substr(0, equals);
-    if (!fits<p::seq<name, p::eof>>(key)) throw BadValue(at, "has no resource's name here");
+    if (!fits<p::seq<name, p::eof>>(key)) throw InvalidValue(at, "has no resource's name here");
     Resource resource{std::string(key), "", at, at};
     if (equals != std::string_view::npos) {
       resource.value = one.substr(equals + 1);
@@ -195,11 +196,11 @@
 }
 
 Range read_range(std::string_view text) {
-  if (!fits<range_form>(text)) throw BadValue(0, "is not a range (first-last[:step][%limit])");
+  if (!fits<range_form>(text)) throw InvalidValue(0, "is not a range (first-last[:step][%limit])");
   Range range;
   if (auto percent = text.find('%'); percent != std::string_view::npos) {
     range.limit = read_count(text.substr(percent + 1), kMaxRunningLimit);
-    if (range.limit == 0) throw BadValue(percent + 1, "lets none run");
+    if (range.limit == 0) throw InvalidValue(percent + 1, "lets none run");
     text = text.substr(0, percent);
   }
   auto dash = text.find('-');
@@ -209,18 +210,18 @@
   range.last = read_count(
       text.substr(dash + 1, colon == std::string_view::npos ? colon : colon - dash - 1), kMaxIndex);
   if (colon != std::string_view::npos) range.step = read_count(text.substr(colon + 1), kMaxIndex);
-  if (range.step == 0) throw BadValue(colon + 1, "has a step of 0");
-  if (range.last < range.first) throw BadValue(dash + 1, "ends before it begins");
+  if (range.step == 0) throw InvalidValue(colon + 1, "has a step of 0");
+  if (range.last < range.first) throw InvalidValue(dash + 1, "ends before it begins");
   return range;
 }
 
 std::vector<Dependency> read_dependencies(std::string_view text) {
   std::vector<Dependency> out;
-  for (auto [at, one] : parts(text, ',')) {
+  for (auto [at, one] : split_at(text, ',')) {
     Dependency dependency;
     dependency.at = at;
-    for (auto [from, part] : parts(one, ':')) {
-      if (part.empty()) throw BadValue(at + from, "is empty here (type:id[:id...])");
+    for (auto [from, part] : split_at(one, ':')) {
+      if (part.empty()) throw InvalidValue(at + from, "is empty here (type:id[:id...])");
       if (from == 0)
         dependency.type = part;
       else
--- a/src/pbs/values.h
+++ b/src/pbs/values.h
@@ -1,5 +1,5 @@
 // The values of directives: times, sizes, resource lists, chunks and ranges, by the forms of
-// qsub(1B) and pbs_resources(7B). Each reader throws BadValue with the offset of what is wrong.
+// qsub(1B) and pbs_resources(7B). Each reader throws InvalidValue with the offset of what is wrong.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -12,8 +12,8 @@
 namespace shunttrail::pbs {
 
 /// A value is not of its form; `what()` says why in words that follow the value's name.
-struct BadValue : std::runtime_error {
-  BadValue(std::size_t at, const std::string& why) : std::runtime_error(why), offset(at) {}
+struct InvalidValue : std::runtime_error {
+  InvalidValue(std::size_t at, const std::string& why) : std::runtime_error(why), offset(at) {}
   std::size_t offset;  ///< into the value, from 0
 };
 
@@ -25,8 +25,9 @@
 /// A whole number of digits alone.
 std::uint64_t read_count(std::string_view text, std::uint64_t most);
 
-/// The parts between commas, each with its offset.
-std::vector<std::pair<std::size_t, std::string_view>> parts(std::string_view text, char separator);
+/// The split_at between commas, each with its offset.
+std::vector<std::pair<std::size_t, std::string_view>> split_at(std::string_view text,
+                                                               char separator);
 
 struct Resource {
   std::string name, value;
