--- a/app/shunttrail-pbs.cpp
+++ b/app/shunttrail-pbs.cpp
@@ -32,7 +32,7 @@
 }
 
 // Bounded: what is longer than a script may be is refused by its reader all the same.
-std::string read_at_most_max_script(const std::string& file) {
+std::string read_script_file(const std::string& file) {
   std::string text(pbs::kMaxScriptBytes + 1, '\0');
   std::ifstream opened;
   if (file != "-") {
@@ -146,7 +146,7 @@
   }
   const std::string file =
       options < arguments.pbs_words.size() ? arguments.pbs_words[options] : "-";
-  const std::string text = read_at_most_max_script(file);
+  const std::string text = read_script_file(file);
   pbs::Job job =
       pbs::make_job(pbs::read_script(text, prefix), command_line, text, tables, make_context(file));
   const json report = check_report(job);
--- a/src/pbs/tables.cpp
+++ b/src/pbs/tables.cpp
@@ -15,21 +15,22 @@
 constexpr double kMaxLimit = 1e9;
 constexpr double kMinPriority = -1024, kMaxPriority = 1023;  // of -p, qsub(1B)
 
-wire::Priority parse_priority(const std::string& name, const std::string& place) {
+wire::Priority parse_priority(const std::string& name, const std::string& xml_path) {
   static const std::map<std::string, wire::Priority> names = {
       {"critical", wire::Priority::critical},
       {"high", wire::Priority::high},
       {"standard", wire::Priority::standard},
       {"idle", wire::Priority::idle}};
   auto found = names.find(name);
-  if (found == names.end()) bad_at(place, "is none of critical, high, standard, idle");
+  if (found == names.end()) bad_at(xml_path, "is none of critical, high, standard, idle");
   return found->second;
 }
 
-std::optional<double> read_limit(pugi::xml_node node, const std::string& place, const char* name) {
+std::optional<double> read_limit(pugi::xml_node node, const std::string& xml_path,
+                                 const char* name) {
   const pugi::xml_attribute attribute = node.attribute(name);
   if (!attribute) return std::nullopt;
-  return xml_number(attribute.value(), place + "@" + name, 0, kMaxLimit);
+  return xml_number(attribute.value(), xml_path + "@" + name, 0, kMaxLimit);
 }
 
 std::vector<std::string> read_words(pugi::xml_node node, const char* name) {
@@ -39,70 +40,72 @@
   return words;
 }
 
-void allow_attributes(pugi::xml_node node, const std::string& place,
+void allow_attributes(pugi::xml_node node, const std::string& xml_path,
                       std::initializer_list<std::string_view> known) {
   for (pugi::xml_attribute attribute : node.attributes())
     if (std::find(known.begin(), known.end(), attribute.name()) == known.end())
-      bad_at(place + "@" + attribute.name(), "is not a known setting");
+      bad_at(xml_path + "@" + attribute.name(), "is not a known setting");
 }
 
-void read_defaults(pugi::xml_node node, const std::string& place, Tables& tables) {
-  allow_attributes(node, place, {"ncpus", "mem-gb", "walltime-s"});
-  tables.ncpus = read_limit(node, place, "ncpus").value_or(tables.ncpus);
-  tables.mem_gb = read_limit(node, place, "mem-gb").value_or(tables.mem_gb);
-  tables.walltime_s = read_limit(node, place, "walltime-s").value_or(tables.walltime_s);
+void read_defaults(pugi::xml_node node, const std::string& xml_path, Tables& tables) {
+  allow_attributes(node, xml_path, {"ncpus", "mem-gb", "walltime-s"});
+  tables.ncpus = read_limit(node, xml_path, "ncpus").value_or(tables.ncpus);
+  tables.mem_gb = read_limit(node, xml_path, "mem-gb").value_or(tables.mem_gb);
+  tables.walltime_s = read_limit(node, xml_path, "walltime-s").value_or(tables.walltime_s);
 }
 
-Queue read_queue(pugi::xml_node node, const std::string& place) {
-  allow_attributes(node, place,
+Queue read_queue(pugi::xml_node node, const std::string& xml_path) {
+  allow_attributes(node, xml_path,
                    {"name", "class", "team", "priority", "spot", "max-cpus", "max-mem-gb",
                     "max-gpus", "max-walltime-s", "max-tasks"});
   Queue queue;
-  queue.name = xml_attribute(node, place, "name");
-  queue.job_class = xml_attribute(node, place, "class");
-  queue.team = xml_attribute(node, place, "team");
-  queue.priority = parse_priority(xml_attribute(node, place, "priority"), place + "@priority");
-  if (auto spot = node.attribute("spot")) queue.spot = xml_flag(spot.value(), place + "@spot");
-  queue.limits.cpus = read_limit(node, place, "max-cpus");
-  queue.limits.mem_gb = read_limit(node, place, "max-mem-gb");
-  queue.limits.gpus = read_limit(node, place, "max-gpus");
-  queue.limits.walltime_s = read_limit(node, place, "max-walltime-s");
-  if (auto tasks = read_limit(node, place, "max-tasks"))
+  queue.name = xml_attribute(node, xml_path, "name");
+  queue.job_class = xml_attribute(node, xml_path, "class");
+  queue.team = xml_attribute(node, xml_path, "team");
+  queue.priority =
+      parse_priority(xml_attribute(node, xml_path, "priority"), xml_path + "@priority");
+  if (auto spot = node.attribute("spot")) queue.spot = xml_flag(spot.value(), xml_path + "@spot");
+  queue.limits.cpus = read_limit(node, xml_path, "max-cpus");
+  queue.limits.mem_gb = read_limit(node, xml_path, "max-mem-gb");
+  queue.limits.gpus = read_limit(node, xml_path, "max-gpus");
+  queue.limits.walltime_s = read_limit(node, xml_path, "max-walltime-s");
+  if (auto tasks = read_limit(node, xml_path, "max-tasks"))
     queue.limits.tasks = static_cast<std::uint32_t>(*tasks);
   return queue;
 }
 
-void read_queues(pugi::xml_node node, const std::string& place, Tables& tables) {
-  tables.default_queue = xml_attribute(node, place, "default");
-  read_children(node, place, {{"queue", [&](pugi::xml_node queue, const std::string& queue_place) {
-                                 tables.queues.push_back(read_queue(queue, queue_place));
-                               }}});
+void read_queues(pugi::xml_node node, const std::string& xml_path, Tables& tables) {
+  tables.default_queue = xml_attribute(node, xml_path, "default");
+  read_children(node, xml_path,
+                {{"queue", [&](pugi::xml_node queue, const std::string& queue_path) {
+                    tables.queues.push_back(read_queue(queue, queue_path));
+                  }}});
 }
 
-Team read_team(pugi::xml_node node, const std::string& place) {
-  allow_attributes(node, place, {"name", "cpus-max", "projects", "queues"});
-  return {xml_attribute(node, place, "name"), read_limit(node, place, "cpus-max").value_or(0),
+Team read_team(pugi::xml_node node, const std::string& xml_path) {
+  allow_attributes(node, xml_path, {"name", "cpus-max", "projects", "queues"});
+  return {xml_attribute(node, xml_path, "name"), read_limit(node, xml_path, "cpus-max").value_or(0),
           read_words(node, "projects"), read_words(node, "queues")};
 }
 
-void read_teams(pugi::xml_node node, const std::string& place, Tables& tables) {
-  read_children(node, place, {{"team", [&](pugi::xml_node team, const std::string& team_place) {
-                                 tables.teams.push_back(read_team(team, team_place));
-                               }}});
+void read_teams(pugi::xml_node node, const std::string& xml_path, Tables& tables) {
+  read_children(node, xml_path, {{"team", [&](pugi::xml_node team, const std::string& team_path) {
+                                    tables.teams.push_back(read_team(team, team_path));
+                                  }}});
 }
 
-void read_priority(pugi::xml_node node, const std::string& place, Tables& tables) {
-  allow_attributes(node, place, {"p", "is"});
+void read_priority(pugi::xml_node node, const std::string& xml_path, Tables& tables) {
+  allow_attributes(node, xml_path, {"p", "is"});
   const double from =
-      xml_number(xml_attribute(node, place, "p"), place + "@p", kMinPriority, kMaxPriority);
+      xml_number(xml_attribute(node, xml_path, "p"), xml_path + "@p", kMinPriority, kMaxPriority);
   tables.priorities[static_cast<int>(std::floor(from))] =
-      parse_priority(xml_attribute(node, place, "is"), place + "@is");
+      parse_priority(xml_attribute(node, xml_path, "is"), xml_path + "@is");
 }
 
-void read_priorities(pugi::xml_node node, const std::string& place, Tables& tables) {
-  read_children(node, place, {{"from", [&](pugi::xml_node from, const std::string& from_place) {
-                                 read_priority(from, from_place, tables);
-                               }}});
+void read_priorities(pugi::xml_node node, const std::string& xml_path, Tables& tables) {
+  read_children(node, xml_path, {{"from", [&](pugi::xml_node from, const std::string& from_path) {
+                                    read_priority(from, from_path, tables);
+                                  }}});
 }
 
 // Whatever the tables name has to be in them.
@@ -143,14 +146,14 @@
   const pugi::xml_node root = load_xml(document, xml, "shunt-pbs");
   Tables tables;
   auto into_tables = [&](void (*read)(pugi::xml_node, const std::string&, Tables&)) {
-    return [&tables, read](pugi::xml_node node, const std::string& place) {
-      read(node, place, tables);
+    return [&tables, read](pugi::xml_node node, const std::string& xml_path) {
+      read(node, xml_path, tables);
     };
   };
   read_children(
       root, "shunt-pbs",
       {{"server", [&](pugi::xml_node node,
-                      const std::string& place) { tables.server = xml_text(node, place); }},
+                      const std::string& xml_path) { tables.server = xml_text(node, xml_path); }},
        {"defaults", into_tables(read_defaults)},
        {"queues", into_tables(read_queues)},
        {"teams", into_tables(read_teams)},
