--- a/src/chaos/attempts.cpp
+++ b/src/chaos/attempts.cpp
@@ -10,46 +10,47 @@
 }
 }  // namespace
 
-void Attempts::read(std::istream& log) {
+void AttemptHistory::read(std::istream& log) {
   for (std::string line; std::getline(log, line);) read_line(line);
 }
 
-void Attempts::read_line(const std::string& line) {
+void AttemptHistory::read_line(const std::string& line) {
   std::istringstream fields(line);
   std::string event, job, rest;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
   double at = 0;
   if (!(fields >> event >> job >> index >> attempt >> at) || (fields >> rest)) {
-    log_faults_.push_back("a line of the log is torn: " + line);
+    log_errors_.push_back("a line of the log is torn: " + line);
     return;
   }
   Task& task = tasks_[{job, index}];
   const std::string name = label(job, index) + ": attempt " + std::to_string(attempt);
   if (event == "begin") {
     ++begins_;
-    if (++task.begun[attempt] > 1) log_faults_.push_back(name + " began twice");
+    if (++task.begun[attempt] > 1) log_errors_.push_back(name + " began twice");
   } else if (event == "end") {
     ++ends_;
     ++task.ended[attempt];
     task.last_end = std::max(task.last_end, at);
   } else if (event == "overlap") {
-    log_faults_.push_back(name + " ran beside another one");
+    log_errors_.push_back(name + " ran beside another one");
   } else {
-    log_faults_.push_back("a line of the log is unknown: " + line);
+    log_errors_.push_back("a line of the log is unknown: " + line);
   }
 }
 
-void Attempts::answered(const std::string& job, std::uint32_t task, std::uint64_t attempt) {
+void AttemptHistory::record_result(const std::string& job, std::uint32_t task,
+                                   std::uint64_t attempt) {
   tasks_[{job, task}].answers.push_back(attempt);
 }
 
-std::vector<std::string> Attempts::faults(
+std::vector<std::string> AttemptHistory::faults(
     const std::map<std::string, std::uint32_t>& expected) const {
-  std::vector<std::string> faults = log_faults_;
+  std::vector<std::string> faults = log_errors_;
   for (const auto& [job, tasks] : expected)
     for (std::uint32_t index = 0; index < tasks; ++index)
-      check_answer(label(job, index), {job, index}, faults);
+      check_result(label(job, index), {job, index}, faults);
   for (const auto& [key, task] : tasks_) {
     const auto& [name, index] = key;
     auto job = expected.find(name);
@@ -59,8 +60,8 @@
   return faults;
 }
 
-void Attempts::check_answer(const std::string& name, const TaskKey& key,
-                            std::vector<std::string>& faults) const {
+void AttemptHistory::check_result(const std::string& name, const TaskKey& key,
+                                  std::vector<std::string>& faults) const {
   auto found = tasks_.find(key);
   if (found == tasks_.end() || found->second.answers.empty()) {
     faults.push_back(name + ": has no final answer");
@@ -75,7 +76,7 @@
                      ", which never ended");
 }
 
-double Attempts::last_end(const std::string& job) const {
+double AttemptHistory::last_end(const std::string& job) const {
   double last = 0;
   for (auto it = tasks_.lower_bound({job, 0}); it != tasks_.end() && it->first.first == job; ++it)
     last = std::max(last, it->second.last_end);
--- a/src/chaos/attempts.h
+++ b/src/chaos/attempts.h
@@ -14,12 +14,12 @@
 
 namespace shunttrail::chaos {
 
-class Attempts {
+class AttemptHistory {
  public:
   /// Lines that are torn or unknown are faults, too.
   void read(std::istream& log);
   /// The attempt whose result the task's user has got.
-  void answered(const std::string& job, std::uint32_t task, std::uint64_t attempt);
+  void record_result(const std::string& job, std::uint32_t task, std::uint64_t attempt);
   /// All faults, one line each. `expected`: how many tasks each job has.
   [[nodiscard]] std::vector<std::string> faults(
       const std::map<std::string, std::uint32_t>& expected) const;
@@ -37,11 +37,11 @@
     double last_end = 0;
   };
   void read_line(const std::string& line);
-  void check_answer(const std::string& name, const TaskKey& key,
+  void check_result(const std::string& name, const TaskKey& key,
                     std::vector<std::string>& faults) const;
 
   std::map<TaskKey, Task> tasks_;
-  std::vector<std::string> log_faults_;
+  std::vector<std::string> log_errors_;
   std::uint64_t begins_ = 0, ends_ = 0;
 };
 
--- a/src/chaos/chaos_run.cpp
+++ b/src/chaos/chaos_run.cpp
@@ -131,7 +131,7 @@
   }
 
   void check_history() {
-    Attempts history;
+    AttemptHistory history;
     std::ifstream log(log_);
     history.read(log);
     result_.begins = history.begins();
@@ -140,7 +140,8 @@
     for (const auto& [id, at] : done_at_) {
       delays_s.push_back(at - history.last_end(id));
       for (std::uint32_t task = 0; task < tasks_of_.at(id); ++task)
-        if (auto result = service_.result({id, task})) history.answered(id, task, result->attempt);
+        if (auto result = service_.result({id, task}))
+          history.record_result(id, task, result->attempt);
     }
     cluster_.end();
     result_.faults = history.faults(tasks_of_);
--- a/tests/local_cluster_test.cpp
+++ b/tests/local_cluster_test.cpp
@@ -175,8 +175,8 @@
   auto level = [&](int n) {
     const std::string text = std::to_string(n);
     state.post("/commit", R"({"guards":[],"writes":[{"set":"st/l/active","value":{"level":)" +
-                               text + R"(,"lowest":)" + text + R"(,"highest":)" + text +
-                               R"(,"w":"x"}}]})");
+                              text + R"(,"lowest":)" + text + R"(,"highest":)" + text +
+                              R"(,"w":"x"}}]})");
   };
   auto reach = [&](const std::function<bool()>& there) {
     for (int i = 0; i < 300 && !there(); ++i) ::usleep(100000);
@@ -217,10 +217,10 @@
 
 TEST(Chaos, FindsEachFault) {
   auto faults = [](const std::string& log, std::vector<std::uint64_t> answers) {
-    chaos::Attempts a;
+    chaos::AttemptHistory a;
     std::istringstream in(log);
     a.read(in);
-    for (auto n : answers) a.answered("run-1", 0, n);
+    for (auto n : answers) a.record_result("run-1", 0, n);
     std::string all;
     for (const auto& f : a.faults({{"run-1", 1}})) all += f + "\n";
     return all;
