--- a/src/chaos/attempts.cpp
+++ b/src/chaos/attempts.cpp
@@ -42,7 +42,7 @@
 
 void AttemptHistory::record_result(const std::string& job, std::uint32_t task,
                                    std::uint64_t attempt) {
-  tasks_[{job, task}].answers.push_back(attempt);
+  tasks_[{job, task}].results.push_back(attempt);
 }
 
 std::vector<std::string> AttemptHistory::faults(
@@ -63,16 +63,16 @@
 void AttemptHistory::check_result(const std::string& name, const TaskKey& key,
                                   std::vector<std::string>& faults) const {
   auto found = tasks_.find(key);
-  if (found == tasks_.end() || found->second.answers.empty()) {
+  if (found == tasks_.end() || found->second.results.empty()) {
     faults.push_back(name + ": has no final answer");
     return;
   }
   const Task& task = found->second;
-  if (task.answers.size() > 1)
-    faults.push_back(name + ": has " + std::to_string(task.answers.size()) + " final answers");
+  if (task.results.size() > 1)
+    faults.push_back(name + ": has " + std::to_string(task.results.size()) + " final answers");
   // The answer is an attempt's that ran to its end.
-  if (!task.ended.contains(task.answers[0]))
-    faults.push_back(name + ": the answer is of attempt " + std::to_string(task.answers[0]) +
+  if (!task.ended.contains(task.results[0]))
+    faults.push_back(name + ": the answer is of attempt " + std::to_string(task.results[0]) +
                      ", which never ended");
 }
 
--- a/src/chaos/attempts.h
+++ b/src/chaos/attempts.h
@@ -33,7 +33,7 @@
   using TaskKey = std::pair<std::string, std::uint32_t>;  // job and index
   struct Task {
     std::map<std::uint64_t, int> begun, ended;  // how often, by attempt
-    std::vector<std::uint64_t> answers;         // attempts
+    std::vector<std::uint64_t> results;         // attempts
     double last_end = 0;
   };
   void read_line(const std::string& line);
