--- a/tests/local_cluster_test.cpp
+++ b/tests/local_cluster_test.cpp
@@ -21,15 +21,15 @@
 namespace {
 namespace fs = std::filesystem;
 
-struct Set {
+struct TestCluster {
   fs::path dir;
   pid_t pid = 0;
   std::string url;
-  Set() {
+  TestCluster() {
     std::string name = fs::temp_directory_path() / "shunt-set-XXXXXX";
     dir = ::mkdtemp(name.data());
   }
-  ~Set() {
+  ~TestCluster() {
     end();
     fs::remove_all(dir);
   }
@@ -66,7 +66,7 @@
     return status;
   }
   // shuntctl with these words: its exit status and what it printed.
-  std::pair<int, std::string> ctl(const std::string& words) const {
+  std::pair<int, std::string> run_ctl(const std::string& words) const {
     const std::string command = std::string(SHUNTTRAIL_CTL) + " --server " + url + " " + words +
                                 " 2>>" + (dir / "ctl.err").string();
     FILE* f = ::popen(command.c_str(), "r");
@@ -78,7 +78,7 @@
     return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, out};
   }
   // Processes whose command line names this directory.
-  int processes() const {
+  int count_processes() const {
     int n = 0;
     for (const auto& e : fs::directory_iterator("/proc")) {
       std::ifstream in(e.path() / "cmdline", std::ios::binary);
@@ -90,97 +90,99 @@
   }
 };
 
-TEST(LocalCluster, RunsCommandsShowsTheirOutputAndGoesOnAfterItsEnd) {
-  Set set;
-  set.start();
+TEST(LocalCluster, RunsCommandsShowsTheirOutputAndResumesAfterRestart) {
+  TestCluster cluster;
+  cluster.start();
   auto [code, id] =
-      set.ctl("submit --tasks 2 --wait -- sh -c 'echo out of $SHUNT_TASK; echo e >&2'");
+      cluster.run_ctl("submit --tasks 2 --wait -- sh -c 'echo out of $SHUNT_TASK; echo e >&2'");
   EXPECT_EQ(code, 0);
-  EXPECT_EQ(set.ctl("output " + id + " --task 1").second, "out of 1");
-  EXPECT_EQ(set.ctl("output " + id + " --task 1 --err").second, "e");
-  EXPECT_EQ(set.ctl("output " + id + " --task 2").first, 1);
-  EXPECT_EQ(set.ctl("status --json " + id).second,
+  EXPECT_EQ(cluster.run_ctl("output " + id + " --task 1").second, "out of 1");
+  EXPECT_EQ(cluster.run_ctl("output " + id + " --task 1 --err").second, "e");
+  EXPECT_EQ(cluster.run_ctl("output " + id + " --task 2").first, 1);
+  EXPECT_EQ(cluster.run_ctl("status --json " + id).second,
             R"({"done":2,"id":")" + id + R"(","running":0,"state":"done"})");
-  EXPECT_EQ(set.ctl("submit --wait -- sh -c 'exit 7'").first, 7);
-  auto running = set.ctl("submit -- sleep 1000").second;
-  auto next = set.ctl("submit --awaits " + id + " -- echo after").second;
-  EXPECT_EQ(set.ctl("wait " + next).first, 0);
-  EXPECT_EQ(set.ctl("withdraw " + running).first, 0);
-  EXPECT_EQ(set.ctl("wait " + running).first, 1);
-  EXPECT_EQ(set.ctl("status run-123456789").first, 1);
-  EXPECT_EQ(set.ctl("status nonsense").first, 2);
-  EXPECT_EQ(set.ctl("submit --team nobody -- true").first, 1);
-  EXPECT_EQ(set.ctl("submit --priority soon -- true").first, 2);
-  EXPECT_EQ(set.ctl("submit").first, 2);
-  auto waits = set.ctl("submit --vcpus 2 -- sh -c 'sleep 2; echo survived'").second;
-  EXPECT_EQ(set.end(), 0);
-  EXPECT_EQ(set.processes(), 0);
-  set.start();
-  EXPECT_EQ(set.ctl("status " + id).first, 0);
-  EXPECT_EQ(set.ctl("wait " + waits).first, 0);
-  EXPECT_EQ(set.ctl("output " + waits).second, "survived");
-  EXPECT_EQ(set.end(), 0);
-  EXPECT_EQ(set.processes(), 0);
+  EXPECT_EQ(cluster.run_ctl("submit --wait -- sh -c 'exit 7'").first, 7);
+  auto running = cluster.run_ctl("submit -- sleep 1000").second;
+  auto next = cluster.run_ctl("submit --awaits " + id + " -- echo after").second;
+  EXPECT_EQ(cluster.run_ctl("wait " + next).first, 0);
+  EXPECT_EQ(cluster.run_ctl("withdraw " + running).first, 0);
+  EXPECT_EQ(cluster.run_ctl("wait " + running).first, 1);
+  EXPECT_EQ(cluster.run_ctl("status run-123456789").first, 1);
+  EXPECT_EQ(cluster.run_ctl("status nonsense").first, 2);
+  EXPECT_EQ(cluster.run_ctl("submit --team nobody -- true").first, 1);
+  EXPECT_EQ(cluster.run_ctl("submit --priority soon -- true").first, 2);
+  EXPECT_EQ(cluster.run_ctl("submit").first, 2);
+  auto waits = cluster.run_ctl("submit --vcpus 2 -- sh -c 'sleep 2; echo survived'").second;
+  EXPECT_EQ(cluster.end(), 0);
+  EXPECT_EQ(cluster.count_processes(), 0);
+  cluster.start();
+  EXPECT_EQ(cluster.run_ctl("status " + id).first, 0);
+  EXPECT_EQ(cluster.run_ctl("wait " + waits).first, 0);
+  EXPECT_EQ(cluster.run_ctl("output " + waits).second, "survived");
+  EXPECT_EQ(cluster.end(), 0);
+  EXPECT_EQ(cluster.count_processes(), 0);
 }
 
 // Three controllers of one build reach its level by themselves; orders hold it and let it go again.
 TEST(LocalCluster, TheSchemaVersionIsRaisedHeldAndLowered) {
-  Set set;
-  set.start();
-  EXPECT_NE(set.ctl("links").second.find("passes reports on: switched off"), std::string::npos);
+  TestCluster cluster;
+  cluster.start();
+  EXPECT_NE(cluster.run_ctl("links").second.find("passes reports on: switched off"),
+            std::string::npos);
   auto levels = [&](const std::string& words) {
-    return nlohmann::json::parse(set.ctl("levels --json " + words).second);
+    return nlohmann::json::parse(cluster.run_ctl("levels --json " + words).second);
   };
   // Until the level is this one and nothing else stands.
   auto reach = [&](int level) {
-    nlohmann::json j;
+    nlohmann::json status;
     for (int i = 0; i < 300; ++i) {
-      j = levels("");
-      if (j["active"] == level && j["stands"] == nlohmann::json{level, level}) return true;
+      status = levels("");
+      if (status["active"] == level && status["stands"] == nlohmann::json{level, level})
+        return true;
       ::usleep(100000);
     }
-    ADD_FAILURE() << j;
+    ADD_FAILURE() << status;
     return false;
   };
   ASSERT_TRUE(reach(1));
-  auto j = levels("");
-  EXPECT_EQ(j["nodes"].size(), 3u);
-  EXPECT_EQ(j["nodes"][0]["reads"], (nlohmann::json{0, 2}));
-  EXPECT_TRUE(j["nodes"][2]["alive"]);
+  auto status = levels("");
+  EXPECT_EQ(status["nodes"].size(), 3u);
+  EXPECT_EQ(status["nodes"][0]["reads"], (nlohmann::json{0, 2}));
+  EXPECT_TRUE(status["nodes"][2]["alive"]);
   // Level 2 is for those who switch delegation on; nothing else holds it back.
-  ASSERT_EQ(j["held_by"].size(), 1u);
-  EXPECT_EQ(j["held_by"][0]["by"], "build");
-  EXPECT_EQ(set.ctl("submit --wait -- true").first, 0);
+  ASSERT_EQ(status["held_by"].size(), 1u);
+  EXPECT_EQ(status["held_by"][0]["by"], "build");
+  EXPECT_EQ(cluster.run_ctl("submit --wait -- true").first, 0);
   EXPECT_EQ(levels("--hold 0")["hold"], 0);
   ASSERT_TRUE(reach(0));
   EXPECT_EQ(levels("")["held_by"][0]["by"], "orders");
-  EXPECT_EQ(set.ctl("submit --wait -- true").first, 0);
-  EXPECT_EQ(set.ctl("levels --gone node-0").first, 1);  // it is there
-  EXPECT_EQ(set.ctl("levels --gone nobody").first, 1);
-  EXPECT_EQ(set.ctl("levels --hold 0 --release").first, 2);
+  EXPECT_EQ(cluster.run_ctl("submit --wait -- true").first, 0);
+  EXPECT_EQ(cluster.run_ctl("levels --gone node-0").first, 1);  // it is there
+  EXPECT_EQ(cluster.run_ctl("levels --gone nobody").first, 1);
+  EXPECT_EQ(cluster.run_ctl("levels --hold 0 --release").first, 2);
   levels("--release");
   ASSERT_TRUE(reach(1));
-  EXPECT_NE(set.ctl("levels").second.find("state level 1 is active"), std::string::npos);
-  EXPECT_EQ(set.end(), 0);
+  EXPECT_NE(cluster.run_ctl("levels").second.find("state level 1 is active"), std::string::npos);
+  EXPECT_EQ(cluster.end(), 0);
 }
 
 // State of a level that no controller here can read: none of them serves, none is registered, none
 // writes; and all go on by themselves when it can be read again.
-TEST(LocalCluster, NobodyServesBesideStateThatNoBuildReads) {
-  Set set;
-  set.start();
-  ASSERT_EQ(set.ctl("submit --wait -- true").first, 0);
-  std::ifstream in(set.dir / "set" / "controllers" / "node-0.json");
+TEST(LocalCluster, NoControllerServesWhileNoBuildReadsTheStoredState) {
+  TestCluster cluster;
+  cluster.start();
+  ASSERT_EQ(cluster.run_ctl("submit --wait -- true").first, 0);
+  std::ifstream in(cluster.dir / "set" / "controllers" / "node-0.json");
   cli::ServiceClient state(nlohmann::json::parse(in)["services"]["state"].get<std::string>());
-  auto level = [&](int n) {
+  auto write_stored_level = [&](int n) {
     const std::string text = std::to_string(n);
     state.post("/commit", R"({"guards":[],"writes":[{"set":"st/l/active","value":{"level":)" +
                               text + R"(,"lowest":)" + text + R"(,"highest":)" + text +
                               R"(,"w":"x"}}]})");
   };
-  auto reach = [&](const std::function<bool()>& there) {
-    for (int i = 0; i < 300 && !there(); ++i) ::usleep(100000);
-    return there();
+  auto eventually = [&](const std::function<bool()>& condition) {
+    for (int i = 0; i < 300 && !condition(); ++i) ::usleep(100000);
+    return condition();
   };
   auto revision = [&] {
     return nlohmann::json::parse(state.get("/kv?starts=st/n/").body)["ledger"].get<int>();
@@ -188,41 +190,41 @@
   auto registered = [&] {
     return nlohmann::json::parse(state.get("/kv?starts=st/n/").body)["entries"].size();
   };
-  level(5);
-  EXPECT_TRUE(reach([&] { return registered() == 0 && set.ctl("up").first == 1; }));
-  const int quiet = revision();
+  write_stored_level(5);
+  EXPECT_TRUE(eventually([&] { return registered() == 0 && cluster.run_ctl("up").first == 1; }));
+  const int revision_before = revision();
   ::usleep(1500000);
-  EXPECT_EQ(revision(), quiet);
-  level(1);
-  EXPECT_EQ(set.ctl("submit --wait -- true").first, 0);
-  EXPECT_TRUE(reach([&] { return registered() == 3; }));
-  EXPECT_EQ(set.end(), 0);
+  EXPECT_EQ(revision(), revision_before);
+  write_stored_level(1);
+  EXPECT_EQ(cluster.run_ctl("submit --wait -- true").first, 0);
+  EXPECT_TRUE(eventually([&] { return registered() == 3; }));
+  EXPECT_EQ(cluster.end(), 0);
 }
 
 // A shorter run of the trial of docs/results.md.
 TEST(LocalCluster, RandomKillsLeaveEachTaskOneAnswer) {
   std::string name = fs::temp_directory_path() / "shunt-trial-XXXXXX";
-  chaos::ChaosPlan p;
-  p.dir = ::mkdtemp(name.data());
-  p.programs = fs::path(SHUNTTRAIL_LOCAL).parent_path();
-  p.tasks = 80;
-  p.machines = 4;
-  p.limit_s = 300;
-  p.seed = 20;
-  chaos::ChaosResult o = chaos::run(p);
-  EXPECT_TRUE(o.faults.empty()) << chaos::to_json(o);
-  EXPECT_GE(o.ends, 80u);
-  fs::remove_all(p.dir);
+  chaos::ChaosPlan plan;
+  plan.dir = ::mkdtemp(name.data());
+  plan.programs = fs::path(SHUNTTRAIL_LOCAL).parent_path();
+  plan.tasks = 80;
+  plan.machines = 4;
+  plan.limit_s = 300;
+  plan.seed = 20;
+  chaos::ChaosResult result = chaos::run(plan);
+  EXPECT_TRUE(result.faults.empty()) << chaos::to_json(result);
+  EXPECT_GE(result.ends, 80u);
+  fs::remove_all(plan.dir);
 }
 
-TEST(Chaos, FindsEachFault) {
+TEST(AttemptHistory, ReportsEachKindOfFault) {
   auto faults = [](const std::string& log, std::vector<std::uint64_t> answers) {
-    chaos::AttemptHistory a;
+    chaos::AttemptHistory history;
     std::istringstream in(log);
-    a.read(in);
-    for (auto n : answers) a.record_result("run-1", 0, n);
+    history.read(in);
+    for (auto n : answers) history.record_result("run-1", 0, n);
     std::string all;
-    for (const auto& f : a.faults({{"run-1", 1}})) all += f + "\n";
+    for (const auto& f : history.faults({{"run-1", 1}})) all += f + "\n";
     return all;
   };
   const std::string good = "begin run-1 0 5 1.5\nend run-1 0 5 2.5\n";
@@ -238,13 +240,13 @@
 }
 
 // deploy/service.toml starts every controller with this file.
-TEST(LocalSettings, WhatIsOnInDeployIsGood) {
+TEST(LocalSettings, DeployedTuningIsValidAndEnablesRelay) {
   auto t = config::parse_tuning(
       config::read_file(std::string(SHUNTTRAIL_SOURCE) + "/deploy/run.xml", "deploy/run.xml"));
   EXPECT_TRUE(t.relay);
 }
 
-TEST(LocalSettings, TheShippedFileIsGoodAndABadOneNamesThePlace) {
+TEST(LocalSettings, ShippedFileIsValidAndErrorsNameTheElement) {
   std::ifstream in(std::string(SHUNTTRAIL_SOURCE) + "/deploy/local.xml");
   std::ostringstream text;
   text << in.rdbuf();
--- a/tests/pbs_test.cpp
+++ b/tests/pbs_test.cpp
@@ -33,22 +33,22 @@
   c.environment = {{"LANG", "C"}, {"TOKEN", "t"}};
   return c;
 }
-Job job_of(const std::string& text, std::vector<std::string> words = {},
-           std::string prefix = "#PBS") {
+Job make_test_job(const std::string& text, std::vector<std::string> words = {},
+                  std::string prefix = "#PBS") {
   std::size_t taken = 0;
   Script line = read_arguments(words, taken);
   return make_job(read_script(text, prefix), line, text, tables(), context());
 }
-std::string faults(const Job& j) {
+std::string faults(const Job& job) {
   std::string out;
-  for (const auto& f : j.faults)
+  for (const auto& f : job.faults)
     out += std::to_string(f.at.line) + ":" + std::to_string(f.at.column) + " " + f.directive +
            ": " + f.reason + "\n";
   return out;
 }
 
 TEST(PbsJob, AWholeScriptBecomesANativeSubmission) {
-  Job j = job_of(
+  Job j = make_test_job(
       "#!/bin/bash -l\n"
       "# a comment\n"
       "#PBS -N night_render\n"
@@ -89,23 +89,23 @@
 
 TEST(PbsJob, TheCommandLineOverridesTheScript) {
   const std::string text = "#PBS -N a\n#PBS -l walltime=60,ncpus=1 -q bulk\ntrue\n";
-  Job j = job_of(text, {"-Nb", "-l", "walltime=2:00", "-q", "urgent", "script"});
+  Job j = make_test_job(text, {"-Nb", "-l", "walltime=2:00", "-q", "urgent", "script"});
   ASSERT_EQ(faults(j), "");
   EXPECT_EQ(j.name, "b");
   EXPECT_EQ(j.description.job.estimate_s, 120);
   EXPECT_EQ(j.description.job.cpus, 1);
   EXPECT_EQ(j.description.job.team, "urgent");
-  EXPECT_EQ(job_of("#QSUB -N q\ntrue\n", {}, "#QSUB").name, "q");
-  EXPECT_EQ(job_of("#QSUB -N q\ntrue\n").name, "render.sh");
+  EXPECT_EQ(make_test_job("#QSUB -N q\ntrue\n", {}, "#QSUB").name, "q");
+  EXPECT_EQ(make_test_job("#QSUB -N q\ntrue\n").name, "render.sh");
 }
 
-TEST(PbsJob, ArraysCountTheirSteps) {
-  Job j = job_of("#PBS -J 10-20:5\ntrue\n");
+TEST(PbsJob, ArrayWithStepMakesOneTaskPerIndex) {
+  Job j = make_test_job("#PBS -J 10-20:5\ntrue\n");
   ASSERT_EQ(faults(j), "");
   EXPECT_EQ(j.description.job.tasks, 3u);
   EXPECT_NE(j.description.command[2].find("PBS_ARRAY_INDEX=$((10 + 5 * SHUNT_TASK))"),
             std::string::npos);
-  EXPECT_EQ(job_of("#PBS -J 3\ntrue\n").description.job.tasks, 1u);
+  EXPECT_EQ(make_test_job("#PBS -J 3\ntrue\n").description.job.tasks, 1u);
 }
 
 // Script, and what each fault has to say, in order.
@@ -117,8 +117,8 @@
 void PrintTo(const Verdict& v, std::ostream* out) { *out << v.name; }
 class Refusal : public testing::TestWithParam<Verdict> {};
 
-TEST_P(Refusal, NamesThePlaceAndTheReason) {
-  Job j = job_of(GetParam().script);
+TEST_P(Refusal, NamesThePositionAndTheReason) {
+  Job j = make_test_job(GetParam().script);
   ASSERT_EQ(j.faults.size(), GetParam().says.size()) << faults(j);
   std::istringstream in(faults(j));
   for (const auto& says : GetParam().says) {
@@ -235,7 +235,7 @@
 }
 
 // Whatever the bytes are: an answer, and a place inside the text for each fault.
-RC_GTEST_PROP(PbsScript, AnyBytesGetAnAnswer, ()) {
+RC_GTEST_PROP(PbsScript, AnyBytesYieldAJobOrFaultsWithinTheText, ()) {
   std::string text;
   for (int n = *rc::gen::inRange(0, 30); n > 0; --n) {
     if (*rc::gen::inRange(0, 3))
@@ -248,7 +248,7 @@
     else
       text += *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
   }
-  Job j = job_of(text);
+  Job j = make_test_job(text);
   auto lines = static_cast<std::size_t>(1 + std::count(text.begin(), text.end(), '\n'));
   for (const auto& f : j.faults) RC_ASSERT(f.at.line <= lines);
   if (j.faults.empty()) {
@@ -259,7 +259,7 @@
   }
 }
 
-TEST(PbsIds, NameOneNativeJobEach) {
+TEST(PbsIds, EachIdMapsToOneNativeJob) {
   EXPECT_EQ(pbs_id(123, false, "shunttrail"), "123.shunttrail");
   EXPECT_EQ(pbs_id(123, true, "shunttrail"), "123[].shunttrail");
   EXPECT_EQ(native_id("123[].shunttrail", "shunttrail"), native_id("123", "shunttrail"));
@@ -269,7 +269,7 @@
     EXPECT_FALSE(native_id(bad, "shunttrail")) << bad;
 }
 
-TEST(PbsTables, ABadOneNamesThePlace) {
+TEST(PbsTables, ErrorsNameTheElement) {
   auto fails = [](const std::string& xml, const std::string& names) {
     try {
       parse_tables(xml);
