--- a/src/local_cluster/load_balancer.cpp
+++ b/src/local_cluster/load_balancer.cpp
@@ -124,26 +124,26 @@
     bufferevent_setcb(
         connection.user.get(),
         [](bufferevent*, void* argument) {
-          auto* connection = static_cast<Connection*>(argument);
-          connection->balancer->forward_data(*connection, Side::user);
+          auto* proxied = static_cast<Connection*>(argument);
+          proxied->balancer->forward_data(*proxied, Side::user);
         },
         nullptr,
         [](bufferevent*, short events, void* argument) {
-          auto* connection = static_cast<Connection*>(argument);
-          connection->balancer->handle_event(*connection, Side::user, events);
+          auto* proxied = static_cast<Connection*>(argument);
+          proxied->balancer->handle_event(*proxied, Side::user, events);
         },
         &connection);
   else
     bufferevent_setcb(
         connection.backend.get(),
         [](bufferevent*, void* argument) {
-          auto* connection = static_cast<Connection*>(argument);
-          connection->balancer->forward_data(*connection, Side::backend);
+          auto* proxied = static_cast<Connection*>(argument);
+          proxied->balancer->forward_data(*proxied, Side::backend);
         },
         nullptr,
         [](bufferevent*, short events, void* argument) {
-          auto* connection = static_cast<Connection*>(argument);
-          connection->balancer->handle_event(*connection, Side::backend, events);
+          auto* proxied = static_cast<Connection*>(argument);
+          proxied->balancer->handle_event(*proxied, Side::backend, events);
         },
         &connection);
 }
@@ -251,12 +251,12 @@
   bufferevent_setcb(
       buffer, nullptr,
       [](bufferevent*, void* argument) {
-        auto* connection = static_cast<Connection*>(argument);
-        connection->balancer->close(connection->id);
+        auto* proxied = static_cast<Connection*>(argument);
+        proxied->balancer->close(proxied->id);
       },
       [](bufferevent*, short, void* argument) {
-        auto* connection = static_cast<Connection*>(argument);
-        connection->balancer->close(connection->id);
+        auto* proxied = static_cast<Connection*>(argument);
+        proxied->balancer->close(proxied->id);
       },
       &connection);
 }
--- a/src/pbs/values.cpp
+++ b/src/pbs/values.cpp
@@ -140,7 +140,7 @@
     text = text.substr(0, dot);
   }
   if (std::count(text.begin(), text.end(), ':') > 2)
-    throw InvalidValue(0, "has too many split_at for a time");
+    throw InvalidValue(0, "has too many parts for a time");
   double total = 0;
   while (true) {
     auto colon = text.find(':');
