--- a/src/local_cluster/children.cpp
+++ b/src/local_cluster/children.cpp
@@ -16,16 +16,17 @@
 
 constexpr double kTickIntervalS = 0.1;
 constexpr double kMinRestartDelayS = 0.2, kMaxRestartDelayS = 5;
-constexpr double kSettledAfterS = 10;  // running for so long, the next delay is short again
-constexpr double kKillAfterS = 5;      // a signal to stop that was not heeded
+constexpr double kSettledAfterS =
+    10;                            // a child that ran longer is restarted after kMinRestartDelayS
+constexpr double kKillAfterS = 5;  // from the signal of stop() to SIGKILL
 constexpr int kExitNotStarted = 127;
 constexpr int kExitSignalBase = 128;
 
-// In the child: becomes the program.
+// Replaces the forked child by the program. Its output is appended to the file `log`.
 [[noreturn]] void exec_child(char* const* argv, const char* log, pid_t parent) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (::getppid() != parent) ::_exit(kExitNotStarted);
-  // A signal from the terminal is for the parent, which ends the others in their order.
+  // Signals from the terminal reach only the parent, which stops its children in a fixed order.
   ::setpgid(0, 0);
   const int input = ::open("/dev/null", O_RDONLY);
   const int output = ::open(log, O_WRONLY | O_CREAT | O_APPEND, 0644);
@@ -82,7 +83,7 @@
 }
 
 void Children::start(const std::string& name, Child& child) {
-  // All that needs memory is made before the fork.
+  // Memory is allocated before the fork only: allocating in the forked child is unsafe.
   std::vector<char*> argv;
   for (std::string& word : child.argv) argv.push_back(word.data());
   argv.push_back(nullptr);
@@ -124,7 +125,7 @@
                   : std::clamp(2 * child.restart_delay_s, kMinRestartDelayS, kMaxRestartDelayS);
   child.restart_at = now + child.restart_delay_s;
   ++restarts_;
-  log::info("process ended and is restarted",
+  log::info("child process ended; it is restarted after a delay",
             {{"name", name}, {"status", exit_status}, {"in_s", child.restart_delay_s}});
 }
 
@@ -140,7 +141,7 @@
   child.on_stopped.push_back(std::move(on_stopped));
   child.kill_at = actor::steady_now() + kKillAfterS;
   ::kill(child.pid, signal);
-  ::kill(child.pid, SIGCONT);  // one that is stopped has to take it, too
+  ::kill(child.pid, SIGCONT);  // a suspended process handles the signal only once it is resumed
 }
 
 void Children::tick() {
--- a/src/local_cluster/load_balancer.cpp
+++ b/src/local_cluster/load_balancer.cpp
@@ -13,8 +13,8 @@
 constexpr std::size_t kMaxFirstLine = 4096;  // bytes
 constexpr double kProbeIntervalS = 0.5, kProbeTimeoutS = 1;
 constexpr int kProbesToMarkUp = 1, kProbesToMarkDown = 2;
-constexpr double kSkipS = 3;  // a controller that takes no connections
-constexpr int kMaxTries = 3;  // of connections to controllers
+constexpr double kSkipS = 3;  // no connections for so long to a controller that accepts none
+constexpr int kMaxTries = 3;  // connection attempts for each user connection
 constexpr int kFailuresToSkip = 3;
 constexpr int kConnectTimeoutMs = 500;
 constexpr const char* kOperatorPaths[] = {"/metrics", "/levels", "/links"};
@@ -24,11 +24,11 @@
   address.sin_family = AF_INET;
   address.sin_port = htons(endpoint.port);
   if (inet_pton(AF_INET, endpoint.host.c_str(), &address.sin_addr) != 1)
-    throw std::runtime_error(endpoint.host + " is not an address");
+    throw std::runtime_error(endpoint.host + " is not an IPv4 address");
   return address;
 }
 
-// The path of a request's first line, which ends at `line_end`.
+// Returns the part of the first request line, which ends at `line_end`, from its path on.
 std::string path_of(const std::string& head, std::size_t line_end) {
   const auto space = head.find(' ');
   return space < line_end ? head.substr(space + 1, line_end - space - 1) : "";
@@ -93,7 +93,7 @@
   if (health.failed_probes >= kProbesToMarkDown) health.is_up = false;
 }
 
-// The healthy one with the fewest users; nothing: none is.
+// Returns the healthy controller with the fewest connections, or nothing if none is healthy.
 std::optional<std::size_t> LoadBalancer::choose_controller() const {
   std::vector<int> users(health_.size(), 0);
   for (const auto& [id, connection] : connections_)
@@ -118,7 +118,7 @@
   connections_[connection->id] = std::move(connection);
 }
 
-// Libevent's callbacks take one pointer, so that each side has its own.
+// Libevent passes one pointer to a callback, so each side has callbacks of its own.
 void LoadBalancer::set_callbacks(Connection& connection, Side side) {
   if (side == Side::user)
     bufferevent_setcb(
@@ -171,7 +171,7 @@
   connect(connection, is_for_operators(path) ? backend.internal : backend.front);
 }
 
-// Answered at once, never held back.
+// Answers 503 at once instead of queueing the request.
 void LoadBalancer::refuse(Connection& connection) {
   static const std::string kAnswer =
       "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Type: application/json\r\n"
@@ -196,7 +196,7 @@
 
 void LoadBalancer::forward_data(Connection& connection, Side from) {
   if (!connection.backend) return route(connection);
-  if (!connection.is_connected) return;  // what the user has sent waits
+  if (!connection.is_connected) return;  // the user's data stays in the buffer until then
   const Side to = from == Side::user ? Side::backend : Side::user;
   bufferevent_write_buffer(connection.buffer(to).get(),
                            bufferevent_get_input(connection.buffer(from).get()));
@@ -217,8 +217,8 @@
   forward_data(connection, Side::user);
 }
 
-// Takes another controller, as long as nothing of the request has been sent. False: it was the last
-// try.
+// Connects to another controller; nothing of the request has been sent yet. Returns false if all
+// kMaxTries attempts have been made.
 bool LoadBalancer::retry(Connection& connection) {
   Health& health = health_[*connection.controller];
   if (++health.failed_connections >= kFailuresToSkip) {
@@ -236,7 +236,7 @@
   return true;
 }
 
-// What is still to be written to the user goes first.
+// Closes the connection after the remaining output has been written to the user.
 void LoadBalancer::forward_rest_and_close(Connection& connection, Side closed) {
   if (closed == Side::backend) {
     if (connection.is_connected) forward_data(connection, Side::backend);
--- a/src/local_cluster/load_balancer.h
+++ b/src/local_cluster/load_balancer.h
@@ -1,7 +1,7 @@
-// The local cluster's load balancer: one address for users. Like the load balancer of PROTOCOL it
-// chooses a healthy controller for each connection and never changes what passes; of the first
-// request it reads the path alone, since the artifact store and the operators' figures are behind
-// the same address.
+// The local cluster's load balancer, which offers users one address. As PROTOCOL requires, it
+// chooses a healthy controller for each connection and forwards bytes unchanged. It reads only the
+// path of a connection's first request, to route requests for the artifact store and for the
+// operators' endpoints, which share the address.
 #pragma once
 #include <event2/bufferevent.h>
 #include <event2/listener.h>
@@ -20,14 +20,14 @@
 class LoadBalancer : public actor::Actor {
  public:
   struct Backend {
-    config::Endpoint front;     ///< for users
-    config::Endpoint internal;  ///< for operators
+    config::Endpoint front;     ///< address for users
+    config::Endpoint internal;  ///< address for operators
   };
-  /// Throws std::runtime_error where the address is none, or is taken.
+  /// Throws std::runtime_error if the address is invalid or in use.
   LoadBalancer(actor::Loop& loop, const config::Endpoint& address, std::vector<Backend> controllers,
                const config::Endpoint& artifacts);
   ~LoadBalancer() override;
-  /// Whether some controller is.
+  /// Returns whether at least one controller is healthy.
   [[nodiscard]] bool healthy() const;
 
  private:
@@ -40,23 +40,23 @@
   using Buffer = std::unique_ptr<bufferevent, BufferFree>;
   enum class Side { user, backend };
 
-  // One user's connection and, once its first line has come, the one to a backend.
+  // A user's connection and, once the first request line has arrived, the connection to a backend.
   struct Connection {
     LoadBalancer* balancer = nullptr;
     std::uint64_t id = 0;
     Buffer user;
     Buffer backend;
-    std::optional<std::size_t> controller;  // nothing: the artifact store, or not chosen yet
+    std::optional<std::size_t> controller;  // empty: the artifact store, or not yet chosen
     int tries = 0;
-    bool is_connected = false;  // to the backend
+    bool is_connected = false;  // the connection to the backend is established
     Buffer& buffer(Side side) { return side == Side::user ? user : backend; }
   };
-  // What is known of a controller.
+  // The health of one controller, from probes and from connections.
   struct Health {
     std::unique_ptr<net::Client> probe;
     bool is_up = false;
     int successful_probes = 0, failed_probes = 0;  // in a row
-    double skip_until = 0;                         // steady clock
+    double skip_until = 0;                         // steady clock: no connections before this time
     int failed_connections = 0;                    // in a row
   };
 
@@ -79,7 +79,7 @@
   [[nodiscard]] std::optional<std::size_t> choose_controller() const;
 
   std::vector<Backend> controllers_;
-  std::vector<Health> health_;  // of each controller
+  std::vector<Health> health_;  // by index in controllers_
   config::Endpoint artifacts_;
   std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
   std::uint64_t next_id_ = 1;
--- a/src/local_cluster/local_cluster.cpp
+++ b/src/local_cluster/local_cluster.cpp
@@ -15,13 +15,13 @@
 namespace fs = std::filesystem;
 namespace {
 
-// Below the range that the system takes for its own connections.
+// The range is below the kernel's ephemeral ports.
 constexpr std::uint16_t kFirstPort = 20000, kLastPort = 32000;
-constexpr int kPortStride = 97;  // clusters that run beside one another begin at different ports
+constexpr int kPortStride = 97;  // concurrent clusters start their search at different ports
 constexpr const char* kLoopback = "127.0.0.1";
 constexpr double kReadyIntervalS = 0.1, kReadyTimeoutS = 1;
 
-// Names of children, and of their log files.
+// Names of child processes, and of their log files.
 constexpr const char* kStateService = "state";
 constexpr const char* kArtifactStore = "depot";
 
@@ -53,7 +53,7 @@
   return options;
 }
 
-// Calls `done` at its `count`-th call.
+// Returns a function that calls `done` at its own `count`-th call.
 std::function<void()> after_calls(std::size_t count, const std::function<void()>& done) {
   return [left = std::make_shared<std::size_t>(count), done] {
     if (--*left == 0) done();
@@ -102,7 +102,8 @@
     taken_ports_.insert(port);
     return {kLoopback, port};
   }
-  throw std::runtime_error("no free port is left");
+  throw std::runtime_error("no free port for the local cluster between " +
+                           std::to_string(kFirstPort) + " and " + std::to_string(kLastPort));
 }
 
 void LocalCluster::start_services() {
@@ -159,7 +160,8 @@
                          {agent_program(), "--settings", file.string(), "--dir", dir.string()});
 }
 
-// As when machines lose their power: nothing is saved, and nothing is left.
+// Emulates a power failure: kills the agents and tasks without saving. Removes the machines' files,
+// unless the whole cluster stops.
 void LocalCluster::power_off(const std::vector<std::string>& machines,
                              const std::function<void()>& done) {
   if (machines.empty()) return done();
@@ -169,7 +171,9 @@
 
 void LocalCluster::power_off_one(const std::string& machine, const std::function<void()>& done) {
   auto tasks_ended = [this, machine, done](int exit_status) {
-    if (exit_status != 0) log::error("machine's tasks may not be gone", {{"machine", machine}});
+    if (exit_status != 0)
+      log::error("ending the tasks of a powered-off machine failed; some may still run",
+                 {{"machine", machine}, {"status", exit_status}});
     std::error_code ignored;
     if (!is_ending_) fs::remove_all(machine_dir(machine), ignored);
     done();
@@ -184,7 +188,8 @@
   children_.run_once("end-" + machine, {agent_program(), "end", "--dir", dir.string()}, done);
 }
 
-// Whether users can be served: a controller is healthy, and the artifact store answers.
+// Calls ready_ once a controller is healthy and the artifact store answers; otherwise checks again
+// after kReadyIntervalS.
 void LocalCluster::check_ready() {
   if (is_ending_ || !ready_) return;
   if (!load_balancer_->healthy()) return timer_.after(kReadyIntervalS);
@@ -199,8 +204,9 @@
 void LocalCluster::end(std::function<void()> done) {
   if (is_ending_) return;
   is_ending_ = true;
-  log::info("local cluster ends");
-  // Users first, then who could start anything, then the machines, then what keeps their state.
+  log::info("local cluster stops");
+  // The order is: the load balancer, then the controllers, which could start tasks, then the
+  // machines, and last the services that store their state.
   load_balancer_.reset();
   const auto controller_ended =
       after_calls(controllers_.size(), [this, done] { end_machines(done); });
--- a/src/local_cluster/local_cluster.h
+++ b/src/local_cluster/local_cluster.h
@@ -1,6 +1,6 @@
-// The whole service on one machine: controllers, an artifact store, a state service and a cloud
-// whose machines are agents, all of them child processes of this one. State stays in its directory;
-// a second start goes on with it.
+// The whole service on one machine: controllers, an artifact store, a state service, and the agents
+// of an emulated cloud's machines, all as child processes. The cluster's state stays in its
+// directory, and a later start resumes from it.
 #pragma once
 #include <filesystem>
 #include <functional>
@@ -18,23 +18,23 @@
 
 namespace shunttrail::local_cluster {
 
-/// Where a local cluster and its programs are.
+/// Directories, programs and port of a local cluster.
 struct ClusterOptions {
-  std::filesystem::path dir;       ///< where it keeps everything
-  std::filesystem::path programs;  ///< where shunttrail-controller and shunttrail-agent are
+  std::filesystem::path dir;       ///< holds all files of the cluster
+  std::filesystem::path programs;  ///< directory of shunttrail-controller and shunttrail-agent
   /// The program that serves as the state service and the artifact store (shunttrail-local).
   std::filesystem::path services_program;
-  std::uint16_t port = 0;  ///< for users; 0: a free one is taken
+  std::uint16_t port = 0;  ///< port for users; 0: any free port
 };
 
 class LocalCluster : public actor::Actor {
  public:
-  /// `ready` gets the users' URL once they can be served. Throws std::runtime_error: another
-  /// cluster has the directory, or an address cannot be had.
+  /// Calls `ready` with the URL for users once the cluster can serve them. Throws
+  /// std::runtime_error if another cluster uses the directory, or no address is available.
   LocalCluster(actor::Loop& loop, Settings settings, ClusterOptions options,
                std::function<void(std::string url)> ready);
 
-  /// Ends every process and every task, in an order that loses nothing; `done` runs then.
+  /// Stops every process and every task, in an order that loses no state, and then calls `done`.
   void end(std::function<void()> done);
 
  private:
@@ -65,7 +65,7 @@
   std::unique_ptr<emulators::CloudEmulator> cloud_;
   std::unique_ptr<LoadBalancer> load_balancer_;
   std::unique_ptr<net::Client> artifacts_probe_;
-  std::function<void(std::string)> ready_;  // empty once it was called
+  std::function<void(std::string)> ready_;  // empty after its call
   bool is_ending_ = false;
   actor::Timer timer_;
 };
--- a/src/local_cluster/settings.cpp
+++ b/src/local_cluster/settings.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr double kMaxAmount = 1e6;
-constexpr double kCancelMarginS = 5;  // at least, above the lease
+constexpr double kCancelMarginS = 5;  // cancel-s exceeds lease-s by at least this
 
-// What every controller is told of the emulated services.
+// Limits of the emulated services, as every controller's settings state them.
 constexpr int kStateRps = 3000, kStateWriteRps = 1500;
 constexpr int kStateValueKb = 32, kStateTransactionOps = 64;
 constexpr double kCpuShare = 1.0;
@@ -52,7 +52,7 @@
 
 using Reader = std::function<void(pugi::xml_node, const std::string& xml_path)>;
 
-// A reader of an element whose children all have this name.
+// Returns a reader of an element whose children all have this name.
 Reader list_of(const char* name, Reader read_child) {
   return [name, read_child](pugi::xml_node node, const std::string& xml_path) {
     read_children(node, xml_path, {{name, read_child}});
@@ -60,11 +60,12 @@
 }
 
 void check(const Settings& settings) {
-  if (settings.zones.empty()) bad_at("shunt-local.zones", "names none");
-  if (settings.teams.empty()) bad_at("shunt-local.teams", "names none");
-  if (settings.types.empty()) bad_at("shunt-local.types", "names none");
+  if (settings.zones.empty()) bad_at("shunt-local.zones", "has no zone");
+  if (settings.teams.empty()) bad_at("shunt-local.teams", "has no team");
+  if (settings.types.empty()) bad_at("shunt-local.types", "has no type");
   if (settings.cancel_s < settings.lease_s + kCancelMarginS)
-    bad_at("shunt-local.cancel-s", "leaves no room above lease-s");
+    bad_at("shunt-local.cancel-s", "has to exceed lease-s by at least " +
+                                       std::to_string(static_cast<int>(kCancelMarginS)) + " s");
 }
 
 json siblings_of(const std::vector<ControllerAddresses>& controllers, std::size_t self) {
@@ -115,7 +116,7 @@
   return out.str();
 }
 
-// Writes an XML element of text elements.
+// Builds an XML document whose root holds text elements.
 class SettingsWriter {
  public:
   explicit SettingsWriter(const char* root) : root_(document_.append_child(root)) {}
