--- a/src/chaos/attempts.cpp
+++ b/src/chaos/attempts.cpp
@@ -21,7 +21,7 @@
   std::uint64_t attempt = 0;
   double at = 0;
   if (!(fields >> event >> job >> index >> attempt >> at) || (fields >> rest)) {
-    log_errors_.push_back("a line of the log is torn: " + line);
+    log_errors_.push_back("the log has an incomplete line: " + line);
     return;
   }
   Task& task = tasks_[{job, index}];
@@ -34,9 +34,9 @@
     ++task.ended[attempt];
     task.last_end = std::max(task.last_end, at);
   } else if (event == "overlap") {
-    log_errors_.push_back(name + " ran beside another one");
+    log_errors_.push_back(name + " overlapped another attempt");
   } else {
-    log_errors_.push_back("a line of the log is unknown: " + line);
+    log_errors_.push_back("the log has a line of an unknown event: " + line);
   }
 }
 
@@ -55,7 +55,7 @@
     const auto& [name, index] = key;
     auto job = expected.find(name);
     if (job == expected.end() || index >= job->second)
-      faults.push_back(label(name, index) + ": ran, but nobody submitted it");
+      faults.push_back(label(name, index) + ": ran, but was never submitted");
   }
   return faults;
 }
@@ -64,15 +64,15 @@
                                   std::vector<std::string>& faults) const {
   auto found = tasks_.find(key);
   if (found == tasks_.end() || found->second.results.empty()) {
-    faults.push_back(name + ": has no final answer");
+    faults.push_back(name + ": has no final result");
     return;
   }
   const Task& task = found->second;
   if (task.results.size() > 1)
-    faults.push_back(name + ": has " + std::to_string(task.results.size()) + " final answers");
-  // The answer is an attempt's that ran to its end.
+    faults.push_back(name + ": has " + std::to_string(task.results.size()) + " final results");
+  // The final result has to come from an attempt that ran to its end.
   if (!task.ended.contains(task.results[0]))
-    faults.push_back(name + ": the answer is of attempt " + std::to_string(task.results[0]) +
+    faults.push_back(name + ": the final result is of attempt " + std::to_string(task.results[0]) +
                      ", which never ended");
 }
 
--- a/src/chaos/chaos_run.cpp
+++ b/src/chaos/chaos_run.cpp
@@ -21,8 +21,10 @@
 constexpr std::uint32_t kMaxTasksPerJob = 60;
 constexpr double kMinTaskS = 0.05, kMaxTaskS = 1.5;
 constexpr double kFirstKillS = 1;
-constexpr double kMinKillFactor = 0.5, kMaxKillFactor = 1.5;  // of the plan's interval
-constexpr double kAgentShare = 0.5, kSupervisorShare = 0.3;   // of kills; controllers: the rest
+constexpr double kMinKillFactor = 0.5,
+                 kMaxKillFactor = 1.5;  // factors of the plan's interval between kills
+constexpr double kAgentShare = 0.5,
+                 kSupervisorShare = 0.3;  // of all kills; the rest are controllers
 constexpr double kMeasureIntervalS = 0.5;
 constexpr double kPollIntervalS = 0.05;
 
@@ -80,7 +82,8 @@
     ++result_.jobs;
   }
 
-  // A task writes its begin and its end, and any other attempt of its own that it finds running.
+  // Returns the shell script of a task: it logs its begin and its end, and "overlap" if another
+  // attempt of the same task still holds the task's lock.
   std::string script(double run_s) const {
     std::ostringstream out;
     out << "say() { echo \"$1 $SHUNT_JOB $SHUNT_TASK $SHUNT_ATTEMPT $EPOCHREALTIME\" >> "
@@ -120,7 +123,7 @@
       result_.supervisor_mb = std::max(result_.supervisor_mb, resident_mb(supervisor));
   }
 
-  // Until it is time for the next kill.
+  // Polls the unfinished jobs, and returns early if the next kill is due.
   void poll_jobs() {
     for (const auto& [id, tasks] : tasks_of_) {
       if (done_at_.contains(id)) continue;
@@ -146,7 +149,8 @@
     cluster_.end();
     result_.faults = history.faults(tasks_of_);
     for (const auto& [id, tasks] : tasks_of_)
-      if (!done_at_.contains(id)) result_.faults.push_back(id + ": was not done in time");
+      if (!done_at_.contains(id))
+        result_.faults.push_back(id + ": was not done within the time limit of the run");
     set_delays(std::move(delays_s));
   }
 
@@ -157,10 +161,11 @@
     result_.seen_p99_s = delays_s[std::min(delays_s.size() - 1, delays_s.size() * 99 / 100)];
   }
 
-  // Nothing of the cluster or its tasks may be there any more.
+  // After the cluster has stopped, no process of the cluster or of its tasks may remain.
   void check_left_behind() {
     result_.left_behind = count_processes_with(plan_.dir.string() + "/");
-    if (result_.left_behind) result_.faults.push_back("processes were left behind");
+    if (result_.left_behind)
+      result_.faults.push_back(std::to_string(result_.left_behind) + " processes were left behind");
   }
 
   const ChaosPlan& plan_;
@@ -168,9 +173,9 @@
   ClusterUnderTest cluster_;
   cli::ServiceClient service_;
   const fs::path log_, locks_;
-  std::map<std::string, std::uint32_t> tasks_of_;  // by job
-  std::map<std::string, double> done_at_;          // wall clock, as its user has seen it
-  std::map<pid_t, double> cpu_s_of_;               // of each agent, when it was last measured
+  std::map<std::string, std::uint32_t> tasks_of_;  // number of tasks, by job id
+  std::map<std::string, double> done_at_;  // wall-clock time at which the user saw the job done
+  std::map<pid_t, double> cpu_s_of_;       // CPU time of each agent at its last measurement
   double next_kill_at_ = 0;
   double next_measure_at_ = 0;
   ChaosResult result_;
--- a/src/chaos/cluster_under_test.cpp
+++ b/src/chaos/cluster_under_test.cpp
@@ -17,7 +17,8 @@
 namespace {
 
 constexpr const char* kProgram = "shunttrail-local";
-constexpr const char* kReady = "ready ";  // what the program prints, and its URL
+constexpr const char* kReady =
+    "ready ";  // start of the line that the program prints, before its URL
 constexpr int kCpusPerMachine = 4;
 
 std::string read_line(const agent::Fd& fd) {
@@ -50,7 +51,8 @@
 
 void ClusterUnderTest::start() {
   int pipe_fds[2];
-  if (::pipe2(pipe_fds, O_CLOEXEC) != 0) throw std::runtime_error("pipe");
+  if (::pipe2(pipe_fds, O_CLOEXEC) != 0)
+    throw std::runtime_error("cannot create a pipe for the output of shunttrail-local");
   const agent::Fd output(pipe_fds[0]);
   agent::Fd child_output(pipe_fds[1]);
   pid_ = ::fork();
@@ -83,7 +85,8 @@
   return children_running("shunttrail-controller");
 }
 
-// `shunttrail-agent end` ends what is left on a machine: it is no agent.
+// Returns the children that run this program, without `shunttrail-agent end`, which stops a
+// machine's remaining tasks and is no agent.
 std::vector<pid_t> ClusterUnderTest::children_running(const std::string& program) const {
   std::vector<pid_t> found;
   for (pid_t child : agent::children_of(pid_)) {
--- a/src/chaos/cluster_under_test.h
+++ b/src/chaos/cluster_under_test.h
@@ -1,4 +1,5 @@
-// A local cluster as a child process, and which process below it does what.
+// A local cluster as a child process, and the process ids of its agents, controllers and task
+// supervisors.
 #pragma once
 #include <sys/types.h>
 
@@ -12,14 +13,14 @@
 
 class ClusterUnderTest {
  public:
-  /// Starts the cluster of the plan and waits until it serves. Throws std::runtime_error where it
-  /// does not.
+  /// Starts the cluster of the plan and waits until it serves. Throws std::runtime_error if it does
+  /// not start.
   explicit ClusterUnderTest(const ChaosPlan& plan);
   ~ClusterUnderTest() { end(); }
   ClusterUnderTest(const ClusterUnderTest&) = delete;
   ClusterUnderTest& operator=(const ClusterUnderTest&) = delete;
 
-  /// Ends the cluster and waits until it has.
+  /// Stops the cluster and waits until its process has ended.
   void end();
   [[nodiscard]] const std::string& url() const { return url_; }
   [[nodiscard]] std::vector<pid_t> agents() const;
@@ -34,7 +35,7 @@
 
   const ChaosPlan& plan_;
   const std::filesystem::path settings_, data_dir_, log_;
-  pid_t pid_ = 0;  // 0: does not run
+  pid_t pid_ = 0;  // 0: the cluster does not run
   std::string url_;
 };
 
--- a/src/chaos/process_info.cpp
+++ b/src/chaos/process_info.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr double kBytesPerMb = 1e6;
-// Fields of /proc/PID/stat behind the name, numbered as in proc(5).
+// Fields of /proc/PID/stat after the process name, numbered as in proc(5).
 constexpr int kFirstFieldAfterName = 3;
 constexpr int kUserTimeField = 14;
 
@@ -43,7 +43,7 @@
 
 double cpu_s(pid_t pid) {
   const std::string text = read_proc(pid, "stat");
-  const auto name_end = text.rfind(')');  // the name before it may hold anything
+  const auto name_end = text.rfind(')');  // the process name may itself contain ')' and blanks
   if (name_end == std::string::npos) return 0;
   std::istringstream fields(text.substr(name_end + 2));
   std::string skipped;
--- a/src/chaos/process_info.h
+++ b/src/chaos/process_info.h
@@ -1,4 +1,4 @@
-// What /proc tells about processes: command lines and resources.
+// Command lines and resource use of processes, read from /proc.
 #pragma once
 #include <sys/types.h>
 
@@ -7,13 +7,13 @@
 
 namespace shunttrail::chaos {
 
-/// The words of a process's command line; empty: there is no such process.
+/// Returns the words of a process's command line, or nothing if there is no such process.
 [[nodiscard]] std::vector<std::string> command_line_of(pid_t pid);
-/// Its resident memory, in MB of 10^6 bytes.
+/// Returns a process's resident memory, in MB of 10^6 bytes.
 [[nodiscard]] double resident_mb(pid_t pid);
-/// The CPU time that it has used, in seconds.
+/// Returns the CPU time that a process has used, in seconds.
 [[nodiscard]] double cpu_s(pid_t pid);
-/// How many processes, this one aside, have `text` in a word of their command line.
+/// Returns the number of processes, except this one, with `text` in a word of their command line.
 [[nodiscard]] std::size_t count_processes_with(const std::string& text);
 
 }  // namespace shunttrail::chaos
--- a/tests/local_cluster_test.cpp
+++ b/tests/local_cluster_test.cpp
@@ -1,5 +1,5 @@
-// The whole set as processes on loopback, from a command line's point of view; and the checker that
-// judges what its tasks have written, shown a history with each fault.
+// Tests of a whole cluster as processes on loopback, driven by its command line, and of the checker
+// of task histories, which is given a history with each kind of fault.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -65,7 +65,7 @@
     pid = 0;
     return status;
   }
-  // shuntctl with these words: its exit status and what it printed.
+  // Runs shunttrailctl with these words. Returns its exit status and its output.
   std::pair<int, std::string> run_ctl(const std::string& words) const {
     const std::string command = std::string(SHUNTTRAIL_CTL) + " --server " + url + " " + words +
                                 " 2>>" + (dir / "ctl.err").string();
@@ -77,7 +77,7 @@
     while (!out.empty() && out.back() == '\n') out.pop_back();
     return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, out};
   }
-  // Processes whose command line names this directory.
+  // Returns the number of processes whose command line names the cluster's directory.
   int count_processes() const {
     int n = 0;
     for (const auto& e : fs::directory_iterator("/proc")) {
@@ -123,7 +123,8 @@
   EXPECT_EQ(cluster.count_processes(), 0);
 }
 
-// Three controllers of one build reach its level by themselves; orders hold it and let it go again.
+// Three controllers of one build raise the schema level without an order. An order to hold lowers
+// it, and an order to release raises it again.
 TEST(LocalCluster, TheSchemaVersionIsRaisedHeldAndLowered) {
   TestCluster cluster;
   cluster.start();
@@ -132,7 +133,7 @@
   auto levels = [&](const std::string& words) {
     return nlohmann::json::parse(cluster.run_ctl("levels --json " + words).second);
   };
-  // Until the level is this one and nothing else stands.
+  // Waits until this level is active and all stored state has its form.
   auto reach = [&](int level) {
     nlohmann::json status;
     for (int i = 0; i < 300; ++i) {
@@ -149,7 +150,7 @@
   EXPECT_EQ(status["nodes"].size(), 3u);
   EXPECT_EQ(status["nodes"][0]["reads"], (nlohmann::json{0, 2}));
   EXPECT_TRUE(status["nodes"][2]["alive"]);
-  // Level 2 is for those who switch delegation on; nothing else holds it back.
+  // Level 2 is used only where delegation is switched on; nothing else holds it back.
   ASSERT_EQ(status["held_by"].size(), 1u);
   EXPECT_EQ(status["held_by"][0]["by"], "build");
   EXPECT_EQ(cluster.run_ctl("submit --wait -- true").first, 0);
@@ -157,7 +158,7 @@
   ASSERT_TRUE(reach(0));
   EXPECT_EQ(levels("")["held_by"][0]["by"], "orders");
   EXPECT_EQ(cluster.run_ctl("submit --wait -- true").first, 0);
-  EXPECT_EQ(cluster.run_ctl("levels --gone node-0").first, 1);  // it is there
+  EXPECT_EQ(cluster.run_ctl("levels --gone node-0").first, 1);  // the node is alive
   EXPECT_EQ(cluster.run_ctl("levels --gone nobody").first, 1);
   EXPECT_EQ(cluster.run_ctl("levels --hold 0 --release").first, 2);
   levels("--release");
@@ -166,8 +167,8 @@
   EXPECT_EQ(cluster.end(), 0);
 }
 
-// State of a level that no controller here can read: none of them serves, none is registered, none
-// writes; and all go on by themselves when it can be read again.
+// While the stored state has a level that no controller can read, no controller serves, is
+// registered or writes. All resume without an order when they can read the state again.
 TEST(LocalCluster, NoControllerServesWhileNoBuildReadsTheStoredState) {
   TestCluster cluster;
   cluster.start();
@@ -201,7 +202,7 @@
   EXPECT_EQ(cluster.end(), 0);
 }
 
-// A shorter run of the trial of docs/results.md.
+// A shorter version of the chaos run in docs/results.md.
 TEST(LocalCluster, RandomKillsLeaveEachTaskOneAnswer) {
   std::string name = fs::temp_directory_path() / "shunt-trial-XXXXXX";
   chaos::ChaosPlan plan;
@@ -229,17 +230,19 @@
   };
   const std::string good = "begin run-1 0 5 1.5\nend run-1 0 5 2.5\n";
   EXPECT_EQ(faults(good, {5}), "");
-  EXPECT_EQ(faults("begin run-1 0 4 1\n" + good, {5}), "");  // killed, and tried once more
-  EXPECT_NE(faults(good, {}).find("no final answer"), std::string::npos);
-  EXPECT_NE(faults(good, {5, 5}).find("2 final answers"), std::string::npos);
+  EXPECT_EQ(faults("begin run-1 0 4 1\n" + good, {5}),
+            "");  // attempt 4 was killed, and the task was retried
+  EXPECT_NE(faults(good, {}).find("no final result"), std::string::npos);
+  EXPECT_NE(faults(good, {5, 5}).find("2 final results"), std::string::npos);
   EXPECT_NE(faults(good, {6}).find("never ended"), std::string::npos);
-  EXPECT_NE(faults(good + "overlap run-1 0 6 3\n", {5}).find("beside"), std::string::npos);
+  EXPECT_NE(faults(good + "overlap run-1 0 6 3\n", {5}).find("overlapped another attempt"),
+            std::string::npos);
   EXPECT_NE(faults(good + "begin run-1 0 5 3\n", {5}).find("twice"), std::string::npos);
-  EXPECT_NE(faults(good + "begin run-2 0 5 3\n", {5}).find("nobody"), std::string::npos);
-  EXPECT_NE(faults(good + "begin run-1 0\n", {5}).find("torn"), std::string::npos);
+  EXPECT_NE(faults(good + "begin run-2 0 5 3\n", {5}).find("never submitted"), std::string::npos);
+  EXPECT_NE(faults(good + "begin run-1 0\n", {5}).find("incomplete line"), std::string::npos);
 }
 
-// deploy/service.toml starts every controller with this file.
+// deploy/service.toml starts every controller with deploy/run.xml.
 TEST(LocalSettings, DeployedTuningIsValidAndEnablesRelay) {
   auto t = config::parse_tuning(
       config::read_file(std::string(SHUNTTRAIL_SOURCE) + "/deploy/run.xml", "deploy/run.xml"));
