--- a/app/shunttrail-chaos.cpp
+++ b/app/shunttrail-chaos.cpp
@@ -1,5 +1,5 @@
-// shunttrail-chaos: runs a chaos run on one machine and prints its figures; exits 1 if a task's
-// history has a fault.
+// shunttrail-chaos: executes a chaos run on one machine and prints its measurements. Exits with 1
+// if a task's history has a fault.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -10,14 +10,14 @@
 int main(int argc, char** argv) {
   using namespace shunttrail;
   CLI::App app{
-      "shunttrail-chaos: kill parts of a set on one machine and check what became of its tasks"};
+      "shunttrail-chaos: kill processes of a local cluster at random and check its tasks' results"};
   app.set_version_flag("--version", std::string("shunttrail-chaos 0.1.0"));
   chaos::ChaosPlan plan;
   std::string dir;
   app.add_option("--dir", dir, "an empty directory")->required();
   app.add_option("--tasks", plan.tasks)->check(CLI::Range(1, 100000))->capture_default_str();
   app.add_option("--machines", plan.machines)->check(CLI::Range(1, 100))->capture_default_str();
-  app.add_option("--kill-every-s", plan.kill_every_s, "0: nothing is killed")
+  app.add_option("--kill-every-s", plan.kill_every_s, "mean interval between kills; 0: no kills")
       ->capture_default_str();
   app.add_option("--limit-s", plan.limit_s)->capture_default_str();
   app.add_option("--seed", plan.seed)->capture_default_str();
--- a/app/shunttrail-local.cpp
+++ b/app/shunttrail-local.cpp
@@ -16,7 +16,7 @@
 namespace fs = std::filesystem;
 
 constexpr int kExitFailed = 1;
-constexpr int kExitUsage = 2;  // the command line or the settings are wrong
+constexpr int kExitUsage = 2;  // the command line or the settings are invalid
 
 fs::path own_program() { return fs::read_symlink("/proc/self/exe"); }
 
@@ -36,7 +36,7 @@
   return 0;
 }
 
-// Ends the cluster, and then the loop, at the first signal.
+// Stops the cluster, and then the event loop, at the first SIGINT or SIGTERM.
 class EndOnSignal {
  public:
   EndOnSignal(actor::Loop& loop, local_cluster::LocalCluster& cluster)
@@ -59,7 +59,7 @@
   std::vector<actor::EventPtr> events_;
 };
 
-// Tests and scripts wait for this line.
+// Prints the line that tests and scripts wait for.
 void print_ready(const std::string& url) {
   std::printf("ready %s\n", url.c_str());
   std::fflush(stdout);
@@ -79,19 +79,20 @@
 
 struct Options {
   std::string dir, settings_file, listen, state_file;
-  int controllers = 0;  // 0: as the settings have it
-  int port = 0;         // 0: a free one
+  int controllers = 0;  // 0: the number in the settings
+  int port = 0;         // 0: any free port
   bool check = false;
 };
 
 void add_options(CLI::App& app, Options& options) {
   app.set_version_flag("--version", std::string("shunttrail-local 0.1.0"));
-  app.add_option("--dir", options.dir, "where everything is kept; a second start goes on with it");
-  app.add_option("--settings", options.settings_file, "the set's settings (XML); deploy/local.xml");
+  app.add_option("--dir", options.dir, "the directory of all files; a later start resumes from it");
+  app.add_option("--settings", options.settings_file,
+                 "the cluster's settings (XML); default: deploy/local.xml");
   app.add_option("--controllers", options.controllers,
-                 "how many controllers, instead of the settings'")
+                 "number of controllers, instead of the one in the settings")
       ->check(CLI::Range(1, 9));
-  app.add_option("--port", options.port, "the users' port; a free one if it is not given")
+  app.add_option("--port", options.port, "the port for users; default: any free port")
       ->check(CLI::Range(1, 65535));
   app.add_flag("--check", options.check, "check the settings, then exit");
   app.require_subcommand(0, 1);
@@ -105,9 +106,9 @@
 }
 
 CLI::App* add_artifacts_command(CLI::App& app, Options& options) {
-  CLI::App* command = app.add_subcommand("depot", "the depot alone");
+  CLI::App* command = app.add_subcommand("depot", "serve the depot (the artifact store) alone");
   command->add_option("--listen", options.listen, "HOST:PORT")->required();
-  command->add_option("--dir", options.dir, "where it is kept")->required();
+  command->add_option("--dir", options.dir, "the depot's directory")->required();
   return command;
 }
 
--- a/app/shunttrail-pbs.cpp
+++ b/app/shunttrail-pbs.cpp
@@ -1,5 +1,5 @@
-// shunttrail-pbs: PBS's commands. So far `qsub --check` alone: the job that a script would become,
-// or why it is refused.
+// shunttrail-pbs: PBS's commands. The only one so far is `qsub --check`, which prints the job that
+// a script would submit, or the reasons why it is refused.
 #include <sys/utsname.h>
 #include <unistd.h>
 
@@ -23,15 +23,15 @@
 using nlohmann::json;
 namespace fs = std::filesystem;
 
-constexpr int kExitRefused = 1;  // the script, or what is not served
-constexpr int kExitUsage = 2;    // the command line or the tables are wrong
+constexpr int kExitRefused = 1;  // the script is refused, or the command is not supported
+constexpr int kExitUsage = 2;    // the command line or the tables are invalid
 
 std::string variable(const char* name) {
   const char* value = std::getenv(name);
   return value ? value : "";
 }
 
-// Bounded: what is longer than a script may be is refused by its reader all the same.
+// Reads at most one byte more than a script may have; pbs::read_script refuses the longer text.
 std::string read_script_file(const std::string& file) {
   std::string text(pbs::kMaxScriptBytes + 1, '\0');
   std::ifstream opened;
@@ -45,7 +45,7 @@
   return text;
 }
 
-// The words of the command line: this program's own options, and PBS's.
+// The command line, split into this program's own options and those of PBS.
 struct Arguments {
   bool check = false;
   std::string tables_file;
@@ -74,7 +74,8 @@
       config::read_file(file.empty() ? shipped_tables().string() : file, "tables"));
 }
 
-// The prefix of directives: that of -C, which is taken off the command line, or PBS_DPREFIX.
+// Returns the prefix of directives: the value of -C, which is removed from the command line, or
+// else of PBS_DPREFIX, or else "#PBS".
 std::string take_prefix(pbs::Script& command_line) {
   std::string prefix = variable("PBS_DPREFIX");
   if (prefix.empty()) prefix = "#PBS";
@@ -132,7 +133,7 @@
 int qsub(const std::vector<std::string>& words) {
   const Arguments arguments = split(words);
   if (!arguments.check) {
-    std::fprintf(stderr, "qsub: only --check is served so far (docs/pbs.md)\n");
+    std::fprintf(stderr, "qsub: only --check is supported so far (docs/pbs.md)\n");
     return kExitRefused;
   }
   const pbs::Tables tables = read_tables(arguments.tables_file);
@@ -140,7 +141,7 @@
   pbs::Script command_line = pbs::read_arguments(arguments.pbs_words, options);
   const std::string prefix = take_prefix(command_line);
   if (options + 1 < arguments.pbs_words.size()) {
-    std::fprintf(stderr, "qsub: one script at a time: %s\n",
+    std::fprintf(stderr, "qsub: more than one script is given: %s\n",
                  arguments.pbs_words[options + 1].c_str());
     return kExitUsage;
   }
@@ -162,7 +163,7 @@
 
 }  // namespace
 
-// Called as `qsub`, or as `shunttrail-pbs qsub`.
+// The program is called as `qsub` or as `shunttrail-pbs qsub`.
 int main(int argc, char** argv) {
   std::vector<std::string> words(argv + 1, argv + argc);
   if (fs::path(argv[0]).filename() != "qsub") {
--- a/app/shunttrailctl.cpp
+++ b/app/shunttrailctl.cpp
@@ -27,10 +27,10 @@
 namespace fs = std::filesystem;
 
 constexpr int kExitFailed = 1;  // the service refuses or does not answer
-constexpr int kExitUsage = 2;   // the command line is wrong
+constexpr int kExitUsage = 2;   // the command line is invalid
 constexpr double kPollIntervalS = 0.5;
 
-// The options of all commands; a command reads those that it has added.
+// The options of all commands; each command reads only those that it has added.
 struct Options {
   std::string server = "127.0.0.1:8080";
   bool as_json = false;
@@ -64,10 +64,9 @@
 
 const SubmitOption kSubmitOptions[] = {
     {"--file", &SubmitOptions::file,
-     "a description or a native submission (JSON); - for standard input"},
-    {"--id", &SubmitOptions::id, "the job's id (run-DIGITS); made up if it is not given"},
-    {"--name", &SubmitOptions::job_class, "the class of jobs that it belongs to", Check::none,
-     kShowsDefault},
+     "a job description or a native submission (JSON); - for standard input"},
+    {"--id", &SubmitOptions::id, "the job's id (run-DIGITS); default: a new id"},
+    {"--name", &SubmitOptions::job_class, "the job's class", Check::none, kShowsDefault},
     {"--team", &SubmitOptions::team, "", Check::none, kShowsDefault},
     {"--priority", &SubmitOptions::priority, "critical, high, standard or idle", Check::none,
      kShowsDefault},
@@ -75,21 +74,21 @@
     {"--vcpus", &SubmitOptions::cpus, "of each task", Check::not_negative, kShowsDefault},
     {"--cards", &SubmitOptions::gpus, "of each task", Check::not_negative},
     {"--mem-gb", &SubmitOptions::memory_gb, "of each task", Check::not_negative, kShowsDefault},
-    {"--run-s", &SubmitOptions::estimate_s, "how long a task is thought to run",
-     Check::not_negative, kShowsDefault},
+    {"--run-s", &SubmitOptions::estimate_s, "expected run time of a task", Check::not_negative,
+     kShowsDefault},
     {"--limit-s", &SubmitOptions::limit_s, "a task that runs longer is killed",
      Check::not_negative},
     {"--due-s", &SubmitOptions::deadline_s, "when the job should be done, from now",
      Check::not_negative},
-    {"--save-every-s", &SubmitOptions::checkpoint_s, "its tasks save a checkpoint so often",
+    {"--save-every-s", &SubmitOptions::checkpoint_s, "interval between checkpoints of a task",
      Check::not_negative},
-    {"--save-s", &SubmitOptions::save_s, "time that a task needs to save", Check::not_negative,
-     kShowsDefault},
+    {"--save-s", &SubmitOptions::save_s, "time that a task needs to save a checkpoint",
+     Check::not_negative, kShowsDefault},
     {"--type", &SubmitOptions::machine_types, "an allowed machine type; may be repeated"},
     {"--zone", &SubmitOptions::zone, "the only allowed zone"},
     {"--same-place", &SubmitOptions::same_zone, "all tasks in one zone"},
     {"--scatter", &SubmitOptions::anti_affinity, "at most half of the tasks in one zone"},
-    {"--no-spot", &SubmitOptions::no_spot, "no machines that may be taken back"},
+    {"--no-spot", &SubmitOptions::no_spot, "no spot machines"},
     {"--awaits", &SubmitOptions::dependencies, "a job that has to be done first; may be repeated"},
     {"--env", &SubmitOptions::environment, "NAME=VALUE for its tasks; may be repeated"},
     {"--image", &SubmitOptions::image, "hash of an image in the depot"},
@@ -135,7 +134,7 @@
   }
 }
 
-// --- Answers
+// --- Printing of job states
 
 void print_line(const std::string& line) { std::printf("%s\n", line.c_str()); }
 
@@ -156,7 +155,7 @@
 }
 
 void require_job_id(const std::string& id) {
-  if (!wire::valid_job_id(id)) throw cli::UsageError(id + " is no job id (run-DIGITS)");
+  if (!wire::valid_job_id(id)) throw cli::UsageError(id + " is not a job id (run-DIGITS)");
 }
 
 client_protocol::JobAnswer require_job(ServiceClient& service, const std::string& id) {
@@ -171,7 +170,7 @@
   return answer.state == wire::JobState::done || answer.state == wire::JobState::cancelled;
 }
 
-// The exit status of a job: that of its first task, by number, that did not end with 0.
+// Returns the exit status of a job: that of its lowest-numbered task that did not exit with 0.
 int exit_status_of(ServiceClient& service, const std::string& id) {
   auto description = service.description(id);
   if (!description) return 0;
@@ -180,7 +179,7 @@
   return 0;
 }
 
-// The job is over: prints what became of it, and gives the program's exit status.
+// Prints the outcome of a finished job and returns the program's exit status.
 int report_outcome(ServiceClient& service, const client_protocol::JobAnswer& answer,
                    const std::string& id, bool as_json) {
   const bool cancelled = answer.state == wire::JobState::cancelled;
@@ -239,7 +238,9 @@
 
 void add_wait_options(CLI::App& command, Options& options) {
   add_job_id(command, options);
-  command.add_option("--timeout-s", options.timeout_s, "give up after so long")
+  command
+      .add_option("--timeout-s", options.timeout_s,
+                  "fail if the job is not finished after this time")
       ->check(CLI::NonNegativeNumber);
 }
 
@@ -254,7 +255,8 @@
   return 0;
 }
 
-// The service's answer, pretty unless JSON was asked for; as it came where it is no JSON.
+// Prints the service's answer, indented unless --json is given. A body that is not JSON is printed
+// unchanged.
 void print_body(const std::string& body, bool as_json) {
   const json parsed = json::parse(body, nullptr, false);
   print_line(parsed.is_discarded() ? body : parsed.dump(as_json ? -1 : 2));
@@ -274,12 +276,13 @@
 void add_output_options(CLI::App& command, Options& options) {
   add_job_id(command, options);
   command.add_option("--task", options.task, "the task's number")->capture_default_str();
-  command.add_flag("--err", options.standard_error, "its standard error instead");
+  command.add_flag("--err", options.standard_error, "print its standard error instead");
 }
 
 void copy_artifact_to_stdout(ServiceClient& service, const std::string& hash) {
   const fs::path file = fs::temp_directory_path() / ("shunttrailctl-" + std::to_string(::getpid()));
-  if (!service.fetch(hash, file)) throw RequestFailed("the output is lost or damaged");
+  if (!service.fetch(hash, file))
+    throw RequestFailed("the output (blob " + hash + ") is missing from the depot or damaged");
   std::ifstream in(file, std::ios::binary);
   std::cout << in.rdbuf() << std::flush;
   fs::remove(file);
@@ -294,7 +297,7 @@
     throw RequestFailed(id + ": has " + std::to_string(description->job.tasks) +
                         " tasks, numbered from 0");
   const auto result = service.result({id, options.task});
-  if (!result) throw RequestFailed(id + "/" + std::to_string(options.task) + ": has not ended");
+  if (!result) throw RequestFailed(id + "/" + std::to_string(options.task) + ": has no result yet");
   if (options.as_json) {
     print_line(client_protocol::encode_result(*result));
     return 0;
@@ -318,12 +321,12 @@
 
 int run_metrics(ServiceClient& service, const Options& options) {
   const net::Result result = service.get("/metrics");
-  if (result.status == 404) throw RequestFailed("no figures");
+  if (result.status == 404) throw RequestFailed("this controller has no metrics");
   print_body(result.body, options.as_json);
   return 0;
 }
 
-// A controller's status object, which has to have this field; `otherwise` says that it has none.
+// Returns a controller's status object. Throws RequestFailed(otherwise) if it lacks this field.
 json require_status(const net::Result& result, const char* field, const char* otherwise) {
   json status = json::parse(result.body, nullptr, false);
   if (result.status == 404 || !status.is_object() || !status.contains(field))
@@ -334,11 +337,11 @@
 void add_schema_options(CLI::App& command, Options& options) {
   command
       .add_option("--hold", options.hold_level,
-                  "the active level is at most this, lowered if need be")
+                  "keep the active level at or below this one, and lower it if necessary")
       ->check(CLI::Range(0, 1000));
-  command.add_flag("--release", options.release, "no longer held");
+  command.add_flag("--release", options.release, "remove the limit that --hold has set");
   command.add_option("--gone", options.gone_node,
-                     "a node that will not come back, and is not waited for");
+                     "a node that will not return, and is not waited for");
   command.add_option("--here", options.returned_node, "a node that is waited for again");
 }
 
@@ -382,7 +385,7 @@
   const char* help;
   void (*add_options)(CLI::App&, Options&);
   int (*run)(ServiceClient&, const Options&);
-  const char* earlier_name = nullptr;  // accepted as well
+  const char* earlier_name = nullptr;  // an older name that is accepted as well
 };
 
 const Command kCommands[] = {
@@ -390,22 +393,23 @@
     {"status", "show a job's state", add_job_id, run_status},
     {"wait", "wait until a job is done or cancelled", add_wait_options, run_wait},
     {"withdraw", "cancel a job", add_job_id, run_cancel},
-    {"team", "show a team's live jobs", add_team_options, run_team},
+    {"team", "show a team's unfinished jobs", add_team_options, run_team},
     {"output", "print what a task wrote to its standard output", add_output_options, run_output},
-    {"up", "whether the service can take requests", add_nothing, run_up},
-    {"metrics", "a controller's counters", add_nothing, run_metrics},
-    {"schema", "which form of the stored state is in use, and what holds the next one back",
+    {"up", "show whether the service accepts requests", add_nothing, run_up},
+    {"metrics", "print a controller's counters", add_nothing, run_metrics},
+    {"schema",
+     "show which schema level of the stored state is active, and what holds the next one back",
      add_schema_options, run_schema, "levels"},
-    {"relay", "which links a controller finds cut, and what it passes on for others", add_nothing,
-     run_relay, "links"},
+    {"relay", "show which links a controller finds cut, and the heartbeats that it relays",
+     add_nothing, run_relay, "links"},
 };
 
 void add_global_options(CLI::App& app, Options& options) {
   app.set_version_flag("--version", std::string("shunttrailctl 0.1.0"));
-  app.add_option("--server", options.server, "where the service is, http://HOST:PORT")
+  app.add_option("--server", options.server, "the service's address, http://HOST:PORT")
       ->envname("SHUNT_SERVER")
       ->capture_default_str();
-  app.add_flag("--json", options.as_json, "answers as JSON");
+  app.add_flag("--json", options.as_json, "print answers as JSON");
   app.require_subcommand(1);
   app.fallthrough();
 }
@@ -425,7 +429,7 @@
   return 0;
 }
 
-// CLI11 prints the error or the help that was asked for.
+// Prints the error or the requested help, as CLI11 does, and returns the program's exit status.
 int exit_of_parse_error(const CLI::App& app, const CLI::ParseError& error) {
   return app.exit(error) == 0 ? 0 : kExitUsage;
 }
--- a/src/cli/controller_status.h
+++ b/src/cli/controller_status.h
@@ -1,5 +1,5 @@
-// What a controller says about the state schema (GET /levels) and the heartbeat relay (GET /links),
-// as text for operators.
+// Prints a controller's status of the state schema (GET /levels) and of the heartbeat relay
+// (GET /links) as text for operators.
 #pragma once
 #include <nlohmann/json.hpp>
 
--- a/src/cli/service_client.cpp
+++ b/src/cli/service_client.cpp
@@ -12,8 +12,9 @@
 using Named = artifacts::Store::Named;
 namespace {
 
-constexpr double kAnswerTimeoutS = 5;  // PROTOCOL: no response within 5 s
-constexpr double kRetryForS = 60;      // for up to 60 s in total
+constexpr double kAnswerTimeoutS =
+    5;                             // PROTOCOL: a request without a response after 5 s has failed
+constexpr double kRetryForS = 60;  // PROTOCOL: retries for up to 60 s in total
 constexpr double kMinRetryDelayS = 1, kMaxRetryDelayS = 30;
 constexpr double kArtifactRetryDelayS = 1;
 constexpr std::size_t kMaxConnections = 1, kMaxQueue = 4;
@@ -41,7 +42,7 @@
 }
 
 [[noreturn]] void throw_refused(const net::Result& result) {
-  throw RequestFailed("refused: " + reason(result));
+  throw RequestFailed("the service refused the request: " + reason(result));
 }
 
 }  // namespace
@@ -91,7 +92,8 @@
     if (is_final(result.status)) return result;
     const double delay_s = std::clamp(result.retry_after_s, kMinRetryDelayS, kMaxRetryDelayS);
     if (actor::steady_now() + delay_s > give_up_at)
-      throw RequestFailed("gave up: " + reason(result));
+      throw RequestFailed(std::string(method) + " " + path +
+                          ": gave up without a final answer: " + reason(result));
     sleep(delay_s);
   }
 }
@@ -101,7 +103,8 @@
   while (true) {
     const Outcome outcome = call();
     if (outcome != Outcome::later) return outcome;
-    if (actor::steady_now() > give_up_at) throw RequestFailed("gave up: the depot does not answer");
+    if (actor::steady_now() > give_up_at)
+      throw RequestFailed("the depot did not answer within 60 s");
     sleep(kArtifactRetryDelayS);
   }
 }
@@ -120,7 +123,7 @@
 client_protocol::JobAnswer ServiceClient::submit(
     const client_protocol::JobDescription& description) {
   if (put_description(description) != Outcome::ok)
-    throw RequestFailed(description.job.id + ": the depot has another job of this id");
+    throw RequestFailed(description.job.id + ": the depot has a different job with this id");
   const net::Result result = request("POST", "/v2/runs", wire::encode_job(description.job));
   if (result.status != 200 && result.status != 201) throw_refused(result);
   return client_protocol::decode_job_state(result.body);
@@ -163,7 +166,8 @@
                              });
     return last;
   });
-  if (outcome == Outcome::refused) throw RequestFailed(name + ": refused by the depot");
+  if (outcome == Outcome::refused)
+    throw RequestFailed(name + ": the depot refused to look up this name");
   if (outcome == Outcome::absent) return std::nullopt;
   return found;
 }
--- a/src/cli/service_client.h
+++ b/src/cli/service_client.h
@@ -1,5 +1,6 @@
-// The service as a user's program sees it: PROTOCOL, "Users -> controller nodes", retries included,
-// and the artifact store behind the same address. Calls wait for their answers.
+// A blocking client of the service for users' programs: requests to controllers as in PROTOCOL,
+// "Users -> controller nodes", with the retries that it requires, and requests to the artifact
+// store at the same address.
 #pragma once
 #include <functional>
 #include <optional>
@@ -14,7 +15,7 @@
 
 namespace shunttrail::cli {
 
-/// The service refused, or did not answer within its time. One line.
+/// The service refused a request or did not answer in time. The message is one line.
 struct RequestFailed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -28,35 +29,35 @@
   /// Stores the description, then submits the job; repeated with the same id until one answer is
   /// final. Returns the job's state.
   client_protocol::JobAnswer submit(const client_protocol::JobDescription& description);
-  /// Nothing: there is no such job.
+  /// Returns the job's state, or nothing if there is no such job.
   [[nodiscard]] std::optional<client_protocol::JobAnswer> status(const std::string& id);
   client_protocol::JobAnswer cancel(const std::string& id);
-  /// Any path of the service, retried until the answer is final.
+  /// Sends a GET request for any path of the service, and retries until the answer is final.
   [[nodiscard]] net::Result get(const std::string& path);
-  /// An operator's order, repeated until its answer is final.
+  /// Sends a POST request, and retries until the answer is final.
   net::Result post(const std::string& path, const std::string& body);
-  /// Whether the service can take requests.
+  /// Returns whether the service accepts requests.
   [[nodiscard]] bool up();
 
-  /// Nothing: there is no such job, or the task has no result yet.
+  /// Both return nothing if there is no such job or the task has no result yet.
   [[nodiscard]] std::optional<client_protocol::JobDescription> description(const std::string& id);
   [[nodiscard]] std::optional<client_protocol::TaskResult> result(const wire::TaskId& task);
-  /// Fetches a blob into a file; false: it is not there or damaged.
+  /// Fetches a blob into a file. Returns false if the blob is missing or damaged.
   [[nodiscard]] bool fetch(const std::string& hash, const std::string& file);
   /// Stores a file as a blob; returns its hash.
   std::string upload(const std::string& file);
 
-  /// Waits; the connections to the service are kept.
+  /// Waits, and keeps the connections to the service open.
   void sleep(double seconds);
 
  private:
   net::Result request_once(const char* method, const std::string& path, const std::string& body);
-  // Retried as the protocol has it, for up to a minute; only a final status is returned.
+  // Sends a request, and retries as PROTOCOL requires for up to a minute until its status is final.
   net::Result request(const char* method, const std::string& path, const std::string& body);
-  // Starts a call and waits for its one callback, whose arguments are given to `then`.
+  // Starts a call, waits for its one callback and passes the callback's arguments to `then`.
   template <class... Arguments, class Call, class Then>
   void wait_for(Call call, Then then);
-  // Asks the artifact store again for up to a minute, as long as it answers `later`.
+  // Repeats a call to the artifact store for up to a minute while it answers `later`.
   artifacts::Outcome retry_while_unavailable(const std::function<artifacts::Outcome()>& call);
   artifacts::Outcome put_description(const client_protocol::JobDescription& description);
   std::optional<artifacts::Store::Named> find_name(const std::string& name);
@@ -67,7 +68,7 @@
   artifacts::Client artifacts_;
 };
 
-/// A job id that nobody else makes: the time and a random number.
+/// Returns a new job id, made of the time and a random number.
 [[nodiscard]] std::string new_job_id();
 
 }  // namespace shunttrail::cli
--- a/src/cli/submission.cpp
+++ b/src/cli/submission.cpp
@@ -15,14 +15,15 @@
 using nlohmann::json;
 namespace {
 
-constexpr std::size_t kImageNameDigits = 16;  // of the hash, enough to tell images apart
+constexpr std::size_t kImageNameDigits =
+    16;  // leading digits of the hash, enough to distinguish images
 
 wire::Priority parse_priority(const std::string& name) {
   if (name == "critical") return wire::Priority::critical;
   if (name == "high") return wire::Priority::high;
   if (name == "standard") return wire::Priority::standard;
   if (name == "idle") return wire::Priority::idle;
-  throw UsageError("--priority: " + name + " is none of critical, high, standard, idle");
+  throw UsageError("--priority: " + name + " is not one of critical, high, standard, idle");
 }
 
 std::string read_input(const std::string& file) {
@@ -41,7 +42,8 @@
   if (!job.contains("uid")) job["uid"] = new_job_id();
 }
 
-// The file holds a whole description, or a submission as the protocol has it, without a command.
+// Reads a file that holds either a whole job description, or a submission in PROTOCOL's form, which
+// has no command.
 JobDescription read_description(const std::string& file) {
   json content = json::parse(read_input(file), nullptr, false);
   if (!content.is_object()) throw UsageError(file + ": is not a JSON object");
@@ -84,7 +86,7 @@
   job.dependencies = options.dependencies;
   description.limit_s = options.limit_s;
   if (!wire::valid_job_id(job.id))
-    throw UsageError("--id: " + job.id + " is no job id (run-DIGITS)");
+    throw UsageError("--id: " + job.id + " is not a job id (run-DIGITS)");
   return description;
 }
 
