--- a/src/pbs/job.cpp
+++ b/src/pbs/job.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr double kRoundingSlack = 1e-9;
-constexpr std::uint64_t kMaxCount = 100000;  // of CPUs, GPUs or threads
+constexpr std::uint64_t kMaxCount = 100000;  // largest number of CPUs, GPUs or threads
 
 const char* priority_name(wire::Priority priority) {
   static constexpr const char* kNames[] = {"critical", "high", "standard", "idle"};
@@ -32,7 +32,7 @@
   return requested ? &requested->directive : nullptr;
 }
 
-// What one task needs.
+// The resources of one task.
 struct TaskShape {
   double cpus = 0;
   double mem_gb = 0;
@@ -40,7 +40,7 @@
   friend bool operator==(const TaskShape&, const TaskShape&) = default;
 };
 
-// Makes the job of a request, within what the operator's tables allow.
+// Makes the job of a request and checks it against the limits of the operator's tables.
 class JobBuilder {
  public:
   JobBuilder(const JobRequest& request, const Tables& tables, const Context& context, Job& job)
@@ -50,7 +50,7 @@
     const std::string& name = request_.queue.empty() ? tables_.default_queue : request_.queue;
     job_.name = request_.name;
     const Queue* queue = tables_.queue(name);
-    if (!queue) return;  // its fault is on the list
+    if (!queue) return;  // DirectiveReader has reported the unknown queue
     job_.queue = queue->name;
     set_tasks();
     set_run_time();
@@ -72,7 +72,7 @@
       job_.faults.push_back({Position{}, "", reason});
   }
 
-  // Chunks become tasks of one shape.
+  // Sets the number of tasks and their resources. Each chunk becomes a task; all have one shape.
   void set_tasks() {
     TaskShape shape{request_.ncpus.value_or(tables_.ncpus),
                     request_.mem_gb.value_or(tables_.mem_gb), request_.ngpus.value_or(0)};
@@ -96,7 +96,7 @@
     spec().anti_affinity = request_.anti_affinity;
   }
 
-  // The number of chunks, and the shape that they all have.
+  // Returns the number of chunks, and sets `shape` to the resources that each of them requests.
   std::uint64_t read_chunks(const Requested<std::vector<Chunk>>& chunks, TaskShape& shape) {
     const Directive* directive = &chunks.directive;
     std::uint64_t tasks = 0;
@@ -113,7 +113,7 @@
       first = shape = own;
       tasks += chunk.count;
     }
-    if (tasks == 0) fault(directive, "asks for no chunk at all");
+    if (tasks == 0) fault(directive, "requests no chunks");
     if (tasks > kMaxTasks)
       fault(directive, "asks for " + std::to_string(tasks) + " chunks; a job has at most " +
                            std::to_string(kMaxTasks) + " tasks");
@@ -150,7 +150,8 @@
     job_.description.limit_s = spec().estimate_s;
   }
 
-  // The team of the project, or of the queue. Null: there is no such project.
+  // Sets and returns the team: that of the project, or else of the queue. Returns null if there is
+  // no such project.
   const Team* set_team(const Queue& queue) {
     const Team* team = tables_.team(queue.team);
     if (request_.project && !request_.project->value.empty()) {
@@ -171,7 +172,7 @@
     return team;
   }
 
-  // A script may ask for less than its queue's priority, not for more.
+  // A script may request a lower priority than its queue's, but not a higher one.
   void set_priority(const Queue& queue) {
     spec().priority = queue.priority;
     if (!request_.priority) return;
@@ -185,7 +186,7 @@
     spec().priority = std::max(requested, queue.priority);
   }
 
-  // The directive that has asked for the shape of tasks; null: none has.
+  // Returns the directive that requests the tasks' resources, or null if there is none.
   const Directive* shape_directive() const {
     if (request_.select) return &request_.select->directive;
     if (request_.nodes) return &request_.nodes->directive;
@@ -231,7 +232,7 @@
     const std::string shell = !request_.shell.empty() ? request_.shell
                               : !script_shell.empty() ? script_shell
                                                       : "/bin/sh";
-    // The script itself is the job's image.
+    // The image of the job contains the script.
     description.command = {"/bin/sh", "-c",
                            task_setup() + "exec \"$0\" \"$SHUNT_IMAGE_DIR/script\"", shell};
   }
@@ -251,7 +252,8 @@
     set("PBS_O_WORKDIR", context_.dir);
   }
 
-  // Shell commands for what PBS tells each task and only the task's machine knows.
+  // Returns shell commands that set those of PBS's variables that are known only on the task's
+  // machine.
   std::string task_setup() const {
     const std::string node_file =
         "echo $SHUNT_MACHINE > nodefile; export PBS_NODEFILE=$PWD/nodefile; ";
--- a/src/pbs/job.h
+++ b/src/pbs/job.h
@@ -1,5 +1,5 @@
-// From a script's directives to the one job that the controllers know: the same submission that a
-// native user would make, so that nothing downstream can tell the two apart. Free of I/O.
+// Makes a job from a script's directives. The result is the same submission that a user of the
+// native interface would make, so controllers need not distinguish the two. Does no I/O.
 #pragma once
 #include <optional>
 #include <string>
@@ -14,7 +14,7 @@
 
 namespace shunttrail::pbs {
 
-/// What is not in the script: where and by whom it is submitted.
+/// The user, host, directory and environment from which a script is submitted.
 struct Context {
   std::string script_name = "STDIN";                             ///< for the job's name
   std::string user, home, host, dir;                             ///< for PBS_O_*
@@ -22,18 +22,18 @@
 };
 
 struct Job {
-  client_protocol::JobDescription description;  ///< its id is the caller's to set
+  client_protocol::JobDescription description;  ///< the caller sets its id
   std::string name, queue;
   std::optional<Range> array;
   std::vector<std::string> after_ok;  ///< native ids whose tasks must all have exited with 0
-  std::string out, err;               ///< paths asked for; empty: the usual ones
+  std::string out, err;               ///< requested paths; empty: the default ones
   bool joined = false;                ///< -j oe
   std::vector<Ignored> ignored;
-  std::vector<Fault> faults;  ///< not empty: the rest means nothing
+  std::vector<Fault> faults;  ///< if not empty, all other fields are meaningless
 };
 
-/// The job that the script and the command line ask for. What stands later counts, and the command
-/// line after the script. Every fault is reported at once.
+/// Returns the job that the script and the command line request. Later directives override earlier
+/// ones, and the command line overrides the script. The result lists every fault.
 [[nodiscard]] Job make_job(const Script& script, const Script& command_line,
                            const std::string& text, const Tables& tables, const Context& context);
 
--- a/src/pbs/job_id.cpp
+++ b/src/pbs/job_id.cpp
@@ -5,8 +5,8 @@
 namespace shunttrail::pbs {
 namespace {
 
-// Native ids of jobs that were submitted through PBS's commands: a prefix that users' own ids do
-// not have, and the number.
+// The native id of a job submitted through PBS's commands is this prefix, which users' own ids do
+// not have, followed by the number.
 constexpr const char* kIdPrefix = "run-77";
 constexpr int kIdDigits = 18;
 constexpr std::size_t kMaxNumberDigits = 12;
--- a/src/pbs/job_id.h
+++ b/src/pbs/job_id.h
@@ -1,4 +1,4 @@
-// Job ids as PBS's commands show them, and the native ids that they stand for.
+// Converts between the job ids of PBS's commands and native job ids.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -6,11 +6,12 @@
 
 namespace shunttrail::pbs {
 
-/// The native id that "123.shunttrail" or "123[].shunttrail" stands for. Numbers come from the
-/// state service, so an id names one job whichever interface is asked. Nothing: it is no such id.
+/// Returns the native id for a PBS id such as "123.shunttrail" or "123[].shunttrail", or nothing if
+/// the text is not a PBS id. The state service allocates the numbers, so an id names the same job
+/// in both interfaces.
 [[nodiscard]] std::optional<std::string> native_id(const std::string& pbs_id,
                                                    const std::string& server);
-/// The id of job `number` as PBS's commands show it.
+/// Returns the PBS id of job `number`.
 [[nodiscard]] std::string pbs_id(std::uint64_t number, bool array, const std::string& server);
 
 }  // namespace shunttrail::pbs
--- a/src/pbs/job_request.cpp
+++ b/src/pbs/job_request.cpp
@@ -13,11 +13,10 @@
 namespace fs = std::filesystem;
 
 constexpr std::size_t kMaxNameBytes = 230;       // qsub(1B)
-constexpr std::size_t kMaxScriptNameBytes = 15;  // of a name that is taken from the script's
-constexpr std::size_t kMaxLabelValueBytes =
-    80;                                       // bytes of a directive's value that users are shown
-constexpr std::uint64_t kMaxPriority = 1023;  // and -1024 at the least
-constexpr std::uint64_t kMaxCount = 100000;   // of CPUs or GPUs
+constexpr std::size_t kMaxScriptNameBytes = 15;  // a job name taken from the script's file name
+constexpr std::size_t kMaxLabelValueBytes = 80;  // part of a directive's value shown to users
+constexpr std::uint64_t kMaxPriority = 1023;     // the minimum is -1024
+constexpr std::uint64_t kMaxCount = 100000;      // largest number of CPUs or GPUs
 constexpr std::uint64_t kMaxCheckpointMinutes = 1000000;
 
 bool is_variable_name(const std::string& text) {
@@ -26,13 +25,13 @@
                      [](unsigned char c) { return std::isalnum(c) || c == '_'; });
 }
 
-// An attribute of -W.
+// One attribute of the -W option.
 struct Attribute {
   std::string name, value;
   std::size_t offset = 0, value_offset = 0;
 };
 
-// name=value, separated by commas; a part without '=' belongs to the value before it.
+// Reads name=value pairs separated by commas. A part without '=' belongs to the preceding value.
 std::vector<Attribute> read_attribute_list(const std::string& text) {
   std::vector<Attribute> attributes;
   for (auto [offset, part] : split_at(text, ',')) {
@@ -48,7 +47,7 @@
   return attributes;
 }
 
-// Reads a resource's value; faults are told by their place in the directive's value.
+// Reads a resource's value. Faults are reported with their offset in the directive's value.
 template <class Read>
 auto read_value(const Resource& resource, Read read) {
   try {
@@ -66,10 +65,10 @@
 void check_letters(const std::string& value, std::string_view known) {
   if (value.empty()) throw InvalidValue(0, "is empty");
   if (auto bad = value.find_first_not_of(known); bad != std::string::npos)
-    throw InvalidValue(bad, "holds a letter that qsub does not know");
+    throw InvalidValue(bad, "contains a letter that qsub does not define");
 }
 
-// Whether `path` is `parent` or below it; both are normal.
+// Returns whether `path` is `parent` or below it. Both paths have to be in normal form.
 bool is_inside(const fs::path& path, const fs::path& parent) {
   auto [end, unused] = std::mismatch(parent.begin(), parent.end(), path.begin(), path.end());
   return end == parent.end() || (end->empty() && std::next(end) == parent.end());
@@ -191,7 +190,7 @@
     case 'C':
       return fault(0, "is for the command line only");
     default:
-      return fault(0, "is not served here");
+      return fault(0, "is not supported here");
   }
 }
 
@@ -223,7 +222,8 @@
   const Range range = read_range(directive.value);
   request_.array = {range, directive};
   if (range.limit)
-    throw InvalidValue(directive.value.find('%'), "how many run at a time cannot be limited here");
+    throw InvalidValue(directive.value.find('%'),
+                       "a limit on the tasks that run at a time is not supported");
   if (range.size() > kMaxTasks)
     throw InvalidValue(0, "asks for " + std::to_string(range.size()) +
                               " tasks; a job has at most " + std::to_string(kMaxTasks));
@@ -258,7 +258,8 @@
 }
 
 void DirectiveReader::read_user(const std::string& value) const {
-  if (value != context_.user) throw InvalidValue(0, "jobs run under the name of who submits them");
+  if (value != context_.user)
+    throw InvalidValue(0, "a job runs under the name of the user who submits it");
 }
 
 void DirectiveReader::read_checkpoint(const std::string& value) {
@@ -267,7 +268,7 @@
     read_count(value.substr(2), kMaxCheckpointMinutes);
   else if (std::find(std::begin(kWords), std::end(kWords), value) == std::end(kWords))
     throw InvalidValue(0, "is none of n, s, c, c=minutes, w, w=minutes, u");
-  ignored("a program saves by itself, or not at all (docs/agent.md)");
+  ignored("checkpoints are saved by the program itself, or not at all (docs/agent.md)");
 }
 
 void DirectiveReader::read_variables(const std::string& value) {
@@ -290,14 +291,14 @@
   std::string path = value;
   if (auto colon = value.find(':'); colon != std::string::npos) {
     if (value.substr(0, colon) != context_.host)
-      throw InvalidValue(0, "output is brought to the submitting host only");
+      throw InvalidValue(0, "output is delivered only to the submitting host");
     path = value.substr(colon + 1);
   }
   if (path.empty()) throw InvalidValue(0, "is empty");
   const fs::path home = fs::path(context_.home).lexically_normal();
   const fs::path full = (fs::path(context_.dir) / path).lexically_normal();
   if (context_.home.empty() || !is_inside(full, home))
-    throw InvalidValue(0, "leaves the directory of its owner, " + context_.home);
+    throw InvalidValue(0, "is outside the home directory " + context_.home);
   return path;
 }
 
@@ -339,7 +340,7 @@
       request_.anti_affinity = true;
     else if (word != "free" && word != "shared")
       throw InvalidValue(resource.value_at,
-                         "place=" + word + " cannot be promised here (free, pack, scatter)");
+                         "place=" + word + " is not supported here (free, pack and scatter are)");
   }
 }
 
@@ -350,7 +351,7 @@
     else if (attribute.name == "group_list")
       request_.project = {attribute.value, directive};
     else
-      fault(attribute.offset, attribute.name + " is not served here");
+      fault(attribute.offset, attribute.name + " is not supported here");
   }
 }
 
@@ -367,13 +368,13 @@
 
 void DirectiveReader::add_dependency(std::size_t offset, const Dependency& dependency) {
   if (dependency.type != "afterok" && dependency.type != "afterany")
-    return fault(offset, dependency.type + " cannot be kept here (afterok and afterany can)");
+    return fault(offset, dependency.type + " is not supported here (afterok and afterany are)");
   if (dependency.ids.empty()) return fault(offset, dependency.type + " names no job");
   auto& awaited = job_.description.job.dependencies;
   for (const std::string& id : dependency.ids) {
     const auto native = native_id(id, tables_.server);
     if (!native) {
-      fault(offset, id + " is no job of " + tables_.server);
+      fault(offset, id + " is not a job id of server " + tables_.server);
       continue;
     }
     if (std::find(awaited.begin(), awaited.end(), *native) == awaited.end())
--- a/src/pbs/job_request.h
+++ b/src/pbs/job_request.h
@@ -1,4 +1,5 @@
-// What a script's directives ask for, read one by one; the operator's limits are not applied yet.
+// Reads a script's directives one by one into a request. The operator's limits are applied later,
+// in make_job().
 #pragma once
 #include <map>
 #include <optional>
@@ -9,37 +10,38 @@
 
 namespace shunttrail::pbs {
 
-/// A value, and the directive that has asked for it.
+/// A value, and the directive that requests it.
 template <class T>
 struct Requested {
   T value;
   Directive directive;
 };
 
-/// The last directive of a kind counts.
+/// The requests of all directives; of several directives of one kind, the last one holds.
 struct JobRequest {
   std::string name;
-  std::string queue;  ///< empty: the default one
-  std::string shell;  ///< empty: the script's own
+  std::string queue;  ///< empty: the default queue
+  std::string shell;  ///< empty: the shell of the script's "#!" line
   std::optional<Requested<Range>> array;
   std::optional<Requested<int>> priority;
   std::optional<Requested<std::string>> project;
   std::optional<Requested<std::vector<Chunk>>> select;
   std::optional<Requested<std::vector<Chunk>>> nodes;
-  std::size_t chunks_offset = 0;  ///< of the chunks in their directive's value
+  std::size_t chunks_offset = 0;  ///< offset of the chunks in their directive's value
   std::optional<Requested<double>> walltime_s;
-  /// Of the whole job, the older form; and the last directive with one of them.
+  /// Resources of the whole job, which is the older form, and the last directive that sets one of
+  /// them.
   std::optional<double> ncpus, ngpus, mem_gb;
   std::optional<Directive> whole_job_directive;
   bool same_zone = false;      ///< place=pack
   bool anti_affinity = false;  ///< place=scatter
 };
 
-/// The words of a directive for users: its option and the beginning of its value.
+/// Returns a directive as shown to users: its option and the beginning of its value.
 [[nodiscard]] std::string label(const Directive& directive);
 
-/// Reads directives into a request, and into the job what needs no table: environment, dependencies
-/// and output. Faults are added to the job.
+/// Reads directives into a request. Environment, dependencies and output, which need no table, go
+/// directly into the job, and so do faults.
 class DirectiveReader {
  public:
   DirectiveReader(const Tables& tables, const Context& context, Job& job);
@@ -75,7 +77,7 @@
   const Context& context_;
   Job& job_;
   JobRequest request_;
-  const Directive* directive_ = nullptr;  // the one that is being read
+  const Directive* directive_ = nullptr;  // the directive that is being read
 };
 
 }  // namespace shunttrail::pbs
--- a/src/pbs/limits.h
+++ b/src/pbs/limits.h
@@ -4,6 +4,6 @@
 
 namespace shunttrail::pbs {
 
-inline constexpr std::uint64_t kMaxTasks = 100000;  ///< PROTOCOL: of one job
+inline constexpr std::uint64_t kMaxTasks = 100000;  ///< PROTOCOL: most tasks in one job
 
 }  // namespace shunttrail::pbs
--- a/src/pbs/script.cpp
+++ b/src/pbs/script.cpp
@@ -8,8 +8,8 @@
 
 namespace p = tao::pegtl;
 
-// qsub's options. A flag takes nothing; every other one takes the rest of its word, or the next
-// word.
+// The options of qsub. A flag has no value. Any other option takes the rest of its word or, if that
+// is empty, the next word as its value.
 constexpr std::string_view kFlags = "hVzIXfx";
 constexpr std::string_view kValued = "aAcCeGjJklmMNopPqrRSuvW";
 
@@ -18,7 +18,7 @@
   std::size_t column = 0;
 };
 
-// Words as a shell would have them: quotes hold blanks together, a backslash takes the next byte.
+// Words as in a shell: quotes protect blanks, and a backslash quotes the next byte.
 struct Words {
   std::vector<Word> words;
   std::string current;
@@ -72,8 +72,8 @@
 };
 // NOLINTEND(readability-identifier-naming)
 
-constexpr std::size_t kMaxShownWordBytes = 40;  // bytes of a word that users are shown
-constexpr std::size_t kMaxShownLineBytes = 80;  // bytes of a line that users are shown
+constexpr std::size_t kMaxShownWordBytes = 40;  // part of a word shown to users
+constexpr std::size_t kMaxShownLineBytes = 80;  // part of a line shown to users
 constexpr unsigned char kFirstPrintable = 0x20;
 
 std::string label(char option) { return std::string("-") + option; }
@@ -82,10 +82,10 @@
 bool takes_value(char option) { return kValued.find(option) != std::string_view::npos; }
 bool is_blank(char c) { return c == ' ' || c == '\t'; }
 
-// What a word that is no option means.
+// Treatment of a word that is not an option.
 enum class NonOption {
-  is_fault,  // in a directive
-  ends,      // on a command line, the options
+  is_fault,  // in a directive: the word is a fault
+  ends,      // on a command line: the word ends the options
 };
 
 // Reads options from words.
@@ -94,7 +94,7 @@
   OptionReader(const std::vector<Word>& words, std::size_t line_number, Script& script)
       : words_(words), line_number_(line_number), script_(script) {}
 
-  // How many words were read.
+  // Reads the options and returns the number of words read.
   std::size_t read(NonOption non_option) {
     while (next_ < words_.size()) {
       const Word& word = words_[next_];
@@ -122,7 +122,7 @@
     script_.faults.push_back({position_of(word), directive, reason});
   }
 
-  // Flags may be joined, and the last of the word may be an option that takes a value.
+  // Reads a word of joined flags, whose last letter may be an option that takes a value.
   void read_word(const Word& word) {
     for (std::size_t i = 1; i < word.text.size(); ++i) {
       const char option = word.text[i];
@@ -131,7 +131,7 @@
     }
   }
 
-  // The option's value is the rest of its word, or else the next word.
+  // Reads an option whose value is the rest of its word or, if that is empty, the next word.
   void read_valued(const Word& word, std::size_t at) {
     const char option = word.text[at];
     const std::string rest = word.text.substr(at + 1);
@@ -153,14 +153,15 @@
   std::size_t next_ = 0;
 };
 
-// A backslash at the end takes the next line in, unless it is itself taken by one before it.
+// Returns whether the line ends in a backslash that is not itself quoted by a preceding backslash,
+// so that the next line continues it.
 bool continues(std::string_view line_text) {
   const auto last = line_text.find_last_not_of('\\');
   const std::size_t text_end = last == std::string_view::npos ? 0 : last + 1;
   return (line_text.size() - text_end) % 2 == 1;
 }
 
-// Why a text is no script at all; nothing: it may be one.
+// Returns the reason why a text cannot be a script, or nothing.
 std::optional<Fault> find_unreadable(std::string_view text) {
   auto refusal = [](Position at, const char* reason) { return Fault{at, "", reason}; };
   if (text.size() > kMaxScriptBytes) return refusal({1, 1}, "the script is longer than 1 MiB");
@@ -187,7 +188,8 @@
   return std::nullopt;
 }
 
-// The options of one directive, without its prefix; `first_column` is that of the text.
+// Reads the options of one directive, whose prefix is removed. `first_column` is the column of
+// `text`.
 void read_directive(std::string_view text, std::size_t line_number, std::size_t first_column,
                     Script& script) {
   if (auto at = find_control_character(text)) {
@@ -236,10 +238,11 @@
     else if (in_leading_block_)
       read_continued_directive(text);
     else
-      // qsub reads no further than the first command; who wrote this meant it to count.
+      // qsub ignores directives after the first command. The author probably did not intend that,
+      // so the line is reported.
       script_.ignored.push_back({{line_number_, 1},
                                  std::string(text.substr(0, kMaxShownLineBytes)),
-                                 "stands behind the first command, where qsub does not look"});
+                                 "follows the first command, where qsub reads no directives"});
   }
 
   void read_shell(std::string_view text) {
@@ -254,7 +257,8 @@
     return is_blank(next) || next == '-';
   }
 
-  // Neither empty nor a comment; a first line that begins with ':' is none either.
+  // Returns whether the line is a command: not empty, not a comment, and not a first line that
+  // begins with ':'.
   bool is_command(std::string_view text) const {
     const auto first = text.find_first_not_of(" \t");
     if (first == std::string_view::npos || text[first] == '#') return false;
@@ -281,11 +285,11 @@
     read_directive(whole, first_line, prefix_.size() + 1, script_);
   }
 
-  std::string_view text_;  // what is left
+  std::string_view text_;  // the text that is not read yet
   std::string_view prefix_;
   Script script_;
   std::size_t line_number_ = 0;
-  bool in_leading_block_ = true;  // no command was there yet
+  bool in_leading_block_ = true;  // no command has been read yet
   bool stopped_ = false;
 };
 
--- a/src/pbs/script.h
+++ b/src/pbs/script.h
@@ -1,6 +1,6 @@
-// The directives of a PBS job script, as qsub(1B) has them: the leading block of lines that begin
-// with the prefix, each holding options as on a command line. Free of I/O: text in, directives or
-// faults out, and every fault of the script at once.
+// Reads the directives of a PBS job script as described in qsub(1B): the lines before the first
+// command that begin with the prefix, each with options as on a command line. Does no I/O, and
+// reports every fault of a script.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -9,30 +9,30 @@
 
 namespace shunttrail::pbs {
 
-/// Where something stands: lines and columns from 1; line 0 is the command line, whose columns
-/// count its words.
+/// A position in a script. Lines and columns count from 1. Line 0 is the command line, where the
+/// column is the number of the word.
 struct Position {
   std::size_t line = 0;
   std::size_t column = 0;
   friend bool operator==(const Position&, const Position&) = default;
 };
 
-/// Why a script is refused.
+/// A reason why a script is refused.
 struct Fault {
   Position at;
   std::string directive;
   std::string reason;
 };
 
-/// One option.
+/// One option of a directive or of the command line.
 struct Directive {
-  char option = 0;    ///< its letter
+  char option = 0;    ///< the option's letter
   std::string value;  ///< empty for a flag
   Position at;
-  std::size_t value_column = 0;  ///< where its value begins
+  std::size_t value_column = 0;  ///< column at which the value begins
 };
 
-/// Accepted, and without effect here.
+/// A directive that is accepted but has no effect in this service.
 struct Ignored {
   Position at;
   std::string directive;
@@ -43,17 +43,19 @@
   std::vector<Directive> directives;  ///< in order
   std::vector<Ignored> ignored;
   std::vector<Fault> faults;
-  std::string shell;  ///< what "#!" names; empty: none
+  std::string shell;  ///< the program of the "#!" line; empty: none
 };
 
-inline constexpr std::size_t kMaxScriptBytes = 1 << 20;  ///< bytes of a script
+inline constexpr std::size_t kMaxScriptBytes = 1 << 20;  ///< largest size of a script
 inline constexpr std::size_t kMaxDirectives = 1000;
 
-/// `prefix`: "#PBS", or what -C or PBS_DPREFIX says; empty: no line is a directive.
+/// Reads a script. `prefix` is "#PBS", or the value of -C or PBS_DPREFIX; if it is empty, no line
+/// is a directive.
 Script read_script(std::string_view text, std::string_view prefix);
-/// The words of a command line up to the script's name: its options, and how many words they were.
+/// Reads the options of a command line up to the script's name. Sets `taken` to the number of words
+/// read.
 Script read_arguments(const std::vector<std::string>& words, std::size_t& taken);
-/// A directive as a line that reads back to it.
+/// Returns a directive as a line that read_script() reads back to the same directive.
 std::string print(const Directive& d, std::string_view prefix);
 
 }  // namespace shunttrail::pbs
--- a/src/pbs/tables.cpp
+++ b/src/pbs/tables.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr double kMaxLimit = 1e9;
-constexpr double kMinPriority = -1024, kMaxPriority = 1023;  // of -p, qsub(1B)
+constexpr double kMinPriority = -1024, kMaxPriority = 1023;  // range of -p in qsub(1B)
 
 wire::Priority parse_priority(const std::string& name, const std::string& xml_path) {
   static const std::map<std::string, wire::Priority> names = {
@@ -108,17 +108,18 @@
                                   }}});
 }
 
-// Whatever the tables name has to be in them.
+// Checks that every queue and team that the tables refer to is defined in them.
 void check_references(const Tables& tables) {
   for (const Queue& queue : tables.queues)
     if (!tables.team(queue.team))
-      bad_at("shunt-pbs.queues.queue " + queue.name + "@team", "is no team of the table");
+      bad_at("shunt-pbs.queues.queue " + queue.name + "@team", "is not a team of the table");
   for (const Team& team : tables.teams)
     for (const std::string& queue : team.queues)
       if (!tables.queue(queue))
-        bad_at("shunt-pbs.teams.team " + team.name + "@queues", queue + " is no queue");
+        bad_at("shunt-pbs.teams.team " + team.name + "@queues",
+               queue + " is not a queue of the table");
   if (!tables.queue(tables.default_queue))
-    bad_at("shunt-pbs.queues@default", "is no queue of the table");
+    bad_at("shunt-pbs.queues@default", "is not a queue of the table");
 }
 
 template <class T>
--- a/src/pbs/tables.h
+++ b/src/pbs/tables.h
@@ -1,5 +1,5 @@
-// The operator's tables: what PBS's queues, priorities, projects and groups mean here, and how much
-// a script may ask for (deploy/pbs.xml).
+// The operator's tables (deploy/pbs.xml), which map PBS's queues, priorities, projects and groups
+// to those of this service and limit the requests of a script.
 #pragma once
 #include <map>
 #include <optional>
@@ -10,9 +10,9 @@
 
 namespace shunttrail::pbs {
 
-/// The most that a script may ask for; nothing: no limit.
+/// The largest amounts that a script may request. An empty field means no limit.
 struct Limits {
-  std::optional<double> cpus, mem_gb, gpus;  ///< of a chunk
+  std::optional<double> cpus, mem_gb, gpus;  ///< of each chunk
   std::optional<double> walltime_s;
   std::optional<std::uint32_t> tasks;
 };
@@ -20,7 +20,7 @@
 struct Queue {
   std::string name;
   std::string job_class;
-  std::string team;  ///< of jobs that name none
+  std::string team;  ///< team of jobs that name no project
   wire::Priority priority = wire::Priority::standard;
   bool spot = true;
   Limits limits;
@@ -28,9 +28,9 @@
 
 struct Team {
   std::string name;
-  double cpus_max = 0;                ///< what its tasks may use at any time; 0: not told
-  std::vector<std::string> projects;  ///< names by which -P and group_list mean it
-  std::vector<std::string> queues;    ///< those it may use; empty: all
+  double cpus_max = 0;                ///< most CPUs of its running tasks; 0: no limit is set
+  std::vector<std::string> projects;  ///< names that refer to it in -P and group_list
+  std::vector<std::string> queues;    ///< queues that it may use; empty: all
 };
 
 struct Tables {
@@ -38,19 +38,20 @@
   std::string default_queue;
   std::vector<Queue> queues;
   std::vector<Team> teams;
-  /// -p: the priority from this number on, lowest first. A queue's own, where -p is not given.
+  /// Maps the least value of -p to its priority. Without -p, or below the first entry, the queue's
+  /// priority applies.
   std::map<int, wire::Priority> priorities;
-  /// Where a script does not say.
+  /// Defaults for scripts that do not request these resources.
   double ncpus = 1, mem_gb = 0.5, walltime_s = 3600;
 
-  /// Null: there is none of this name.
+  /// Both return null if there is no entry of this name.
   [[nodiscard]] const Queue* queue(const std::string& name) const;
   [[nodiscard]] const Team* team(const std::string& name) const;
-  /// The team of a project, or of its own name.
+  /// Returns the team with this name or with this project, or null if there is none.
   [[nodiscard]] const Team* team_of(const std::string& project) const;
 };
 
-/// Throws config::SettingsError, one line that names the place.
+/// Parses the tables. Throws config::SettingsError with one line that names the element.
 Tables parse_tables(const std::string& xml);
 
 }  // namespace shunttrail::pbs
--- a/src/pbs/values.cpp
+++ b/src/pbs/values.cpp
@@ -26,7 +26,7 @@
     : p::seq<p::sor<p::alpha, p::one<'_'>>, p::star<p::sor<p::alnum, p::one<'_', '-', '.'>>>> {};
 struct number : p::plus<p::digit> {};
 
-// Chunks
+// Grammar of chunks
 struct chunk_value : p::plus<p::not_one<':', '+', ',', ' '>> {};
 struct chunk_count : number {};
 struct chunk_resource : p::seq<name, p::one<'='>, chunk_value> {};
@@ -83,7 +83,7 @@
 std::vector<Chunk> chunks(std::string_view text, const char* form) {
   std::vector<Chunk> out;
   p::memory_input in(text.data(), text.data() + text.size(), "");
-  // What does not fit the form is wrong behind the last chunk that did.
+  // If the text does not match the form, the fault is reported at the last chunk that was begun.
   if (!p::parse<Rule, act>(in, out)) {
     std::size_t at = out.empty() ? 0 : out.back().at;
     throw InvalidValue(at, std::string("is not of the form ") + form);
@@ -91,7 +91,7 @@
   return out;
 }
 
-// Times
+// Grammar of times, sizes and ranges
 struct time_form : p::seq<p::list<number, p::one<':'>>, p::opt<p::one<'.'>, number>, p::eof> {};
 struct size_form : p::seq<number, p::opt<p::one<'k', 'm', 'g', 't', 'p', 'K', 'M', 'G', 'T', 'P'>>,
                           p::opt<p::one<'b', 'w', 'B', 'W'>>, p::eof> {};
@@ -105,7 +105,7 @@
   return p::parse<Rule>(in);
 }
 
-// Bytes of a unit such as "kb", "gw" or "".
+// Returns the number of bytes in a unit such as "kb", "gw" or "".
 double bytes_of(std::string_view unit) {
   static constexpr std::string_view kPrefixes = "kmgtp";
   double bytes = 1;
@@ -157,7 +157,7 @@
   std::string_view unit = digits == std::string_view::npos ? "" : text.substr(digits);
   double n = static_cast<double>(read_count(text.substr(0, digits), kMaxSizeNumber));
   const double gb = n * bytes_of(unit) / kBytesPerGib;
-  if (gb > kMaxSizeGb) throw InvalidValue(0, "is more than any machine has");
+  if (gb > kMaxSizeGb) throw InvalidValue(0, "is more than the maximum of 10^6 GB");
   return gb;
 }
 
@@ -177,7 +177,7 @@
   for (auto [at, one] : split_at(text, ',')) {
     const auto equals = one.find('=');
     std::string_view key = one.substr(0, equals);
-    if (!fits<p::seq<name, p::eof>>(key)) throw InvalidValue(at, "has no resource's name here");
+    if (!fits<p::seq<name, p::eof>>(key)) throw InvalidValue(at, "is not a resource name");
     Resource resource{std::string(key), "", at, at};
     if (equals != std::string_view::npos) {
       resource.value = one.substr(equals + 1);
@@ -200,7 +200,7 @@
   Range range;
   if (auto percent = text.find('%'); percent != std::string_view::npos) {
     range.limit = read_count(text.substr(percent + 1), kMaxRunningLimit);
-    if (range.limit == 0) throw InvalidValue(percent + 1, "lets none run");
+    if (range.limit == 0) throw InvalidValue(percent + 1, "allows no task to run");
     text = text.substr(0, percent);
   }
   auto dash = text.find('-');
--- a/tests/pbs_test.cpp
+++ b/tests/pbs_test.cpp
@@ -1,5 +1,5 @@
-// PBS scripts: a table of scripts and their verdicts, generated scripts that read back, bytes of
-// any kind.
+// Tests of the PBS reader: a table of scripts and their faults, generated directives that are
+// printed and read back, and arbitrary bytes.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -83,7 +83,7 @@
   EXPECT_EQ(j.description.env.at("PBS_O_WORKDIR"), "/home/ana/work");
   EXPECT_EQ(j.description.command.back(), "/bin/bash");
   EXPECT_TRUE(j.joined);
-  ASSERT_EQ(j.ignored.size(), 3u);  // behind the first command, and both of mail
+  ASSERT_EQ(j.ignored.size(), 3u);  // the directive after the first command, -m and -M
   EXPECT_EQ(j.ignored[0].at.line, 12u);
 }
 
@@ -108,7 +108,7 @@
   EXPECT_EQ(make_test_job("#PBS -J 3\ntrue\n").description.job.tasks, 1u);
 }
 
-// Script, and what each fault has to say, in order.
+// A script, and a text that each of its faults has to contain, in order.
 struct Verdict {
   const char* name;
   std::string script;
@@ -152,7 +152,7 @@
         Verdict{"too_many_tasks",
                 line("-l select=60000:ncpus=1+60000:ncpus=1"),
                 {"asks for 120000 chunks"}},
-        Verdict{"no_chunk", line("-l select=0:ncpus=1"), {"no chunk at all"}},
+        Verdict{"no_chunk", line("-l select=0:ncpus=1"), {"requests no chunks"}},
         Verdict{
             "overflow", line("-l select=99999999999999999999:ncpus=1"), {"is more than 1000000"}},
         Verdict{"walltime_overflow", line("-l walltime=99999999999999999999"), {"is more than"}},
@@ -162,7 +162,7 @@
                 line("-l select=1:ncpus=1 -l mem=1gb"),
                 {"cannot be asked for beside chunks"}},
         Verdict{"nodes_and_select", line("-l select=1 -l nodes=1"), {"nodes and select"}},
-        Verdict{"place", line("-l place=excl"), {"place=excl cannot be promised"}},
+        Verdict{"place", line("-l place=excl"), {"place=excl is not supported"}},
         Verdict{"array_too_long", line("-J 0-100000"), {"asks for 100001 tasks"}},
         Verdict{"array_backwards", line("-J 5-1"), {"2:11 -J 5-1: ends before it begins"}},
         Verdict{"array_step", line("-J 1-5:0"), {"has a step of 0"}},
@@ -184,22 +184,23 @@
         Verdict{"team_limit", line("-l ncpus=64"), {"64 CPUs a task; team default may use 32"}},
         Verdict{"project", line("-P nobody"), {"no team has a project or group nobody"}},
         Verdict{"server", line("-q workq@other"), {"no other server"}},
-        Verdict{"depend_type", line("-W depend=afternotok:1"), {"afternotok cannot be kept"}},
-        Verdict{"depend_id", line("-W depend=afterok:x.y"), {"x.y is no job"}},
+        Verdict{"depend_type", line("-W depend=afternotok:1"), {"afternotok is not supported"}},
+        Verdict{"depend_id", line("-W depend=afterok:x.y"), {"x.y is not a job id"}},
         Verdict{"depend_empty", line("-W depend=afterok:"), {"is empty here"}},
-        Verdict{"attribute", line("-W stagein=a@b:c"), {"stagein is not served"}},
+        Verdict{"attribute", line("-W stagein=a@b:c"), {"stagein is not supported"}},
         Verdict{"hold", line("-h"), {"cannot be held yet"}},
         Verdict{"at", line("-a 2330"), {"cannot be set yet"}},
         Verdict{"name_digit", line("-N 9lives"), {"begins with a letter"}},
         Verdict{"name_control", "#PBS -N a\x01z\ntrue\n", {"1:10 : holds a control character"}},
-        Verdict{"path_leaves", line("-o ../../bob/x"), {"leaves the directory of its owner"}},
-        Verdict{"path_absolute", line("-e /etc/passwd"), {"leaves the directory of its owner"}},
-        Verdict{"path_other_host", line("-o far:/home/ana/x"), {"submitting host only"}},
+        Verdict{"path_leaves", line("-o ../../bob/x"), {"is outside the home directory /home/ana"}},
+        Verdict{
+            "path_absolute", line("-e /etc/passwd"), {"is outside the home directory /home/ana"}},
+        Verdict{"path_other_host", line("-o far:/home/ana/x"), {"only to the submitting host"}},
         Verdict{"other_user", line("-u bob"), {"who submits"}},
         Verdict{"variable_unset", line("-v NOPE"), {"NOPE is not set"}},
         Verdict{"variable_name", line("-v 1A=2"), {"is not a variable"}},
         Verdict{"shell_list", line("-S /bin/sh@a,/bin/sh"), {"for each host"}},
-        Verdict{"mail_letters", line("-m q"), {"does not know"}},
+        Verdict{"mail_letters", line("-m q"), {"does not define"}},
         Verdict{"quote", line("-N 'open"), {"quotation is not closed"}},
         Verdict{"no_value", line("-N"), {"-N: needs a value"}},
         Verdict{"not_an_option",
@@ -234,7 +235,7 @@
   }
 }
 
-// Whatever the bytes are: an answer, and a place inside the text for each fault.
+// Any text yields a job or faults, and the line of each fault is inside the text.
 RC_GTEST_PROP(PbsScript, AnyBytesYieldAJobOrFaultsWithinTheText, ()) {
   std::string text;
   for (int n = *rc::gen::inRange(0, 30); n > 0; --n) {
@@ -254,7 +255,7 @@
   if (j.faults.empty()) {
     RC_ASSERT(j.description.job.tasks >= 1u && j.description.job.tasks <= 100000u);
     j.description.job.id = "run-123456";
-    // What the controllers are given, they accept.
+    // The codec that the controllers use accepts the job.
     static_cast<void>(wire::decode_job(wire::encode_job(j.description.job)));
   }
 }
