--- a/tests/local_cluster_test.cpp
+++ b/tests/local_cluster_test.cpp
@@ -69,24 +69,24 @@
   std::pair<int, std::string> run_ctl(const std::string& words) const {
     const std::string command = std::string(SHUNTTRAIL_CTL) + " --server " + url + " " + words +
                                 " 2>>" + (dir / "ctl.err").string();
-    FILE* f = ::popen(command.c_str(), "r");
+    FILE* output = ::popen(command.c_str(), "r");
     std::string out;
-    char b[4096];
-    for (std::size_t n; (n = ::fread(b, 1, sizeof b, f)) > 0;) out.append(b, n);
-    int status = ::pclose(f);
+    char buffer[4096];
+    for (std::size_t n; (n = ::fread(buffer, 1, sizeof buffer, output)) > 0;) out.append(buffer, n);
+    int status = ::pclose(output);
     while (!out.empty() && out.back() == '\n') out.pop_back();
     return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, out};
   }
   // Returns the number of processes whose command line names the cluster's directory.
   int count_processes() const {
-    int n = 0;
-    for (const auto& e : fs::directory_iterator("/proc")) {
-      std::ifstream in(e.path() / "cmdline", std::ios::binary);
+    int count = 0;
+    for (const auto& entry : fs::directory_iterator("/proc")) {
+      std::ifstream in(entry.path() / "cmdline", std::ios::binary);
       std::ostringstream text;
       text << in.rdbuf();
-      n += text.str().find((dir / "set").string()) != std::string::npos;
+      count += text.str().find((dir / "set").string()) != std::string::npos;
     }
-    return n;
+    return count;
   }
 };
 
@@ -112,13 +112,13 @@
   EXPECT_EQ(cluster.run_ctl("submit --team nobody -- true").first, 1);
   EXPECT_EQ(cluster.run_ctl("submit --priority soon -- true").first, 2);
   EXPECT_EQ(cluster.run_ctl("submit").first, 2);
-  auto waits = cluster.run_ctl("submit --vcpus 2 -- sh -c 'sleep 2; echo survived'").second;
+  auto unfinished = cluster.run_ctl("submit --vcpus 2 -- sh -c 'sleep 2; echo survived'").second;
   EXPECT_EQ(cluster.end(), 0);
   EXPECT_EQ(cluster.count_processes(), 0);
   cluster.start();
   EXPECT_EQ(cluster.run_ctl("status " + id).first, 0);
-  EXPECT_EQ(cluster.run_ctl("wait " + waits).first, 0);
-  EXPECT_EQ(cluster.run_ctl("output " + waits).second, "survived");
+  EXPECT_EQ(cluster.run_ctl("wait " + unfinished).first, 0);
+  EXPECT_EQ(cluster.run_ctl("output " + unfinished).second, "survived");
   EXPECT_EQ(cluster.end(), 0);
   EXPECT_EQ(cluster.count_processes(), 0);
 }
@@ -134,7 +134,7 @@
     return nlohmann::json::parse(cluster.run_ctl("levels --json " + words).second);
   };
   // Waits until this level is active and all stored state has its form.
-  auto reach = [&](int level) {
+  auto reaches_level = [&](int level) {
     nlohmann::json status;
     for (int i = 0; i < 300; ++i) {
       status = levels("");
@@ -145,7 +145,7 @@
     ADD_FAILURE() << status;
     return false;
   };
-  ASSERT_TRUE(reach(1));
+  ASSERT_TRUE(reaches_level(1));
   auto status = levels("");
   EXPECT_EQ(status["nodes"].size(), 3u);
   EXPECT_EQ(status["nodes"][0]["reads"], (nlohmann::json{0, 2}));
@@ -155,14 +155,14 @@
   EXPECT_EQ(status["held_by"][0]["by"], "build");
   EXPECT_EQ(cluster.run_ctl("submit --wait -- true").first, 0);
   EXPECT_EQ(levels("--hold 0")["hold"], 0);
-  ASSERT_TRUE(reach(0));
+  ASSERT_TRUE(reaches_level(0));
   EXPECT_EQ(levels("")["held_by"][0]["by"], "orders");
   EXPECT_EQ(cluster.run_ctl("submit --wait -- true").first, 0);
   EXPECT_EQ(cluster.run_ctl("levels --gone node-0").first, 1);  // the node is alive
   EXPECT_EQ(cluster.run_ctl("levels --gone nobody").first, 1);
   EXPECT_EQ(cluster.run_ctl("levels --hold 0 --release").first, 2);
   levels("--release");
-  ASSERT_TRUE(reach(1));
+  ASSERT_TRUE(reaches_level(1));
   EXPECT_NE(cluster.run_ctl("levels").second.find("state level 1 is active"), std::string::npos);
   EXPECT_EQ(cluster.end(), 0);
 }
@@ -244,31 +244,32 @@
 
 // deploy/service.toml starts every controller with deploy/run.xml.
 TEST(LocalSettings, DeployedTuningIsValidAndEnablesRelay) {
-  auto t = config::parse_tuning(
+  auto tuning = config::parse_tuning(
       config::read_file(std::string(SHUNTTRAIL_SOURCE) + "/deploy/run.xml", "deploy/run.xml"));
-  EXPECT_TRUE(t.relay);
+  EXPECT_TRUE(tuning.relay);
 }
 
 TEST(LocalSettings, ShippedFileIsValidAndErrorsNameTheElement) {
   std::ifstream in(std::string(SHUNTTRAIL_SOURCE) + "/deploy/local.xml");
   std::ostringstream text;
   text << in.rdbuf();
-  auto s = local_cluster::parse_settings(text.str());
-  EXPECT_EQ(s.controllers, 3);
-  auto fails = [&](const std::string& from, const std::string& to, const std::string& names) {
-    std::string bad = text.str();
-    bad.replace(bad.find(from), from.size(), to);
+  auto settings = local_cluster::parse_settings(text.str());
+  EXPECT_EQ(settings.controllers, 3);
+  auto expect_error = [&](const std::string& from, const std::string& to,
+                          const std::string& expected) {
+    std::string invalid = text.str();
+    invalid.replace(invalid.find(from), from.size(), to);
     try {
-      local_cluster::parse_settings(bad);
+      local_cluster::parse_settings(invalid);
       ADD_FAILURE() << to;
     } catch (const config::SettingsError& e) {
-      EXPECT_NE(std::string(e.what()).find(names), std::string::npos) << e.what();
+      EXPECT_NE(std::string(e.what()).find(expected), std::string::npos) << e.what();
     }
   };
-  fails("<lease-s>6", "<lease-s>60", "shunt-local.cancel-s");
-  fails("cpus-max=\"32\"", "cpus-max=\"many\"", "team@cpus-max");
-  fails("<zones>", "<rooms/><zones>", "shunt-local.rooms");
-  fails("</shunt-local>", "</shunt>", "line");
+  expect_error("<lease-s>6", "<lease-s>60", "shunt-local.cancel-s");
+  expect_error("cpus-max=\"32\"", "cpus-max=\"many\"", "team@cpus-max");
+  expect_error("<zones>", "<rooms/><zones>", "shunt-local.rooms");
+  expect_error("</shunt-local>", "</shunt>", "line");
 }
 
 }  // namespace
--- a/tests/pbs_test.cpp
+++ b/tests/pbs_test.cpp
@@ -15,23 +15,23 @@
 using namespace pbs;
 
 const Tables& tables() {
-  static const Tables t = [] {
+  static const Tables shipped = [] {
     std::ifstream in(std::string(SHUNTTRAIL_SOURCE) + "/deploy/pbs.xml");
     std::ostringstream text;
     text << in.rdbuf();
     return parse_tables(text.str());
   }();
-  return t;
+  return shipped;
 }
 Context context() {
-  Context c;
-  c.script_name = "render.sh";
-  c.user = "ana";
-  c.home = "/home/ana";
-  c.dir = "/home/ana/work";
-  c.host = "desk";
-  c.environment = {{"LANG", "C"}, {"TOKEN", "t"}};
-  return c;
+  Context submission;
+  submission.script_name = "render.sh";
+  submission.user = "ana";
+  submission.home = "/home/ana";
+  submission.dir = "/home/ana/work";
+  submission.host = "desk";
+  submission.environment = {{"LANG", "C"}, {"TOKEN", "t"}};
+  return submission;
 }
 Job make_test_job(const std::string& text, std::vector<std::string> words = {},
                   std::string prefix = "#PBS") {
@@ -48,7 +48,7 @@
 }
 
 TEST(PbsJob, AWholeScriptBecomesANativeSubmission) {
-  Job j = make_test_job(
+  Job job = make_test_job(
       "#!/bin/bash -l\n"
       "# a comment\n"
       "#PBS -N night_render\n"
@@ -61,49 +61,49 @@
       "#PBS -v 'A=b c',LANG -o out/render.log\n"
       "render --all\n"
       "#PBS -N too_late\n");
-  ASSERT_EQ(faults(j), "");
-  const auto& s = j.description.job;
-  EXPECT_EQ(j.name, "night_render");
-  EXPECT_EQ(s.team, "bulk");
-  EXPECT_EQ(s.job_class, "bulk");
-  EXPECT_EQ(s.priority, wire::Priority::idle);
-  EXPECT_EQ(s.tasks, 3u);
-  EXPECT_EQ(s.cpus, 2);
-  EXPECT_EQ(s.mem_gb, 4);
-  EXPECT_TRUE(s.anti_affinity);
-  EXPECT_FALSE(s.same_zone);
-  EXPECT_EQ(s.estimate_s, 5400);
-  EXPECT_EQ(j.description.limit_s, 5400);
-  EXPECT_EQ(s.dependencies,
+  ASSERT_EQ(faults(job), "");
+  const auto& spec = job.description.job;
+  EXPECT_EQ(job.name, "night_render");
+  EXPECT_EQ(spec.team, "bulk");
+  EXPECT_EQ(spec.job_class, "bulk");
+  EXPECT_EQ(spec.priority, wire::Priority::idle);
+  EXPECT_EQ(spec.tasks, 3u);
+  EXPECT_EQ(spec.cpus, 2);
+  EXPECT_EQ(spec.mem_gb, 4);
+  EXPECT_TRUE(spec.anti_affinity);
+  EXPECT_FALSE(spec.same_zone);
+  EXPECT_EQ(spec.estimate_s, 5400);
+  EXPECT_EQ(job.description.limit_s, 5400);
+  EXPECT_EQ(spec.dependencies,
             (std::vector<std::string>{"run-77000000000000000012", "run-77000000000000000013"}));
-  EXPECT_EQ(j.after_ok.size(), 2u);
-  EXPECT_TRUE(wire::valid_job_id(s.dependencies[0]));
-  EXPECT_EQ(j.description.env.at("A"), "b c");
-  EXPECT_EQ(j.description.env.at("LANG"), "C");
-  EXPECT_EQ(j.description.env.at("PBS_O_WORKDIR"), "/home/ana/work");
-  EXPECT_EQ(j.description.command.back(), "/bin/bash");
-  EXPECT_TRUE(j.joined);
-  ASSERT_EQ(j.ignored.size(), 3u);  // the directive after the first command, -m and -M
-  EXPECT_EQ(j.ignored[0].at.line, 12u);
+  EXPECT_EQ(job.after_ok.size(), 2u);
+  EXPECT_TRUE(wire::valid_job_id(spec.dependencies[0]));
+  EXPECT_EQ(job.description.env.at("A"), "b c");
+  EXPECT_EQ(job.description.env.at("LANG"), "C");
+  EXPECT_EQ(job.description.env.at("PBS_O_WORKDIR"), "/home/ana/work");
+  EXPECT_EQ(job.description.command.back(), "/bin/bash");
+  EXPECT_TRUE(job.joined);
+  ASSERT_EQ(job.ignored.size(), 3u);  // the directive after the first command, -m and -M
+  EXPECT_EQ(job.ignored[0].at.line, 12u);
 }
 
 TEST(PbsJob, TheCommandLineOverridesTheScript) {
   const std::string text = "#PBS -N a\n#PBS -l walltime=60,ncpus=1 -q bulk\ntrue\n";
-  Job j = make_test_job(text, {"-Nb", "-l", "walltime=2:00", "-q", "urgent", "script"});
-  ASSERT_EQ(faults(j), "");
-  EXPECT_EQ(j.name, "b");
-  EXPECT_EQ(j.description.job.estimate_s, 120);
-  EXPECT_EQ(j.description.job.cpus, 1);
-  EXPECT_EQ(j.description.job.team, "urgent");
+  Job job = make_test_job(text, {"-Nb", "-l", "walltime=2:00", "-q", "urgent", "script"});
+  ASSERT_EQ(faults(job), "");
+  EXPECT_EQ(job.name, "b");
+  EXPECT_EQ(job.description.job.estimate_s, 120);
+  EXPECT_EQ(job.description.job.cpus, 1);
+  EXPECT_EQ(job.description.job.team, "urgent");
   EXPECT_EQ(make_test_job("#QSUB -N q\ntrue\n", {}, "#QSUB").name, "q");
   EXPECT_EQ(make_test_job("#QSUB -N q\ntrue\n").name, "render.sh");
 }
 
 TEST(PbsJob, ArrayWithStepMakesOneTaskPerIndex) {
-  Job j = make_test_job("#PBS -J 10-20:5\ntrue\n");
-  ASSERT_EQ(faults(j), "");
-  EXPECT_EQ(j.description.job.tasks, 3u);
-  EXPECT_NE(j.description.command[2].find("PBS_ARRAY_INDEX=$((10 + 5 * SHUNT_TASK))"),
+  Job job = make_test_job("#PBS -J 10-20:5\ntrue\n");
+  ASSERT_EQ(faults(job), "");
+  EXPECT_EQ(job.description.job.tasks, 3u);
+  EXPECT_NE(job.description.command[2].find("PBS_ARRAY_INDEX=$((10 + 5 * SHUNT_TASK))"),
             std::string::npos);
   EXPECT_EQ(make_test_job("#PBS -J 3\ntrue\n").description.job.tasks, 1u);
 }
@@ -118,9 +118,9 @@
 class Refusal : public testing::TestWithParam<Verdict> {};
 
 TEST_P(Refusal, NamesThePositionAndTheReason) {
-  Job j = make_test_job(GetParam().script);
-  ASSERT_EQ(j.faults.size(), GetParam().says.size()) << faults(j);
-  std::istringstream in(faults(j));
+  Job job = make_test_job(GetParam().script);
+  ASSERT_EQ(job.faults.size(), GetParam().says.size()) << faults(job);
+  std::istringstream in(faults(job));
   for (const auto& says : GetParam().says) {
     std::string line;
     std::getline(in, line);
@@ -216,22 +216,22 @@
 
 RC_GTEST_PROP(PbsScript, PrintedDirectivesReadBack, ()) {
   std::string text = "#!/bin/sh\n";
-  std::vector<Directive> all;
+  std::vector<Directive> printed;
   for (int n = *rc::gen::inRange(1, 20); n > 0; --n) {
-    Directive d;
-    d.option = *rc::gen::elementOf(std::string("hVzaAcCeGjJklmMNopPqrRSuvW"));
-    if (std::string("hVz").find(d.option) == std::string::npos)
-      d.value = *rc::gen::container<std::string>(
+    Directive directive;
+    directive.option = *rc::gen::elementOf(std::string("hVzaAcCeGjJklmMNopPqrRSuvW"));
+    if (std::string("hVz").find(directive.option) == std::string::npos)
+      directive.value = *rc::gen::container<std::string>(
           rc::gen::elementOf(std::string("abc019=:+,-_./@'\" \t\\#")));
-    text += print(d, "#PBS") + "\n";
-    all.push_back(d);
+    text += print(directive, "#PBS") + "\n";
+    printed.push_back(directive);
   }
-  Script s = read_script(text + "true\n", "#PBS");
-  RC_ASSERT(s.faults.empty());
-  RC_ASSERT(s.directives.size() == all.size());
-  for (std::size_t i = 0; i < all.size(); ++i) {
-    RC_ASSERT(s.directives[i].option == all[i].option);
-    RC_ASSERT(s.directives[i].value == all[i].value);
+  Script script = read_script(text + "true\n", "#PBS");
+  RC_ASSERT(script.faults.empty());
+  RC_ASSERT(script.directives.size() == printed.size());
+  for (std::size_t i = 0; i < printed.size(); ++i) {
+    RC_ASSERT(script.directives[i].option == printed[i].option);
+    RC_ASSERT(script.directives[i].value == printed[i].value);
   }
 }
 
@@ -249,14 +249,14 @@
     else
       text += *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
   }
-  Job j = make_test_job(text);
+  Job job = make_test_job(text);
   auto lines = static_cast<std::size_t>(1 + std::count(text.begin(), text.end(), '\n'));
-  for (const auto& f : j.faults) RC_ASSERT(f.at.line <= lines);
-  if (j.faults.empty()) {
-    RC_ASSERT(j.description.job.tasks >= 1u && j.description.job.tasks <= 100000u);
-    j.description.job.id = "run-123456";
+  for (const auto& f : job.faults) RC_ASSERT(f.at.line <= lines);
+  if (job.faults.empty()) {
+    RC_ASSERT(job.description.job.tasks >= 1u && job.description.job.tasks <= 100000u);
+    job.description.job.id = "run-123456";
     // The codec that the controllers use accepts the job.
-    static_cast<void>(wire::decode_job(wire::encode_job(j.description.job)));
+    static_cast<void>(wire::decode_job(wire::encode_job(job.description.job)));
   }
 }
 
@@ -266,33 +266,33 @@
   EXPECT_EQ(native_id("123[].shunttrail", "shunttrail"), native_id("123", "shunttrail"));
   EXPECT_NE(native_id("124", "shunttrail"), native_id("123", "shunttrail"));
   EXPECT_TRUE(wire::valid_job_id(*native_id("999999999999", "shunttrail")));
-  for (const char* bad : {"", "x", "123.other", "123[4].shunttrail", "-1", "1234567890123"})
-    EXPECT_FALSE(native_id(bad, "shunttrail")) << bad;
+  for (const char* invalid : {"", "x", "123.other", "123[4].shunttrail", "-1", "1234567890123"})
+    EXPECT_FALSE(native_id(invalid, "shunttrail")) << invalid;
 }
 
 TEST(PbsTables, ErrorsNameTheElement) {
-  auto fails = [](const std::string& xml, const std::string& names) {
+  auto expect_error = [](const std::string& xml, const std::string& expected) {
     try {
       parse_tables(xml);
-      ADD_FAILURE() << names;
+      ADD_FAILURE() << expected;
     } catch (const config::SettingsError& e) {
-      EXPECT_NE(std::string(e.what()).find(names), std::string::npos) << e.what();
+      EXPECT_NE(std::string(e.what()).find(expected), std::string::npos) << e.what();
     }
   };
   const std::string teams = "<teams><team name='t'/></teams>";
-  fails("<shunt-pbs/>", "queues");
-  fails("<shunt-pbs><queues default='q'/>" + teams + "</shunt-pbs>", "@default");
-  fails(
+  expect_error("<shunt-pbs/>", "queues");
+  expect_error("<shunt-pbs><queues default='q'/>" + teams + "</shunt-pbs>", "@default");
+  expect_error(
       "<shunt-pbs><queues default='q'><queue name='q' class='c' team='x' "
       "priority='high'/></queues>" +
           teams + "</shunt-pbs>",
       "queue q@team");
-  fails(
+  expect_error(
       "<shunt-pbs><queues default='q'><queue name='q' class='c' team='t' "
       "priority='soon'/></queues>" +
           teams + "</shunt-pbs>",
       "@priority");
-  fails(
+  expect_error(
       "<shunt-pbs><queues default='q'><queue name='q' class='c' team='t' priority='high' "
       "max-cpu='1'/>"
       "</queues>" +
