--- a/src/local_cluster/children.h
+++ b/src/local_cluster/children.h
@@ -21,7 +21,7 @@
   ~Children() override;
 
   /// Starts a process under this name and restarts it whenever it exits, until stop() is called.
-  /// Throws std::system_error if the process cannot be started.
+  /// Throws std::system_error if the fork fails.
   void keep_running(const std::string& name, std::vector<std::string> argv);
   /// Runs a process once. `on_exit` receives its exit status, or 128 plus the number of the signal
   /// that ended it.
--- a/src/local_cluster/load_balancer.cpp
+++ b/src/local_cluster/load_balancer.cpp
@@ -190,7 +190,7 @@
   sockaddr_in address = to_sockaddr(to);
   const int error = bufferevent_socket_connect(
       connection.backend.get(), reinterpret_cast<sockaddr*>(&address), sizeof address);
-  if (error != 0) return;  // the handle_event callback has been called
+  if (error != 0) return;  // libevent has already called handle_event()
   bufferevent_enable(connection.backend.get(), EV_READ | EV_WRITE);
 }
 
