--- a/src/chaos/chaos_run.cpp
+++ b/src/chaos/chaos_run.cpp
@@ -21,10 +21,10 @@
 constexpr std::uint32_t kMaxTasksPerJob = 60;
 constexpr double kMinTaskS = 0.05, kMaxTaskS = 1.5;
 constexpr double kFirstKillS = 1;
-constexpr double kMinKillFactor = 0.5,
-                 kMaxKillFactor = 1.5;  // factors of the plan's interval between kills
-constexpr double kAgentShare = 0.5,
-                 kSupervisorShare = 0.3;  // of all kills; the rest are controllers
+// The time to the next kill is the plan's interval times a factor between these.
+constexpr double kMinKillFactor = 0.5, kMaxKillFactor = 1.5;
+// Shares of all kills; the rest are kills of controllers.
+constexpr double kAgentShare = 0.5, kSupervisorShare = 0.3;
 constexpr double kMeasureIntervalS = 0.5;
 constexpr double kPollIntervalS = 0.05;
 
--- a/src/chaos/cluster_under_test.cpp
+++ b/src/chaos/cluster_under_test.cpp
@@ -17,8 +17,8 @@
 namespace {
 
 constexpr const char* kProgram = "shunttrail-local";
-constexpr const char* kReady =
-    "ready ";  // start of the line that the program prints, before its URL
+// The start of the line that the program prints once it serves; the URL follows.
+constexpr const char* kReady = "ready ";
 constexpr int kCpusPerMachine = 4;
 
 std::string read_line(const agent::Fd& fd) {
--- a/src/cli/submission.cpp
+++ b/src/cli/submission.cpp
@@ -15,8 +15,8 @@
 using nlohmann::json;
 namespace {
 
-constexpr std::size_t kImageNameDigits =
-    16;  // leading digits of the hash, enough to distinguish images
+// An image name holds these leading digits of the hash, enough to distinguish images.
+constexpr std::size_t kImageNameDigits = 16;
 
 wire::Priority parse_priority(const std::string& name) {
   if (name == "critical") return wire::Priority::critical;
--- a/src/cli/submission.h
+++ b/src/cli/submission.h
@@ -37,13 +37,12 @@
   bool same_zone = false;
   bool anti_affinity = false;
   bool no_spot = false;
-  std::vector<std::string>
-      dependencies;  ///< ids of jobs that have to be done before this one starts
-  std::vector<std::string> environment;  ///< NAME=VALUE
-  std::string image;                     ///< hash of an image in the artifact store
-  std::string image_dir;                 ///< a directory to upload as the image instead
-  bool wait = false;                     ///< wait until the job is done
-  std::vector<std::string> command;      ///< program and arguments
+  std::vector<std::string> dependencies;  ///< ids of jobs that have to be done first
+  std::vector<std::string> environment;   ///< NAME=VALUE
+  std::string image;                      ///< hash of an image in the artifact store
+  std::string image_dir;                  ///< a directory to upload as the image instead
+  bool wait = false;                      ///< wait until the job is done
+  std::vector<std::string> command;       ///< program and arguments
 };
 
 /// Returns the job description for these options. Packs an image directory and uploads it to the
--- a/src/local_cluster/children.cpp
+++ b/src/local_cluster/children.cpp
@@ -16,8 +16,8 @@
 
 constexpr double kTickIntervalS = 0.1;
 constexpr double kMinRestartDelayS = 0.2, kMaxRestartDelayS = 5;
-constexpr double kSettledAfterS =
-    10;                            // a child that ran longer is restarted after kMinRestartDelayS
+// A child that ran longer than this is restarted after kMinRestartDelayS.
+constexpr double kSettledAfterS = 10;
 constexpr double kKillAfterS = 5;  // from the signal of stop() to SIGKILL
 constexpr int kExitNotStarted = 127;
 constexpr int kExitSignalBase = 128;
