--- a/src/chaos/chaos_run.cpp
+++ b/src/chaos/chaos_run.cpp
@@ -19,10 +19,12 @@
 namespace {
 
 constexpr std::uint32_t kMaxTasksPerJob = 60;
-constexpr double kLeastTaskS = 0.05, kMostTaskS = 1.5;
+constexpr double kMinTaskS = 0.05, kMaxTaskS = 1.5;
 constexpr double kFirstKillS = 1;
-constexpr double kLeastKillFactor = 0.5, kMostKillFactor = 1.5;  // of the plan's interval
-constexpr double kAgentShare = 0.5, kSupervisorShare = 0.3;      // of kills; controllers: the rest
+// The time to the next kill is the plan's interval times a factor between these.
+constexpr double kMinKillFactor = 0.5, kMaxKillFactor = 1.5;
+// Shares of all kills; the rest are kills of controllers.
+constexpr double kAgentShare = 0.5, kSupervisorShare = 0.3;
 constexpr double kMeasureIntervalS = 0.5;
 constexpr double kPollIntervalS = 0.05;
 
@@ -63,7 +65,7 @@
   void submit_job() {
     client_protocol::JobDescription description;
     wire::JobSpec& job = description.job;
-    job.id = cli::fresh_id();
+    job.id = cli::new_job_id();
     job.job_class = "trial";
     job.team = "t";
     job.image = "none";
@@ -72,7 +74,7 @@
         std::min<std::uint32_t>(plan_.tasks - result_.tasks, 1 + random_() % kMaxTasksPerJob);
     job.cpus = 1;
     job.mem_gb = 0.5;
-    job.estimate_s = draw(kLeastTaskS, kMostTaskS);
+    job.estimate_s = draw(kMinTaskS, kMaxTaskS);
     description.command = {"bash", "-c", script(job.estimate_s)};
     service_.submit(description);
     tasks_of_[job.id] = job.tasks;
@@ -80,7 +82,8 @@
     ++result_.jobs;
   }
 
-  // A task writes its begin and its end, and any other attempt of its own that it finds running.
+  // Returns the shell script of a task: it logs its begin and its end, and "overlap" if another
+  // attempt of the same task still holds the task's lock.
   std::string script(double run_s) const {
     std::ostringstream out;
     out << "say() { echo \"$1 $SHUNT_JOB $SHUNT_TASK $SHUNT_ATTEMPT $EPOCHREALTIME\" >> "
@@ -91,7 +94,7 @@
   }
 
   void kill_one(double now) {
-    next_kill_at_ = now + plan_.kill_every_s * draw(kLeastKillFactor, kMostKillFactor);
+    next_kill_at_ = now + plan_.kill_every_s * draw(kMinKillFactor, kMaxKillFactor);
     const double kind = draw(0, 1);
     if (kind < kAgentShare)
       kill_one_of(cluster_.agents(), result_.agents_killed);
@@ -120,7 +123,7 @@
       result_.supervisor_mb = std::max(result_.supervisor_mb, resident_mb(supervisor));
   }
 
-  // Until it is time for the next kill.
+  // Polls the unfinished jobs, and returns early if the next kill is due.
   void poll_jobs() {
     for (const auto& [id, tasks] : tasks_of_) {
       if (done_at_.contains(id)) continue;
@@ -131,7 +134,7 @@
   }
 
   void check_history() {
-    Attempts history;
+    AttemptHistory history;
     std::ifstream log(log_);
     history.read(log);
     result_.begins = history.begins();
@@ -140,12 +143,14 @@
     for (const auto& [id, at] : done_at_) {
       delays_s.push_back(at - history.last_end(id));
       for (std::uint32_t task = 0; task < tasks_of_.at(id); ++task)
-        if (auto result = service_.result({id, task})) history.answered(id, task, result->attempt);
+        if (auto result = service_.result({id, task}))
+          history.record_result(id, task, result->attempt);
     }
     cluster_.end();
     result_.faults = history.faults(tasks_of_);
     for (const auto& [id, tasks] : tasks_of_)
-      if (!done_at_.contains(id)) result_.faults.push_back(id + ": was not done in time");
+      if (!done_at_.contains(id))
+        result_.faults.push_back(id + ": was not done within the time limit of the run");
     set_delays(std::move(delays_s));
   }
 
@@ -156,10 +161,11 @@
     result_.seen_p99_s = delays_s[std::min(delays_s.size() - 1, delays_s.size() * 99 / 100)];
   }
 
-  // Nothing of the cluster or its tasks may be there any more.
+  // After the cluster has stopped, no process of the cluster or of its tasks may remain.
   void check_left_behind() {
     result_.left_behind = count_processes_with(plan_.dir.string() + "/");
-    if (result_.left_behind) result_.faults.push_back("processes were left behind");
+    if (result_.left_behind)
+      result_.faults.push_back(std::to_string(result_.left_behind) + " processes were left behind");
   }
 
   const ChaosPlan& plan_;
@@ -167,9 +173,9 @@
   ClusterUnderTest cluster_;
   cli::ServiceClient service_;
   const fs::path log_, locks_;
-  std::map<std::string, std::uint32_t> tasks_of_;  // by job
-  std::map<std::string, double> done_at_;          // wall clock, as its user has seen it
-  std::map<pid_t, double> cpu_s_of_;               // of each agent, when it was last measured
+  std::map<std::string, std::uint32_t> tasks_of_;  // number of tasks, by job id
+  std::map<std::string, double> done_at_;  // wall-clock time at which the user saw the job done
+  std::map<pid_t, double> cpu_s_of_;       // CPU time of each agent at its last measurement
   double next_kill_at_ = 0;
   double next_measure_at_ = 0;
   ChaosResult result_;
--- a/src/cli/service_client.cpp
+++ b/src/cli/service_client.cpp
@@ -12,9 +12,10 @@
 using Named = artifacts::Store::Named;
 namespace {
 
-constexpr double kAnswerTimeoutS = 5;  // PROTOCOL: no response within 5 s
-constexpr double kRetryForS = 60;      // for up to 60 s in total
-constexpr double kLeastRetryDelayS = 1, kMostRetryDelayS = 30;
+constexpr double kAnswerTimeoutS =
+    5;                             // PROTOCOL: a request without a response after 5 s has failed
+constexpr double kRetryForS = 60;  // PROTOCOL: retries for up to 60 s in total
+constexpr double kMinRetryDelayS = 1, kMaxRetryDelayS = 30;
 constexpr double kArtifactRetryDelayS = 1;
 constexpr std::size_t kMaxConnections = 1, kMaxQueue = 4;
 
@@ -40,8 +41,8 @@
   return std::to_string(result.status) + (why.empty() ? "" : " (" + why + ")");
 }
 
-[[noreturn]] void refused(const net::Result& result) {
-  throw RequestFailed("refused: " + reason(result));
+[[noreturn]] void throw_refused(const net::Result& result) {
+  throw RequestFailed("the service refused the request: " + reason(result));
 }
 
 }  // namespace
@@ -53,23 +54,23 @@
 
 template <class... Arguments, class Call, class Then>
 void ServiceClient::wait_for(Call call, Then then) {
-  bool is_over = false;
+  bool is_finished = false;
   call([&](Arguments... arguments) {
     then(std::move(arguments)...);
-    is_over = true;
+    is_finished = true;
     loop_.stop();
   });
-  while (!is_over) loop_.run();
+  while (!is_finished) loop_.run();
 }
 
 void ServiceClient::sleep(double seconds) {
-  bool is_over = false;
+  bool is_finished = false;
   actor::Timer timer(loop_, [&] {
-    is_over = true;
+    is_finished = true;
     loop_.stop();
   });
   timer.after(seconds);
-  while (!is_over) loop_.run();
+  while (!is_finished) loop_.run();
 }
 
 net::Result ServiceClient::request_once(const char* method, const std::string& path,
@@ -89,19 +90,21 @@
   while (true) {
     net::Result result = request_once(method, path, body);
     if (is_final(result.status)) return result;
-    const double delay_s = std::clamp(result.retry_after_s, kLeastRetryDelayS, kMostRetryDelayS);
+    const double delay_s = std::clamp(result.retry_after_s, kMinRetryDelayS, kMaxRetryDelayS);
     if (actor::steady_now() + delay_s > give_up_at)
-      throw RequestFailed("gave up: " + reason(result));
+      throw RequestFailed(std::string(method) + " " + path +
+                          ": gave up without a final answer: " + reason(result));
     sleep(delay_s);
   }
 }
 
-Outcome ServiceClient::ask(const std::function<Outcome()>& ask_once) {
+Outcome ServiceClient::retry_while_unavailable(const std::function<Outcome()>& call) {
   const double give_up_at = actor::steady_now() + kRetryForS;
   while (true) {
-    const Outcome outcome = ask_once();
+    const Outcome outcome = call();
     if (outcome != Outcome::unavailable) return outcome;
-    if (actor::steady_now() > give_up_at) throw RequestFailed("gave up: the depot does not answer");
+    if (actor::steady_now() > give_up_at)
+      throw RequestFailed("the depot did not answer within 60 s");
     sleep(kArtifactRetryDelayS);
   }
 }
@@ -109,7 +112,7 @@
 Outcome ServiceClient::put_description(const client_protocol::JobDescription& description) {
   const std::string name = client_protocol::description_name(description.job.id);
   const std::string text = client_protocol::encode_description(description);
-  return ask([&] {
+  return retry_while_unavailable([&] {
     Outcome outcome = Outcome::unavailable;
     wait_for<Outcome, Named>([&](auto done) { artifacts_.put_name(name, {text}, done); },
                              [&](Outcome answer, Named) { outcome = answer; });
@@ -120,9 +123,9 @@
 client_protocol::JobAnswer ServiceClient::submit(
     const client_protocol::JobDescription& description) {
   if (put_description(description) != Outcome::ok)
-    throw RequestFailed(description.job.id + ": the depot has another job of this id");
+    throw RequestFailed(description.job.id + ": the depot has a different job with this id");
   const net::Result result = request("POST", "/v2/runs", wire::encode_job(description.job));
-  if (result.status != 200 && result.status != 201) refused(result);
+  if (result.status != 200 && result.status != 201) throw_refused(result);
   return client_protocol::decode_job_state(result.body);
 }
 
@@ -134,19 +137,19 @@
 
 net::Result ServiceClient::get(const std::string& path) {
   net::Result result = request("GET", path, "");
-  if (result.status != 200 && result.status != 404) refused(result);
+  if (result.status != 200 && result.status != 404) throw_refused(result);
   return result;
 }
 
-net::Result ServiceClient::order(const std::string& path, const std::string& body) {
+net::Result ServiceClient::post(const std::string& path, const std::string& body) {
   net::Result result = request("POST", path, body);
-  if (result.status != 200) refused(result);
+  if (result.status != 200) throw_refused(result);
   return result;
 }
 
-client_protocol::JobAnswer ServiceClient::withdraw(const std::string& id) {
+client_protocol::JobAnswer ServiceClient::cancel(const std::string& id) {
   const net::Result result = request("POST", "/v2/runs/" + id + "/withdraw", "{}");
-  if (result.status != 200) refused(result);
+  if (result.status != 200) throw_refused(result);
   return client_protocol::decode_job_state(result.body);
 }
 
@@ -154,7 +157,7 @@
 
 std::optional<Named> ServiceClient::find_name(const std::string& name) {
   Named found;
-  const Outcome outcome = ask([&] {
+  const Outcome outcome = retry_while_unavailable([&] {
     Outcome last = Outcome::unavailable;
     wait_for<Outcome, Named>([&](auto done) { artifacts_.get_name(name, done); },
                              [&](Outcome answer, Named value) {
@@ -163,7 +166,8 @@
                              });
     return last;
   });
-  if (outcome == Outcome::refused) throw RequestFailed(name + ": refused by the depot");
+  if (outcome == Outcome::refused)
+    throw RequestFailed(name + ": the depot refused to look up this name");
   if (outcome == Outcome::absent) return std::nullopt;
   return found;
 }
@@ -181,7 +185,7 @@
 }
 
 bool ServiceClient::fetch(const std::string& hash, const std::string& file) {
-  const Outcome outcome = ask([&] {
+  const Outcome outcome = retry_while_unavailable([&] {
     Outcome last = Outcome::unavailable;
     wait_for<Outcome>([&](auto done) { artifacts_.get_file(hash, file, done); },
                       [&](Outcome answer) { last = answer; });
@@ -192,7 +196,7 @@
 
 std::string ServiceClient::upload(const std::string& file) {
   std::string hash;
-  const Outcome outcome = ask([&] {
+  const Outcome outcome = retry_while_unavailable([&] {
     Outcome last = Outcome::unavailable;
     wait_for<Outcome, std::string>([&](auto done) { artifacts_.put_file(file, done); },
                                    [&](Outcome answer, std::string stored) {
@@ -205,7 +209,7 @@
   return hash;
 }
 
-std::string fresh_id() {
+std::string new_job_id() {
   constexpr unsigned kRandomRange = 1000000;
   std::random_device random;
   char id[32];
--- a/src/local_cluster/children.cpp
+++ b/src/local_cluster/children.cpp
@@ -15,17 +15,18 @@
 namespace {
 
 constexpr double kTickIntervalS = 0.1;
-constexpr double kLeastRestartDelayS = 0.2, kMostRestartDelayS = 5;
-constexpr double kSettledAfterS = 10;  // running for so long, the next delay is short again
-constexpr double kKillAfterS = 5;      // a signal to stop that was not heeded
+constexpr double kMinRestartDelayS = 0.2, kMaxRestartDelayS = 5;
+// A child that ran longer than this is restarted after kMinRestartDelayS.
+constexpr double kSettledAfterS = 10;
+constexpr double kKillAfterS = 5;  // from the signal of stop() to SIGKILL
 constexpr int kExitNotStarted = 127;
 constexpr int kExitSignalBase = 128;
 
-// In the child: becomes the program.
+// Replaces the forked child by the program. Its output is appended to the file `log`.
 [[noreturn]] void exec_child(char* const* argv, const char* log, pid_t parent) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (::getppid() != parent) ::_exit(kExitNotStarted);
-  // A signal from the terminal is for the parent, which ends the others in their order.
+  // Signals from the terminal reach only the parent, which stops its children in a fixed order.
   ::setpgid(0, 0);
   const int input = ::open("/dev/null", O_RDONLY);
   const int output = ::open(log, O_WRONLY | O_CREAT | O_APPEND, 0644);
@@ -66,23 +67,23 @@
   }
 }
 
-void Children::keep(const std::string& name, std::vector<std::string> argv) {
+void Children::keep_running(const std::string& name, std::vector<std::string> argv) {
   Child& child = children_[name];
   child.argv = std::move(argv);
-  child.is_kept = true;
+  child.restarts_on_exit = true;
   if (!child.pid) start(name, child);
 }
 
 void Children::run_once(const std::string& name, std::vector<std::string> argv,
-                        std::function<void(int)> done) {
+                        std::function<void(int)> on_exit) {
   Child& child = children_[name];
   child.argv = std::move(argv);
-  child.done = std::move(done);
+  child.on_exit = std::move(on_exit);
   start(name, child);
 }
 
 void Children::start(const std::string& name, Child& child) {
-  // All that needs memory is made before the fork.
+  // Memory is allocated before the fork only: allocating in the forked child is unsafe.
   std::vector<char*> argv;
   for (std::string& word : child.argv) argv.push_back(word.data());
   argv.push_back(nullptr);
@@ -102,51 +103,51 @@
   while ((pid = ::waitpid(-1, &status, WNOHANG)) > 0) {
     auto found = std::find_if(children_.begin(), children_.end(),
                               [&](const auto& entry) { return entry.second.pid == pid; });
-    if (found != children_.end()) ended(found->first, found->second, exit_status_of(status));
+    if (found != children_.end()) handle_exit(found->first, found->second, exit_status_of(status));
   }
 }
 
-void Children::ended(const std::string& name, Child& child, int exit_status) {
+void Children::handle_exit(const std::string& name, Child& child, int exit_status) {
   child.pid = 0;
-  if (child.is_kept) return restart_later(name, child, exit_status);
-  auto done = std::move(child.done);
-  auto gone = std::move(child.gone);
+  if (child.restarts_on_exit) return restart_later(name, child, exit_status);
+  auto on_exit = std::move(child.on_exit);
+  auto on_stopped = std::move(child.on_stopped);
   children_.erase(std::string(name));
-  if (done) post([done, exit_status] { done(exit_status); });
-  for (auto& callback : gone) post(callback);
+  if (on_exit) post([on_exit, exit_status] { on_exit(exit_status); });
+  for (auto& callback : on_stopped) post(callback);
 }
 
 void Children::restart_later(const std::string& name, Child& child, int exit_status) {
   const double now = actor::steady_now();
   const bool had_settled = now - child.started_at > kSettledAfterS;
   child.restart_delay_s =
-      had_settled ? kLeastRestartDelayS
-                  : std::clamp(2 * child.restart_delay_s, kLeastRestartDelayS, kMostRestartDelayS);
+      had_settled ? kMinRestartDelayS
+                  : std::clamp(2 * child.restart_delay_s, kMinRestartDelayS, kMaxRestartDelayS);
   child.restart_at = now + child.restart_delay_s;
   ++restarts_;
-  log::info("process ended and is restarted",
+  log::info("child process ended; it is restarted after a delay",
             {{"name", name}, {"status", exit_status}, {"in_s", child.restart_delay_s}});
 }
 
-void Children::stop(const std::string& name, int signal, std::function<void()> gone) {
+void Children::stop(const std::string& name, int signal, std::function<void()> on_stopped) {
   auto found = children_.find(name);
-  if (found == children_.end()) return post(std::move(gone));
+  if (found == children_.end()) return post(std::move(on_stopped));
   Child& child = found->second;
-  child.is_kept = false;
+  child.restarts_on_exit = false;
   if (!child.pid) {
     children_.erase(found);
-    return post(std::move(gone));
+    return post(std::move(on_stopped));
   }
-  child.gone.push_back(std::move(gone));
+  child.on_stopped.push_back(std::move(on_stopped));
   child.kill_at = actor::steady_now() + kKillAfterS;
   ::kill(child.pid, signal);
-  ::kill(child.pid, SIGCONT);  // one that is stopped has to take it, too
+  ::kill(child.pid, SIGCONT);  // a suspended process handles the signal only once it is resumed
 }
 
 void Children::tick() {
   const double now = actor::steady_now();
   for (auto& [name, child] : children_) {
-    if (child.is_kept && !child.pid && now >= child.restart_at) start(name, child);
+    if (child.restarts_on_exit && !child.pid && now >= child.restart_at) start(name, child);
     if (child.pid && child.kill_at > 0 && now > child.kill_at) ::kill(child.pid, SIGKILL);
   }
 }
--- a/src/local_cluster/load_balancer.cpp
+++ b/src/local_cluster/load_balancer.cpp
@@ -12,9 +12,9 @@
 
 constexpr std::size_t kMaxFirstLine = 4096;  // bytes
 constexpr double kProbeIntervalS = 0.5, kProbeTimeoutS = 1;
-constexpr int kGoodProbesUp = 1, kBadProbesDown = 2;
-constexpr double kSkipS = 3;  // a controller that takes no connections
-constexpr int kMaxTries = 3;  // of connections to controllers
+constexpr int kProbesToMarkUp = 1, kProbesToMarkDown = 2;
+constexpr double kSkipS = 3;  // no connections for so long to a controller that accepts none
+constexpr int kMaxTries = 3;  // connection attempts for each user connection
 constexpr int kFailuresToSkip = 3;
 constexpr int kConnectTimeoutMs = 500;
 constexpr const char* kOperatorPaths[] = {"/metrics", "/levels", "/links"};
@@ -24,11 +24,11 @@
   address.sin_family = AF_INET;
   address.sin_port = htons(endpoint.port);
   if (inet_pton(AF_INET, endpoint.host.c_str(), &address.sin_addr) != 1)
-    throw std::runtime_error(endpoint.host + " is not an address");
+    throw std::runtime_error(endpoint.host + " is not an IPv4 address");
   return address;
 }
 
-// The path of a request's first line, which ends at `line_end`.
+// Returns the part of the first request line, which ends at `line_end`, from its path on.
 std::string path_of(const std::string& head, std::size_t line_end) {
   const auto space = head.find(' ');
   return space < line_end ? head.substr(space + 1, line_end - space - 1) : "";
@@ -82,18 +82,18 @@
   for (std::size_t i = 0; i < health_.size(); ++i)
     health_[i].probe->request("GET", "/up", "", kProbeTimeoutS,
                               reply<net::Result>([this, i](net::Result result) {
-                                probed(health_[i], result.status == 200);
+                                record_probe(health_[i], result.status == 200);
                               }));
 }
 
-void LoadBalancer::probed(Health& health, bool is_ok) {
-  health.good_probes = is_ok ? health.good_probes + 1 : 0;
-  health.bad_probes = is_ok ? 0 : health.bad_probes + 1;
-  if (health.good_probes >= kGoodProbesUp) health.is_up = true;
-  if (health.bad_probes >= kBadProbesDown) health.is_up = false;
+void LoadBalancer::record_probe(Health& health, bool is_ok) {
+  health.successful_probes = is_ok ? health.successful_probes + 1 : 0;
+  health.failed_probes = is_ok ? 0 : health.failed_probes + 1;
+  if (health.successful_probes >= kProbesToMarkUp) health.is_up = true;
+  if (health.failed_probes >= kProbesToMarkDown) health.is_up = false;
 }
 
-// The healthy one with the fewest users; nothing: none is.
+// Returns the healthy controller with the fewest connections, or nothing if none is healthy.
 std::optional<std::size_t> LoadBalancer::choose_controller() const {
   std::vector<int> users(health_.size(), 0);
   for (const auto& [id, connection] : connections_)
@@ -113,37 +113,37 @@
   connection->id = next_id_++;
   evutil_make_socket_nonblocking(fd);
   connection->user.reset(bufferevent_socket_new(loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE));
-  watch(*connection, Side::user);
+  set_callbacks(*connection, Side::user);
   bufferevent_enable(connection->user.get(), EV_READ | EV_WRITE);
   connections_[connection->id] = std::move(connection);
 }
 
-// Libevent's callbacks take one pointer, so that each side has its own.
-void LoadBalancer::watch(Connection& connection, Side side) {
+// Libevent passes one pointer to a callback, so each side has callbacks of its own.
+void LoadBalancer::set_callbacks(Connection& connection, Side side) {
   if (side == Side::user)
     bufferevent_setcb(
         connection.user.get(),
         [](bufferevent*, void* argument) {
-          auto* passing = static_cast<Connection*>(argument);
-          passing->balancer->has_data(*passing, Side::user);
+          auto* proxied = static_cast<Connection*>(argument);
+          proxied->balancer->forward_data(*proxied, Side::user);
         },
         nullptr,
         [](bufferevent*, short events, void* argument) {
-          auto* passing = static_cast<Connection*>(argument);
-          passing->balancer->event(*passing, Side::user, events);
+          auto* proxied = static_cast<Connection*>(argument);
+          proxied->balancer->handle_event(*proxied, Side::user, events);
         },
         &connection);
   else
     bufferevent_setcb(
         connection.backend.get(),
         [](bufferevent*, void* argument) {
-          auto* passing = static_cast<Connection*>(argument);
-          passing->balancer->has_data(*passing, Side::backend);
+          auto* proxied = static_cast<Connection*>(argument);
+          proxied->balancer->forward_data(*proxied, Side::backend);
         },
         nullptr,
         [](bufferevent*, short events, void* argument) {
-          auto* passing = static_cast<Connection*>(argument);
-          passing->balancer->event(*passing, Side::backend, events);
+          auto* proxied = static_cast<Connection*>(argument);
+          proxied->balancer->handle_event(*proxied, Side::backend, events);
         },
         &connection);
 }
@@ -171,7 +171,7 @@
   connect(connection, is_for_operators(path) ? backend.internal : backend.front);
 }
 
-// Answered at once, never held back.
+// Answers 503 at once instead of queueing the request.
 void LoadBalancer::refuse(Connection& connection) {
   static const std::string kAnswer =
       "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Type: application/json\r\n"
@@ -184,41 +184,41 @@
 void LoadBalancer::connect(Connection& connection, const config::Endpoint& to) {
   ++connection.tries;
   connection.backend.reset(bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE));
-  watch(connection, Side::backend);
+  set_callbacks(connection, Side::backend);
   const timeval timeout{0, kConnectTimeoutMs * 1000};
   bufferevent_set_timeouts(connection.backend.get(), nullptr, &timeout);
   sockaddr_in address = to_sockaddr(to);
   const int error = bufferevent_socket_connect(
       connection.backend.get(), reinterpret_cast<sockaddr*>(&address), sizeof address);
-  if (error != 0) return;  // the event callback has been called
+  if (error != 0) return;  // libevent has already called handle_event()
   bufferevent_enable(connection.backend.get(), EV_READ | EV_WRITE);
 }
 
-void LoadBalancer::has_data(Connection& connection, Side from) {
+void LoadBalancer::forward_data(Connection& connection, Side from) {
   if (!connection.backend) return route(connection);
-  if (!connection.is_connected) return;  // what the user has sent waits
+  if (!connection.is_connected) return;  // the user's data stays in the buffer until then
   const Side to = from == Side::user ? Side::backend : Side::user;
   bufferevent_write_buffer(connection.buffer(to).get(),
                            bufferevent_get_input(connection.buffer(from).get()));
 }
 
-void LoadBalancer::event(Connection& connection, Side side, short events) {
+void LoadBalancer::handle_event(Connection& connection, Side side, short events) {
   const bool is_backend = side == Side::backend;
-  if (is_backend && (events & BEV_EVENT_CONNECTED)) return connected(connection);
+  if (is_backend && (events & BEV_EVENT_CONNECTED)) return handle_connected(connection);
   const bool has_failed = is_backend && !connection.is_connected && connection.controller;
   if (has_failed && retry(connection)) return;
   forward_rest_and_close(connection, side);
 }
 
-void LoadBalancer::connected(Connection& connection) {
+void LoadBalancer::handle_connected(Connection& connection) {
   connection.is_connected = true;
   if (connection.controller) health_[*connection.controller].failed_connections = 0;
   bufferevent_set_timeouts(connection.backend.get(), nullptr, nullptr);
-  has_data(connection, Side::user);
+  forward_data(connection, Side::user);
 }
 
-// Takes another controller, as long as nothing of the request has been sent. False: it was the last
-// try.
+// Connects to another controller; nothing of the request has been sent yet. Returns false if all
+// kMaxTries attempts have been made.
 bool LoadBalancer::retry(Connection& connection) {
   Health& health = health_[*connection.controller];
   if (++health.failed_connections >= kFailuresToSkip) {
@@ -236,10 +236,10 @@
   return true;
 }
 
-// What is still to be written to the user goes first.
+// Closes the connection after the remaining output has been written to the user.
 void LoadBalancer::forward_rest_and_close(Connection& connection, Side closed) {
   if (closed == Side::backend) {
-    if (connection.is_connected) has_data(connection, Side::backend);
+    if (connection.is_connected) forward_data(connection, Side::backend);
     evbuffer* unwritten = bufferevent_get_output(connection.user.get());
     if (evbuffer_get_length(unwritten) > 0)
       return close_when_written(connection, connection.user.get());
@@ -251,12 +251,12 @@
   bufferevent_setcb(
       buffer, nullptr,
       [](bufferevent*, void* argument) {
-        auto* passing = static_cast<Connection*>(argument);
-        passing->balancer->close(passing->id);
+        auto* proxied = static_cast<Connection*>(argument);
+        proxied->balancer->close(proxied->id);
       },
       [](bufferevent*, short, void* argument) {
-        auto* passing = static_cast<Connection*>(argument);
-        passing->balancer->close(passing->id);
+        auto* proxied = static_cast<Connection*>(argument);
+        proxied->balancer->close(proxied->id);
       },
       &connection);
 }
--- a/src/local_cluster/local_cluster.cpp
+++ b/src/local_cluster/local_cluster.cpp
@@ -15,13 +15,13 @@
 namespace fs = std::filesystem;
 namespace {
 
-// Below the range that the system takes for its own connections.
+// The range is below the kernel's ephemeral ports.
 constexpr std::uint16_t kFirstPort = 20000, kLastPort = 32000;
-constexpr int kPortStride = 97;  // clusters that run beside one another begin at different ports
+constexpr int kPortStride = 97;  // concurrent clusters start their search at different ports
 constexpr const char* kLoopback = "127.0.0.1";
 constexpr double kReadyIntervalS = 0.1, kReadyTimeoutS = 1;
 
-// Names of children, and of their log files.
+// Names of child processes, and of their log files.
 constexpr const char* kStateService = "state";
 constexpr const char* kArtifactStore = "depot";
 
@@ -48,12 +48,12 @@
   return std::move(*lock);
 }
 
-ClusterPlace absolute(ClusterPlace place) {
-  place.dir = fs::absolute(place.dir);
-  return place;
+ClusterOptions absolute(ClusterOptions options) {
+  options.dir = fs::absolute(options.dir);
+  return options;
 }
 
-// Calls `done` at its `count`-th call.
+// Returns a function that calls `done` at its own `count`-th call.
 std::function<void()> after_calls(std::size_t count, const std::function<void()>& done) {
   return [left = std::make_shared<std::size_t>(count), done] {
     if (--*left == 0) done();
@@ -62,14 +62,14 @@
 
 }  // namespace
 
-LocalCluster::LocalCluster(actor::Loop& loop, Settings settings, ClusterPlace place,
+LocalCluster::LocalCluster(actor::Loop& loop, Settings settings, ClusterOptions options,
                            std::function<void(std::string)> ready)
     : Actor(loop),
       settings_(std::move(settings)),
-      place_(absolute(std::move(place))),
-      lock_(lock_directory(place_.dir)),
+      options_(absolute(std::move(options))),
+      lock_(lock_directory(options_.dir)),
       next_port_(first_port()),
-      children_(loop, place_.dir / "logs"),
+      children_(loop, options_.dir / "logs"),
       ready_(std::move(ready)),
       timer_(loop, [this] { check_ready(); }) {
   take_addresses();
@@ -82,7 +82,7 @@
 }
 
 void LocalCluster::take_addresses() {
-  front_address_ = place_.port ? config::Endpoint{kLoopback, place_.port} : take_address();
+  front_address_ = options_.port ? config::Endpoint{kLoopback, options_.port} : take_address();
   state_address_ = take_address();
   artifacts_address_ = take_address();
   cloud_address_ = take_address();
@@ -102,32 +102,33 @@
     taken_ports_.insert(port);
     return {kLoopback, port};
   }
-  throw std::runtime_error("no free port is left");
+  throw std::runtime_error("no free port for the local cluster between " +
+                           std::to_string(kFirstPort) + " and " + std::to_string(kLastPort));
 }
 
 void LocalCluster::start_services() {
-  fs::create_directories(place_.dir / "machines");
-  fs::create_directories(place_.dir / "controllers");
-  const std::string program = place_.services_program.string();
-  children_.keep(kStateService, {program, "state", "--listen", to_text(state_address_), "--file",
-                                 (place_.dir / "state" / "log").string()});
-  children_.keep(kArtifactStore, {program, "depot", "--listen", to_text(artifacts_address_),
-                                  "--dir", (place_.dir / "depot").string()});
+  fs::create_directories(options_.dir / "machines");
+  fs::create_directories(options_.dir / "controllers");
+  const std::string program = options_.services_program.string();
+  children_.keep_running(kStateService, {program, "state", "--listen", to_text(state_address_),
+                                         "--file", (options_.dir / "state" / "log").string()});
+  children_.keep_running(kArtifactStore, {program, "depot", "--listen", to_text(artifacts_address_),
+                                          "--dir", (options_.dir / "depot").string()});
 }
 
 void LocalCluster::start_controllers() {
-  const std::string program = place_.programs / "shunttrail-controller";
+  const std::string program = options_.programs / "shunttrail-controller";
   for (std::size_t i = 0; i < controllers_.size(); ++i) {
-    const fs::path file = place_.dir / "controllers" / (controllers_[i].name + ".json");
+    const fs::path file = options_.dir / "controllers" / (controllers_[i].name + ".json");
     artifacts::replace_file(
         file, controller_settings(settings_, controllers_, i, state_address_, cloud_address_));
-    children_.keep(controllers_[i].name, {program, "--config", file.string()});
+    children_.keep_running(controllers_[i].name, {program, "--config", file.string()});
   }
 }
 
 void LocalCluster::start_cloud() {
   cloud_ = std::make_unique<emulators::CloudEmulator>(
-      loop_, cloud_address_, settings_.types, settings_.cloud_rps, place_.dir / "cloud.json",
+      loop_, cloud_address_, settings_.types, settings_.cloud_rps, options_.dir / "cloud.json",
       emulators::CloudEmulator::Power{
           [this] { return to_text(take_address()); },
           [this](const auto& machine) { power_on(machine); },
@@ -143,10 +144,10 @@
 }
 
 fs::path LocalCluster::machine_dir(const std::string& name) const {
-  return place_.dir / "machines" / name;
+  return options_.dir / "machines" / name;
 }
 
-std::string LocalCluster::agent_program() const { return place_.programs / "shunttrail-agent"; }
+std::string LocalCluster::agent_program() const { return options_.programs / "shunttrail-agent"; }
 
 void LocalCluster::power_on(const emulators::CloudEmulator::Machine& machine) {
   if (is_ending_) return;
@@ -155,11 +156,12 @@
   const fs::path file = dir / "agent.xml";
   artifacts::replace_file(file,
                           agent_settings(settings_, controllers_, machine, artifacts_address_));
-  children_.keep(machine.name,
-                 {agent_program(), "--settings", file.string(), "--dir", dir.string()});
+  children_.keep_running(machine.name,
+                         {agent_program(), "--settings", file.string(), "--dir", dir.string()});
 }
 
-// As when machines lose their power: nothing is saved, and nothing is left.
+// Emulates a power failure: kills the agents and tasks without saving. Removes the machines' files,
+// unless the whole cluster stops.
 void LocalCluster::power_off(const std::vector<std::string>& machines,
                              const std::function<void()>& done) {
   if (machines.empty()) return done();
@@ -169,7 +171,9 @@
 
 void LocalCluster::power_off_one(const std::string& machine, const std::function<void()>& done) {
   auto tasks_ended = [this, machine, done](int exit_status) {
-    if (exit_status != 0) log::error("machine's tasks may not be gone", {{"machine", machine}});
+    if (exit_status != 0)
+      log::error("ending the tasks of a powered-off machine failed; some may still run",
+                 {{"machine", machine}, {"status", exit_status}});
     std::error_code ignored;
     if (!is_ending_) fs::remove_all(machine_dir(machine), ignored);
     done();
@@ -184,7 +188,8 @@
   children_.run_once("end-" + machine, {agent_program(), "end", "--dir", dir.string()}, done);
 }
 
-// Whether users can be served: a controller is healthy, and the artifact store answers.
+// Calls ready_ once a controller is healthy and the artifact store answers; otherwise checks again
+// after kReadyIntervalS.
 void LocalCluster::check_ready() {
   if (is_ending_ || !ready_) return;
   if (!load_balancer_->healthy()) return timer_.after(kReadyIntervalS);
@@ -196,27 +201,28 @@
                             }));
 }
 
-void LocalCluster::end(std::function<void()> gone) {
+void LocalCluster::end(std::function<void()> done) {
   if (is_ending_) return;
   is_ending_ = true;
-  log::info("local cluster ends");
-  // Users first, then who could start anything, then the machines, then what keeps their state.
+  log::info("local cluster stops");
+  // The order is: the load balancer, then the controllers, which could start tasks, then the
+  // machines, and last the services that store their state.
   load_balancer_.reset();
   const auto controller_ended =
-      after_calls(controllers_.size(), [this, gone] { end_machines(gone); });
+      after_calls(controllers_.size(), [this, done] { end_machines(done); });
   for (const auto& controller : controllers_)
     children_.stop(controller.name, SIGTERM, controller_ended);
 }
 
-void LocalCluster::end_machines(const std::function<void()>& gone) {
+void LocalCluster::end_machines(const std::function<void()>& done) {
   std::vector<std::string> machines;
   for (const auto& [name, machine] : cloud_->machines()) machines.push_back(name);
-  power_off(machines, [this, gone] { end_services(gone); });
+  power_off(machines, [this, done] { end_services(done); });
 }
 
-void LocalCluster::end_services(const std::function<void()>& gone) {
+void LocalCluster::end_services(const std::function<void()>& done) {
   children_.stop(kArtifactStore, SIGTERM,
-                 [this, gone] { children_.stop(kStateService, SIGTERM, gone); });
+                 [this, done] { children_.stop(kStateService, SIGTERM, done); });
 }
 
 }  // namespace shunttrail::local_cluster
--- a/src/local_cluster/local_cluster.h
+++ b/src/local_cluster/local_cluster.h
@@ -1,6 +1,6 @@
-// The whole service on one machine: controllers, an artifact store, a state service and a cloud
-// whose machines are agents, all of them child processes of this one. State stays in its directory;
-// a second start goes on with it.
+// The whole service on one machine: controllers, an artifact store, a state service, and the agents
+// of an emulated cloud's machines, all as child processes. The cluster's state stays in its
+// directory, and a later start resumes from it.
 #pragma once
 #include <filesystem>
 #include <functional>
@@ -18,24 +18,24 @@
 
 namespace shunttrail::local_cluster {
 
-/// Where a local cluster and its programs are.
-struct ClusterPlace {
-  std::filesystem::path dir;       ///< where it keeps everything
-  std::filesystem::path programs;  ///< where shunttrail-controller and shunttrail-agent are
+/// Directories, programs and port of a local cluster.
+struct ClusterOptions {
+  std::filesystem::path dir;       ///< holds all files of the cluster
+  std::filesystem::path programs;  ///< directory of shunttrail-controller and shunttrail-agent
   /// The program that serves as the state service and the artifact store (shunttrail-local).
   std::filesystem::path services_program;
-  std::uint16_t port = 0;  ///< for users; 0: a free one is taken
+  std::uint16_t port = 0;  ///< port for users; 0: any free port
 };
 
 class LocalCluster : public actor::Actor {
  public:
-  /// `ready` gets the users' URL once they can be served. Throws std::runtime_error: another
-  /// cluster has the directory, or an address cannot be had.
-  LocalCluster(actor::Loop& loop, Settings settings, ClusterPlace place,
+  /// Calls `ready` with the URL for users once the cluster can serve them. Throws
+  /// std::runtime_error if another cluster uses the directory, or no address is available.
+  LocalCluster(actor::Loop& loop, Settings settings, ClusterOptions options,
                std::function<void(std::string url)> ready);
 
-  /// Ends every process and every task, in an order that loses nothing; `gone` runs then.
-  void end(std::function<void()> gone);
+  /// Stops every process and every task, in an order that loses no state, and then calls `done`.
+  void end(std::function<void()> done);
 
  private:
   [[nodiscard]] config::Endpoint take_address();
@@ -51,21 +51,21 @@
   void power_off_one(const std::string& machine, const std::function<void()>& done);
   void end_tasks(const std::string& machine, const std::function<void(int)>& done);
   void check_ready();
-  void end_machines(const std::function<void()>& gone);
-  void end_services(const std::function<void()>& gone);
+  void end_machines(const std::function<void()>& done);
+  void end_services(const std::function<void()>& done);
 
   const Settings settings_;
-  const ClusterPlace place_;
+  const ClusterOptions options_;
   agent::Fd lock_;
   std::set<std::uint16_t> taken_ports_;
   std::uint16_t next_port_;
-  std::vector<ControllerPlace> controllers_;
+  std::vector<ControllerAddresses> controllers_;
   config::Endpoint front_address_, state_address_, artifacts_address_, cloud_address_;
   Children children_;
   std::unique_ptr<emulators::CloudEmulator> cloud_;
   std::unique_ptr<LoadBalancer> load_balancer_;
   std::unique_ptr<net::Client> artifacts_probe_;
-  std::function<void(std::string)> ready_;  // empty once it was called
+  std::function<void(std::string)> ready_;  // empty after its call
   bool is_ending_ = false;
   actor::Timer timer_;
 };
--- a/src/local_cluster/settings.cpp
+++ b/src/local_cluster/settings.cpp
@@ -14,60 +14,62 @@
 namespace {
 
 constexpr double kMaxAmount = 1e6;
-constexpr double kCancelMarginS = 5;  // at least, above the lease
+constexpr double kCancelMarginS = 5;  // cancel-s exceeds lease-s by at least this
 
-// What every controller is told of the emulated services.
+// Limits of the emulated services, as every controller's settings state them.
 constexpr int kStateRps = 3000, kStateWriteRps = 1500;
 constexpr int kStateValueKb = 32, kStateTransactionOps = 64;
 constexpr double kCpuShare = 1.0;
 constexpr int kMemoryMb = 512, kMaxSockets = 4000;
 constexpr int kClockErrorMs = 100;
 
-double read_amount(pugi::xml_node node, const std::string& place, const char* name,
+double read_amount(pugi::xml_node node, const std::string& xml_path, const char* name,
                    double fallback) {
   const pugi::xml_attribute attribute = node.attribute(name);
-  return attribute ? xml_number(attribute.value(), place + "@" + name, 0, kMaxAmount) : fallback;
+  return attribute ? xml_number(attribute.value(), xml_path + "@" + name, 0, kMaxAmount) : fallback;
 }
 
-Team read_team(pugi::xml_node node, const std::string& place) {
-  return {xml_attribute(node, place, "name"), read_amount(node, place, "cpus", 0),
-          read_amount(node, place, "cpus-max", 0), read_amount(node, place, "gpus", 0),
-          read_amount(node, place, "gpus-max", 0)};
+Team read_team(pugi::xml_node node, const std::string& xml_path) {
+  return {xml_attribute(node, xml_path, "name"), read_amount(node, xml_path, "cpus", 0),
+          read_amount(node, xml_path, "cpus-max", 0), read_amount(node, xml_path, "gpus", 0),
+          read_amount(node, xml_path, "gpus-max", 0)};
 }
 
-emulators::EmulatedMachineType read_machine_type(pugi::xml_node node, const std::string& place,
+emulators::EmulatedMachineType read_machine_type(pugi::xml_node node, const std::string& xml_path,
                                                  double cache_gb) {
   emulators::EmulatedMachineType type;
-  type.spec.name = xml_attribute(node, place, "name");
-  type.spec.cpus = read_amount(node, place, "cpus", 1);
-  type.spec.gpus = read_amount(node, place, "gpus", 0);
-  type.spec.mem_gb = read_amount(node, place, "mem-gb", 1);
-  type.spec.price = read_amount(node, place, "hourly", 0.1);
-  type.spec.spot_price = read_amount(node, place, "spot", type.spec.price);
-  type.spec.boot_s = read_amount(node, place, "boot-s", 1);
+  type.spec.name = xml_attribute(node, xml_path, "name");
+  type.spec.cpus = read_amount(node, xml_path, "cpus", 1);
+  type.spec.gpus = read_amount(node, xml_path, "gpus", 0);
+  type.spec.mem_gb = read_amount(node, xml_path, "mem-gb", 1);
+  type.spec.price = read_amount(node, xml_path, "hourly", 0.1);
+  type.spec.spot_price = read_amount(node, xml_path, "spot", type.spec.price);
+  type.spec.boot_s = read_amount(node, xml_path, "boot-s", 1);
   type.spec.cache_gb = cache_gb;
-  type.max_machines = static_cast<int>(read_amount(node, place, "most", 4));
+  type.max_machines = static_cast<int>(read_amount(node, xml_path, "most", 4));
   return type;
 }
 
-using Reader = std::function<void(pugi::xml_node, const std::string& place)>;
+using Reader = std::function<void(pugi::xml_node, const std::string& xml_path)>;
 
-// A reader of an element whose children all have this name.
+// Returns a reader of an element whose children all have this name.
 Reader list_of(const char* name, Reader read_child) {
-  return [name, read_child](pugi::xml_node node, const std::string& place) {
-    read_children(node, place, {{name, read_child}});
+  return [name, read_child](pugi::xml_node node, const std::string& xml_path) {
+    read_children(node, xml_path, {{name, read_child}});
   };
 }
 
 void check(const Settings& settings) {
-  if (settings.zones.empty()) throw_settings_error("shunt-local.zones", "names none");
-  if (settings.teams.empty()) throw_settings_error("shunt-local.teams", "names none");
-  if (settings.types.empty()) throw_settings_error("shunt-local.types", "names none");
+  if (settings.zones.empty()) throw_settings_error("shunt-local.zones", "has no zone");
+  if (settings.teams.empty()) throw_settings_error("shunt-local.teams", "has no team");
+  if (settings.types.empty()) throw_settings_error("shunt-local.types", "has no type");
   if (settings.cancel_s < settings.lease_s + kCancelMarginS)
-    throw_settings_error("shunt-local.cancel-s", "leaves no room above lease-s");
+    throw_settings_error("shunt-local.cancel-s",
+                         "has to exceed lease-s by at least " +
+                             std::to_string(static_cast<int>(kCancelMarginS)) + " s");
 }
 
-json siblings_of(const std::vector<ControllerPlace>& controllers, std::size_t self) {
+json siblings_of(const std::vector<ControllerAddresses>& controllers, std::size_t self) {
   json siblings = json::array();
   for (std::size_t i = 0; i < controllers.size(); ++i)
     if (i != self)
@@ -115,7 +117,7 @@
   return out.str();
 }
 
-// Writes an XML element of text elements.
+// Builds an XML document whose root holds text elements.
 class SettingsWriter {
  public:
   explicit SettingsWriter(const char* root) : root_(document_.append_child(root)) {}
@@ -144,22 +146,22 @@
   Settings settings;
   read_children(root, "shunt-local",
                 {{"controllers",
-                  [&](pugi::xml_node node, const std::string& place) {
+                  [&](pugi::xml_node node, const std::string& xml_path) {
                     settings.controllers =
-                        static_cast<int>(xml_number(node.child_value(), place, 1, 9));
+                        static_cast<int>(xml_number(node.child_value(), xml_path, 1, 9));
                   }},
                  {"zones", list_of("zone",
-                                   [&](pugi::xml_node node, const std::string& place) {
-                                     settings.zones.push_back(xml_text(node, place));
+                                   [&](pugi::xml_node node, const std::string& xml_path) {
+                                     settings.zones.push_back(xml_text(node, xml_path));
                                    })},
                  {"teams", list_of("team",
-                                   [&](pugi::xml_node node, const std::string& place) {
-                                     settings.teams.push_back(read_team(node, place));
+                                   [&](pugi::xml_node node, const std::string& xml_path) {
+                                     settings.teams.push_back(read_team(node, xml_path));
                                    })},
                  {"types", list_of("type",
-                                   [&](pugi::xml_node node, const std::string& place) {
+                                   [&](pugi::xml_node node, const std::string& xml_path) {
                                      settings.types.push_back(
-                                         read_machine_type(node, place, settings.cache_gb));
+                                         read_machine_type(node, xml_path, settings.cache_gb));
                                    })},
                  {"report-s", xml_into(settings.report_s, 0.5, 3600)},
                  {"lease-s", xml_into(settings.lease_s, 2, 86400)},
@@ -180,9 +182,9 @@
 }
 
 std::string controller_settings(const Settings& settings,
-                                const std::vector<ControllerPlace>& controllers, std::size_t self,
-                                const Endpoint& state, const Endpoint& cloud) {
-  const ControllerPlace& own = controllers[self];
+                                const std::vector<ControllerAddresses>& controllers,
+                                std::size_t self, const Endpoint& state, const Endpoint& cloud) {
+  const ControllerAddresses& own = controllers[self];
   return json{{"host_name", own.name},
               {"zone", own.zone},
               {"front", to_text(own.front)},
@@ -194,7 +196,7 @@
 }
 
 std::string agent_settings(const Settings& settings,
-                           const std::vector<ControllerPlace>& controllers,
+                           const std::vector<ControllerAddresses>& controllers,
                            const emulators::CloudEmulator::Machine& machine,
                            const Endpoint& artifacts) {
   SettingsWriter writer("shunt-agent");
@@ -212,7 +214,7 @@
   writer.put("report-s", settings.report_s);
   writer.put("lease-s", settings.lease_s);
   pugi::xml_node list = writer.add("controllers");
-  for (const ControllerPlace& controller : controllers) {
+  for (const ControllerAddresses& controller : controllers) {
     pugi::xml_node element = list.append_child("controller");
     element.append_attribute("name").set_value(controller.name.c_str());
     element.append_attribute("address").set_value(to_text(controller.front).c_str());
