--- a/tests/agent_golden_test.cpp
+++ b/tests/agent_golden_test.cpp
@@ -291,7 +291,7 @@
   s.zones = {"a"};
   s.teams = {{"red", 4, 8, 0, 1}};
   s.types = {{{"t4", 4, 0.5, 16, 0.4, 0.1, 1, {"a"}}, 5}};
-  const std::vector<local_cluster::ControllerPlace> all = {
+  const std::vector<local_cluster::ControllerAddresses> all = {
       {"node-0", "a", {"127.0.0.1", 1}, {"127.0.0.1", 2}},
       {"node-1", "a", {"127.0.0.1", 3}, {"127.0.0.1", 4}}};
   const std::string controller =
