--- a/tests/agent_attempt_table_test.cpp
+++ b/tests/agent_attempt_table_test.cpp
@@ -295,7 +295,7 @@
         {"order":"reap","car":"run-000398/../1","departure":1},
         {"order":"reap","car":"run-000398/0","departure":-1}, 7]})");
   EXPECT_EQ(o.token, 41u);
-  EXPECT_EQ(o.session, 2u);
+  EXPECT_EQ(o.incarnation, 2u);
   ASSERT_EQ(o.commands.size(), 2u);
   EXPECT_EQ(o.commands[1].grace_s, 10);
   EXPECT_EQ(o.refused.size(), 4u);
--- a/tests/agent_golden_test.cpp
+++ b/tests/agent_golden_test.cpp
@@ -77,7 +77,7 @@
       R"("orders":[{"car":"run-000412/4","departure":2,"order":"start"},{"brake_s":10.0,"car":"run-000377/1","departure":1,"order":"halt"},{"car":"run-000398/0","departure":1,"order":"reap"}])";
   auto o = client_protocol::decode_heartbeat_response("{" + list + R"(,"shift":2,"staff":41})");
   EXPECT_TRUE(o.refused.empty());
-  EXPECT_EQ(o.session, 2u);
+  EXPECT_EQ(o.incarnation, 2u);
   EXPECT_EQ(wire::encode_heartbeat_response(o.token.value_or(0), o.commands),
             "{" + list + R"(,"staff":41})");
   EXPECT_EQ(client_protocol::redirect_of(R"({"dispatcher":"railhead-2"})"), "railhead-2");
