--- a/tests/agent_attempt_table_test.cpp
+++ b/tests/agent_attempt_table_test.cpp
@@ -301,7 +301,7 @@
         {"order":"reap","car":"run-000398/../1","departure":1},
         {"order":"reap","car":"run-000398/0","departure":-1}, 7]})");
   EXPECT_EQ(response.token, 41u);
-  EXPECT_EQ(response.session, 2u);
+  EXPECT_EQ(response.incarnation, 2u);
   ASSERT_EQ(response.commands.size(), 2u);
   EXPECT_EQ(response.commands[1].grace_s, 10);
   EXPECT_EQ(response.refused.size(), 4u);
--- a/tests/agent_golden_test.cpp
+++ b/tests/agent_golden_test.cpp
@@ -79,7 +79,7 @@
   auto response =
       client_protocol::decode_heartbeat_response("{" + list + R"(,"shift":2,"staff":41})");
   EXPECT_TRUE(response.refused.empty());
-  EXPECT_EQ(response.session, 2u);
+  EXPECT_EQ(response.incarnation, 2u);
   EXPECT_EQ(wire::encode_heartbeat_response(response.token.value_or(0), response.commands),
             "{" + list + R"(,"staff":41})");
   EXPECT_EQ(client_protocol::redirect_of(R"({"dispatcher":"railhead-2"})"), "railhead-2");
