--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -59,7 +59,7 @@
   std::sort(settings.nodes.begin(), settings.nodes.end());
   const auto twice = std::adjacent_find(settings.nodes.begin(), settings.nodes.end());
   if (twice != settings.nodes.end())
-    throw_settings_error("siblings", "and host_name name node " + quoted(*twice) + " twice");
+    throw_settings_error("siblings", "and host_name name node " + quoted_text(*twice) + " twice");
   settings.self = settings.node_index(settings.node);
 }
 
@@ -105,7 +105,7 @@
     Team team = read_team(section);
     if (settings.team_index(team.name) >= 0)
       throw_settings_error(section.path("name"),
-                           "is " + quoted(team.name) + ", the name of an earlier team");
+                           "is " + quoted_text(team.name) + ", the name of an earlier team");
     settings.teams.push_back(std::move(team));
   }
 }
--- a/src/config/xml.cpp
+++ b/src/config/xml.cpp
@@ -13,7 +13,7 @@
 
 std::uint16_t parse_port(const std::string& text, const std::string& path) {
   const std::string problem =
-      "has port " + quoted(text) + ", expected 1 to " + std::to_string(kMaxPort);
+      "has port " + quoted_text(text) + ", expected 1 to " + std::to_string(kMaxPort);
   if (text.empty() || text.size() > kMaxPortDigits ||
       text.find_first_not_of("0123456789") != std::string::npos)
     throw_settings_error(path, problem);
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-std::string quoted(const std::string& text) {
+std::string quoted_text(const std::string& text) {
   return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
@@ -78,8 +78,8 @@
   std::string rest;
   const bool is_number = (in >> number) && !(in >> rest) && std::isfinite(number);
   if (!is_number || number < min || number > max)
-    throw_settings_error(path,
-                         "is " + quoted(text) + ", expected a number from " + range_text(min, max));
+    throw_settings_error(
+        path, "is " + quoted_text(text) + ", expected a number from " + range_text(min, max));
   return number;
 }
 
@@ -92,7 +92,7 @@
 
 bool xml_flag(const std::string& text, const std::string& path) {
   if (text != "true" && text != "false")
-    throw_settings_error(path, "is " + quoted(text) + ", expected true or false");
+    throw_settings_error(path, "is " + quoted_text(text) + ", expected true or false");
   return text == "true";
 }
 
@@ -105,7 +105,7 @@
 Endpoint parse_endpoint(const std::string& text, const std::string& path) {
   const auto colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0)
-    throw_settings_error(path, "is " + quoted(text) + ", expected host:port");
+    throw_settings_error(path, "is " + quoted_text(text) + ", expected host:port");
   return {text.substr(0, colon), parse_port(text.substr(colon + 1), path)};
 }
 
--- a/src/config/xml.h
+++ b/src/config/xml.h
@@ -18,7 +18,7 @@
 }
 
 /// Returns a text for an error: in quotation marks, and on one line.
-std::string quoted(const std::string& text);
+std::string quoted_text(const std::string& text);
 /// Returns a number for an error text, such as "1e+12".
 std::string number_text(double number);
 /// Returns a range for an error text, such as "0 to 1e+12".
